--- a/src/canon/grant/grants.cc
+++ b/src/canon/grant/grants.cc
@@ -2,6 +2,10 @@
 
 namespace pipit {
 
+namespace {
+constexpr Micros answers_within = millis(200);  // all answers to a question are in by then
+}
+
 bool Granter::ask(std::string const& who, std::string const& duty, Micros term, Micros now) {
   if (term == 0) {
     if (held[duty].who == who) held.erase(duty);
@@ -15,16 +19,18 @@
 }
 
 void Holder::tick(Micros now, Membership const& members, std::vector<Letter>& out) {
-  if (now < next || members.empty()) return;
-  if (asked >= 0 && !holds(now) && !yes.empty() && !members.quorum(yes)) {
-    // Rivals each hold a part. Whoever fails gives its part back and steps aside for a random while; else each
-    // would renew its own part for ever.
+  if (members.empty()) return;
+  // Rivals each hold a part. Whoever fails gives its part back as soon as the answers are in, and steps aside for a
+  // random while; else the parts of a few rivals overlap all the time, and nobody ever finds a majority free.
+  bool const part = asked >= 0 && !holds(now) && !yes.empty() && !members.quorum(yes);
+  if (part && now - asked >= answers_within) {
     send(0, members, out);
     asked = -1;
     yes.clear();
     next = now + millis(200) + static_cast<Micros>(dice.below(static_cast<std::uint64_t>(grant_term / 2)));
     return;
   }
+  if (now < next) return;
   asked = now;
   next = now + grant_term / 2;
   yes.clear();
--- a/src/canon/register/learner.cc
+++ b/src/canon/register/learner.cc
@@ -23,6 +23,7 @@
 
 void Learner::replace(wire::ValueT next, Micros now) {
   before = std::move(value);
+  changed_at = now;
   value = std::move(next);
   set = membership_of(*value);
   if (floor_at >= 0 && value->turn >= floor_turn) sure = std::max(sure, floor_at);
--- a/src/canon/ring/ring.cc
+++ b/src/canon/ring/ring.cc
@@ -50,6 +50,7 @@
     record.cluster = cluster;
     record.name = name;
     record.disk = fresh_id;
+    record.format = record_format;
     for (int twice = 0; twice < 2; ++twice) {
       Result<void> saved = save(record);
       if (!saved) return saved.as_failure();
@@ -81,6 +82,10 @@
   flatbuffers::GetRoot<wire::Record>(best->body.data())->UnPackTo(&record);
   if (record.cluster != cluster || record.name != name)
     return fail(Kind::bad_disk, "the data folder belongs to " + record.name + " of cluster " + record.cluster);
+  if (record.format > record_format)
+    return fail(Kind::bad_disk, "the record has format " + std::to_string(record.format) + ", this program reads up to " +
+                                    std::to_string(record_format));
+  record.format = record_format;
   seq = best->seq;
   return record;
 }
--- a/src/canon/ring/ring.h
+++ b/src/canon/ring/ring.h
@@ -19,6 +19,9 @@
   virtual Result<void> allocate(std::string const& name, std::size_t size) = 0;
 };
 
+// The version of the record that this program writes. Format 1 remembered 64 orders by name (register/orders.h).
+constexpr std::uint32_t record_format = 2;
+
 class RingLog {
  public:
   static constexpr std::size_t slots = 4;
--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -9,6 +9,7 @@
 namespace {
 constexpr Micros mend_gap = seconds(3);
 constexpr Micros keeper_lost = seconds(3);
+constexpr Micros mend_calm = seconds(1);     // without a change, before copies that differ are mended
 constexpr Micros spare_seen = seconds(2);    // how lately a keeper must have answered to be given a place
 constexpr Micros founder_turn = seconds(1);  // how long each founder waits for the one before it
 constexpr Micros unsure_for = seconds(1);    // how long a majority may show no newest value before copies are mended
@@ -188,8 +189,10 @@
     tell(Event::seat_struck, change.seat.name);
     return change;
   }
-  // Not oftener: each round outbids what others have under way, and a slow disk never catches up with a storm.
-  if (!learner.split || now - mended_at <= mend_gap) return std::nullopt;
+  // Not oftener: each round outbids what others have under way, and a slow disk never catches up with a storm. Nor while
+  // changes go by: each of them rewrites the copies, and a second proposer only delays them.
+  bool const calm = learner.changed_at < 0 || now - learner.changed_at > mend_calm;
+  if (!learner.split || !calm || now - mended_at <= mend_gap) return std::nullopt;
   mended_at = now;
   tell(Event::copies_mended, "epoch " + std::to_string(learner.membership().epoch));
   return change;
--- a/src/kin/mesh.cc
+++ b/src/kin/mesh.cc
@@ -156,6 +156,7 @@
   hello.digest = roll.digest();
   hello.ledger = ledger.digest();
   hello.cluster = plan.cluster;
+  hello.format = frame_format;
   hello.self = std::make_unique<wire::MemberT>(roll.self);
   out.sends.push_back({id, encode_body(std::move(hello))});
 }
@@ -384,6 +385,11 @@
 }
 
 void Mesh::greet(WireId id, wire::HelloT const& hello, Micros now, Sends& out) {
+  if (hello.format != frame_format) {
+    tell(Event::wire_foreign, "frames of format " + std::to_string(hello.format));
+    drop(id, now, out);
+    return;
+  }
   if (hello.cluster != plan.cluster || !hello.self || hello.self->name.empty() || hello.self->name == roll.self.name) {
     tell(Event::wire_foreign, hello.cluster);
     drop(id, now, out);
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -10,6 +10,7 @@
 wire::HelloT hello(std::string const& cluster, std::string const& name) {
   wire::HelloT out;
   out.cluster = cluster;
+  out.format = frame_format;
   out.self = std::make_unique<wire::MemberT>();
   out.self->name = name;
   out.self->address = "10.0.0.2:1";
@@ -38,6 +39,19 @@
   }
 }
 
+// While a fleet is rolled out, processes of two versions do not talk: each version is a part of the fleet by itself.
+TEST(Frame, a_peer_of_another_format_is_not_talked_to) {
+  hush(true);
+  Node node(plan(), 0, std::nullopt);
+  NodeOut out;
+  node.opened(1, false, "", 0, out);
+  wire::HelloT older = hello("pipit", "b");
+  older.format = frame_format - 1;
+  node.bytes(1, encode_body(std::move(older)), 0, out);
+  EXPECT_EQ(out.mesh.shuts, std::vector<WireId>{1});
+  EXPECT_EQ(node.mesh.roll.peers.count("b"), 0u);
+}
+
 TEST(Frame, no_bytes_can_hurt) {
   wire::PingT ping;
   ping.seq = 3;
--- a/tests/ring.cc
+++ b/tests/ring.cc
@@ -103,4 +103,15 @@
   EXPECT_TRUE(RingLog(disk, "c", "k1").open(8, blank));
 }
 
+TEST(Ring, a_record_of_a_newer_format_is_refused) {
+  FakeDisk disk;
+  bool blank = false;
+  RingLog ring(disk, "c", "k1");
+  Result<wire::RecordT> opened = ring.open(7, blank);
+  ASSERT_TRUE(opened);
+  opened.value().format = record_format + 1;
+  ASSERT_TRUE(ring.save(opened.value()));
+  EXPECT_FALSE(RingLog(disk, "c", "k1").open(8, blank));
+}
+
 }  // namespace pipit
