--- /dev/null
+++ b/proof/control_plane/main.cc
@@ -0,0 +1,111 @@
+// control_plane: runs scenarios of the control plane over many seeds, or one seed with its events.
+#include <algorithm>
+#include <atomic>
+#include <boost/program_options.hpp>
+#include <cstdio>
+#include <iostream>
+#include <map>
+#include <mutex>
+#include <thread>
+
+#include "ground/events.h"
+#include "proof/control_plane/scenarios.h"
+
+namespace pipit::control_plane {
+namespace {
+
+namespace options = boost::program_options;
+
+struct Sweep {
+  std::uint64_t from = 1;
+  std::uint64_t seeds = 20;
+  unsigned jobs = 2;
+  std::size_t disks = 0;
+  int variant = -1;
+  std::size_t shown = 12;
+};
+
+// Runs one scenario over its seeds; returns how many had findings.
+std::uint64_t sweep(Scenario const& scenario, Sweep const& plan) {
+  std::atomic<std::uint64_t> next{plan.from};
+  std::mutex gate;
+  std::uint64_t faulty = 0;
+  Report sum;
+  std::map<int, std::uint64_t> by_point;
+  std::vector<std::thread> team;
+  for (unsigned job = 0; job < plan.jobs; ++job)
+    team.emplace_back([&] {
+      for (std::uint64_t seed = next++; seed < plan.from + plan.seeds; seed = next++) {
+        Report const report = scenario.run(ScenarioPlan{seed, plan.disks, plan.variant});
+        std::lock_guard<std::mutex> const hold(gate);
+        sum.confirmations += report.confirmations;
+        sum.refusals += report.refusals;
+        sum.readings += report.readings;
+        sum.frames += report.frames;
+        sum.frame_bytes += report.frame_bytes;
+        sum.longest_gap = std::max(sum.longest_gap, report.longest_gap);
+        if (report.findings.empty()) continue;
+        ++faulty;
+        std::map<int, bool> points;
+        for (Finding const& item : report.findings) points[item.point] = true;
+        for (std::pair<int const, bool> const& item : points) ++by_point[item.first];
+        if (faulty > plan.shown) continue;
+        std::printf("%s seed %llu (%s), %zu findings\n", scenario.name, static_cast<unsigned long long>(seed),
+                    report.setting.c_str(), report.findings.size());
+        for (std::size_t n = 0; n < std::min<std::size_t>(3, report.findings.size()); ++n)
+          std::printf("  %lld ms (%d) %s\n", static_cast<long long>(report.findings[n].at / 1000),
+                      report.findings[n].point, report.findings[n].what.c_str());
+      }
+    });
+  for (std::thread& item : team) item.join();
+  std::printf("%s: %llu seeds, %llu with findings", scenario.name, static_cast<unsigned long long>(plan.seeds),
+              static_cast<unsigned long long>(faulty));
+  for (std::pair<int const, std::uint64_t> const& item : by_point)
+    std::printf(", %llu of point %d", static_cast<unsigned long long>(item.second), item.first);
+  std::printf("; %llu confirmed, %llu refused, %llu read, %llu frames, %llu MB, longest gap %lld ms\n",
+              static_cast<unsigned long long>(sum.confirmations), static_cast<unsigned long long>(sum.refusals),
+              static_cast<unsigned long long>(sum.readings), static_cast<unsigned long long>(sum.frames),
+              static_cast<unsigned long long>(sum.frame_bytes >> 20), static_cast<long long>(sum.longest_gap / 1000));
+  std::fflush(stdout);
+  return faulty;
+}
+
+int run(int argc, char** argv) {
+  std::string name = "all";
+  Sweep plan;
+  options::options_description flags("control_plane: the control plane under virtual time, by scenario and seed");
+  flags.add_options()("scenario", options::value(&name), "one of those below, or all")(
+      "from", options::value(&plan.from), "the first seed")("seeds", options::value(&plan.seeds), "how many")(
+      "jobs", options::value(&plan.jobs))("disks", options::value(&plan.disks), "3, 4 or 8; 0: by the seed")(
+      "variant", options::value(&plan.variant), "of scenarios that have some")(
+      "shown", options::value(&plan.shown), "how many seeds are told in full")("log", "print events (one seed)")("help", "");
+  options::variables_map map;
+  try {
+    options::store(options::parse_command_line(argc, argv, flags), map);
+    options::notify(map);
+  } catch (options::error const& bad) {
+    return std::fprintf(stderr, "control_plane: %s\n", bad.what()), 2;
+  }
+  if (map.count("help")) {
+    std::cout << flags << "Scenarios:\n";
+    for (Scenario const& item : scenarios())
+      std::cout << "  " << item.name << " (" << item.point << "): " << item.text << "\n";
+    return 0;
+  }
+  if (name != "all" && scenario_of(name) == nullptr)
+    return std::fprintf(stderr, "control_plane: there is no scenario '%s'\n", name.c_str()), 2;
+  if (plan.seeds == 0 || plan.jobs == 0)
+    return std::fprintf(stderr, "control_plane: seeds and jobs must be above 0\n"), 2;
+  bool const loud = map.count("log") > 0;
+  hush(!loud);
+  if (loud) plan.jobs = 1;
+  std::uint64_t faulty = 0;
+  for (Scenario const& item : scenarios())
+    if (name == "all" || name == item.name) faulty += sweep(item, plan);
+  return faulty == 0 ? 0 : 1;
+}
+
+}  // namespace
+}  // namespace pipit::control_plane
+
+int main(int argc, char** argv) { return pipit::control_plane::run(argc, argv); }
--- /dev/null
+++ b/proof/control_plane/node_view.cc
@@ -0,0 +1,58 @@
+#include "proof/control_plane/node_view.h"
+
+#include "ground/mix.h"
+
+namespace pipit::control_plane {
+
+Configuration configuration_of(wire::ValueT const& value) { return Configuration{value.label, value.text}; }
+
+Configuration in_force_at(Node const& node) {
+  return node.learner.value ? configuration_of(*node.learner.value) : Configuration{};
+}
+
+std::uint64_t serial_at(Node const& node) { return node.learner.serial(); }
+
+std::vector<std::string> keepers_known_to(Node const& node) {
+  std::vector<std::string> out;
+  for (wire::KeeperT const& keeper : node.learner.ring().keepers) out.push_back(keeper.name);
+  return out;
+}
+
+std::uint64_t epoch_known_to(Node const& node) { return node.learner.ring().epoch; }
+
+bool remembers(wire::ValueT const& value, std::string const& change_id) {
+  return Proposer::serial_of(value, change_id) > 0;
+}
+
+wire::RecordT blank_record(std::string const& cluster, std::string const& name, std::uint64_t disk) {
+  wire::RecordT out;
+  out.cluster = cluster;
+  out.name = name;
+  out.disk = disk;
+  return out;
+}
+
+bool may_end(Node const&) { return true; }
+
+std::string change_id(std::string const& verb, std::uint64_t based_on, std::string const& body) {
+  return verb + "-" + std::to_string(based_on) + "-" + std::to_string(mix(body)) + "-" +
+         std::to_string(mix(body, body.size()));
+}
+
+Change replace_change(std::uint64_t based_on, std::uint64_t label, std::string const& body) {
+  Change out;
+  out.sort = Change::Sort::apply;
+  out.id = change_id("replace", based_on, body);
+  out.text = body;
+  out.expected = based_on;
+  out.label = label;
+  return out;
+}
+
+Change read_change() {
+  Change out;
+  out.sort = Change::Sort::read;
+  return out;
+}
+
+}  // namespace pipit::control_plane
--- /dev/null
+++ b/proof/control_plane/node_view.h
@@ -0,0 +1,41 @@
+// The one place of the simulation that looks into a node: what its register's value holds. A change of the value's
+// layout needs changes here alone.
+#pragma once
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "core/node.h"
+
+namespace pipit::control_plane {
+
+// What an answer of the register brought: the operators' label and the description under it.
+struct Configuration {
+  std::uint64_t label = 0;
+  std::string text;
+};
+
+Configuration configuration_of(wire::ValueT const& value);
+// What is in force on a node; label 0 before the first.
+Configuration in_force_at(Node const& node);
+std::uint64_t serial_at(Node const& node);
+// The keepers of the set that a node knows, and the set's epoch.
+std::vector<std::string> keepers_known_to(Node const& node);
+std::uint64_t epoch_known_to(Node const& node);
+// Whether a value says by itself that it holds a change.
+bool remembers(wire::ValueT const& value, std::string const& change_id);
+
+// The durable state of a disk that was never used.
+wire::RecordT blank_record(std::string const& cluster, std::string const& name, std::uint64_t disk);
+
+// Whether a node that announced its departure may end its process. The shell asks nothing of the core today, so it
+// ends at once; where the core has a word in it, this function asks it.
+bool may_end(Node const& node);
+
+// An order as the shell hands it to the core: a change by label whose id is made of its bytes.
+Change replace_change(std::uint64_t based_on, std::uint64_t label, std::string const& body);
+Change read_change();
+std::string change_id(std::string const& verb, std::uint64_t based_on, std::string const& body);
+
+}  // namespace pipit::control_plane
--- /dev/null
+++ b/proof/control_plane/scenarios.h
@@ -0,0 +1,38 @@
+// Named scenarios, each of which brings about one of the worst days of the control plane. A seed fixes everything.
+#pragma once
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "proof/control_plane/judge.h"
+
+namespace pipit::control_plane {
+
+struct ScenarioPlan {
+  std::uint64_t seed = 1;
+  std::size_t disks = 0;  // 0: by the seed, one of 3, 4 and 8
+  int variant = -1;       // of scenarios that have some; below 0: by the seed
+};
+
+struct Report {
+  std::string setting;  // what the seed made of the scenario
+  std::vector<Finding> findings;
+  std::uint64_t confirmations = 0;
+  std::uint64_t refusals = 0;
+  std::uint64_t readings = 0;
+  std::uint64_t frames = 0;
+  std::uint64_t frame_bytes = 0;
+  Micros longest_gap = 0;
+};
+
+struct Scenario {
+  char const* name;
+  int point;  // of the four that it is about
+  char const* text;
+  Report (*run)(ScenarioPlan const& plan);
+};
+
+std::vector<Scenario> const& scenarios();
+Scenario const* scenario_of(std::string const& name);
+
+}  // namespace pipit::control_plane
--- /dev/null
+++ b/proof/control_plane/world.cc
@@ -0,0 +1,478 @@
+#include "proof/control_plane/world.h"
+
+#include <algorithm>
+#include <cstdio>
+
+#include "ground/events.h"
+#include "proof/control_plane/node_view.h"
+
+namespace pipit::control_plane {
+
+namespace {
+constexpr Micros tick_gap = millis(50);
+constexpr Micros dial_timeout = seconds(1);
+constexpr Micros heed = millis(2600);          // the shell's, before it announces the departure
+constexpr Micros grace_most = millis(7300);    // when the shell ends whatever is under way
+constexpr Micros disk_retry = millis(100);     // of a refused write
+constexpr Micros retransmit_most = millis(200);
+constexpr std::size_t seeds_given = 3;
+}  // namespace
+
+World::World(WorldPlan plan_) : plan(plan_), dice(plan_.seed * 0x9e3779b97f4a7c15ull + 17) {
+  for (std::size_t i = 0; i < plan.disks; ++i) add(true);
+  for (std::size_t i = 0; i < plan.plain; ++i) add(false);
+}
+
+World::~World() = default;
+
+void World::at(Micros when, std::function<void()> act) {
+  events.push(Event{std::max(when, time), ++order, std::move(act)});
+}
+
+void World::run_until(Micros when) {
+  while (!events.empty() && events.top().at <= when) {
+    Event event = events.top();
+    events.pop();
+    time = event.at;
+    event.act();
+  }
+  time = when;
+}
+
+// ---- machines
+
+MachineId World::add(bool keeper) {
+  std::unique_ptr<Machine> made = std::make_unique<Machine>();
+  made->id = machines.size();
+  // Names sort in another order than the machines were made in.
+  made->name = "m" + std::to_string(100 + stir(plan.seed + 31 * machines.size()) % 900) + "-" +
+               std::to_string(machines.size());
+  made->address = "10.0.0." + std::to_string(machines.size() + 1) + ":7000";
+  made->zone = "z" + std::to_string(machines.size() % 3);
+  made->keeper = keeper;
+  made->clock_rate = 1.0 + (static_cast<double>(dice.below(2001)) - 1000.0) * 1e-5;
+  made->clock_offset = static_cast<Micros>(dice.below(1000000000));
+  made->calm_since = time;
+  machines.push_back(std::move(made));
+  return machines.back()->id;
+}
+
+Micros World::clock(Machine const& machine) const {
+  return machine.clock_offset + static_cast<Micros>(static_cast<double>(time) * machine.clock_rate);
+}
+
+std::vector<MachineId> World::keepers() const {
+  std::vector<MachineId> out;
+  for (std::unique_ptr<Machine> const& item : machines)
+    if (item->keeper && !item->removed) out.push_back(item->id);
+  return out;
+}
+
+std::optional<MachineId> World::find(std::string const& name) const {
+  for (std::unique_ptr<Machine> const& item : machines)
+    if (item->name == name) return item->id;
+  return std::nullopt;
+}
+
+bool World::counts_as_lost(Machine const& machine) const {
+  return !machine.calm() || time - machine.calm_since < plan.catch_up;
+}
+
+std::size_t World::lost() const {
+  std::size_t present = 0;
+  for (std::unique_ptr<Machine> const& item : machines)
+    if (item->keeper && !item->removed && !counts_as_lost(*item)) ++present;
+  return present >= plan.disks ? 0 : plan.disks - present;
+}
+
+void World::begin_trouble(Machine& machine) { ++machine.troubles; }
+
+void World::end_trouble(Machine& machine) {
+  if (machine.troubles > 0) --machine.troubles;
+  machine.calm_since = time;
+}
+
+// Three that are there when the machine's settings are written; at the first start the first three of all.
+std::vector<std::string> World::seeds_now(MachineId id) const {
+  std::vector<std::string> out;
+  std::size_t const first = machines[id]->life == 0 && time < seconds(2) ? 0 : id + 1;
+  for (std::size_t n = 0; n < machines.size() && out.size() < seeds_given; ++n) {
+    Machine const& item = *machines[(first + n) % machines.size()];
+    if (!item.removed && (time < seconds(2) || (item.up() && item.id != id))) out.push_back(item.address);
+  }
+  return out;
+}
+
+void World::boot(MachineId id, bool first_start) {
+  Machine& machine = *machines[id];
+  if (machine.up() || machine.removed) return;
+  NodePlan made;
+  made.cluster = "control";
+  made.name = machine.name;
+  made.zone = machine.zone;
+  made.address = machine.address;
+  made.seeds = seeds_now(id);
+  made.registered = true;
+  made.first_start = first_start;
+  made.keeper = machine.keeper;
+  machine.life = ++lives;
+  made.incarnation = static_cast<std::uint64_t>(seconds(1000000) + time + machine.wall_offset + 1);
+  made.chance = made.incarnation ^ mix(machine.name) ^ stir(plan.seed);
+  machine.powered = true;
+  machine.frozen = false;
+  machine.deferred.clear();
+  machine.born = time;
+  machine.stop_from = -1;
+  machine.announced = false;
+  machine.calls_under_way = 0;
+  machine.troubles = static_cast<int>(std::count(cut_off.begin(), cut_off.end(), id)) + (machine.disk_full ? 1 : 0) +
+                     (time < machine.stalled_until ? 1 : 0);
+  machine.calm_since = time;
+  std::optional<wire::RecordT> record;
+  if (machine.keeper) {
+    if (machine.writing && dice.chance(0.5)) machine.disk = machine.writing;
+    machine.writing.reset();
+    if (!machine.disk)
+      machine.disk = blank_record(made.cluster, made.name, stir(plan.seed ^ (++disks_made << 20)));
+    record = machine.disk;
+  }
+  // What a former life without power left half open is reset at the next word.
+  machine.wires.clear();
+  machine.node = std::make_unique<Node>(made, clock(machine), std::move(record));
+  if (!hushed()) std::printf("%lld %s boots\n", static_cast<long long>(time / 1000), machine.name.c_str());
+  if (on_boot) on_boot(machine);
+  std::uint64_t const life = machine.life;
+  after(static_cast<Micros>(dice.below(static_cast<std::uint64_t>(tick_gap))), [this, id, life] { tick(id, life); });
+}
+
+void World::boot_all(bool first_start) {
+  for (std::unique_ptr<Machine> const& item : machines) {
+    MachineId const id = item->id;
+    after(static_cast<Micros>(dice.below(static_cast<std::uint64_t>(millis(300)))),
+          [this, id, first_start] { boot(id, first_start); });
+  }
+}
+
+void World::end(Machine& machine, bool silent) {
+  if (!machine.up()) return;
+  if (!hushed())
+    std::printf("%lld %s ends%s\n", static_cast<long long>(time / 1000), machine.name.c_str(), silent ? " dark" : "");
+  std::map<WireId, std::pair<std::shared_ptr<Link>, int>> const wires = std::move(machine.wires);
+  machine.wires.clear();
+  machine.node.reset();
+  machine.frozen = false;
+  machine.deferred.clear();
+  machine.stop_from = -1;
+  for (std::pair<WireId const, std::pair<std::shared_ptr<Link>, int>> const& item : wires)
+    hang_up(item.second.first, item.second.second, silent);
+  if (on_end) on_end(machine);
+}
+
+void World::kill(MachineId id) { end(*machines[id], false); }
+
+void World::power_off(MachineId id) {
+  end(*machines[id], true);
+  machines[id]->powered = false;
+}
+
+void World::wipe(MachineId id) {
+  machines[id]->disk.reset();
+  machines[id]->writing.reset();
+}
+
+void World::remove(MachineId id) {
+  power_off(id);
+  machines[id]->removed = true;
+}
+
+void World::stop(MachineId id) {
+  Machine& machine = *machines[id];
+  if (!machine.up() || machine.stop_from >= 0) return;
+  machine.stop_from = time;
+  std::uint64_t const life = machine.life;
+  after(heed, [this, id, life] { look_stop(id, life); });
+}
+
+void World::look_stop(MachineId id, std::uint64_t life) {
+  Machine& machine = *machines[id];
+  if (!machine.up() || machine.life != life) return;
+  if (!machine.announced) {
+    machine.announced = true;
+    enter(id, life, [](Node& node, Micros now, NodeOut& out) { node.drain(now, out); });
+    if (!machine.up()) return;
+  }
+  bool const idle = machine.calls_under_way == 0 && may_end(*machine.node);
+  if (idle || time - machine.stop_from >= grace_most) {
+    end(machine, false);
+    machine.removed = true;
+    return;
+  }
+  after(tick_gap, [this, id, life] { look_stop(id, life); });
+}
+
+void World::freeze(MachineId id, Micros span) {
+  Machine& machine = *machines[id];
+  if (!machine.up() || machine.frozen) return;
+  machine.frozen = true;
+  begin_trouble(machine);
+  std::uint64_t const life = machine.life;
+  after(span, [this, id, life] {
+    Machine& item = *machines[id];
+    if (!item.up() || item.life != life) return;
+    item.frozen = false;
+    end_trouble(item);
+    std::vector<std::function<void()>> const list = std::move(item.deferred);
+    item.deferred.clear();
+    for (std::function<void()> const& act : list) act();
+  });
+}
+
+void World::enter(MachineId id, std::uint64_t life, Step const& step) {
+  Machine& machine = *machines[id];
+  if (!machine.up() || machine.life != life) return;
+  if (machine.frozen) {
+    machine.deferred.push_back([this, id, life, step] { enter(id, life, step); });
+    return;
+  }
+  if (!hushed()) speaker() = std::to_string(time / 1000) + " " + machine.name + " ";
+  NodeOut out;
+  step(*machine.node, clock(machine), out);
+  obey(machine, out);
+  if (machine.up() && machine.life == life && on_step) on_step(machine);
+}
+
+void World::tick(MachineId id, std::uint64_t life) {
+  Machine& machine = *machines[id];
+  if (!machine.up() || machine.life != life) return;
+  if (!machine.frozen) enter(id, life, [](Node& node, Micros now, NodeOut& out) { node.tick(now, out); });
+  after(tick_gap, [this, id, life] { tick(id, life); });
+}
+
+void World::obey(Machine& machine, NodeOut& out) {
+  if (out.save) save(machine, std::move(*out.save));
+  for (std::string const& address : out.mesh.dials) dial(machine, address);
+  for (Sends::Send& item : out.mesh.sends) {
+    std::map<WireId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const spot = machine.wires.find(item.wire);
+    if (spot != machine.wires.end()) send(spot->second.first, spot->second.second, std::move(item.bytes), false);
+  }
+  for (WireId const wire : out.mesh.shuts) {
+    std::map<WireId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const spot = machine.wires.find(wire);
+    if (spot == machine.wires.end()) continue;
+    std::pair<std::shared_ptr<Link>, int> const item = spot->second;
+    machine.wires.erase(wire);
+    hang_up(item.first, item.second, false);
+  }
+  if (!on_reply) return;
+  std::uint64_t const life = machine.life;
+  for (Reply const& reply : out.replies)
+    if (machine.up() && machine.life == life) on_reply(machine, reply);
+}
+
+// ---- disks
+
+void World::save(Machine& machine, wire::RecordT record) {
+  machine.writing = record;
+  std::shared_ptr<wire::RecordT const> const kept = std::make_shared<wire::RecordT>(std::move(record));
+  MachineId const id = machine.id;
+  std::uint64_t const life = machine.life;
+  after(lag(plan.sync_least, plan.sync_most), [this, id, life, kept] { try_save(id, life, kept); });
+}
+
+void World::try_save(MachineId id, std::uint64_t life, std::shared_ptr<wire::RecordT const> record) {
+  Machine& machine = *machines[id];
+  if (!machine.up() || machine.life != life) return;
+  if (machine.disk_full || time < machine.stalled_until) {
+    Micros const wait = machine.disk_full ? disk_retry : machine.stalled_until - time;
+    after(wait, [this, id, life, record] { try_save(id, life, record); });
+    return;
+  }
+  machine.disk = *record;
+  machine.writing.reset();
+  enter(id, life, [](Node& node, Micros now, NodeOut& out) { node.disk_done(now, out); });
+}
+
+void World::stall_disk(MachineId id, Micros span) {
+  Machine& machine = *machines[id];
+  if (!machine.up()) return;
+  machine.stalled_until = time + span;
+  begin_trouble(machine);
+  after(span, [this, id] { end_trouble(*machines[id]); });
+}
+
+void World::fill_disk(MachineId id, Micros span) {
+  Machine& machine = *machines[id];
+  if (!machine.up() || machine.disk_full) return;
+  machine.disk_full = true;
+  begin_trouble(machine);
+  after(span, [this, id] {
+    machines[id]->disk_full = false;
+    end_trouble(*machines[id]);
+  });
+}
+
+// ---- links
+
+void World::isolate(std::vector<MachineId> const& group, CutKind kind, CutWay way, bool minority) {
+  if (!hushed())
+    for (MachineId const id : group)
+      std::printf("%lld %s is cut off\n", static_cast<long long>(time / 1000), machines[id]->name.c_str());
+  for (MachineId const id : group) {
+    Machine& inner = *machines[id];
+    begin_trouble(inner);
+    cut_off.push_back(id);
+    if (minority && inner.alone_since < 0) inner.alone_since = time;
+    for (std::unique_ptr<Machine> const& outer : machines) {
+      if (std::count(group.begin(), group.end(), outer->id) > 0) continue;
+      if (way != CutWay::inbound) cuts[{id, outer->id}] = kind;
+      if (way != CutWay::outbound) cuts[{outer->id, id}] = kind;
+    }
+  }
+  if (kind == CutKind::silent) return;
+  for (std::weak_ptr<Link> const& item : links) {
+    std::shared_ptr<Link> const link = item.lock();
+    if (!link || (!cut(link->end[0], link->end[1]) && !cut(link->end[1], link->end[0]))) continue;
+    for (int const side : {0, 1}) reset_side(link, side);
+  }
+}
+
+void World::heal() {
+  cuts.clear();
+  for (MachineId const id : cut_off) {
+    machines[id]->alone_since = -1;
+    end_trouble(*machines[id]);
+  }
+  cut_off.clear();
+  links.erase(std::remove_if(links.begin(), links.end(),
+                             [](std::weak_ptr<Link> const& item) { return item.expired(); }),
+              links.end());
+  for (std::weak_ptr<Link> const& item : links) {
+    std::shared_ptr<Link> const link = item.lock();
+    for (int const side : {0, 1}) {
+      if (link->queue[side].empty() || link->scheduled[side]) continue;
+      link->queue[side].front().due = std::max(link->queue[side].front().due, time + lag(millis(1), retransmit_most));
+      schedule(link, side);
+    }
+  }
+}
+
+void World::dial_fails(MachineId id, std::uint64_t life, std::string const& address, bool refused, Micros wait) {
+  after(wait, [this, id, life, address, refused] {
+    enter(id, life, [address, refused](Node& node, Micros now, NodeOut& out) {
+      node.dial_failed(address, refused, now, out);
+    });
+  });
+}
+
+void World::dial(Machine& machine, std::string const& address) {
+  Machine* target = nullptr;
+  for (std::unique_ptr<Machine> const& item : machines)
+    if (item->address == address && !item->removed) target = item.get();
+  if (target == nullptr || !target->powered)
+    return dial_fails(machine.id, machine.life, address, false, dial_timeout);
+  std::map<std::pair<MachineId, MachineId>, CutKind>::const_iterator barrier = cuts.find({machine.id, target->id});
+  if (barrier == cuts.end()) barrier = cuts.find({target->id, machine.id});
+  if (barrier != cuts.end()) {
+    bool const silent = barrier->second == CutKind::silent;
+    return dial_fails(machine.id, machine.life, address, barrier->second == CutKind::refused,
+                      silent ? dial_timeout : lag());
+  }
+  if (!target->up()) return dial_fails(machine.id, machine.life, address, true, lag());
+  std::shared_ptr<Link> const link = std::make_shared<Link>();
+  link->end[0] = machine.id;
+  link->end[1] = target->id;
+  link->life[0] = machine.life;
+  link->life[1] = target->life;
+  links.push_back(link);
+  if (links.size() > 4096)
+    links.erase(std::remove_if(links.begin(), links.end(),
+                               [](std::weak_ptr<Link> const& item) { return item.expired(); }),
+                links.end());
+  Micros const there = lag();
+  Micros const back = there + lag();
+  link->latest[1] = time + back;  // nothing reaches the dialler before its connection is open
+  after(there, [this, link, address] { open_side(link, 1, address); });
+  after(back, [this, link, address] { open_side(link, 0, address); });
+}
+
+void World::open_side(std::shared_ptr<Link> link, int side, std::string const& address) {
+  Machine& machine = *machines[link->end[side]];
+  if (!machine.up() || machine.life != link->life[side]) return;
+  if (side == 0 && (!link->opened[1] || link->closed[1])) {
+    link->closed[0] = true;
+    return dial_fails(machine.id, machine.life, address, false, 0);
+  }
+  if (cut(link->end[0], link->end[1]) || cut(link->end[1], link->end[0])) {
+    // The handshake is lost on its way.
+    link->closed[side] = true;
+    if (side == 0) dial_fails(machine.id, machine.life, address, false, dial_timeout);
+    return;
+  }
+  link->opened[side] = true;
+  link->wire[side] = ++machine.next_wire;
+  machine.wires[link->wire[side]] = {link, side};
+  WireId const wire = link->wire[side];
+  enter(machine.id, machine.life, [wire, side, address](Node& node, Micros now, NodeOut& out) {
+    node.opened(wire, side == 0, side == 0 ? address : "", now, out);
+  });
+}
+
+void World::send(std::shared_ptr<Link> const& link, int side, std::string bytes, bool last) {
+  ++frames;
+  frame_bytes += bytes.size();
+  Micros const due = std::max(link->latest[side] + 1, time + lag());
+  link->latest[side] = due;
+  link->queue[side].push_back(Link::Frame{due, std::move(bytes), last});
+  if (!link->scheduled[side]) schedule(link, side);
+}
+
+void World::schedule(std::shared_ptr<Link> const& link, int side) {
+  link->scheduled[side] = true;
+  at(link->queue[side].front().due, [this, link, side] { deliver(link, side); });
+}
+
+void World::deliver(std::shared_ptr<Link> const& link, int side) {
+  link->scheduled[side] = false;
+  if (link->queue[side].empty() || cut(link->end[side], link->end[1 - side])) return;
+  Link::Frame frame = std::move(link->queue[side].front());
+  link->queue[side].pop_front();
+  if (!link->queue[side].empty()) schedule(link, side);
+  int const to = 1 - side;
+  Machine& target = *machines[link->end[to]];
+  if (!target.powered) return;
+  if (link->closed[to] || !target.up() || target.life != link->life[to]) {
+    // Nobody has this connection any more: its other end is reset.
+    if (!frame.last) reset_side(link, side);
+    return;
+  }
+  if (frame.last) return reset_side(link, to);
+  WireId const wire = link->wire[to];
+  enter(target.id, target.life, [this, link, to, wire, bytes = std::move(frame.bytes)](Node& node, Micros now,
+                                                                                     NodeOut& out) {
+    Machine& machine = *machines[link->end[to]];
+    if (machine.wires.count(wire) == 0) return;
+    if (!node.bytes(wire, bytes, now, out)) out.mesh.shuts.push_back(wire);
+  });
+}
+
+// A side ends the connection. 'silent': its machine lost power and says nothing.
+void World::hang_up(std::shared_ptr<Link> const& link, int side, bool silent) {
+  if (link->closed[side]) return;
+  link->closed[side] = true;
+  if (!silent) send(link, side, "", true);
+}
+
+// A side learns that its connection is no more.
+void World::reset_side(std::shared_ptr<Link> const& link, int side) {
+  Machine& machine = *machines[link->end[side]];
+  if (link->closed[side] || !link->opened[side] || !machine.up() || machine.life != link->life[side]) return;
+  link->closed[side] = true;
+  link->queue[side].clear();
+  WireId const wire = link->wire[side];
+  after(lag(), [this, link, side, wire] {
+    enter(link->end[side], link->life[side], [this, link, side, wire](Node& node, Micros now, NodeOut& out) {
+      if (machines[link->end[side]]->wires.erase(wire) > 0) node.shut(wire, now, out);
+    });
+  });
+}
+
+}  // namespace pipit::control_plane
--- /dev/null
+++ b/proof/control_plane/world.h
@@ -0,0 +1,192 @@
+// Machines, disks and links under virtual time that carry the effects of the product's nodes. Every run is fixed by its
+// plan: the same seed gives the same run.
+#pragma once
+#include <deque>
+#include <functional>
+#include <map>
+#include <memory>
+#include <optional>
+#include <queue>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "core/node.h"
+#include "ground/mix.h"
+
+namespace pipit::control_plane {
+
+// How a cut shows itself: nothing arrives, connections are reset, or connections are reset and dials are refused.
+enum class CutKind : std::uint8_t { silent, reset, refused };
+enum class CutWay : std::uint8_t { both, inbound, outbound };
+
+struct WorldPlan {
+  std::uint64_t seed = 1;
+  std::size_t disks = 3;
+  std::size_t plain = 3;      // machines without a disk
+  std::size_t tolerated = 1;  // machines with a disk that may be lost at once
+  Micros catch_up = seconds(4);
+  Micros sync_least = 300;
+  Micros sync_most = 900;
+  Micros link_least = 300;
+  Micros link_most = 800;
+};
+
+using MachineId = std::size_t;
+
+struct Link;
+
+// A machine with its process, which may be down, and its disk.
+struct Machine {
+  MachineId id = 0;
+  std::string name;
+  std::string address;
+  std::string zone;
+  bool keeper = false;
+  bool powered = true;
+  bool removed = false;
+  std::unique_ptr<Node> node;
+  std::uint64_t life = 0;  // counts the starts of processes, over all machines
+  Micros born = -1;
+  bool frozen = false;
+  std::vector<std::function<void()>> deferred;  // what came while it was frozen
+
+  double clock_rate = 1.0;
+  Micros clock_offset = 0;
+  Micros wall_offset = 0;  // of the wall clock, which may step
+
+  std::optional<wire::RecordT> disk;     // what is synced
+  std::optional<wire::RecordT> writing;  // what a loss of power may keep or lose
+  Micros stalled_until = -1;
+  bool disk_full = false;
+
+  std::map<WireId, std::pair<std::shared_ptr<Link>, int>> wires;
+  WireId next_wire = 0;
+
+  Micros stop_from = -1;  // since when a planned stop is under way
+  bool announced = false;
+  std::size_t calls_under_way = 0;  // of operators
+
+  int troubles = 0;         // that it suffers now
+  Micros calm_since = 0;    // the end of the last one
+  Micros alone_since = -1;  // since when it is cut off with less than a majority
+  bool up() const { return node != nullptr; }
+  bool calm() const { return up() && troubles == 0 && !removed; }
+};
+
+class World {
+ public:
+  using Step = std::function<void(Node&, Micros, NodeOut&)>;
+  explicit World(WorldPlan plan_);
+  ~World();
+
+  void run_until(Micros when);
+  void run(Micros span) { run_until(time + span); }
+  Micros now() const { return time; }
+  void at(Micros when, std::function<void()> act);
+  void after(Micros wait, std::function<void()> act) { at(time + wait, std::move(act)); }
+
+  // Machines.
+  MachineId add(bool keeper);
+  void boot(MachineId id, bool first_start = false);
+  void boot_all(bool first_start);
+  void kill(MachineId id);
+  void power_off(MachineId id);
+  void wipe(MachineId id);    // of a machine that is down: its disk is a new one
+  void remove(MachineId id);  // gone for good, without a word
+  // A planned stop as the shell does it: the word of the departure after its heed time, then the end of the process.
+  void stop(MachineId id);
+  void freeze(MachineId id, Micros span);
+  void stall_disk(MachineId id, Micros span);
+  void fill_disk(MachineId id, Micros span);
+  void step_clock(MachineId id, Micros by) { machines[id]->wall_offset += by; }
+
+  // Cuts a group of machines off from all others; 'minority' when it holds less than a majority of keepers.
+  void isolate(std::vector<MachineId> const& group, CutKind kind, CutWay way, bool minority = true);
+  void heal();
+  bool cut(MachineId from, MachineId to) const { return cuts.count({from, to}) > 0; }
+
+  // Runs one step of a machine's process: later while it is frozen, never once that life has ended.
+  void enter(MachineId id, std::uint64_t life, Step const& step);
+
+  Machine& machine(MachineId id) { return *machines[id]; }
+  Machine const& machine(MachineId id) const { return *machines[id]; }
+  std::size_t size() const { return machines.size(); }
+  std::vector<MachineId> keepers() const;
+  std::optional<MachineId> find(std::string const& name) const;
+  // Machines with a disk that count as lost now: down, frozen, cut off or slow, or not yet caught up since.
+  std::size_t lost() const;
+  bool counts_as_lost(Machine const& machine) const;
+
+  Dice& chance() { return dice; }
+  WorldPlan const plan;
+  // Called after every step, for every answer to an operator, at the end of a life, and at the start of one.
+  std::function<void(Machine&)> on_step;
+  std::function<void(Machine&, Reply const&)> on_reply;
+  std::function<void(Machine&)> on_end;
+  std::function<void(Machine&)> on_boot;
+  std::uint64_t frames = 0;
+  std::uint64_t frame_bytes = 0;
+
+ private:
+  struct Event {
+    Micros at;
+    std::uint64_t order;
+    std::function<void()> act;
+    bool operator<(Event const& other) const { return at != other.at ? at > other.at : order > other.order; }
+  };
+  Micros clock(Machine const& machine) const;
+  Micros lag() { return lag(plan.link_least, plan.link_most); }
+  Micros lag(Micros least, Micros most) {
+    return least + static_cast<Micros>(dice.below(static_cast<std::uint64_t>(most - least + 1)));
+  }
+  void tick(MachineId id, std::uint64_t life);
+  void obey(Machine& machine, NodeOut& out);
+  void end(Machine& machine, bool silent);
+  void look_stop(MachineId id, std::uint64_t life);
+  void begin_trouble(Machine& machine);
+  void end_trouble(Machine& machine);
+  std::vector<std::string> seeds_now(MachineId id) const;
+
+  void dial(Machine& machine, std::string const& address);
+  void dial_fails(MachineId id, std::uint64_t life, std::string const& address, bool refused, Micros wait);
+  void open_side(std::shared_ptr<Link> link, int side, std::string const& address);
+  void send(std::shared_ptr<Link> const& link, int side, std::string bytes, bool last);
+  void schedule(std::shared_ptr<Link> const& link, int side);
+  void deliver(std::shared_ptr<Link> const& link, int side);
+  void hang_up(std::shared_ptr<Link> const& link, int side, bool silent);
+  void reset_side(std::shared_ptr<Link> const& link, int side);
+
+  void save(Machine& machine, wire::RecordT record);
+  void try_save(MachineId id, std::uint64_t life, std::shared_ptr<wire::RecordT const> record);
+
+  Dice dice;
+  Micros time = 0;
+  std::uint64_t order = 0;
+  std::priority_queue<Event> events;
+  std::vector<std::unique_ptr<Machine>> machines;
+  std::map<std::pair<MachineId, MachineId>, CutKind> cuts;
+  std::vector<MachineId> cut_off;
+  std::vector<std::weak_ptr<Link>> links;
+  std::uint64_t lives = 0;
+  std::uint64_t disks_made = 0;
+};
+
+// A stream between two processes: each side's frames arrive whole and in their order.
+struct Link {
+  struct Frame {
+    Micros due;
+    std::string bytes;
+    bool last;  // the side that sent it has hung up
+  };
+  MachineId end[2] = {0, 0};
+  std::uint64_t life[2] = {0, 0};
+  WireId wire[2] = {0, 0};
+  bool opened[2] = {false, false};
+  bool closed[2] = {false, false};
+  std::deque<Frame> queue[2];  // by the side that sent
+  bool scheduled[2] = {false, false};
+  Micros latest[2] = {0, 0};
+};
+
+}  // namespace pipit::control_plane
