--- a/proof/control_plane/main.cc
+++ b/proof/control_plane/main.cc
@@ -23,6 +23,7 @@
   std::size_t disks = 0;
   int variant = -1;
   std::size_t shown = 12;
+  int point = -1;  // findings of other points are left out
 };
 
 // Runs one scenario over its seeds; returns how many had findings.
@@ -36,7 +37,9 @@
   for (unsigned job = 0; job < plan.jobs; ++job)
     team.emplace_back([&] {
       for (std::uint64_t seed = next++; seed < plan.from + plan.seeds; seed = next++) {
-        Report const report = scenario.run(ScenarioPlan{seed, plan.disks, plan.variant});
+        Report report = scenario.run(ScenarioPlan{seed, plan.disks, plan.variant});
+        std::erase_if(report.findings,
+                      [&plan](Finding const& item) { return plan.point >= 0 && item.point != plan.point; });
         std::lock_guard<std::mutex> const hold(gate);
         sum.confirmations += report.confirmations;
         sum.refusals += report.refusals;
@@ -78,6 +81,7 @@
       "from", options::value(&plan.from), "the first seed")("seeds", options::value(&plan.seeds), "how many")(
       "jobs", options::value(&plan.jobs))("disks", options::value(&plan.disks), "3, 4 or 8; 0: by the seed")(
       "variant", options::value(&plan.variant), "of scenarios that have some")(
+      "point", options::value(&plan.point), "findings of this point alone")(
       "shown", options::value(&plan.shown), "how many seeds are told in full")("log", "print events (one seed)")("help", "");
   options::variables_map map;
   try {
--- a/proof/control_plane/operators.cc
+++ b/proof/control_plane/operators.cc
@@ -225,7 +225,11 @@
 
 void Operators::storm_tick(Micros until, Micros gap) {
   if (world.now() >= until) return;
-  if (driving < 8) drive(replace(newest, next_label()));
+  // An order that was refused was made on an old label: the present one is read.
+  if (driving < 8)
+    drive(replace(newest, next_label()), [this](Verdict verdict) {
+      if (verdict == Verdict::stale) drive_reading();
+    });
   world.after(gap, [this, until, gap] { storm_tick(until, gap); });
 }
 
