--- a/proof/control_plane/operators.h
+++ b/proof/control_plane/operators.h
@@ -44,6 +44,10 @@
   // Everything at once: orders, rivals under one number, repeats of old orders, amends, readings; 'most' under way.
   void mixed(Micros until, std::size_t most);
 
+  // Nothing is begun or tried again any more.
+  void halt() { halted = true; }
+  void resume() { halted = false; }
+
   std::uint64_t newest_told() const { return newest; }
   std::uint64_t next_label() { return ++labels; }
   MachineId any_machine();
@@ -91,6 +95,7 @@
   std::uint64_t newest = 0;
   std::uint64_t labels = 0;
   std::size_t driving = 0;
+  bool halted = false;
   std::vector<OrderId> settled;  // orders that were driven and have an answer
 };
 
--- /dev/null
+++ b/tests/control_plane.cc
@@ -0,0 +1,82 @@
+// The control plane's worst days with the product's own nodes under virtual time, a few fixed seeds each; larger sweeps
+// by the program 'control_plane' (proof/control_plane). Each scenario also judges the other points.
+#include <gtest/gtest.h>
+
+#include "ground/events.h"
+#include "proof/control_plane/scenarios.h"
+
+namespace pipit::control_plane {
+
+namespace {
+void expect_clean(char const* name, ScenarioPlan const& plan) {
+  hush(true);
+  Scenario const* const scenario = scenario_of(name);
+  ASSERT_NE(scenario, nullptr);
+  Report const report = scenario->run(plan);
+  EXPECT_GT(report.confirmations, 0u);
+  for (Finding const& item : report.findings)
+    ADD_FAILURE() << name << " seed " << plan.seed << " (" << report.setting << ") at " << item.at / 1000 << " ms, point "
+                  << item.point << ": " << item.what;
+}
+
+void expect_clean(char const* name, std::size_t disks, int variant, std::uint64_t from, std::uint64_t seeds) {
+  for (std::uint64_t seed = from; seed < from + seeds; ++seed) expect_clean(name, ScenarioPlan{seed, disks, variant});
+}
+}  // namespace
+
+// Point 1: neither confirmed nor refused nor read without a majority, and current again soon after.
+TEST(ControlPlane, a_proposing_keeper_cut_off_for_twenty_seconds) { expect_clean("cut_off", 0, 0, 1, 4); }
+TEST(ControlPlane, a_keeper_cut_off_for_twenty_seconds) { expect_clean("cut_off", 0, 1, 1, 4); }
+TEST(ControlPlane, a_plain_machine_cut_off_for_twenty_seconds) { expect_clean("cut_off", 0, 2, 1, 4); }
+TEST(ControlPlane, cuts_in_a_storm_of_changes) { expect_clean("cut_in_storm", 0, -1, 1, 3); }
+
+// Point 2: one change a label, one a base; a taken order is acknowledged again or left unclear.
+TEST(ControlPlane, eight_rivals_under_one_label) { expect_clean("one_label", 0, -1, 1, 4); }
+TEST(ControlPlane, an_order_sent_again_after_few_others) {
+  for (int const variant : {0, 1, 2}) expect_clean("sent_again", 0, variant, 1, 1);
+}
+TEST(ControlPlane, an_order_sent_again_after_sixty_five_others) { expect_clean("sent_again", 0, 4, 1, 2); }
+TEST(ControlPlane, an_order_sent_again_after_two_hundred_others) { expect_clean("sent_again", 0, 6, 1, 1); }
+TEST(ControlPlane, an_order_sent_again_after_five_hundred_others) { expect_clean("sent_again", 0, 7, 1, 1); }
+TEST(ControlPlane, the_proposing_keeper_lost_in_a_storm) { expect_clean("proposer_lost", 0, -1, 1, 3); }
+
+// Point 3: one further allowed loss at any moment leaves a majority with the newest.
+TEST(ControlPlane, a_loss_after_a_planned_replacement_of_three) { expect_clean("second_loss", 3, 0, 1, 8); }
+TEST(ControlPlane, a_loss_after_a_planned_replacement_of_eight) { expect_clean("second_loss", 8, 0, 1, 8); }
+TEST(ControlPlane, a_loss_after_an_unplanned_replacement_of_three) { expect_clean("second_loss", 3, 1, 1, 12); }
+TEST(ControlPlane, a_loss_after_an_unplanned_replacement_of_four) { expect_clean("second_loss", 4, 1, 1, 8); }
+TEST(ControlPlane, a_loss_after_an_unplanned_replacement_of_eight) { expect_clean("second_loss", 8, 1, 1, 8); }
+TEST(ControlPlane, a_loss_after_a_wiped_disk_came_back) {
+  for (std::size_t const disks : {std::size_t(3), std::size_t(4), std::size_t(8)})
+    expect_clean("second_loss", disks, 2, 1, 4);
+}
+TEST(ControlPlane, a_loss_after_the_newest_copy_went) {
+  for (std::size_t const disks : {std::size_t(3), std::size_t(4), std::size_t(8)})
+    for (int const variant : {3, 4, 5}) expect_clean("second_loss", disks, variant, 1, 2);
+}
+
+// Point 4: members that come back catch up, are not ready before, and never go back.
+TEST(ControlPlane, a_member_back_in_a_storm_of_changes) {
+  for (int variant = 0; variant < 6; ++variant) expect_clean("back_in_storm", 0, variant, 1, 1);
+}
+TEST(ControlPlane, a_machine_that_starts_without_a_majority_is_not_ready) { expect_clean("started_alone", 0, -1, 1, 4); }
+TEST(ControlPlane, all_that_count_killed_or_dark_at_once) {
+  for (int const variant : {0, 1}) expect_clean("all_at_once", 0, variant, 1, 2);
+}
+
+// All of it in one day.
+TEST(ControlPlane, days_with_everything) { expect_clean("day", 0, -1, 1, 6); }
+
+// The same seed gives the same run.
+TEST(ControlPlane, a_run_is_fixed_by_its_seed) {
+  hush(true);
+  Scenario const* const day = scenario_of("day");
+  ASSERT_NE(day, nullptr);
+  Report const one = day->run(ScenarioPlan{5, 0, -1});
+  Report const two = day->run(ScenarioPlan{5, 0, -1});
+  EXPECT_EQ(one.frames, two.frames);
+  EXPECT_EQ(one.frame_bytes, two.frame_bytes);
+  EXPECT_EQ(one.confirmations, two.confirmations);
+}
+
+}  // namespace pipit::control_plane
