--- a/proof/control_plane/node_view.cc
+++ b/proof/control_plane/node_view.cc
@@ -14,11 +14,11 @@
 
 std::vector<std::string> keepers_known_to(Node const& node) {
   std::vector<std::string> out;
-  for (wire::KeeperT const& keeper : node.learner.ring().keepers) out.push_back(keeper.name);
+  for (wire::KeeperT const& keeper : node.learner.membership().keepers) out.push_back(keeper.name);
   return out;
 }
 
-std::uint64_t epoch_known_to(Node const& node) { return node.learner.ring().epoch; }
+std::uint64_t epoch_known_to(Node const& node) { return node.learner.membership().epoch; }
 
 bool remembers(wire::ValueT const& value, std::string const& change_id) {
   return Proposer::serial_of(value, change_id) > 0;
