--- a/proof/control_plane/node_view.cc
+++ b/proof/control_plane/node_view.cc
@@ -32,7 +32,7 @@
   return out;
 }
 
-bool may_end(Node const&) { return true; }
+bool may_end(Node const& node, Micros now) { return node.may_end(now); }
 
 std::string change_id(std::string const& verb, std::uint64_t based_on, std::string const& body) {
   return verb + "-" + std::to_string(based_on) + "-" + std::to_string(mix(body)) + "-" +
--- a/proof/control_plane/node_view.h
+++ b/proof/control_plane/node_view.h
@@ -29,9 +29,8 @@
 // The durable state of a disk that was never used.
 wire::RecordT blank_record(std::string const& cluster, std::string const& name, std::uint64_t disk);
 
-// Whether a node that announced its departure may end its process. The shell asks nothing of the core today, so it
-// ends at once; where the core has a word in it, this function asks it.
-bool may_end(Node const& node);
+// Whether a node that announced its departure may end its process, as the shell asks the core.
+bool may_end(Node const& node, Micros now);
 
 // An order as the shell hands it to the core: a change by label whose id is made of its bytes.
 Change replace_change(std::uint64_t based_on, std::uint64_t label, std::string const& body);
--- a/proof/control_plane/world.cc
+++ b/proof/control_plane/world.cc
@@ -208,6 +208,7 @@
   Machine& machine = *machines[id];
   if (!machine.up() || machine.stop_from >= 0) return;
   machine.stop_from = time;
+  enter(id, machine.life, [](Node& node, Micros, NodeOut&) { node.retire(); });
   std::uint64_t const life = machine.life;
   after(heed, [this, id, life] { look_stop(id, life); });
 }
@@ -220,7 +221,7 @@
     enter(id, life, [](Node& node, Micros now, NodeOut& out) { node.drain(now, out); });
     if (!machine.up()) return;
   }
-  bool const idle = machine.calls_under_way == 0 && may_end(*machine.node);
+  bool const idle = machine.calls_under_way == 0 && may_end(*machine.node, clock(machine));
   if (idle || time - machine.stop_from >= grace_most) {
     end(machine, false);
     machine.removed = true;
--- a/src/canon/register/learner.h
+++ b/src/canon/register/learner.h
@@ -42,6 +42,7 @@
     wire::Ballot ballot;
     std::uint64_t serial = 0;
     Micros at = -1;
+    bool retiring = false;  // it is about to end for good, or for a while
   };
   std::map<std::string, Sight> sights;  // what each keeper last answered
 
--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -101,9 +101,11 @@
   return sight->second.disk;
 }
 
-// A keeper that said goodbye serves no longer, though its process may still answer.
+// A keeper that said goodbye, or that it is about to, though its process may still answer.
 bool Node::keeper_leaves(std::string const& name) const {
-  if (name == plan.name) return leaving;
+  if (name == plan.name) return leaving || retiring;
+  std::map<std::string, Learner::Sight>::const_iterator const sight = learner.sights.find(name);
+  if (sight != learner.sights.end() && sight->second.retiring) return true;
   std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(name);
   return peer != mesh.roll.peers.end() && peer->second.state() == State::leaving;
 }
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -151,6 +151,7 @@
       if (acceptor) {
         wire::PeekedT ans = peeked(acceptor->held(), *body.AsPeek());
         ans.age = news_age(now);
+        ans.retiring = retiring;
         letters.push_back(letter(from, std::move(ans)));
       }
       break;
@@ -451,6 +452,8 @@
   // What must be known: a majority's word on the register, and the list; both after the last jump.
   Micros const from = stale_from >= 0 ? stale_from : born;
   bool const word = learner.sure >= from;  // of a majority
+  // Where keepers are many enough for the losses that are allowed, nothing else will do (docs/control.md).
+  if (plan.registered && !word && !able) return;
   bool sure = word;
   if (word && plan.role == Role::passage && !seated()) {
     // §5.9: nothing is placed before this life of the node has its seat; while a majority answers, by nobody's word.
@@ -621,6 +624,11 @@
   desk.work(now, out.desk);
 }
 
+bool Node::may_end(Micros now) const {
+  if (!acceptor || !acceptor->held().formed) return true;
+  return !learner.membership().concerns(plan.name, acceptor->held().disk) || !spare_keeper(now);
+}
+
 void Node::drain(Micros now, NodeOut& out) {
   if (leaving) return;
   leaving = true;
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -102,6 +102,10 @@
   void leg_ended(std::uint64_t id, LegEnd end, std::string const& why, Micros back, Micros now, NodeOut& out);
   void hung_up(std::uint64_t id, Micros now, NodeOut& out);
 
+  // A planned stop is near: a keeper asks to be replaced while it still holds its copy.
+  void retire() { retiring = true; }
+  // Whether nothing is lost when this node ends now: it keeps no more, or nobody is here to take its place.
+  bool may_end(Micros now) const;
   void drain(Micros now, NodeOut& out);
   bool ready() const { return able; }
   bool draining() const { return leaving; }
@@ -226,6 +230,7 @@
   Micros seat_next = 0;
   Micros seat_at = -1;
   bool leaving = false;
+  bool retiring = false;
   Micros stale_from = -1;  // since when a jump of the clock waits for fresh knowledge
   std::uint64_t change_count = 0;
   std::uint64_t next_req = 1;
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -256,6 +256,7 @@
   if (stop_from >= 0) return;
   stop_from = now();
   relay->server.closing();
+  node->retire();
   tell(Event::grace_began, "");
 }
 
@@ -273,7 +274,8 @@
   }
   if (!doors_shut) return;
   relay->server.close_idle();
-  bool const idle = relay->server.calls() == 0 && asked.empty();
+  // A keeper stays until another one has its place, where one is here to take it.
+  bool const idle = relay->server.calls() == 0 && asked.empty() && node->may_end(at);
   if (idle || span >= plan.grace - last_moment) g_main_loop_quit(loop);
 }
 
