--- a/proof/hollow/fit.h
+++ b/proof/hollow/fit.h
@@ -17,7 +17,8 @@
   std::string words(std::string const& name) const;
 };
 
-// Least squares of the relative distances, over the pairs of powers 0,1 0,2 0,3 and 1,2. Points that are 0 do not count.
+// Least squares of the relative distances, over the pairs of powers 0,1 0,2 0,3 and 1,2. Points that are 0 do not
+// count.
 Fit fit(std::vector<double> const& x, std::vector<double> const& y);
 
 }  // namespace pipit
--- a/proof/hollow/scale.cc
+++ b/proof/hollow/scale.cc
@@ -735,7 +735,7 @@
   }
   out.add("processor_s", static_cast<double>(processor() - started) / 1e9);
   // Of the whole process, the machines' side with it, and never less than for a size that ran before.
-  struct rusage use{};
+  struct rusage use {};
   getrusage(RUSAGE_SELF, &use);
   out.add("process_peak_mb", static_cast<double>(use.ru_maxrss) / 1024);
   finish(out);
--- a/src/canon/creed/creed.cc
+++ b/src/canon/creed/creed.cc
@@ -142,8 +142,7 @@
   for (Route const& item : routes) {
     if (path.substr(0, item.prefix.size()) != item.prefix) continue;
     if (best != nullptr && best->prefix.size() >= item.prefix.size()) continue;
-    if (item.host.size() != host.size() ||
-        !std::equal(host.begin(), host.end(), item.host.begin(), [](char a, char b) {
+    if (item.host.size() != host.size() || !std::equal(host.begin(), host.end(), item.host.begin(), [](char a, char b) {
           return std::tolower(static_cast<unsigned char>(a)) == std::tolower(static_cast<unsigned char>(b));
         }))
       continue;
@@ -244,7 +243,8 @@
       Route::Share share;
       Rules const rules = {
           {"pool", [&](Element const& v, std::string const& p) { return reader.text(v, p, share.pool); }},
-          {"weight", [&](Element const& v, std::string const& p) { return reader.number(v, p, 0, 1000000, share.weight); }},
+          {"weight",
+           [&](Element const& v, std::string const& p) { return reader.number(v, p, 0, 1000000, share.weight); }},
       };
       if (!reader.object(item, spot, rules, {"pool"})) return false;
       if (!pool_names.count(share.pool)) return reader.wrong(spot, "there is no pool '" + share.pool + "'");
@@ -259,11 +259,15 @@
         {"repeatable", [&](Element const& v, std::string const& p) { return reader.truth(v, p, route.repeatable); }},
         {"streams", [&](Element const& v, std::string const& p) { return reader.truth(v, p, route.streams); }},
         {"resumable", [&](Element const& v, std::string const& p) { return reader.truth(v, p, route.resumable); }},
-        {"hold_ms", [&](Element const& v, std::string const& p) { return reader.span(v, p, 1000, 86400000, route.hold); }},
-        {"aim_ms", [&](Element const& v, std::string const& p) { return reader.span(v, p, 1000, 86400000, route.aim); }},
-        {"gap_ms", [&](Element const& v, std::string const& p) { return reader.span(v, p, 1000, 86400000, route.gap); }},
+        {"hold_ms",
+         [&](Element const& v, std::string const& p) { return reader.span(v, p, 1000, 86400000, route.hold); }},
+        {"aim_ms",
+         [&](Element const& v, std::string const& p) { return reader.span(v, p, 1000, 86400000, route.aim); }},
+        {"gap_ms",
+         [&](Element const& v, std::string const& p) { return reader.span(v, p, 1000, 86400000, route.gap); }},
         {"rank", [&](Element const& v, std::string const& p) { return reader.number(v, p, 0, 1000, route.rank); }},
-        {"attempts", [&](Element const& v, std::string const& p) { return reader.number(v, p, 1, 1000, route.attempts); }},
+        {"attempts",
+         [&](Element const& v, std::string const& p) { return reader.number(v, p, 1, 1000, route.attempts); }},
     };
     if (!reader.object(value, path, rules, {"name", "host", "prefix", "shares"})) return false;
     if (route.prefix.front() != '/' || route.prefix.back() != '/')
@@ -271,7 +275,8 @@
     std::int64_t sum = 0;
     for (Route::Share const& share : route.shares) sum += share.weight;
     if (sum <= 0) return reader.wrong(path + ".shares", "the weights add up to 0");
-    if (route.hold <= 0) return reader.wrong(path + ".hold_ms", "a request that may be held for no time is never served");
+    if (route.hold <= 0)
+      return reader.wrong(path + ".hold_ms", "a request that may be held for no time is never served");
     if (!route_names.insert(route.name).second)
       return reader.wrong(path + ".name", "the route '" + route.name + "' stands twice");
     std::string spot = route.host;
@@ -284,12 +289,12 @@
   std::function<bool(Element const&, std::string const&)> const limits = [&](Element const& value,
                                                                              std::string const& path) {
     Rules const rules = {
-        {"head_bytes",
-         [&](Element const& v, std::string const& p) { return reader.number(v, p, 1, 1 << 30, out->limits.head_bytes); }},
-        {"body_bytes",
-         [&](Element const& v, std::string const& p) { return reader.number(v, p, 0, 1 << 30, out->limits.body_bytes); }},
-        {"head_ms",
-         [&](Element const& v, std::string const& p) { return reader.span(v, p, 1000, 86400000, out->limits.head_time); }},
+        {"head_bytes", [&](Element const& v,
+                           std::string const& p) { return reader.number(v, p, 1, 1 << 30, out->limits.head_bytes); }},
+        {"body_bytes", [&](Element const& v,
+                           std::string const& p) { return reader.number(v, p, 0, 1 << 30, out->limits.body_bytes); }},
+        {"head_ms", [&](Element const& v,
+                        std::string const& p) { return reader.span(v, p, 1000, 86400000, out->limits.head_time); }},
         {"idle_ms",
          [&](Element const& v, std::string const& p) { return reader.span(v, p, 1000, 86400000, out->limits.idle); }},
     };
--- a/src/canon/creed/creed.h
+++ b/src/canon/creed/creed.h
@@ -45,7 +45,7 @@
   bool resumable = false;   // a stream may go on at another worker
   Micros hold = seconds(30);
   Micros aim = seconds(1);
-  Micros gap = 0;  // the longest pause between events that keeps an answer in time; 0: none is named
+  Micros gap = 0;         // the longest pause between events that keeps an answer in time; 0: none is named
   std::int64_t rank = 0;  // 0 comes first
   std::int64_t attempts = 1;
 };
@@ -63,7 +63,7 @@
   std::vector<Lane> lanes;
   std::vector<Route> routes;
   CallLimits limits;
-  std::string source;  // what the description was made from, kept as it came; opaque here
+  std::string source;                 // what the description was made from, kept as it came; opaque here
   Micros locality_cost = millis(40);  // what sending to another zone is held to cost
   Pool const* pool(std::string_view name) const;
   Lane const* lane(std::string_view name) const;
--- a/src/flow/exchange/exchange.h
+++ b/src/flow/exchange/exchange.h
@@ -14,11 +14,11 @@
 // zones' hubs what has come together since its last word.
 struct Paths {
   bool wide = false;
-  bool hub = false;                 // this node is its zone's
-  std::string own_hub;              // of the zone; empty when none is reached
-  std::vector<std::string> zone;    // peers of the zone
-  std::vector<std::string> hubs;    // of the other zones
-  std::vector<std::string> all;     // every peer
+  bool hub = false;               // this node is its zone's
+  std::string own_hub;            // of the zone; empty when none is reached
+  std::vector<std::string> zone;  // peers of the zone
+  std::vector<std::string> hubs;  // of the other zones
+  std::vector<std::string> all;   // every peer
 };
 
 class Exchange {
@@ -26,9 +26,9 @@
   explicit Exchange(std::string self_) : self(std::move(self_)) {}
 
   // This node's own words.
-  void work(std::string const& worker, Micros span);                // it was given so much to read
-  void load(std::string const& worker, std::int64_t running);       // it says that so much runs and waits there
-  void doubt(std::string const& worker);                            // a connection broke or fell silent
+  void work(std::string const& worker, Micros span);           // it was given so much to read
+  void load(std::string const& worker, std::int64_t running);  // it says that so much runs and waits there
+  void doubt(std::string const& worker);                       // a connection broke or fell silent
   void delta(std::string const& tree, wire::DeltaT item);
   // Words of peers, already taken in; a hub passes them on.
   void pass(std::string const& from, wire::LoadsT const& words);
@@ -47,8 +47,8 @@
   Word& own(std::string const& worker) { return words[self][worker]; }
 
   std::string const self;
-  std::map<std::string, Words> words;  // of this zone, by who said them
-  Words far;                           // of other zones
+  std::map<std::string, Words> words;                           // of this zone, by who said them
+  Words far;                                                    // of other zones
   std::map<std::string, std::vector<wire::DeltaT>> deltas;      // of this zone
   std::map<std::string, std::vector<wire::DeltaT>> far_deltas;  // of other zones
   bool urgent = false;
--- a/src/ground/events.h
+++ b/src/ground/events.h
@@ -42,7 +42,7 @@
   EVENT(312, copies_mended, INFO, "old copies of the register were rewritten")              \
   EVENT(313, seat_taken, INFO, "this life of the router node has its seat")                 \
   EVENT(314, seat_struck, INFO, "a router node that is gone is struck from the register")   \
-  EVENT(315, disk_waits, WARNING, "the disk refused a record; it is written again")          \
+  EVENT(315, disk_waits, WARNING, "the disk refused a record; it is written again")         \
   EVENT(400, worker_joined, INFO, "a worker takes requests")                                \
   EVENT(401, worker_leaving, INFO, "a worker is marked as leaving")                         \
   EVENT(402, worker_gone, INFO, "a worker is no longer listed")                             \
@@ -50,7 +50,7 @@
   EVENT(404, worker_back, INFO, "a dark worker answers again")                              \
   EVENT(405, list_failed, WARNING, "the platform's list could not be read")                 \
   EVENT(406, list_back, INFO, "the platform's list can be read again")                      \
-  EVENT(407, worker_doubted, WARNING, "a connection to a worker broke or fell silent")       \
+  EVENT(407, worker_doubted, WARNING, "a connection to a worker broke or fell silent")      \
   EVENT(500, errand_refused, INFO, "a request was refused")                                 \
   EVENT(501, leg_failed, WARNING, "a send to a worker failed")                              \
   EVENT(502, leg_resent, INFO, "a request is sent a second time")                           \
--- a/src/hull/disk/disk_task.cc
+++ b/src/hull/disk/disk_task.cc
@@ -107,8 +107,7 @@
   bool const reserved = size > written_out && ::posix_fallocate(file.fd, 0, static_cast<off_t>(size)) == 0;
   std::string const zeros(reserved ? 0 : std::min<std::size_t>(size, 262144), '\0');
   for (std::size_t at = 0; at < size && !reserved;) {
-    ssize_t const n =
-        ::pwrite(file.fd, zeros.data(), std::min(zeros.size(), size - at), static_cast<off_t>(at));
+    ssize_t const n = ::pwrite(file.fd, zeros.data(), std::min(zeros.size(), size - at), static_cast<off_t>(at));
     if (n < 0 && errno == EINTR) continue;
     if (n <= 0) return fail(Kind::bad_disk, why("cannot allocate", name));
     at += static_cast<std::size_t>(n);
--- a/src/hull/http/legs.cc
+++ b/src/hull/http/legs.cc
@@ -208,8 +208,7 @@
     }
     Piece const piece = parse_piece(text);
     if (!piece.json) return finish(leg, leg.events == 0 ? LegEnd::wrong : LegEnd::torn, "a piece is not JSON");
-    if (piece.error)
-      return finish(leg, leg.events == 0 ? LegEnd::wrong : LegEnd::torn, "the worker reports an error");
+    if (piece.error) return finish(leg, leg.events == 0 ? LegEnd::wrong : LegEnd::torn, "the worker reports an error");
     // N4: an answer to another request is never passed on.
     if (!answers_to(piece.id, leg.id))
       return finish(leg, leg.events == 0 ? LegEnd::wrong : LegEnd::torn, "a piece of another request: " + piece.id);
@@ -226,8 +225,7 @@
     Piece const piece = parse_piece(leg.whole);
     if (!piece.json) return finish(leg, LegEnd::torn, "the answer is not whole JSON");
     if (piece.error) return finish(leg, LegEnd::wrong, "the worker reports an error");
-    if (!answers_to(piece.id, leg.id))
-      return finish(leg, LegEnd::wrong, "the answer to another request: " + piece.id);
+    if (!answers_to(piece.id, leg.id)) return finish(leg, LegEnd::wrong, "the answer to another request: " + piece.id);
     ears.whole(leg.start.errand, std::move(leg.whole));
     return finish(leg, LegEnd::done, "");
   }
--- a/src/hull/wire/wires.cc
+++ b/src/hull/wire/wires.cc
@@ -44,8 +44,7 @@
                         std::shared_ptr<Wire> const keep = spot->second;
                         adopt(keep, true);
                       },
-                      nullptr,
-                      [this, id = made->id](Link::End how) { lost(id, how); }, nullptr});
+                      nullptr, [this, id = made->id](Link::End how) { lost(id, how); }, nullptr});
 }
 
 void Wires::adopt(std::shared_ptr<Wire> const& wire, bool outbound) {
--- a/src/kin/mesh.cc
+++ b/src/kin/mesh.cc
@@ -349,8 +349,7 @@
 
   Micros const quiet = quiet_span();
   for (std::pair<std::string const, Peer>& item : roll.peers)
-    if (item.second.wire != 0 && item.second.state() == State::alive &&
-        now - wires[item.second.wire].heard > quiet)
+    if (item.second.wire != 0 && item.second.state() == State::alive && now - wires[item.second.wire].heard > quiet)
       probe(item.second, now, out);
   if (now >= next_round) {
     next_round = now + plan.round;
--- a/src/kin/mesh.h
+++ b/src/kin/mesh.h
@@ -20,7 +20,7 @@
   Micros quiet = millis(900);      // a wire silent for longer is asked after, whoever's turn it is
   Micros knock = millis(250);      // first pause between dials
   Micros knock_most = seconds(1);  // the low, capped rate for DOWN peers and seeds
-  std::size_t told = 8;  // peers that are told of a finding at once; the others hear of it on pings (§3.6)
+  std::size_t told = 8;            // peers that are told of a finding at once; the others hear of it on pings (§3.6)
   std::size_t wide = 24;  // beyond so many members nothing is told to everybody but what this node says of itself
   Micros idle = seconds(60);
   Micros forget = seconds(1800);
--- a/src/kin/roll/roll.cc
+++ b/src/kin/roll/roll.cc
@@ -121,7 +121,8 @@
   struck.clear();
   for (std::unique_ptr<wire::SeatT> const& item : list) {
     std::map<std::string, Peer>::iterator const spot = peers.find(item->name);
-    if (spot != peers.end() && (spot->second.wire != 0 || spot->second.member.incarnation > item->incarnation)) continue;
+    if (spot != peers.end() && (spot->second.wire != 0 || spot->second.member.incarnation > item->incarnation))
+      continue;
     if (spot != peers.end()) peers.erase(spot);
     struck[item->name] = item->incarnation;
   }
--- a/src/kin/roll/roll.h
+++ b/src/kin/roll/roll.h
@@ -21,8 +21,8 @@
   Micros next_dial = 0;
   Micros pause = 0;
   bool dialling = false;
-  bool refused = false;  // its address refused a dial since it was last heard: no process is there
-  Micros refused_at = -1;  // since when
+  bool refused = false;       // its address refused a dial since it was last heard: no process is there
+  Micros refused_at = -1;     // since when
   std::uint64_t version = 0;  // the roll's, when its life, state or address last changed here
   void refuse(bool no, Micros now) {
     if (no != refused) refused_at = now;
--- /dev/null
+++ b/tests/checks/format.sh
@@ -0,0 +1,10 @@
+#!/bin/sh
+# Checks every C++ file of the project against the committed .clang-format: format.sh SOURCE [fix].
+# With `fix` it rewrites them instead. clang-format 14 decides, since other versions lay some things out differently.
+set -eu
+cd "$1"
+if [ "${2:-}" = fix ]; then set -- -i; else set -- --dry-run -Werror; fi
+formatter=$(command -v clang-format-14) || { echo "clang-format-14 is not installed (.ci/test-packages)"; exit 1; }
+files() { find src platform programs proof tests \( -name '*.cc' -o -name '*.h' \) -print0 | sort -z; }
+echo "$(files | tr -cd '\0' | wc -c) files"
+files | xargs -0 -P 4 -n 16 "$formatter" "$@"
