--- a/src/canon/creed/creed.h
+++ b/src/canon/creed/creed.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "canon/tongue/tongue.h"
+#include "config/rules/rules.h"
 
 namespace pipit {
 
--- /dev/null
+++ b/src/config/rules/condition.cc
@@ -0,0 +1,95 @@
+// Evaluates compiled conditions (§5.2).
+#include "config/rules/condition_fields.h"
+#include "config/rules/rules.h"
+
+namespace pipit {
+
+namespace {
+
+using Operation = Condition::Operation;
+using Instruction = Condition::Instruction;
+
+std::string const& text_field(Field field, Facts const& facts) {
+  if (field == Field::model) return facts.model;
+  if (field == Field::user) return facts.user;
+  return facts.zone;
+}
+
+std::int64_t number_field(Field field, Facts const& facts, std::int64_t load_percent) {
+  if (field == Field::size) return facts.size;
+  if (field == Field::output) return facts.output;
+  return load_percent;
+}
+
+bool compare_text(Instruction const& instruction, std::string const& value) {
+  switch (instruction.operation) {
+    case Operation::text_equal:
+      return value == instruction.text;
+    case Operation::text_not_equal:
+      return value != instruction.text;
+    default:
+      return value.compare(0, instruction.text.size(), instruction.text) == 0;
+  }
+}
+
+bool compare_number(Instruction const& instruction, std::int64_t value) {
+  switch (instruction.operation) {
+    case Operation::less:
+      return value < instruction.number;
+    case Operation::less_or_equal:
+      return value <= instruction.number;
+    case Operation::greater:
+      return value > instruction.number;
+    case Operation::greater_or_equal:
+      return value >= instruction.number;
+    case Operation::equal:
+      return value == instruction.number;
+    default:
+      return value != instruction.number;
+  }
+}
+
+// The result of an instruction that compares one field.
+bool compare_field(Instruction const& instruction, Facts const& facts, std::int64_t load_percent) {
+  Field const field = static_cast<Field>(instruction.field);
+  switch (field_descriptions[instruction.field].type) {
+    case FieldType::text:
+      return compare_text(instruction, text_field(field, facts));
+    case FieldType::number:
+      return compare_number(instruction, number_field(field, facts, load_percent));
+    case FieldType::boolean:
+      break;
+  }
+  return facts.stream;
+}
+
+}  // namespace
+
+bool Condition::holds(Facts const& facts, std::int64_t load_percent) const {
+  if (instructions.empty()) return true;
+  std::vector<bool> stack;
+  for (Instruction const& instruction : instructions) {
+    if (instruction.operation <= Operation::is_set) {
+      stack.push_back(compare_field(instruction, facts, load_percent));
+    } else if (instruction.operation == Operation::always) {
+      stack.push_back(true);
+    } else if (instruction.operation == Operation::logical_not) {
+      stack.back() = !stack.back();
+    } else {
+      bool const right = stack.back();
+      stack.pop_back();
+      bool const left = stack.back();
+      stack.back() = instruction.operation == Operation::logical_and ? left && right : left || right;
+    }
+  }
+  return stack.back();
+}
+
+bool Condition::reads_load() const {
+  for (Instruction const& instruction : instructions)
+    if (instruction.operation < Operation::is_set && static_cast<Field>(instruction.field) == Field::demand)
+      return true;
+  return false;
+}
+
+}  // namespace pipit
--- /dev/null
+++ b/src/config/rules/lexer.cc
@@ -0,0 +1,115 @@
+#include "config/rules/lexer.h"
+
+#include "config/rules/rules.h"
+
+namespace pipit {
+
+namespace {
+
+constexpr std::int64_t largest_number = 1000000000000;
+constexpr std::string_view symbols[] = {";", "(", ")", "=", "!=", "<", "<=", ">", ">="};
+
+bool is_alphabetic(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_'; }
+bool is_digit(char c) { return c >= '0' && c <= '9'; }
+bool is_space(char c) { return c == ' ' || c == '\t' || c == '\n' || c == '\r'; }
+
+class Lexer {
+ public:
+  explicit Lexer(std::string_view text_) : text(text_) {}
+
+  Result<std::vector<Token>> run() {
+    std::vector<Token> tokens;
+    while (skip_spaces()) {
+      Token token;
+      token.offset = position;
+      Result<void> const done = read(token);
+      if (!done) return done.as_failure();
+      tokens.push_back(std::move(token));
+    }
+    Token end;
+    end.offset = text.size();
+    tokens.push_back(end);
+    return tokens;
+  }
+
+ private:
+  bool more() const { return position < text.size(); }
+
+  // Whether anything follows.
+  bool skip_spaces() {
+    while (more() && is_space(text[position])) ++position;
+    return more();
+  }
+
+  Result<void> read(Token& token) {
+    char const first = text[position];
+    if (is_alphabetic(first)) return read_word(token);
+    if (is_digit(first)) return read_number(token);
+    if (first == '"') return read_text(token);
+    return read_symbol(token);
+  }
+
+  Result<void> read_word(Token& token) {
+    token.kind = TokenKind::word;
+    while (more() && (is_alphabetic(text[position]) || is_digit(text[position]) || text[position] == '-'))
+      token.text += text[position++];
+    return boost::outcome_v2::success();
+  }
+
+  Result<void> read_number(Token& token) {
+    token.kind = TokenKind::number;
+    while (more() && is_digit(text[position])) {
+      if (token.number > largest_number) return error("the number is too large", token);
+      token.number = token.number * 10 + (text[position++] - '0');
+    }
+    while (more() && (is_alphabetic(text[position]) || text[position] == '%')) token.unit += text[position++];
+    return boost::outcome_v2::success();
+  }
+
+  Result<void> read_text(Token& token) {
+    token.kind = TokenKind::text;
+    ++position;
+    while (more() && text[position] != '"') token.text += text[position++];
+    if (!more()) return error("the quoted text has no end", token);
+    ++position;
+    return boost::outcome_v2::success();
+  }
+
+  Result<void> read_symbol(Token& token) {
+    token.kind = TokenKind::symbol;
+    char const first = text[position++];
+    token.text = first;
+    bool const may_be_two = first == '<' || first == '>' || first == '!';
+    if (may_be_two && more() && text[position] == '=') token.text += text[position++];
+    for (std::string_view const symbol : symbols)
+      if (symbol == token.text) return boost::outcome_v2::success();
+    return error("'" + token.text + "' has no meaning here", token);
+  }
+
+  Result<void> error(std::string why, Token const& token) const {
+    return fail(Kind::bad_language, std::move(why), place_of(text, token.offset));
+  }
+
+  std::string_view const text;
+  std::size_t position = 0;
+};
+
+}  // namespace
+
+std::string place_of(std::string_view text, std::size_t offset) {
+  std::size_t line = 1;
+  std::size_t column = 1;
+  for (std::size_t i = 0; i < offset && i < text.size(); ++i) {
+    if (text[i] == '\n') {
+      ++line;
+      column = 1;
+    } else {
+      ++column;
+    }
+  }
+  return "line " + std::to_string(line) + ", column " + std::to_string(column);
+}
+
+Result<std::vector<Token>> tokenize(std::string_view text) { return Lexer(text).run(); }
+
+}  // namespace pipit
--- /dev/null
+++ b/src/config/rules/parser.cc
@@ -0,0 +1,144 @@
+#include "config/rules/parser.h"
+
+#include <iterator>
+
+namespace pipit {
+
+namespace {
+
+using Operation = Condition::Operation;
+
+constexpr int deepest_nesting = 32;
+
+struct SymbolOperation {
+  std::string_view symbol;
+  Operation operation;
+};
+constexpr SymbolOperation number_operations[] = {
+    {"<", Operation::less},    {"<=", Operation::less_or_equal},
+    {">", Operation::greater}, {">=", Operation::greater_or_equal},
+    {"=", Operation::equal},   {"!=", Operation::not_equal},
+};
+
+std::string name_of(Condition::Instruction const& instruction) {
+  return std::string(field_descriptions[instruction.field].name);
+}
+
+}  // namespace
+
+bool Parser::take_if(TokenKind kind, std::string_view name) {
+  if (peek().kind != kind || peek().text != name) return false;
+  take();
+  return true;
+}
+
+bool Parser::parse_condition(Condition& out, Fault& fault, int depth) {
+  if (!parse_and(out, fault, depth)) return false;
+  while (take_word("or")) {
+    if (!parse_and(out, fault, depth)) return false;
+    out.instructions.push_back({Operation::logical_or, 0, 0, ""});
+  }
+  return true;
+}
+
+bool Parser::parse_and(Condition& out, Fault& fault, int depth) {
+  if (!parse_not(out, fault, depth)) return false;
+  while (take_word("and")) {
+    if (!parse_not(out, fault, depth)) return false;
+    out.instructions.push_back({Operation::logical_and, 0, 0, ""});
+  }
+  return true;
+}
+
+bool Parser::parse_not(Condition& out, Fault& fault, int depth) {
+  if (depth > deepest_nesting) {
+    fault = error_here("the condition is nested too deeply");
+    return false;
+  }
+  if (take_word("not")) {
+    if (!parse_not(out, fault, depth + 1)) return false;
+    out.instructions.push_back({Operation::logical_not, 0, 0, ""});
+    return true;
+  }
+  if (take_symbol("(")) {
+    if (!parse_condition(out, fault, depth + 1)) return false;
+    if (take_symbol(")")) return true;
+    fault = error_here("a ')' is missing");
+    return false;
+  }
+  return parse_test(out, fault);
+}
+
+bool Parser::parse_test(Condition& out, Fault& fault) {
+  if (take_word("always")) {
+    out.instructions.push_back({Operation::always, 0, 0, ""});
+    return true;
+  }
+  if (peek().kind != TokenKind::word) {
+    fault = error_here("a field's name is expected");
+    return false;
+  }
+  std::size_t field = 0;
+  while (field < std::size(field_descriptions) && field_descriptions[field].name != peek().text) ++field;
+  if (field == std::size(field_descriptions)) {
+    fault = error_here("there is no field '" + peek().text + "'");
+    return false;
+  }
+  take();
+  Condition::Instruction instruction{Operation::is_set, static_cast<std::uint8_t>(field), 0, ""};
+  FieldType const type = field_descriptions[field].type;
+  if (type == FieldType::text && !parse_text_test(instruction, fault)) return false;
+  if (type == FieldType::number && !parse_number_test(instruction, fault)) return false;
+  out.instructions.push_back(std::move(instruction));
+  return true;
+}
+
+bool Parser::parse_text_test(Condition::Instruction& out, Fault& fault) {
+  if (take_symbol("=")) {
+    out.operation = Operation::text_equal;
+  } else if (take_symbol("!=")) {
+    out.operation = Operation::text_not_equal;
+  } else if (take_word("starts")) {
+    out.operation = Operation::text_starts_with;
+  } else {
+    fault = error_here("'" + name_of(out) + "' takes =, != or starts");
+    return false;
+  }
+  if (peek().kind != TokenKind::text) {
+    fault = error_here("a quoted text is expected");
+    return false;
+  }
+  out.text = take().text;
+  return true;
+}
+
+bool Parser::parse_number_test(Condition::Instruction& out, Fault& fault) {
+  for (SymbolOperation const& row : number_operations) {
+    if (!take_symbol(row.symbol)) continue;
+    out.operation = row.operation;
+    return parse_number(out, fault);
+  }
+  fault = error_here("'" + name_of(out) + "' takes <, <=, >, >=, = or !=");
+  return false;
+}
+
+bool Parser::parse_number(Condition::Instruction& out, Fault& fault) {
+  if (peek().kind != TokenKind::number) {
+    fault = error_here("a number is expected");
+    return false;
+  }
+  Token const& value = take();
+  bool const is_share = static_cast<Field>(out.field) == Field::demand;
+  if (is_share ? value.unit == "%" : value.unit.empty()) {
+    out.number = value.number;
+    return true;
+  }
+  if (value.unit == "k" && !is_share) {
+    out.number = value.number * 1000;
+    return true;
+  }
+  fault = error_at(value.offset, is_share ? "demand is given in %" : "the unit '" + value.unit + "' does not fit");
+  return false;
+}
+
+}  // namespace pipit
--- /dev/null
+++ b/src/config/rules/parser.h
@@ -0,0 +1,49 @@
+// A cursor over the tokens of a rule, and the grammar of conditions (§5.2).
+#pragma once
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "config/rules/condition_fields.h"
+#include "config/rules/lexer.h"
+#include "config/rules/rules.h"
+
+namespace pipit {
+
+class Parser {
+ public:
+  // `text` must outlive the parser; it is what `tokens` was made from.
+  Parser(std::string_view text_, std::vector<Token> tokens_) : text(text_), tokens(std::move(tokens_)) {}
+
+  Token const& peek() const { return tokens[position]; }
+  // The token here, and a step on; the last one stays.
+  Token const& take() { return tokens[position + 1 < tokens.size() ? position++ : position]; }
+  bool at_end() const { return peek().kind == TokenKind::end; }
+  // Takes the token here if it is this word or symbol; else nothing moves.
+  bool take_word(std::string_view name) { return take_if(TokenKind::word, name); }
+  bool take_symbol(std::string_view name) { return take_if(TokenKind::symbol, name); }
+
+  Fault error_here(std::string why) const { return error_at(peek().offset, std::move(why)); }
+  Fault error_at(std::size_t offset, std::string why) const {
+    return Fault{Kind::bad_language, std::move(why), place_of(text, offset)};
+  }
+
+  // Parses a condition and appends its instructions to `out`; `fault` is set when it returns false.
+  //   CONDITION = AND {"or" AND};  AND = NOT {"and" NOT};  NOT = "not" NOT | "(" CONDITION ")" | TEST
+  bool parse_condition(Condition& out, Fault& fault, int depth = 0);
+
+ private:
+  bool take_if(TokenKind kind, std::string_view name);
+  bool parse_and(Condition& out, Fault& fault, int depth);
+  bool parse_not(Condition& out, Fault& fault, int depth);
+  bool parse_test(Condition& out, Fault& fault);
+  bool parse_text_test(Condition::Instruction& out, Fault& fault);
+  bool parse_number_test(Condition::Instruction& out, Fault& fault);
+  bool parse_number(Condition::Instruction& out, Fault& fault);
+
+  std::string_view const text;
+  std::vector<Token> const tokens;
+  std::size_t position = 0;
+};
+
+}  // namespace pipit
--- a/tests/tongue.cc
+++ b/tests/rules.cc
@@ -5,7 +5,7 @@
 
 namespace pipit {
 
-TEST(Tongue, conditions_bind_as_written) {
+TEST(Rules, conditions_bind_as_written) {
   struct Row {
     char const* code;
     bool small;  // for a body of 10 bytes that streams
@@ -34,7 +34,7 @@
   }
 }
 
-TEST(Tongue, refusals_name_their_place) {
+TEST(Rules, refusals_name_their_place) {
   struct Row {
     char const* code;
     char const* place;
