--- a/src/hull/disk/disk_task.cc
+++ b/src/hull/disk/disk_task.cc
@@ -116,16 +116,17 @@
   return sync_folder();
 }
 
-DiskTask::DiskTask(std::unique_ptr<PosixDisk> disk_, std::unique_ptr<RingLog> ring_,
+DiskTask::DiskTask(std::unique_ptr<PosixDisk> disk_, std::unique_ptr<RecordStore> store_,
                    std::function<void(bool, std::string)> done_, bool patient_)
     : disk(std::move(disk_)),
-      ring(std::move(ring_)),
+      store(std::move(store_)),
       done(std::move(done_)),
       patient(patient_),
       backlog(g_async_queue_new()),
       thread([this] { run(); }) {}
 
 DiskTask::~DiskTask() {
+  // NOLINTNEXTLINE(bugprone-unhandled-exception-at-new): without memory the process ends either way.
   g_async_queue_push(backlog, new Job{{}, true});
   thread.join();
   g_async_queue_unref(backlog);
@@ -137,13 +138,13 @@
   while (true) {
     std::unique_ptr<Job> const job(static_cast<Job*>(g_async_queue_pop(backlog)));
     if (job->last) return;
-    Result<void> saved = ring->save(job->record);
+    Result<void> saved = store->save(job->record);
     // §5.6: nobody was answered for it yet, and a record is always written whole to files that hold no newer one, so
     // trying again is as safe as the first try. Told once, not each time.
     for (int tries = 0; !saved && patient; ++tries) {
       if (tries == 0) tell(Event::disk_waits, saved.error().why);
       g_usleep(100000);
-      saved = ring->save(job->record);
+      saved = store->save(job->record);
     }
     if (saved && fires(Point::end_after_sync)) ::_exit(43);
     Done* const word = new Done{done, static_cast<bool>(saved), saved ? "" : saved.error().why};
--- a/src/hull/disk/disk_task.h
+++ b/src/hull/disk/disk_task.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <thread>
 
-#include "canon/ring/ring.h"
+#include "storage/record_store.h"
 
-typedef struct _GAsyncQueue GAsyncQueue;
+using GAsyncQueue = struct _GAsyncQueue;
 
 namespace pipit {
 
@@ -25,9 +25,12 @@
   std::string const folder;
 };
 
+// The former name, until src/gate/station uses the new one.
+using RingLog = RecordStore;
+
 class DiskTask {
  public:
-  DiskTask(std::unique_ptr<PosixDisk> disk_, std::unique_ptr<RingLog> ring_,
+  DiskTask(std::unique_ptr<PosixDisk> disk_, std::unique_ptr<RecordStore> store_,
            std::function<void(bool, std::string)> done_, bool patient_ = false);
   ~DiskTask();
   void save(wire::RecordT record);
@@ -35,7 +38,7 @@
  private:
   void run();
   std::unique_ptr<PosixDisk> disk;
-  std::unique_ptr<RingLog> ring;
+  std::unique_ptr<RecordStore> store;
   std::function<void(bool, std::string)> done;
   bool const patient;  // a record that the disk refused is written again, whole and to the next files, until it holds
   GAsyncQueue* backlog;
--- a/src/hull/host.cc
+++ b/src/hull/host.cc
@@ -19,7 +19,7 @@
 }  // namespace
 
 Host::Host(Settings settings_, Role role_, std::optional<wire::RecordT> slate, std::unique_ptr<PosixDisk> disk_,
-           std::unique_ptr<RingLog> ring)
+           std::unique_ptr<RecordStore> store)
     : settings(std::move(settings_)), role(role_), loop(g_main_loop_new(nullptr, FALSE)) {
   NodePlan plan;
   plan.cluster = settings.cluster;
@@ -74,7 +74,7 @@
     legs_with[spot->second.worker_zone] += event.size() + 2;
     front->piece(id, event + "\n\n", {{"X-Request-Id", spot->second.id}});
   };
-  le.whole = [this](std::uint64_t id, std::string body) {
+  le.whole = [this](std::uint64_t id, std::string const& body) {
     std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
     if (spot == callers.end()) return;
     legs_with[spot->second.worker_zone] += body.size();
@@ -105,8 +105,8 @@
   };
   front = std::make_unique<Front>(std::move(fe), std::max(settings.body, creed_limit + 4096));
 
-  if (ring)
-    disk = std::make_unique<DiskTask>(std::move(disk_), std::move(ring), [this](bool good, std::string const& why) {
+  if (store)
+    disk = std::make_unique<DiskTask>(std::move(disk_), std::move(store), [this](bool good, std::string const& why) {
       if (!good) {
         // §5.6: after a failed sync nothing is known of what the disk holds; the keeper must not speak again.
         tell(Event::disk_failed, why);
@@ -182,7 +182,7 @@
     frame_bytes[flatbuffers::GetSizePrefixedRoot<wire::Frame>(send.bytes.data())->body_type()] += send.bytes.size();
     if (settings.faults && fires(Point::wire_garbage))
       for (std::size_t i = 4; i < send.bytes.size(); ++i) send.bytes[i] = static_cast<char>(send.bytes[i] ^ 0x5a);
-    wires->send(send.wire, std::move(send.bytes));
+    wires->send(send.wire, send.bytes);
   }
   for (WireId const id : out.mesh.shuts) {
     wire_names.erase(id);
@@ -376,15 +376,15 @@
   open_log(settings.value().name, settings.value().log);
   std::optional<wire::RecordT> slate;
   std::unique_ptr<PosixDisk> disk;
-  std::unique_ptr<RingLog> ring;
+  std::unique_ptr<RecordStore> store;
   if (keeper) {
     disk = std::make_unique<PosixDisk>(settings.value().data);
-    ring = std::make_unique<RingLog>(*disk, settings.value().cluster, settings.value().name);
+    store = std::make_unique<RecordStore>(*disk, settings.value().cluster, settings.value().name);
     Result<void> const locked = disk->lock();
     bool blank = false;
     std::uint64_t const fresh =
         stir(static_cast<std::uint64_t>(g_get_real_time()) ^ (static_cast<std::uint64_t>(g_random_int()) << 32));
-    Result<wire::RecordT> opened = locked ? ring->open(fresh, blank) : Result<wire::RecordT>(locked.as_failure());
+    Result<wire::RecordT> opened = locked ? store->open(fresh, blank) : Result<wire::RecordT>(locked.as_failure());
     if (!opened) {
       std::fprintf(stderr, "accord: data: %s\n", opened.error().why.c_str());
       return 2;
@@ -393,7 +393,7 @@
     tell(blank ? Event::keeper_blank : Event::keeper_back,
          "serial " + std::to_string(slate->value ? slate->value->serial : 0));
   }
-  Host host(std::move(settings.value()), role, std::move(slate), std::move(disk), std::move(ring));
+  Host host(std::move(settings.value()), role, std::move(slate), std::move(disk), std::move(store));
   Result<void> const listening = host.listen();
   if (!listening) {
     std::fprintf(stderr, "%s: %s\n", keeper ? "accord" : "passage", listening.error().why.c_str());
--- a/src/hull/host.h
+++ b/src/hull/host.h
@@ -16,7 +16,7 @@
 class Host {
  public:
   Host(Settings settings_, Role role, std::optional<wire::RecordT> slate, std::unique_ptr<PosixDisk> disk,
-       std::unique_ptr<RingLog> ring);
+       std::unique_ptr<RecordStore> store);
   ~Host();
   Result<void> listen();
   // Returns the exit code once the process is to end.
--- a/src/hull/wire/wires.cc
+++ b/src/hull/wire/wires.cc
@@ -86,7 +86,7 @@
     wire.in.erase(0, at);
 }
 
-void Wires::send(WireId id, std::string bytes) {
+void Wires::send(WireId id, std::string const& bytes) {
   std::map<WireId, std::shared_ptr<Wire>>::iterator const spot = wires.find(id);
   if (spot == wires.end() || !spot->second->link->connected()) return;
   spot->second->link->write(bytes);
--- a/src/hull/wire/wires.h
+++ b/src/hull/wire/wires.h
@@ -24,7 +24,7 @@
 
   Result<void> listen(std::string const& address);
   void dial(std::string const& address);
-  void send(WireId id, std::string bytes);
+  void send(WireId id, std::string const& bytes);
   void shut(WireId id);
 
  private:
--- /dev/null
+++ b/src/storage/record_store.cc
@@ -0,0 +1,142 @@
+#include "storage/record_store.h"
+
+#include <cstring>
+
+#include "ground/mix.h"
+
+namespace pipit {
+
+namespace {
+
+constexpr char magic[8] = {'p', 'i', 'p', 'r', 'i', 'n', 'g', '1'};
+// Written last of all when a folder is formatted: without it the folder was never used.
+constexpr char const* formatted_mark = "formed";
+constexpr std::size_t mark_size = 16;
+// Bounds for the verifier of FlatBuffers.
+constexpr std::size_t deepest_table = 16;
+constexpr std::size_t most_tables = 2000000;
+
+struct Header {
+  char magic[8];
+  std::uint64_t sequence;
+  std::uint64_t size;
+  std::uint64_t checksum;
+};
+
+std::uint64_t checksum_of(std::uint64_t sequence, std::string_view body) { return mix(body, stir(sequence + 1)); }
+
+}  // namespace
+
+RecordStore::File RecordStore::inspect(std::string const& bytes) {
+  File out;
+  Header header;
+  if (bytes.size() < sizeof header) return out;
+  std::memcpy(&header, bytes.data(), sizeof header);
+  static char const zeros[sizeof header] = {};
+  if (std::memcmp(&header, zeros, sizeof header) == 0) {
+    out.empty = true;
+    return out;
+  }
+  if (std::memcmp(header.magic, magic, sizeof magic) != 0) return out;
+  if (header.size > bytes.size() - sizeof header) return out;
+  out.body = bytes.substr(sizeof header, header.size);
+  out.sequence = header.sequence;
+  out.intact = checksum_of(header.sequence, out.body) == header.checksum;
+  return out;
+}
+
+RecordStore::File const* RecordStore::newest(Files const& files) {
+  File const* best = nullptr;
+  for (File const& file : files)
+    if (file.intact && (best == nullptr || file.sequence > best->sequence)) best = &file;
+  return best;
+}
+
+Result<wire::RecordT> RecordStore::format(std::uint64_t new_disk_id) {
+  for (std::size_t i = 0; i < file_count; ++i) {
+    Result<void> made = disk.allocate(file_name(i), reserved);
+    if (!made) return made.as_failure();
+  }
+  wire::RecordT record;
+  record.cluster = cluster;
+  record.name = node;
+  record.disk = new_disk_id;
+  // Once for each pair of files, so that none is left empty.
+  for (std::size_t pair = 0; pair < file_count / copies; ++pair) {
+    Result<void> saved = save(record);
+    if (!saved) return saved.as_failure();
+  }
+  Result<void> made = disk.allocate(formatted_mark, mark_size);
+  if (!made) return made.as_failure();
+  return record;
+}
+
+Result<RecordStore::Files> RecordStore::read_files() {
+  std::size_t there = 0;
+  for (std::size_t i = 0; i < file_count; ++i)
+    if (disk.exists(file_name(i))) ++there;
+  if (there != file_count)
+    return fail(Kind::bad_disk,
+                "the record store has " + std::to_string(there) + " of its " + std::to_string(file_count) + " files");
+  Files files;
+  for (std::size_t i = 0; i < file_count; ++i) {
+    Result<std::string> bytes = disk.read(file_name(i));
+    if (!bytes) return bytes.as_failure();
+    files[i] = inspect(bytes.value());
+  }
+  return files;
+}
+
+Result<wire::RecordT> RecordStore::unpack(std::string const& body) const {
+  flatbuffers::Verifier check(reinterpret_cast<std::uint8_t const*>(body.data()), body.size(), deepest_table,
+                              most_tables);
+  if (!check.VerifyBuffer<wire::Record>(nullptr)) return fail(Kind::bad_disk, "the record does not verify");
+  wire::RecordT record;
+  flatbuffers::GetRoot<wire::Record>(body.data())->UnPackTo(&record);
+  if (record.cluster != cluster || record.name != node)
+    return fail(Kind::bad_disk, "the data folder belongs to " + record.name + " of cluster " + record.cluster);
+  return record;
+}
+
+Result<wire::RecordT> RecordStore::open(std::uint64_t new_disk_id, bool& blank) {
+  blank = !disk.exists(formatted_mark);
+  if (blank) return format(new_disk_id);
+  Result<Files> const read = read_files();
+  if (!read) return read.as_failure();
+  Files const& files = read.value();
+  File const* const last = newest(files);
+  if (last == nullptr) return fail(Kind::bad_disk, "no record of the store is intact");
+  // A power cut tears the one file that was being written. Both copies corrupt is decay of the disk, and what was in
+  // them may have been answered for: then the keeper must not go on with something older.
+  for (std::size_t first = 0; first < file_count; first += copies) {
+    File const& one = files[first];
+    File const& other = files[first + 1];
+    if (!one.intact && !other.intact && !(one.empty && other.empty))
+      return fail(Kind::bad_disk, "both copies of a record are corrupt (" + file_name(first) + ")");
+  }
+  Result<wire::RecordT> record = unpack(last->body);
+  if (record) sequence = last->sequence;
+  return record;
+}
+
+Result<void> RecordStore::save(wire::RecordT const& record) {
+  flatbuffers::FlatBufferBuilder builder(1024);
+  builder.Finish(wire::Record::Pack(builder, &record));
+  std::string_view const body(reinterpret_cast<char const*>(builder.GetBufferPointer()), builder.GetSize());
+  Header header;
+  std::memcpy(header.magic, magic, sizeof magic);
+  header.sequence = ++sequence;
+  header.size = body.size();
+  header.checksum = checksum_of(sequence, body);
+  if (sizeof header + body.size() > largest_file) return fail(Kind::bad_disk, "the record is larger than its file");
+  std::string bytes(reinterpret_cast<char const*>(&header), sizeof header);
+  bytes += body;
+  std::size_t const first = (sequence % (file_count / copies)) * copies;
+  for (std::size_t i = 0; i < copies; ++i) {
+    Result<void> done = disk.write(file_name(first + i), bytes);
+    if (!done) return done;
+  }
+  return boost::outcome_v2::success();
+}
+
+}  // namespace pipit
--- /dev/null
+++ b/src/storage/record_store.h
@@ -0,0 +1,66 @@
+// The record store: a keeper's state as one record in preallocated, checksummed files written alternately (§5.6).
+#pragma once
+#include <array>
+#include <cstdint>
+#include <string>
+
+#include "ground/kinds.h"
+#include "wire_generated.h"
+
+namespace pipit {
+
+// What the store needs of a disk. The real one is POSIX files; the simulator has its own, with power cuts. Errors have
+// the kind bad_disk.
+class Disk {
+ public:
+  virtual ~Disk() = default;
+  virtual bool exists(std::string const& name) = 0;
+  virtual Result<std::string> read(std::string const& name) = 0;
+  // Writes at offset 0 of a file that allocate() made, then syncs it.
+  virtual Result<void> write(std::string const& name, std::string const& bytes) = 0;
+  virtual Result<void> allocate(std::string const& name, std::size_t size) = 0;
+};
+
+class RecordStore {
+ public:
+  static constexpr std::size_t file_count = 4;
+  static constexpr std::size_t copies = 2;  // of each record, in neighbouring files
+  static constexpr std::size_t largest_file = 6u << 20;
+
+  // Each file is given `reserved` bytes at the first start; a larger record makes its file grow, up to largest_file.
+  // `disk` must outlive the store.
+  RecordStore(Disk& disk_, std::string cluster_, std::string node_, std::size_t reserved_ = largest_file)
+      : disk(disk_), cluster(std::move(cluster_)), node(std::move(node_)), reserved(reserved_) {}
+
+  // Recovers the last synced record. A folder that was never used is formatted, with `new_disk_id` in its first record;
+  // `blank` says which. Refused: missing files, a record of another node or cluster, and both copies corrupt.
+  Result<wire::RecordT> open(std::uint64_t new_disk_id, bool& blank);
+  // Writes and syncs both copies, one after the other, so that one corrupt copy loses nothing.
+  Result<void> save(wire::RecordT const& record);
+
+ private:
+  // What one file holds.
+  struct File {
+    bool intact = false;
+    bool empty = false;
+    std::uint64_t sequence = 0;
+    std::string body;
+  };
+  using Files = std::array<File, file_count>;
+
+  // The names on disk, and the magic within, stay those of the first format.
+  static std::string file_name(std::size_t index) { return "ring-" + std::to_string(index); }
+  static File inspect(std::string const& bytes);
+  static File const* newest(Files const& files);
+  Result<wire::RecordT> format(std::uint64_t new_disk_id);
+  Result<Files> read_files();
+  Result<wire::RecordT> unpack(std::string const& body) const;
+
+  Disk& disk;
+  std::string const cluster;
+  std::string const node;
+  std::size_t const reserved;
+  std::uint64_t sequence = 0;  // of the newest record
+};
+
+}  // namespace pipit
--- a/tests/ring.cc
+++ b/tests/record_store.cc
@@ -1,9 +1,9 @@
-// The ring on disk: torn, rotten, missing, foreign; what is synced comes back or the keeper says why not.
+// The record store on disk: torn, corrupt, missing, foreign; what is synced comes back or the keeper says why not.
 #include <gtest/gtest.h>
 
 #include <map>
 
-#include "canon/ring/ring.h"
+#include "storage/record_store.h"
 
 namespace pipit {
 
@@ -41,11 +41,11 @@
 }
 }  // namespace
 
-TEST(Ring, a_power_cut_at_any_write_keeps_what_was_synced) {
+TEST(RecordStore, a_power_cut_at_any_write_keeps_what_was_synced) {
   for (int cut = 0; cut < 8; ++cut) {
     FakeDisk disk;
     bool blank = false;
-    RingLog first(disk, "c", "k1");
+    RecordStore first(disk, "c", "k1");
     ASSERT_TRUE(first.open(7, blank));
     EXPECT_TRUE(blank);
     std::uint64_t synced = 0;
@@ -55,7 +55,7 @@
       synced = serial;
     }
     disk.writes_left = -1;
-    RingLog second(disk, "c", "k1");
+    RecordStore second(disk, "c", "k1");
     Result<wire::RecordT> const back = second.open(8, blank);
     ASSERT_TRUE(back) << "cut " << cut << ": " << back.error().why;
     EXPECT_FALSE(blank);
@@ -66,41 +66,41 @@
   }
 }
 
-TEST(Ring, rot_is_mended_from_the_twin_or_refused) {
+TEST(RecordStore, corruption_is_repaired_from_the_copy_or_refused) {
   FakeDisk disk;
   bool blank = false;
-  RingLog ring(disk, "c", "k1");
-  ASSERT_TRUE(ring.open(7, blank));
-  for (std::uint64_t serial = 1; serial <= 3; ++serial) ASSERT_TRUE(ring.save(record(serial)));
+  RecordStore store(disk, "c", "k1");
+  ASSERT_TRUE(store.open(7, blank));
+  for (std::uint64_t serial = 1; serial <= 3; ++serial) ASSERT_TRUE(store.save(record(serial)));
   for (std::string const one : {"ring-0", "ring-1", "ring-2", "ring-3"}) {
-    FakeDisk hurt = disk;
-    hurt.files[one][200] = static_cast<char>(hurt.files[one][200] ^ 1);
-    RingLog again(hurt, "c", "k1");
+    FakeDisk damaged = disk;
+    damaged.files[one][200] = static_cast<char>(damaged.files[one][200] ^ 1);
+    RecordStore again(damaged, "c", "k1");
     Result<wire::RecordT> const back = again.open(8, blank);
     ASSERT_TRUE(back) << one;
     EXPECT_EQ(back.value().value->serial, 3u) << one;
   }
   for (std::string const& pair : {std::string("ring-0"), std::string("ring-2")}) {
-    FakeDisk hurt = disk;
-    hurt.files[pair][200] = static_cast<char>(hurt.files[pair][200] ^ 1);
-    std::string const twin = pair == "ring-0" ? "ring-1" : "ring-3";
-    hurt.files[twin][200] = static_cast<char>(hurt.files[twin][200] ^ 1);
-    RingLog again(hurt, "c", "k1");
-    EXPECT_FALSE(again.open(8, blank)) << "both copies in " << pair << " are rotten";
+    FakeDisk damaged = disk;
+    damaged.files[pair][200] = static_cast<char>(damaged.files[pair][200] ^ 1);
+    std::string const copy = pair == "ring-0" ? "ring-1" : "ring-3";
+    damaged.files[copy][200] = static_cast<char>(damaged.files[copy][200] ^ 1);
+    RecordStore again(damaged, "c", "k1");
+    EXPECT_FALSE(again.open(8, blank)) << "both copies in " << pair << " are corrupt";
   }
 }
 
-TEST(Ring, a_missing_file_or_a_foreign_folder_is_refused) {
+TEST(RecordStore, a_missing_file_or_a_foreign_folder_is_refused) {
   FakeDisk disk;
   bool blank = false;
-  RingLog ring(disk, "c", "k1");
-  ASSERT_TRUE(ring.open(7, blank));
+  RecordStore store(disk, "c", "k1");
+  ASSERT_TRUE(store.open(7, blank));
   FakeDisk less = disk;
   less.files.erase("ring-2");
-  EXPECT_FALSE(RingLog(less, "c", "k1").open(8, blank));
-  EXPECT_FALSE(RingLog(disk, "c", "k2").open(8, blank));
-  EXPECT_FALSE(RingLog(disk, "d", "k1").open(8, blank));
-  EXPECT_TRUE(RingLog(disk, "c", "k1").open(8, blank));
+  EXPECT_FALSE(RecordStore(less, "c", "k1").open(8, blank));
+  EXPECT_FALSE(RecordStore(disk, "c", "k2").open(8, blank));
+  EXPECT_FALSE(RecordStore(disk, "d", "k1").open(8, blank));
+  EXPECT_TRUE(RecordStore(disk, "c", "k1").open(8, blank));
 }
 
 }  // namespace pipit
