--- a/src/flow/index/index.cc
+++ b/src/flow/index/index.cc
@@ -192,6 +192,7 @@
   }
   std::sort(rows.begin(), rows.end());
   std::vector<std::uint64_t> out;
+  out.reserve(rows.size());
   for (std::pair<std::size_t, std::uint64_t> const& row : rows) out.push_back(row.second);
   return out;
 }
--- a/src/kin/mesh.cc
+++ b/src/kin/mesh.cc
@@ -11,7 +11,7 @@
 constexpr std::uint64_t whole_table = 16;  // one in so many tables of pings and answers is whole
 }  // namespace
 
-Mesh::Mesh(MeshPlan plan_, wire::MemberT self, std::uint64_t seed)
+Mesh::Mesh(MeshPlan plan_, wire::MemberT const& self, std::uint64_t seed)
     : roll(self), ledger(self.name), plan(std::move(plan_)), dice(seed) {
   for (std::string const& address : plan.seeds)
     if (address != self.address) seeds.push_back({address, 0, 0, false});
--- a/src/kin/mesh.h
+++ b/src/kin/mesh.h
@@ -28,7 +28,7 @@
 
 class Mesh {
  public:
-  Mesh(MeshPlan plan_, wire::MemberT self, std::uint64_t seed);
+  Mesh(MeshPlan plan_, wire::MemberT const& self, std::uint64_t seed);
 
   void tick(Micros now, Sends& out);
   void opened(WireId id, bool outbound, std::string const& address, Micros now, Sends& out);
--- a/tests/wide.cc
+++ b/tests/wide.cc
@@ -181,7 +181,9 @@
     double const load = static_cast<double>(field.bytes) / static_cast<double>(count) / 10;
     EXPECT_LT(each, 40) << count;
     EXPECT_LT(load, 8192) << count;
-    if (small > 0) EXPECT_LT(each, small * 1.6) << "twice the nodes";
+    if (small > 0) {
+      EXPECT_LT(each, small * 1.6) << "twice the nodes";
+    }
     small = each;
   }
 }
