--- a/src/canon/register/proposer.cc
+++ b/src/canon/register/proposer.cc
@@ -82,8 +82,10 @@
   ++req;
   promises.clear();
   accepts.clear();
-  best = wire::Ballot(0, 0);
-  found.reset();
+  // What this proposer saw at a ballot stays seen, also where no keeper of the set holds it: else it could go to and fro
+  // between two sets for ever.
+  best = held_ballot;
+  found = held;
   verdict.reset();
   phase = Phase::first;
   due = now + plan.phase;
@@ -363,6 +365,8 @@
     } else if (now >= due) {
       // A set that was only found may be one that nobody can complete: the next try begins with the chosen one.
       set = known;
+      held.reset();
+      held_ballot = wire::Ballot(0, 0);
       again(now, 0);
     }
     return;
--- a/src/canon/register/proposer.h
+++ b/src/canon/register/proposer.h
@@ -117,7 +117,7 @@
   wire::Ballot ballot;
   std::map<std::string, Promised> promises;  // of round one
   Voters accepts;                            // of round two
-  wire::Ballot best;                         // of the value found in round one
+  wire::Ballot best;                         // of the value found in round one, or held before it
   std::optional<wire::ValueT> found;
   wire::ValueT draft;        // of round two
   bool order_taken = false;  // the draft takes the job's order
