--- a/src/gate/net/lines.cc
+++ b/src/gate/net/lines.cc
@@ -4,6 +4,7 @@
 
 namespace {
 constexpr std::size_t digits_most = 15;
+constexpr std::size_t status_digits = 3;
 constexpr std::string_view version = "HTTP/1.";
 
 bool is_digit(char c) { return c >= '0' && c <= '9'; }
@@ -16,11 +17,20 @@
 bool is_version(std::string_view word) {
   return word.size() == version.size() + 1 && word.substr(0, version.size()) == version && is_digit(word.back());
 }
+// Three digits, of a class that there is; a reason may follow.
+bool is_status(std::string_view text) {
+  if (text.size() < status_digits || (text.size() > status_digits && text[status_digits] != ' ')) return false;
+  return text[0] >= '1' && text[0] <= '5' && is_digit(text[1]) && is_digit(text[2]);
+}
 }  // namespace
 
 bool Lines::first_fits() const {
   std::string_view const line = first;
-  if (!requests) return is_version(line.substr(0, version.size() + 1)) && line.substr(version.size() + 1, 1) == " ";
+  if (!requests) {
+    std::size_t const status = version.size() + 2;
+    return line.size() > status && is_version(line.substr(0, status - 1)) && line[status - 1] == ' ' &&
+           is_status(line.substr(status));
+  }
   std::size_t const a = line.find(' ');
   std::size_t const b = line.rfind(' ');
   if (a == std::string_view::npos || a == b || line.find('\t') != std::string_view::npos) return false;
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -496,6 +496,19 @@
   }
 }
 
+TEST(Reading, a_status_has_three_digits_and_is_one_that_there_is) {
+  for (char const* const status : {"2", "20", "0200", "2000", "000", "099", "600", "999", "+20", "2 0"}) {
+    std::string const text = "HTTP/1.1 " + std::string(status) + " OK\r\nContent-Length: 2\r\n\r\nok";
+    Reading const out = read_whole(false, text);
+    EXPECT_TRUE(out.whole.empty()) << status << " was read as " << out.whole[0];
+    EXPECT_EQ(out.error, Reader::Error::bad) << status;
+  }
+  for (char const* const status : {"100", "200", "599"})
+    EXPECT_FALSE(read_whole(false, "HTTP/1.1 " + std::string(status) + " OK\r\nContent-Length: 0\r\n\r\n").whole.empty()) << status;
+  EXPECT_FALSE(read_whole(false, "HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n").whole.empty() &&
+               read_whole(false, "HTTP/1.1 200 \r\nContent-Length: 0\r\n\r\n").whole.empty());
+}
+
 TEST(Heads, lose_what_concerns_one_connection_only) {
   Head head;
   head.fields = {{"Connection", "X-One , close"}, {"x-one", "1"},       {"Keep-Alive", "timeout=5"}, {"TE", "trailers"},
