--- a/src/gate/net/upstream.cc
+++ b/src/gate/net/upstream.cc
@@ -157,7 +157,9 @@
   by_id.erase(id);
   conn.id = 0;
   conn.sent = false;
-  if (conn.keep && conn.keep_for > 0) {
+  // An answer before the request was whole: the next one would come behind the rest of this.
+  bool const all_sent = conn.link->waiting() == 0;
+  if (conn.keep && conn.keep_for > 0 && all_sent) {
     conn.idle_since = now();
     idle[conn.peer].push_back(&conn);
   } else {
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -1012,6 +1012,18 @@
   EXPECT_EQ(ends[0].how, Upstream::End::broke);
 }
 
+TEST_F(Workerly, an_answer_before_the_request_was_whole_ends_its_connection) {
+  std::string const body(32u << 20, 'z');
+  upstream.start(1, "w", address, "POST / HTTP/1.1\r\n" + host + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body,
+                 seconds(10));
+  ASSERT_TRUE(until([&] { return !wires.empty(); }));
+  wires[0]->link->hold(true);
+  wires[0]->send(ok);
+  ASSERT_TRUE(over());
+  EXPECT_EQ(done, std::vector<std::uint64_t>{1});
+  EXPECT_EQ(upstream.kept("w"), 0u) << "the next request would come behind the rest of this one";
+}
+
 TEST_F(Workerly, interim_answers_are_passed_over) {
   start(1).send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok);
   ASSERT_TRUE(over());
