--- a/src/gate/net/upstream.cc
+++ b/src/gate/net/upstream.cc
@@ -31,6 +31,7 @@
   bool sent = false;
   bool bodiless = false;  // it asks for a head alone
   bool ours = false;  // the answer that is being read is the one that was asked for
+  bool spoiled = false;  // what came is an answer to nobody
   int surplus = 0;
   bool keep = true;
   Micros keep_for = 0;
@@ -87,7 +88,9 @@
   conn->link = Link::dial(address, from, within);
   conn->reader.ears.head = [this, conn](Head& head) {
     if (conn->id == 0) return true;
-    conn->ours = ears.head(conn->id, head);
+    Owner const owner = ears.head(conn->id, head);
+    conn->ours = owner == Owner::asker;
+    conn->spoiled = owner == Owner::nobody;
     conn->keep = head.keep;
     conn->keep_for = keep_time(head.get("Keep-Alive"));
     return !(conn->ours && conn->bodiless);
@@ -133,6 +136,7 @@
     if (!conn.link->open() || conns.find(&conn) == conns.end()) return;
     if (conn.reader.error() != Reader::Error::none)
       return fail(conn, conn.ours ? End::torn : End::broke, "what came is no answer");
+    if (conn.spoiled) return fail(conn, End::broke, "what came does not name the request");
     bytes.remove_prefix(std::min(took, bytes.size()));
     if (!conn.reader.complete()) {
       if (took == 0) return fail(conn, conn.ours ? End::torn : End::broke, "what came is no answer");
--- a/src/gate/net/upstream.h
+++ b/src/gate/net/upstream.h
@@ -17,10 +17,15 @@
     broke,      // it ended, or what came is no answer
     torn,       // the answer began and ended before its end
   };
+  // Whom the head of an answer belongs to.
+  enum class Owner : std::uint8_t {
+    asker,   // the request that the connection carries
+    other,   // interim, or to an earlier request: it is passed over, and what follows may be the asker's
+    nobody,  // no answer to anything: the request breaks and the connection is not used again
+  };
   struct Ears {
     std::function<void(std::uint64_t)> left;  // a byte of the request may have left
-    // The head of an answer. False: it is a surplus answer of somebody else's; what follows may be ours.
-    std::function<bool(std::uint64_t, Head const&)> head;
+    std::function<Owner(std::uint64_t, Head const&)> head;
     std::function<void(std::uint64_t, std::string_view)> body;
     std::function<void(std::uint64_t)> done;
     std::function<void(std::uint64_t, End, std::string const& why)> ended;
--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -28,6 +28,14 @@
   return true;
 }
 
+// Whether the field of that name stands there with different values.
+bool names_two(Head const& head, std::string const& name) {
+  std::string const first = head.get(name);
+  for (std::pair<std::string, std::string> const& item : head.fields)
+    if (same_letters(item.first, name) && item.second != first) return true;
+  return false;
+}
+
 std::string id_of(std::string_view event) {
   std::size_t at = 0;
   while (at < event.size()) {
@@ -145,7 +153,7 @@
   caller.instance = attempt.instance;
   caller.resumable = route != nullptr && route->streams && route->resumable;
   caller.resumed = attempt.resumed;
-  caller.declined = caller.elsewhere = caller.failing = caller.wrong = false;
+  caller.declined = caller.elsewhere = caller.failing = false;
   caller.held.clear();
   Head head = caller.head;
   head.set(dialect.left, std::to_string(std::max<Micros>(1, attempt.left / 1000)));
@@ -157,13 +165,14 @@
   upstream.start(attempt.request, attempt.instance, attempt.address, std::move(bytes), attempt.within);
 }
 
-bool Relay::on_head(std::uint64_t id, Head const& head) {
+Upstream::Owner Relay::on_head(std::uint64_t id, Head const& head) {
   std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
-  if (spot == callers.end()) return true;
+  if (spot == callers.end()) return Upstream::Owner::asker;
   Caller& caller = spot->second;
-  if (head.status < 200) return false;
+  if (head.status < 200) return Upstream::Owner::other;
   std::string const whose = head.get(dialect.attempt);
-  if (!whose.empty() && whose != caller.attempt) return false;
+  if (!whose.empty() && whose != caller.attempt) return Upstream::Owner::other;
+  if (names_two(head, dialect.attempt)) return Upstream::Owner::nobody;
   if (std::string const* const load = head.find(dialect.load)) {
     char* rest = nullptr;
     std::int64_t const running = std::strtol(load->c_str(), &rest, 10);
@@ -174,12 +183,12 @@
   caller.elsewhere = head.status == 421;
   caller.declined = not_run || caller.elsewhere || head.status == 429 || (head.status == 400 && whose.empty());
   caller.failing = !caller.declined && head.status >= 300;
-  caller.wrong = !caller.declined && whose.empty() && !caller.attempt.empty();
-  if (caller.resumed) return true;
+  if (!caller.declined && whose.empty() && !caller.attempt.empty()) return Upstream::Owner::nobody;
+  if (caller.resumed) return Upstream::Owner::asker;
   caller.answer = head;
   drop_hop_fields(caller.answer);
   caller.answer.length = head.length;
-  return true;
+  return Upstream::Owner::asker;
 }
 
 // Takes whole events out of what is held, and remembers the id of the last.
@@ -225,7 +234,7 @@
   std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
   if (spot == callers.end()) return;
   Caller& caller = spot->second;
-  if (caller.declined || caller.wrong) return;
+  if (caller.declined) return;
   if (caller.failing) {
     if (caller.held.size() + bytes.size() <= failing_most) caller.held.append(bytes);
     return;
@@ -241,7 +250,6 @@
   if (spot == callers.end()) return;
   Caller& caller = spot->second;
   if (caller.declined) return ears.ended(id, AttemptEnd::declined, caller.elsewhere);
-  if (caller.wrong) return ears.ended(id, AttemptEnd::broke, false);
   if (caller.failing) return ears.ended(id, AttemptEnd::failed, false);
   if (caller.resumable && !caller.held.empty()) {
     std::string const rest = std::move(caller.held);
--- a/src/gate/relay/relay.h
+++ b/src/gate/relay/relay.h
@@ -55,7 +55,6 @@
     bool declined = false;
     bool elsewhere = false;
     bool failing = false;
-    bool wrong = false;
     bool begun = false;       // the answer's head has gone to the caller
     Head answer;              // of the worker, to go with the first bytes
     std::string held;         // a failing answer's body, or the beginning of an event that is not whole
@@ -63,7 +62,7 @@
   };
   void on_call(Server::Call&& call);
   void start(Attempt const& attempt);
-  bool on_head(std::uint64_t id, Head const& head);
+  Upstream::Owner on_head(std::uint64_t id, Head const& head);
   void on_body(std::uint64_t id, std::string_view bytes);
   void on_done(std::uint64_t id);
   void on_ended(std::uint64_t id, Upstream::End end, std::string const& why);
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -870,7 +870,8 @@
       : upstream({[this](std::uint64_t id) { left.push_back(id); },
                   [this](std::uint64_t id, Head const& head) {
                     heads.push_back(head);
-                    return head.status >= 200 && (head.find("X-Id") == nullptr || head.get("X-Id") == std::to_string(id));
+                    bool const mine = head.find("X-Id") == nullptr || head.get("X-Id") == std::to_string(id);
+                    return head.status >= 200 && mine ? Upstream::Owner::asker : Upstream::Owner::other;
                   },
                   [this](std::uint64_t id, std::string_view bytes) { bodies[id].append(bytes); },
                   [this](std::uint64_t id) { done.push_back(id); },
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -234,4 +234,26 @@
   EXPECT_TRUE(quiet());
 }
 
+TEST_F(Passing, an_answer_that_names_no_request_is_no_answer_and_its_connection_is_not_used_again) {
+  worker("w");
+  ask("POST", "/once/x");
+  ASSERT_EQ(reached(), "w");
+  wire_of("w").send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes");
+  ASSERT_TRUE(hears("}"));
+  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(caller->got.find("yes"), std::string::npos);
+  EXPECT_EQ(relay.upstream.kept("w"), 0u);
+  EXPECT_TRUE(quiet());
+}
+
+TEST_F(Passing, an_answer_that_names_two_requests_is_no_answer) {
+  worker("w");
+  ask("POST", "/once/x");
+  ASSERT_EQ(reached(), "w");
+  wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "X-Pipit-Attempt: r2\r\nContent-Length: 3\r\n\r\nyes");
+  ASSERT_TRUE(hears("}"));
+  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(relay.upstream.kept("w"), 0u);
+}
+
 }  // namespace pipit
