--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -28,6 +28,9 @@
   return true;
 }
 
+// A caller takes such an answer for a promise that the request has not run and never will.
+bool promises(unsigned status) { return status == 408 || status == 421 || status == 429 || status == 503; }
+
 // Whether the field of that name stands there with different values.
 bool names_two(Head const& head, std::string const& name) {
   std::string const first = head.get(name);
@@ -153,7 +156,7 @@
   caller.instance = attempt.instance;
   caller.resumable = route != nullptr && route->streams && route->resumable;
   caller.resumed = attempt.resumed;
-  caller.declined = caller.elsewhere = caller.failing = false;
+  caller.declined = caller.elsewhere = caller.failing = caller.unsaid = false;
   caller.held.clear();
   Head head = caller.head;
   head.set(dialect.left, std::to_string(std::max<Micros>(1, attempt.left / 1000)));
@@ -181,8 +184,9 @@
   }
   bool const not_run = head.find(dialect.not_run) != nullptr;
   caller.elsewhere = head.status == 421;
-  caller.declined = not_run || caller.elsewhere || head.status == 429 || (head.status == 400 && whose.empty());
+  caller.declined = not_run || caller.elsewhere;
   caller.failing = !caller.declined && head.status >= 300;
+  caller.unsaid = caller.failing && promises(head.status);
   if (!caller.declined && whose.empty() && !caller.attempt.empty()) return Upstream::Owner::nobody;
   if (caller.resumed) return Upstream::Owner::asker;
   caller.answer = head;
@@ -250,6 +254,7 @@
   if (spot == callers.end()) return;
   Caller& caller = spot->second;
   if (caller.declined) return ears.ended(id, AttemptEnd::declined, caller.elsewhere);
+  if (caller.unsaid) return ears.ended(id, AttemptEnd::broke, false);
   if (caller.failing) return ears.ended(id, AttemptEnd::failed, false);
   if (caller.resumable && !caller.held.empty()) {
     std::string const rest = std::move(caller.held);
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -256,4 +256,24 @@
   EXPECT_EQ(relay.upstream.kept("w"), 0u);
 }
 
+TEST_F(Passing, a_status_that_promises_without_the_mark_is_no_promise) {
+  for (char const* const status : {"408 Late", "429 Many", "503 Busy"}) {
+    worker("w");
+    worker("v");
+    ask("POST", "/once/x");
+    std::string const first = reached();
+    wire_of(first).send("HTTP/1.1 " + std::string(status) + "\r\n" + mine + "X-Seal: s\r\nContent-Length: 2\r\n\r\nno");
+    ASSERT_TRUE(hears("\r\n\r\n"));
+    settle();
+    EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502") << status;
+    EXPECT_NE(caller->got.find("\"ran\":\"unknown\""), std::string::npos) << caller->got;
+    EXPECT_EQ(caller->got.find("X-Seal"), std::string::npos) << "the worker gave another status";
+    EXPECT_EQ(workers[first == "w" ? "v" : "w"]->got(), "") << "it may have run";
+    EXPECT_TRUE(quiet());
+    workers.clear();
+    registry.all.clear();
+    settle();
+  }
+}
+
 }  // namespace pipit
