--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -240,7 +240,9 @@
   Caller& caller = spot->second;
   if (caller.declined) return;
   if (caller.failing) {
-    if (caller.held.size() + bytes.size() <= failing_most) caller.held.append(bytes);
+    // What is too large to hold can't go back whole, and must not go back in part.
+    if (caller.held.size() + bytes.size() > failing_most) caller.unsaid = true;
+    if (!caller.unsaid) caller.held.append(bytes);
     return;
   }
   if (!caller.resumable) return pass_on(id, caller, bytes);
--- a/src/gate/relay/relay.h
+++ b/src/gate/relay/relay.h
@@ -55,7 +55,7 @@
     bool declined = false;
     bool elsewhere = false;
     bool failing = false;
-    bool unsaid = false;      // a failure whose status promises what the worker did not say: it can't go back
+    bool unsaid = false;      // a failure that can't go back: too large, or its status promises what was not said
     bool begun = false;       // the answer's head has gone to the caller
     Head answer;              // of the worker, to go with the first bytes
     std::string held;         // a failing answer's body, or the beginning of an event that is not whole
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -276,4 +276,15 @@
   }
 }
 
+TEST_F(Passing, a_failure_whose_body_is_too_large_to_hold_is_not_passed_back_in_part) {
+  worker("w");
+  ask("POST", "/once/x");
+  ASSERT_EQ(reached(), "w");
+  std::string const body(3u << 20, 'z');
+  wire_of("w").send("HTTP/1.1 500 Odd\r\n" + mine + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+  ASSERT_TRUE(hears("\r\n\r\n"));
+  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_TRUE(quiet());
+}
+
 }  // namespace pipit
