--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -11,6 +11,7 @@
 
 namespace {
 constexpr std::size_t failing_most = 1u << 20;
+constexpr std::int64_t count_most = 100000000;  // of tokens, requests or milliseconds (28 h)
 Micros now() { return g_get_monotonic_time(); }
 
 // Where the last whole event in the text ends; 0 when none is whole.
@@ -28,6 +29,11 @@
   return true;
 }
 
+// A number that somebody else wrote, from 0 to a bound that leaves room for sums. 'rest' is what follows it.
+std::int64_t count_from(char const* text, char** rest) {
+  return std::clamp<std::int64_t>(std::strtoll(text, rest, 10), 0, count_most);
+}
+
 // A caller takes such an answer for a promise that the request has not run and never will.
 bool promises(unsigned status) { return status == 408 || status == 421 || status == 429 || status == 503; }
 
@@ -95,10 +101,10 @@
   query.model = call.head.get(dialect.model);
   query.parts = parse_parts(call.head.get(dialect.parts));
   std::string const tokens = call.head.get(dialect.tokens);
-  query.tokens_in = std::max(0l, std::strtol(tokens.c_str(), nullptr, 10));
+  query.tokens_in = count_from(tokens.c_str(), nullptr);
   std::size_t const comma = tokens.find(',');
-  if (comma != std::string::npos) query.tokens_out = std::max(0l, std::strtol(tokens.c_str() + comma + 1, nullptr, 10));
-  query.left = millis(std::max(0l, std::strtol(call.head.get(dialect.left).c_str(), nullptr, 10)));
+  if (comma != std::string::npos) query.tokens_out = count_from(tokens.c_str() + comma + 1, nullptr);
+  query.left = millis(count_from(call.head.get(dialect.left).c_str(), nullptr));
   query.after = call.head.get(dialect.after);
   Caller caller;
   caller.head = std::move(call.head);
@@ -178,9 +184,9 @@
   if (names_two(head, dialect.attempt)) return Upstream::Owner::nobody;
   if (std::string const* const load = head.find(dialect.load)) {
     char* rest = nullptr;
-    std::int64_t const running = std::strtol(load->c_str(), &rest, 10);
-    std::int64_t const waiting = *rest == ',' ? std::strtol(rest + 1, nullptr, 10) : 0;
-    dispatcher.said(id, std::max<std::int64_t>(0, running) + std::max<std::int64_t>(0, waiting), now());
+    std::int64_t const running = count_from(load->c_str(), &rest);
+    std::int64_t const waiting = *rest == ',' ? count_from(rest + 1, nullptr) : 0;
+    dispatcher.said(id, running + waiting, now());
   }
   bool const not_run = head.find(dialect.not_run) != nullptr;
   caller.elsewhere = head.status == 421;
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -287,4 +287,16 @@
   EXPECT_TRUE(quiet());
 }
 
+TEST_F(Passing, numbers_without_bound_are_taken_as_the_largest) {
+  worker("w");
+  ask("POST", "/once/x", "X-Pipit-Left-Ms: 18446744073709552\r\nX-Pipit-Tokens: 9223372036854775807,9223372036854775807\r\n");
+  ASSERT_TRUE(until([&] { return !workers["w"]->got().empty() || !caller->got.empty(); }));
+  ASSERT_EQ(caller->got, "");
+  EXPECT_GT(registry.find("w")->held, 0);
+  wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "X-Pipit-Load: 9223372036854775807,9223372036854775807,8\r\nContent-Length: 3\r\n\r\nyes");
+  ASSERT_TRUE(hears("yes"));
+  EXPECT_GT(registry.find("w")->said, 0);
+  EXPECT_TRUE(quiet());
+}
+
 }  // namespace pipit
