--- a/src/gate/net/http.cc
+++ b/src/gate/net/http.cc
@@ -36,7 +36,7 @@
   fields.emplace_back(std::string(name), std::move(value));
 }
 
-void drop_hop_fields(Head& head) {
+void drop_hop_fields(Head& head, std::string_view kept) {
   std::vector<std::string> names = {"Keep-Alive", "Proxy-Connection", "TE", "Trailer", "Transfer-Encoding", "Upgrade",
                                     "Content-Length", "Expect"};
   for (std::pair<std::string, std::string> const& item : head.fields) {
@@ -48,7 +48,7 @@
       rest.remove_prefix(std::min(cut + 1, rest.size()));
       while (!word.empty() && (word.front() == ' ' || word.front() == '\t')) word.remove_prefix(1);
       while (!word.empty() && (word.back() == ' ' || word.back() == '\t')) word.remove_suffix(1);
-      if (!word.empty()) names.emplace_back(word);
+      if (!word.empty() && !same_letters(word, "Host") && !same_letters(word, kept)) names.emplace_back(word);
     }
   }
   names.emplace_back("Connection");
--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -108,7 +108,7 @@
   query.after = call.head.get(dialect.after);
   Caller caller;
   caller.head = std::move(call.head);
-  drop_hop_fields(caller.head);
+  drop_hop_fields(caller.head, dialect.attempt);
   caller.body = std::move(call.body);
   caller.attempt = caller.head.get(dialect.attempt);
   caller.last_event = query.after;
@@ -196,7 +196,7 @@
   if (!caller.declined && whose.empty() && !caller.attempt.empty()) return Upstream::Owner::nobody;
   if (caller.resumed) return Upstream::Owner::asker;
   caller.answer = head;
-  drop_hop_fields(caller.answer);
+  drop_hop_fields(caller.answer, dialect.attempt);
   caller.answer.length = head.length;
   return Upstream::Owner::asker;
 }
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -299,4 +299,14 @@
   EXPECT_TRUE(quiet());
 }
 
+TEST_F(Passing, a_caller_cannot_have_the_request_id_or_the_host_taken_away) {
+  worker("w");
+  ask("POST", "/once/x", "Connection: X-Pipit-Attempt, Host, X-Mine\r\nX-Mine: 1\r\n");
+  ASSERT_EQ(reached(), "w");
+  std::string const got = workers["w"]->got();
+  EXPECT_NE(got.find("X-Pipit-Attempt: r1\r\n"), std::string::npos) << got;
+  EXPECT_NE(got.find("Host: h.test:80\r\n"), std::string::npos) << got;
+  EXPECT_EQ(got.find("X-Mine"), std::string::npos);
+}
+
 }  // namespace pipit
