--- a/src/flow/dispatch/dispatcher.cc
+++ b/src/flow/dispatch/dispatcher.cc
@@ -342,6 +342,15 @@
   registry.well(*at, now);
 }
 
+void Dispatcher::unmarked(std::uint64_t id) {
+  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests.find(id);
+  if (spot != requests.end()) spot->second->marked = false;
+}
+
+bool Dispatcher::resumable(Request const& request) {
+  return request.route->streams && request.route->resumable && request.marked;
+}
+
 void Dispatcher::ended(std::uint64_t id, AttemptEnd end, bool elsewhere, Micros now, DispatchOut& out) {
   std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests.find(id);
   if (spot == requests.end() || spot->second->at.empty()) return;
@@ -375,7 +384,7 @@
   bool const clean = end == AttemptEnd::unreached || end == AttemptEnd::declined;
   Traits traits;
   traits.repeatable = request.repeatable;
-  traits.resumable = request.route->streams && request.route->resumable;
+  traits.resumable = resumable(request);
   traits.attempts = request.sends < request.route->attempts;
   traits.budget = can_pay(*request.pool);
   traits.time = now + time_least < request.due && request.dials < dials_most;
@@ -476,7 +485,7 @@
     }
     if (!request.repeatable || request.reach == Reach::none || held) continue;
     // What has begun and cannot go on elsewhere is waited for, as is anything once another worker would come too late.
-    if (request.begun && !(request.route->streams && request.route->resumable)) continue;
+    if (request.begun && !resumable(request)) continue;
     if (now + time_least >= request.due || request.dials >= dials_most) continue;
     // A stream that may go on elsewhere does not wait for a worker that has fallen silent (§12.5).
     Instance const* const at = registry.find(request.at);
--- a/src/flow/dispatch/dispatcher.h
+++ b/src/flow/dispatch/dispatcher.h
@@ -89,6 +89,8 @@
   void left(std::uint64_t id, Micros now);                // a byte of the attempt may have left
   void began(std::uint64_t id, Micros now);               // the first part of the answer goes to the caller
   void event(std::uint64_t id, Micros now);               // another
+  // What was passed on does not tell from where another worker would have to go on: the answer ends at its worker.
+  void unmarked(std::uint64_t id);
   void ended(std::uint64_t id, AttemptEnd end, bool elsewhere, Micros now, DispatchOut& out);
   void hung_up(std::uint64_t id, Micros now);
   // The worker of the attempt said how many requests run and wait there.
@@ -125,6 +127,7 @@
     Micros busy = 0;      // of which others keep the worker busy
     bool read = false;    // its first event has come: its prompt has been read
     bool begun = false;   // a part of an answer has been passed on, by whichever attempt
+    bool marked = true;   // and all of it bears ids, so that another worker can go on after the last
   };
   struct Bucket {
     double level = 0;
@@ -138,6 +141,7 @@
   void release(Request& request);
   void deny(Request& request, Kind kind, Micros wait, DispatchOut& out);
   void obey(Request& request, Fate fate, Micros now, DispatchOut& out);
+  static bool resumable(Request const& request);
   void erase(std::uint64_t id);
   bool pay(Pool const& pool);
   bool can_pay(Pool const& pool);
--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -202,7 +202,7 @@
 }
 
 // Takes whole events out of what is held, and remembers the id of the last.
-std::string Relay::whole_events(Caller& caller) {
+std::string Relay::whole_events(std::uint64_t id, Caller& caller) {
   std::size_t const end = events_end(caller.held);
   std::string out = caller.held.substr(0, end);
   caller.held.erase(0, end);
@@ -222,6 +222,7 @@
     // A worker that takes a stream up may begin a little before the place that it was told.
     if (caller.resumed && known && number_of(name, number) && number <= last) continue;
     if (!name.empty()) caller.last_event = name;
+    if (name.empty() && event.find("data") != std::string::npos) dispatcher.unmarked(id);
     kept += event;
   }
   return kept;
@@ -253,7 +254,7 @@
   }
   if (!caller.resumable) return pass_on(id, caller, bytes);
   caller.held.append(bytes);
-  std::string const events = whole_events(caller);
+  std::string const events = whole_events(id, caller);
   pass_on(id, caller, events);
 }
 
--- a/src/gate/relay/relay.h
+++ b/src/gate/relay/relay.h
@@ -68,7 +68,7 @@
   void on_done(std::uint64_t id);
   void on_ended(std::uint64_t id, Upstream::End end, std::string const& why);
   void pass_on(std::uint64_t id, Caller& caller, std::string_view bytes);
-  std::string whole_events(Caller& caller);
+  std::string whole_events(std::uint64_t id, Caller& caller);
   void deny(Denial const& denial);
 
   Dispatcher& dispatcher;
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -309,4 +309,19 @@
   EXPECT_EQ(got.find("X-Mine"), std::string::npos);
 }
 
+TEST_F(Passing, a_stream_whose_events_bear_no_id_is_not_taken_up_elsewhere) {
+  worker("w");
+  worker("v");
+  ask("POST", "/flow/x");
+  std::string const first = reached();
+  wire_of(first).send("HTTP/1.1 200 OK\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n");
+  ASSERT_TRUE(hears("data: a\n\n"));
+  wire_of(first).link->close(true);
+  ASSERT_TRUE(until([&] { return caller->shut || !workers[first == "w" ? "v" : "w"]->got().empty(); }));
+  EXPECT_TRUE(caller->shut);
+  EXPECT_EQ(workers[first == "w" ? "v" : "w"]->got(), "") << "from where, nobody could tell";
+  EXPECT_EQ(caller->got.find("0\r\n\r\n"), std::string::npos);
+  EXPECT_TRUE(quiet());
+}
+
 }  // namespace pipit
