--- a/src/gate/net/server.cc
+++ b/src/gate/net/server.cc
@@ -77,10 +77,25 @@
   Head head;
   head.status = status;
   conn.link->write(answer_text(head, 0, true));
+  let_go(conn);
+}
+
+void Server::let_go(Conn& conn) {
   std::shared_ptr<Conn> const keep = conns[&conn];
   conns.erase(&conn);
   keep->link->listen({});
   keep->link->finish();
+  std::erase_if(last_ones, [](std::weak_ptr<Link> const& item) { return item.expired(); });
+  if (keep->link->open()) last_ones.push_back(keep->link);
+}
+
+std::size_t Server::finishing() const {
+  std::size_t out = 0;
+  for (std::weak_ptr<Link> const& item : last_ones) {
+    std::shared_ptr<Link> const link = item.lock();
+    if (link && link->open()) ++out;
+  }
+  return out;
 }
 
 void Server::fed(Conn& conn, std::string_view bytes) {
@@ -176,11 +191,8 @@
 void Server::break_off(std::uint64_t id) {
   Conn* const conn = conn_of(id);
   if (conn == nullptr) return;
-  std::shared_ptr<Conn> const keep = conns[conn];
   by_id.erase(id);
-  conns.erase(conn);
-  keep->link->listen({});
-  keep->link->finish();
+  let_go(*conn);
 }
 
 void Server::finished(Conn& conn) {
@@ -188,12 +200,7 @@
   by_id.erase(conn.call.id);
   conn.busy = false;
   conn.since = now();
-  if (conn.last) {
-    conns.erase(&conn);
-    keep->link->listen({});
-    keep->link->finish();
-    return;
-  }
+  if (conn.last) return let_go(conn);
   conn.link->hold(false);
   if (!conn.ahead.empty()) {
     // Not from inside the answer: the next call is read in a turn of its own.
@@ -226,12 +233,7 @@
   std::vector<Conn*> idle;
   for (std::pair<Conn* const, std::shared_ptr<Conn>> const& item : conns)
     if (!item.second->busy && item.second->reader.idle() && item.second->ahead.empty()) idle.push_back(item.first);
-  for (Conn* const conn : idle) {
-    std::shared_ptr<Conn> const keep = conns[conn];
-    conns.erase(conn);
-    keep->link->listen({});
-    keep->link->finish();
-  }
+  for (Conn* const conn : idle) let_go(*conn);
 }
 
 void Server::sweep(Micros now) {
--- a/src/gate/net/server.h
+++ b/src/gate/net/server.h
@@ -3,6 +3,7 @@
 #include <map>
 #include <memory>
 #include <string>
+#include <vector>
 
 #include "gate/net/http.h"
 #include "gate/net/link.h"
@@ -51,7 +52,10 @@
 
   void sweep(Micros now);  // closes what is idle or slow for too long
   std::size_t calls() const { return by_id.size(); }
-  std::size_t connections() const { return conns.size(); }
+  // Those that carry calls or may, and those whose last answer has not yet been taken.
+  std::size_t connections() const { return conns.size() + finishing(); }
+  // Those whose last answer still waits in this process: its end would cut them.
+  std::size_t finishing() const;
 
  private:
   struct Conn;
@@ -61,6 +65,8 @@
   void finished(Conn& conn);
   void drop(Conn& conn);
   Conn* conn_of(std::uint64_t id) const;
+  // Takes a connection out of the books; it closes once what was written has been taken.
+  void let_go(Conn& conn);
 
   Ears ears;
   Limits limits;
@@ -69,6 +75,7 @@
   std::uint64_t next = 0;
   std::map<Conn*, std::shared_ptr<Conn>> conns;
   std::map<std::uint64_t, Conn*> by_id;
+  std::vector<std::weak_ptr<Link>> last_ones;  // connections that were let go
 };
 
 }  // namespace pipit
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -273,7 +273,8 @@
   }
   if (!doors_shut) return;
   relay->server.close_idle();
-  bool const idle = relay->server.calls() == 0 && asked.empty();
+  // What a slow caller has not taken yet would end with the process too.
+  bool const idle = relay->server.calls() == 0 && relay->server.finishing() == 0 && asked.empty();
   if (idle || span >= plan.grace - last_moment) g_main_loop_quit(loop);
 }
 
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -650,6 +650,20 @@
   }
 }
 
+TEST_F(Serving, counts_connections_whose_last_answer_is_still_on_its_way) {
+  Wire wire(address);
+  wire.link->hold(true);
+  wire.send("GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n");
+  ASSERT_TRUE(until([&] { return calls.size() > answered; }));
+  answer_all(std::string(32u << 20, 'z'));
+  settle();
+  EXPECT_EQ(server.calls(), 0u);
+  EXPECT_EQ(server.connections(), 1u) << "a process that ends now would cut the answer";
+  wire.link->hold(false);
+  ASSERT_TRUE(until([&] { return wire.shut; }));
+  EXPECT_EQ(server.connections(), 0u);
+}
+
 TEST_F(Serving, pieces_go_as_they_come_and_end_with_the_answer) {
   Wire wire(address);
   wire.send("GET / HTTP/1.1\r\n" + host + "\r\n");
