--- a/src/flow/dispatch/dispatcher.cc
+++ b/src/flow/dispatch/dispatcher.cc
@@ -27,6 +27,7 @@
 constexpr double again_price = 0.0005;
 constexpr double far_price = 0.0000025;
 constexpr double new_part_worth = 0.00008;
+constexpr Micros still_least = millis(300);  // between two ticks, of which there are twenty a second
 constexpr Micros quiet_least = millis(400);  // nothing from a worker for so long while several wait: it is dark
 
 bool digit_of(char c, std::uint64_t& out) {
@@ -439,7 +440,18 @@
   erase(id);
 }
 
+// A node that stood still has not read what came meanwhile: that is no silence of its workers.
+void Dispatcher::note_stillness(Micros now) {
+  Micros const span = now - last_tick;
+  bool const stood_still = last_tick >= 0 && span > still_least;
+  last_tick = now;
+  if (!stood_still) return;
+  for (std::pair<std::uint64_t const, std::unique_ptr<Request>> const& item : requests)
+    item.second->heard = std::min(now, item.second->heard + span);
+}
+
 void Dispatcher::tick(Micros now, DispatchOut& out) {
+  note_stillness(now);
   std::vector<std::uint64_t> ids;
   ids.reserve(requests.size());
   for (std::pair<std::uint64_t const, std::unique_ptr<Request>> const& item : requests) ids.push_back(item.first);
--- a/src/flow/dispatch/dispatcher.h
+++ b/src/flow/dispatch/dispatcher.h
@@ -142,6 +142,7 @@
   void deny(Request& request, Kind kind, Micros wait, DispatchOut& out);
   void obey(Request& request, Fate fate, Micros now, DispatchOut& out);
   static bool resumable(Request const& request);
+  void note_stillness(Micros now);
   void erase(std::uint64_t id);
   bool pay(Pool const& pool);
   bool can_pay(Pool const& pool);
@@ -160,6 +161,7 @@
   bool wide = false;  // so many nodes that kept parts are told only where nobody would guess them (§12.7)
   std::uint64_t turn = 0;
   Micros born = -seconds(3600);
+  Micros last_tick = -1;
   std::map<std::uint64_t, std::unique_ptr<Request>> requests;
   std::map<std::string, Bucket> buckets;
 };
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -794,6 +794,24 @@
 }
 }  // namespace
 
+// A node that stood still has not read what came meanwhile: a worker's silence counts from then on.
+TEST_F(Desks, standing_still_is_no_silence_of_a_worker) {
+  worker("v");
+  worker("w");
+  std::string const at = place(1, "flow");
+  ASSERT_FALSE(at.empty());
+  dispatcher.left(1, now);
+  dispatcher.began(1, now);
+  dispatcher.tick(now += millis(50), out);
+  out = DispatchOut();
+  dispatcher.tick(now += millis(2500), out);
+  EXPECT_TRUE(out.cuts.empty()) << "what came while this node stood still lies in its socket";
+  EXPECT_TRUE(out.starts.empty());
+  dispatcher.event(1, now);
+  dispatcher.tick(now += millis(50), out);
+  EXPECT_TRUE(out.cuts.empty());
+}
+
 TEST(Walks, end_every_request_once_and_run_it_at_most_once_where_it_must) {
   DispatchTally sum;
   for (std::uint64_t seed = 1; seed <= 8 && !HasFatalFailure(); ++seed) walk(seed, sum);
