--- a/src/gate/net/link.cc
+++ b/src/gate/net/link.cc
@@ -88,6 +88,11 @@
     ::close(fd);
     return out;
   }
+  return opening(fd, within);
+}
+
+std::shared_ptr<Link> Link::opening(int fd, Micros within) {
+  std::shared_ptr<Link> const out(new Link);
   out->fd = fd;
   out->state = State::dialling;
   out->watch();
--- a/src/gate/net/link.h
+++ b/src/gate/net/link.h
@@ -27,6 +27,8 @@
   // Dials an IP number with a port from 'from' (an IP number, or empty). 'within' bounds the opening alone, in
   // microseconds. Nothing was sent when it ends as unreached.
   static std::shared_ptr<Link> dial(std::string const& address, std::string const& from, Micros within);
+  // A socket that is being opened, non-blocking; the link owns it from now on.
+  static std::shared_ptr<Link> opening(int fd, Micros within);
   ~Link();
 
   void listen(Ears ears_) { ears = std::move(ears_); }
--- a/src/gate/net/server.cc
+++ b/src/gate/net/server.cc
@@ -2,11 +2,13 @@
 
 #include <glib.h>
 
+#include "gate/net/clock.h"
+
 namespace pipit {
 
 namespace {
 constexpr std::size_t ahead_most = 65536;  // what a caller may send before its last call is answered
-Micros now() { return g_get_monotonic_time(); }
+Micros now() { return loop_time(); }
 }  // namespace
 
 struct Server::Conn {
--- a/src/gate/net/server.h
+++ b/src/gate/net/server.h
@@ -33,6 +33,8 @@
   ~Server();
 
   Result<void> listen(std::string const& address);
+  // A caller's connection that came in another way.
+  void adopt(std::shared_ptr<Link> link) { take(std::move(link)); }
   void stop_listening() { door.close(); }
   // Every answer closes its connection from now on.
   void closing() { last_calls = true; }
--- a/src/gate/net/upstream.cc
+++ b/src/gate/net/upstream.cc
@@ -4,12 +4,14 @@
 
 #include <algorithm>
 
+#include "gate/net/clock.h"
+
 namespace pipit {
 
 namespace {
 constexpr Micros keep_most = seconds(20);
 constexpr int surplus_most = 3;
-Micros now() { return g_get_monotonic_time(); }
+Micros now() { return loop_time(); }
 
 // "timeout=5, max=100" in whole seconds; a default where nothing is said.
 Micros keep_time(std::string const& text) {
@@ -85,7 +87,7 @@
   conn->address = address;
   conn->id = id;
   conn->bytes = std::move(bytes);
-  conn->link = Link::dial(address, from, within);
+  conn->link = dial(address, from, within);
   conn->reader.ears.head = [this, conn](Head& head) {
     if (conn->id == 0) return true;
     Owner const owner = ears.head(conn->id, head);
--- a/src/gate/net/upstream.h
+++ b/src/gate/net/upstream.h
@@ -33,6 +33,10 @@
   Upstream(Ears ears_, std::string from_) : ears(std::move(ears_)), from(std::move(from_)) {}
   ~Upstream();
 
+  // How connections are opened; Link::dial unless a test says otherwise.
+  using Dial = std::function<std::shared_ptr<Link>(std::string const& address, std::string const& from, Micros within)>;
+  void dial_by(Dial dial_) { dial = std::move(dial_); }
+
   // Sends a request; 'peer' names who lives at the address, and kept connections belong to that name.
   void start(std::uint64_t id, std::string const& peer, std::string const& address, std::string bytes, Micros within);
   void cut(std::uint64_t id);
@@ -57,6 +61,7 @@
 
   Ears ears;
   std::string const from;
+  Dial dial = Link::dial;
   std::map<Conn*, std::shared_ptr<Conn>> conns;
   std::map<std::uint64_t, Conn*> by_id;
   std::map<std::string, std::vector<Conn*>> idle;  // by peer, the last used at the end
--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <cstdlib>
 
+#include "gate/net/clock.h"
 #include "ground/events.h"
 
 namespace pipit {
@@ -12,7 +13,7 @@
 namespace {
 constexpr std::size_t failing_most = 1u << 20;
 constexpr std::int64_t count_most = 100000000;  // of tokens, requests or milliseconds (28 h)
-Micros now() { return g_get_monotonic_time(); }
+Micros now() { return loop_time(); }
 
 // Where the last whole event in the text ends; 0 when none is whole.
 std::size_t events_end(std::string const& text) {
@@ -194,6 +195,8 @@
   caller.failing = !caller.declined && head.status >= 300;
   caller.unsaid = caller.failing && promises(head.status);
   if (!caller.declined && whose.empty() && !caller.attempt.empty()) return Upstream::Owner::nobody;
+  bool const sealed = dialect.seal.empty() || head.find(dialect.seal) != nullptr;
+  if (!caller.declined && !caller.failing && !sealed) return Upstream::Owner::nobody;
   if (caller.resumed) return Upstream::Owner::asker;
   caller.answer = head;
   drop_hop_fields(caller.answer, dialect.attempt);
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -27,8 +27,8 @@
     }
   };
 
-  Passing()
-      : relay(dispatcher, Dialect(), "",
+  explicit Passing(Dialect const& dialect = Dialect())
+      : relay(dispatcher, dialect, "",
               {[this](std::uint64_t id, Query query) {
                  DispatchOut out;
                  dispatcher.fresh(id, std::move(query), g_get_monotonic_time(), out);
@@ -103,6 +103,17 @@
   std::unique_ptr<Wire> caller;
 };
 std::string const mine = "X-Pipit-Attempt: r1\r\n";
+
+// Workers whose successes bear a seal.
+class Sealed : public Passing {
+ protected:
+  static Dialect with_seal() {
+    Dialect out;
+    out.seal = "X-Seal";
+    return out;
+  }
+  Sealed() : Passing(with_seal()) {}
+};
 }  // namespace
 
 TEST_F(Passing, a_request_and_its_answer_pass_through) {
@@ -324,4 +335,26 @@
   EXPECT_TRUE(quiet());
 }
 
+TEST_F(Sealed, a_success_without_the_seal_is_no_answer_and_failures_need_none) {
+  worker("w");
+  ask("POST", "/once/x");
+  ASSERT_EQ(reached(), "w");
+  wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
+  ASSERT_TRUE(hears("\r\n\r\n"));
+  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(caller->got.find("yes"), std::string::npos);
+  EXPECT_EQ(relay.upstream.kept("w"), 0u);
+  for (std::string const& status : {std::string("200 OK\r\nX-Seal: s\r\n"), std::string("500 Odd\r\n")}) {
+    workers.clear();
+    registry.all.clear();
+    settle();
+    worker("w");
+    ask("POST", "/once/x");
+    ASSERT_EQ(reached(), "w");
+    wire_of("w").send("HTTP/1.1 " + status + mine + "Content-Length: 3\r\n\r\nyes");
+    ASSERT_TRUE(hears("yes")) << status;
+  }
+  EXPECT_TRUE(quiet());
+}
+
 }  // namespace pipit
