--- a/src/flow/dispatch/dispatcher.cc
+++ b/src/flow/dispatch/dispatcher.cc
@@ -7,6 +7,7 @@
 #include "ground/events.h"
 #include "ground/guards.h"
 #include "ground/mix.h"
+#include "ground/request_guards.h"
 
 namespace pipit {
 
@@ -386,7 +387,7 @@
   Traits traits;
   traits.repeatable = request.repeatable;
   traits.resumable = resumable(request);
-  traits.attempts = request.sends < request.route->attempts;
+  traits.attempts = request.sends < request.route->attempts || !guard(RequestGuard::attempts);
   traits.budget = can_pay(*request.pool);
   traits.time = now + time_least < request.due && request.dials < dials_most;
   traits.ran = request.ran;
--- a/src/gate/net/upstream.cc
+++ b/src/gate/net/upstream.cc
@@ -31,6 +31,7 @@
   std::uint64_t id = 0;  // of the request that it carries, 0 when it is kept
   std::string bytes;
   bool sent = false;
+  int asked = 0;  // how many requests it has carried
   bool bodiless = false;  // it asks for a head alone
   bool ours = false;  // the answer that is being read is the one that was asked for
   bool spoiled = false;  // what came is an answer to nobody
@@ -90,7 +91,7 @@
   conn->link = dial(address, from, within);
   conn->reader.ears.head = [this, conn](Head& head) {
     if (conn->id == 0) return true;
-    Owner const owner = ears.head(conn->id, head);
+    Owner const owner = ears.head(conn->id, head, conn->asked == 1);
     conn->ours = owner == Owner::asker;
     conn->spoiled = owner == Owner::nobody;
     conn->keep = head.keep;
@@ -121,6 +122,7 @@
 
 void Upstream::send(Conn& conn) {
   conn.sent = true;
+  ++conn.asked;
   conn.ours = false;
   conn.surplus = 0;
   conn.bodiless = conn.bytes.starts_with("HEAD ");
--- a/src/gate/net/upstream.h
+++ b/src/gate/net/upstream.h
@@ -25,7 +25,8 @@
   };
   struct Ears {
     std::function<void(std::uint64_t)> left;  // a byte of the request may have left
-    std::function<Owner(std::uint64_t, Head const&)> head;
+    // 'first': nothing was asked on the connection before.
+    std::function<Owner(std::uint64_t, Head const&, bool first)> head;
     std::function<void(std::uint64_t, std::string_view)> body;
     std::function<void(std::uint64_t)> done;
     std::function<void(std::uint64_t, End, std::string const& why)> ended;
--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -7,6 +7,7 @@
 
 #include "gate/net/clock.h"
 #include "ground/events.h"
+#include "ground/request_guards.h"
 
 namespace pipit {
 
@@ -70,7 +71,7 @@
                 ears.gone(id);
               }}),
       upstream({[this](std::uint64_t id) { dispatcher.left(id, now()); },
-                [this](std::uint64_t id, Head const& head) { return on_head(id, head); },
+                [this](std::uint64_t id, Head const& head, bool first) { return on_head(id, head, first); },
                 [this](std::uint64_t id, std::string_view bytes) { on_body(id, bytes); },
                 [this](std::uint64_t id) { on_done(id); },
                 [this](std::uint64_t id, Upstream::End end, std::string const& why) { on_ended(id, end, why); }},
@@ -167,7 +168,7 @@
   caller.held.clear();
   Head head = caller.head;
   head.set(dialect.left, std::to_string(std::max<Micros>(1, attempt.left / 1000)));
-  head.set(dialect.instance, attempt.instance);
+  if (guard(RequestGuard::instance)) head.set(dialect.instance, attempt.instance);
   head.set(dialect.rank, std::to_string(std::clamp<std::int64_t>(attempt.rank, 0, 9)));
   if (caller.resumed && !caller.last_event.empty()) head.set(dialect.after, caller.last_event);
   std::string bytes = request_text(head, static_cast<std::int64_t>(caller.body.size()));
@@ -175,13 +176,14 @@
   upstream.start(attempt.request, attempt.instance, attempt.address, std::move(bytes), attempt.within);
 }
 
-Upstream::Owner Relay::on_head(std::uint64_t id, Head const& head) {
+Upstream::Owner Relay::on_head(std::uint64_t id, Head const& head, bool first) {
   std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
   if (spot == callers.end()) return Upstream::Owner::asker;
   Caller& caller = spot->second;
   if (head.status < 200) return Upstream::Owner::other;
   std::string const whose = head.get(dialect.attempt);
-  if (!whose.empty() && whose != caller.attempt) return Upstream::Owner::other;
+  bool const mine = whose == caller.attempt || !guard(RequestGuard::answer_id);
+  if (!whose.empty() && !mine) return Upstream::Owner::other;
   if (names_two(head, dialect.attempt)) return Upstream::Owner::nobody;
   if (std::string const* const load = head.find(dialect.load)) {
     char* rest = nullptr;
@@ -191,11 +193,13 @@
   }
   bool const not_run = head.find(dialect.not_run) != nullptr;
   caller.elsewhere = head.status == 421;
-  caller.declined = not_run || caller.elsewhere;
+  caller.declined = not_run || caller.elsewhere || (head.status == 429 && !guard(RequestGuard::promise_mark));
   caller.failing = !caller.declined && head.status >= 300;
   caller.unsaid = caller.failing && promises(head.status);
-  if (!caller.declined && whose.empty() && !caller.attempt.empty()) return Upstream::Owner::nobody;
-  bool const sealed = dialect.seal.empty() || head.find(dialect.seal) != nullptr;
+  // A refusal may come without the id, but then only where nothing was asked before: it might be a late one for that.
+  bool const unnamed_refusal = caller.declined && (first || !guard(RequestGuard::answer_id));
+  if (whose.empty() && !mine && !unnamed_refusal) return Upstream::Owner::nobody;
+  bool const sealed = dialect.seal.empty() || !guard(RequestGuard::seal) || head.find(dialect.seal) != nullptr;
   if (!caller.declined && !caller.failing && !sealed) return Upstream::Owner::nobody;
   if (caller.resumed) return Upstream::Owner::asker;
   caller.answer = head;
@@ -223,7 +227,7 @@
     std::string const name = id_of(event);
     std::uint64_t number = 0;
     // A worker that takes a stream up may begin a little before the place that it was told.
-    if (caller.resumed && known && number_of(name, number) && number <= last) continue;
+    if (caller.resumed && known && guard(RequestGuard::event_order) && number_of(name, number) && number <= last) continue;
     if (!name.empty()) caller.last_event = name;
     if (name.empty() && event.find("data") != std::string::npos) dispatcher.unmarked(id);
     kept += event;
@@ -283,6 +287,7 @@
   std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
   if (spot == callers.end()) return;
   tell(Event::attempt_failed, spot->second.instance + " " + why);
+  if (end == Upstream::End::torn && !guard(RequestGuard::torn_visible)) return on_done(id);
   // What the worker said before it broke off holds: it did not run the request.
   if (spot->second.declined) return ears.ended(id, AttemptEnd::declined, spot->second.elsewhere);
   ears.ended(id, end == Upstream::End::unreached ? AttemptEnd::unreached : AttemptEnd::broke, false);
--- a/src/gate/relay/relay.h
+++ b/src/gate/relay/relay.h
@@ -64,7 +64,7 @@
   };
   void on_call(Server::Call&& call);
   void start(Attempt const& attempt);
-  Upstream::Owner on_head(std::uint64_t id, Head const& head);
+  Upstream::Owner on_head(std::uint64_t id, Head const& head, bool first);
   void on_body(std::uint64_t id, std::string_view bytes);
   void on_done(std::uint64_t id);
   void on_ended(std::uint64_t id, Upstream::End end, std::string const& why);
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -882,7 +882,7 @@
   };
   Workerly()
       : upstream({[this](std::uint64_t id) { left.push_back(id); },
-                  [this](std::uint64_t id, Head const& head) {
+                  [this](std::uint64_t id, Head const& head, bool) {
                     heads.push_back(head);
                     bool const mine = head.find("X-Id") == nullptr || head.get("X-Id") == std::to_string(id);
                     return head.status >= 200 && mine ? Upstream::Owner::asker : Upstream::Owner::other;
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -257,6 +257,23 @@
   EXPECT_TRUE(quiet());
 }
 
+TEST_F(Passing, a_refusal_that_names_no_request_is_believed_only_where_nothing_was_asked_before) {
+  worker("w");
+  ask("POST", "/once/x");
+  ASSERT_EQ(reached(), "w");
+  wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
+  ASSERT_TRUE(hears("yes"));
+  ASSERT_EQ(relay.upstream.kept("w"), 1u);
+  ask("POST", "/once/x");
+  ASSERT_TRUE(until([&] { return count_of(wire_of("w").got, "POST ") == 2; }));
+  // It may be a late word about the first request.
+  wire_of("w").send("HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+  ASSERT_TRUE(hears("}"));
+  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(relay.upstream.kept("w"), 0u);
+  EXPECT_TRUE(quiet());
+}
+
 TEST_F(Passing, an_answer_that_names_two_requests_is_no_answer) {
   worker("w");
   ask("POST", "/once/x");
