--- /dev/null
+++ b/proof/fuzz/readers.h
@@ -0,0 +1,19 @@
+// Fuzzes the two readers of messages, callers' requests and workers' answers, with seeded bytes (docs/requests.md).
+#pragma once
+#include <cstdint>
+#include <string>
+
+namespace pipit {
+
+struct FuzzCount {
+  std::uint64_t inputs = 0;
+  std::uint64_t whole = 0;    // messages that were read whole
+  std::uint64_t refused = 0;  // inputs that were refused
+  std::uint64_t garbage = 0;  // inputs of bytes by chance alone
+  std::string fault;          // what was wrong, with the input; empty for nothing
+};
+
+// One input of that seed. Reads it in one piece, in a few and byte by byte; all must come to the same.
+void fuzz_readers(std::uint64_t seed, FuzzCount& count);
+
+}  // namespace pipit
--- /dev/null
+++ b/proof/requests/main.cc
@@ -0,0 +1,46 @@
+// requests: walks and explores worlds of requests (docs/requests.md). Exit code 1 when a rule was broken.
+#include <boost/program_options.hpp>
+
+#include <iostream>
+
+#include "ground/events.h"
+#include "ground/guards.h"
+#include "ground/request_guards.h"
+#include "proof/requests/explore.h"
+
+namespace {
+int report(pipit::Exploration const& result) {
+  std::cout << result.worlds << " worlds, " << result.faulty << " faulty\n";
+  for (std::pair<std::string const, std::size_t> const& item : result.seen)
+    std::cout << "  " << item.first << ": " << item.second << "\n";
+  std::size_t n = 0;
+  for (std::string const& line : result.fault_trace) std::cout << ++n << "\t" << line << "\n";
+  return result.faulty > 0 ? 1 : 0;
+}
+}  // namespace
+
+int main(int argc, char** argv) {
+  namespace po = boost::program_options;
+  std::size_t walks = 0;
+  std::size_t events = 0;
+  std::size_t depth = 0;
+  std::uint64_t seed = 1;
+  po::options_description options("requests");
+  options.add_options()("walks", po::value<std::size_t>(&walks)->default_value(2000), "seeded walks")(
+      "events", po::value<std::size_t>(&events)->default_value(60), "events of a walk")(
+      "seed", po::value<std::uint64_t>(&seed)->default_value(1), "the first seed")(
+      "depth", po::value<std::size_t>(&depth)->default_value(0), "instead: every order of so many events");
+  po::variables_map given;
+  try {
+    po::store(po::parse_command_line(argc, argv, options), given);
+    po::notify(given);
+  } catch (po::error const& error) {
+    std::cerr << "requests: " << error.what() << "\n";
+    return 2;
+  }
+  pipit::hush(true);
+  if (depth == 0) return report(pipit::walk_requests(seed, walks, events, true));
+  int worst = 0;
+  for (std::size_t kind = 0; kind < 4; ++kind) worst = std::max(worst, report(pipit::explore_requests(kind, depth, true)));
+  return worst;
+}
