--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -198,7 +198,10 @@
   caller.unsaid = caller.failing && promises(head.status);
   // A refusal may come without the id, but then only where nothing was asked before: it might be a late one for that.
   bool const unnamed_refusal = caller.declined && (first || !guard(RequestGuard::answer_id));
-  if (whose.empty() && !mine && !unnamed_refusal) return Upstream::Owner::nobody;
+  if (whose.empty() && !mine && !unnamed_refusal) {
+    caller.declined = caller.elsewhere = false;
+    return Upstream::Owner::nobody;
+  }
   bool const sealed = dialect.seal.empty() || !guard(RequestGuard::seal) || head.find(dialect.seal) != nullptr;
   if (!caller.declined && !caller.failing && !sealed) return Upstream::Owner::nobody;
   if (caller.resumed) return Upstream::Owner::asker;
