--- a/proof/requests/world.cc
+++ b/proof/requests/world.cc
@@ -85,6 +85,7 @@
   std::string unread;
   std::string current;    // id of the request that it holds
   bool ran = false;
+  std::size_t carried = 0;  // requests that came on it
   std::size_t events = 0;  // of its answer that have been sent, with its head
   std::size_t first = 1;   // event that it begins with
   bool headed = false;
@@ -373,6 +374,7 @@
     return send(side, "HTTP/1.1 421 Elsewhere\r\nX-Instance-Id: " + worker.id + "\r\nContent-Length: 0\r\n\r\n");
   }
   side.current = id;
+  ++side.carried;
   side.ran = false;
   side.headed = false;
   side.events = 0;
@@ -411,7 +413,7 @@
   std::string const failure = id + seal + "Content-Length: " + std::to_string(7 + item.id.size()) + "\r\n\r\nfailed " + item.id;
   bool over_now = true;
   note(worker.id + " answers " + item.id + " in way " + std::to_string(way));
-  if (side.headed && way > 2 && way < 17) way = 0;
+  if (side.headed && way > 2 && way != 17 && way < 19) way = 0;
   if (side.ran && (way == 3 || way == 4)) way = 0;  // no worker says that it did not run what it ran
   switch (way) {
     case 0:
@@ -494,6 +496,11 @@
     case 17:
       send(side, "\x01garbage\r\n\r\n");
       break;
+    case 18:  // a late refusal of an earlier request, which does not name it
+      run(worker, side);
+      if (side.carried > 1) send(side, "HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+      send(side, whole);
+      break;
     default:
       shut(side);
   }
@@ -508,7 +515,7 @@
   if (worker.sides.empty()) return;
   WorkerSide& side = *worker.sides[choose(worker.sides.size())];
   if (side.current.empty()) read_worker(worker, side);
-  if (!side.current.empty()) return answer(worker, side, choose(19));
+  if (!side.current.empty()) return answer(worker, side, choose(20));
   if (side.fd < 0) return;
   switch (choose(3)) {
     case 0:
