--- a/src/gate/net/server.cc
+++ b/src/gate/net/server.cc
@@ -2,6 +2,8 @@
 
 #include <glib.h>
 
+#include <algorithm>
+
 #include "gate/net/clock.h"
 
 namespace pipit {
@@ -24,6 +26,7 @@
   bool parsing = false;
   std::int64_t owed = -1;   // what is left of an announced length
   Micros since = 0;         // of the first byte of what is being read, or of the last end of an answer
+  Micros may_rest = 0;      // the idle limit when its rest began; its caller may not know a shorter one yet
 };
 
 Server::~Server() {
@@ -44,6 +47,7 @@
   Conn* const conn = made.get();
   conn->link = std::move(link);
   conn->since = now();
+  conn->may_rest = limits.idle;
   conns.emplace(conn, made);
   conn->reader.ears.head = [this, conn](Head& head) {
     conn->call.head = head;
@@ -202,6 +206,7 @@
   by_id.erase(conn.call.id);
   conn.busy = false;
   conn.since = now();
+  conn.may_rest = limits.idle;
   if (conn.last) return let_go(conn);
   conn.link->hold(false);
   if (!conn.ahead.empty()) {
@@ -246,7 +251,7 @@
     if (conn.busy) continue;
     Micros const span = now - conn.since;
     if (conn.reader.idle() && conn.ahead.empty()) {
-      if (span > limits.idle) idle.push_back(item.first);
+      if (span > std::max(limits.idle, conn.may_rest)) idle.push_back(item.first);
     } else if (span > (conn.reader.in_body() ? limits.body_time : limits.head_time)) {
       slow.push_back(item.first);
     }
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -842,6 +842,27 @@
   EXPECT_EQ(calls.size(), 1u);
 }
 
+TEST_F(Serving, a_shorter_idle_limit_holds_for_rests_that_begin_under_it) {
+  Wire wire(address);
+  wire.send("GET / HTTP/1.1\r\n" + host + "\r\n");
+  ASSERT_TRUE(until([&] { return calls.size() > answered; }));
+  answer_all("ok");
+  settle();
+  // Its caller may still take it up after four fifths of the limit that it knows.
+  Server::Limits shorter;
+  shorter.idle = seconds(5);
+  server.limit(shorter);
+  server.sweep(g_get_monotonic_time() + seconds(48));
+  settle();
+  EXPECT_FALSE(wire.shut);
+  server.sweep(g_get_monotonic_time() + seconds(61));
+  ASSERT_TRUE(until([&] { return wire.shut; }));
+  Wire other(address);
+  settle();
+  server.sweep(g_get_monotonic_time() + seconds(6));
+  ASSERT_TRUE(until([&] { return other.shut; }));
+}
+
 TEST_F(Serving, at_the_end_idle_connections_close_and_answers_are_the_last) {
   Wire idle(address);
   Wire busy(address);
