--- a/src/gate/net/link.cc
+++ b/src/gate/net/link.cc
@@ -201,14 +201,19 @@
 }
 
 void Link::write(std::string_view bytes) {
-  if (fd < 0) return;
+  if (fd < 0 || lost) return;
   if (state == State::up && waiting() == 0) {
     out.clear();
     gone = 0;
     ssize_t const n = ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (n > 0) bytes.remove_prefix(static_cast<std::size_t>(n));
-    // A broken connection is heard of when it is read; the caller of write() must not find it gone under its feet.
-    if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) return;
+    // What follows must not take the place of what is lost: nothing more is sent, and the peer sees an end. Here that is
+    // heard of when it is read; the caller of write() must not find the connection gone under its feet.
+    if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) {
+      lost = true;
+      ::shutdown(fd, SHUT_RDWR);
+      return;
+    }
   }
   if (bytes.empty()) return;
   out.append(bytes);
--- a/src/gate/net/link.h
+++ b/src/gate/net/link.h
@@ -67,6 +67,7 @@
   unsigned asked = 0;
   bool held = false;
   bool last = false;
+  bool lost = false;  // something could not be sent; nothing is sent after it
   bool told_no = false;
   std::shared_ptr<Link> own;  // while it finishes
   std::string out;
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -895,6 +895,25 @@
   EXPECT_EQ(calls.size(), 1u);
 }
 
+// A socket pair that keeps messages apart refuses a large one and takes the next: as a system does that is short of memory
+// for a moment.
+TEST(Links, what_could_not_be_written_is_not_left_out) {
+  int ends[2];
+  ASSERT_EQ(::socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, ends), 0);
+  std::shared_ptr<Link> const link = Link::adopt(ends[0]);
+  bool shut = false;
+  link->listen({nullptr, nullptr, [&shut](Link::End) { shut = true; }, nullptr});
+  link->write("front");
+  link->write(std::string(8u << 20, 'z'));
+  link->write("tail");
+  settle();
+  char buffer[64];
+  EXPECT_EQ(::recv(ends[1], buffer, sizeof buffer, 0), 5);
+  EXPECT_LE(::recv(ends[1], buffer, sizeof buffer, 0), 0) << "what follows would be read in the place of what is missing";
+  EXPECT_TRUE(shut);
+  ::close(ends[1]);
+}
+
 namespace {
 // A worker made of sockets, and what is heard of the connections to it.
 class Workerly : public testing::Test {
