--- a/src/flow/dispatch/dispatcher.cc
+++ b/src/flow/dispatch/dispatcher.cc
@@ -7,6 +7,7 @@
 #include "ground/events.h"
 #include "ground/guards.h"
 #include "ground/mix.h"
+#include "ground/request_guards.h"
 
 namespace pipit {
 
@@ -27,6 +28,7 @@
 constexpr double again_price = 0.0005;
 constexpr double far_price = 0.0000025;
 constexpr double new_part_worth = 0.00008;
+constexpr Micros still_least = millis(300);  // between two ticks, of which there are twenty a second
 constexpr Micros quiet_least = millis(400);  // nothing from a worker for so long while several wait: it is dark
 
 bool digit_of(char c, std::uint64_t& out) {
@@ -342,6 +344,15 @@
   registry.well(*at, now);
 }
 
+void Dispatcher::unmarked(std::uint64_t id) {
+  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests.find(id);
+  if (spot != requests.end()) spot->second->marked = false;
+}
+
+bool Dispatcher::resumable(Request const& request) {
+  return request.route->streams && request.route->resumable && request.marked;
+}
+
 void Dispatcher::ended(std::uint64_t id, AttemptEnd end, bool elsewhere, Micros now, DispatchOut& out) {
   std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests.find(id);
   if (spot == requests.end() || spot->second->at.empty()) return;
@@ -375,8 +386,8 @@
   bool const clean = end == AttemptEnd::unreached || end == AttemptEnd::declined;
   Traits traits;
   traits.repeatable = request.repeatable;
-  traits.resumable = request.route->streams && request.route->resumable;
-  traits.attempts = request.sends < request.route->attempts;
+  traits.resumable = resumable(request);
+  traits.attempts = request.sends < request.route->attempts || !guard(RequestGuard::attempts);
   traits.budget = can_pay(*request.pool);
   traits.time = now + time_least < request.due && request.dials < dials_most;
   traits.ran = request.ran;
@@ -430,7 +441,18 @@
   erase(id);
 }
 
+// A node that stood still has not read what came meanwhile: that is no silence of its workers.
+void Dispatcher::note_stillness(Micros now) {
+  Micros const span = now - last_tick;
+  bool const stood_still = last_tick >= 0 && span > still_least;
+  last_tick = now;
+  if (!stood_still) return;
+  for (std::pair<std::uint64_t const, std::unique_ptr<Request>> const& item : requests)
+    item.second->heard = std::min(now, item.second->heard + span);
+}
+
 void Dispatcher::tick(Micros now, DispatchOut& out) {
+  note_stillness(now);
   std::vector<std::uint64_t> ids;
   ids.reserve(requests.size());
   for (std::pair<std::uint64_t const, std::unique_ptr<Request>> const& item : requests) ids.push_back(item.first);
@@ -476,7 +498,7 @@
     }
     if (!request.repeatable || request.reach == Reach::none || held) continue;
     // What has begun and cannot go on elsewhere is waited for, as is anything once another worker would come too late.
-    if (request.begun && !(request.route->streams && request.route->resumable)) continue;
+    if (request.begun && !resumable(request)) continue;
     if (now + time_least >= request.due || request.dials >= dials_most) continue;
     // A stream that may go on elsewhere does not wait for a worker that has fallen silent (§12.5).
     Instance const* const at = registry.find(request.at);
--- a/src/gate/net/link.cc
+++ b/src/gate/net/link.cc
@@ -88,6 +88,11 @@
     ::close(fd);
     return out;
   }
+  return opening(fd, within);
+}
+
+std::shared_ptr<Link> Link::opening(int fd, Micros within) {
+  std::shared_ptr<Link> const out(new Link);
   out->fd = fd;
   out->state = State::dialling;
   out->watch();
@@ -196,14 +201,19 @@
 }
 
 void Link::write(std::string_view bytes) {
-  if (fd < 0) return;
+  if (fd < 0 || lost) return;
   if (state == State::up && waiting() == 0) {
     out.clear();
     gone = 0;
     ssize_t const n = ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (n > 0) bytes.remove_prefix(static_cast<std::size_t>(n));
-    // A broken connection is heard of when it is read; the caller of write() must not find it gone under its feet.
-    if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) return;
+    // What follows must not take the place of what is lost: nothing more is sent, and the peer sees an end. Here that is
+    // heard of when it is read; the caller of write() must not find the connection gone under its feet.
+    if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) {
+      lost = true;
+      ::shutdown(fd, SHUT_RDWR);
+      return;
+    }
   }
   if (bytes.empty()) return;
   out.append(bytes);
--- a/src/gate/net/server.cc
+++ b/src/gate/net/server.cc
@@ -2,11 +2,15 @@
 
 #include <glib.h>
 
+#include <algorithm>
+
+#include "gate/net/clock.h"
+
 namespace pipit {
 
 namespace {
 constexpr std::size_t ahead_most = 65536;  // what a caller may send before its last call is answered
-Micros now() { return g_get_monotonic_time(); }
+Micros now() { return loop_time(); }
 }  // namespace
 
 struct Server::Conn {
@@ -22,6 +26,7 @@
   bool parsing = false;
   std::int64_t owed = -1;   // what is left of an announced length
   Micros since = 0;         // of the first byte of what is being read, or of the last end of an answer
+  Micros may_rest = 0;      // the idle limit when its rest began; its caller may not know a shorter one yet
 };
 
 Server::~Server() {
@@ -42,6 +47,7 @@
   Conn* const conn = made.get();
   conn->link = std::move(link);
   conn->since = now();
+  conn->may_rest = limits.idle;
   conns.emplace(conn, made);
   conn->reader.ears.head = [this, conn](Head& head) {
     conn->call.head = head;
@@ -77,10 +83,25 @@
   Head head;
   head.status = status;
   conn.link->write(answer_text(head, 0, true));
+  let_go(conn);
+}
+
+void Server::let_go(Conn& conn) {
   std::shared_ptr<Conn> const keep = conns[&conn];
   conns.erase(&conn);
   keep->link->listen({});
   keep->link->finish();
+  std::erase_if(last_ones, [](std::weak_ptr<Link> const& item) { return item.expired(); });
+  if (keep->link->open()) last_ones.push_back(keep->link);
+}
+
+std::size_t Server::finishing() const {
+  std::size_t out = 0;
+  for (std::weak_ptr<Link> const& item : last_ones) {
+    std::shared_ptr<Link> const link = item.lock();
+    if (link && link->open()) ++out;
+  }
+  return out;
 }
 
 void Server::fed(Conn& conn, std::string_view bytes) {
@@ -176,11 +197,8 @@
 void Server::break_off(std::uint64_t id) {
   Conn* const conn = conn_of(id);
   if (conn == nullptr) return;
-  std::shared_ptr<Conn> const keep = conns[conn];
   by_id.erase(id);
-  conns.erase(conn);
-  keep->link->listen({});
-  keep->link->finish();
+  let_go(*conn);
 }
 
 void Server::finished(Conn& conn) {
@@ -188,12 +206,8 @@
   by_id.erase(conn.call.id);
   conn.busy = false;
   conn.since = now();
-  if (conn.last) {
-    conns.erase(&conn);
-    keep->link->listen({});
-    keep->link->finish();
-    return;
-  }
+  conn.may_rest = limits.idle;
+  if (conn.last) return let_go(conn);
   conn.link->hold(false);
   if (!conn.ahead.empty()) {
     // Not from inside the answer: the next call is read in a turn of its own.
@@ -226,12 +240,7 @@
   std::vector<Conn*> idle;
   for (std::pair<Conn* const, std::shared_ptr<Conn>> const& item : conns)
     if (!item.second->busy && item.second->reader.idle() && item.second->ahead.empty()) idle.push_back(item.first);
-  for (Conn* const conn : idle) {
-    std::shared_ptr<Conn> const keep = conns[conn];
-    conns.erase(conn);
-    keep->link->listen({});
-    keep->link->finish();
-  }
+  for (Conn* const conn : idle) let_go(*conn);
 }
 
 void Server::sweep(Micros now) {
@@ -242,7 +251,7 @@
     if (conn.busy) continue;
     Micros const span = now - conn.since;
     if (conn.reader.idle() && conn.ahead.empty()) {
-      if (span > limits.idle) idle.push_back(item.first);
+      if (span > std::max(limits.idle, conn.may_rest)) idle.push_back(item.first);
     } else if (span > (conn.reader.in_body() ? limits.body_time : limits.head_time)) {
       slow.push_back(item.first);
     }
--- a/src/gate/net/upstream.cc
+++ b/src/gate/net/upstream.cc
@@ -4,12 +4,14 @@
 
 #include <algorithm>
 
+#include "gate/net/clock.h"
+
 namespace pipit {
 
 namespace {
 constexpr Micros keep_most = seconds(20);
 constexpr int surplus_most = 3;
-Micros now() { return g_get_monotonic_time(); }
+Micros now() { return loop_time(); }
 
 // "timeout=5, max=100" in whole seconds; a default where nothing is said.
 Micros keep_time(std::string const& text) {
@@ -29,8 +31,10 @@
   std::uint64_t id = 0;  // of the request that it carries, 0 when it is kept
   std::string bytes;
   bool sent = false;
+  int asked = 0;          // how many requests it has carried
   bool bodiless = false;  // it asks for a head alone
   bool ours = false;  // the answer that is being read is the one that was asked for
+  bool spoiled = false;  // what came is an answer to nobody
   int surplus = 0;
   bool keep = true;
   Micros keep_for = 0;
@@ -84,10 +88,12 @@
   conn->address = address;
   conn->id = id;
   conn->bytes = std::move(bytes);
-  conn->link = Link::dial(address, from, within);
+  conn->link = dial(address, from, within);
   conn->reader.ears.head = [this, conn](Head& head) {
     if (conn->id == 0) return true;
-    conn->ours = ears.head(conn->id, head);
+    Owner const owner = ears.head(conn->id, head, conn->asked == 1);
+    conn->ours = owner == Owner::asker;
+    conn->spoiled = owner == Owner::nobody;
     conn->keep = head.keep;
     conn->keep_for = keep_time(head.get("Keep-Alive"));
     return !(conn->ours && conn->bodiless);
@@ -116,6 +122,7 @@
 
 void Upstream::send(Conn& conn) {
   conn.sent = true;
+  ++conn.asked;
   conn.ours = false;
   conn.surplus = 0;
   conn.bodiless = conn.bytes.starts_with("HEAD ");
@@ -133,6 +140,7 @@
     if (!conn.link->open() || conns.find(&conn) == conns.end()) return;
     if (conn.reader.error() != Reader::Error::none)
       return fail(conn, conn.ours ? End::torn : End::broke, "what came is no answer");
+    if (conn.spoiled) return fail(conn, End::broke, "what came does not name the request");
     bytes.remove_prefix(std::min(took, bytes.size()));
     if (!conn.reader.complete()) {
       if (took == 0) return fail(conn, conn.ours ? End::torn : End::broke, "what came is no answer");
@@ -157,7 +165,9 @@
   by_id.erase(id);
   conn.id = 0;
   conn.sent = false;
-  if (conn.keep && conn.keep_for > 0) {
+  // An answer before the request was whole: the next one would come behind the rest of this.
+  bool const all_sent = conn.link->waiting() == 0;
+  if (conn.keep && conn.keep_for > 0 && all_sent) {
     conn.idle_since = now();
     idle[conn.peer].push_back(&conn);
   } else {
--- a/src/gate/net/upstream.h
+++ b/src/gate/net/upstream.h
@@ -17,10 +17,16 @@
     broke,      // it ended, or what came is no answer
     torn,       // the answer began and ended before its end
   };
+  // Whom the head of an answer belongs to.
+  enum class Owner : std::uint8_t {
+    asker,   // the request that the connection carries
+    other,   // interim, or to an earlier request: it is passed over, and what follows may be the asker's
+    nobody,  // no answer to anything: the request breaks and the connection is not used again
+  };
   struct Ears {
     std::function<void(std::uint64_t)> left;  // a byte of the request may have left
-    // The head of an answer. False: it is a surplus answer of somebody else's; what follows may be ours.
-    std::function<bool(std::uint64_t, Head const&)> head;
+    // 'first': nothing was asked on the connection before.
+    std::function<Owner(std::uint64_t, Head const&, bool first)> head;
     std::function<void(std::uint64_t, std::string_view)> body;
     std::function<void(std::uint64_t)> done;
     std::function<void(std::uint64_t, End, std::string const& why)> ended;
@@ -28,6 +34,10 @@
   Upstream(Ears ears_, std::string from_) : ears(std::move(ears_)), from(std::move(from_)) {}
   ~Upstream();
 
+  // How connections are opened; Link::dial unless a test says otherwise.
+  using Dial = std::function<std::shared_ptr<Link>(std::string const& address, std::string const& from, Micros within)>;
+  void dial_by(Dial dial_) { dial = std::move(dial_); }
+
   // Sends a request; 'peer' names who lives at the address, and kept connections belong to that name.
   void start(std::uint64_t id, std::string const& peer, std::string const& address, std::string bytes, Micros within);
   void cut(std::uint64_t id);
@@ -52,6 +62,7 @@
 
   Ears ears;
   std::string const from;
+  Dial dial = Link::dial;
   std::map<Conn*, std::shared_ptr<Conn>> conns;
   std::map<std::uint64_t, Conn*> by_id;
   std::map<std::string, std::vector<Conn*>> idle;  // by peer, the last used at the end
--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -5,13 +5,16 @@
 #include <algorithm>
 #include <cstdlib>
 
+#include "gate/net/clock.h"
 #include "ground/events.h"
+#include "ground/request_guards.h"
 
 namespace pipit {
 
 namespace {
 constexpr std::size_t failing_most = 1u << 20;
-Micros now() { return g_get_monotonic_time(); }
+constexpr std::int64_t count_most = 100000000;  // of tokens, requests or milliseconds (28 h)
+Micros now() { return loop_time(); }
 
 // Where the last whole event in the text ends; 0 when none is whole.
 std::size_t events_end(std::string const& text) {
@@ -28,6 +31,22 @@
   return true;
 }
 
+// A number that somebody else wrote, from 0 to a bound that leaves room for sums. 'rest' is what follows it.
+std::int64_t count_from(char const* text, char** rest) {
+  return std::clamp<std::int64_t>(std::strtoll(text, rest, 10), 0, count_most);
+}
+
+// A caller takes such an answer for a promise that the request has not run and never will.
+bool promises(unsigned status) { return status == 408 || status == 421 || status == 429 || status == 503; }
+
+// Whether the field of that name stands there with different values.
+bool names_two(Head const& head, std::string const& name) {
+  std::string const first = head.get(name);
+  for (std::pair<std::string, std::string> const& item : head.fields)
+    if (same_letters(item.first, name) && item.second != first) return true;
+  return false;
+}
+
 std::string id_of(std::string_view event) {
   std::size_t at = 0;
   while (at < event.size()) {
@@ -52,7 +71,7 @@
                 ears.gone(id);
               }}),
       upstream({[this](std::uint64_t id) { dispatcher.left(id, now()); },
-                [this](std::uint64_t id, Head const& head) { return on_head(id, head); },
+                [this](std::uint64_t id, Head const& head, bool first) { return on_head(id, head, first); },
                 [this](std::uint64_t id, std::string_view bytes) { on_body(id, bytes); },
                 [this](std::uint64_t id) { on_done(id); },
                 [this](std::uint64_t id, Upstream::End end, std::string const& why) { on_ended(id, end, why); }},
@@ -84,14 +103,14 @@
   query.model = call.head.get(dialect.model);
   query.parts = parse_parts(call.head.get(dialect.parts));
   std::string const tokens = call.head.get(dialect.tokens);
-  query.tokens_in = std::max(0l, std::strtol(tokens.c_str(), nullptr, 10));
+  query.tokens_in = count_from(tokens.c_str(), nullptr);
   std::size_t const comma = tokens.find(',');
-  if (comma != std::string::npos) query.tokens_out = std::max(0l, std::strtol(tokens.c_str() + comma + 1, nullptr, 10));
-  query.left = millis(std::max(0l, std::strtol(call.head.get(dialect.left).c_str(), nullptr, 10)));
+  if (comma != std::string::npos) query.tokens_out = count_from(tokens.c_str() + comma + 1, nullptr);
+  query.left = millis(count_from(call.head.get(dialect.left).c_str(), nullptr));
   query.after = call.head.get(dialect.after);
   Caller caller;
   caller.head = std::move(call.head);
-  drop_hop_fields(caller.head);
+  drop_hop_fields(caller.head, dialect.attempt);
   caller.body = std::move(call.body);
   caller.attempt = caller.head.get(dialect.attempt);
   caller.last_event = query.after;
@@ -145,11 +164,11 @@
   caller.instance = attempt.instance;
   caller.resumable = route != nullptr && route->streams && route->resumable;
   caller.resumed = attempt.resumed;
-  caller.declined = caller.elsewhere = caller.failing = caller.wrong = false;
+  caller.declined = caller.elsewhere = caller.failing = caller.unsaid = false;
   caller.held.clear();
   Head head = caller.head;
   head.set(dialect.left, std::to_string(std::max<Micros>(1, attempt.left / 1000)));
-  head.set(dialect.instance, attempt.instance);
+  if (guard(RequestGuard::instance)) head.set(dialect.instance, attempt.instance);
   head.set(dialect.rank, std::to_string(std::clamp<std::int64_t>(attempt.rank, 0, 9)));
   if (caller.resumed && !caller.last_event.empty()) head.set(dialect.after, caller.last_event);
   std::string bytes = request_text(head, static_cast<std::int64_t>(caller.body.size()));
@@ -157,33 +176,43 @@
   upstream.start(attempt.request, attempt.instance, attempt.address, std::move(bytes), attempt.within);
 }
 
-bool Relay::on_head(std::uint64_t id, Head const& head) {
+Upstream::Owner Relay::on_head(std::uint64_t id, Head const& head, bool first) {
   std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
-  if (spot == callers.end()) return true;
+  if (spot == callers.end()) return Upstream::Owner::asker;
   Caller& caller = spot->second;
-  if (head.status < 200) return false;
+  if (head.status < 200) return Upstream::Owner::other;
   std::string const whose = head.get(dialect.attempt);
-  if (!whose.empty() && whose != caller.attempt) return false;
+  bool const mine = whose == caller.attempt || !guard(RequestGuard::answer_id);
+  if (!whose.empty() && !mine) return Upstream::Owner::other;
+  if (names_two(head, dialect.attempt)) return Upstream::Owner::nobody;
   if (std::string const* const load = head.find(dialect.load)) {
     char* rest = nullptr;
-    std::int64_t const running = std::strtol(load->c_str(), &rest, 10);
-    std::int64_t const waiting = *rest == ',' ? std::strtol(rest + 1, nullptr, 10) : 0;
-    dispatcher.said(id, std::max<std::int64_t>(0, running) + std::max<std::int64_t>(0, waiting), now());
+    std::int64_t const running = count_from(load->c_str(), &rest);
+    std::int64_t const waiting = *rest == ',' ? count_from(rest + 1, nullptr) : 0;
+    dispatcher.said(id, running + waiting, now());
   }
   bool const not_run = head.find(dialect.not_run) != nullptr;
   caller.elsewhere = head.status == 421;
-  caller.declined = not_run || caller.elsewhere || head.status == 429 || (head.status == 400 && whose.empty());
+  caller.declined = not_run || caller.elsewhere || (head.status == 429 && !guard(RequestGuard::promise_mark));
   caller.failing = !caller.declined && head.status >= 300;
-  caller.wrong = !caller.declined && whose.empty() && !caller.attempt.empty();
-  if (caller.resumed) return true;
+  caller.unsaid = caller.failing && promises(head.status);
+  // A refusal may come without the id, but then only where nothing was asked before: it might be a late one for that.
+  bool const unnamed_refusal = caller.declined && (first || !guard(RequestGuard::answer_id));
+  if (whose.empty() && !mine && !unnamed_refusal) {
+    caller.declined = caller.elsewhere = false;
+    return Upstream::Owner::nobody;
+  }
+  bool const sealed = dialect.seal.empty() || !guard(RequestGuard::seal) || head.find(dialect.seal) != nullptr;
+  if (!caller.declined && !caller.failing && !sealed) return Upstream::Owner::nobody;
+  if (caller.resumed) return Upstream::Owner::asker;
   caller.answer = head;
-  drop_hop_fields(caller.answer);
+  drop_hop_fields(caller.answer, dialect.attempt);
   caller.answer.length = head.length;
-  return true;
+  return Upstream::Owner::asker;
 }
 
 // Takes whole events out of what is held, and remembers the id of the last.
-std::string Relay::whole_events(Caller& caller) {
+std::string Relay::whole_events(std::uint64_t id, Caller& caller) {
   std::size_t const end = events_end(caller.held);
   std::string out = caller.held.substr(0, end);
   caller.held.erase(0, end);
@@ -201,8 +230,10 @@
     std::string const name = id_of(event);
     std::uint64_t number = 0;
     // A worker that takes a stream up may begin a little before the place that it was told.
-    if (caller.resumed && known && number_of(name, number) && number <= last) continue;
+    if (caller.resumed && known && guard(RequestGuard::event_order) && number_of(name, number) && number <= last)
+      continue;
     if (!name.empty()) caller.last_event = name;
+    if (name.empty() && event.find("data") != std::string::npos) dispatcher.unmarked(id);
     kept += event;
   }
   return kept;
@@ -225,14 +256,16 @@
   std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
   if (spot == callers.end()) return;
   Caller& caller = spot->second;
-  if (caller.declined || caller.wrong) return;
+  if (caller.declined) return;
   if (caller.failing) {
-    if (caller.held.size() + bytes.size() <= failing_most) caller.held.append(bytes);
+    // What is too large to hold can't go back whole, and must not go back in part.
+    if (caller.held.size() + bytes.size() > failing_most) caller.unsaid = true;
+    if (!caller.unsaid) caller.held.append(bytes);
     return;
   }
   if (!caller.resumable) return pass_on(id, caller, bytes);
   caller.held.append(bytes);
-  std::string const events = whole_events(caller);
+  std::string const events = whole_events(id, caller);
   pass_on(id, caller, events);
 }
 
@@ -241,7 +274,7 @@
   if (spot == callers.end()) return;
   Caller& caller = spot->second;
   if (caller.declined) return ears.ended(id, AttemptEnd::declined, caller.elsewhere);
-  if (caller.wrong) return ears.ended(id, AttemptEnd::broke, false);
+  if (caller.unsaid) return ears.ended(id, AttemptEnd::broke, false);
   if (caller.failing) return ears.ended(id, AttemptEnd::failed, false);
   if (caller.resumable && !caller.held.empty()) {
     std::string const rest = std::move(caller.held);
@@ -258,6 +291,7 @@
   std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
   if (spot == callers.end()) return;
   tell(Event::attempt_failed, spot->second.instance + " " + why);
+  if (end == Upstream::End::torn && !guard(RequestGuard::torn_visible)) return on_done(id);
   // What the worker said before it broke off holds: it did not run the request.
   if (spot->second.declined) return ears.ended(id, AttemptEnd::declined, spot->second.elsewhere);
   ears.ended(id, end == Upstream::End::unreached ? AttemptEnd::unreached : AttemptEnd::broke, false);
--- a/src/gate/relay/relay.h
+++ b/src/gate/relay/relay.h
@@ -23,6 +23,7 @@
   std::string tokens = "X-Pipit-Tokens";          // of the prompt, and the most out
   std::string parts = "X-Pipit-Parts";            // ID:TOKENS, joined by commas
   std::string after = "Last-Event-Id";
+  std::string seal;  // a success without it is nobody's answer; empty: none is asked for
 };
 
 class Relay {
@@ -55,7 +56,7 @@
     bool declined = false;
     bool elsewhere = false;
     bool failing = false;
-    bool wrong = false;
+    bool unsaid = false;      // a failure that can't go back: too large, or its status promises what was not said
     bool begun = false;       // the answer's head has gone to the caller
     Head answer;              // of the worker, to go with the first bytes
     std::string held;         // a failing answer's body, or the beginning of an event that is not whole
@@ -63,12 +64,12 @@
   };
   void on_call(Server::Call&& call);
   void start(Attempt const& attempt);
-  bool on_head(std::uint64_t id, Head const& head);
+  Upstream::Owner on_head(std::uint64_t id, Head const& head, bool first);
   void on_body(std::uint64_t id, std::string_view bytes);
   void on_done(std::uint64_t id);
   void on_ended(std::uint64_t id, Upstream::End end, std::string const& why);
   void pass_on(std::uint64_t id, Caller& caller, std::string_view bytes);
-  std::string whole_events(Caller& caller);
+  std::string whole_events(std::uint64_t id, Caller& caller);
   void deny(Denial const& denial);
 
   Dispatcher& dispatcher;
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -274,8 +274,10 @@
   }
   if (!doors_shut) return;
   relay->server.close_idle();
-  // A keeper stays until another one has its place, where one is here to take it.
-  bool const idle = relay->server.calls() == 0 && asked.empty() && node->may_end(at);
+  // What a slow caller has not taken yet would end with the process too. A keeper stays until another one has its place,
+  // where one is here to take it.
+  bool const finished = relay->server.calls() == 0 && relay->server.finishing() == 0;
+  bool const idle = finished && asked.empty() && node->may_end(at);
   if (idle || span >= plan.grace - last_moment) g_main_loop_quit(loop);
 }
 
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -496,6 +496,21 @@
   }
 }
 
+TEST(Reading, a_status_has_three_digits_and_is_one_that_there_is) {
+  for (char const* const status : {"2", "20", "0200", "2000", "000", "099", "600", "999", "+20", "2 0"}) {
+    std::string const text = "HTTP/1.1 " + std::string(status) + " OK\r\nContent-Length: 2\r\n\r\nok";
+    Reading const out = read_whole(false, text);
+    EXPECT_TRUE(out.whole.empty()) << status << " was read as " << out.whole[0];
+    EXPECT_EQ(out.error, Reader::Error::bad) << status;
+  }
+  for (char const* const status : {"100", "200", "599"})
+    EXPECT_FALSE(
+        read_whole(false, "HTTP/1.1 " + std::string(status) + " OK\r\nContent-Length: 0\r\n\r\n").whole.empty())
+        << status;
+  EXPECT_FALSE(read_whole(false, "HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n").whole.empty() &&
+               read_whole(false, "HTTP/1.1 200 \r\nContent-Length: 0\r\n\r\n").whole.empty());
+}
+
 TEST(Heads, lose_what_concerns_one_connection_only) {
   Head head;
   head.fields = {{"Connection", "X-One , close"}, {"x-one", "1"},       {"Keep-Alive", "timeout=5"}, {"TE", "trailers"},
@@ -637,6 +652,20 @@
   }
 }
 
+TEST_F(Serving, counts_connections_whose_last_answer_is_still_on_its_way) {
+  Wire wire(address);
+  wire.link->hold(true);
+  wire.send("GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n");
+  ASSERT_TRUE(until([&] { return calls.size() > answered; }));
+  answer_all(std::string(32u << 20, 'z'));
+  settle();
+  EXPECT_EQ(server.calls(), 0u);
+  EXPECT_EQ(server.connections(), 1u) << "a process that ends now would cut the answer";
+  wire.link->hold(false);
+  ASSERT_TRUE(until([&] { return wire.shut; }));
+  EXPECT_EQ(server.connections(), 0u);
+}
+
 TEST_F(Serving, pieces_go_as_they_come_and_end_with_the_answer) {
   Wire wire(address);
   wire.send("GET / HTTP/1.1\r\n" + host + "\r\n");
@@ -815,6 +844,27 @@
   EXPECT_EQ(calls.size(), 1u);
 }
 
+TEST_F(Serving, a_shorter_idle_limit_holds_for_rests_that_begin_under_it) {
+  Wire wire(address);
+  wire.send("GET / HTTP/1.1\r\n" + host + "\r\n");
+  ASSERT_TRUE(until([&] { return calls.size() > answered; }));
+  answer_all("ok");
+  settle();
+  // Its caller may still take it up after four fifths of the limit that it knows.
+  Server::Limits shorter;
+  shorter.idle = seconds(5);
+  server.limit(shorter);
+  server.sweep(g_get_monotonic_time() + seconds(48));
+  settle();
+  EXPECT_FALSE(wire.shut);
+  server.sweep(g_get_monotonic_time() + seconds(61));
+  ASSERT_TRUE(until([&] { return wire.shut; }));
+  Wire other(address);
+  settle();
+  server.sweep(g_get_monotonic_time() + seconds(6));
+  ASSERT_TRUE(until([&] { return other.shut; }));
+}
+
 TEST_F(Serving, at_the_end_idle_connections_close_and_answers_are_the_last) {
   Wire idle(address);
   Wire busy(address);
@@ -845,6 +895,25 @@
   EXPECT_EQ(calls.size(), 1u);
 }
 
+// A socket pair that keeps messages apart refuses a large one and takes the next: as a system does that is short of memory
+// for a moment.
+TEST(Links, what_could_not_be_written_is_not_left_out) {
+  int ends[2];
+  ASSERT_EQ(::socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, ends), 0);
+  std::shared_ptr<Link> const link = Link::adopt(ends[0]);
+  bool shut = false;
+  link->listen({nullptr, nullptr, [&shut](Link::End) { shut = true; }, nullptr});
+  link->write("front");
+  link->write(std::string(8u << 20, 'z'));
+  link->write("tail");
+  settle();
+  char buffer[64];
+  EXPECT_EQ(::recv(ends[1], buffer, sizeof buffer, 0), 5);
+  EXPECT_LE(::recv(ends[1], buffer, sizeof buffer, 0), 0) << "what follows would be read in the place of what is missing";
+  EXPECT_TRUE(shut);
+  ::close(ends[1]);
+}
+
 namespace {
 // A worker made of sockets, and what is heard of the connections to it.
 class Workerly : public testing::Test {
@@ -855,13 +924,16 @@
   };
   Workerly()
       : upstream({[this](std::uint64_t id) { left.push_back(id); },
-                  [this](std::uint64_t id, Head const& head) {
+                  [this](std::uint64_t id, Head const& head, bool) {
                     heads.push_back(head);
-                    return head.status >= 200 && (head.find("X-Id") == nullptr || head.get("X-Id") == std::to_string(id));
+                    bool const mine = head.find("X-Id") == nullptr || head.get("X-Id") == std::to_string(id);
+                    return head.status >= 200 && mine ? Upstream::Owner::asker : Upstream::Owner::other;
                   },
                   [this](std::uint64_t id, std::string_view bytes) { bodies[id].append(bytes); },
                   [this](std::uint64_t id) { done.push_back(id); },
-                  [this](std::uint64_t id, Upstream::End how, std::string const&) { ends.push_back({id, how}); }},
+                  [this](std::uint64_t id, Upstream::End how, std::string const&) {
+                    ends.push_back({id, how});
+                  }},
                  "") {
     address = open_door([this](std::string const& at) {
       return door.open(at, [this](std::shared_ptr<Link> link) { wires.push_back(std::make_unique<Wire>(std::move(link))); });
@@ -999,6 +1071,19 @@
   EXPECT_EQ(ends[0].how, Upstream::End::broke);
 }
 
+TEST_F(Workerly, an_answer_before_the_request_was_whole_ends_its_connection) {
+  std::string const body(32u << 20, 'z');
+  upstream.start(1, "w", address,
+                 "POST / HTTP/1.1\r\n" + host + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body,
+                 seconds(10));
+  ASSERT_TRUE(until([&] { return !wires.empty(); }));
+  wires[0]->link->hold(true);
+  wires[0]->send(ok);
+  ASSERT_TRUE(over());
+  EXPECT_EQ(done, std::vector<std::uint64_t>{1});
+  EXPECT_EQ(upstream.kept("w"), 0u) << "the next request would come behind the rest of this one";
+}
+
 TEST_F(Workerly, interim_answers_are_passed_over) {
   start(1).send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok);
   ASSERT_TRUE(over());
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -27,8 +27,8 @@
     }
   };
 
-  Passing()
-      : relay(dispatcher, Dialect(), "",
+  explicit Passing(Dialect const& dialect = Dialect())
+      : relay(dispatcher, dialect, "",
               {[this](std::uint64_t id, Query query) {
                  DispatchOut out;
                  dispatcher.fresh(id, std::move(query), g_get_monotonic_time(), out);
@@ -103,6 +103,17 @@
   std::unique_ptr<Wire> caller;
 };
 std::string const mine = "X-Pipit-Attempt: r1\r\n";
+
+// Workers whose successes bear a seal.
+class Sealed : public Passing {
+ protected:
+  static Dialect with_seal() {
+    Dialect out;
+    out.seal = "X-Seal";
+    return out;
+  }
+  Sealed() : Passing(with_seal()) {}
+};
 }  // namespace
 
 TEST_F(Passing, a_request_and_its_answer_pass_through) {
@@ -234,4 +245,136 @@
   EXPECT_TRUE(quiet());
 }
 
+TEST_F(Passing, an_answer_that_names_no_request_is_no_answer_and_its_connection_is_not_used_again) {
+  worker("w");
+  ask("POST", "/once/x");
+  ASSERT_EQ(reached(), "w");
+  wire_of("w").send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes");
+  ASSERT_TRUE(hears("}"));
+  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(caller->got.find("yes"), std::string::npos);
+  EXPECT_EQ(relay.upstream.kept("w"), 0u);
+  EXPECT_TRUE(quiet());
+}
+
+TEST_F(Passing, a_refusal_that_names_no_request_is_believed_only_where_nothing_was_asked_before) {
+  worker("w");
+  ask("POST", "/once/x");
+  ASSERT_EQ(reached(), "w");
+  wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
+  ASSERT_TRUE(hears("yes"));
+  ASSERT_EQ(relay.upstream.kept("w"), 1u);
+  ask("POST", "/once/x");
+  ASSERT_TRUE(until([&] { return count_of(wire_of("w").got, "POST ") == 2; }));
+  // It may be a late word about the first request.
+  wire_of("w").send("HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+  ASSERT_TRUE(hears("}"));
+  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(relay.upstream.kept("w"), 0u);
+  EXPECT_TRUE(quiet());
+}
+
+TEST_F(Passing, an_answer_that_names_two_requests_is_no_answer) {
+  worker("w");
+  ask("POST", "/once/x");
+  ASSERT_EQ(reached(), "w");
+  wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "X-Pipit-Attempt: r2\r\nContent-Length: 3\r\n\r\nyes");
+  ASSERT_TRUE(hears("}"));
+  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(relay.upstream.kept("w"), 0u);
+}
+
+TEST_F(Passing, a_status_that_promises_without_the_mark_is_no_promise) {
+  for (char const* const status : {"408 Late", "429 Many", "503 Busy"}) {
+    worker("w");
+    worker("v");
+    ask("POST", "/once/x");
+    std::string const first = reached();
+    wire_of(first).send("HTTP/1.1 " + std::string(status) + "\r\n" + mine + "X-Seal: s\r\nContent-Length: 2\r\n\r\nno");
+    ASSERT_TRUE(hears("\r\n\r\n"));
+    settle();
+    EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502") << status;
+    EXPECT_NE(caller->got.find("\"ran\":\"unknown\""), std::string::npos) << caller->got;
+    EXPECT_EQ(caller->got.find("X-Seal"), std::string::npos) << "the worker gave another status";
+    EXPECT_EQ(workers[first == "w" ? "v" : "w"]->got(), "") << "it may have run";
+    EXPECT_TRUE(quiet());
+    workers.clear();
+    registry.all.clear();
+    settle();
+  }
+}
+
+TEST_F(Passing, a_failure_whose_body_is_too_large_to_hold_is_not_passed_back_in_part) {
+  worker("w");
+  ask("POST", "/once/x");
+  ASSERT_EQ(reached(), "w");
+  std::string const body(3u << 20, 'z');
+  wire_of("w").send("HTTP/1.1 500 Odd\r\n" + mine + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+                    body);
+  ASSERT_TRUE(hears("\r\n\r\n"));
+  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_TRUE(quiet());
+}
+
+TEST_F(Passing, numbers_without_bound_are_taken_as_the_largest) {
+  worker("w");
+  ask("POST", "/once/x",
+      "X-Pipit-Left-Ms: 18446744073709552\r\nX-Pipit-Tokens: 9223372036854775807,9223372036854775807\r\n");
+  ASSERT_TRUE(until([&] { return !workers["w"]->got().empty() || !caller->got.empty(); }));
+  ASSERT_EQ(caller->got, "");
+  EXPECT_GT(registry.find("w")->held, 0);
+  wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine +
+                    "X-Pipit-Load: 9223372036854775807,9223372036854775807,8\r\nContent-Length: 3\r\n\r\nyes");
+  ASSERT_TRUE(hears("yes"));
+  EXPECT_GT(registry.find("w")->said, 0);
+  EXPECT_TRUE(quiet());
+}
+
+TEST_F(Passing, a_caller_cannot_have_the_request_id_or_the_host_taken_away) {
+  worker("w");
+  ask("POST", "/once/x", "Connection: X-Pipit-Attempt, Host, X-Mine\r\nX-Mine: 1\r\n");
+  ASSERT_EQ(reached(), "w");
+  std::string const got = workers["w"]->got();
+  EXPECT_NE(got.find("X-Pipit-Attempt: r1\r\n"), std::string::npos) << got;
+  EXPECT_NE(got.find("Host: h.test:80\r\n"), std::string::npos) << got;
+  EXPECT_EQ(got.find("X-Mine"), std::string::npos);
+}
+
+TEST_F(Passing, a_stream_whose_events_bear_no_id_is_not_taken_up_elsewhere) {
+  worker("w");
+  worker("v");
+  ask("POST", "/flow/x");
+  std::string const first = reached();
+  wire_of(first).send("HTTP/1.1 200 OK\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n");
+  ASSERT_TRUE(hears("data: a\n\n"));
+  wire_of(first).link->close(true);
+  ASSERT_TRUE(until([&] { return caller->shut || !workers[first == "w" ? "v" : "w"]->got().empty(); }));
+  EXPECT_TRUE(caller->shut);
+  EXPECT_EQ(workers[first == "w" ? "v" : "w"]->got(), "") << "from where, nobody could tell";
+  EXPECT_EQ(caller->got.find("0\r\n\r\n"), std::string::npos);
+  EXPECT_TRUE(quiet());
+}
+
+TEST_F(Sealed, a_success_without_the_seal_is_no_answer_and_failures_need_none) {
+  worker("w");
+  ask("POST", "/once/x");
+  ASSERT_EQ(reached(), "w");
+  wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
+  ASSERT_TRUE(hears("\r\n\r\n"));
+  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(caller->got.find("yes"), std::string::npos);
+  EXPECT_EQ(relay.upstream.kept("w"), 0u);
+  for (std::string const& status : {std::string("200 OK\r\nX-Seal: s\r\n"), std::string("500 Odd\r\n")}) {
+    workers.clear();
+    registry.all.clear();
+    settle();
+    worker("w");
+    ask("POST", "/once/x");
+    ASSERT_EQ(reached(), "w");
+    wire_of("w").send("HTTP/1.1 " + status + mine + "Content-Length: 3\r\n\r\nyes");
+    ASSERT_TRUE(hears("yes")) << status;
+  }
+  EXPECT_TRUE(quiet());
+}
+
 }  // namespace pipit
