--- a/src/canon/register/learner.h
+++ b/src/canon/register/learner.h
@@ -35,7 +35,7 @@
   // When the last poll was sent whose quorum knew nothing newer than what is held here; -1 for never.
   Micros sure = -1;
   Micros changed_at = -1;  // when the value held here last changed
-  bool split = false;  // the last poll that reached a quorum saw keepers that hold different ballots
+  bool split = false;      // the last poll that reached a quorum saw keepers that hold different ballots
   struct Sight {
     std::uint64_t disk = 0;
     bool formed = false;
--- a/src/canon/register/proposer.cc
+++ b/src/canon/register/proposer.cc
@@ -82,8 +82,8 @@
   ++req;
   promises.clear();
   accepts.clear();
-  // What this proposer saw at a ballot stays seen, also where no keeper of the set holds it: else it could go to and fro
-  // between two sets for ever.
+  // What this proposer saw at a ballot stays seen, also where no keeper of the set holds it: else it could go to and
+  // fro between two sets for ever.
   best = held_ballot;
   found = held;
   verdict.reset();
@@ -310,7 +310,7 @@
     return start(now, out);
   }
   bool const taken = serial_of_order(draft, jobs.front().change.id) > 0;
-  bool const members_changed = step == Step::settle && jobs.front().joint_written == joint_chosen;
+  bool const members_changed = step == Step::settle && joint_chosen != 0 && jobs.front().joint_written == joint_chosen;
   if (step == Step::settle && !taken && !members_changed) return start(now, out);
   Outcome outcome;
   outcome.value = draft;
--- a/src/core/changes.cc
+++ b/src/core/changes.cc
@@ -17,8 +17,8 @@
   watch_clock(now);
   if (change.id.empty())
     change.id = plan.name + "-" + std::to_string(plan.incarnation) + "-" + std::to_string(++change_count);
-  if (plan.registered && id != 0 && !quorum_heard(now)) return refuse_now(id, change, Kind::no_majority, out);
   if (hand_over(id, change, now, out)) return;
+  if (plan.registered && id != 0 && !quorum_heard(now)) return refuse_now(id, change, Kind::no_majority, out);
   propose(id, std::move(change), now, out);
 }
 
--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -191,8 +191,8 @@
     tell(Event::seat_struck, change.seat.name);
     return change;
   }
-  // Not oftener: each round outbids what others have under way, and a slow disk never catches up with a storm. Nor while
-  // changes go by: each of them rewrites the copies, and a second proposer only delays them.
+  // Not oftener: each round outbids what others have under way, and a slow disk never catches up with a storm. Nor
+  // while changes go by: each of them rewrites the copies, and a second proposer only delays them.
   bool const calm = learner.changed_at < 0 || now - learner.changed_at > mend_calm;
   if (!learner.split || !calm || now - mended_at <= mend_gap) return std::nullopt;
   mended_at = now;
--- a/src/core/handed.cc
+++ b/src/core/handed.cc
@@ -21,10 +21,21 @@
   return best;
 }
 
+// A node that hears no quorum may still hear a router that does: each order is handed to the next one in turn.
+std::string Node::relaying_peer() {
+  std::vector<std::string> peers;
+  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+    bool const here = item.second.wire != 0 && item.second.state() == State::alive;
+    if (here && !item.second.member.keeper) peers.push_back(item.first);
+  }
+  if (peers.empty()) return "";
+  return peers[relay_turn++ % peers.size()];
+}
+
 bool Node::hand_over(std::uint64_t id, Change const& change, Micros now, NodeOut& out) {
   if (!plan.registered || id == 0 || (id & handed_mark) != 0) return false;
   if (change.sort != Change::Sort::apply && change.sort != Change::Sort::read) return false;
-  std::string const keeper = proposing_keeper();
+  std::string const keeper = quorum_heard(now) ? proposing_keeper() : relaying_peer();
   if (keeper.empty() || keeper == plan.name) return false;
   std::uint64_t const req = ++next_req;
   wire::ProposeT ask;
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -266,8 +266,7 @@
   letters.push_back(letter(to, std::move(news)));
 }
 
-void Node::spread(wire::ValueT const& value, std::optional<wire::ValueT> const& base, std::uint64_t req,
-                  NodeOut& out) {
+void Node::spread(wire::ValueT const& value, std::optional<wire::ValueT> const& base, std::uint64_t req, NodeOut& out) {
   wire::ChosenT news;
   news.req = req;
   if (base && base->turn < value.turn)
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -168,6 +168,7 @@
   void forward(wire::ChosenT const& news, NodeOut& out);
   // Changes go to one keeper, so that proposers do not outbid each other (§12.8).
   std::string proposing_keeper() const;
+  std::string relaying_peer();
   bool hand_over(std::uint64_t id, Change const& change, Micros now, NodeOut& out);
   void take_handed(std::string const& from, wire::ProposeT const& ask, Micros now, NodeOut& out);
   void take_answer(wire::ProposedT const& ans, Micros now, NodeOut& out);
@@ -233,6 +234,7 @@
   bool retiring = false;
   Micros stale_from = -1;  // since when a jump of the clock waits for fresh knowledge
   std::uint64_t change_count = 0;
+  std::uint64_t relay_turn = 0;  // which peer is next to be asked for a quorum's sake
   std::uint64_t next_req = 1;
   std::map<std::uint64_t, Waiting> waiting;
   bool duty_busy = false;
--- a/src/core/registered.cc
+++ b/src/core/registered.cc
@@ -52,8 +52,8 @@
   for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
     Peer const& peer = item.second;
     if (peer.wire == 0 || peer.state() != State::alive || peer.member.zone != zone) continue;
-    bool const better = best.empty() || (peer.member.keeper && !keeps) ||
-                        (peer.member.keeper == keeps && item.first < best);
+    bool const better =
+        best.empty() || (peer.member.keeper && !keeps) || (peer.member.keeper == keeps && item.first < best);
     if (!better) continue;
     best = item.first;
     keeps = peer.member.keeper;
@@ -111,7 +111,8 @@
   for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
     Peer const& peer = item.second;
     if (peer.wire == 0 || peer.member.keeper || item.first == news.origin) continue;
-    if (peer.member.zone == plan.zone && rendezvous(item.first, std::set<std::string>(hands.begin(), hands.end())) == plan.name)
+    if (peer.member.zone == plan.zone &&
+        rendezvous(item.first, std::set<std::string>(hands.begin(), hands.end())) == plan.name)
       out.mesh.sends.push_back({peer.wire, bytes});
   }
 }
--- a/src/flow/dispatch/dispatcher.cc
+++ b/src/flow/dispatch/dispatcher.cc
@@ -12,9 +12,9 @@
 namespace pipit {
 
 namespace {
-constexpr Micros way_back = millis(25);      // of the caller's time, for the answer's way
-constexpr Micros dial_most = millis(350);    // for opening a connection to a worker
-constexpr Micros time_least = millis(60);    // with less left, no other worker is tried
+constexpr Micros way_back = millis(25);    // of the caller's time, for the answer's way
+constexpr Micros dial_most = millis(350);  // for opening a connection to a worker
+constexpr Micros time_least = millis(60);  // with less left, no other worker is tried
 constexpr int dials_most = 4;
 constexpr Micros begin_span = seconds(5);  // after its start, while what a node knows still grows
 constexpr Micros begin_wait = millis(900);
@@ -35,9 +35,9 @@
   if (c >= '0' && c <= '9')
     out = static_cast<std::uint64_t>(c - '0');
   else if (c >= 'a' && c <= 'f')
-    out = static_cast<std::uint64_t>(c - 'a' + 10);
+    out = static_cast<std::uint64_t>(c - 'a') + 10;
   else if (c >= 'A' && c <= 'F')
-    out = static_cast<std::uint64_t>(c - 'A' + 10);
+    out = static_cast<std::uint64_t>(c - 'A') + 10;
   else
     return false;
   return true;
@@ -196,9 +196,9 @@
   // to be told what stays at home.
   std::size_t key = deepest;
   if (wide && shared > 0)
-    key = static_cast<std::size_t>(
-        std::distance(parts.tokens.begin(),
-                      std::max_element(parts.tokens.begin(), parts.tokens.begin() + static_cast<std::ptrdiff_t>(shared))));
+    key = static_cast<std::size_t>(std::distance(
+        parts.tokens.begin(),
+        std::max_element(parts.tokens.begin(), parts.tokens.begin() + static_cast<std::ptrdiff_t>(shared))));
   if (key < shared) {
     home_worth = wide ? 0 : new_part_worth * static_cast<double>(parts.tokens[key]);
     for (Choice const& item : field) {
@@ -248,7 +248,8 @@
     best_kept = kept;
   }
   if (best == nullptr) return;  // it waits: tick() asks again, or gives up in time
-  begin(request, *best, std::max<std::int64_t>(0, prompt - best_kept), best_kept, best_guess, best->id == home, now, out);
+  begin(request, *best, std::max<std::int64_t>(0, prompt - best_kept), best_kept, best_guess, best->id == home, now,
+        out);
 }
 
 void Dispatcher::begin(Request& request, Instance& instance, std::int64_t missing, std::int64_t kept, Micros guess,
@@ -276,8 +277,7 @@
                                                                           : request.pool->cache_blocks);
   bounds.age = request.pool->cache_age;
   if (!wide && !parts.path.empty())
-    exchange.delta(request.tree,
-                   tide.index(request.tree).touch(parts.path, instance.id, 1, bounds, now, parts.tokens));
+    exchange.delta(request.tree, tide.index(request.tree).touch(parts.path, instance.id, 1, bounds, now, parts.tokens));
   if (wide && !at_home && parts.path.size() > 1) {
     // The shared parts alone, whole, so that no peer has to know anything to take them in.
     Path const path(parts.path.begin(), parts.path.end() - 1);
@@ -510,8 +510,8 @@
     Micros const most = request.read ? std::max<Micros>(quiet_least * 2, request.route->gap * 2)
                         : still      ? std::max<Micros>(request.route->aim * 3 / 4, request.guess * 3)
                                      : std::max<Micros>(request.route->aim * 2, request.guess * 4);
-    bool const dark = quiet > quiet_least && others > quiet_least && at != nullptr && at->running > 1 &&
-                      quiet > request.guess * 3;
+    bool const dark =
+        quiet > quiet_least && others > quiet_least && at != nullptr && at->running > 1 && quiet > request.guess * 3;
     bool const gone = at == nullptr || at->standing == Standing::gone;
     if (!(quiet > most || dark || (gone && quiet > quiet_least / 2))) continue;
     if (request.sends >= request.route->attempts || !can_pay(*request.pool)) continue;
--- a/src/flow/dispatch/dispatcher.h
+++ b/src/flow/dispatch/dispatcher.h
@@ -57,9 +57,7 @@
   std::vector<Denial> denials;        // before any part of an answer
   std::vector<std::uint64_t> breaks;  // answers that cannot be completed
   std::vector<std::uint64_t> passes;  // the worker's own failure goes back
-  bool empty() const {
-    return starts.empty() && cuts.empty() && denials.empty() && breaks.empty() && passes.empty();
-  }
+  bool empty() const { return starts.empty() && cuts.empty() && denials.empty() && breaks.empty() && passes.empty(); }
 };
 
 struct DispatchTally {
@@ -86,9 +84,9 @@
   }
 
   void fresh(std::uint64_t id, Query query, Micros now, DispatchOut& out);
-  void left(std::uint64_t id, Micros now);                // a byte of the attempt may have left
-  void began(std::uint64_t id, Micros now);               // the first part of the answer goes to the caller
-  void event(std::uint64_t id, Micros now);               // another
+  void left(std::uint64_t id, Micros now);   // a byte of the attempt may have left
+  void began(std::uint64_t id, Micros now);  // the first part of the answer goes to the caller
+  void event(std::uint64_t id, Micros now);  // another
   // What was passed on does not tell from where another worker would have to go on: the answer ends at its worker.
   void unmarked(std::uint64_t id);
   void ended(std::uint64_t id, AttemptEnd end, bool elsewhere, Micros now, DispatchOut& out);
@@ -112,22 +110,22 @@
     std::string tree;
     bool repeatable = false;
     Micros came = 0;
-    Micros due = 0;       // when the caller, or the route, has waited enough
-    Micros give_up = 0;   // until when it may wait for a worker
-    int sends = 0;        // workers that it may have reached
+    Micros due = 0;      // when the caller, or the route, has waited enough
+    Micros give_up = 0;  // until when it may wait for a worker
+    int sends = 0;       // workers that it may have reached
     int dials = 0;
-    bool ran = false;     // an attempt that has ended may have run
+    bool ran = false;  // an attempt that has ended may have run
     std::set<std::string> tried;
     // The attempt under way.
     std::string at;
     Reach reach = Reach::none;
-    Micros from = 0;      // when it was begun
-    Micros heard = 0;     // when its last event came
-    Micros guess = 0;     // what its first event was predicted to take
-    Micros busy = 0;      // of which others keep the worker busy
-    bool read = false;    // its first event has come: its prompt has been read
-    bool begun = false;   // a part of an answer has been passed on, by whichever attempt
-    bool marked = true;   // and all of it bears ids, so that another worker can go on after the last
+    Micros from = 0;     // when it was begun
+    Micros heard = 0;    // when its last event came
+    Micros guess = 0;    // what its first event was predicted to take
+    Micros busy = 0;     // of which others keep the worker busy
+    bool read = false;   // its first event has come: its prompt has been read
+    bool begun = false;  // a part of an answer has been passed on, by whichever attempt
+    bool marked = true;  // and all of it bears ids, so that another worker can go on after the last
   };
   struct Bucket {
     double level = 0;
--- a/src/flow/dispatch/fate.h
+++ b/src/flow/dispatch/fate.h
@@ -31,12 +31,12 @@
 };
 
 enum class Fate : std::uint8_t {
-  done,     // nothing more to do
-  again,    // to another worker
-  pass,     // the worker's own failure goes back unchanged
-  refuse,   // it has not run and never will: come back later
-  fail,     // nobody knows whether it ran
-  cut       // what was passed on can't be completed
+  done,    // nothing more to do
+  again,   // to another worker
+  pass,    // the worker's own failure goes back unchanged
+  refuse,  // it has not run and never will: come back later
+  fail,    // nobody knows whether it ran
+  cut      // what was passed on can't be completed
 };
 
 Fate fate_of(Traits const& traits, Reach reach, AttemptEnd end);
--- a/src/gate/net/http.cc
+++ b/src/gate/net/http.cc
@@ -24,10 +24,9 @@
 }
 
 void Head::drop(std::string_view name) {
-  fields.erase(std::remove_if(fields.begin(), fields.end(),
-                              [name](std::pair<std::string, std::string> const& item) {
-                                return same_letters(item.first, name);
-                              }),
+  fields.erase(std::remove_if(
+                   fields.begin(), fields.end(),
+                   [name](std::pair<std::string, std::string> const& item) { return same_letters(item.first, name); }),
                fields.end());
 }
 
@@ -37,8 +36,8 @@
 }
 
 void drop_hop_fields(Head& head, std::string_view kept) {
-  std::vector<std::string> names = {"Keep-Alive", "Proxy-Connection", "TE", "Trailer", "Transfer-Encoding", "Upgrade",
-                                    "Content-Length", "Expect"};
+  std::vector<std::string> names = {"Keep-Alive", "Proxy-Connection", "TE",    "Trailer", "Transfer-Encoding",
+                                    "Upgrade",    "Content-Length",   "Expect"};
   for (std::pair<std::string, std::string> const& item : head.fields) {
     if (!same_letters(item.first, "Connection")) continue;
     std::string_view rest = item.second;
@@ -216,7 +215,8 @@
 
 // Looks at the lines among what is fed, up to there.
 bool Reader::lines_to(char const* end) {
-  if (!lines.take(std::string_view(seen, static_cast<std::size_t>(end - seen))) && wrong == Error::none) wrong = Error::bad;
+  if (!lines.take(std::string_view(seen, static_cast<std::size_t>(end - seen))) && wrong == Error::none)
+    wrong = Error::bad;
   seen = end;
   return wrong == Error::none;
 }
--- a/src/gate/net/http.h
+++ b/src/gate/net/http.h
@@ -21,7 +21,7 @@
   unsigned status = 0;  // of an answer
   std::string reason;
   std::vector<std::pair<std::string, std::string>> fields;
-  bool keep = true;      // the connection may carry another message
+  bool keep = true;  // the connection may carry another message
   bool chunked = false;
   std::int64_t length = -1;  // as announced, -1 for none
 
@@ -49,7 +49,7 @@
  public:
   enum class Error : std::uint8_t { none, bad, head_large, body_large };
   struct Ears {
-    std::function<bool(Head&)> head;              // false: the message has no body whatever it says
+    std::function<bool(Head&)> head;  // false: the message has no body whatever it says
     std::function<void(std::string_view)> body;
     std::function<void()> whole;
   };
@@ -62,7 +62,7 @@
   // The connection ended: an answer without length ends with it. False when that cuts a message.
   bool eof();
   void next();
-  bool idle() const { return !begun; }   // between messages
+  bool idle() const { return !begun; }  // between messages
   bool in_body() const { return headed && !done; }
   bool complete() const { return done; }
   Error error() const { return wrong; }
--- a/src/gate/net/lines.h
+++ b/src/gate/net/lines.h
@@ -27,9 +27,9 @@
   bool good = true;
   Part part = Part::first;
   bool cr = false;
-  std::string first;      // the request's or status line
-  std::size_t count = 0;  // bytes of the present line
-  bool colon = false;     // a field: its name has ended
+  std::string first;       // the request's or status line
+  std::size_t count = 0;   // bytes of the present line
+  bool colon = false;      // a field: its name has ended
   std::size_t digits = 0;  // a chunk's size: how many, and whether any is above 0
   bool some = false;
   bool blank = false;
--- a/src/gate/net/link.cc
+++ b/src/gate/net/link.cc
@@ -1,7 +1,7 @@
 #include "gate/net/link.h"
 
 #include <arpa/inet.h>
-#include <errno.h>
+#include <cerrno>
 #include <glib-unix.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -15,7 +15,7 @@
 namespace pipit {
 
 namespace {
-constexpr int silence_ms = 8000;  // for how long sent bytes may stay unacknowledged
+constexpr int silence_ms = 8000;       // for how long sent bytes may stay unacknowledged
 constexpr unsigned finish_ms = 30000;  // for how long a peer may take what is left for it
 constexpr std::size_t room = 65536;
 
@@ -207,8 +207,8 @@
     gone = 0;
     ssize_t const n = ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (n > 0) bytes.remove_prefix(static_cast<std::size_t>(n));
-    // What follows must not take the place of what is lost: nothing more is sent, and the peer sees an end. Here that is
-    // heard of when it is read; the caller of write() must not find the connection gone under its feet.
+    // What follows must not take the place of what is lost: nothing more is sent, and the peer sees an end. Here that
+    // is heard of when it is read; the caller of write() must not find the connection gone under its feet.
     if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) {
       lost = true;
       ::shutdown(fd, SHUT_RDWR);
--- a/src/gate/net/link.h
+++ b/src/gate/net/link.h
@@ -9,7 +9,7 @@
 #include "ground/kinds.h"
 #include "ground/micros.h"
 
-typedef struct _GSource GSource;
+using GSource = struct _GSource;
 
 namespace pipit {
 
@@ -17,10 +17,10 @@
  public:
   enum class End : std::uint8_t { closed, reset, unreached };
   struct Ears {
-    std::function<void()> up;                      // a dialled connection is open
-    std::function<void(std::string_view)> bytes;   // what came; any call may shut the link
-    std::function<void(End)> shut;                 // said once, never after close()
-    std::function<void()> drained;                 // what waited to be written has been taken by the system
+    std::function<void()> up;                     // a dialled connection is open
+    std::function<void(std::string_view)> bytes;  // what came; any call may shut the link
+    std::function<void(End)> shut;                // said once, never after close()
+    std::function<void()> drained;                // what waited to be written has been taken by the system
   };
   // An accepted socket, non-blocking; the link owns it from now on.
   static std::shared_ptr<Link> adopt(int fd);
--- a/src/gate/net/server.cc
+++ b/src/gate/net/server.cc
@@ -17,16 +17,16 @@
   std::shared_ptr<Link> link;
   Reader reader{true};
   Call call;
-  std::string ahead;        // bytes of later calls
-  bool busy = false;        // a call is with the ears, or being answered
-  bool headed = false;      // its answer has begun
+  std::string ahead;    // bytes of later calls
+  bool busy = false;    // a call is with the ears, or being answered
+  bool headed = false;  // its answer has begun
   bool chunked = false;
-  bool head_only = false;   // a HEAD, or an answer whose status has no body
-  bool last = false;        // the connection closes after this answer
+  bool head_only = false;  // a HEAD, or an answer whose status has no body
+  bool last = false;       // the connection closes after this answer
   bool parsing = false;
-  std::int64_t owed = -1;   // what is left of an announced length
-  Micros since = 0;         // of the first byte of what is being read, or of the last end of an answer
-  Micros may_rest = 0;      // the idle limit when its rest began; its caller may not know a shorter one yet
+  std::int64_t owed = -1;  // what is left of an announced length
+  Micros since = 0;        // of the first byte of what is being read, or of the last end of an answer
+  Micros may_rest = 0;     // the idle limit when its rest began; its caller may not know a shorter one yet
 };
 
 Server::~Server() {
@@ -151,7 +151,7 @@
   ears.call(std::move(call));
 }
 
-void Server::begin(std::uint64_t id, Head head, std::int64_t length) {
+void Server::begin(std::uint64_t id, Head const& head, std::int64_t length) {
   Conn* const conn = conn_of(id);
   if (conn == nullptr || conn->headed) return;
   conn->headed = true;
@@ -183,7 +183,7 @@
   finished(*conn);
 }
 
-void Server::answer(std::uint64_t id, Head head, std::string_view body) {
+void Server::answer(std::uint64_t id, Head const& head, std::string_view body) {
   Conn* const conn = conn_of(id);
   if (conn == nullptr || conn->headed) return;
   conn->last = conn->last || last_calls;
--- a/src/gate/net/server.h
+++ b/src/gate/net/server.h
@@ -42,9 +42,9 @@
   void close_idle();
   void limit(Limits const& limits_) { limits = limits_; }
 
-  void answer(std::uint64_t id, Head head, std::string_view body);
+  void answer(std::uint64_t id, Head const& head, std::string_view body);
   // An answer that comes in pieces; length -1 when it is not known.
-  void begin(std::uint64_t id, Head head, std::int64_t length);
+  void begin(std::uint64_t id, Head const& head, std::int64_t length);
   void piece(std::uint64_t id, std::string_view bytes);
   void end(std::uint64_t id);
   // The answer cannot be whole any more, and must not look whole. Before its head the connection just ends.
--- a/src/gate/net/upstream.cc
+++ b/src/gate/net/upstream.cc
@@ -33,8 +33,8 @@
   bool sent = false;
   int asked = 0;          // how many requests it has carried
   bool bodiless = false;  // it asks for a head alone
-  bool ours = false;  // the answer that is being read is the one that was asked for
-  bool spoiled = false;  // what came is an answer to nobody
+  bool ours = false;      // the answer that is being read is the one that was asked for
+  bool spoiled = false;   // what came is an answer to nobody
   int surplus = 0;
   bool keep = true;
   Micros keep_for = 0;
@@ -190,8 +190,8 @@
     conn.reader.next();
     return whole(conn);
   }
-  fail(conn, conn.ours ? End::torn : End::broke, how == Link::End::reset ? "the worker reset the connection"
-                                                                         : "the worker closed the connection");
+  fail(conn, conn.ours ? End::torn : End::broke,
+       how == Link::End::reset ? "the worker reset the connection" : "the worker closed the connection");
 }
 
 void Upstream::cut(std::uint64_t id) {
--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -153,7 +153,7 @@
     g_ascii_formatd(text, sizeof text, "%.3f", static_cast<double>(denial.wait) / 1e6);
     head.fields.emplace_back("Retry-After", text);
   }
-  server.answer(denial.request, std::move(head), answer.body);
+  server.answer(denial.request, head, answer.body);
 }
 
 void Relay::start(Attempt const& attempt) {
@@ -223,8 +223,8 @@
   while (at < out.size()) {
     std::size_t const a = out.find("\n\n", at);
     std::size_t const b = out.find("\r\n\r\n", at);
-    std::size_t const stop = std::min(a == std::string::npos ? out.size() : a + 2,
-                                      b == std::string::npos ? out.size() : b + 4);
+    std::size_t const stop =
+        std::min(a == std::string::npos ? out.size() : a + 2, b == std::string::npos ? out.size() : b + 4);
     std::string const event = out.substr(at, stop - at);
     at = stop;
     std::string const name = id_of(event);
@@ -281,7 +281,8 @@
     caller.held.clear();
     pass_on(id, caller, rest);
   }
-  if (!caller.begun) server.begin(id, caller.answer, caller.resumable ? -1 : std::max<std::int64_t>(0, caller.answer.length));
+  if (!caller.begun)
+    server.begin(id, caller.answer, caller.resumable ? -1 : std::max<std::int64_t>(0, caller.answer.length));
   server.end(id);
   callers.erase(spot);
   ears.ended(id, AttemptEnd::whole, false);
--- a/src/gate/relay/relay.h
+++ b/src/gate/relay/relay.h
@@ -13,15 +13,15 @@
 // The names of the fields that carry what the dispatcher needs to know. These are the product's own; whoever speaks
 // another dialect gives other names.
 struct Dialect {
-  std::string attempt = "X-Pipit-Attempt";        // the request's id, which its answer carries back
-  std::string left = "X-Pipit-Left-Ms";           // the milliseconds that the caller will wait
-  std::string instance = "X-Pipit-Instance";      // only the worker of this id may run it
-  std::string not_run = "X-Pipit-Not-Run";        // the worker did not run it
-  std::string load = "X-Pipit-Load";              // running, waiting, slots
-  std::string rank = "X-Pipit-Rank";              // 0 to 9, 0 first
+  std::string attempt = "X-Pipit-Attempt";    // the request's id, which its answer carries back
+  std::string left = "X-Pipit-Left-Ms";       // the milliseconds that the caller will wait
+  std::string instance = "X-Pipit-Instance";  // only the worker of this id may run it
+  std::string not_run = "X-Pipit-Not-Run";    // the worker did not run it
+  std::string load = "X-Pipit-Load";          // running, waiting, slots
+  std::string rank = "X-Pipit-Rank";          // 0 to 9, 0 first
   std::string model = "X-Pipit-Model";
-  std::string tokens = "X-Pipit-Tokens";          // of the prompt, and the most out
-  std::string parts = "X-Pipit-Parts";            // ID:TOKENS, joined by commas
+  std::string tokens = "X-Pipit-Tokens";  // of the prompt, and the most out
+  std::string parts = "X-Pipit-Parts";    // ID:TOKENS, joined by commas
   std::string after = "Last-Event-Id";
   std::string seal;  // a success without it is nobody's answer; empty: none is asked for
 };
@@ -56,11 +56,11 @@
     bool declined = false;
     bool elsewhere = false;
     bool failing = false;
-    bool unsaid = false;      // a failure that can't go back: too large, or its status promises what was not said
-    bool begun = false;       // the answer's head has gone to the caller
-    Head answer;              // of the worker, to go with the first bytes
-    std::string held;         // a failing answer's body, or the beginning of an event that is not whole
-    std::string last_event;   // id of the last event that was passed on
+    bool unsaid = false;     // a failure that can't go back: too large, or its status promises what was not said
+    bool begun = false;      // the answer's head has gone to the caller
+    Head answer;             // of the worker, to go with the first bytes
+    std::string held;        // a failing answer's body, or the beginning of an event that is not whole
+    std::string last_event;  // id of the last event that was passed on
   };
   void on_call(Server::Call&& call);
   void start(Attempt const& attempt);
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -32,10 +32,10 @@
 Result<void> Station::open() {
   std::optional<wire::RecordT> slate;
   std::unique_ptr<PosixDisk> posix;
-  std::unique_ptr<RingLog> ring;
+  std::unique_ptr<RecordStore> ring;
   if (!plan.data.empty()) {
     posix = std::make_unique<PosixDisk>(plan.data);
-    ring = std::make_unique<RingLog>(*posix, plan.node.cluster, plan.node.name, 256u << 10);
+    ring = std::make_unique<RecordStore>(*posix, plan.node.cluster, plan.node.name, 256u << 10);
     bool blank = false;
     std::uint64_t const fresh =
         stir(static_cast<std::uint64_t>(g_get_real_time()) ^ (static_cast<std::uint64_t>(g_random_int()) << 32));
@@ -118,7 +118,7 @@
 void Station::act(NodeOut& out) {
   if (out.save && disk) disk->save(std::move(*out.save));
   for (std::string const& address : out.mesh.dials) wires->dial(address);
-  for (Sends::Send& send : out.mesh.sends) wires->send(send.wire, std::move(send.bytes));
+  for (Sends::Send& send : out.mesh.sends) wires->send(send.wire, send.bytes);
   for (WireId const id : out.mesh.shuts) wires->shut(id);
   if (!out.dispatch.empty()) relay->act(out.dispatch);
   std::vector<Reply> const replies = std::move(out.replies);
@@ -162,7 +162,7 @@
   head.status = status;
   head.fields = fields;
   head.fields.emplace_back("Content-Type", "application/json");
-  control_server->answer(call, std::move(head), body);
+  control_server->answer(call, head, body);
 }
 
 void Station::on_ready(Server::Call&& call) {
@@ -170,7 +170,7 @@
   bool const yes = node->ready() && stop_from < 0;
   Head head;
   head.status = !path ? 404 : yes ? 200 : 503;
-  ready_server->answer(call.id, std::move(head), "");
+  ready_server->answer(call.id, head, "");
 }
 
 void Station::on_call(Server::Call&& call) {
@@ -197,7 +197,11 @@
     jot.open().key("name").text(item.first).key("state").text(state_word(peer.state()));
     jot.key("wire").truth(peer.wire != 0).key("role").text("passage").key("zone").text(peer.member.zone);
     jot.key("http").text(peer.member.http).key("keeper").truth(peer.member.keeper);
-    jot.key("serial").number(static_cast<std::int64_t>(peer.member.serial)).key("ready").truth(peer.member.ready).shut();
+    jot.key("serial")
+        .number(static_cast<std::int64_t>(peer.member.serial))
+        .key("ready")
+        .truth(peer.member.ready)
+        .shut();
   }
   jot.unlist().key("workers").list();
   for (std::pair<std::string const, Instance> const& item : node->registry.all) {
@@ -274,8 +278,8 @@
   }
   if (!doors_shut) return;
   relay->server.close_idle();
-  // What a slow caller has not taken yet would end with the process too. A keeper stays until another one has its place,
-  // where one is here to take it.
+  // What a slow caller has not taken yet would end with the process too. A keeper stays until another one has its
+  // place, where one is here to take it.
   bool const finished = relay->server.calls() == 0 && relay->server.finishing() == 0;
   bool const idle = finished && asked.empty() && node->may_end(at);
   if (idle || span >= plan.grace - last_moment) g_main_loop_quit(loop);
--- a/src/gate/station/station.h
+++ b/src/gate/station/station.h
@@ -11,7 +11,7 @@
 #include "hull/disk/disk_task.h"
 #include "hull/wire/wires.h"
 
-typedef struct _GMainLoop GMainLoop;
+using GMainLoop = struct _GMainLoop;
 
 namespace pipit {
 
@@ -21,7 +21,7 @@
   std::string ready;    // IP:port that tells whether new callers are wanted
   std::string control;  // IP:port for workers and operators
   std::string ready_path = "/ready";
-  std::string data;     // the one data folder, empty for none
+  std::string data;  // the one data folder, empty for none
   std::string log;
   std::string own_host;
   Dialect dialect;
--- a/src/hull/disk/disk_task.h
+++ b/src/hull/disk/disk_task.h
@@ -25,9 +25,6 @@
   std::string const folder;
 };
 
-// The former name, until src/gate/station uses the new one.
-using RingLog = RecordStore;
-
 class DiskTask {
  public:
   DiskTask(std::unique_ptr<PosixDisk> disk_, std::unique_ptr<RecordStore> store_,
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -13,14 +13,16 @@
 constexpr char hosts[] = "api.test";
 
 std::shared_ptr<Creed const> creed_of(std::string const& routes) {
-  Result<std::shared_ptr<Creed const>> const made =
-      read_creed("{\"format\":1,\"lanes\":[],\"pools\":[{\"name\":\"p\",\"model\":\"m\"},{\"name\":\"q\",\"model\":\"m\"}],"
-                 "\"routes\":[" + routes + "]}");
+  Result<std::shared_ptr<Creed const>> const made = read_creed(
+      "{\"format\":1,\"lanes\":[],\"pools\":[{\"name\":\"p\",\"model\":\"m\"},{\"name\":\"q\",\"model\":\"m\"}],"
+      "\"routes\":[" +
+      routes + "]}");
   EXPECT_TRUE(made) << made.error().place << " " << made.error().why;
   return made ? made.value() : std::make_shared<Creed const>();
 }
 
-std::string route_text(std::string const& name, std::string const& more, std::string const& shares = "{\"pool\":\"p\"}") {
+std::string route_text(std::string const& name, std::string const& more,
+                       std::string const& shares = "{\"pool\":\"p\"}") {
   return "{\"name\":\"" + name + "\",\"host\":\"api.test\",\"prefix\":\"/" + name + "/\",\"shares\":[" + shares +
          "],\"hold_ms\":3000,\"aim_ms\":1000,\"attempts\":3" + more + "}";
 }
@@ -133,16 +135,18 @@
     char const* host;
     char const* prefix;
   };
-  for (Row const& row : {Row{"root", "api.test", "/"}, Row{"chat", "api.test", "/v1/chat/"}, Row{"v1", "api.test", "/v1/"},
-                         Row{"other", "other.test", "/v1/chat/deep/"}})
+  for (Row const& row : {Row{"root", "api.test", "/"}, Row{"chat", "api.test", "/v1/chat/"},
+                         Row{"v1", "api.test", "/v1/"}, Row{"other", "other.test", "/v1/chat/deep/"}})
     text += std::string(text.empty() ? "" : ",") + "{\"name\":\"" + row.name + "\",\"host\":\"" + row.host +
             "\",\"prefix\":\"" + row.prefix + "\"" + rest + "}";
   std::shared_ptr<Creed const> const creed = creed_of(text);
   Row const asked[] = {
-      {"chat", "api.test", "/v1/chat/x"},  {"chat", "API.Test", "/v1/chat/deep/x"}, {"v1", "api.test", "/v1/models"},
-      {"root", "api.test", "/v2"},         {"root", "api.test", "/"},               {"other", "other.test", "/v1/chat/deep/x"},
-      {"", "other.test", "/v1/chat/x"},    {"", "nobody.test", "/v1/chat/x"},       {"v1", "api.test", "/v1/chats/x"},
-      {"root", "api.test", "/v1x"},        {"v1", "api.test", "/v1/chat"},         {"root", "api.test", "/v1"},
+      {"chat", "api.test", "/v1/chat/x"}, {"chat", "API.Test", "/v1/chat/deep/x"},
+      {"v1", "api.test", "/v1/models"},   {"root", "api.test", "/v2"},
+      {"root", "api.test", "/"},          {"other", "other.test", "/v1/chat/deep/x"},
+      {"", "other.test", "/v1/chat/x"},   {"", "nobody.test", "/v1/chat/x"},
+      {"v1", "api.test", "/v1/chats/x"},  {"root", "api.test", "/v1x"},
+      {"v1", "api.test", "/v1/chat"},     {"root", "api.test", "/v1"},
   };
   for (Row const& row : asked) {
     Route const* const route = creed->route(row.host, row.prefix);
@@ -168,8 +172,8 @@
 }
 
 TEST_F(Desks, shares_go_by_weight) {
-  dispatcher.in_force(creed_of(
-      route_text("once", "", "{\"pool\":\"p\",\"weight\":3},{\"pool\":\"q\",\"weight\":1},{\"pool\":\"p\",\"weight\":0}")));
+  dispatcher.in_force(creed_of(route_text(
+      "once", "", "{\"pool\":\"p\",\"weight\":3},{\"pool\":\"q\",\"weight\":1},{\"pool\":\"p\",\"weight\":0}")));
   worker("w", "p");
   worker("v", "q");
   int first = 0;
@@ -188,11 +192,13 @@
 TEST_F(Desks, only_workers_of_the_pool_that_take_requests_are_chosen) {
   worker("other", "q");
   worker("ending");
-  registry.beat([this] {
-    Beat word = beat_of("ending", ++order);
-    word.leaving = true;
-    return word;
-  }(), now);
+  registry.beat(
+      [this] {
+        Beat word = beat_of("ending", ++order);
+        word.leaving = true;
+        return word;
+      }(),
+      now);
   worker("ended");
   registry.leave("ended", ++order, now);
   EXPECT_EQ(place(1, "once"), "");
@@ -545,8 +551,8 @@
       nodes.push_back(std::make_unique<Box>());
       std::string const name = "n" + std::to_string(i);
       nodes[i]->registry = std::make_unique<Registry>(name);
-      nodes[i]->dispatcher = std::make_unique<Dispatcher>(name, "a", nodes[i]->tide, *nodes[i]->registry,
-                                                           nodes[i]->exchange);
+      nodes[i]->dispatcher =
+          std::make_unique<Dispatcher>(name, "a", nodes[i]->tide, *nodes[i]->registry, nodes[i]->exchange);
       nodes[i]->dispatcher->in_force(usual());
       nodes[i]->dispatcher->budget(ratio, store);
       nodes[i]->dispatcher->nodes(count);
@@ -689,7 +695,8 @@
       std::uint64_t const id = ++next;
       Query query = query_of(routes[dice.below(4)]);
       if (dice.chance(0.3)) query.left = millis(static_cast<std::int64_t>(1 + dice.below(1500)));
-      if (dice.chance(0.5)) query.parts = parse_parts("a" + std::to_string(dice.below(6)) + ":300,b" + std::to_string(id) + ":9");
+      if (dice.chance(0.5))
+        query.parts = parse_parts("a" + std::to_string(dice.below(6)) + ":300,b" + std::to_string(id) + ":9");
       query.tokens_in = static_cast<std::int64_t>(dice.below(500));
       judge.rows[id].route = query.path.substr(1, query.path.find('/', 1) - 1);
       open.push_back(id);
--- a/tests/fate.cc
+++ b/tests/fate.cc
@@ -21,7 +21,8 @@
   bool may_have_run() const { return reach != Reach::none && end != AttemptEnd::declined; }
   std::string text() const {
     std::string out;
-    for (bool const flag : {traits.repeatable, traits.resumable, traits.attempts, traits.budget, traits.time, traits.ran})
+    for (bool const flag :
+         {traits.repeatable, traits.resumable, traits.attempts, traits.budget, traits.time, traits.ran})
       out += flag ? '1' : '0';
     return "repeatable resumable attempts budget time ran " + out + ", reach " +
            std::to_string(static_cast<int>(reach)) + ", end " + std::to_string(static_cast<int>(end));
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -1,4 +1,5 @@
-// HTTP as a router must read it: messages however their bytes come, what is refused, and connections to workers (§12.2).
+// HTTP as a router must read it: messages however their bytes come, what is refused, and connections to workers
+// (§12.2).
 #include <gtest/gtest.h>
 
 #include <glib.h>
@@ -80,7 +81,8 @@
 std::string const good_requests[] = {
     "GET /a?b=c HTTP/1.1\r\n" + host + "\r\n",
     "POST /p HTTP/1.1\r\n" + host + "Content-Length: 5\r\nX-One:  two words \r\n\r\nhello",
-    "POST /p HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\nA;ext=1\r\n0123456789\r\n0\r\n\r\n",
+    "POST /p HTTP/1.1\r\n" + host +
+        "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\nA;ext=1\r\n0123456789\r\n0\r\n\r\n",
     "PUT /p HTTP/1.1\r\n" + host + "transfer-encoding: chunked\r\n\r\n1\r\n\n\r\n0\r\nX-Trailer: t\r\n\r\n",
     "HEAD /h HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n",
     "POST /e HTTP/1.0\r\nContent-Length: 0\r\n" + host + "X-Empty:\r\n\r\n",
@@ -127,7 +129,8 @@
     EXPECT_EQ(out.whole[4].body, "abc");
     EXPECT_FALSE(out.whole[4].keep);
   }
-  Reading const head = read_pieces(false, {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nHTTP/1.1 200 OK\r\n\r\n"}, true);
+  Reading const head =
+      read_pieces(false, {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nHTTP/1.1 200 OK\r\n\r\n"}, true);
   EXPECT_EQ(head.whole.size(), 2u) << "answers to HEAD have no body whatever they announce";
 }
 
@@ -352,7 +355,8 @@
     std::uint64_t length = 0;
     for (std::pair<std::string, std::string> const& field : out.fields) {
       if (same_letters(field.first, "Host")) ++hosts;
-      if (same_letters(field.first, "Content-Length") && (++lengths > 1 || !number(field.second, 10, length))) return false;
+      if (same_letters(field.first, "Content-Length") && (++lengths > 1 || !number(field.second, 10, length)))
+        return false;
       if (same_letters(field.first, "Transfer-Encoding") && (++encodings > 1 || !same_letters(field.second, "chunked")))
         return false;
     }
@@ -384,14 +388,36 @@
 bool fits(std::vector<Message> const& read, std::vector<Message> const& strict) {
   if (read.size() > strict.size()) return false;
   for (std::size_t i = 0; i < read.size(); ++i)
-    if (read[i].line != strict[i].line || read[i].fields != strict[i].fields || read[i].body != strict[i].body) return false;
+    if (read[i].line != strict[i].line || read[i].fields != strict[i].fields || read[i].body != strict[i].body)
+      return false;
   return true;
 }
 
 std::string mutated(Dice& dice, std::vector<std::string> const& seeds) {
-  static char const* const words[] = {"\r\n", "\n", "\r", " ", "\t", ":", "0", "5", "a", ";", "\r\n ", "\r\n\r\n",
-                                      "Content-Length: 3\r\n", "Transfer-Encoding: chunked\r\n", "Host: x\r\n",
-                                      "0\r\n\r\n", "GET / HTTP/1.1\r\n", "chunked", ",", "\x01", "\x7f", "\xff", "-", "+"};
+  static char const* const words[] = {"\r\n",
+                                      "\n",
+                                      "\r",
+                                      " ",
+                                      "\t",
+                                      ":",
+                                      "0",
+                                      "5",
+                                      "a",
+                                      ";",
+                                      "\r\n ",
+                                      "\r\n\r\n",
+                                      "Content-Length: 3\r\n",
+                                      "Transfer-Encoding: chunked\r\n",
+                                      "Host: x\r\n",
+                                      "0\r\n\r\n",
+                                      "GET / HTTP/1.1\r\n",
+                                      "chunked",
+                                      ",",
+                                      "\x01",
+                                      "\x7f",
+                                      "\xff",
+                                      "-",
+                                      "+"};
   std::string out = seeds[dice.below(seeds.size())];
   if (dice.chance(0.3)) out += seeds[dice.below(seeds.size())];
   for (std::uint64_t n = 1 + dice.below(4); n > 0; --n) {
@@ -458,7 +484,8 @@
     std::size_t const b = a + dice.below(text.size() - a + 1);
     Reading const out = read_pieces(true, {view.substr(0, a), view.substr(a, b - a), view.substr(b)});
     taken += out.whole.size();
-    ASSERT_TRUE(fits(out.whole, strict)) << "round " << n << "\n" << text << "\nread as " << out.whole[out.whole.size() - 1];
+    ASSERT_TRUE(fits(out.whole, strict)) << "round " << n << "\n"
+                                         << text << "\nread as " << out.whole[out.whole.size() - 1];
     // However it is split.
     Reading const whole = read_whole(true, text);
     ASSERT_EQ(whole.whole, out.whole) << "round " << n << "\n" << text;
@@ -513,8 +540,14 @@
 
 TEST(Heads, lose_what_concerns_one_connection_only) {
   Head head;
-  head.fields = {{"Connection", "X-One , close"}, {"x-one", "1"},       {"Keep-Alive", "timeout=5"}, {"TE", "trailers"},
-                 {"Transfer-Encoding", "chunked"}, {"content-length", "5"}, {"Host", "h"},         {"X-Two", "2"}};
+  head.fields = {{"Connection", "X-One , close"},
+                 {"x-one", "1"},
+                 {"Keep-Alive", "timeout=5"},
+                 {"TE", "trailers"},
+                 {"Transfer-Encoding", "chunked"},
+                 {"content-length", "5"},
+                 {"Host", "h"},
+                 {"X-Two", "2"}};
   drop_hop_fields(head);
   EXPECT_EQ(head.fields, (std::vector<std::pair<std::string, std::string>>{{"Host", "h"}, {"X-Two", "2"}}));
   head.set("host", "g");
@@ -525,8 +558,9 @@
 namespace {
 class Serving : public testing::Test {
  protected:
-  Serving() : server({[this](Server::Call&& call) { calls.push_back(std::move(call)); },
-                      [this](std::uint64_t id) { gone.push_back(id); }}) {
+  Serving()
+      : server({[this](Server::Call&& call) { calls.push_back(std::move(call)); },
+                [this](std::uint64_t id) { gone.push_back(id); }}) {
     address = open_door([this](std::string const& at) { return server.listen(at); });
     Server::Limits limits;
     limits.head_most = small_head;
@@ -584,7 +618,8 @@
 TEST_F(Serving, answers_pipelined_calls_in_their_order) {
   Wire wire(address);
   std::string all;
-  for (int n = 0; n < 20; ++n) all += "POST /" + std::to_string(n) + " HTTP/1.1\r\n" + host + "Content-Length: 1\r\n\r\nx";
+  for (int n = 0; n < 20; ++n)
+    all += "POST /" + std::to_string(n) + " HTTP/1.1\r\n" + host + "Content-Length: 1\r\n\r\nx";
   wire.send(all);
   for (std::size_t n = 0; n < 20; ++n) {
     ASSERT_TRUE(until([&] { return calls.size() == n + 1; }));
@@ -617,7 +652,8 @@
 }
 
 TEST_F(Serving, closes_when_the_caller_asks_for_it) {
-  for (std::string const& text : {"GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n", "GET / HTTP/1.0\r\n" + host + "\r\n"}) {
+  for (std::string const& text :
+       {"GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n", "GET / HTTP/1.0\r\n" + host + "\r\n"}) {
     Wire wire(address);
     wire.send(text);
     ASSERT_TRUE(until([&] { return calls.size() > answered; }));
@@ -895,8 +931,8 @@
   EXPECT_EQ(calls.size(), 1u);
 }
 
-// A socket pair that keeps messages apart refuses a large one and takes the next: as a system does that is short of memory
-// for a moment.
+// A socket pair that keeps messages apart refuses a large one and takes the next: as a system does that is short of
+// memory for a moment.
 TEST(Links, what_could_not_be_written_is_not_left_out) {
   int ends[2];
   ASSERT_EQ(::socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, ends), 0);
@@ -909,7 +945,8 @@
   settle();
   char buffer[64];
   EXPECT_EQ(::recv(ends[1], buffer, sizeof buffer, 0), 5);
-  EXPECT_LE(::recv(ends[1], buffer, sizeof buffer, 0), 0) << "what follows would be read in the place of what is missing";
+  EXPECT_LE(::recv(ends[1], buffer, sizeof buffer, 0), 0)
+      << "what follows would be read in the place of what is missing";
   EXPECT_TRUE(shut);
   ::close(ends[1]);
 }
@@ -936,7 +973,8 @@
                   }},
                  "") {
     address = open_door([this](std::string const& at) {
-      return door.open(at, [this](std::shared_ptr<Link> link) { wires.push_back(std::make_unique<Wire>(std::move(link))); });
+      return door.open(
+          at, [this](std::shared_ptr<Link> link) { wires.push_back(std::make_unique<Wire>(std::move(link))); });
     });
   }
   static std::string request(std::string const& method = "POST") {
@@ -1105,7 +1143,8 @@
       {"before a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", Upstream::End::torn},
       {"in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", Upstream::End::torn},
       {"between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", Upstream::End::torn},
-      {"before the last mark", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n", Upstream::End::torn},
+      {"before the last mark", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n",
+       Upstream::End::torn},
       {"in somebody else's", "HTTP/1.1 200 OK\r\nX-Id: 77\r\nContent-Length: 9\r\n\r\nabc", Upstream::End::broke},
   };
   for (bool const reset : {false, true})
@@ -1282,10 +1321,13 @@
 }
 
 TEST_F(Workerly, mutated_answers_end_each_request_once_and_do_no_harm) {
-  std::vector<std::string> const seeds = {
-      ok, ok + ok, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
-      "HTTP/1.1 200 OK\r\nX-Id: 77\r\nContent-Length: 1\r\n\r\nx" + ok, "HTTP/1.1 100 Continue\r\n\r\n" + ok,
-      "HTTP/1.1 204 No\r\nKeep-Alive: timeout=9\r\n\r\n", "HTTP/1.1 101 Switching\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n"};
+  std::vector<std::string> const seeds = {ok,
+                                          ok + ok,
+                                          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
+                                          "HTTP/1.1 200 OK\r\nX-Id: 77\r\nContent-Length: 1\r\n\r\nx" + ok,
+                                          "HTTP/1.1 100 Continue\r\n\r\n" + ok,
+                                          "HTTP/1.1 204 No\r\nKeep-Alive: timeout=9\r\n\r\n",
+                                          "HTTP/1.1 101 Switching\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n"};
   Dice dice(23);
   for (std::uint64_t id = 1; id <= 1500; ++id) {
     forget();
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -147,7 +147,8 @@
     fields[row.key] = row.value;
     Result<StationPlan> const plan = plan_from(fields);
     ASSERT_FALSE(plan) << row.key << "=" << row.value;
-    std::string const group = std::string(row.key).substr(0, std::string(row.key).rfind("listen_addresses.") == 0 ? 16 : 64);
+    std::string const group =
+        std::string(row.key).substr(0, std::string(row.key).rfind("listen_addresses.") == 0 ? 16 : 64);
     EXPECT_NE(plan.error().why.find(group), std::string::npos) << row.key << ": " << plan.error().why;
     EXPECT_EQ(plan.error().kind, Kind::bad_settings);
   }
@@ -214,7 +215,8 @@
       with("\"timeout_ms\": 260000.0", "\"timeout_ms\": -1"),
       with("\"timeout_ms\": 260000.0", "\"timeout_ms\": 1e300"),
       with("\"timeout_ms\": 260000.0, ", ""),
-      with("\"weight\": 3}, {\"service\": \"small\", \"weight\": 1}", "\"weight\": 0}, {\"service\": \"small\", \"weight\": 0}"),
+      with("\"weight\": 3}, {\"service\": \"small\", \"weight\": 1}",
+           "\"weight\": 0}, {\"service\": \"small\", \"weight\": 0}"),
       with("\"weight\": 3", "\"weight\": -3"),
       with("[{\"service\": \"big_llm\", \"weight\": 3}, {\"service\": \"small\", \"weight\": 1}]", "[]"),
       with("{\"name\": \"small\"}", "{\"name\": \"big_llm\"}"),
@@ -237,18 +239,18 @@
 }
 
 TEST(Configurations, amending_adds_replaces_and_removes_and_keeps_the_rest_as_written) {
-  Result<Configuration> const made = amended(base,
-                                             "{\"version\": 5, \"upsert\": {\"routes\": [\n"
-                                             "{\"name\":\"once\",\"host\":\"api.test\",\"path_prefix\":\"/\",\"service\":\"tiny\","
-                                             "\"timeout_ms\":2000.50}],"
-                                             "\"services\": [{\"name\": \"tiny\"}], \"limits\": {\"max_header_bytes\": 4096}},"
-                                             "\"remove\": {\"routes\": [\"embed\"], \"services\": [\"small\", \"nobody\"]}}");
+  Result<Configuration> const made =
+      amended(base,
+              "{\"version\": 5, \"upsert\": {\"routes\": [\n"
+              "{\"name\":\"once\",\"host\":\"api.test\",\"path_prefix\":\"/\",\"service\":\"tiny\","
+              "\"timeout_ms\":2000.50}],"
+              "\"services\": [{\"name\": \"tiny\"}], \"limits\": {\"max_header_bytes\": 4096}},"
+              "\"remove\": {\"routes\": [\"embed\"], \"services\": [\"small\", \"nobody\"]}}");
   ASSERT_TRUE(made) << made.error().place << " " << made.error().why;
   EXPECT_EQ(made.value().version, 5u);
   std::string const source = source_of(made.value().text);
-  for (char const* const kept :
-       {"\"timeout_ms\": 260000.0,", "\"cache_tokens\": 260000.0,", "\"note\": {\"by\": [1, 2.50]}", "2000.50",
-        "[\"one\", \"two\"]", "\"ops\""})
+  for (char const* const kept : {"\"timeout_ms\": 260000.0,", "\"cache_tokens\": 260000.0,",
+                                 "\"note\": {\"by\": [1, 2.50]}", "2000.50", "[\"one\", \"two\"]", "\"ops\""})
     EXPECT_NE(source.find(kept), std::string::npos) << kept << "\n" << source;
   std::shared_ptr<Creed const> const creed = creed_of(made.value());
   ASSERT_TRUE(creed);
@@ -279,8 +281,9 @@
 TEST(Configurations, amending_nothing_at_all_begins_one) {
   std::string const none = source_of("");
   Result<Configuration> const made =
-      amended(none, "{\"version\":1,\"upsert\":{\"services\":[{\"name\":\"s\"}],\"routes\":[{\"name\":\"r\",\"host\":\"h\","
-                    "\"path_prefix\":\"/\",\"service\":\"s\",\"timeout_ms\":10}]}}");
+      amended(none,
+              "{\"version\":1,\"upsert\":{\"services\":[{\"name\":\"s\"}],\"routes\":[{\"name\":\"r\",\"host\":\"h\","
+              "\"path_prefix\":\"/\",\"service\":\"s\",\"timeout_ms\":10}]}}");
   ASSERT_TRUE(made) << made.error().place << " " << made.error().why;
   EXPECT_EQ(creed_of(made.value())->routes.size(), 1u);
 }
@@ -290,7 +293,8 @@
        {"", "[]", "{}", "{\"version\":\"5\"}", "{\"version\":0}", "{\"version\":5,\"upsert\":[]}",
         "{\"version\":5,\"remove\":7}", "{\"version\":5,\"remove\":{\"routes\":\"chat\"}}",
         "{\"version\":5,\"remove\":{\"routes\":[1]}}", "{\"version\":5,\"upsert\":{\"routes\":[1]}}",
-        "{\"version\":5,\"upsert\":{\"routes\":[{\"host\":\"x\"}]}}", "{\"version\":5,\"remove\":{\"services\":[\"small\"]}}",
+        "{\"version\":5,\"upsert\":{\"routes\":[{\"host\":\"x\"}]}}",
+        "{\"version\":5,\"remove\":{\"services\":[\"small\"]}}",
         "{\"version\":5,\"upsert\":{\"limits\":[{\"name\":\"x\"}]}}", "{\"version\":5,\"upsert\":{\"routes\":7}}",
         "{\"version\":5,\"upsert\":{\"routes\":{}}}", "{\"version\":5,\"upsert\":{\"labels\":[{\"name\":\"x\"}]}}"}) {
     Result<Configuration> const made = amended(base, bad);
@@ -342,7 +346,8 @@
     change.expected = expected;
     change.label = label;
     std::optional<Outcome> out;
-    EXPECT_TRUE(proposer.ask(change, [&out](Outcome const& outcome) { out = outcome; }, now));
+    EXPECT_TRUE(proposer.ask(
+        change, [&out](Outcome const& outcome) { out = outcome; }, now));
     for (int turns = 0; turns < 400 && !out; ++turns) {
       now += millis(10);
       std::vector<Letter> asks;
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -1,4 +1,5 @@
-// Callers, the relay, the dispatcher and workers made of sockets: what passes through, and what each side is told (§12.5).
+// Callers, the relay, the dispatcher and workers made of sockets: what passes through, and what each side is told
+// (§12.5).
 #include <gtest/gtest.h>
 
 #include <glib.h>
@@ -40,10 +41,11 @@
                  relay.act(out);
                },
                [this](std::uint64_t id) { dispatcher.hung_up(id, g_get_monotonic_time()); }}) {
-    Result<std::shared_ptr<Creed const>> const rules = read_creed(
-        "{\"format\":1,\"lanes\":[],\"pools\":[{\"name\":\"p\",\"model\":\"m\"}],\"routes\":[" + route_text("once", "") + "," +
-        route_text("safe", ",\"repeatable\":true") + "," + route_text("live", ",\"streams\":true") + "," +
-        route_text("flow", ",\"streams\":true,\"resumable\":true") + "]}");
+    Result<std::shared_ptr<Creed const>> const rules =
+        read_creed("{\"format\":1,\"lanes\":[],\"pools\":[{\"name\":\"p\",\"model\":\"m\"}],\"routes\":[" +
+                   route_text("once", "") + "," + route_text("safe", ",\"repeatable\":true") + "," +
+                   route_text("live", ",\"streams\":true") + "," +
+                   route_text("flow", ",\"streams\":true,\"resumable\":true") + "]}");
     EXPECT_TRUE(rules);
     dispatcher.in_force(rules.value());
     dispatcher.budget(0.2, 10);
@@ -56,7 +58,8 @@
     made = std::make_unique<Worker>();
     Worker* const at = made.get();
     at->address = open_door([at](std::string const& address) {
-      return at->door.open(address, [at](std::shared_ptr<Link> link) { at->wires.push_back(std::make_unique<Wire>(std::move(link))); });
+      return at->door.open(
+          address, [at](std::shared_ptr<Link> link) { at->wires.push_back(std::make_unique<Wire>(std::move(link))); });
     });
     Beat word;
     word.id = id;
@@ -122,10 +125,12 @@
   ASSERT_EQ(reached(), "w");
   std::string const got = workers["w"]->got();
   EXPECT_EQ(got.substr(0, 28), "POST /once/x?y=z HTTP/1.1\r\nH");
-  for (char const* const there : {"X-Yours: 2", "X-Pipit-Instance: w", "X-Pipit-Left-Ms: ", "Content-Length: 2\r\n", "\r\n\r\nhi"})
+  for (char const* const there :
+       {"X-Yours: 2", "X-Pipit-Instance: w", "X-Pipit-Left-Ms: ", "Content-Length: 2\r\n", "\r\n\r\nhi"})
     EXPECT_NE(got.find(there), std::string::npos) << there;
   EXPECT_EQ(got.find("X-Mine"), std::string::npos);
-  wire_of("w").send("HTTP/1.1 201 Made\r\n" + mine + "Keep-Alive: timeout=9\r\nX-Back: 3\r\nContent-Length: 3\r\n\r\nyes");
+  wire_of("w").send("HTTP/1.1 201 Made\r\n" + mine +
+                    "Keep-Alive: timeout=9\r\nX-Back: 3\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("yes"));
   EXPECT_EQ(caller->got.substr(0, 18), "HTTP/1.1 201 Made\r");
   EXPECT_NE(caller->got.find("X-Back: 3"), std::string::npos);
@@ -167,7 +172,8 @@
 }
 
 TEST_F(Passing, what_a_worker_did_not_run_goes_to_another) {
-  for (std::string const& answer : {std::string("503 Busy\r\nX-Pipit-Not-Run: 1\r\n"), std::string("421 Elsewhere\r\n")}) {
+  for (std::string const& answer :
+       {std::string("503 Busy\r\nX-Pipit-Not-Run: 1\r\n"), std::string("421 Elsewhere\r\n")}) {
     worker("w");
     worker("v");
     ask("POST", "/once/x");
@@ -198,7 +204,8 @@
   worker("v");
   ask("POST", "/flow/x");
   std::string const first = reached();
-  wire_of(first).send("HTTP/1.1 200 OK\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n1c\r\nid: 1\ndata: a\n\nid: 2\ndata: b\r\n");
+  wire_of(first).send("HTTP/1.1 200 OK\r\n" + mine +
+                      "Transfer-Encoding: chunked\r\n\r\n1c\r\nid: 1\ndata: a\n\nid: 2\ndata: b\r\n");
   ASSERT_TRUE(hears("data: a\n\n"));
   EXPECT_EQ(caller->got.find("data: b"), std::string::npos) << "not before it is whole";
   wire_of(first).link->close(true);
@@ -207,7 +214,8 @@
   wire_of(second).send("HTTP/1.1 200 OK\r\n" + mine +
                        "Content-Length: 45\r\n\r\nid: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
   ASSERT_TRUE(hears("0\r\n\r\n"));
-  for (char const* const part : {"data: a\n\n", "data: b\n\n", "data: c\n\n"}) EXPECT_EQ(count_of(caller->got, part), 1u) << part;
+  for (char const* const part : {"data: a\n\n", "data: b\n\n", "data: c\n\n"})
+    EXPECT_EQ(count_of(caller->got, part), 1u) << part;
   EXPECT_TRUE(quiet());
 }
 
