--- /dev/null
+++ b/proof/checker/register_view.cc
@@ -0,0 +1,321 @@
+// Compiled with -fno-access-control: the hash of a state has to see all of it, and the product's classes need no
+// interface that only a proof would use. The sizes are held fast so that a new member is not forgotten here.
+#include "proof/checker/register_view.h"
+
+#include <cstdio>
+#include <set>
+
+namespace pipit::checker {
+
+namespace {
+
+// Members that neither say nor decide anything: name, plan, and the dice and times of pauses, since the checker lets
+// each timer end whenever it likes.
+#if defined(__x86_64__) && defined(__GLIBCXX__) && !defined(_GLIBCXX_DEBUG)
+constexpr std::size_t proposer_size = 816;
+constexpr std::size_t learner_size = 424;
+constexpr std::size_t acceptor_size = 352;
+static_assert(sizeof(Proposer) == proposer_size, "a member of Proposer changed: see print_of, has_timer and is_late");
+static_assert(sizeof(Learner) == learner_size, "a member of Learner changed: see print_of and is_late");
+static_assert(sizeof(Acceptor) == acceptor_size, "a member of Acceptor changed: see print_of");
+#endif
+
+using Keepers = std::vector<std::unique_ptr<wire::KeeperT>>;
+
+void add(Print& out, wire::Ballot const& ballot) {
+  out.number(ballot.n());
+  out.number(ballot.who());
+}
+
+Print print_of(wire::KeeperT const& keeper, Symmetry const& symmetry) {
+  Print out(symmetry);
+  out.name(symmetry, keeper.name);
+  out.disk(symmetry, keeper.disk);
+  return out;
+}
+
+void add(Print& out, Keepers const& keepers, Symmetry const& symmetry) {
+  Print set(symmetry);
+  for (std::unique_ptr<wire::KeeperT> const& item : keepers) set.member(print_of(*item, symmetry));
+  out.part(set);
+}
+
+// The bytes of a table: each field counts, also one that the schema gains later.
+template <class Table>
+std::uint64_t hash_of_table(Table const& table) {
+  flatbuffers::FlatBufferBuilder builder(1024);
+  builder.Finish(Table::TableType::Pack(builder, &table));
+  return mix(std::string_view(reinterpret_cast<char const*>(builder.GetBufferPointer()), builder.GetSize()));
+}
+
+void add(Print& out, wire::ValueT const& value, Symmetry const& symmetry) {
+  wire::ValueT rest = value;
+  add(out, rest.keepers, symmetry);
+  rest.keepers.clear();
+  out.number(hash_of_table(rest));
+}
+
+template <class Value>
+void add_optional(Print& out, Value const& value, Symmetry const& symmetry) {
+  out.number(value ? 1 : 0);
+  if (value) add(out, *value, symmetry);
+}
+
+void add(Print& out, wire::RecordT const& record, Symmetry const& symmetry) {
+  out.name(symmetry, record.name);
+  out.disk(symmetry, record.disk);
+  out.number(record.formed ? 1 : 0);
+  add(out, record.promised);
+  add(out, record.accepted);
+  add_optional(out, record.value, symmetry);
+}
+
+void add(Print& out, Ring const& ring, Symmetry const& symmetry) {
+  out.number(ring.epoch);
+  Print set(symmetry);
+  for (wire::KeeperT const& item : ring.keepers) set.member(print_of(item, symmetry));
+  out.part(set);
+}
+
+void add_names(Print& out, std::set<std::string> const& names, Symmetry const& symmetry) {
+  Print set(symmetry);
+  for (std::string const& name : names) {
+    Print one(symmetry);
+    one.name(symmetry, name);
+    set.member(one);
+  }
+  out.part(set);
+}
+
+}  // namespace
+
+Print print_of(wire::RecordT const& record, Symmetry const& symmetry) {
+  Print out(symmetry);
+  add(out, record, symmetry);
+  return out;
+}
+
+Print print_of(wire::BodyUnion const& body, Symmetry const& symmetry) {
+  Print out(symmetry);
+  out.number(static_cast<std::uint64_t>(body.type));
+  if (wire::PrepareT const* const ask = body.AsPrepare()) {
+    out.number(hash_of_table(*ask));
+  } else if (wire::PromiseT const* const ans = body.AsPromise()) {
+    wire::PromiseT rest = *ans;
+    add_optional(out, rest.value, symmetry);
+    rest.value.reset();
+    out.disk(symmetry, rest.disk);
+    rest.disk = 0;
+    out.number(hash_of_table(rest));
+  } else if (wire::AcceptT const* const ask = body.AsAccept()) {
+    wire::AcceptT rest = *ask;
+    add_optional(out, rest.value, symmetry);
+    rest.value.reset();
+    out.number(hash_of_table(rest));
+  } else if (wire::AcceptedT const* const ans = body.AsAccepted()) {
+    wire::AcceptedT rest = *ans;
+    out.disk(symmetry, rest.disk);
+    rest.disk = 0;
+    out.number(hash_of_table(rest));
+  } else if (wire::PeekT const* const ask = body.AsPeek()) {
+    out.number(hash_of_table(*ask));
+  } else if (wire::PeekedT const* const ans = body.AsPeeked()) {
+    wire::PeekedT rest = *ans;
+    add_optional(out, rest.value, symmetry);
+    rest.value.reset();
+    add(out, rest.keepers, symmetry);
+    rest.keepers.clear();
+    out.disk(symmetry, rest.disk);
+    rest.disk = 0;
+    out.number(hash_of_table(rest));
+  } else if (wire::ChosenT const* const news = body.AsChosen()) {
+    wire::ChosenT rest = *news;
+    add_optional(out, rest.value, symmetry);
+    rest.value.reset();
+    out.number(hash_of_table(rest));
+  }
+  return out;
+}
+
+Print print_of(Acceptor const& acceptor, Symmetry const& symmetry) {
+  Print out(symmetry);
+  add(out, acceptor.slate, symmetry);
+  add(out, acceptor.firm, symmetry);
+  out.number(acceptor.busy ? 1 : 0);
+  for (std::pair<std::string, wire::BodyUnion> const& item : acceptor.inbox) {
+    out.name(symmetry, item.first);
+    out.part(print_of(item.second, symmetry));
+  }
+  out.number(acceptor.inbox.size());
+  for (Letter const& item : acceptor.held_back) {
+    out.name(symmetry, item.to);
+    out.part(print_of(item.body, symmetry));
+  }
+  return out;
+}
+
+Print print_of(Proposer const& proposer, Symmetry const& symmetry) {
+  Print out(symmetry);
+  add(out, proposer.set, symmetry);
+  for (Proposer::Job const& job : proposer.jobs) {
+    out.text(job.change.id);
+    out.number(static_cast<std::uint64_t>(job.change.sort));
+    out.number(job.change.expected);
+    out.number(job.sent ? 1 : 0);
+    out.number(job.sent_serial);
+  }
+  out.number(proposer.jobs.size());
+  out.number(static_cast<std::uint64_t>(proposer.phase));
+  out.number(proposer.req);
+  out.number(proposer.top);
+  add(out, proposer.ballot);
+  add_names(out, proposer.yes, symmetry);
+  if (proposer.phase == Proposer::Phase::first) {
+    add(out, proposer.best);
+    add_optional(out, proposer.found, symmetry);
+  }
+  if (proposer.phase == Proposer::Phase::second) {
+    add(out, proposer.draft, symmetry);
+    out.number(proposer.draft_new ? 1 : 0);
+    out.number(proposer.verdict ? 1 : 0);
+  }
+  return out;
+}
+
+Print print_of(Learner const& learner, Symmetry const& symmetry) {
+  Print out(symmetry);
+  add(out, learner.set, symmetry);
+  add_optional(out, learner.value, symmetry);
+  out.number(learner.req);
+  out.number(learner.full_req);
+  Print votes(symmetry);
+  for (std::pair<std::string const, Learner::Vote> const& item : learner.votes) {
+    Print one(symmetry);
+    one.name(symmetry, item.first);
+    add(one, item.second.ballot);
+    one.number(item.second.turn);
+    votes.member(one);
+  }
+  out.part(votes);
+  Print sights(symmetry);
+  for (std::pair<std::string const, Learner::Sight> const& item : learner.sights) {
+    Print one(symmetry);
+    one.name(symmetry, item.first);
+    one.disk(symmetry, item.second.disk);
+    sights.member(one);
+  }
+  out.part(sights);
+  out.number(learner.wanted ? 1 : 0);
+  if (learner.wanted) add(out, learner.wanted->ballot);
+  return out;
+}
+
+bool has_timer(Proposer const& proposer) { return proposer.phase != Proposer::Phase::idle; }
+
+bool is_late(Proposer const& proposer, wire::BodyUnion const& body) {
+  if (wire::PromiseT const* const ans = body.AsPromise())
+    return proposer.phase != Proposer::Phase::first || ans->req != proposer.req;
+  if (wire::AcceptedT const* const ans = body.AsAccepted())
+    return ans->req != proposer.req ||
+           (proposer.phase != Proposer::Phase::second && proposer.phase != Proposer::Phase::first);
+  return false;
+}
+
+bool is_late(Learner const& learner, wire::BodyUnion const& body) {
+  wire::PeekedT const* const ans = body.AsPeeked();
+  return ans != nullptr && ans->req != learner.req;
+}
+
+void tell_members(Proposer& proposer, Learner const& learner) { proposer.know(learner.ring()); }
+
+void start_with(Proposer& proposer, Learner& learner, wire::ValueT const& value) {
+  learner.adopt(value, 0);
+  tell_members(proposer, learner);
+}
+
+std::uint64_t content_of(wire::ValueT const& value) {
+  wire::ValueT rest = value;
+  rest.keepers.clear();
+  return stir(hash_of_table(rest) + members_of(value));
+}
+
+std::uint64_t members_of(wire::ValueT const& value) {
+  std::uint64_t out = 0;
+  for (std::unique_ptr<wire::KeeperT> const& item : value.keepers) out += stir(mix(item->name) ^ item->disk);
+  return out;
+}
+
+std::uint64_t serial_of_change(wire::ValueT const& value, std::string const& id) {
+  return Proposer::serial_of(value, id);
+}
+
+std::uint64_t revision_of(wire::ValueT const& value) { return value.turn; }
+
+namespace {
+bool is_majority(Keepers const& keepers, std::vector<std::uint64_t> const& disks) {
+  std::size_t here = 0;
+  for (std::unique_ptr<wire::KeeperT> const& item : keepers)
+    if (disks[static_cast<std::size_t>(keeper_index(item->name))] == item->disk) ++here;
+  return here >= keepers.size() / 2 + 1;
+}
+}  // namespace
+
+bool is_quorum(wire::ValueT const& value, std::vector<std::uint64_t> const& disks) {
+  return is_majority(value.keepers, disks);
+}
+
+wire::ValueT first_value(std::vector<std::size_t> const& members) {
+  wire::ValueT out;
+  out.serial = 1;
+  out.turn = 1;
+  out.epoch = 2;
+  out.change = "first";
+  out.text = "first";
+  for (std::size_t const index : members) {
+    std::unique_ptr<wire::KeeperT> keeper = std::make_unique<wire::KeeperT>();
+    keeper->name = keeper_name(index);
+    keeper->disk = (index + 1) * disks_per_keeper;
+    out.keepers.push_back(std::move(keeper));
+  }
+  return out;
+}
+
+std::string words_of(wire::Ballot const& ballot) {
+  char text[40];
+  std::snprintf(text, sizeof text, "%llu.%03llx", static_cast<unsigned long long>(ballot.n()),
+                static_cast<unsigned long long>(ballot.who() & 0xfff));
+  return text;
+}
+
+std::string words_of(wire::ValueT const& value) {
+  std::string out = "serial " + std::to_string(value.serial) + " '" + value.text + "' turn " +
+                    std::to_string(value.turn) + " epoch " + std::to_string(value.epoch) + " of";
+  for (std::unique_ptr<wire::KeeperT> const& item : value.keepers) out += " " + item->name;
+  return out;
+}
+
+std::uint64_t round_of(wire::BodyUnion const& body) {
+  if (wire::PrepareT const* const ask = body.AsPrepare()) return ask->ballot.n();
+  if (wire::AcceptT const* const ask = body.AsAccept()) return ask->ballot.n();
+  return 0;
+}
+
+std::string words_of(wire::BodyUnion const& body) {
+  if (wire::PrepareT const* const ask = body.AsPrepare()) return "ballot " + words_of(ask->ballot);
+  if (wire::PromiseT const* const ans = body.AsPromise()) {
+    std::string out = std::string(ans->ok ? "yes" : "no") + ", promised " + words_of(ans->promised);
+    if (ans->ok && ans->value) out += ", holds " + words_of(ans->accepted) + " " + words_of(*ans->value);
+    return out;
+  }
+  if (wire::AcceptT const* const ask = body.AsAccept())
+    return "ballot " + words_of(ask->ballot) + " " + (ask->value ? words_of(*ask->value) : "a patch");
+  if (wire::AcceptedT const* const ans = body.AsAccepted())
+    return std::string(ans->ok ? "yes" : "no") + ", promised " + words_of(ans->promised);
+  if (wire::PeekT const* const ask = body.AsPeek()) return ask->full ? "whole" : "marks";
+  if (wire::PeekedT const* const ans = body.AsPeeked())
+    return words_of(ans->ballot) + " epoch " + std::to_string(ans->epoch) + (ans->value ? " with its value" : "");
+  if (wire::ChosenT const* const news = body.AsChosen()) return news->value ? words_of(*news->value) : "a patch";
+  return "";
+}
+
+}  // namespace pipit::checker
--- /dev/null
+++ b/proof/checker/world.cc
@@ -0,0 +1,651 @@
+#include "proof/checker/world.h"
+
+#include <algorithm>
+
+#include "ground/guards.h"
+
+namespace pipit::checker {
+
+namespace {
+
+// Rounds end only when the checker says so, so that times need no place in a state.
+constexpr Micros round_time = seconds(1);
+constexpr Micros longest_pause = seconds(1);
+constexpr Micros whole_time = seconds(1000000);
+constexpr std::uint64_t first_chance = 7;
+
+// Where the proposer under way puts its outcomes: its copies share one callback for each order.
+thread_local std::vector<std::pair<std::size_t, Outcome>>* outcomes = nullptr;
+
+char const* const sort_words[] = {"ask",     "deliver", "repeat", "sync", "retry",
+                                  "give up", "restart", "crash",  "wipe", "poll"};
+char const* const stage_words[] = {"waiting", "asked", "chosen", "kept", "refused", "unknown"};
+
+std::string small(std::string text) {
+  std::transform(text.begin(), text.end(), text.begin(), [](unsigned char c) { return std::tolower(c); });
+  return text;
+}
+
+std::string sort_of(wire::BodyUnion const& body) { return small(wire::EnumNameBody(body.type)); }
+
+Change change_of(Order const& order) {
+  Change out;
+  out.sort = order.sort;
+  out.id = order.id;
+  out.expected = order.expected;
+  if (order.sort == Change::Sort::apply) out.text = "text of " + order.id;
+  if (order.sort == Change::Sort::empty || order.sort == Change::Sort::refill) out.text = "zone";
+  if (!order.keeper.empty()) {
+    out.keeper.name = order.keeper;
+    out.keeper.disk = static_cast<std::uint64_t>(keeper_index(order.keeper) + 1) * disks_per_keeper;
+  }
+  return out;
+}
+
+}  // namespace
+
+World::World(Scenario const& scenario_, Symmetry const& symmetry_)
+    : scenario(std::make_shared<Scenario const>(scenario_)), symmetry(&symmetry_), left(scenario_.bounds) {
+  wire::ValueT const first = first_value(scenario->members);
+  keepers.resize(scenario->keepers);
+  for (std::size_t i = 0; i < keepers.size(); ++i) {
+    keepers[i].disk_id = (i + 1) * disks_per_keeper;
+    wire::RecordT record;
+    record.name = keeper_name(i);
+    record.disk = keepers[i].disk_id;
+    if (std::find(scenario->members.begin(), scenario->members.end(), i) != scenario->members.end()) {
+      record.formed = true;
+      record.promised = wire::Ballot(1, 0);
+      record.accepted = wire::Ballot(1, 0);
+      record.value = std::make_unique<wire::ValueT>(first);
+    }
+    start_keeper(i, std::move(record));
+  }
+  nodes.resize(scenario->nodes.size());
+  for (std::size_t i = 0; i < nodes.size(); ++i) start_node(i);
+  states.resize(scenario->orders.size());
+  tell(first, "the start");
+}
+
+void World::lift_bounds(bool on) {
+  if (on == lifted) return;
+  lifted = on;
+  std::swap(left, lifted_bounds);
+  if (on) left = Bounds{99, 99, 99, 99, 99, 99, 99, 0};
+}
+
+// --- choices
+
+std::vector<Step> World::steps() const {
+  std::vector<Step> out;
+  for (std::size_t i = 0; i < states.size(); ++i) {
+    if (states[i].stage != OrderState::Stage::waiting) continue;
+    int const after = scenario->orders[i].after;
+    if (after >= 0 && states[static_cast<std::size_t>(after)].stage <= OrderState::Stage::asked) continue;
+    out.push_back({Step::Sort::ask, i});
+  }
+  std::vector<std::uint64_t> seen;
+  for (std::size_t i = 0; i < messages.size(); ++i) {
+    std::uint64_t const lane = messages[i]->print.lane(0);
+    if (std::find(seen.begin(), seen.end(), lane) != seen.end()) continue;  // the same message once more
+    seen.push_back(lane);
+    out.push_back({Step::Sort::deliver, i});
+    if (left.repeats > 0) out.push_back({Step::Sort::repeat, i});
+  }
+  for (std::size_t i = 0; i < keepers.size(); ++i) {
+    if (keepers[i].saving) out.push_back({Step::Sort::sync, i});
+    if (left.crashes > 0 && keepers[i].saving) out.push_back({Step::Sort::crash, i});
+    if (left.wipes > 0) out.push_back({Step::Sort::wipe, i});
+  }
+  for (std::size_t i = 0; i < nodes.size(); ++i) {
+    bool const timer = has_timer(*nodes[i].proposer);
+    if (timer && left.retries > 0) out.push_back({Step::Sort::retry, i});
+    if (timer && left.give_ups > 0) out.push_back({Step::Sort::give_up, i});
+    if (left.restarts > 0) out.push_back({Step::Sort::restart, i});
+    if (left.polls > 0) out.push_back({Step::Sort::poll, i});
+  }
+  return out;
+}
+
+std::string World::words(Step const& step) const {
+  std::string out = sort_words[static_cast<std::size_t>(step.sort)];
+  switch (step.sort) {
+    case Step::Sort::ask:
+      // An order is named by its place: the same id may be sent twice.
+      return out + " " + std::to_string(step.index + 1) + " " + scenario->orders[step.index].id + " at " +
+             scenario->orders[step.index].node;
+    case Step::Sort::deliver:
+    case Step::Sort::repeat: {
+      Message const& message = *messages[step.index];
+      std::size_t nth = 1;
+      for (std::size_t i = 0; i < step.index; ++i)
+        if (messages[i]->from == message.from && messages[i]->to == message.to &&
+            messages[i]->body.type == message.body.type && round_of(messages[i]->body) == round_of(message.body))
+          ++nth;
+      out += " " + sort_of(message.body) + " " + message.from + ">" + message.to;
+      std::uint64_t const round = round_of(message.body);
+      if (round > 0) out += " in round " + std::to_string(round);
+      return nth > 1 ? out + " #" + std::to_string(nth) : out;
+    }
+    case Step::Sort::sync:
+    case Step::Sort::crash:
+    case Step::Sort::wipe:
+      return out + " " + keeper_name(step.index);
+    default:
+      return out + " " + scenario->nodes[step.index];
+  }
+}
+
+bool World::take(std::string const& text) {
+  for (Step const& step : steps())
+    if (words(step) == text) {
+      take(step);
+      return true;
+    }
+  return false;
+}
+
+void World::take(Step const& step) {
+  happened.clear();
+  switch (step.sort) {
+    case Step::Sort::ask:
+      ask(step.index);
+      break;
+    case Step::Sort::deliver:
+      deliver(step.index, false);
+      break;
+    case Step::Sort::repeat:
+      --left.repeats;
+      deliver(step.index, true);
+      break;
+    case Step::Sort::sync:
+      sync(step.index);
+      break;
+    case Step::Sort::retry:
+      --left.retries;
+      retry(step.index, round_time + longest_pause);
+      break;
+    case Step::Sort::give_up:
+      --left.give_ups;
+      retry(step.index, whole_time);
+      break;
+    case Step::Sort::restart:
+      --left.restarts;
+      restart(step.index);
+      break;
+    case Step::Sort::crash:
+      --left.crashes;
+      crash(step.index);
+      break;
+    case Step::Sort::wipe:
+      --left.wipes;
+      wipe(step.index);
+      break;
+    case Step::Sort::poll:
+      --left.polls;
+      poll(step.index);
+      break;
+  }
+  drop_late();
+}
+
+// --- keepers
+
+void World::start_keeper(std::size_t index, wire::RecordT record) {
+  Keeper& keeper = keepers[index];
+  keeper.saving.reset();
+  keeper.disk = std::make_shared<wire::RecordT const>(record);
+  keeper.acceptor = std::make_shared<Acceptor const>(std::move(record));
+  keeper.print = print_of(*keeper.acceptor, *symmetry);
+}
+
+void World::after_acceptor(std::size_t index, Acceptor next, std::vector<Letter>& out,
+                           std::optional<wire::RecordT> save) {
+  Keeper& keeper = keepers[index];
+  while (save) {
+    keeper.saving = std::make_shared<wire::RecordT const>(std::move(*save));
+    save.reset();
+    if (scenario->slow_disks) break;
+    keeper.disk = std::move(keeper.saving);
+    keeper.saving.reset();
+    next.synced(out);
+    save = next.step(out);
+  }
+  keeper.acceptor = std::make_shared<Acceptor const>(std::move(next));
+  keeper.print = print_of(*keeper.acceptor, *symmetry);
+  send(keeper_name(index), out);
+}
+
+void World::deliver_to_keeper(std::size_t index, Message const& message) {
+  std::vector<Letter> out;
+  if (wire::PeekT const* const ask = message.body.AsPeek()) {
+    out.push_back(letter(message.from, peeked(keepers[index].acceptor->held(), *ask)));
+    return send(keeper_name(index), out);
+  }
+  Acceptor next = *keepers[index].acceptor;
+  next.take(message.from, message.body);
+  std::optional<wire::RecordT> save = next.step(out);
+  after_acceptor(index, std::move(next), out, std::move(save));
+}
+
+void World::sync(std::size_t index) {
+  Keeper& keeper = keepers[index];
+  keeper.disk = std::move(keeper.saving);
+  keeper.saving.reset();
+  Acceptor next = *keeper.acceptor;
+  std::vector<Letter> out;
+  next.synced(out);
+  std::optional<wire::RecordT> save = next.step(out);
+  after_acceptor(index, std::move(next), out, std::move(save));
+}
+
+void World::crash(std::size_t index) {
+  note("starts from " + (keepers[index].disk->value ? words_of(*keepers[index].disk->value) : "a blank disk"));
+  start_keeper(index, *keepers[index].disk);
+}
+
+void World::wipe(std::size_t index) {
+  wire::RecordT blank;
+  blank.name = keeper_name(index);
+  blank.disk = ++keepers[index].disk_id;
+  start_keeper(index, std::move(blank));
+}
+
+std::vector<std::uint64_t> World::disk_ids() const {
+  std::vector<std::uint64_t> out;
+  for (Keeper const& keeper : keepers) out.push_back(keeper.disk_id);
+  return out;
+}
+
+// --- nodes
+
+int World::node_index(std::string const& name) const {
+  for (std::size_t i = 0; i < scenario->nodes.size(); ++i)
+    if (scenario->nodes[i] == name) return static_cast<int>(i);
+  return -1;
+}
+
+void World::start_node(std::size_t index) {
+  Node& node = nodes[index];
+  ProposerPlan plan;
+  plan.phase = round_time;
+  plan.whole = whole_time;
+  std::uint64_t const chance = first_chance + (scenario->same_chance ? 0 : node.life);
+  Proposer proposer(scenario->nodes[index], chance, plan);
+  Learner learner;
+  // A later life reads the set from its peers; the first one is what every node knew.
+  start_with(proposer, learner, first_value(scenario->members));
+  node.proposer = std::make_shared<Proposer const>(proposer);
+  node.learner = std::make_shared<Learner const>(learner);
+  node.print = print_of(proposer, *symmetry);
+  node.print.part(print_of(learner, *symmetry));
+}
+
+void World::ask(std::size_t index) {
+  Order const& order = scenario->orders[index];
+  std::size_t const at = static_cast<std::size_t>(node_index(order.node));
+  states[index].stage = OrderState::Stage::asked;
+  states[index].floor = newest_told();
+  Proposer next = *nodes[at].proposer;
+  std::vector<std::pair<std::size_t, Outcome>> got;
+  outcomes = &got;
+  next.ask(
+      change_of(order), [index](Outcome const& outcome) { outcomes->push_back({index, outcome}); }, nodes[at].now);
+  std::vector<Letter> out;
+  next.tick(nodes[at].now, out);
+  std::vector<Ending> endings;
+  for (std::pair<std::size_t, Outcome>& item : got) endings.push_back({item.first, std::move(item.second)});
+  after_node(at, next, *nodes[at].learner, out, endings);
+}
+
+void World::deliver_to_node(std::size_t index, Message const& message) {
+  Node& node = nodes[index];
+  Proposer proposer = *node.proposer;
+  Learner learner = *node.learner;
+  std::vector<std::pair<std::size_t, Outcome>> got;
+  outcomes = &got;
+  std::vector<Letter> out;
+  if (wire::PeekedT const* const ans = message.body.AsPeeked()) {
+    if (std::optional<wire::ValueT> const fresh = learner.take(message.from, *ans, node.now, out))
+      tell(*fresh, "the learner of " + scenario->nodes[index]);
+    tell_members(proposer, learner);
+  } else if (wire::ChosenT const* const news = message.body.AsChosen()) {
+    if (news->value) learner.adopt(*news->value, node.now);
+    tell_members(proposer, learner);
+  } else {
+    proposer.take(message.from, message.body, node.now, out);
+  }
+  std::vector<Ending> endings;
+  for (std::pair<std::size_t, Outcome>& item : got) endings.push_back({item.first, std::move(item.second)});
+  after_node(index, proposer, learner, out, endings);
+}
+
+void World::after_node(std::size_t index, Proposer const& changed, Learner const& learned, std::vector<Letter>& out,
+                       std::vector<Ending>& endings) {
+  Node& node = nodes[index];
+  Proposer proposer = changed;
+  Learner learner = learned;
+  for (Ending const& ending : endings) end(index, ending, learner, out);
+  if (!endings.empty()) {
+    tell_members(proposer, learner);
+    // The next change that waits begins at once.
+    std::vector<std::pair<std::size_t, Outcome>> got;
+    outcomes = &got;
+    proposer.tick(node.now, out);
+  }
+  node.proposer = std::make_shared<Proposer const>(proposer);
+  node.learner = std::make_shared<Learner const>(std::move(learner));
+  node.print = print_of(*node.proposer, *symmetry);
+  node.print.part(print_of(*node.learner, *symmetry));
+  send(scenario->nodes[index], out);
+}
+
+void World::retry(std::size_t index, Micros by) {
+  Node& node = nodes[index];
+  Proposer next = *node.proposer;
+  std::vector<std::pair<std::size_t, Outcome>> got;
+  outcomes = &got;
+  std::vector<Letter> out;
+  // The round ends, then the pause after it; a pause alone is over with the first tick.
+  node.now += by;
+  next.tick(node.now, out);
+  if (got.empty() && out.empty()) {
+    node.now += longest_pause;
+    next.tick(node.now, out);
+  }
+  std::vector<Ending> endings;
+  for (std::pair<std::size_t, Outcome>& item : got) endings.push_back({item.first, std::move(item.second)});
+  after_node(index, next, *node.learner, out, endings);
+}
+
+void World::restart(std::size_t index) {
+  for (std::size_t i = 0; i < states.size(); ++i)
+    if (states[i].stage == OrderState::Stage::asked && scenario->orders[i].node == scenario->nodes[index])
+      states[i].stage = OrderState::Stage::unknown;
+  ++nodes[index].life;
+  start_node(index);
+}
+
+void World::poll(std::size_t index) {
+  Node& node = nodes[index];
+  Learner next = *node.learner;
+  std::vector<std::string> names;
+  for (std::size_t i = 0; i < keepers.size(); ++i) names.push_back(keeper_name(i));
+  std::vector<Letter> out;
+  next.poll(node.now, names, -1, out);
+  std::vector<Ending> none;
+  after_node(index, *node.proposer, next, out, none);
+}
+
+// --- messages
+
+void World::send(std::string const& from, std::vector<Letter>& out) {
+  for (Letter& item : out) {
+    if (wire::AcceptT const* const ask = item.body.AsAccept()) look_ballot(*ask);
+    std::shared_ptr<Message> message = std::make_shared<Message>();
+    message->from = from;
+    message->to = std::move(item.to);
+    message->body = std::move(item.body);
+    message->print = Print(*symmetry);
+    message->print.name(*symmetry, message->from);
+    message->print.name(*symmetry, message->to);
+    message->print.part(print_of(message->body, *symmetry));
+    if (narrated)
+      note("sends " + sort_of(message->body) + " to " + message->to + " (" + words_of(message->body) + ")");
+    messages.push_back(std::move(message));
+  }
+  out.clear();
+}
+
+void World::deliver(std::size_t index, bool keep) {
+  std::shared_ptr<Message const> const message = messages[index];
+  if (!keep) messages.erase(messages.begin() + static_cast<std::ptrdiff_t>(index));
+  if (int const keeper = keeper_index(message->to); keeper >= 0)
+    deliver_to_keeper(static_cast<std::size_t>(keeper), *message);
+  else
+    deliver_to_node(static_cast<std::size_t>(node_index(message->to)), *message);
+}
+
+// A message that can never again change anything is taken off, which is the same as its loss.
+void World::drop_late() {
+  bool const lives_repeat = scenario->same_chance && left.restarts > 0;
+  messages.erase(std::remove_if(messages.begin(), messages.end(),
+                                [this, lives_repeat](std::shared_ptr<Message const> const& item) {
+                                  int const node = node_index(item->to);
+                                  if (node < 0 || lives_repeat) return false;
+                                  Node const& to = nodes[static_cast<std::size_t>(node)];
+                                  return is_late(*to.proposer, item->body) || is_late(*to.learner, item->body);
+                                }),
+                 messages.end());
+}
+
+// --- what is told, and what must hold
+
+void World::blame(std::string const& text) {
+  if (wrong.empty()) wrong = text;
+}
+
+void World::note(std::string const& text) {
+  if (!narrated) return;
+  if (!happened.empty()) happened += "; ";
+  happened += text;
+}
+
+void World::end(std::size_t index, Ending const& ending, Learner& learner, std::vector<Letter>& out) {
+  Outcome const& outcome = ending.outcome;
+  bool const holds = outcome.sort == Outcome::Sort::chosen || outcome.sort == Outcome::Sort::kept;
+  look_outcome(ending.order, outcome);
+  if (holds || outcome.value.serial > 0) learner.adopt(outcome.value, nodes[index].now);
+  if (!holds || !scenario->push) return;
+  for (std::string const& name : scenario->nodes) {
+    if (name == scenario->nodes[index]) continue;
+    wire::ChosenT news;
+    news.value = std::make_unique<wire::ValueT>(outcome.value);
+    out.push_back(letter(name, std::move(news)));
+  }
+}
+
+void World::look_outcome(std::size_t index, Outcome const& outcome) {
+  OrderState& state = states[index];
+  Order const& order = scenario->orders[index];
+  std::string const who = "order " + std::to_string(index + 1) + " (" + order.id + ")";
+  state.stage = outcome.sort == Outcome::Sort::chosen    ? OrderState::Stage::chosen
+                : outcome.sort == Outcome::Sort::kept    ? OrderState::Stage::kept
+                : outcome.sort == Outcome::Sort::refused ? OrderState::Stage::refused
+                                                         : OrderState::Stage::unknown;
+  note(who + " is " + stage_words[static_cast<std::size_t>(state.stage)] +
+       (outcome.value.serial > 0 ? ": " + words_of(outcome.value) : ""));
+  if (outcome.value.serial > 0) {
+    if (revision_of(outcome.value) < state.floor)
+      blame(who + " was answered from revision " + std::to_string(revision_of(outcome.value)) +
+            ", older than revision " + std::to_string(state.floor) + " that was told before it was asked");
+    tell(outcome.value, who);
+  }
+  if (state.stage == OrderState::Stage::chosen) {
+    state.serial = outcome.serial;
+    if (order.sort == Change::Sort::apply && outcome.serial != order.expected + 1)
+      blame(who + " was made on serial " + std::to_string(outcome.serial - 1) + ", not on the expected " +
+            std::to_string(order.expected));
+    for (std::size_t i = 0; i < states.size(); ++i) {
+      if (i == index || states[i].stage != OrderState::Stage::chosen) continue;
+      bool const same_id = scenario->orders[i].id == order.id;
+      if (same_id && states[i].serial != outcome.serial)
+        blame(who + " was taken twice: as serial " + std::to_string(states[i].serial) + " and " +
+              std::to_string(outcome.serial));
+      if (!same_id && states[i].serial == outcome.serial)
+        blame("serial " + std::to_string(outcome.serial) + " was confirmed to two orders, " + scenario->orders[i].id +
+              " and " + order.id);
+    }
+  }
+  if (state.stage == OrderState::Stage::refused)
+    state.may_come = outcome.value.serial == 0 || outcome.value.serial < order.expected;
+  look_refusals();
+}
+
+// A refused order is in no value that is told, nor was it ever.
+void World::look_refusals() {
+  for (std::size_t i = 0; i < states.size(); ++i) {
+    if (states[i].stage != OrderState::Stage::refused) continue;
+    std::string const& id = scenario->orders[i].id;
+    if (states[i].may_come) {
+      bool others = false;
+      for (std::size_t j = 0; j < states.size(); ++j)
+        others = others || (j != i && scenario->orders[j].id == id && states[j].stage != OrderState::Stage::refused);
+      if (others) continue;
+    }
+    for (std::shared_ptr<Settled const> const& item : settled)
+      if (serial_of_change(*item->value, id) > 0)
+        blame("order " + std::to_string(i + 1) + " (" + id + ") was refused, yet it is in the value told by " + item->by);
+  }
+}
+
+void World::tell(wire::ValueT const& value, std::string const& by) {
+  std::shared_ptr<Settled> const made = std::make_shared<Settled>();
+  Settled& now = *made;
+  now.revision = revision_of(value);
+  now.serial = value.serial;
+  now.content = content_of(value);
+  now.epoch = value.epoch;
+  now.members = members_of(value);
+  now.change = value.change;
+  now.text = value.text;
+  now.by = by;
+  for (std::shared_ptr<Settled const> const& told : settled) {
+    Settled const& item = *told;
+    if (item.revision == now.revision && item.content == now.content) return;
+    std::string const both = " were told, by " + item.by + " and by " + by;
+    if (item.revision == now.revision)
+      blame("two values of revision " + std::to_string(now.revision) + both + ": " + words_of(*item.value) + " and " +
+            words_of(value));
+    if (item.serial == now.serial && (item.change != now.change || item.text != now.text))
+      blame("two values of serial " + std::to_string(now.serial) + both + ": " + words_of(*item.value) + " and " +
+            words_of(value));
+    if (item.epoch == now.epoch && item.members != now.members)
+      blame("two sets of epoch " + std::to_string(now.epoch) + both);
+    Settled const& older = item.revision < now.revision ? item : now;
+    wire::ValueT const& newer = item.revision < now.revision ? value : *item.value;
+    if (!older.change.empty() && serial_of_change(newer, older.change) != older.serial)
+      blame("the value of revision " + std::to_string(revision_of(newer)) + " does not follow on '" + older.change +
+            "' of serial " + std::to_string(older.serial));
+    if (older.serial > newer.serial || older.epoch > newer.epoch)
+      blame("serial or epoch went back at revision " + std::to_string(revision_of(newer)));
+  }
+  now.value = std::make_shared<wire::ValueT const>(value);
+  settled.push_back(made);
+  look_refusals();
+}
+
+void World::look_ballot(wire::AcceptT const& ask) {
+  if (!ask.value) return;
+  std::uint64_t const content = content_of(*ask.value);
+  for (Proposal const& item : proposed) {
+    if (!same(item.ballot, ask.ballot)) continue;
+    if (item.content != content) blame("two values were proposed at ballot " + words_of(ask.ballot));
+    return;
+  }
+  proposed.push_back({ask.ballot, content});
+}
+
+std::uint64_t World::newest_told() const {
+  std::uint64_t out = 0;
+  for (std::shared_ptr<Settled const> const& item : settled) out = std::max(out, item->revision);
+  return out;
+}
+
+std::uint64_t World::print() const {
+  Print out(*symmetry);
+  for (std::size_t i = 0; i < keepers.size(); ++i) {
+    Print one = keepers[i].print;
+    one.number(keepers[i].saving ? 1 : 0);
+    one.disk(*symmetry, keepers[i].disk_id);
+    out.keeper(*symmetry, i, one);
+  }
+  for (Node const& node : nodes) {
+    out.part(node.print);
+    out.number(node.life);
+  }
+  Print bag(*symmetry);
+  for (std::shared_ptr<Message const> const& item : messages) bag.member(item->print);
+  out.part(bag);
+  for (OrderState const& state : states) {
+    out.number(static_cast<std::uint64_t>(state.stage));
+    out.number(state.floor);
+    out.number(state.serial + (state.may_come ? 1000 : 0));
+  }
+  std::uint64_t told = 0;
+  for (std::shared_ptr<Settled const> const& item : settled)
+    told += stir(item->revision * 31 + item->serial) ^ mix(item->change);
+  out.number(told);
+  std::uint64_t sum = 0;
+  for (Proposal const& item : proposed) sum += stir(item.ballot.n() + stir(item.ballot.who()) + item.content);
+  out.number(sum);
+  for (int const x :
+       {left.repeats, left.retries, left.give_ups, left.restarts, left.crashes, left.wipes, left.polls})
+    out.number(static_cast<std::uint64_t>(x));
+  return out.least();
+}
+
+// --- the end of all faults
+
+void World::drain(int turns) {
+  lift_bounds(true);
+  for (int turn = 0; turn < turns && wrong.empty(); ++turn) {
+    for (std::size_t i = 0; i < keepers.size(); ++i)
+      while (keepers[i].saving) take({Step::Sort::sync, i});
+    while (!messages.empty() && wrong.empty()) {
+      take({Step::Sort::deliver, 0});
+      for (std::size_t i = 0; i < keepers.size(); ++i)
+        while (keepers[i].saving) take({Step::Sort::sync, i});
+    }
+    bool busy = false;
+    for (std::size_t i = 0; i < nodes.size() && wrong.empty(); ++i)
+      if (has_timer(*nodes[i].proposer) && messages.empty()) {
+        busy = true;
+        take({Step::Sort::retry, i});
+        // One at a time, so that no two outbid each other for ever.
+        while (!messages.empty() && wrong.empty()) take({Step::Sort::deliver, 0});
+      }
+    if (!busy && messages.empty()) break;
+  }
+  lift_bounds(false);
+}
+
+std::string World::look_recovery() const {
+  std::vector<std::uint64_t> const disks = disk_ids();
+  for (std::shared_ptr<Settled const> const& item : settled)
+    if (item->revision == newest_told() && !is_quorum(*item->value, disks)) return "";
+  for (Keeper const& keeper : keepers)
+    if (keeper.acceptor->held().value && !is_quorum(*keeper.acceptor->held().value, disks)) return "";
+  World later = *this;
+  Scenario changed = *scenario;
+  changed.orders.push_back({"recovery", "reader", Change::Sort::read, 0, "", -1});
+  changed.nodes.push_back("reader");
+  changed.slow_disks = false;
+  changed.push = false;
+  later.scenario = std::make_shared<Scenario const>(changed);
+  later.narrated = false;
+  later.messages.clear();
+  for (std::size_t i = 0; i < keepers.size(); ++i)
+    later.start_keeper(i, keepers[i].disk ? *keepers[i].disk : wire::RecordT());
+  later.nodes.emplace_back();
+  later.start_node(later.nodes.size() - 1);
+  later.states.emplace_back();
+  later.lift_bounds(true);
+  // The other nodes are gone with what they had under way.
+  for (std::size_t i = 0; i + 1 < later.nodes.size(); ++i) {
+    later.restart(i);
+    later.states.back() = OrderState();
+  }
+  for (int round = 0; round < 3; ++round) {
+    later.poll(later.nodes.size() - 1);
+    while (!later.messages.empty()) later.take({Step::Sort::deliver, 0});
+  }
+  later.ask(later.states.size() - 1);
+  later.drain(12);
+  if (!later.wrong.empty()) return "after the end of all faults: " + later.wrong;
+  if (later.states.back().stage <= OrderState::Stage::asked)
+    return "after the end of all faults a fresh node cannot read though a quorum is whole";
+  return "";
+}
+
+}  // namespace pipit::checker
--- /dev/null
+++ b/proof/checker/world.h
@@ -0,0 +1,183 @@
+// A small world of the control register: the product's own acceptors, proposers and learners, with the messages between
+// them, disks, operators and faults. Each step is a choice that the surroundings may make; the checker tries all.
+#pragma once
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "proof/checker/register_view.h"
+
+namespace pipit::checker {
+
+// What an operator orders. An order with the id of another one is that one sent again.
+struct Order {
+  std::string id;
+  std::string node;
+  Change::Sort sort = Change::Sort::read;
+  std::uint64_t expected = 0;
+  std::string keeper;  // admitted or dismissed
+  int after = -1;      // asked only once that order has its answer
+};
+
+// How often each fault may happen on one path.
+struct Bounds {
+  int repeats = 0;   // a message is delivered and stays on its way
+  int retries = 0;   // a timer ends: a round is given up and begun again
+  int give_ups = 0;  // a change is given up for good
+  int restarts = 0;  // a node ends and starts anew
+  int crashes = 0;   // a keeper ends and starts from its last synced record
+  int wipes = 0;     // a keeper comes back with a blank disk
+  int polls = 0;     // a learner polls the keepers
+  int steps = 0;     // the longest path; 0 for no bound
+};
+
+struct Scenario {
+  std::string name;
+  std::string about;
+  std::size_t keepers = 3;
+  std::vector<std::size_t> members = {0, 1, 2};
+  std::vector<std::string> nodes = {"p1", "p2"};
+  std::vector<Order> orders;
+  Bounds bounds;
+  std::vector<std::string> prefix;  // steps that are taken first, beyond the bounds
+  bool slow_disks = false;          // the end of each sync is a step of its own
+  bool push = false;                // a settled value is sent to the other nodes
+  bool same_chance = false;         // a node's next life draws the same chance as the one before
+};
+
+// Steps of a world.
+struct Step {
+  enum class Sort : std::uint8_t { ask, deliver, repeat, sync, retry, give_up, restart, crash, wipe, poll };
+  Sort sort = Sort::ask;
+  std::size_t index = 0;  // of the order, message, keeper or node
+};
+
+struct Message {
+  std::string from;
+  std::string to;
+  wire::BodyUnion body;
+  Print print;
+};
+
+// What operators and readers were told.
+struct Settled {
+  std::uint64_t revision = 0;
+  std::uint64_t serial = 0;
+  std::uint64_t content = 0;
+  std::uint64_t epoch = 0;
+  std::uint64_t members = 0;
+  std::string change;
+  std::string text;
+  std::shared_ptr<wire::ValueT const> value;
+  std::string by;
+};
+
+struct OrderState {
+  enum class Stage : std::uint8_t { waiting, asked, chosen, kept, refused, unknown };
+  Stage stage = Stage::waiting;
+  std::uint64_t floor = 0;   // the newest revision that was told before it was asked
+  std::uint64_t serial = 0;  // under which it was chosen
+  bool may_come = false;     // refused for an expected serial that was still to come, or for want of a majority
+};
+
+class World {
+ public:
+  explicit World(Scenario const& scenario_, Symmetry const& symmetry_);
+
+  std::vector<Step> steps() const;
+  // The step in words; a trace of these replays.
+  std::string words(Step const& step) const;
+  void take(Step const& step);
+  // Takes the step with these words; false when it is not possible now.
+  bool take(std::string const& words);
+  // Lifts the bounds for a directed prefix and sets them back.
+  void lift_bounds(bool lifted);
+
+  // What is wrong; empty while nothing is.
+  std::string const& fault() const { return wrong; }
+  // What the last step brought about, for the table of a trace.
+  std::string const& effect() const { return happened; }
+  void narrate(bool on) { narrated = on; }
+  std::uint64_t print() const;
+
+  // All faults end and everything answers: a fresh node must be able to read, and what it reads must hold all that was
+  // confirmed, as long as the disks that are left hold a quorum of every set in use. Empty when it is so.
+  std::string look_recovery() const;
+  // Delivers everything, retrying, until every order asked has its answer or the turns are over.
+  void drain(int turns);
+  std::vector<OrderState> const& orders() const { return states; }
+  std::vector<std::shared_ptr<Settled const>> const& told() const { return settled; }
+  Message const& message(std::size_t index) const { return *messages[index]; }
+  std::vector<Order> const& asked() const { return scenario->orders; }
+
+ private:
+  struct Keeper {
+    std::shared_ptr<Acceptor const> acceptor;
+    std::shared_ptr<wire::RecordT const> disk;    // the last synced record
+    std::shared_ptr<wire::RecordT const> saving;  // the one being synced
+    std::uint64_t disk_id = 0;
+    Print print;
+  };
+  struct Node {
+    std::shared_ptr<Proposer const> proposer;
+    std::shared_ptr<Learner const> learner;
+    std::uint64_t life = 0;
+    Micros now = 0;
+    Print print;
+  };
+  struct Proposal {
+    wire::Ballot ballot;
+    std::uint64_t content = 0;
+  };
+  struct Ending {
+    std::size_t order = 0;
+    Outcome outcome;
+  };
+
+  void ask(std::size_t order);
+  void deliver(std::size_t message, bool keep);
+  void deliver_to_keeper(std::size_t keeper, Message const& message);
+  void deliver_to_node(std::size_t node, Message const& message);
+  void sync(std::size_t keeper);
+  void retry(std::size_t node, Micros by);
+  void restart(std::size_t node);
+  void crash(std::size_t keeper);
+  void wipe(std::size_t keeper);
+  void poll(std::size_t node);
+
+  void start_node(std::size_t index);
+  void start_keeper(std::size_t index, wire::RecordT record);
+  void after_acceptor(std::size_t index, Acceptor next, std::vector<Letter>& out, std::optional<wire::RecordT> save);
+  void after_node(std::size_t index, Proposer const& proposer, Learner const& learner, std::vector<Letter>& out,
+                  std::vector<Ending>& endings);
+  void send(std::string const& from, std::vector<Letter>& out);
+  void drop_late();
+  void end(std::size_t node, Ending const& ending, Learner& learner, std::vector<Letter>& out);
+  void tell(wire::ValueT const& value, std::string const& by);
+  void look_outcome(std::size_t order, Outcome const& outcome);
+  void look_refusals();
+  std::uint64_t newest_told() const;
+  void look_ballot(wire::AcceptT const& ask);
+  void blame(std::string const& text);
+  void note(std::string const& text);
+  int node_index(std::string const& name) const;
+  std::vector<std::uint64_t> disk_ids() const;
+
+  std::shared_ptr<Scenario const> scenario;
+  Symmetry const* symmetry;
+  std::vector<Keeper> keepers;
+  std::vector<Node> nodes;
+  std::vector<std::shared_ptr<Message const>> messages;
+  std::vector<OrderState> states;
+  std::vector<std::shared_ptr<Settled const>> settled;
+  std::vector<Proposal> proposed;  // what was proposed at each ballot
+  Bounds left;
+  Bounds lifted_bounds;
+  bool lifted = false;
+  std::string wrong;
+  std::string happened;
+  bool narrated = false;
+};
+
+}  // namespace pipit::checker
