--- a/proof/checker/register_view.h
+++ b/proof/checker/register_view.h
@@ -1,5 +1,5 @@
-// All that the checker knows of how the register's classes look inside: the hash of their states, and what a value says.
-// A change of their members or of the schema's values is met here alone.
+// All that the checker knows of how the register's classes look inside: the hash of their states, and what a value
+// says. A change of their members or of the schema's values is met here alone.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -40,6 +40,8 @@
 std::uint64_t revision_of(wire::ValueT const& value);
 // Whether the disks that are there now, by keeper, hold a quorum of the value's set.
 bool is_quorum(wire::ValueT const& value, std::vector<std::uint64_t> const& disks);
+// What the proposer writes in round two.
+wire::ValueT const& draft_of(Proposer const& proposer);
 wire::ValueT first_value(std::vector<std::size_t> const& members);
 
 // The number of the ballot that a request is made at; 0 for other messages.
--- a/proof/checker/search.h
+++ b/proof/checker/search.h
@@ -22,7 +22,7 @@
   std::uint64_t recoveries = 0;    // states whose recovery was tried
   std::size_t depth = 0;           // of the longest path
   double seconds = 0;
-  bool whole = false;              // nothing was left out within the scenario's bounds
+  bool whole = false;  // nothing was left out within the scenario's bounds
 };
 
 // All orders of all steps, depth first, each state once.
--- a/proof/checker/world.h
+++ b/proof/checker/world.h
@@ -16,8 +16,9 @@
   std::string node;
   Change::Sort sort = Change::Sort::read;
   std::uint64_t expected = 0;
-  std::string keeper;  // admitted or dismissed
-  int after = -1;      // asked only once that order has its answer
+  std::string keeper;   // admitted or dismissed
+  int after = -1;       // asked only once that order has its answer
+  std::string leaving;  // whose place the admitted one takes
 };
 
 // How often each fault may happen on one path.
@@ -158,7 +159,7 @@
   void look_outcome(std::size_t order, Outcome const& outcome);
   void look_refusals();
   std::uint64_t newest_told() const;
-  void look_ballot(wire::AcceptT const& ask);
+  void look_ballot(wire::Ballot const& ballot, wire::ValueT const& value);
   void blame(std::string const& text);
   void note(std::string const& text);
   int node_index(std::string const& name) const;
