--- a/tests/checker.cc
+++ b/tests/checker.cc
@@ -85,6 +85,7 @@
 // The checker sees what each guard guards: with it off there is a trace, and the trace replays.
 namespace {
 void expect_fault(Guard guard, Scenario const& scenario, Finding const& finding, std::string const& words) {
+  EXPECT_NE(finding.fault, "") << words_of(scenario, finding);
   EXPECT_NE(finding.fault.find(words), std::string::npos) << words_of(scenario, finding);
   EXPECT_EQ(replay(scenario, finding.trace).fault, finding.fault);
   guard_off() = Guard::none;
