--- a/proof/control_plane/judge.cc
+++ b/proof/control_plane/judge.cc
@@ -67,8 +67,8 @@
                 std::to_string(item.label));
   std::map<std::uint64_t, OrderId>::const_iterator const rival = confirmed_by_base.find(item.base);
   if (rival != confirmed_by_base.end())
-    find(2, name_of(id) + " and " + name_of(rival->second) + " were both confirmed on base " +
-                std::to_string(item.base));
+    find(2,
+         name_of(id) + " and " + name_of(rival->second) + " were both confirmed on base " + std::to_string(item.base));
   confirmed_by_label[item.label] = id;
   confirmed_by_base[item.base] = id;
   if (item.label > confirmed_label()) confirmed_over_time[world.now()] = item.label;
@@ -84,8 +84,8 @@
     find(1, machine.name + " is cut off and refused " + name_of(id) + ": " + why);
   Order& item = orders[id];
   if (item.taken_at >= 0)
-    find(2, name_of(id) + " was taken " + std::to_string((world.now() - item.taken_at) / 1000) + " ms ago and refused by " +
-                machine.name + ": " + why);
+    find(2, name_of(id) + " was taken " + std::to_string((world.now() - item.taken_at) / 1000) +
+                " ms ago and refused by " + machine.name + ": " + why);
   if (item.refused_at < 0) item.refused_at = world.now();
 }
 
@@ -126,7 +126,8 @@
   if (serial != view.serial) {
     Configuration const held = in_force_at(*machine.node);
     if (held.label < view.label)
-      find(4, machine.name + " went back from label " + std::to_string(view.label) + " to " + std::to_string(held.label));
+      find(4,
+           machine.name + " went back from label " + std::to_string(view.label) + " to " + std::to_string(held.label));
     view.label = held.label;
     if (held.label > 0) {
       std::string& known = text_of_label[held.label];
@@ -182,8 +183,9 @@
     bool const behind = settled && due > 0 && (view.label < due || !view.ready);
     if (behind && !view.late) {
       bool const never = view.label < view.floor || !view.ready;
-      find(never ? 4 : 1, machine.name + (view.ready ? " has " : " is not ready and has ") + std::to_string(view.label) +
-                              " in force, " + std::to_string(due) + " was confirmed 2 s ago, it has been calm for " +
+      find(never ? 4 : 1, machine.name + (view.ready ? " has " : " is not ready and has ") +
+                              std::to_string(view.label) + " in force, " + std::to_string(due) +
+                              " was confirmed 2 s ago, it has been calm for " +
                               std::to_string((world.now() - machine.calm_since) / 1000) + " ms");
     }
     view.late = behind;
@@ -195,7 +197,8 @@
   for (MachineId id = 0; id < world.size(); ++id)
     if (world.machine(id).up()) newest = std::max(newest, views[id].label);
   if (newest < confirmed_label())
-    find(3, "the newest in force is " + std::to_string(newest) + ", confirmed was " + std::to_string(confirmed_label()));
+    find(3,
+         "the newest in force is " + std::to_string(newest) + ", confirmed was " + std::to_string(confirmed_label()));
   for (MachineId id = 0; id < world.size(); ++id) {
     Machine const& machine = world.machine(id);
     if (!machine.up()) continue;
@@ -209,7 +212,8 @@
     if (orders[id].refused_at < 0) continue;
     bool reason = false;
     for (Order const& other : orders)
-      if (other.taken_at >= 0 && other.label > orders[id].base && other.first_sent <= orders[id].refused_at) reason = true;
+      if (other.taken_at >= 0 && other.label > orders[id].base && other.first_sent <= orders[id].refused_at)
+        reason = true;
     if (!reason) find(1, name_of(id) + " was refused though nothing newer than its base was ever taken");
   }
 }
--- a/proof/control_plane/judge.h
+++ b/proof/control_plane/judge.h
@@ -32,8 +32,8 @@
 };
 
 struct JudgePlan {
-  Micros spread = seconds(2);    // a confirmed change is in force on every reachable machine
-  Micros confirm = seconds(4);   // beside the catch-up time, until changes are confirmed again after a loss
+  Micros spread = seconds(2);   // a confirmed change is in force on every reachable machine
+  Micros confirm = seconds(4);  // beside the catch-up time, until changes are confirmed again after a loss
 };
 
 class Judge {
--- a/proof/control_plane/main.cc
+++ b/proof/control_plane/main.cc
@@ -39,11 +39,10 @@
     team.emplace_back([&] {
       for (std::uint64_t seed = next++; seed < plan.from + plan.seeds; seed = next++) {
         Report report = scenario.run(ScenarioPlan{seed, plan.disks, plan.variant});
-        std::erase_if(report.findings,
-                      [&plan](Finding const& item) {
-                        bool const other = plan.point >= 0 && item.point != plan.point;
-                        return other || (!plan.skip.empty() && item.what.find(plan.skip) != std::string::npos);
-                      });
+        std::erase_if(report.findings, [&plan](Finding const& item) {
+          bool const other = plan.point >= 0 && item.point != plan.point;
+          return other || (!plan.skip.empty() && item.what.find(plan.skip) != std::string::npos);
+        });
         std::lock_guard<std::mutex> const hold(gate);
         sum.confirmations += report.confirmations;
         sum.refusals += report.refusals;
@@ -85,9 +84,10 @@
       "from", options::value(&plan.from), "the first seed")("seeds", options::value(&plan.seeds), "how many")(
       "jobs", options::value(&plan.jobs))("disks", options::value(&plan.disks), "3, 4 or 8; 0: by the seed")(
       "variant", options::value(&plan.variant), "of scenarios that have some")(
-      "point", options::value(&plan.point), "findings of this point alone")(
-      "skip", options::value(&plan.skip), "leave out findings with these words")(
-      "shown", options::value(&plan.shown), "how many seeds are told in full")("log", "print events (one seed)")("help", "");
+      "point", options::value(&plan.point), "findings of this point alone")("skip", options::value(&plan.skip),
+                                                                            "leave out findings with these words")(
+      "shown", options::value(&plan.shown), "how many seeds are told in full")("log", "print events (one seed)")("help",
+                                                                                                                 "");
   options::variables_map map;
   try {
     options::store(options::parse_command_line(argc, argv, flags), map);
--- a/proof/control_plane/operators.cc
+++ b/proof/control_plane/operators.cc
@@ -219,9 +219,7 @@
   world.after(plan.silence, [told] { told(Verdict::unclear); });
 }
 
-void Operators::storm(Micros span, double rate) {
-  storm_tick(world.now() + span, static_cast<Micros>(1e6 / rate));
-}
+void Operators::storm(Micros span, double rate) { storm_tick(world.now() + span, static_cast<Micros>(1e6 / rate)); }
 
 void Operators::storm_tick(Micros until, Micros gap) {
   if (halted || world.now() >= until) return;
--- a/proof/control_plane/operators.h
+++ b/proof/control_plane/operators.h
@@ -1,5 +1,5 @@
-// Operators and readers of the control plane: calls that are lost, doubled and late, orders that are sent again to other
-// machines until they have a clear answer.
+// Operators and readers of the control plane: calls that are lost, doubled and late, orders that are sent again to
+// other machines until they have a clear answer.
 #pragma once
 #include <functional>
 #include <map>
--- a/proof/control_plane/scenarios.cc
+++ b/proof/control_plane/scenarios.cc
@@ -72,14 +72,16 @@
     operators.resume();
     operators.plan.lost = operators.plan.late = operators.plan.doubled = 0;
     std::uint64_t const before = judge.confirmations;
-    operators.drive_reading([this](Verdict) { operators.drive(operators.replace(operators.newest_told(), operators.next_label())); });
+    operators.drive_reading(
+        [this](Verdict) { operators.drive(operators.replace(operators.newest_told(), operators.next_label())); });
     world.run(seconds(4));
     if (judge.confirmations == before)
       judge.findings.push_back(Finding{3, world.now(), "a change in a calm time was not confirmed in 4 s"});
     world.run(seconds(3));
     judge.close();
     Report out;
-    out.setting = std::to_string(world.plan.disks) + " disks, " + std::to_string(world.plan.plain) + " plain, " + setting;
+    out.setting =
+        std::to_string(world.plan.disks) + " disks, " + std::to_string(world.plan.plain) + " plain, " + setting;
     out.findings = judge.findings;
     out.confirmations = judge.confirmations;
     out.refusals = judge.refusals;
@@ -111,9 +113,8 @@
   operators.send(operators.replace(operators.newest_told(), operators.next_label()), target);
   operators.send(operators.amend(operators.newest_told(), operators.next_label()), target);
   operators.send(known, target);
-  fleet.world.after(millis(700), [&fleet, target, until, known, base_then] {
-    ask_cut_off(fleet, target, until, known, base_then);
-  });
+  fleet.world.after(millis(700),
+                    [&fleet, target, until, known, base_then] { ask_cut_off(fleet, target, until, known, base_then); });
 }
 
 Report cut_off(ScenarioPlan const& plan) {
@@ -223,7 +224,8 @@
   fleet.world.run(seconds(1));
   std::uint64_t const enough = fleet.judge.confirmations + static_cast<std::uint64_t>(others);
   while (fleet.judge.confirmations < enough) {
-    if (operators.open_orders() == 0) operators.drive(operators.replace(operators.newest_told(), operators.next_label()));
+    if (operators.open_orders() == 0)
+      operators.drive(operators.replace(operators.newest_told(), operators.next_label()));
     fleet.world.run(millis(5));
   }
   for (MachineId id = 0; id < fleet.world.size(); ++id) {
@@ -393,7 +395,8 @@
   world.heal();
   world.run(seconds(8));
   fleet.judge.expect_progress(false);
-  return fleet.finish(world.machine(target).keeper ? "a keeper beside a plain machine" : "a plain machine beside another");
+  return fleet.finish(world.machine(target).keeper ? "a keeper beside a plain machine"
+                                                   : "a plain machine beside another");
 }
 
 // All machines that count are killed or dark at once, soon after an order was sent or acknowledged.
--- a/proof/control_plane/world.cc
+++ b/proof/control_plane/world.cc
@@ -11,9 +11,9 @@
 namespace {
 constexpr Micros tick_gap = millis(50);
 constexpr Micros dial_timeout = seconds(1);
-constexpr Micros heed = millis(2600);          // the shell's, before it announces the departure
-constexpr Micros grace_most = millis(7300);    // when the shell ends whatever is under way
-constexpr Micros disk_retry = millis(100);     // of a refused write
+constexpr Micros heed = millis(2600);        // the shell's, before it announces the departure
+constexpr Micros grace_most = millis(7300);  // when the shell ends whatever is under way
+constexpr Micros disk_retry = millis(100);   // of a refused write
 constexpr Micros retransmit_most = millis(200);
 constexpr std::size_t seeds_given = 3;
 }  // namespace
@@ -45,8 +45,8 @@
   std::unique_ptr<Machine> made = std::make_unique<Machine>();
   made->id = machines.size();
   // Names sort in another order than the machines were made in.
-  made->name = "m" + std::to_string(100 + stir(plan.seed + 31 * machines.size()) % 900) + "-" +
-               std::to_string(machines.size());
+  made->name =
+      "m" + std::to_string(100 + stir(plan.seed + 31 * machines.size()) % 900) + "-" + std::to_string(machines.size());
   made->address = "10.0.0." + std::to_string(machines.size() + 1) + ":7000";
   made->zone = "z" + std::to_string(machines.size() % 3);
   made->keeper = keeper;
@@ -151,8 +151,7 @@
   if (machine.keeper) {
     if (machine.writing && dice.chance(0.5)) machine.disk = machine.writing;
     machine.writing.reset();
-    if (!machine.disk)
-      machine.disk = blank_record(made.cluster, made.name, stir(plan.seed ^ (++disks_made << 20)));
+    if (!machine.disk) machine.disk = blank_record(made.cluster, made.name, stir(plan.seed ^ (++disks_made << 20)));
     record = machine.disk;
   }
   // What a former life without power left half open is reset at the next word.
@@ -365,9 +364,9 @@
       end_trouble(*machines[id]);
     }
   barriers.clear();
-  links.erase(std::remove_if(links.begin(), links.end(),
-                             [](std::weak_ptr<Link> const& item) { return item.expired(); }),
-              links.end());
+  links.erase(
+      std::remove_if(links.begin(), links.end(), [](std::weak_ptr<Link> const& item) { return item.expired(); }),
+      links.end());
   for (std::weak_ptr<Link> const& item : links) {
     std::shared_ptr<Link> const link = item.lock();
     for (int const side : {0, 1}) {
@@ -380,9 +379,8 @@
 
 void World::dial_fails(MachineId id, std::uint64_t life, std::string const& address, bool refused, Micros wait) {
   after(wait, [this, id, life, address, refused] {
-    enter(id, life, [address, refused](Node& node, Micros now, NodeOut& out) {
-      node.dial_failed(address, refused, now, out);
-    });
+    enter(id, life,
+          [address, refused](Node& node, Micros now, NodeOut& out) { node.dial_failed(address, refused, now, out); });
   });
 }
 
@@ -390,8 +388,7 @@
   Machine* target = nullptr;
   for (std::unique_ptr<Machine> const& item : machines)
     if (item->address == address && !item->removed) target = item.get();
-  if (target == nullptr || !target->powered)
-    return dial_fails(machine.id, machine.life, address, false, dial_timeout);
+  if (target == nullptr || !target->powered) return dial_fails(machine.id, machine.life, address, false, dial_timeout);
   Barrier const* barrier = barrier_between(machine.id, target->id);
   if (barrier == nullptr) barrier = barrier_between(target->id, machine.id);
   if (barrier != nullptr) {
@@ -407,9 +404,9 @@
   link->life[1] = target->life;
   links.push_back(link);
   if (links.size() > 4096)
-    links.erase(std::remove_if(links.begin(), links.end(),
-                               [](std::weak_ptr<Link> const& item) { return item.expired(); }),
-                links.end());
+    links.erase(
+        std::remove_if(links.begin(), links.end(), [](std::weak_ptr<Link> const& item) { return item.expired(); }),
+        links.end());
   Micros const there = lag();
   Micros const back = there + lag();
   link->latest[1] = time + back;  // nothing reaches the dialler before its connection is open
@@ -469,12 +466,12 @@
   }
   if (frame.last) return reset_side(link, to);
   WireId const wire = link->wire[to];
-  enter(target.id, target.life, [this, link, to, wire, bytes = std::move(frame.bytes)](Node& node, Micros now,
-                                                                                     NodeOut& out) {
-    Machine& machine = *machines[link->end[to]];
-    if (machine.wires.count(wire) == 0) return;
-    if (!node.bytes(wire, bytes, now, out)) out.mesh.shuts.push_back(wire);
-  });
+  enter(target.id, target.life,
+        [this, link, to, wire, bytes = std::move(frame.bytes)](Node& node, Micros now, NodeOut& out) {
+          Machine& machine = *machines[link->end[to]];
+          if (machine.wires.count(wire) == 0) return;
+          if (!node.bytes(wire, bytes, now, out)) out.mesh.shuts.push_back(wire);
+        });
 }
 
 // A side ends the connection. 'silent': its machine lost power and says nothing.
--- a/tests/control_plane.cc
+++ b/tests/control_plane.cc
@@ -19,9 +19,8 @@
   // The first findings tell the story; the rest follow from them.
   std::size_t const told = std::min<std::size_t>(3, report.findings.size());
   for (std::size_t n = 0; n < told; ++n)
-    ADD_FAILURE() << name << " seed " << plan.seed << " (" << report.setting << ") at "
-                  << report.findings[n].at / 1000 << " ms, point " << report.findings[n].point << ": "
-                  << report.findings[n].what;
+    ADD_FAILURE() << name << " seed " << plan.seed << " (" << report.setting << ") at " << report.findings[n].at / 1000
+                  << " ms, point " << report.findings[n].point << ": " << report.findings[n].what;
 }
 
 void expect_clean(char const* name, std::size_t disks, int variant, std::uint64_t from, std::uint64_t seeds) {
@@ -33,7 +32,7 @@
 TEST(ControlPlane, a_proposing_keeper_cut_off_for_twenty_seconds) { expect_clean("cut_off", 0, 0, 1, 4); }
 TEST(ControlPlane, a_keeper_cut_off_for_twenty_seconds) { expect_clean("cut_off", 0, 1, 1, 4); }
 TEST(ControlPlane, a_plain_machine_cut_off_for_twenty_seconds) { expect_clean("cut_off", 0, 2, 1, 4); }
-TEST(ControlPlane, cuts_in_a_storm_of_changes) { expect_clean("cut_in_storm", 0, -1, 1, 3); }
+TEST(ControlPlane, cuts_in_a_storm_of_changes) { expect_clean("cut_in_storm", 0, -1, 1, 5); }
 
 // Point 2: one change a label, one a base; a taken order is acknowledged again or left unclear.
 TEST(ControlPlane, eight_rivals_under_one_label) { expect_clean("one_label", 0, -1, 1, 4); }
@@ -64,7 +63,9 @@
 TEST(ControlPlane, a_member_back_in_a_storm_of_changes) {
   for (int variant = 0; variant < 6; ++variant) expect_clean("back_in_storm", 0, variant, 1, 1);
 }
-TEST(ControlPlane, a_machine_that_starts_without_a_majority_is_not_ready) { expect_clean("started_alone", 0, -1, 1, 4); }
+TEST(ControlPlane, a_machine_that_starts_without_a_majority_is_not_ready) {
+  expect_clean("started_alone", 0, -1, 1, 4);
+}
 TEST(ControlPlane, all_that_count_killed_or_dark_at_once) {
   for (int const variant : {0, 1}) expect_clean("all_at_once", 0, variant, 1, 2);
 }
