--- a/proof/checker/register_view.cc
+++ b/proof/checker/register_view.cc
@@ -14,8 +14,8 @@
 // Members that neither say nor decide anything: name, plan, and the dice and times of pauses, since the checker lets
 // each timer end whenever it likes.
 #if defined(__x86_64__) && defined(__GLIBCXX__) && !defined(_GLIBCXX_DEBUG)
-constexpr std::size_t proposer_size = 1392;
-constexpr std::size_t learner_size = 936;
+constexpr std::size_t proposer_size = 1448;
+constexpr std::size_t learner_size = 992;
 constexpr std::size_t acceptor_size = 368;
 static_assert(sizeof(Proposer) == proposer_size, "a member of Proposer changed: see print_of, has_timer and is_late");
 static_assert(sizeof(Learner) == learner_size, "a member of Learner changed: see print_of and is_late");
@@ -170,6 +170,7 @@
   Print out(symmetry);
   out.number(proposer.owner);
   add(out, proposer.known, symmetry);
+  add(out, proposer.suggested, symmetry);
   add(out, proposer.set, symmetry);
   out.number(proposer.joint_chosen);
   for (Proposer::Job const& job : proposer.jobs) {
@@ -213,6 +214,7 @@
 Print print_of(Learner const& learner, Symmetry const& symmetry) {
   Print out(symmetry);
   add(out, learner.set, symmetry);
+  add(out, learner.seen_set, symmetry);
   add(out, learner.first_set, symmetry);
   add_optional(out, learner.value, symmetry);
   out.number(learner.req);
--- a/src/canon/register/learner.cc
+++ b/src/canon/register/learner.cc
@@ -93,7 +93,9 @@
     turn = std::max(turn, item.second.turn);
   }
   Membership const* const members = newest == nullptr ? nullptr : members_of(*newest);
-  if (members == nullptr || !members->quorum(voters)) return;
+  if (members == nullptr) return;
+  seen_set = *members;
+  if (!members->quorum(voters)) return;
   floor_turn = turn;
   floor_at = asked;
   if (value && value->turn >= floor_turn) sure = std::max(sure, floor_at);
--- a/src/canon/register/learner.h
+++ b/src/canon/register/learner.h
@@ -24,6 +24,8 @@
 
   // The set of the newest chosen value; empty before one is known.
   Membership const& membership() const { return set; }
+  // The set of the newest value that the last poll showed, chosen or not; a proposer may begin with it.
+  Membership const& seen() const { return seen_set; }
   // A first set that some keeper holds, though nobody knows yet whether it is chosen; empty when none was seen.
   Membership const& founding() const { return first_set; }
   // When the last poll was sent that a quorum answered; -1 for never.
@@ -62,6 +64,7 @@
   void look_split();
 
   Membership set;
+  Membership seen_set;
   Membership first_set;
   std::map<std::uint64_t, Membership> offered;  // sets of the present poll, by fingerprint
   std::uint64_t req = 0;
--- a/src/canon/register/proposer.cc
+++ b/src/canon/register/proposer.cc
@@ -72,6 +72,11 @@
   if (phase == Phase::first) phase = Phase::pause;  // round one begins anew with the newer set
 }
 
+void Proposer::suggest(Membership const& members) {
+  suggested = members;
+  if (set.empty()) set = members;
+}
+
 std::uint64_t Proposer::serial_of(wire::ValueT const& value, std::string const& id) {
   return serial_of_order(value, id);
 }
@@ -341,8 +346,8 @@
     else
       given_up.push_back(std::move(job));
   }
-  if (given_up.empty()) return;
   jobs = std::move(kept);
+  if (given_up.empty()) return;
   phase = Phase::idle;
   for (Job& job : given_up) job.done(refused);
 }
@@ -364,7 +369,7 @@
       if (now >= due && !set.empty()) start(now, out);
     } else if (now >= due) {
       // A set that was only found may be one that nobody can complete: the next try begins with the chosen one.
-      set = known;
+      set = known.empty() ? suggested : known;
       held.reset();
       held_ballot = wire::Ballot(0, 0);
       again(now, 0);
--- a/src/canon/register/proposer.h
+++ b/src/canon/register/proposer.h
@@ -59,6 +59,9 @@
   bool ask(Change change, Done done, Micros now);
   // A set that is known to be chosen.
   void know(Membership const& members);
+  // A set that was only seen: where to begin while none is known to be chosen. After all copies were lost from memory
+  // and no majority shows one ballot, there is nothing else to begin with; round one judges what it finds.
+  void suggest(Membership const& members);
   void take(std::string const& from, wire::BodyUnion const& body, Micros now, std::vector<Letter>& out);
   void tick(Micros now, std::vector<Letter>& out);
   // Refuses all changes of which nothing was sent: without a quorum they would only be waited for.
@@ -106,6 +109,7 @@
   Dice dice;
   std::uint64_t const owner;       // of ballots; a new one in each life, so that no ballot is ever used twice
   Membership known;                // the newest set that is known to be chosen
+  Membership suggested;            // where to begin without one
   Membership set;                  // the one that this round works with; it may be one that was only found
   std::uint64_t joint_chosen = 0;  // the fingerprint of the joint set that this proposer saw chosen
   std::deque<Job> jobs;
--- a/src/core/handed.cc
+++ b/src/core/handed.cc
@@ -12,7 +12,8 @@
 
 std::string Node::proposing_keeper() const {
   std::string best;
-  for (wire::KeeperT const& keeper : learner.membership().keepers) {
+  Membership const& members = learner.membership().empty() ? learner.seen() : learner.membership();
+  for (wire::KeeperT const& keeper : members.keepers) {
     bool here = keeper.name == plan.name && plan.keeper && !leaving;
     std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(keeper.name);
     if (peer != mesh.roll.peers.end()) here = peer->second.wire != 0 && peer->second.state() == State::alive;
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -499,6 +499,7 @@
   }
   ask_newer(now, letters);
   proposer.know(learner.membership());
+  proposer.suggest(learner.seen());
   if (plan.registered && !quorum_heard(now)) proposer.give_up_unsent();
   proposer.tick(now, letters);
   settle_ended(now, out);
--- a/tests/register.cc
+++ b/tests/register.cc
@@ -336,4 +336,38 @@
   EXPECT_EQ(learner.sure, seconds(5));
 }
 
+// All lost their memory, and no two keepers show one ballot: a proposer begins with the newest set that was seen.
+TEST(Members, copies_that_differ_after_a_full_stop_are_read_without_a_known_set) {
+  Cluster cluster(members_of(2, {"k1", "k2", "k3"}));
+  cluster.ask("p1", cluster.apply("A", 0, 1), {"k1", "k2", "k3"});
+  cluster.ask("p1", cluster.apply("B", 1, 2), {"k1", "k2"});
+  // k1 is lost. A node without any memory polls the other two.
+  Learner learner;
+  std::vector<Letter> asks;
+  std::vector<Letter> more;
+  learner.poll(0, {"k2", "k3"}, -1, asks);
+  for (Letter const& ask : asks)
+    learner.take(ask.to, answer_of(cluster.acceptor(ask.to), *ask.body.AsPeek()), 0, more);
+  EXPECT_TRUE(learner.membership().empty());
+  Proposer fresh("p9", 99);
+  fresh.suggest(learner.seen());
+  std::optional<Outcome> outcome;
+  ASSERT_TRUE(fresh.ask(cluster.read(), [&outcome](Outcome const& end) { outcome = end; }, 0));
+  for (Micros now = 0; now < seconds(2) && !outcome; now += millis(50)) {
+    std::vector<Letter> letters;
+    fresh.tick(now, letters);
+    while (!letters.empty()) {
+      std::vector<Letter> batch;
+      batch.swap(letters);
+      for (Letter& item : batch) {
+        if (item.to == "k1") continue;
+        for (Letter& answer : cluster.deliver(item.to, "p9", std::move(item.body)))
+          fresh.take(item.to, answer.body, now, letters);
+      }
+    }
+  }
+  ASSERT_TRUE(outcome);
+  EXPECT_EQ(outcome->value.label, 2u);
+}
+
 }  // namespace pipit
