--- a/tests/register.cc
+++ b/tests/register.cc
@@ -346,13 +346,13 @@
   std::vector<Letter> asks;
   std::vector<Letter> more;
   learner.poll(0, {"k2", "k3"}, -1, asks);
-  for (Letter const& ask : asks)
-    learner.take(ask.to, answer_of(cluster.acceptor(ask.to), *ask.body.AsPeek()), 0, more);
+  for (Letter const& ask : asks) learner.take(ask.to, answer_of(cluster.acceptor(ask.to), *ask.body.AsPeek()), 0, more);
   EXPECT_TRUE(learner.membership().empty());
   Proposer fresh("p9", 99);
   fresh.suggest(learner.seen());
   std::optional<Outcome> outcome;
-  ASSERT_TRUE(fresh.ask(cluster.read(), [&outcome](Outcome const& end) { outcome = end; }, 0));
+  ASSERT_TRUE(fresh.ask(
+      cluster.read(), [&outcome](Outcome const& end) { outcome = end; }, 0));
   for (Micros now = 0; now < seconds(2) && !outcome; now += millis(50)) {
     std::vector<Letter> letters;
     fresh.tick(now, letters);
