--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -9,7 +9,6 @@
 namespace pipit {
 
 namespace {
-constexpr Micros poll_gap = millis(500);
 constexpr Micros list_gap = millis(300);
 constexpr Micros check_gap = millis(500);
 constexpr Micros load_gap = millis(200);
--- a/src/gate/net/server.cc
+++ b/src/gate/net/server.cc
@@ -49,7 +49,7 @@
   conn->since = now();
   conn->may_rest = limits.idle;
   conns.emplace(conn, made);
-  conn->reader.ears.head = [this, conn](Head& head) {
+  conn->reader.ears.head = [conn](Head& head) {
     conn->call.head = head;
     return true;
   };
