--- a/src/canon/grant/grants.h
+++ b/src/canon/grant/grants.h
@@ -31,7 +31,7 @@
 class Holder {
  public:
   Holder(std::string duty_, std::uint64_t seed)
-      : duty(std::move(duty_)), dice(seed ^ mix(duty)), req(dice.roll() >> 8) {}
+      : duty(std::move(duty_)), dice(derived_seed(seed, duty)), req(dice.roll() >> 8) {}
   void tick(Micros now, Membership const& members, std::vector<Letter>& out);
   // A holder that is about to end lets the next one begin at once.
   void give_back(Membership const& members, std::vector<Letter>& out);
--- a/src/canon/register/proposer.cc
+++ b/src/canon/register/proposer.cc
@@ -49,9 +49,9 @@
 Proposer::Proposer(std::string self_, std::uint64_t seed, ProposerPlan plan_)
     : self(std::move(self_)),
       plan(plan_),
-      dice(seed ^ mix(self)),
+      dice(derived_seed(seed, self)),
       owner(stir(dice.roll())),
-      req(stir(seed ^ mix(self)) >> 8) {}
+      req(dice.roll() >> 8) {}
 
 bool Proposer::ask(Change change, Done done, Micros now) {
   if (jobs.size() >= plan.backlog) return false;
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -40,14 +40,14 @@
 Node::Node(NodePlan plan_, Micros now, std::optional<wire::RecordT> slate)
     : plan(std::move(plan_)),
       mesh(mesh_of(plan), self_of(plan), plan.chance),
-      proposer(plan.name, plan.chance ^ plan.incarnation),
+      proposer(plan.name, derived_seed(plan.chance, "proposer")),
       tide(plan.chance + 1),
       desk(plan.name, plan.zone, tide, fleet),
       registry(plan.name),
       exchange(plan.name),
       dispatcher(plan.name, plan.zone, tide, registry, exchange),
       granter(now),
-      mend("mend", plan.chance ^ plan.incarnation ^ mix(plan.name)),
+      mend("mend", derived_seed(plan.chance, plan.name)),
       born(now),
       last_tick(now) {
   if (slate) acceptor.emplace(std::move(*slate));
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -7,6 +7,7 @@
 
 #include "ground/events.h"
 #include "ground/jot.h"
+#include "ground/random_seed.h"
 
 namespace pipit {
 
@@ -37,8 +38,7 @@
     posix = std::make_unique<PosixDisk>(plan.data);
     ring = std::make_unique<RecordStore>(*posix, plan.node.cluster, plan.node.name, 256u << 10);
     bool blank = false;
-    std::uint64_t const fresh =
-        stir(static_cast<std::uint64_t>(g_get_real_time()) ^ (static_cast<std::uint64_t>(g_random_int()) << 32));
+    std::uint64_t const fresh = random_seed();
     // A disk that is full or hangs when the process starts is waited for: without it the node is no keeper.
     Result<wire::RecordT> opened = ring->open(fresh, blank);
     for (int tries = 0; !opened && opened.error().kind == Kind::bad_disk && tries < 50; ++tries) {
--- a/src/ground/mix.h
+++ b/src/ground/mix.h
@@ -20,6 +20,12 @@
   return stir(h);
 }
 
+// The seed of one consumer of a node's random numbers. The steps are one-way on purpose: seeds that were combined by
+// XOR alone cancelled each other out, and all nodes drew the same numbers.
+inline std::uint64_t derived_seed(std::uint64_t seed, std::string_view consumer) {
+  return mix(consumer, stir(seed + 0x9e3779b97f4a7c15ull));
+}
+
 class Dice {
  public:
   explicit Dice(std::uint64_t seed) : state(seed + 0x9e3779b97f4a7c15ull) {}
--- a/src/hull/host.cc
+++ b/src/hull/host.cc
@@ -10,6 +10,7 @@
 #include "ground/events.h"
 #include "ground/faults.h"
 #include "ground/jot.h"
+#include "ground/random_seed.h"
 
 namespace pipit {
 
@@ -32,7 +33,7 @@
   plan.models = settings.models;
   plan.founders = settings.founders;
   plan.incarnation = static_cast<std::uint64_t>(g_get_real_time());
-  plan.chance = plan.incarnation ^ mix(settings.name);
+  plan.chance = random_seed();
   node = std::make_unique<Node>(plan, now(), std::move(slate));
 
   Wires::Ears we;
@@ -382,8 +383,7 @@
     store = std::make_unique<RecordStore>(*disk, settings.value().cluster, settings.value().name);
     Result<void> const locked = disk->lock();
     bool blank = false;
-    std::uint64_t const fresh =
-        stir(static_cast<std::uint64_t>(g_get_real_time()) ^ (static_cast<std::uint64_t>(g_random_int()) << 32));
+    std::uint64_t const fresh = random_seed();
     Result<wire::RecordT> opened = locked ? store->open(fresh, blank) : Result<wire::RecordT>(locked.as_failure());
     if (!opened) {
       std::fprintf(stderr, "accord: data: %s\n", opened.error().why.c_str());
--- a/tests/register.cc
+++ b/tests/register.cc
@@ -204,6 +204,22 @@
   EXPECT_FALSE(same(ballots[0], ballots[1]));
 }
 
+// Nodes used to seed their proposers with what XOR left of clock and name: the hash of the name, which the proposer
+// took away again. All nodes drew one owner, and rivals stepped aside for equally long.
+TEST(Ballots, two_nodes_never_draw_one_owner) {
+  std::vector<wire::Ballot> ballots;
+  for (std::string const& name : {std::string("n1"), std::string("n2")}) {
+    Proposer proposer(name, mix(name));
+    proposer.know(members_of(2, {"k1", "k2", "k3"}));
+    ASSERT_TRUE(proposer.ask(Change(), [](Outcome const&) {}, 0));
+    std::vector<Letter> letters;
+    proposer.tick(0, letters);
+    ASSERT_EQ(letters.size(), 3u);
+    ballots.push_back(letters.front().body.AsPrepare()->ballot);
+  }
+  EXPECT_FALSE(same(ballots[0], ballots[1]));
+}
+
 // "One that was taken is acknowledged again or left without a clear answer, never refused."
 TEST(Orders, one_that_was_taken_is_known_after_hundreds_of_others) {
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}));
