--- a/proof/control_plane/node_view.cc
+++ b/proof/control_plane/node_view.cc
@@ -24,14 +24,6 @@
   return Proposer::serial_of(value, change_id) > 0;
 }
 
-wire::RecordT blank_record(std::string const& cluster, std::string const& name, std::uint64_t disk) {
-  wire::RecordT out;
-  out.cluster = cluster;
-  out.name = name;
-  out.disk = disk;
-  return out;
-}
-
 bool may_end(Node const& node, Micros now) { return node.may_end(now); }
 
 std::string change_id(std::string const& verb, std::uint64_t based_on, std::string const& body) {
--- a/proof/control_plane/node_view.h
+++ b/proof/control_plane/node_view.h
@@ -26,9 +26,6 @@
 // Whether a value says by itself that it holds a change.
 bool remembers(wire::ValueT const& value, std::string const& change_id);
 
-// The durable state of a disk that was never used.
-wire::RecordT blank_record(std::string const& cluster, std::string const& name, std::uint64_t disk);
-
 // Whether a node that announced its departure may end its process, as the shell asks the core.
 bool may_end(Node const& node, Micros now);
 
--- a/proof/control_plane/world.cc
+++ b/proof/control_plane/world.cc
@@ -14,6 +14,10 @@
 constexpr Micros heed = millis(2600);        // the shell's, before it announces the departure
 constexpr Micros grace_most = millis(7300);  // when the shell ends whatever is under way
 constexpr Micros disk_retry = millis(100);   // of a refused write
+constexpr int open_tries_most = 50;          // of a disk that refuses, before the process ends
+constexpr Micros restart_pause = seconds(1);
+constexpr std::size_t file_reserved = 4096;
+constexpr std::uint64_t save_steps = 4;  // a write and a sync of both copies
 constexpr Micros retransmit_most = millis(200);
 constexpr std::size_t seeds_given = 3;
 }  // namespace
@@ -123,7 +127,7 @@
 
 void World::boot(MachineId id, bool first_start) {
   Machine& machine = *machines[id];
-  if (machine.up() || machine.removed) return;
+  if (machine.up() || machine.removed || machine.opening) return;
   NodePlan made;
   made.cluster = "control";
   made.name = machine.name;
@@ -147,18 +151,49 @@
   for (Barrier const& barrier : barriers)
     if (barrier.holds(id)) ++machine.troubles;
   machine.calm_since = time;
-  std::optional<wire::RecordT> record;
-  if (machine.keeper) {
-    if (machine.writing && dice.chance(0.5)) machine.disk = machine.writing;
-    machine.writing.reset();
-    if (!machine.disk) machine.disk = blank_record(made.cluster, made.name, stir(plan.seed ^ (++disks_made << 20)));
-    record = machine.disk;
-  }
   // What a former life without power left half open is reset at the next word.
   machine.wires.clear();
+  if (!machine.keeper) return begin_life(machine, made, std::nullopt);
+  if (!machine.disk) machine.disk = std::make_unique<SimulatedDisk>();
+  machine.store = std::make_unique<RecordStore>(*machine.disk, made.cluster, made.name, file_reserved);
+  machine.opening = machine.life;
+  open_disk(id, machine.life, made, 0);
+}
+
+// As the shell does it: a disk that refuses or hangs is waited for, then the process ends and is started again.
+void World::open_disk(MachineId id, std::uint64_t life, NodePlan const& made, int tries) {
+  Machine& machine = *machines[id];
+  if (machine.opening != life) return;
+  if (time < machine.stalled_until) {
+    at(machine.stalled_until, [this, id, life, made, tries] { open_disk(id, life, made, tries); });
+    return;
+  }
+  machine.disk->full(machine.disk_full);
+  bool blank = false;
+  Result<wire::RecordT> opened = machine.store->open(stir(plan.seed ^ (++disks_made << 20)), blank);
+  if (opened) {
+    machine.opening.reset();
+    return begin_life(machine, made, std::move(opened.value()));
+  }
+  if (!hushed() && tries == 0)
+    std::printf("%lld %s waits for its disk: %s\n", static_cast<long long>(time / 1000), machine.name.c_str(),
+                opened.error().why.c_str());
+  if (tries < open_tries_most) {
+    after(disk_retry, [this, id, life, made, tries] { open_disk(id, life, made, tries + 1); });
+    return;
+  }
+  machine.opening.reset();
+  after(restart_pause, [this, id, life] {
+    if (machines[id]->life == life && machines[id]->powered) boot(id);
+  });
+}
+
+void World::begin_life(Machine& machine, NodePlan const& made, std::optional<wire::RecordT> record) {
+  machine.calm_since = time;
   machine.node = std::make_unique<Node>(made, clock(machine), std::move(record));
   if (!hushed()) std::printf("%lld %s boots\n", static_cast<long long>(time / 1000), machine.name.c_str());
   if (on_boot) on_boot(machine);
+  MachineId const id = machine.id;
   std::uint64_t const life = machine.life;
   after(static_cast<Micros>(dice.below(static_cast<std::uint64_t>(tick_gap))), [this, id, life] { tick(id, life); });
 }
@@ -172,7 +207,9 @@
 }
 
 void World::end(Machine& machine, bool silent) {
+  machine.opening.reset();
   if (!machine.up()) return;
+  interrupt_save(machine);
   if (!hushed())
     std::printf("%lld %s ends%s\n", static_cast<long long>(time / 1000), machine.name.c_str(), silent ? " dark" : "");
   std::map<WireId, std::pair<std::shared_ptr<Link>, int>> const wires = std::move(machine.wires);
@@ -189,13 +226,15 @@
 void World::kill(MachineId id) { end(*machines[id], false); }
 
 void World::power_off(MachineId id) {
-  end(*machines[id], true);
-  machines[id]->powered = false;
+  Machine& machine = *machines[id];
+  end(machine, true);
+  machine.powered = false;
+  if (machine.disk) machine.disk->lose_power(dice, dice.chance(0.3));
 }
 
 void World::wipe(MachineId id) {
+  machines[id]->store.reset();
   machines[id]->disk.reset();
-  machines[id]->writing.reset();
 }
 
 void World::remove(MachineId id) {
@@ -289,9 +328,19 @@
 
 // ---- disks
 
+// The process ends in the middle of a write: at any step of it, and at none while the disk hangs or refuses.
+void World::interrupt_save(Machine& machine) {
+  if (!machine.writing) return;
+  machine.disk->die_after(time < machine.stalled_until ? dice.below(2) : dice.below(save_steps));
+  machine.disk->full(machine.disk_full);
+  static_cast<void>(machine.store->save(*machine.writing));
+  machine.disk->revive();
+  machine.writing.reset();
+}
+
 void World::save(Machine& machine, wire::RecordT record) {
-  machine.writing = record;
   std::shared_ptr<wire::RecordT const> const kept = std::make_shared<wire::RecordT>(std::move(record));
+  machine.writing = kept;
   MachineId const id = machine.id;
   std::uint64_t const life = machine.life;
   after(lag(plan.sync_least, plan.sync_most), [this, id, life, kept] { try_save(id, life, kept); });
@@ -300,19 +349,21 @@
 void World::try_save(MachineId id, std::uint64_t life, std::shared_ptr<wire::RecordT const> record) {
   Machine& machine = *machines[id];
   if (!machine.up() || machine.life != life) return;
-  if (machine.disk_full || time < machine.stalled_until) {
-    Micros const wait = machine.disk_full ? disk_retry : machine.stalled_until - time;
-    after(wait, [this, id, life, record] { try_save(id, life, record); });
+  if (time < machine.stalled_until) {
+    at(machine.stalled_until, [this, id, life, record] { try_save(id, life, record); });
+    return;
+  }
+  machine.disk->full(machine.disk_full);
+  if (!machine.store->save(*record)) {
+    after(disk_retry, [this, id, life, record] { try_save(id, life, record); });
     return;
   }
-  machine.disk = *record;
   machine.writing.reset();
   enter(id, life, [](Node& node, Micros now, NodeOut& out) { node.disk_done(now, out); });
 }
 
 void World::stall_disk(MachineId id, Micros span) {
   Machine& machine = *machines[id];
-  if (!machine.up()) return;
   machine.stalled_until = time + span;
   begin_trouble(machine);
   after(span, [this, id] { end_trouble(*machines[id]); });
@@ -320,7 +371,7 @@
 
 void World::fill_disk(MachineId id, Micros span) {
   Machine& machine = *machines[id];
-  if (!machine.up() || machine.disk_full) return;
+  if (machine.disk_full) return;
   machine.disk_full = true;
   begin_trouble(machine);
   after(span, [this, id] {
--- a/proof/control_plane/world.h
+++ b/proof/control_plane/world.h
@@ -13,6 +13,7 @@
 
 #include "core/node.h"
 #include "ground/mix.h"
+#include "proof/control_plane/disk.h"
 
 namespace pipit::control_plane {
 
@@ -55,8 +56,10 @@
   Micros clock_offset = 0;
   Micros wall_offset = 0;  // of the wall clock, which may step
 
-  std::optional<wire::RecordT> disk;     // what is synced
-  std::optional<wire::RecordT> writing;  // what a loss of power may keep or lose
+  std::unique_ptr<SimulatedDisk> disk;
+  std::unique_ptr<RecordStore> store;            // of the present process
+  std::shared_ptr<wire::RecordT const> writing;  // what is being written
+  std::optional<std::uint64_t> opening;          // the life that waits for its disk before it has a node
   Micros stalled_until = -1;
   bool disk_full = false;
 
@@ -100,6 +103,7 @@
   void stop(MachineId id);
   void freeze(MachineId id, Micros span);
   void stall_disk(MachineId id, Micros span);
+  // Also of a machine that is down, or that was never started.
   void fill_disk(MachineId id, Micros span);
   void step_clock(MachineId id, Micros by) { machines[id]->wall_offset += by; }
 
@@ -172,6 +176,9 @@
   void hang_up(std::shared_ptr<Link> const& link, int side, bool silent);
   void reset_side(std::shared_ptr<Link> const& link, int side);
 
+  void open_disk(MachineId id, std::uint64_t life, NodePlan const& made, int tries);
+  void begin_life(Machine& machine, NodePlan const& made, std::optional<wire::RecordT> record);
+  void interrupt_save(Machine& machine);
   void save(Machine& machine, wire::RecordT record);
   void try_save(MachineId id, std::uint64_t life, std::shared_ptr<wire::RecordT const> record);
 
