--- a/src/storage/record_store.cc
+++ b/src/storage/record_store.cc
@@ -103,9 +103,25 @@
   return record;
 }
 
+bool RecordStore::holds_vote() {
+  for (std::size_t i = 0; i < file_count; ++i) {
+    if (!disk.exists(file_name(i))) continue;
+    Result<std::string> const bytes = disk.read(file_name(i));
+    if (!bytes) continue;
+    File const file = inspect(bytes.value());
+    if (!file.intact) continue;
+    Result<wire::RecordT> const record = unpack(file.body);
+    if (!record || record.value().formed || record.value().promised.n() != 0) return true;
+  }
+  return false;
+}
+
 Result<wire::RecordT> RecordStore::open(std::uint64_t new_disk_id, bool& blank) {
-  blank = !disk.exists(formatted_mark);
+  bool const marked = disk.exists(formatted_mark);
+  blank = !marked && !holds_vote();
   if (blank) return format(new_disk_id);
+  // The mark's name was made and never synced. Without it the votes tell, so that a refusal does no harm.
+  if (!marked) static_cast<void>(disk.allocate(formatted_mark, mark_size));
   Result<Files> const read = read_files();
   if (!read) return read.as_failure();
   Files const& files = read.value();
@@ -120,10 +136,19 @@
       return fail(Kind::bad_disk, "both copies of a record are corrupt (" + file_name(first) + ")");
   }
   Result<wire::RecordT> record = unpack(last->body);
-  if (record) sequence = last->sequence;
+  if (!record) return record;
+  sequence = last->sequence;
+  for (std::size_t i = 0; i < file_count; ++i) corrupt[i] = !files[i].intact;
   return record;
 }
 
+Result<void> RecordStore::write_file(std::size_t index, std::string const& bytes) {
+  corrupt[index] = true;
+  Result<void> done = disk.write(file_name(index), bytes);
+  if (done) corrupt[index] = false;
+  return done;
+}
+
 Result<void> RecordStore::save(wire::RecordT const& record) {
   flatbuffers::FlatBufferBuilder builder(1024);
   builder.Finish(wire::Record::Pack(builder, &record));
@@ -137,11 +162,12 @@
   std::string bytes(reinterpret_cast<char const*>(&header), sizeof header);
   bytes += body;
   std::size_t const first = (sequence % (file_count / copies)) * copies;
-  for (std::size_t i = 0; i < copies; ++i) {
-    Result<void> done = disk.write(file_name(first + i), bytes);
-    if (!done) return done;
-  }
-  return boost::outcome_v2::success();
+  std::size_t const second = first + 1;
+  // Else a second interruption could tear the copy that the first one left intact.
+  bool const second_before = corrupt[second] && !corrupt[first];
+  Result<void> done = write_file(second_before ? second : first, bytes);
+  if (done) done = write_file(second_before ? first : second, bytes);
+  return done;
 }
 
 }  // namespace pipit
--- a/src/storage/record_store.h
+++ b/src/storage/record_store.h
@@ -36,9 +36,11 @@
       : disk(disk_), cluster(std::move(cluster_)), node(std::move(node_)), reserved(reserved_) {}
 
   // Recovers the last synced record. A folder that was never used is formatted, with `new_disk_id` in its first record;
-  // `blank` says which. Refused: missing files, a record of another node or cluster, and both copies corrupt.
+  // `blank` says which. Refused: missing files, a record of another node or cluster, and both copies corrupt. A folder
+  // whose mark was lost with the power, but that holds a record of a member, is not blank.
   Result<wire::RecordT> open(std::uint64_t new_disk_id, bool& blank);
-  // Writes and syncs both copies, one after the other, so that one corrupt copy loses nothing.
+  // Writes and syncs both copies, one after the other, so that one corrupt copy loses nothing. A copy that may be
+  // corrupt is written before an intact one. After an error the record may be saved again.
   Result<void> save(wire::RecordT const& record);
 
  private:
@@ -58,12 +60,16 @@
   Result<wire::RecordT> format(std::uint64_t new_disk_id);
   Result<Files> read_files();
   Result<wire::RecordT> unpack(std::string const& body) const;
+  // Whether some file holds the record of a member of a set: an intact one that has voted.
+  bool holds_vote();
+  Result<void> write_file(std::size_t index, std::string const& bytes);
 
   Disk& disk;
   std::string const cluster;
   std::string const node;
   std::size_t const reserved;
-  std::uint64_t sequence = 0;  // of the newest record
+  std::uint64_t sequence = 0;                 // of the newest record
+  std::array<bool, file_count> corrupt = {};  // files that may hold a torn record
 };
 
 }  // namespace pipit
--- a/tests/record_store.cc
+++ b/tests/record_store.cc
@@ -3,11 +3,18 @@
 
 #include <map>
 
+#include "proof/control_plane/disk.h"
 #include "storage/record_store.h"
 
 namespace pipit {
 
+using control_plane::SimulatedDisk;
+
 namespace {
+constexpr std::size_t small_file = 2048;
+constexpr std::uint64_t first_disk_id = 7;
+constexpr std::uint64_t last_serial = 5;
+
 class FakeDisk : public Disk {
  public:
   std::map<std::string, std::string> files;
@@ -33,12 +40,40 @@
   wire::RecordT out;
   out.cluster = "c";
   out.name = "k1";
-  out.disk = 7;
+  out.disk = first_disk_id;
+  out.formed = true;
   out.value = std::make_unique<wire::ValueT>();
   out.value->serial = serial;
   out.value->text = std::string(500 + serial, 'x');
   return out;
 }
+
+// The life of one process: opens the store and writes a few records until the process dies. What an earlier life synced
+// must be there, on the same disk id. False when the store could not be opened though the process was alive.
+bool write_records(SimulatedDisk& disk, std::uint64_t& disk_id, std::uint64_t& synced) {
+  RecordStore store(disk, "c", "k1", small_file);
+  bool blank = false;
+  Result<wire::RecordT> const opened = store.open(first_disk_id + disk.steps(), blank);
+  if (!opened) {
+    EXPECT_TRUE(disk.died()) << opened.error().why;
+    return disk.died();
+  }
+  std::uint64_t const serial = opened.value().value ? opened.value().value->serial : 0;
+  EXPECT_GE(serial, synced);
+  EXPECT_LE(serial, synced + 1);
+  if (synced > 0) EXPECT_EQ(opened.value().disk, disk_id);
+  disk_id = opened.value().disk;
+  synced = serial;
+  std::uint64_t const last = synced + last_serial;
+  while (!disk.died() && synced < last) {
+    wire::RecordT next = record(synced + 1);
+    next.disk = disk_id;
+    next.formed = true;
+    if (!store.save(next)) break;
+    ++synced;
+  }
+  return true;
+}
 }  // namespace
 
 TEST(RecordStore, a_power_cut_at_any_write_keeps_what_was_synced) {
@@ -114,4 +149,79 @@
   EXPECT_FALSE(RecordStore(disk, "c", "k1").open(8, blank));
 }
 
+// Power goes at any step of the writes, and again at any step soon after the next start.
+TEST(RecordStore, two_losses_of_power_at_any_steps_keep_what_was_synced) {
+  for (std::uint64_t first_loss = 0; first_loss < 40; ++first_loss)
+    for (std::uint64_t second_loss = 0; second_loss < 14; ++second_loss)
+      for (std::uint64_t seed = 1; seed <= 30; ++seed) {
+        SCOPED_TRACE("lost after " + std::to_string(first_loss) + " and " + std::to_string(second_loss) +
+                     " steps, seed " + std::to_string(seed));
+        Dice dice(seed * 1000003 + first_loss * 101 + second_loss);
+        SimulatedDisk disk;
+        std::uint64_t disk_id = 0;
+        std::uint64_t synced = 0;
+        for (std::uint64_t const loss : {first_loss, second_loss, std::uint64_t{UINT64_MAX}}) {
+          disk.die_after(loss);
+          if (!write_records(disk, disk_id, synced)) break;
+          disk.lose_power(dice, seed % 3 == 0);
+        }
+        if (HasFailure()) return;
+      }
+}
+
+// A disk that is full for a while at any step, then dead, then without power.
+TEST(RecordStore, a_disk_that_was_full_when_power_went_keeps_what_was_synced) {
+  for (std::uint64_t full_from = 0; full_from < 40; ++full_from)
+    for (std::uint64_t loss = 0; loss < 16; ++loss)
+      for (std::uint64_t seed = 1; seed <= 6; ++seed) {
+        SCOPED_TRACE("full after " + std::to_string(full_from) + " steps, lost " + std::to_string(loss) +
+                     " later, seed " + std::to_string(seed));
+        Dice dice(seed * 1000003 + full_from * 101 + loss);
+        SimulatedDisk disk;
+        disk.die_after(full_from);
+        bool blank = false;
+        std::uint64_t synced = 0;
+        RecordStore store(disk, "c", "k1", small_file);
+        bool opened = static_cast<bool>(store.open(first_disk_id, blank));
+        while (opened && !disk.died() && synced < last_serial && store.save(record(synced + 1))) ++synced;
+        // The same process goes on: what failed is tried again on the full disk, then on one with space.
+        disk.revive();
+        for (bool const full : {true, true, false}) {
+          disk.full(full);
+          if (!opened) opened = static_cast<bool>(store.open(first_disk_id, blank));
+          if (opened && store.save(record(synced + 1))) ++synced;
+        }
+        disk.die_after(loss);
+        while (opened && !disk.died() && synced < last_serial + 3 && store.save(record(synced + 1))) ++synced;
+        disk.lose_power(dice, seed % 3 == 0);
+        RecordStore again(disk, "c", "k1", small_file);
+        Result<wire::RecordT> const back = again.open(first_disk_id + 1, blank);
+        ASSERT_TRUE(back) << back.error().why;
+        std::uint64_t const serial = back.value().value ? back.value().value->serial : 0;
+        ASSERT_GE(serial, synced);
+        ASSERT_LE(serial, synced + 1);
+        if (synced > 0) ASSERT_EQ(back.value().disk, first_disk_id);
+      }
+}
+
+// The name of the mark was made and never synced: the folder is no blank one for that.
+TEST(RecordStore, a_lost_mark_does_not_make_a_used_folder_blank) {
+  for (std::uint64_t death = 0; death < 40; ++death)
+    for (std::uint64_t seed = 1; seed <= 8; ++seed) {
+      SCOPED_TRACE("killed after " + std::to_string(death) + " steps, seed " + std::to_string(seed));
+      Dice dice(seed * 1000003 + death);
+      SimulatedDisk disk;
+      std::uint64_t disk_id = 0;
+      std::uint64_t synced = 0;
+      disk.die_after(death);
+      write_records(disk, disk_id, synced);
+      // A kill, no loss of power: a second process goes on with what is there.
+      disk.revive();
+      ASSERT_TRUE(write_records(disk, disk_id, synced));
+      disk.lose_power(dice, false);
+      ASSERT_TRUE(write_records(disk, disk_id, synced));
+      if (HasFailure()) return;
+    }
+}
+
 }  // namespace pipit
