--- a/src/flow/dispatch/dispatcher.cc
+++ b/src/flow/dispatch/dispatcher.cc
@@ -148,7 +148,7 @@
   request.repeatable = request.route->repeatable || (request.route->streams && request.route->resumable);
   request.tree = request.pool->name + "/" + request.query.model;
   Micros const left = request.query.left > 0 ? request.query.left : request.route->hold;
-  request.due = request.came + std::min(left, request.route->hold) - way_back;
+  request.due = request.came - request.query.read_for + std::min(left, request.route->hold) - way_back;
   if (request.due <= now) return deny(request, Kind::expired, millis(100), out);
   request.give_up = request.came + std::min(request.route->aim / 5, left / 4);
   if (now - born < begin_span) request.give_up = request.came + std::min(begin_wait, left / 4);
@@ -512,7 +512,8 @@
                                      : std::max<Micros>(request.route->aim * 2, request.guess * 4);
     bool const dark =
         quiet > quiet_least && others > quiet_least && at != nullptr && at->running > 1 && quiet > request.guess * 3;
-    bool const gone = at == nullptr || at->standing == Standing::gone;
+    // A worker that said farewell may serve on for long; one whose beats are late still sends what it has.
+    bool const gone = at == nullptr || (at->standing == Standing::gone && !at->said_farewell() && still);
     if (!(quiet > most || dark || (gone && quiet > quiet_least / 2))) continue;
     if (request.sends >= request.route->attempts || !can_pay(*request.pool)) continue;
     ++tally.silences;
--- a/src/flow/dispatch/dispatcher.h
+++ b/src/flow/dispatch/dispatcher.h
@@ -31,8 +31,9 @@
   Parts parts;
   std::int64_t tokens_in = 0;
   std::int64_t tokens_out = 0;
-  Micros left = 0;    // that the caller will wait; 0: not said
-  std::string after;  // the last event that the caller has of an earlier answer
+  Micros left = 0;      // that the caller would wait when it began to send; 0: not said
+  Micros read_for = 0;  // how long the request took to be read
+  std::string after;    // the last event that the caller has of an earlier answer
 };
 
 struct Attempt {
--- a/src/flow/registry/registry.cc
+++ b/src/flow/registry/registry.cc
@@ -81,7 +81,7 @@
 std::optional<wire::EntryT> Registry::leave(std::string const& id, std::uint64_t order, Micros now) {
   Instance* const item = find(id);
   if (item == nullptr) return std::nullopt;
-  item->order = std::max(item->order, order) + 1000000;  // nothing that it says after its farewell counts
+  item->order = std::max(item->order, order) + farewell_step;
   item->owner = self;
   stand(*item, Standing::gone, now);
   return entry_of(*item);
@@ -122,7 +122,9 @@
     Instance& item = it->second;
     // Two beats may be lost on the way to the next node; one and a half are enough when a connection broke as well.
     Micros const most = item.doubted >= 0 ? beat_gap * 7 / 4 : beat_gap * 3;
-    if (item.owner == self && item.heard >= 0 && item.standing != Standing::gone && now - item.heard > most) {
+    // Beats may also come late by seconds: while nothing speaks against a worker, what its answers bring counts too.
+    Micros const heard = item.doubted >= 0 ? item.heard : std::max(item.heard, item.last_byte);
+    if (item.owner == self && item.heard >= 0 && item.standing != Standing::gone && now - heard > most) {
       stand(item, Standing::gone, now);
       out.push_back(entry_of(item));
     }
--- a/src/flow/registry/registry.h
+++ b/src/flow/registry/registry.h
@@ -22,6 +22,10 @@
   bool leaving = false;
 };
 
+// What a farewell adds to a worker's call number: nothing that it said before or says after counts any more, wherever
+// the entry comes, and silence is told from a farewell by it.
+constexpr std::uint64_t farewell_step = 1000000;
+
 struct Instance {
   std::string id;
   std::string address;
@@ -55,6 +59,8 @@
   Micros busy(Micros now) const { return busy_until > now ? busy_until - now : 0; }
   void work(Micros span, Micros now) { busy_until = (busy_until > now ? busy_until : now) + span; }
   bool takes() const { return standing == Standing::serving; }
+  // Whether it announced its end itself, here or at a peer: it may still serve what it has.
+  bool said_farewell() const { return order >= farewell_step; }
 };
 
 class Registry {
--- a/src/gate/net/http.cc
+++ b/src/gate/net/http.cc
@@ -35,7 +35,7 @@
   fields.emplace_back(std::string(name), std::move(value));
 }
 
-void drop_hop_fields(Head& head, std::string_view kept) {
+void drop_hop_fields(Head& head, std::vector<std::string> const& end_to_end) {
   std::vector<std::string> names = {"Keep-Alive", "Proxy-Connection", "TE",    "Trailer", "Transfer-Encoding",
                                     "Upgrade",    "Content-Length",   "Expect"};
   for (std::pair<std::string, std::string> const& item : head.fields) {
@@ -47,7 +47,10 @@
       rest.remove_prefix(std::min(cut + 1, rest.size()));
       while (!word.empty() && (word.front() == ' ' || word.front() == '\t')) word.remove_prefix(1);
       while (!word.empty() && (word.back() == ' ' || word.back() == '\t')) word.remove_suffix(1);
-      if (!word.empty() && !same_letters(word, "Host") && !same_letters(word, kept)) names.emplace_back(word);
+      bool const stays = same_letters(word, "Host") ||
+                         std::any_of(end_to_end.begin(), end_to_end.end(),
+                                     [word](std::string const& name) { return same_letters(word, name); });
+      if (!word.empty() && !stays) names.emplace_back(word);
     }
   }
   names.emplace_back("Connection");
--- a/src/gate/net/http.h
+++ b/src/gate/net/http.h
@@ -34,8 +34,8 @@
 
 bool same_letters(std::string_view a, std::string_view b);
 // Takes away what concerns one connection only: Connection and what it names, Keep-Alive, TE, Transfer-Encoding, ...
-// Never the host, nor the field 'kept': they are for the other end, whatever Connection names.
-void drop_hop_fields(Head& head, std::string_view kept = "");
+// Never the host, nor the fields 'end_to_end': they are for the other end, whatever Connection names.
+void drop_hop_fields(Head& head, std::vector<std::string> const& end_to_end = {});
 std::string request_text(Head const& head, std::int64_t length);
 // length -1: the body comes in chunks.
 std::string answer_text(Head const& head, std::int64_t length, bool close);
--- a/src/gate/net/link.cc
+++ b/src/gate/net/link.cc
@@ -186,7 +186,7 @@
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
     if (n < 0) return end(End::reset);
-    if (n == 0) return end(End::closed);
+    if (n == 0) return end(lost ? End::reset : End::closed);
     std::string const got(buffer, static_cast<std::size_t>(n));
     if (ears.bytes) ears.bytes(got);
     if (static_cast<std::size_t>(n) < sizeof buffer) return;
@@ -200,6 +200,13 @@
   return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
 }
 
+bool Link::ended_by_peer() const {
+  if (fd < 0 || state != State::up) return fd < 0;
+  char byte = 0;
+  ssize_t const n = ::recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return n == 0 || (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
+}
+
 void Link::write(std::string_view bytes) {
   if (fd < 0 || lost) return;
   if (state == State::up && waiting() == 0) {
@@ -225,7 +232,7 @@
     ssize_t const n = ::send(fd, out.data() + gone, waiting(), MSG_NOSIGNAL);
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) break;
-    if (n <= 0) return end(End::reset);
+    if (n <= 0) return lose();
     gone += static_cast<std::size_t>(n);
   }
   if (waiting() == 0) {
@@ -241,6 +248,13 @@
   want();
 }
 
+// The peer takes no more; what it said before that may still be here, as an answer that came early.
+void Link::lose() {
+  lost = true;
+  if (!held) read_some();
+  end(End::reset);
+}
+
 void Link::finish() {
   if (fd < 0) return;
   last = true;
--- a/src/gate/net/link.h
+++ b/src/gate/net/link.h
@@ -47,6 +47,8 @@
   bool connected() const { return state == State::up; }
   // Open, and nothing has come that is still to be read, not even its end.
   bool quiet() const;
+  // Whether the peer has ended it and only its end is still to be read.
+  bool ended_by_peer() const;
 
  private:
   enum class State : std::uint8_t { dialling, up, shut };
@@ -57,6 +59,7 @@
   void ready(unsigned conditions);
   void read_some();
   void flush();
+  void lose();
   void end(End how);
 
   int fd = -1;
--- a/src/gate/net/server.cc
+++ b/src/gate/net/server.cc
@@ -231,6 +231,11 @@
   }
 }
 
+bool Server::given_up(std::uint64_t id) const {
+  Conn const* const conn = conn_of(id);
+  return conn == nullptr || conn->link->ended_by_peer();
+}
+
 std::size_t Server::waiting(std::uint64_t id) const {
   Conn const* const conn = conn_of(id);
   return conn == nullptr ? 0 : conn->link->waiting();
--- a/src/gate/net/server.h
+++ b/src/gate/net/server.h
@@ -49,6 +49,8 @@
   void end(std::uint64_t id);
   // The answer cannot be whole any more, and must not look whole. Before its head the connection just ends.
   void break_off(std::uint64_t id);
+  // Whether the caller has ended its connection, though that has not been read yet.
+  bool given_up(std::uint64_t id) const;
   // Bytes that wait for a slow caller.
   std::size_t waiting(std::uint64_t id) const;
 
--- a/src/gate/net/upstream.cc
+++ b/src/gate/net/upstream.cc
@@ -50,13 +50,13 @@
   return spot == idle.end() ? 0 : spot->second.size();
 }
 
-void Upstream::erase(Conn& conn) {
+void Upstream::erase(Conn& conn, bool reset) {
   std::vector<Conn*>& list = idle[conn.peer];
   list.erase(std::remove(list.begin(), list.end(), &conn), list.end());
   if (list.empty()) idle.erase(conn.peer);
   if (conn.id != 0) by_id.erase(conn.id);
   conn.id = 0;  // whatever is still being read of it is nobody's
-  conn.link->close();
+  conn.link->close(reset);
   conns.erase(&conn);
 }
 
@@ -198,7 +198,7 @@
   std::map<std::uint64_t, Conn*>::iterator const spot = by_id.find(id);
   if (spot == by_id.end()) return;
   std::shared_ptr<Conn> const hold = conns[spot->second];
-  erase(*hold);
+  erase(*hold, true);
 }
 
 void Upstream::forget(std::string const& peer) {
--- a/src/gate/net/upstream.h
+++ b/src/gate/net/upstream.h
@@ -40,6 +40,7 @@
 
   // Sends a request; 'peer' names who lives at the address, and kept connections belong to that name.
   void start(std::uint64_t id, std::string const& peer, std::string const& address, std::string bytes, Micros within);
+  // Gives a request up: its connection is reset, so that nothing the system still holds of it arrives later.
   void cut(std::uint64_t id);
   // Nobody of that name is there any more: its kept connections are closed.
   void forget(std::string const& peer);
@@ -58,7 +59,7 @@
   void shut(Conn& conn, Link::End how);
   void fail(Conn& conn, End how, std::string const& why);
   void whole(Conn& conn);
-  void erase(Conn& conn);
+  void erase(Conn& conn, bool reset = false);
 
   Ears ears;
   std::string const from;
--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -13,6 +13,7 @@
 
 namespace {
 constexpr std::size_t failing_most = 1u << 20;
+constexpr std::size_t event_end_most = 4;       // bytes of the blank line that ends an event, with the line before it
 constexpr std::int64_t count_most = 100000000;  // of tokens, requests or milliseconds (28 h)
 Micros now() { return loop_time(); }
 
@@ -36,6 +37,13 @@
   return std::clamp<std::int64_t>(std::strtoll(text, rest, 10), 0, count_most);
 }
 
+// What a caller says it will wait. Nothing, or what is no number, says nothing: 0. A caller that waits no longer has
+// the shortest time that there is.
+Micros time_left(std::string const* text) {
+  if (text == nullptr || text->find_first_of("0123456789") == std::string::npos) return 0;
+  return std::max<Micros>(1, millis(count_from(text->c_str(), nullptr)));
+}
+
 // A caller takes such an answer for a promise that the request has not run and never will.
 bool promises(unsigned status) { return status == 408 || status == 421 || status == 429 || status == 503; }
 
@@ -78,6 +86,7 @@
                std::move(own_host)),
       dispatcher(dispatcher_),
       dialect(std::move(dialect_)),
+      end_to_end(dialect.end_to_end()),
       ears(std::move(ears_)) {}
 
 void Relay::limits(CallLimits const& from) {
@@ -95,6 +104,8 @@
 }
 
 void Relay::on_call(Server::Call&& call) {
+  // Its end is read next: no worker is to begin with what nobody waits for.
+  if (server.given_up(call.id)) return;
   Query query;
   query.host = call.head.get("Host");
   std::size_t const port = query.host.rfind(':');
@@ -106,11 +117,12 @@
   query.tokens_in = count_from(tokens.c_str(), nullptr);
   std::size_t const comma = tokens.find(',');
   if (comma != std::string::npos) query.tokens_out = count_from(tokens.c_str() + comma + 1, nullptr);
-  query.left = millis(count_from(call.head.get(dialect.left).c_str(), nullptr));
+  query.left = time_left(call.head.find(dialect.left));
+  query.read_for = std::max<Micros>(0, now() - call.came);
   query.after = call.head.get(dialect.after);
   Caller caller;
   caller.head = std::move(call.head);
-  drop_hop_fields(caller.head, dialect.attempt);
+  drop_hop_fields(caller.head, end_to_end);
   caller.body = std::move(call.body);
   caller.attempt = caller.head.get(dialect.attempt);
   caller.last_event = query.after;
@@ -162,10 +174,13 @@
   Caller& caller = spot->second;
   Route const* const route = dispatcher.route_of(attempt.request);
   caller.instance = attempt.instance;
-  caller.resumable = route != nullptr && route->streams && route->resumable;
+  caller.streams = route != nullptr && route->streams;
+  caller.resumable = caller.streams && route->resumable;
   caller.resumed = attempt.resumed;
   caller.declined = caller.elsewhere = caller.failing = caller.unsaid = false;
+  caller.unbounded = false;
   caller.held.clear();
+  caller.tail.clear();
   Head head = caller.head;
   head.set(dialect.left, std::to_string(std::max<Micros>(1, attempt.left / 1000)));
   if (guard(RequestGuard::instance)) head.set(dialect.instance, attempt.instance);
@@ -204,9 +219,10 @@
   }
   bool const sealed = dialect.seal.empty() || !guard(RequestGuard::seal) || head.find(dialect.seal) != nullptr;
   if (!caller.declined && !caller.failing && !sealed) return Upstream::Owner::nobody;
+  caller.unbounded = head.length < 0 && !head.chunked && !bodiless(head.status) && caller.head.method != "HEAD";
   if (caller.resumed) return Upstream::Owner::asker;
   caller.answer = head;
-  drop_hop_fields(caller.answer, dialect.attempt);
+  drop_hop_fields(caller.answer, end_to_end);
   caller.answer.length = head.length;
   return Upstream::Owner::asker;
 }
@@ -263,12 +279,22 @@
     if (!caller.unsaid) caller.held.append(bytes);
     return;
   }
+  if (caller.streams && caller.unbounded) {
+    caller.tail.append(bytes.substr(bytes.size() - std::min(bytes.size(), event_end_most)));
+    caller.tail.erase(0, caller.tail.size() - std::min(caller.tail.size(), event_end_most));
+  }
   if (!caller.resumable) return pass_on(id, caller, bytes);
   caller.held.append(bytes);
   std::string const events = whole_events(id, caller);
   pass_on(id, caller, events);
 }
 
+// A worker may break off anywhere. Where only the connection's end tells the end of a stream, that is whole only after
+// a whole event.
+bool Relay::stops_in_event(Caller const& caller) {
+  return caller.streams && caller.unbounded && !caller.tail.ends_with("\n\n") && !caller.tail.ends_with("\r\n\r\n");
+}
+
 void Relay::on_done(std::uint64_t id) {
   std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
   if (spot == callers.end()) return;
@@ -276,6 +302,7 @@
   if (caller.declined) return ears.ended(id, AttemptEnd::declined, caller.elsewhere);
   if (caller.unsaid) return ears.ended(id, AttemptEnd::broke, false);
   if (caller.failing) return ears.ended(id, AttemptEnd::failed, false);
+  if (stops_in_event(caller)) return ears.ended(id, AttemptEnd::broke, false);
   if (caller.resumable && !caller.held.empty()) {
     std::string const rest = std::move(caller.held);
     caller.held.clear();
--- a/src/gate/relay/relay.h
+++ b/src/gate/relay/relay.h
@@ -24,6 +24,9 @@
   std::string parts = "X-Pipit-Parts";    // ID:TOKENS, joined by commas
   std::string after = "Last-Event-Id";
   std::string seal;  // a success without it is nobody's answer; empty: none is asked for
+
+  // The fields that are for the other end, whatever a connection names as its own.
+  std::vector<std::string> end_to_end() const { return {attempt, left, model, tokens, parts, after, seal}; }
 };
 
 class Relay {
@@ -51,14 +54,17 @@
     std::string body;
     std::string attempt;
     std::string instance;
+    bool streams = false;
     bool resumable = false;
     bool resumed = false;
     bool declined = false;
     bool elsewhere = false;
     bool failing = false;
     bool unsaid = false;     // a failure that can't go back: too large, or its status promises what was not said
+    bool unbounded = false;  // the answer has neither length nor chunks and ends with its connection
     bool begun = false;      // the answer's head has gone to the caller
     Head answer;             // of the worker, to go with the first bytes
+    std::string tail;        // the last bytes of a stream without bounds
     std::string held;        // a failing answer's body, or the beginning of an event that is not whole
     std::string last_event;  // id of the last event that was passed on
   };
@@ -67,6 +73,7 @@
   Upstream::Owner on_head(std::uint64_t id, Head const& head, bool first);
   void on_body(std::uint64_t id, std::string_view bytes);
   void on_done(std::uint64_t id);
+  static bool stops_in_event(Caller const& caller);
   void on_ended(std::uint64_t id, Upstream::End end, std::string const& why);
   void pass_on(std::uint64_t id, Caller& caller, std::string_view bytes);
   std::string whole_events(std::uint64_t id, Caller& caller);
@@ -74,6 +81,7 @@
 
   Dispatcher& dispatcher;
   Dialect const dialect;
+  std::vector<std::string> const end_to_end;
   Ears ears;
   std::map<std::uint64_t, Caller> callers;
 };
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -464,6 +464,82 @@
   EXPECT_TRUE(out.empty()) << "it may still answer in time";
 }
 
+// Some workers say farewell first and serve on: what they hold is theirs, and nothing new goes there.
+TEST_F(Desks, a_worker_that_said_farewell_keeps_what_it_has_and_gets_nothing_new) {
+  for (bool const told_by_a_peer : {false, true}) {
+    worker("w");
+    ASSERT_EQ(place(1, "safe"), "w");
+    dispatcher.left(1, now);
+    now += millis(20);
+    if (told_by_a_peer) {
+      Registry peer("n2");
+      peer.beat(beat_of("w", order), now);
+      std::optional<wire::EntryT> const said = peer.leave("w", ++order, now);
+      ASSERT_TRUE(said);
+      registry.take_entry(*said, now);
+    } else {
+      registry.leave("w", ++order, now);
+    }
+    worker("v");
+    EXPECT_EQ(place(2, "safe"), "v");
+    dispatcher.left(2, now);
+    dispatcher.began(2, now);
+    end(2, AttemptEnd::whole);
+    wait(millis(700));  // less than what makes any silent worker be left
+    EXPECT_TRUE(out.empty()) << "its worker still works on it";
+    dispatcher.began(1, now);
+    end(1, AttemptEnd::whole);
+    EXPECT_TRUE(free_of_work());
+    registry.all.clear();
+  }
+}
+
+// Beats may come seconds late: a worker from which bytes come is there.
+TEST_F(Desks, what_a_worker_has_is_not_moved_for_late_beats_while_it_is_heard) {
+  worker("w");
+  ASSERT_EQ(place(1, "safe"), "w");
+  dispatcher.left(1, now);
+  now += millis(100);
+  wire::EntryT gone;  // its owner has missed its beats
+  gone.key = "w";
+  gone.owner = "n2";
+  gone.incarnation = order;
+  gone.address = "127.0.0.1:9000";
+  gone.zone = "a";
+  gone.pool = "p";
+  gone.slots = 8;
+  gone.state = static_cast<std::uint8_t>(Standing::gone);
+  registry.take_entry(gone, now);
+  ASSERT_EQ(registry.find("w")->standing, Standing::gone);
+  worker("v");
+  for (int turn = 0; turn < 8; ++turn) {
+    out = DispatchOut();
+    dispatcher.tick(now += millis(100), out);
+    EXPECT_TRUE(out.empty()) << "turn " << turn;
+    registry.well(*registry.find("w"), now);  // something came of another request there
+  }
+  wait(seconds(1));
+  EXPECT_EQ(out.cuts, std::vector<std::uint64_t>{1}) << "it is neither heard nor known any more";
+}
+
+// A request that took long to read has used that much of its caller's time.
+TEST_F(Desks, the_time_that_a_request_took_to_be_read_is_not_given_to_a_worker) {
+  worker("w");
+  Query query = query_of("once");
+  query.left = millis(2000);
+  query.read_for = millis(700);
+  ASSERT_EQ(place(1, query), "w");
+  EXPECT_LE(out.starts[0].left, millis(1300));
+  EXPECT_GT(out.starts[0].left, millis(1200));
+  query.left = 0;  // the route's time holds from the first byte, too
+  ASSERT_EQ(place(2, query), "w");
+  EXPECT_LE(out.starts[0].left, millis(2300));
+  query.left = millis(700);
+  EXPECT_EQ(place(3, query), "");
+  ASSERT_EQ(out.denials.size(), 1u);
+  EXPECT_GT(out.denials[0].wait, 0) << "it has not run and never will";
+}
+
 TEST_F(Desks, a_caller_that_hangs_up_leaves_nothing_behind) {
   worker("w");
   for (int stage = 0; stage < 3; ++stage) {
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -1320,6 +1320,35 @@
   EXPECT_EQ(upstream.open(), 0u);
 }
 
+// What the system still holds of a request that was cut must not reach its worker later.
+TEST_F(Workerly, a_cut_resets_the_connection) {
+  Wire& wire = start(1);
+  upstream.cut(1);
+  ASSERT_TRUE(until([&] { return wire.shut; }));
+  EXPECT_EQ(wire.how, Link::End::reset);
+}
+
+// The worker may have said all that there is to say before it ended the connection with bytes unread.
+TEST_F(Workerly, what_came_before_a_reset_is_heard_although_the_request_was_not_taken) {
+  std::string const body(32u << 20, 'z');
+  std::string const text =
+      "POST / HTTP/1.1\r\n" + host + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+  for (bool const length : {true, false}) {
+    forget();
+    wires.clear();
+    upstream.start(1, "w", address, text, seconds(10));
+    ASSERT_TRUE(until([&] { return !wires.empty(); }));
+    wires[0]->link->hold(true);
+    wires[0]->send(length ? ok : "HTTP/1.1 200 OK\r\n\r\nok");
+    wires[0]->link->close();
+    wires[0]->shut = true;
+    ASSERT_TRUE(over());
+    EXPECT_EQ(done.size(), length ? 1u : 0u) << "without a length only an orderly end makes it whole";
+    EXPECT_EQ(bodies[1], "ok");
+    EXPECT_EQ(upstream.connections(), 0u);
+  }
+}
+
 TEST_F(Workerly, mutated_answers_end_each_request_once_and_do_no_harm) {
   std::vector<std::string> const seeds = {ok,
                                           ok + ok,
--- a/tests/registry.cc
+++ b/tests/registry.cc
@@ -135,6 +135,18 @@
   EXPECT_EQ(standing_of(registry, "w"), Standing::serving);
 }
 
+// Beats may come seconds late: what its answers bring speaks for a worker as well.
+TEST_F(Workers, a_worker_whose_answers_come_is_not_silent) {
+  registry.beat(beat_of("w", 1), 0);
+  registry.beat(beat_of("v", 1), 0);
+  registry.well(*registry.find("w"), 2 * gap);
+  std::vector<wire::EntryT> const gone = registry.silent(4 * gap);
+  ASSERT_EQ(gone.size(), 1u);
+  EXPECT_EQ(gone[0].key, "v");
+  EXPECT_EQ(standing_of(registry, "w"), Standing::serving);
+  EXPECT_EQ(registry.silent(6 * gap).size(), 1u) << "but they end, too";
+}
+
 TEST_F(Workers, only_the_node_that_took_the_last_word_judges_silence) {
   registry.beat(beat_of("w", 1), 0);
   registry.take_entry(entry_of("w", 2, Standing::serving, "n2"), 10);
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -4,6 +4,7 @@
 
 #include <glib.h>
 
+#include "gate/net/clock.h"
 #include "gate/relay/relay.h"
 #include "tests/loopback.h"
 
@@ -363,6 +364,141 @@
   EXPECT_TRUE(quiet());
 }
 
+// What a worker reckons with is the caller's, whatever the caller lists as its connection's own.
+TEST_F(Passing, a_caller_cannot_have_the_fields_of_its_prompt_taken_away) {
+  worker("w");
+  std::string const prompt =
+      "X-Pipit-Model: m\r\nX-Pipit-Tokens: 10,5\r\nX-Pipit-Parts: 5c1e07a2:10\r\nLast-Event-Id: 4\r\n";
+  ask("POST", "/flow/x",
+      "Connection: X-Pipit-Model, x-pipit-tokens, X-Pipit-Parts, Last-Event-Id, X-Pipit-Left-Ms, X-Mine\r\n"
+      "X-Mine: 1\r\nX-Pipit-Left-Ms: 3000\r\n" +
+          prompt);
+  ASSERT_EQ(reached(), "w");
+  std::string const got = workers["w"]->got();
+  EXPECT_NE(got.find(prompt), std::string::npos) << got;
+  EXPECT_NE(got.find("X-Pipit-Left-Ms: 2"), std::string::npos) << got;
+  EXPECT_EQ(got.find("X-Mine"), std::string::npos);
+}
+
+TEST_F(Passing, a_caller_that_waits_no_longer_is_refused_and_not_sent_on) {
+  worker("w");
+  for (char const* const left : {"0", "-5", "20"}) {
+    ask("POST", "/once/x", "X-Pipit-Left-Ms: " + std::string(left) + "\r\n");
+    ASSERT_TRUE(until([&] { return !caller->got.empty() || !workers["w"]->got().empty(); }));
+    EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 503") << left;
+    EXPECT_EQ(workers["w"]->got(), "") << left;
+    settle();
+  }
+}
+
+// A worker may break off in the middle of an event, and its answer may end with its connection.
+TEST_F(Passing, a_stream_without_length_that_ends_in_an_event_is_not_whole) {
+  std::string const head = "HTTP/1.1 200 OK\r\n" + mine + "\r\n";
+  worker("w");
+  worker("v");
+  ask("POST", "/flow/x");
+  std::string const first = reached();
+  wire_of(first).send(head + "id: 1\ndata: a\n\nid: 2\nda");
+  ASSERT_TRUE(hears("data: a\n\n"));
+  wire_of(first).link->close();
+  std::string const second = reached(first);
+  ASSERT_NE(second, "");
+  EXPECT_NE(workers[second]->got().find("Last-Event-Id: 1\r\n"), std::string::npos);
+  wire_of(second).send(head + "id: 2\ndata: b\n\n");
+  ASSERT_TRUE(hears("data: b\n\n"));
+  wire_of(second).link->close();
+  ASSERT_TRUE(hears("0\r\n\r\n")) << "after an event it is whole";
+  EXPECT_EQ(count_of(caller->got, "id: 2"), 1u);
+  EXPECT_TRUE(quiet());
+}
+
+TEST_F(Passing, a_stream_that_may_not_go_on_and_ends_in_an_event_is_broken_off) {
+  worker("w");
+  for (bool const whole : {true, false}) {
+    ask("POST", "/live/x");
+    ASSERT_TRUE(until([&] { return count_of(workers["w"]->got(), "POST ") == (whole ? 1u : 2u); }));
+    wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "\r\nid: 1\ndata: a\n\n");
+    ASSERT_TRUE(hears("data: a\n\n"));
+    if (!whole) wire_of("w").send("id: 2\nda");
+    ASSERT_TRUE(hears(whole ? "data: a\n\n" : "id: 2\nda"));
+    wire_of("w").link->close();
+    wire_of("w").shut = true;
+    ASSERT_TRUE(until([&] { return caller->shut || count_of(caller->got, "0\r\n\r\n") > 0; }));
+    EXPECT_EQ(caller->shut, !whole);
+    EXPECT_EQ(count_of(caller->got, "\r\n0\r\n\r\n"), whole ? 1u : 0u);
+    EXPECT_TRUE(quiet());
+  }
+}
+
+// A caller's time runs from the first byte of its request, however long the rest takes.
+TEST_F(Passing, the_time_that_a_body_takes_to_come_is_the_callers) {
+  worker("w");
+  ManualTime time(g_get_monotonic_time());
+  caller = std::make_unique<Wire>(address);
+  caller->send(
+      "POST /once/x HTTP/1.1\r\nHost: h.test\r\nX-Pipit-Attempt: r1\r\nX-Pipit-Left-Ms: 2000\r\n"
+      "Content-Length: 2\r\n\r\nh");
+  ASSERT_TRUE(until([&] { return relay.server.connections() == 1; }));
+  settle();
+  time.advance(millis(700));
+  caller->send("i");
+  ASSERT_EQ(reached(), "w");
+  std::string const got = workers["w"]->got();
+  std::size_t const at = got.find("X-Pipit-Left-Ms: ");
+  ASSERT_NE(at, std::string::npos) << got;
+  EXPECT_LE(std::stoi(got.substr(at + 17)), 1300);
+  EXPECT_GT(std::stoi(got.substr(at + 17)), 1100);
+}
+
+// The request lay unread while its caller gave it up: no worker begins with it.
+TEST_F(Passing, what_a_caller_has_given_up_unread_goes_to_no_worker) {
+  worker("w");
+  ask("POST", "/safe/x");
+  ASSERT_EQ(reached(), "w");
+  wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
+  ASSERT_TRUE(hears("yes"));
+  ASSERT_EQ(relay.upstream.kept("w"), 1u);
+  for (bool const reset : {false, true}) {
+    Wire other(address);
+    settle();
+    std::size_t const there = relay.server.connections();
+    other.send("POST /safe/x HTTP/1.1\r\nHost: h.test\r\nX-Pipit-Attempt: r2\r\nContent-Length: 2\r\n\r\nhi");
+    other.link->close(reset);
+    ASSERT_TRUE(until([&] { return relay.server.connections() == there - 1; }));
+    settle();
+    EXPECT_EQ(count_of(workers["w"]->got(), "POST "), 1u) << "a worker would begin with it";
+    EXPECT_TRUE(quiet());
+  }
+}
+
+// A worker that refuses before it has read a long body, and ends the connection with bytes unread, resets it.
+TEST_F(Passing, a_refusal_before_the_body_was_read_is_heard_although_a_reset_follows) {
+  worker("w");
+  worker("v");
+  std::string const body(4u << 20, 'z');
+  caller = std::make_unique<Wire>(address);
+  caller->send("POST /once/x HTTP/1.1\r\nHost: h.test\r\nX-Pipit-Attempt: r1\r\nContent-Length: " +
+               std::to_string(body.size()) + "\r\n\r\n");
+  caller->send(body);
+  std::string first;
+  ASSERT_TRUE(until([&] {
+    for (std::pair<std::string const, std::unique_ptr<Worker>> const& item : workers)
+      if (!item.second->wires.empty()) first = item.first;
+    return !first.empty();
+  }));
+  Wire& wire = wire_of(first);
+  wire.link->hold(true);
+  wire.send("HTTP/1.1 503 Busy\r\n" + mine + "X-Pipit-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+  wire.link->close();
+  wire.shut = true;
+  std::string const other = first == "w" ? "v" : "w";
+  ASSERT_TRUE(until([&] { return !caller->got.empty() || workers[other]->got().size() > body.size(); }));
+  ASSERT_EQ(caller->got, "") << "it was told not to have run";
+  wire_of(other).send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
+  ASSERT_TRUE(hears("yes"));
+  EXPECT_TRUE(quiet());
+}
+
 TEST_F(Sealed, a_success_without_the_seal_is_no_answer_and_failures_need_none) {
   worker("w");
   ask("POST", "/once/x");
