--- a/proof/requests/world.cc
+++ b/proof/requests/world.cc
@@ -15,6 +15,8 @@
 constexpr double budget_ratio = 0.2;
 constexpr double budget_store = 2;
 constexpr std::size_t events_most = 3;  // of an answer
+constexpr std::size_t answer_ways = 22;
+constexpr std::size_t world_events = 12;
 
 Dialect words() {
   Dialect out;
@@ -417,7 +419,7 @@
       id + seal + "Content-Length: " + std::to_string(7 + item.id.size()) + "\r\n\r\nfailed " + item.id;
   bool over_now = true;
   note(worker.id + " answers " + item.id + " in way " + std::to_string(way));
-  if (side.headed && way > 2 && way != 17 && way < 19) way = 0;
+  if (side.headed && way > 2 && way != 17 && way < 21) way = 0;
   if (side.ran && (way == 3 || way == 4)) way = 0;  // no worker says that it did not run what it ran
   switch (way) {
     case 0:
@@ -505,6 +507,16 @@
       if (side.carried > 1) send(side, "HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
       send(side, whole);
       break;
+    case 19:  // no length: the end of the connection ends it
+    case 20: {
+      run(worker, side);
+      ++seen["answer without length"];
+      // Of what is no stream nobody could tell that it stopped in the middle.
+      bool const stops = way == 20 && (item.kind == "live" || item.kind == "flow");
+      send(side, success_head(worker, item) + "\r\n" + (stops ? body.substr(0, body.size() - 3) : body));
+      shut(side);
+      break;
+    }
     default:
       shut(side);
   }
@@ -519,7 +531,7 @@
   if (worker.sides.empty()) return;
   WorkerSide& side = *worker.sides[choose(worker.sides.size())];
   if (side.current.empty()) read_worker(worker, side);
-  if (!side.current.empty()) return answer(worker, side, choose(20));
+  if (!side.current.empty()) return answer(worker, side, choose(answer_ways));
   if (side.fd < 0) return;
   switch (choose(3)) {
     case 0:
@@ -544,7 +556,7 @@
 
 void RequestWorld::world_event() {
   Worker& worker = *workers[choose(workers.size())];
-  switch (choose(11)) {
+  switch (choose(world_events)) {
     case 0:
       note("50 ms go by");
       return tick(millis(50));
@@ -590,6 +602,12 @@
       held = !held;
       note(held ? "placing is held" : "placing goes on");
       return dispatcher.hold(held);
+    case 10:
+      if (worker.elsewhere || !worker.up) return;
+      note(worker.id + " says farewell and serves on");
+      ++seen["farewell"];
+      registry.leave(worker.id, ++beats, loop_time());
+      return;
     default:
       if (stopping) return;
       stopping = true;
--- a/proof/stage/judge.h
+++ b/proof/stage/judge.h
@@ -20,6 +20,7 @@
   X(denied, "a proper request was denied")                                             \
   X(misrouted, "a service ran a request that was never to go there")                   \
   X(drained, "a request came to a worker too long after it had said that it leaves")   \
+  X(ready_ending, "a node that was told to end still called itself ready")             \
   X(lost, "a node that was told to end cut a request that it had read")                \
   X(too_many_retries, "workers were sent more repeats than the budget allows")         \
   X(config_late, "an acknowledged change was not followed in time")                    \
--- a/proof/stage/nodes.cc
+++ b/proof/stage/nodes.cc
@@ -29,6 +29,7 @@
 constexpr Micros touch = seconds(3);
 constexpr Micros grace = seconds(8);
 constexpr Micros restart_delay = millis(300);
+constexpr Micros heed_most = seconds(2);  // for how long a node that is told to end may still say that it is ready
 constexpr unsigned mesh_port = 7300;
 }  // namespace
 
@@ -224,8 +225,10 @@
   Line::Ears ears;
   std::shared_ptr<unsigned> const status = std::make_shared<unsigned>(0);
   ears.head = [status](unsigned code) { *status = code; };
-  ears.end = [this, at, status, began](Line::End end) {
+  Micros const told = node.leaving ? node.told_to_end : -1;
+  ears.end = [this, at, status, began, told](Line::End end) {
     bool const yes = end == Line::End::whole && *status == 200;
+    if (yes && told >= 0 && began - told > heed_most) judge.broken(Promise::ready_ending, at->name);
     if (!ending && at->was_ready && in_touch(*at, began) && in_touch(*at, now())) {
       ++polls;
       if (!yes) ++polls_unready;
--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -292,7 +292,8 @@
 // A worker may break off anywhere. Where only the connection's end tells the end of a stream, that is whole only after
 // a whole event.
 bool Relay::stops_in_event(Caller const& caller) {
-  return caller.streams && caller.unbounded && !caller.tail.ends_with("\n\n") && !caller.tail.ends_with("\r\n\r\n");
+  return caller.streams && caller.unbounded && guard(RequestGuard::event_end) && !caller.tail.ends_with("\n\n") &&
+         !caller.tail.ends_with("\r\n\r\n");
 }
 
 void Relay::on_done(std::uint64_t id) {
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -141,11 +141,13 @@
   act(out);
 }
 
-void Station::beat_end(std::string const& id, std::uint64_t order) {
+bool Station::beat_end(std::string const& id, std::uint64_t order) {
+  if (node->registry.find(id) == nullptr) return false;
   NodeOut out;
   node->beat_end(id, order, now(), out);
   relay->forget(id);
   act(out);
+  return true;
 }
 
 void Station::operate(Change change, Done done) {
--- a/src/gate/station/station.h
+++ b/src/gate/station/station.h
@@ -48,7 +48,8 @@
   void on_look(Look look_) { look = std::move(look_); }
 
   void beat(Beat const& word);
-  void beat_end(std::string const& id, std::uint64_t order);
+  // False when no worker of that name is known here.
+  bool beat_end(std::string const& id, std::uint64_t order);
   void operate(Change change, Done done);
   void reseed(std::vector<std::string> const& addresses) { node->mesh.reseed(addresses); }
   // The description in force here, with the operators' own number for it.
--- a/src/ground/request_guards.h
+++ b/src/ground/request_guards.h
@@ -13,6 +13,7 @@
   instance,      // the worker is told which one it is taken for
   seal,          // a success bears the worker's seal
   event_order,   // a stream that was taken up elsewhere repeats no event
+  event_end,     // a stream that ends with its connection is whole only after a whole event
   none
 };
 
--- a/tests/requests.cc
+++ b/tests/requests.cc
@@ -28,7 +28,8 @@
   Exploration const result = walk_requests(1, 1500, 60, true);
   EXPECT_EQ(result.faulty, 0u) << text_of(result);
   // The walks come to what they are for.
-  for (char const* const what : {"200", "500", "502", "503", "break", "run", "sent again", "421 of a worker", "freeze"})
+  for (char const* const what : {"200", "500", "502", "503", "break", "run", "sent again", "421 of a worker", "freeze",
+                                 "farewell", "answer without length"})
     EXPECT_GT(result.seen.count(what) == 0 ? 0 : result.seen.at(what), 50u) << what;
 }
 
@@ -72,6 +73,7 @@
                                          GuardAway{"instance", RequestGuard::instance, Guard::none},
                                          GuardAway{"seal", RequestGuard::seal, Guard::none},
                                          GuardAway{"event_order", RequestGuard::event_order, Guard::none},
+                                         GuardAway{"event_end", RequestGuard::event_end, Guard::none},
                                          GuardAway{"never_repeat", RequestGuard::none, Guard::never_repeat},
                                          GuardAway{"honest_ran", RequestGuard::none, Guard::honest_ran},
                                          GuardAway{"bucket", RequestGuard::none, Guard::bucket}),
--- /dev/null
+++ b/tests/station.cc
@@ -0,0 +1,57 @@
+// A node of the users' platform with its sockets: what its control address tells workers.
+#include <gtest/gtest.h>
+
+#include "platform/control.h"
+#include "tests/loopback.h"
+
+namespace pipit::platform {
+
+namespace {
+class ControlAddress : public testing::Test {
+ protected:
+  ControlAddress() {
+    StationPlan plan;
+    plan.node.name = "n1";
+    plan.node.zone = "a";
+    plan.node.registered = true;
+    plan.node.address = free_address();
+    plan.node.seeds = {plan.node.address};
+    plan.control = free_address();
+    address = plan.control;
+    station = std::make_unique<Station>(std::move(plan));
+    calls = std::make_unique<Calls>(*station, address);
+    station->on_control([this](Server::Call& call) { return calls->take(call); });
+    EXPECT_TRUE(station->open());
+  }
+
+  // The status with which a call is answered.
+  std::string post(std::string const& path, std::string const& body) {
+    Wire wire(address);
+    wire.send("POST " + path + " HTTP/1.1\r\nHost: n1\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+              body);
+    EXPECT_TRUE(until([&wire] { return wire.shut || wire.got.find("\r\n\r\n") != std::string::npos; }));
+    return wire.got.substr(0, 12);
+  }
+  static std::string beat(std::uint64_t sequence) {
+    return R"({"service":"s","address":"127.0.0.1:9","zone":"a","slots":4,"state":"available","call_sequence":)" +
+           std::to_string(sequence) + "}";
+  }
+
+  std::string address;
+  std::unique_ptr<Station> station;
+  std::unique_ptr<Calls> calls;
+};
+}  // namespace
+
+// Nobody would heed it: the worker is to say it to a node that knows the worker.
+TEST_F(ControlAddress, acknowledges_a_farewell_only_of_a_worker_that_it_knows) {
+  std::string const bye = R"({"call_sequence":9})";
+  EXPECT_EQ(post("/Instances.Leave/i-1", bye), "HTTP/1.1 503");
+  EXPECT_EQ(post("/Instances.Beat/i-1", beat(8)), "HTTP/1.1 200");
+  EXPECT_EQ(post("/Instances.Leave/i-1", bye), "HTTP/1.1 200");
+  EXPECT_EQ(post("/Instances.Leave/i-1", bye), "HTTP/1.1 200") << "its answer may have been lost";
+  EXPECT_EQ(post("/Instances.Beat/i-1", beat(10)), "HTTP/1.1 200");
+  EXPECT_EQ(post("/Instances.Leave/i-2", bye), "HTTP/1.1 503");
+}
+
+}  // namespace pipit::platform
