--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -540,6 +540,51 @@
   EXPECT_GT(out.denials[0].wait, 0) << "it has not run and never will";
 }
 
+// The operator's time for a route holds whatever its caller would wait, and also while nothing may be placed.
+TEST_F(Desks, the_routes_time_ends_what_its_caller_would_wait_for_longer) {
+  worker("w");
+  for (bool const held : {false, true})
+    for (Micros const left : {Micros(0), seconds(60)})
+      for (char const* const route : {"once", "safe", "live", "flow"}) {
+        Micros const came = now;
+        Query query = query_of(route);
+        query.left = left;
+        ASSERT_EQ(place(1, query), "w");
+        dispatcher.left(1, now);
+        dispatcher.hold(held);
+        out = DispatchOut();
+        while (dispatcher.under_way() > 0 && now - came < seconds(5)) dispatcher.tick(now += millis(50), out);
+        dispatcher.hold(false);
+        ASSERT_EQ(out.denials.size(), 1u) << route;
+        EXPECT_EQ(out.denials[0].wait, 0) << "it may have run";
+        EXPECT_GE(now - came, millis(2950)) << "a silence is no reason to end it sooner";
+        EXPECT_LE(now - came, millis(3050));
+        EXPECT_TRUE(free_of_work());
+      }
+}
+
+TEST_F(Desks, another_worker_gets_no_more_time_than_its_caller_has_left) {
+  worker("w");
+  worker("v");
+  for (Micros const left : {Micros(0), millis(2500)}) {
+    Query query = query_of("safe");
+    query.left = left;
+    ASSERT_NE(place(1, query), "");
+    Micros const end_of_first = now + out.starts[0].left;
+    dispatcher.left(1, now);
+    now += millis(800);
+    end(1, AttemptEnd::broke);
+    ASSERT_EQ(out.starts.size(), 1u);
+    EXPECT_LE(now + out.starts[0].left, end_of_first);
+    EXPECT_GE(now + out.starts[0].left, end_of_first - millis(1));
+    dispatcher.hung_up(1, now);
+    now += seconds(10);
+    registry.all.clear();
+    worker("w");
+    worker("v");
+  }
+}
+
 TEST_F(Desks, a_caller_that_hangs_up_leaves_nothing_behind) {
   worker("w");
   for (int stage = 0; stage < 3; ++stage) {
