--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -464,6 +464,127 @@
   EXPECT_TRUE(out.empty()) << "it may still answer in time";
 }
 
+// Some workers say farewell first and serve on: what they hold is theirs, and nothing new goes there.
+TEST_F(Desks, a_worker_that_said_farewell_keeps_what_it_has_and_gets_nothing_new) {
+  for (bool const told_by_a_peer : {false, true}) {
+    worker("w");
+    ASSERT_EQ(place(1, "safe"), "w");
+    dispatcher.left(1, now);
+    now += millis(20);
+    if (told_by_a_peer) {
+      Registry peer("n2");
+      peer.beat(beat_of("w", order), now);
+      std::optional<wire::EntryT> const said = peer.leave("w", ++order, now);
+      ASSERT_TRUE(said);
+      registry.take_entry(*said, now);
+    } else {
+      registry.leave("w", ++order, now);
+    }
+    worker("v");
+    EXPECT_EQ(place(2, "safe"), "v");
+    dispatcher.left(2, now);
+    dispatcher.began(2, now);
+    end(2, AttemptEnd::whole);
+    wait(millis(700));  // less than what makes any silent worker be left
+    EXPECT_TRUE(out.empty()) << "its worker still works on it";
+    dispatcher.began(1, now);
+    end(1, AttemptEnd::whole);
+    EXPECT_TRUE(free_of_work());
+    registry.all.clear();
+  }
+}
+
+// Beats may come seconds late: a worker from which bytes come is there.
+TEST_F(Desks, what_a_worker_has_is_not_moved_for_late_beats_while_it_is_heard) {
+  worker("w");
+  ASSERT_EQ(place(1, "safe"), "w");
+  dispatcher.left(1, now);
+  now += millis(100);
+  wire::EntryT gone;  // its owner has missed its beats
+  gone.key = "w";
+  gone.owner = "n2";
+  gone.incarnation = order;
+  gone.address = "127.0.0.1:9000";
+  gone.zone = "a";
+  gone.pool = "p";
+  gone.slots = 8;
+  gone.state = static_cast<std::uint8_t>(Standing::gone);
+  registry.take_entry(gone, now);
+  ASSERT_EQ(registry.find("w")->standing, Standing::gone);
+  worker("v");
+  for (int turn = 0; turn < 8; ++turn) {
+    out = DispatchOut();
+    dispatcher.tick(now += millis(100), out);
+    EXPECT_TRUE(out.empty()) << "turn " << turn;
+    registry.well(*registry.find("w"), now);  // something came of another request there
+  }
+  wait(seconds(1));
+  EXPECT_EQ(out.cuts, std::vector<std::uint64_t>{1}) << "it is neither heard nor known any more";
+}
+
+// A request that took long to read has used that much of its caller's time.
+TEST_F(Desks, the_time_that_a_request_took_to_be_read_is_not_given_to_a_worker) {
+  worker("w");
+  Query query = query_of("once");
+  query.left = millis(2000);
+  query.read_for = millis(700);
+  ASSERT_EQ(place(1, query), "w");
+  EXPECT_LE(out.starts[0].left, millis(1300));
+  EXPECT_GT(out.starts[0].left, millis(1200));
+  query.left = 0;  // the route's time holds from the first byte, too
+  ASSERT_EQ(place(2, query), "w");
+  EXPECT_LE(out.starts[0].left, millis(2300));
+  query.left = millis(700);
+  EXPECT_EQ(place(3, query), "");
+  ASSERT_EQ(out.denials.size(), 1u);
+  EXPECT_GT(out.denials[0].wait, 0) << "it has not run and never will";
+}
+
+// The operator's time for a route holds whatever its caller would wait, and also while nothing may be placed.
+TEST_F(Desks, the_routes_time_ends_what_its_caller_would_wait_for_longer) {
+  worker("w");
+  for (bool const held : {false, true})
+    for (Micros const left : {Micros(0), seconds(60)})
+      for (char const* const route : {"once", "safe", "live", "flow"}) {
+        Micros const came = now;
+        Query query = query_of(route);
+        query.left = left;
+        ASSERT_EQ(place(1, query), "w");
+        dispatcher.left(1, now);
+        dispatcher.hold(held);
+        out = DispatchOut();
+        while (dispatcher.under_way() > 0 && now - came < seconds(5)) dispatcher.tick(now += millis(50), out);
+        dispatcher.hold(false);
+        ASSERT_EQ(out.denials.size(), 1u) << route;
+        EXPECT_EQ(out.denials[0].wait, 0) << "it may have run";
+        EXPECT_GE(now - came, millis(2950)) << "a silence is no reason to end it sooner";
+        EXPECT_LE(now - came, millis(3050));
+        EXPECT_TRUE(free_of_work());
+      }
+}
+
+TEST_F(Desks, another_worker_gets_no_more_time_than_its_caller_has_left) {
+  worker("w");
+  worker("v");
+  for (Micros const left : {Micros(0), millis(2500)}) {
+    Query query = query_of("safe");
+    query.left = left;
+    ASSERT_NE(place(1, query), "");
+    Micros const end_of_first = now + out.starts[0].left;
+    dispatcher.left(1, now);
+    now += millis(800);
+    end(1, AttemptEnd::broke);
+    ASSERT_EQ(out.starts.size(), 1u);
+    EXPECT_LE(now + out.starts[0].left, end_of_first);
+    EXPECT_GE(now + out.starts[0].left, end_of_first - millis(1));
+    dispatcher.hung_up(1, now);
+    now += seconds(10);
+    registry.all.clear();
+    worker("w");
+    worker("v");
+  }
+}
+
 TEST_F(Desks, a_caller_that_hangs_up_leaves_nothing_behind) {
   worker("w");
   for (int stage = 0; stage < 3; ++stage) {
