--- a/src/gate/net/server.cc
+++ b/src/gate/net/server.cc
@@ -207,7 +207,9 @@
   conn.busy = false;
   conn.since = now();
   conn.may_rest = limits.idle;
-  if (conn.last) return let_go(conn);
+  // An answer whose head left before `closing` did not say that it is the last: its caller would ask again at once, and
+  // a call taken after the doors were shut may not end before the process does.
+  if (conn.last || (doors_shut && conn.ahead.empty())) return let_go(conn);
   conn.link->hold(false);
   if (!conn.ahead.empty()) {
     // Not from inside the answer: the next call is read in a turn of its own.
--- a/src/gate/net/server.h
+++ b/src/gate/net/server.h
@@ -35,7 +35,11 @@
   Result<void> listen(std::string const& address);
   // A caller's connection that came in another way.
   void adopt(std::shared_ptr<Link> link) { take(std::move(link)); }
-  void stop_listening() { door.close(); }
+  // No connection comes in any more, and each one that is here closes with the answer that it carries.
+  void stop_listening() {
+    door.close();
+    doors_shut = true;
+  }
   // Every answer closes its connection from now on.
   void closing() { last_calls = true; }
   // Connections that carry no call are closed.
@@ -74,6 +78,7 @@
   Limits limits;
   Door door;
   bool last_calls = false;
+  bool doors_shut = false;
   std::uint64_t next = 0;
   std::map<Conn*, std::shared_ptr<Conn>> conns;
   std::map<std::uint64_t, Conn*> by_id;
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -919,6 +919,27 @@
   EXPECT_EQ(late.how, Link::End::unreached);
 }
 
+TEST_F(Serving, an_answer_that_began_before_the_end_takes_its_connection_along) {
+  Wire wire(address);
+  wire.send(good_requests[0]);
+  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
+  std::uint64_t const id = calls[0].id;
+  Head head;
+  head.status = 200;
+  server.begin(id, head, -1);
+  server.piece(id, "first");
+  ASSERT_TRUE(until([&] { return wire.got.find("first") != std::string::npos; }));
+  EXPECT_EQ(wire.got.find("Connection: close"), std::string::npos) << "nothing told the caller that it is the last";
+  server.closing();
+  server.stop_listening();
+  server.close_idle();
+  server.end(id);
+  wire.send(good_requests[0]);
+  ASSERT_TRUE(until([&] { return wire.shut || calls.size() > 1; }));
+  EXPECT_EQ(calls.size(), 1u) << "a request taken after the doors were shut may not end inside the grace";
+  EXPECT_NE(wire.got.find("0\r\n\r\n"), std::string::npos);
+}
+
 TEST_F(Serving, a_caller_that_sends_ahead_without_end_is_held) {
   Wire wire(address);
   wire.send(good_requests[0]);
