--- a/proof/control_plane/node_view.cc
+++ b/proof/control_plane/node_view.cc
@@ -20,10 +20,6 @@
 
 std::uint64_t epoch_known_to(Node const& node) { return node.learner.membership().epoch; }
 
-bool remembers(wire::ValueT const& value, std::string const& change_id) {
-  return Proposer::serial_of(value, change_id) > 0;
-}
-
 wire::RecordT blank_record(std::string const& cluster, std::string const& name, std::uint64_t disk) {
   wire::RecordT out;
   out.cluster = cluster;
--- a/proof/control_plane/node_view.h
+++ b/proof/control_plane/node_view.h
@@ -23,9 +23,6 @@
 // The keepers of the set that a node knows, and the set's epoch.
 std::vector<std::string> keepers_known_to(Node const& node);
 std::uint64_t epoch_known_to(Node const& node);
-// Whether a value says by itself that it holds a change.
-bool remembers(wire::ValueT const& value, std::string const& change_id);
-
 // The durable state of a disk that was never used.
 wire::RecordT blank_record(std::string const& cluster, std::string const& name, std::uint64_t disk);
 
--- a/proof/control_plane/operators.cc
+++ b/proof/control_plane/operators.cc
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "canon/register/orders.h"
 #include "ground/mix.h"
 #include "proof/control_plane/node_view.h"
 
@@ -132,10 +133,12 @@
     return answer(call, Verdict::unclear, "", 0, "");
   Order const& order = judge.order(call.order);
   std::string const id = change_id("amend", order.base, order.body);
-  if (remembers(outcome.value, id)) return answer(call, Verdict::confirmed, "", 0, "");
+  OrderStanding const standing = standing_of_order(outcome.value, id, OrderBase{order.base, true});
+  if (standing == OrderStanding::taken) return answer(call, Verdict::confirmed, "", 0, "");
+  if (doubt_about_order(outcome.value, standing)) return answer(call, Verdict::unclear, "", 0, "");
+  if (standing == OrderStanding::outdated)
+    return answer(call, Verdict::stale, outdated_fault(outcome.value, true).why, 0, "");
   Configuration const found = configuration_of(outcome.value);
-  if (found.label != order.base)
-    return answer(call, Verdict::stale, "the present version is " + std::to_string(found.label), 0, "");
   std::string const text = text_of(call.order, found.text);
   judge.makes(call.order, text);
   Change change = replace_change(order.base, order.label, text);
--- a/proof/control_plane/scenarios.cc
+++ b/proof/control_plane/scenarios.cc
@@ -143,6 +143,36 @@
   return fleet.finish(std::string(roles[role]) + " cut off, " + kind_words[kind] + " " + way_words[way]);
 }
 
+// A machine stands still; what it was asked meanwhile waits in its sockets until it goes on, at times cut off by then.
+Report frozen(ScenarioPlan const& plan) {
+  Fleet fleet(plan);
+  World& world = fleet.world;
+  int const role = fleet.pick(plan.variant, 3);
+  std::vector<MachineId> const keepers = fleet.keepers();
+  MachineId target = keepers.front();
+  if (role == 1) target = keepers[1 + fleet.dice.below(keepers.size() - 1)];
+  if (role == 2) target = world.plan.disks + fleet.dice.below(world.plan.plain);
+  OrderId const known = fleet.operators.replace(fleet.operators.newest_told(), fleet.operators.next_label());
+  fleet.operators.drive(known);
+  world.run(seconds(2));
+  fleet.judge.expect_progress(true);
+  fleet.operators.steady(world.now() + seconds(34));
+  world.run(fleet.some(0, seconds(1)));
+  Micros const span = fleet.some(millis(300), seconds(20));
+  bool const cut = fleet.dice.chance(0.4);
+  world.freeze(target, span);
+  ask_cut_off(fleet, target, world.now() + span + seconds(3), known, fleet.operators.newest_told());
+  world.run(span - fleet.some(0, millis(200)));
+  if (cut) world.isolate({target}, cut_kinds[fleet.dice.below(3)], cut_ways[fleet.dice.below(3)]);
+  world.run(seconds(4));
+  world.heal();
+  world.run(seconds(8));
+  fleet.judge.expect_progress(false);
+  static char const* const roles[] = {"the proposing keeper", "a keeper", "a plain machine"};
+  return fleet.finish(std::string(roles[role]) + " frozen for " + std::to_string(span / 1000) + " ms" +
+                      (cut ? " and then cut off" : ""));
+}
+
 // The cut comes while orders are under way at the machine that is cut off.
 Report cut_in_storm(ScenarioPlan const& plan) {
   Fleet fleet(plan);
@@ -172,6 +202,32 @@
 
 // ---- point 2
 
+// A keeper, most often the proposing one, is lost in one of several ways, or not at all, and comes back.
+void lose_one_for_a_while(Fleet& fleet) {
+  std::vector<MachineId> const keepers = fleet.keepers();
+  MachineId const target = keepers[fleet.dice.chance(0.6) ? 0 : fleet.dice.below(keepers.size())];
+  fleet.world.run(fleet.some(millis(3), millis(60)));
+  switch (fleet.dice.below(5)) {
+    case 0:
+      fleet.world.kill(target);
+      break;
+    case 1:
+      fleet.world.power_off(target);
+      break;
+    case 2:
+      fleet.world.freeze(target, seconds(2));
+      break;
+    case 3:
+      fleet.world.isolate({target}, CutKind::silent, CutWay::both);
+      break;
+    default:
+      break;
+  }
+  fleet.world.run(seconds(2));
+  fleet.world.heal();
+  if (!fleet.world.machine(target).up()) fleet.world.boot(target);
+}
+
 Report one_label(ScenarioPlan const& plan) {
   Fleet fleet(plan);
   fleet.operators.plan.lost = 0.2;
@@ -182,33 +238,56 @@
     std::uint64_t const label = fleet.operators.next_label();
     for (int rival = 0; rival < 8; ++rival)
       fleet.operators.drive(rival % 4 == 3 ? fleet.operators.amend(base, label) : fleet.operators.replace(base, label));
-    std::vector<MachineId> const keepers = fleet.keepers();
-    MachineId const target = keepers[fleet.dice.chance(0.6) ? 0 : fleet.dice.below(keepers.size())];
-    fleet.world.run(fleet.some(millis(3), millis(60)));
-    switch (fleet.dice.below(5)) {
-      case 0:
-        fleet.world.kill(target);
-        break;
-      case 1:
-        fleet.world.power_off(target);
-        break;
-      case 2:
-        fleet.world.freeze(target, seconds(2));
-        break;
-      case 3:
-        fleet.world.isolate({target}, CutKind::silent, CutWay::both);
-        break;
-      default:
-        break;
-    }
-    fleet.world.run(seconds(2));
-    fleet.world.heal();
-    if (!fleet.world.machine(target).up()) fleet.world.boot(target);
+    lose_one_for_a_while(fleet);
     fleet.world.run(seconds(5));
   }
   return fleet.finish("eight rivals under one label");
 }
 
+// Operators do not wait: each order builds on the one sent before it, whether that is taken or not.
+Report chained(ScenarioPlan const& plan) {
+  Fleet fleet(plan);
+  Operators& operators = fleet.operators;
+  operators.plan.lost = 0.2;
+  operators.plan.late = 0.2;
+  operators.plan.doubled = 0.2;
+  for (int round = 0; round < 10; ++round) {
+    std::uint64_t base = operators.newest_told();
+    for (int link = 0; link < 8; ++link) {
+      std::uint64_t const label = operators.next_label();
+      operators.drive(fleet.dice.chance(0.25) ? operators.amend(base, label) : operators.replace(base, label));
+      base = label;
+      fleet.world.run(fleet.some(0, millis(20)));
+    }
+    lose_one_for_a_while(fleet);
+    fleet.world.run(seconds(6));
+  }
+  return fleet.finish("orders that build on one another");
+}
+
+// A machine ends and is back at once, again and again, while disks are slow: what was asked in one life is answered in
+// the next one.
+Report restarted_at_once(ScenarioPlan const& plan) {
+  Fleet fleet(plan);
+  World& world = fleet.world;
+  fleet.operators.plan.lost = 0.1;
+  fleet.operators.plan.doubled = 0.2;
+  fleet.operators.mixed(world.now() + seconds(36), 8);
+  for (int turn = 0; turn < 12; ++turn) {
+    std::vector<MachineId> const keepers = fleet.keepers();
+    MachineId target = keepers[fleet.dice.chance(0.6) ? 0 : fleet.dice.below(keepers.size())];
+    if (fleet.dice.chance(0.4)) target = world.plan.disks + fleet.dice.below(world.plan.plain);
+    for (MachineId const id : keepers)
+      if (id != target && fleet.dice.chance(0.6)) world.stall_disk(id, fleet.some(millis(20), seconds(1)));
+    world.run(fleet.some(0, millis(50)));
+    world.kill(target);
+    world.run(fleet.some(0, millis(100)));
+    world.boot(target);
+    world.run(seconds(3));
+  }
+  return fleet.finish("ended and back at once, on slow disks");
+}
+
 constexpr int others_counts[] = {0, 1, 63, 64, 65, 66, 200, 500};
 
 // An order that was taken comes again after so many others, at every machine.
@@ -557,7 +636,10 @@
   static std::vector<Scenario> const all = {
       {"cut_off", 1, "a machine is cut off for 20 s and asked all the time", cut_off},
       {"cut_in_storm", 1, "machines are cut off for 3 s in a storm of changes", cut_in_storm},
+      {"frozen", 1, "a machine stands still for up to 20 s and is asked all the time", frozen},
       {"one_label", 2, "eight rivals under one label, their proposer lost in the middle", one_label},
+      {"chained", 2, "orders that build on orders under way, a keeper lost in the middle", chained},
+      {"restarted_at_once", 2, "machines end and are back at once while disks are slow", restarted_at_once},
       {"sent_again", 2, "orders that were taken come again after 0 to 500 others", sent_again},
       {"proposer_lost", 2, "the proposing keeper is lost in a storm, four times", proposer_lost},
       {"second_loss", 3, "one further allowed loss at a moment of a repair or replacement", second_loss},
--- a/src/canon/register/learner.h
+++ b/src/canon/register/learner.h
@@ -12,6 +12,8 @@
 
 class Learner {
  public:
+  // Polls are numbered from here on; another number in each life, so that no answer to a former life counts.
+  explicit Learner(std::uint64_t first_request = 0) : req(first_request) {}
   // Takes a value that is known to be chosen; true when it is newer than what is held.
   bool adopt(wire::ValueT const& value, Micros now);
   // Takes a patch of a chosen value; false when it has another base than what is held here.
@@ -67,7 +69,7 @@
   Membership seen_set;
   Membership first_set;
   std::map<std::uint64_t, Membership> offered;  // sets of the present poll, by fingerprint
-  std::uint64_t req = 0;
+  std::uint64_t req;
   Micros asked = 0;
   std::map<std::string, Vote> votes;
   std::optional<Vote> wanted;  // chosen by count, its value still to be fetched
--- a/src/canon/register/orders.cc
+++ b/src/canon/register/orders.cc
@@ -40,6 +40,28 @@
   return by_label ? based_on_label < value.forgotten_label : based_on_serial < value.forgotten_serial;
 }
 
+OrderStanding standing_of_order(wire::ValueT const& value, std::string const& id, OrderBase const& base) {
+  if (serial_of_order(value, id) > 0) return OrderStanding::taken;
+  if (order_may_be_forgotten(value, base.expected, base.expected, base.by_label)) return OrderStanding::forgotten;
+  std::uint64_t const present = base.by_label ? value.label : value.serial;
+  if (present == base.expected) return OrderStanding::fits;
+  return base.by_label && present < base.expected ? OrderStanding::early : OrderStanding::outdated;
+}
+
+std::optional<Fault> doubt_about_order(wire::ValueT const& value, OrderStanding standing) {
+  if (standing == OrderStanding::forgotten)
+    return Fault{Kind::change_unknown, "it builds on a label or serial from before what is remembered", ""};
+  if (standing == OrderStanding::early)
+    return Fault{Kind::change_unknown, "it builds on a label above the present " + std::to_string(value.label), ""};
+  return std::nullopt;
+}
+
+Fault outdated_fault(wire::ValueT const& value, bool by_label) {
+  std::string const present =
+      by_label ? "label is " + std::to_string(value.label) : "serial is " + std::to_string(value.serial);
+  return Fault{Kind::stale_serial, "the present " + present, ""};
+}
+
 void convert_old_orders(wire::ValueT& value) {
   if (!value.orders.empty() || value.change.empty()) {
     value.past.clear();
--- a/src/canon/register/orders.h
+++ b/src/canon/register/orders.h
@@ -2,8 +2,10 @@
 // (docs/control.md, "Orders that come again").
 #pragma once
 #include <cstdint>
+#include <optional>
 #include <string>
 
+#include "ground/kinds.h"
 #include "wire_generated.h"
 
 namespace pipit {
@@ -18,6 +20,23 @@
 // Whether an order with this base may have been taken and forgotten since. Then nobody can say that it was not taken.
 bool order_may_be_forgotten(wire::ValueT const& value, std::uint64_t based_on_label, std::uint64_t based_on_serial,
                             bool by_label);
+// What a value says of an operator's order that builds on a label (or on a serial, where there is none).
+enum class OrderStanding : std::uint8_t {
+  fits,       // it may be tried
+  taken,      // it was taken
+  forgotten,  // it may have been taken and forgotten since: nobody can say
+  early,      // it builds on a label that is still to come: a late copy of it may yet be taken
+  outdated,   // it builds on another label or serial, and neither was nor will be taken
+};
+struct OrderBase {
+  std::uint64_t expected = 0;
+  bool by_label = true;
+};
+OrderStanding standing_of_order(wire::ValueT const& value, std::string const& id, OrderBase const& base);
+// The unclear answer to an order of which neither "taken" nor "refused" can be said; nothing for other standings.
+std::optional<Fault> doubt_about_order(wire::ValueT const& value, OrderStanding standing);
+// The refusal of an outdated order.
+Fault outdated_fault(wire::ValueT const& value, bool by_label);
 // Moves what a record of format 1 remembered into the present form.
 void convert_old_orders(wire::ValueT& value);
 
--- a/src/canon/register/proposer.cc
+++ b/src/canon/register/proposer.cc
@@ -122,6 +122,7 @@
 void Proposer::promise(std::string const& from, wire::PromiseT const& ans, Micros now, std::vector<Letter>& out) {
   if (phase != Phase::first || ans.req != req || !set.concerns(from, ans.disk)) return;
   if (!ans.ok) return again(now, ans.promised.n());
+  if (!same(ans.promised, ballot)) return;  // an answer to another round, whatever its number
   promises[from] = Promised{ans.disk, ans.accepted};
   if (is_set(ans.accepted) && best < ans.accepted) {
     bool const have = held && same(ans.accepted, held_ballot);
@@ -191,14 +192,9 @@
     return true;
   }
   if (serial_of_order(draft, job.change.id) > 0) return true;
-  // The value remembers a bounded number of orders. Where that memory no longer reaches back, nothing is certain.
-  bool const by_label = job.change.label > 0;
-  bool const forgotten = (job.sent_serial > 0 && job.sent_serial <= draft.forgotten_serial) ||
-                         (job.change.sort == Change::Sort::apply &&
-                          order_may_be_forgotten(draft, job.change.expected, job.change.expected, by_label));
-  if (forgotten) {
+  if (std::optional<Fault> const doubt = doubt_of(job)) {
     Outcome lost;
-    lost.fault.kind = Kind::change_unknown;
+    lost.fault = *doubt;
     finish(lost);
     return false;
   }
@@ -206,6 +202,14 @@
   return true;
 }
 
+// Why nobody can say what became, or will become, of the order that is to be tried now; nothing when that is certain.
+std::optional<Fault> Proposer::doubt_of(Job const& job) const {
+  if (job.sent_serial > 0 && job.sent_serial <= draft.forgotten_serial) return Fault{Kind::change_unknown, "", ""};
+  if (job.change.sort != Change::Sort::apply) return std::nullopt;
+  OrderBase const base{job.change.expected, job.change.label > 0};
+  return doubt_about_order(draft, standing_of_order(draft, job.change.id, base));
+}
+
 void Proposer::make_change(Change const& change) {
   bool turned = false;
   switch (change.sort) {
@@ -246,12 +250,11 @@
 
 void Proposer::apply(Change const& change) {
   bool const by_label = change.label > 0;
-  if (by_label && draft.label != change.expected && guard(Guard::expected)) {
-    verdict = Fault{Kind::stale_serial, "the present label is " + std::to_string(draft.label), ""};
+  OrderStanding const standing = standing_of_order(draft, change.id, OrderBase{change.expected, by_label});
+  if (standing != OrderStanding::fits && guard(Guard::expected)) {
+    verdict = outdated_fault(draft, by_label);
   } else if (by_label && change.label <= draft.label) {
     verdict = Fault{Kind::bad_description, "the label is not above " + std::to_string(draft.label), ""};
-  } else if (!by_label && draft.serial != change.expected && guard(Guard::expected)) {
-    verdict = Fault{Kind::stale_serial, "the present serial is " + std::to_string(draft.serial), ""};
   } else {
     draft.text = change.text;
     if (by_label) draft.label = change.label;
@@ -300,6 +303,7 @@
   if (!members.concerns(from, ans.disk) && !set.concerns(from, ans.disk)) return;
   if (ans.need_value) return send_accept(from, true, out);
   if (!ans.ok) return again(now, ans.promised.n());
+  if (!same(ans.promised, ballot)) return;  // an answer to another round, whatever its number
   accepts[from] = ans.disk;
   if (members.quorum(accepts)) chosen(now, out);
 }
@@ -335,9 +339,6 @@
 }
 
 void Proposer::give_up_unsent() {
-  Outcome refused;
-  refused.sort = Outcome::Sort::refused;
-  refused.fault.kind = Kind::no_majority;
   std::deque<Job> kept;
   std::vector<Job> given_up;
   for (Job& job : jobs) {
@@ -349,17 +350,22 @@
   jobs = std::move(kept);
   if (given_up.empty()) return;
   phase = Phase::idle;
-  for (Job& job : given_up) job.done(refused);
+  for (Job& job : given_up) job.done(outcome_without_quorum(job));
+}
+
+Outcome Proposer::outcome_without_quorum(Job const& job) {
+  bool const maybe_taken = job.sent || job.change.proposed_elsewhere;
+  Outcome outcome;
+  outcome.sort = maybe_taken ? Outcome::Sort::unknown : Outcome::Sort::refused;
+  outcome.fault.kind = maybe_taken ? Kind::change_unknown : Kind::no_majority;
+  return outcome;
 }
 
 void Proposer::tick(Micros now, std::vector<Letter>& out) {
   while (!jobs.empty()) {
     Job& job = jobs.front();
     if (now >= job.due) {
-      Outcome outcome;
-      outcome.sort = job.sent ? Outcome::Sort::unknown : Outcome::Sort::refused;
-      outcome.fault.kind = job.sent ? Kind::change_unknown : Kind::no_majority;
-      finish(outcome);
+      finish(outcome_without_quorum(job));
       continue;
     }
     if (phase == Phase::idle) {
--- a/src/canon/register/proposer.h
+++ b/src/canon/register/proposer.h
@@ -28,6 +28,8 @@
   // An 'apply' may name the operators' own numbers instead of serials: 'expected' is then the label that must be in
   // place, and 'label', which must be above it, takes its place (§12.4). 0: by serial.
   std::uint64_t label = 0;
+  // Another node was asked to propose it and may have done so: without a quorum's word its outcome is unknown.
+  bool proposed_elsewhere = false;
   wire::KeeperT keeper;   // who is admitted or dismissed
   wire::KeeperT leaving;  // whose place the admitted one takes, in a 'replace'
   wire::SeatT seat;       // a router node that takes its place, or is struck
@@ -64,7 +66,8 @@
   void suggest(Membership const& members);
   void take(std::string const& from, wire::BodyUnion const& body, Micros now, std::vector<Letter>& out);
   void tick(Micros now, std::vector<Letter>& out);
-  // Refuses all changes of which nothing was sent: without a quorum they would only be waited for.
+  // Ends all changes of which nothing was sent: without a quorum they would only be waited for. They are refused, or
+  // unknown where another node may have proposed them.
   void give_up_unsent();
   std::size_t waiting() const { return jobs.size(); }
   Membership const& membership() const { return set; }
@@ -96,6 +99,9 @@
   void round_two(Micros now, std::vector<Letter>& out);
   // False when the present change had to be given up, since nobody can know what became of it.
   bool make_draft();
+  std::optional<Fault> doubt_of(Job const& job) const;
+  // What is said of a change that ends without a quorum's word.
+  static Outcome outcome_without_quorum(Job const& job);
   void make_change(Change const& change);
   void apply(Change const& change);
   void change_zones(Change const& change);
--- a/src/core/changes.cc
+++ b/src/core/changes.cc
@@ -38,8 +38,8 @@
   Reply reply;
   reply.id = id;
   reply.change = change.id;
-  reply.outcome.sort = Outcome::Sort::refused;
-  reply.outcome.fault.kind = kind;
+  reply.outcome.sort = change.proposed_elsewhere ? Outcome::Sort::unknown : Outcome::Sort::refused;
+  reply.outcome.fault.kind = change.proposed_elsewhere ? Kind::change_unknown : kind;
   out.replies.push_back(std::move(reply));
 }
 
--- a/src/core/handed.cc
+++ b/src/core/handed.cc
@@ -48,7 +48,7 @@
   ask.label = change.label;
   ask.turn = learner.turn();
   if (!mesh.post(keeper, std::move(ask), out.mesh)) return false;
-  handed[req] = Handed{id, change, now + answer_within};
+  handed[req] = Handed{id, keeper, change, now + answer_within};
   return true;
 }
 
@@ -67,10 +67,10 @@
   propose(id, std::move(change), now, out);
 }
 
-void Node::take_answer(wire::ProposedT const& ans, Micros now, NodeOut& out) {
+void Node::take_answer(std::string const& from, wire::ProposedT const& ans, Micros now, NodeOut& out) {
   std::map<std::uint64_t, Handed>::iterator const spot = handed.find(ans.req);
-  if (spot == handed.end() || ans.sort > static_cast<std::uint8_t>(Outcome::Sort::unknown) || ans.kind >= kind_count())
-    return;
+  if (spot == handed.end() || spot->second.proposer != from) return;
+  if (ans.sort > static_cast<std::uint8_t>(Outcome::Sort::unknown) || ans.kind >= kind_count()) return;
   Handed item = std::move(spot->second);
   handed.erase(spot);
   // A keeper that is cut off proposed nothing; this node may still hear a quorum.
@@ -122,6 +122,8 @@
     }
     Handed item = std::move(it->second);
     it = handed.erase(it);
+    // Whoever was asked may have proposed it: without a quorum's word nobody can say that nothing was changed.
+    item.change.proposed_elsewhere = item.change.sort == Change::Sort::apply;
     propose(item.id, std::move(item.change), now, out);
   }
 }
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -14,6 +14,15 @@
 constexpr Micros load_gap = millis(200);
 constexpr Micros jump = seconds(1);
 constexpr Micros fresh_bound = seconds(3);
+constexpr int spare_number_bits = 8;  // request numbers begin below this share of their range, and only rise
+
+// Seeds for one life of one node. A shell may have made 'chance' of the incarnation and the name, so none of them is
+// merely combined with another: they could cancel out, and all nodes and lives would draw the same numbers.
+enum class SeedUse : std::uint64_t { ballots = 1, polls, requests, lease };
+std::uint64_t life_seed(NodePlan const& plan, SeedUse use) {
+  std::uint64_t const life = stir(plan.incarnation + static_cast<std::uint64_t>(use)) + mix(plan.name);
+  return stir(stir(life) ^ plan.chance);
+}
 
 wire::MemberT self_of(NodePlan const& plan) {
   wire::MemberT out;
@@ -40,16 +49,18 @@
 Node::Node(NodePlan plan_, Micros now, std::optional<wire::RecordT> slate)
     : plan(std::move(plan_)),
       mesh(mesh_of(plan), self_of(plan), plan.chance),
-      proposer(plan.name, plan.chance ^ plan.incarnation),
+      proposer(plan.name, life_seed(plan, SeedUse::ballots)),
+      learner(life_seed(plan, SeedUse::polls) >> spare_number_bits),
       tide(plan.chance + 1),
       desk(plan.name, plan.zone, tide, fleet),
       registry(plan.name),
       exchange(plan.name),
       dispatcher(plan.name, plan.zone, tide, registry, exchange),
       granter(now),
-      mend("mend", plan.chance ^ plan.incarnation ^ mix(plan.name)),
+      mend("mend", life_seed(plan, SeedUse::lease)),
       born(now),
-      last_tick(now) {
+      last_tick(now),
+      next_req(life_seed(plan, SeedUse::requests) >> spare_number_bits) {
   if (slate) acceptor.emplace(std::move(*slate));
   registry.span(plan.beat_gap);
   if (plan.registered) dispatcher.begun(now);
@@ -207,7 +218,7 @@
       take_handed(from, *body.AsPropose(), now, out);
       break;
     case wire::Body::Proposed:
-      take_answer(*body.AsProposed(), now, out);
+      take_answer(from, *body.AsProposed(), now, out);
       break;
     case wire::Body::Doubt:
       // Asked at once; a worker that is well is back in a moment.
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -171,7 +171,7 @@
   std::string relaying_peer();
   bool hand_over(std::uint64_t id, Change const& change, Micros now, NodeOut& out);
   void take_handed(std::string const& from, wire::ProposeT const& ask, Micros now, NodeOut& out);
-  void take_answer(wire::ProposedT const& ans, Micros now, NodeOut& out);
+  void take_answer(std::string const& from, wire::ProposedT const& ans, Micros now, NodeOut& out);
   void settle_handed(Micros now, NodeOut& out);
   void propose(std::uint64_t id, Change change, Micros now, NodeOut& out);
   // Whether this node still hears a quorum of the keepers; without one it refuses operators at once (docs/control.md).
@@ -235,7 +235,7 @@
   Micros stale_from = -1;  // since when a jump of the clock waits for fresh knowledge
   std::uint64_t change_count = 0;
   std::uint64_t relay_turn = 0;  // which peer is next to be asked for a quorum's sake
-  std::uint64_t next_req = 1;
+  std::uint64_t next_req;        // begins at another number in each life: an answer to a former life finds no request
   std::map<std::uint64_t, Waiting> waiting;
   bool duty_busy = false;
   bool had_duty = false;
@@ -246,8 +246,9 @@
     Outcome outcome;
   };
   std::vector<Ended> ended;
-  struct Handed {  // a change that a keeper was asked to propose
+  struct Handed {  // a change that another node was asked to propose
     std::uint64_t id = 0;
+    std::string proposer;  // that node
     Change change;
     Micros due = 0;
   };
--- a/tests/control_plane.cc
+++ b/tests/control_plane.cc
@@ -37,8 +37,14 @@
   expect_clean("cut_in_storm", 0, -1, 84, 1);
 }
 
+TEST(ControlPlane, a_machine_that_stood_still) {
+  for (int const variant : {0, 1, 2}) expect_clean("frozen", 0, variant, 1, 2);
+}
+
 // Point 2: one change a label, one a base; a taken order is acknowledged again or left unclear.
 TEST(ControlPlane, eight_rivals_under_one_label) { expect_clean("one_label", 0, -1, 1, 4); }
+TEST(ControlPlane, orders_that_build_on_orders_under_way) { expect_clean("chained", 0, -1, 1, 3); }
+TEST(ControlPlane, machines_that_end_and_are_back_at_once) { expect_clean("restarted_at_once", 0, -1, 1, 3); }
 TEST(ControlPlane, an_order_sent_again_after_few_others) {
   for (int const variant : {0, 1, 2}) expect_clean("sent_again", 0, variant, 1, 1);
 }
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -7,6 +7,8 @@
 
 #include "canon/creed/creed.h"
 #include "canon/register/proposer.h"
+#include "canon/register/orders.h"
+#include "platform/amend.h"
 #include "platform/description.h"
 #include "platform/settings.h"
 
@@ -303,6 +305,36 @@
   }
 }
 
+namespace {
+// The answer to an Amend that builds on this label; nothing when it goes on.
+std::optional<Kind> refusal_of(wire::ValueT const& present, std::uint64_t expected, std::string const& id) {
+  Change change;
+  change.sort = Change::Sort::apply;
+  change.id = id;
+  change.expected = expected;
+  AmendStep const step = amend_step(present, change, "{\"version\": 900000}");
+  Fault const* const fault = std::get_if<Fault>(&step);
+  return fault == nullptr ? std::nullopt : std::optional<Kind>(fault->kind);
+}
+}  // namespace
+
+TEST(Configurations, an_amend_is_refused_only_when_it_was_surely_not_taken) {
+  wire::ValueT present;
+  std::uint64_t const count = orders_remembered + 10;
+  for (std::uint64_t n = 1; n <= count; ++n) {
+    present.serial = n;
+    present.label = n * 3;
+    remember_order(present, "order-" + std::to_string(n));
+  }
+  // Order 10 was based on label 27 and is forgotten; order 11, based on 30, is remembered.
+  EXPECT_EQ(refusal_of(present, 27, "order-10"), Kind::change_unknown);
+  EXPECT_EQ(refusal_of(present, 27, "never taken"), Kind::change_unknown);
+  EXPECT_EQ(refusal_of(present, 30, "order-11"), std::nullopt);
+  EXPECT_EQ(refusal_of(present, 30, "never taken"), Kind::stale_serial);
+  EXPECT_EQ(refusal_of(present, present.label, "fits"), std::nullopt);
+  EXPECT_EQ(refusal_of(present, present.label + 1, "builds on one to come"), Kind::change_unknown);
+}
+
 TEST(Configurations, a_description_of_another_make_has_no_source) {
   char const none[] = "{\"version\":0,\"routes\":[],\"services\":[],\"limits\":{}}";
   EXPECT_EQ(source_of(""), none);
@@ -386,7 +418,7 @@
 
 TEST_F(Versions, a_change_of_an_old_version_is_stale) {
   ask("a", "one", 0, 10);
-  for (std::uint64_t const based : {std::uint64_t(0), std::uint64_t(9), std::uint64_t(11)}) {
+  for (std::uint64_t const based : {std::uint64_t(0), std::uint64_t(9)}) {
     Outcome const out = ask("c" + std::to_string(based), "two", based, 12);
     EXPECT_EQ(out.sort, Outcome::Sort::refused);
     EXPECT_EQ(out.fault.kind, Kind::stale_serial) << based;
@@ -395,6 +427,17 @@
   }
 }
 
+// The version that it builds on may still come, and a late copy of the order with it: a refusal could prove wrong.
+TEST_F(Versions, a_change_of_a_version_to_come_is_left_unclear) {
+  ask("a", "one", 0, 10);
+  Outcome const out = ask("c", "three", 11, 12);
+  EXPECT_EQ(out.sort, Outcome::Sort::unknown);
+  EXPECT_EQ(out.fault.kind, Kind::change_unknown);
+  Outcome const next = ask("b", "two", 10, 11);
+  EXPECT_EQ(next.value.text, "two") << "what was unclear changed nothing";
+  EXPECT_EQ(ask("c", "three", 11, 12).sort, Outcome::Sort::chosen);
+}
+
 TEST_F(Versions, a_version_that_is_not_above_is_refused) {
   ask("a", "one", 0, 10);
   for (std::uint64_t const label : {std::uint64_t(10), std::uint64_t(9), std::uint64_t(1)}) {
--- a/tests/register.cc
+++ b/tests/register.cc
@@ -204,6 +204,60 @@
   EXPECT_FALSE(same(ballots[0], ballots[1]));
 }
 
+// A keeper's answer to a former life of the same node, should the request numbers ever be the same.
+TEST(Ballots, a_promise_of_another_ballot_does_not_count) {
+  Proposer proposer("n", 1);
+  proposer.know(members_of(2, {"k1", "k2", "k3"}));
+  Cluster const cluster(members_of(2, {"k1", "k2", "k3"}));
+  ASSERT_TRUE(proposer.ask(
+      cluster.apply("A", 0, 1), [](Outcome const&) {}, 0));
+  std::vector<Letter> letters;
+  proposer.tick(0, letters);
+  ASSERT_EQ(letters.size(), 3u);
+  wire::PrepareT const asked = *letters.front().body.AsPrepare();
+  letters.clear();
+  wire::ValueT value;
+  put_membership(members_of(2, {"k1", "k2", "k3"}), value);
+  for (std::uint64_t disk = 1; disk <= 2; ++disk) {
+    wire::PromiseT promise;
+    promise.req = asked.req;
+    promise.disk = disk;
+    promise.ok = true;
+    promise.promised = disk == 1 ? asked.ballot : wire::Ballot(asked.ballot.n() - 1, asked.ballot.who());
+    promise.accepted = wire::Ballot(1, 1);
+    promise.value = std::make_unique<wire::ValueT>(value);
+    proposer.take("k" + std::to_string(disk), letter("n", std::move(promise)).body, 0, letters);
+  }
+  EXPECT_TRUE(letters.empty()) << "round two was begun with one promise of three";
+}
+
+TEST(Ballots, an_acceptance_of_another_ballot_does_not_count) {
+  Cluster cluster(members_of(2, {"k1", "k2", "k3"}));
+  Proposer proposer("n", 1);
+  proposer.know(members_of(2, {"k1", "k2", "k3"}));
+  std::vector<Outcome> outcomes;
+  ASSERT_TRUE(proposer.ask(
+      cluster.apply("A", 0, 1), [&outcomes](Outcome const& outcome) { outcomes.push_back(outcome); }, 0));
+  std::vector<Letter> asks;
+  std::vector<Letter> accepts;
+  proposer.tick(0, asks);
+  for (Letter& ask : asks)
+    for (Letter& answer : cluster.deliver(ask.to, "n", std::move(ask.body)))
+      proposer.take(ask.to, answer.body, 0, accepts);
+  ASSERT_FALSE(accepts.empty());
+  wire::AcceptT const asked = *accepts.front().body.AsAccept();
+  for (std::uint64_t disk = 1; disk <= 2; ++disk) {
+    wire::AcceptedT accepted;
+    accepted.req = asked.req;
+    accepted.disk = disk;
+    accepted.ok = true;
+    accepted.promised = disk == 1 ? asked.ballot : wire::Ballot(asked.ballot.n() - 1, asked.ballot.who());
+    std::vector<Letter> more;
+    proposer.take("k" + std::to_string(disk), letter("n", std::move(accepted)).body, 0, more);
+  }
+  EXPECT_TRUE(outcomes.empty()) << "confirmed with one acceptance of three";
+}
+
 // "One that was taken is acknowledged again or left without a clear answer, never refused."
 TEST(Orders, one_that_was_taken_is_known_after_hundreds_of_others) {
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}));
@@ -240,6 +294,19 @@
   EXPECT_FALSE(order_may_be_forgotten(value, 0, 10, false));
 }
 
+// A late copy of it may still arrive after the order that it builds on: then it fits.
+TEST(Orders, one_that_builds_on_a_label_to_come_is_not_refused) {
+  Cluster cluster(members_of(2, {"k1", "k2", "k3"}));
+  std::vector<std::string> const all{"k1", "k2", "k3"};
+  cluster.ask("p1", cluster.apply("on two", 2, 3), all);
+  EXPECT_EQ(cluster.last("p1").sort, Outcome::Sort::unknown);
+  EXPECT_EQ(cluster.last("p1").fault.kind, Kind::change_unknown);
+  cluster.ask("p2", cluster.apply("two", 0, 2), all);
+  EXPECT_EQ(cluster.last("p2").sort, Outcome::Sort::chosen);
+  cluster.ask("p2", cluster.apply("on two", 2, 3), all);
+  EXPECT_EQ(cluster.last("p2").sort, Outcome::Sort::chosen);
+}
+
 TEST(Orders, what_a_record_of_the_first_format_remembers_is_kept) {
   wire::ValueT value;
   value.serial = 5;
