--- a/proof/control_plane/node_view.cc
+++ b/proof/control_plane/node_view.cc
@@ -20,10 +20,6 @@
 
 std::uint64_t epoch_known_to(Node const& node) { return node.learner.membership().epoch; }
 
-bool remembers(wire::ValueT const& value, std::string const& change_id) {
-  return Proposer::serial_of(value, change_id) > 0;
-}
-
 bool may_end(Node const& node, Micros now) { return node.may_end(now); }
 
 std::string change_id(std::string const& verb, std::uint64_t based_on, std::string const& body) {
--- a/proof/control_plane/node_view.h
+++ b/proof/control_plane/node_view.h
@@ -23,8 +23,6 @@
 // The keepers of the set that a node knows, and the set's epoch.
 std::vector<std::string> keepers_known_to(Node const& node);
 std::uint64_t epoch_known_to(Node const& node);
-// Whether a value says by itself that it holds a change.
-bool remembers(wire::ValueT const& value, std::string const& change_id);
 
 // Whether a node that announced its departure may end its process, as the shell asks the core.
 bool may_end(Node const& node, Micros now);
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -240,7 +240,7 @@
   Micros stale_from = -1;  // since when a jump of the clock waits for fresh knowledge
   std::uint64_t change_count = 0;
   std::uint64_t relay_turn = 0;  // which peer is next to be asked for a quorum's sake
-  std::uint64_t next_req = 1;
+  std::uint64_t next_req;        // begins at another number in each life: an answer to a former life finds no request
   std::map<std::uint64_t, Waiting> waiting;
   bool duty_busy = false;
   bool had_duty = false;
@@ -251,8 +251,9 @@
     Outcome outcome;
   };
   std::vector<Ended> ended;
-  struct Handed {  // a change that a keeper was asked to propose
+  struct Handed {  // a change that another node was asked to propose
     std::uint64_t id = 0;
+    std::string proposer;  // that node
     Change change;
     Micros due = 0;
   };
