--- a/proof/control_plane/member_scenarios.cc
+++ b/proof/control_plane/member_scenarios.cc
@@ -266,6 +266,32 @@
   return fleet.finish(setting);
 }
 
+// Every machine loses power in a storm and the keeper that proposes for all, or another one, comes back blank. Nobody
+// asks anything after it: the nodes alone must find the newest copy and get ready.
+Report full_stop_with_a_wipe(ScenarioPlan const& plan) {
+  Fleet fleet(plan);
+  World& world = fleet.world;
+  fleet.operators.storm(seconds(60), 25);
+  world.run(fleet.some(seconds(1), seconds(3)));
+  std::vector<MachineId> const order = fleet.pick(plan.variant, 2) == 0 ? fleet.keepers() : fleet.shuffled_keepers();
+  std::vector<MachineId> const victims(order.begin(),
+                                       order.begin() + static_cast<std::ptrdiff_t>(world.plan.tolerated));
+  // One of the others misses the last changes.
+  world.isolate({order.back()}, CutKind::silent, CutWay::both);
+  world.run(fleet.some(millis(5), millis(120)));
+  fleet.operators.halt();
+  Micros const down = fleet.some(millis(100), seconds(2));
+  for (MachineId const id : victims) {
+    world.power_off(id);
+    world.wipe(id);
+    world.after(down, [&world, id] { world.boot(id); });
+  }
+  lose_all(fleet, Loss::everything_dark, {}, down);
+  world.heal();
+  world.run(down + seconds(8));
+  return fleet.finish("all dark, " + std::to_string(victims.size()) + " wiped, no operator");
+}
+
 // Members that are frozen for long lose their places, come back, and then others go for good.
 Report thawed_after_replacement(ScenarioPlan const& plan) {
   Fleet fleet(plan);
@@ -327,6 +353,8 @@
     if (how == 2) world.freeze(id, fleet.some(millis(300), seconds(6)));
     if (how == 3) world.isolate({id}, CutKind::silent, cut_ways[fleet.dice.below(3)]);
   }
+  // A leaving member that is killed is a loss of its own, for as long as any other.
+  if (how <= 1) world.run(world.plan.catch_up);
   for (Micros waited = 0; waited < seconds(20); waited += millis(10)) {
     bool gone = true;
     for (std::size_t n = 0; n < together; ++n) gone = gone && world.machine(keepers[n]).removed;
@@ -431,6 +459,7 @@
       {"started_alone", 4, "a machine starts where no majority can be reached", started_alone},
       {"all_at_once", 4, "all machines that count are killed or dark at once", all_at_once},
       {"closing_fault", 3, "replacements under trouble, then all that count are lost, or disks", closing_fault},
+      {"full_stop_with_a_wipe", 4, "all dark at once, a disk lost, and nobody asks", full_stop_with_a_wipe},
       {"thawed_after_replacement", 3, "members frozen until they are replaced, then others lost",
        thawed_after_replacement},
       {"planned_interrupted", 3, "a planned replacement is interrupted, then one further loss", planned_interrupted},
--- a/tests/control_plane.cc
+++ b/tests/control_plane.cc
@@ -94,6 +94,10 @@
 
 TEST(ControlPlane, keepers_restarted_in_a_storm_of_changes) { expect_clean("restarts_in_storm", 0, -1, 1, 2); }
 
+TEST(ControlPlane, all_dark_with_a_wiped_disk_and_no_operator) {
+  for (int const variant : {0, 1}) expect_clean("full_stop_with_a_wipe", 0, variant, 1, 2);
+}
+
 // All of it in one day.
 TEST(ControlPlane, days_with_everything) { expect_clean("day", 0, -1, 1, 6); }
 
