--- a/src/gate/net/http.cc
+++ b/src/gate/net/http.cc
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <cstdio>
 #include <cstring>
+#include <limits>
 
 namespace pipit {
 
@@ -109,6 +110,8 @@
 }
 
 Reader::Reader(bool requests_) : requests(requests_), lines(requests_) {
+  // A head is bounded here, by the operator's limit; the grammar's own bound would refuse what that allows.
+  http_parser_set_max_header_size(std::numeric_limits<std::uint32_t>::max());
   http_parser_init(&parser, requests ? HTTP_REQUEST : HTTP_RESPONSE);
   parser.data = this;
 }
@@ -148,7 +151,7 @@
 
 int Reader::on_field(http_parser* parser, char const* at, std::size_t size) {
   Reader& self = *static_cast<Reader*>(parser->data);
-  if (self.headed) return 0;  // a trailer: it belongs to the framing, which is written anew
+  if (self.headed) return self.take_trailer(size);
   if (self.in_value || self.head.fields.empty()) self.head.fields.emplace_back();
   self.in_value = false;
   self.head.fields.back().first.append(at, size);
@@ -157,7 +160,7 @@
 
 int Reader::on_value(http_parser* parser, char const* at, std::size_t size) {
   Reader& self = *static_cast<Reader*>(parser->data);
-  if (self.headed) return 0;
+  if (self.headed) return self.take_trailer(size);
   self.in_value = true;
   self.head.fields.back().second.append(at, size);
   return 0;
@@ -216,6 +219,14 @@
   return 0;
 }
 
+// A trailer belongs to the framing, which is written anew: it is bounded and passed over.
+int Reader::take_trailer(std::size_t size) {
+  trailer_size += size;
+  if (trailer_size <= head_most) return 0;
+  wrong = Error::head_large;
+  return -1;
+}
+
 // Looks at the lines among what is fed, up to there.
 bool Reader::lines_to(char const* end) {
   if (!lines.take(std::string_view(seen, static_cast<std::size_t>(end - seen))) && wrong == Error::none)
@@ -279,7 +290,7 @@
   lines = Lines(requests);
   head = Head();
   in_value = begun = headed = done = false;
-  head_size = body_size = 0;
+  head_size = body_size = trailer_size = 0;
 }
 
 }  // namespace pipit
--- a/src/gate/net/http.h
+++ b/src/gate/net/http.h
@@ -84,6 +84,7 @@
   static http_parser_settings const& settings();
   std::size_t run(std::string_view bytes);
   bool lines_to(char const* end);
+  int take_trailer(std::size_t size);
 
   bool const requests;
   http_parser parser;
@@ -96,6 +97,7 @@
   bool done = false;
   std::size_t head_size = 0;
   std::size_t body_size = 0;
+  std::size_t trailer_size = 0;
   std::size_t head_most = 65536;
   std::size_t body_most = 64u << 20;
   Error wrong = Error::none;
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -507,6 +507,28 @@
   }
 }
 
+// The operator's limit alone bounds a head, not one of the grammar's own.
+TEST(Reading, takes_a_head_as_large_as_its_limit) {
+  std::string const text = "GET / HTTP/1.1\r\n" + host + "X-A: " + std::string(300000, 'a') + "\r\n\r\n";
+  for (std::size_t const at : {std::size_t(0), std::size_t(90000), std::size_t(299999)}) {
+    std::string_view const view = text;
+    Reading const out = read_pieces(true, {view.substr(0, at), view.substr(at)}, false, text.size(), 100);
+    EXPECT_EQ(out.whole.size(), 1u) << "split at " << at;
+    EXPECT_EQ(out.error, Reader::Error::none) << "split at " << at;
+  }
+}
+
+TEST(Reading, bounds_trailers_as_it_bounds_heads) {
+  std::string const front = "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n";
+  for (bool const over : {false, true}) {
+    std::string text = front;
+    for (int n = 0; n < (over ? 11 : 9); ++n) text += "X-T: " + std::string(97, 't') + "\r\n";
+    Reading const out = read_pieces(true, {text + "\r\n"}, false, 1000, 100);
+    EXPECT_EQ(out.whole.size(), over ? 0u : 1u);
+    EXPECT_EQ(out.error, over ? Reader::Error::head_large : Reader::Error::none);
+  }
+}
+
 TEST(Reading, answers_mutated_in_any_way_do_no_harm) {
   std::vector<std::string> const seeds = {
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
