--- a/src/flow/registry/registry.cc
+++ b/src/flow/registry/registry.cc
@@ -1,5 +1,7 @@
 #include "flow/registry/registry.h"
 
+#include <algorithm>
+
 #include "ground/events.h"
 #include "ground/guards.h"
 
@@ -9,6 +11,7 @@
 constexpr Micros shun_first = millis(600);
 constexpr Micros shun_most = seconds(5);
 constexpr Micros gone_kept = seconds(60);
+constexpr std::size_t many_doubts_least = 3;  // doubted workers that are no accident, where few are known
 }  // namespace
 
 Instance* Registry::find(std::string const& id) {
@@ -116,14 +119,25 @@
   return std::nullopt;
 }
 
+// Connections to many workers that break together speak of this node's network, not of each worker.
+bool Registry::doubts_many() const {
+  std::size_t const doubted = static_cast<std::size_t>(
+      std::count_if(all.begin(), all.end(), [](std::pair<std::string const, Instance> const& item) {
+        return item.second.doubted >= 0 && item.second.standing != Standing::gone;
+      }));
+  return doubted >= std::max(many_doubts_least, all.size() / 4);
+}
+
 std::vector<wire::EntryT> Registry::silent(Micros now) {
   std::vector<wire::EntryT> out;
+  bool const doubt_counts = !doubts_many();
   for (std::map<std::string, Instance>::iterator it = all.begin(); it != all.end();) {
     Instance& item = it->second;
     // Two beats may be lost on the way to the next node; one and a half are enough when a connection broke as well.
-    Micros const most = item.doubted >= 0 ? beat_gap * 7 / 4 : beat_gap * 3;
+    bool const doubted = item.doubted >= 0 && doubt_counts;
+    Micros const most = doubted ? beat_gap * 7 / 4 : beat_gap * 3;
     // Beats may also come late by seconds: while nothing speaks against a worker, what its answers bring counts too.
-    Micros const heard = item.doubted >= 0 ? item.heard : std::max(item.heard, item.last_byte);
+    Micros const heard = doubted ? item.heard : std::max(item.heard, item.last_byte);
     if (item.owner == self && item.heard >= 0 && item.standing != Standing::gone && now - heard > most) {
       stand(item, Standing::gone, now);
       out.push_back(entry_of(item));
--- a/tests/registry.cc
+++ b/tests/registry.cc
@@ -164,6 +164,17 @@
   EXPECT_EQ(standing_of(registry, "v"), Standing::serving);
 }
 
+// Where connections to many workers break at once, this node or its network is in trouble, not each of them.
+TEST_F(Workers, doubts_of_many_workers_at_once_make_none_fall_silent_sooner) {
+  for (std::size_t const broken : {std::size_t(2), std::size_t(5)}) {
+    registry.all.clear();
+    for (int n = 0; n < 12; ++n) registry.beat(beat_of("w" + std::to_string(n), 1), 0);
+    for (std::size_t n = 0; n < broken; ++n) registry.doubt("w" + std::to_string(n), millis(100));
+    EXPECT_EQ(registry.silent(2 * gap).size(), broken < 3 ? broken : 0u);
+    EXPECT_EQ(registry.silent(3 * gap + 1).size(), broken < 3 ? 12 - broken : 12u) << "but silence ends them all";
+  }
+}
+
 TEST_F(Workers, a_node_that_stood_still_blames_nobody) {
   registry.beat(beat_of("w", 1), 0);
   Micros const now = seconds(30);
