--- a/src/flow/dispatch/dispatcher.cc
+++ b/src/flow/dispatch/dispatcher.cc
@@ -252,11 +252,11 @@
         out);
 }
 
-// Whether a worker that it has not been sent to would take it now.
-bool Dispatcher::another_takes(Request const& request, Micros now) const {
+// Whether there is a worker that it has not been sent to and that takes requests.
+bool Dispatcher::another_takes(Request const& request) const {
   return std::any_of(registry.all.begin(), registry.all.end(), [&](std::pair<std::string const, Instance> const& item) {
     Instance const& at = item.second;
-    return at.pool == request.pool->name && at.takes() && at.shunned <= now && request.tried.count(item.first) == 0;
+    return at.pool == request.pool->name && at.takes() && request.tried.count(item.first) == 0;
   });
 }
 
@@ -524,7 +524,7 @@
     bool const gone = at == nullptr || (at->standing == Standing::gone && !at->said_farewell() && still);
     if (!(quiet > most || dark || (gone && quiet > quiet_least / 2))) continue;
     if (request.sends >= request.route->attempts || !can_pay(*request.pool)) continue;
-    if (!another_takes(request, now)) continue;  // what is cut would only wait, and its worker may still answer
+    if (!another_takes(request)) continue;  // what is cut would only wait, and its worker may still answer
     ++tally.silences;
     out.cuts.push_back(id);
     ended(id, AttemptEnd::silent, false, now, out);
--- a/src/flow/dispatch/dispatcher.h
+++ b/src/flow/dispatch/dispatcher.h
@@ -137,7 +137,7 @@
   static Micros read_time(std::int64_t missing, std::int64_t kept);
   void begin(Request& request, Instance& instance, std::int64_t missing, std::int64_t kept, Micros guess, bool at_home,
              Micros now, DispatchOut& out);
-  bool another_takes(Request const& request, Micros now) const;
+  bool another_takes(Request const& request) const;
   void release(Request& request);
   void deny(Request& request, Kind kind, Micros wait, DispatchOut& out);
   void obey(Request& request, Fate fate, Micros now, DispatchOut& out);
