--- a/proof/control_plane/world.cc
+++ b/proof/control_plane/world.cc
@@ -440,10 +440,14 @@
 void World::count(Link const& link, std::string const& bytes) {
   ++frames;
   frame_bytes += bytes.size();
-  if (bytes.empty() || machines[link.end[0]]->zone == machines[link.end[1]]->zone) return;
-  FrameCount& kind = between_zones[flatbuffers::GetSizePrefixedRoot<wire::Frame>(bytes.data())->body_type()];
-  ++kind.frames;
-  kind.bytes += bytes.size();
+  if (bytes.empty()) return;
+  wire::Body const body = flatbuffers::GetSizePrefixedRoot<wire::Frame>(bytes.data())->body_type();
+  Machine& one = *machines[link.end[0]];
+  Machine& other = *machines[link.end[1]];
+  one.bytes_moved += bytes.size();
+  other.bytes_moved += bytes.size();
+  sent[body].add(bytes.size());
+  if (one.zone != other.zone) between_zones[body].add(bytes.size());
 }
 
 void World::send(std::shared_ptr<Link> const& link, int side, std::string bytes, bool last) {
--- a/proof/control_plane/world.h
+++ b/proof/control_plane/world.h
@@ -38,6 +38,10 @@
 struct FrameCount {
   std::uint64_t frames = 0;
   std::uint64_t bytes = 0;
+  void add(std::size_t size) {
+    ++frames;
+    bytes += size;
+  }
 };
 
 struct Link;
@@ -72,6 +76,7 @@
   Micros stop_from = -1;  // since when a planned stop is under way
   bool announced = false;
   std::size_t calls_under_way = 0;  // of operators
+  std::uint64_t bytes_moved = 0;    // in frames, sent and received
 
   int troubles = 0;         // that it suffers now
   Micros calm_since = 0;    // the end of the last one
@@ -139,6 +144,7 @@
   std::function<void(Machine&)> on_boot;
   std::uint64_t frames = 0;
   std::uint64_t frame_bytes = 0;
+  std::map<wire::Body, FrameCount> sent;           // by kind
   std::map<wire::Body, FrameCount> between_zones;  // by kind, those whose machines are in two zones
 
  private:
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -350,9 +350,10 @@
   std::string const from = mesh.frame(id, *frame.value(), now, out.mesh);
   take_fresh(now);
   if (greeting) {
-    // §5.5: a peer that comes with an older serial is told the chosen value at once.
+    // §5.5: a peer that comes with an older serial is told the chosen value at once. Where many would do so, it asks:
+    // its polls and the turns that its peers tell bring the value from one.
     std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(hello_name);
-    if (peer != mesh.roll.peers.end() && peer->second.wire == id && learner.value &&
+    if (!mesh.wide() && peer != mesh.roll.peers.end() && peer->second.wire == id && learner.value &&
         peer->second.member.turn < learner.turn()) {
       wire::ChosenT news;
       news.value = std::make_unique<wire::ValueT>(*learner.value);
--- a/src/kin/ledger/ledger.cc
+++ b/src/kin/ledger/ledger.cc
@@ -64,6 +64,12 @@
     debt.keys[item.first] = Owed{item.second.stamp, false};
 }
 
+void Ledger::owe_own(std::string const& peer) {
+  Debt& debt = owed[peer];
+  for (std::pair<std::string const, wire::EntryT> const& item : items)
+    if (item.second.owner == self) debt.keys[item.first] = Owed{item.second.stamp, false};
+}
+
 wire::EntriesT Ledger::batch(std::string const& peer, bool again) {
   wire::EntriesT out;
   std::map<std::string, Debt>::iterator const spot = owed.find(peer);
--- a/src/kin/ledger/ledger.h
+++ b/src/kin/ledger/ledger.h
@@ -26,6 +26,8 @@
   bool merge(std::string const& from, wire::EntryT const& item, Micros now);
   // A wire to the peer opened: it is owed everything.
   void owe_all(std::string const& peer);
+  // A wire to the peer opened, and others tell it the rest: it is owed what this node said itself.
+  void owe_own(std::string const& peer);
   // A wire opened to a peer that holds the same already: it is owed what changes from now on.
   void meet(std::string const& peer) { owed[peer]; }
   void drop(std::string const& peer) { owed.erase(peer); }
--- a/src/kin/mesh.cc
+++ b/src/kin/mesh.cc
@@ -157,6 +157,8 @@
   hello.ledger = ledger.digest();
   hello.cluster = plan.cluster;
   hello.format = frame_format;
+  hello.members = static_cast<std::uint32_t>(roll.peers.size());
+  hello.entries = static_cast<std::uint32_t>(ledger.all().size());
   hello.self = std::make_unique<wire::MemberT>(roll.self);
   out.sends.push_back({id, encode_body(std::move(hello))});
 }
@@ -379,7 +381,10 @@
   for (std::pair<std::string const, Peer> const& item : roll.peers) {
     if (item.second.wire == 0) continue;
     wire::EntriesT batch = ledger.batch(item.first, again);
-    if (!batch.list.empty()) post(item.first, std::move(batch), out);
+    while (!batch.list.empty()) {
+      post(item.first, std::move(batch), out);
+      batch = ledger.batch(item.first, false);
+    }
   }
 }
 
@@ -433,16 +438,32 @@
   for (std::map<std::uint64_t, Probe>::iterator it = probes.begin(); it != probes.end();)
     it = it->second.peer == name ? probes.erase(it) : std::next(it);
   ledger.meet(name);
-  if (!wide() || hello.ledger != ledger.digest()) ledger.owe_all(name);
-  // §3.3: the peer learns what is said of it, and answers with a higher bump if it is wrong.
-  if (!wide() || hello.digest != roll.digest()) {
-    wire::NewsT news;
-    news.table = table_for(id, true);
-    post(name, std::move(news), out);
-  }
+  owe_entries(name, hello);
+  tell_met(id, name, hello, out);
   flush_entries(out);
 }
 
+// Where many meet one that has just started, or that was cut off, not each of them tells it everything: its seeds do
+// when it knows nothing yet, and every node tells what it owns. What an owner that is gone has said is repaired by
+// pings.
+void Mesh::owe_entries(std::string const& name, wire::HelloT const& hello) {
+  if (!wide() || hello.entries == 0) {
+    ledger.owe_all(name);
+  } else if (hello.ledger != ledger.digest()) {
+    ledger.owe_own(name);
+  }
+}
+
+// §3.3: the peer learns what is said of it, and answers with a higher bump if it is wrong.
+void Mesh::tell_met(WireId id, std::string const& name, wire::HelloT const& hello, Sends& out) {
+  if (wide() && hello.digest == roll.digest()) return;
+  bool const whole = !wide() || hello.members * 2 < roll.peers.size();
+  wire::NewsT news;
+  news.table = whole ? table_for(id, true) : rumours();
+  if (!whole) news.table.push_back(std::make_unique<wire::MemberT>(roll.peers.at(name).member));
+  post(name, std::move(news), out);
+}
+
 void Mesh::take_table(std::vector<std::unique_ptr<wire::MemberT>> const& table, Micros now, Sends& out) {
   for (std::unique_ptr<wire::MemberT> const& item : table) {
     Roll::News const news = roll.merge(*item, now);
--- a/src/kin/mesh.h
+++ b/src/kin/mesh.h
@@ -101,6 +101,8 @@
   };
 
   void greet(WireId id, wire::HelloT const& hello, Micros now, Sends& out);
+  void owe_entries(std::string const& name, wire::HelloT const& hello);
+  void tell_met(WireId id, std::string const& name, wire::HelloT const& hello, Sends& out);
   // The table for a ping, its answer or a greeting: what changed since the last one on that wire, now and then all.
   std::vector<std::unique_ptr<wire::MemberT>> table_for(WireId id, bool whole);
   void take_table(std::vector<std::unique_ptr<wire::MemberT>> const& table, Micros now, Sends& out);
