--- a/tests/record_store.cc
+++ b/tests/record_store.cc
@@ -61,7 +61,9 @@
   std::uint64_t const serial = opened.value().value ? opened.value().value->serial : 0;
   EXPECT_GE(serial, synced);
   EXPECT_LE(serial, synced + 1);
-  if (synced > 0) EXPECT_EQ(opened.value().disk, disk_id);
+  if (synced > 0) {
+    EXPECT_EQ(opened.value().disk, disk_id);
+  }
   disk_id = opened.value().disk;
   synced = serial;
   std::uint64_t const last = synced + last_serial;
@@ -200,7 +202,9 @@
         std::uint64_t const serial = back.value().value ? back.value().value->serial : 0;
         ASSERT_GE(serial, synced);
         ASSERT_LE(serial, synced + 1);
-        if (synced > 0) ASSERT_EQ(back.value().disk, first_disk_id);
+        if (synced > 0) {
+          ASSERT_EQ(back.value().disk, first_disk_id);
+        }
       }
 }
 
