--- a/proof/augury/judge.cc
+++ b/proof/augury/judge.cc
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <cstdio>
 
+#include "base/events.h"
 #include "flow/index/path.h"
-#include "ground/events.h"
 
 namespace pipit {
 
@@ -65,10 +65,10 @@
     serials.insert(item.second->node->learner.serial());
     if (!item.second->node->ready()) fault("N12 " + item.first + " is not ready after a quiet while");
   }
-  if (serials.size() != 1 && !hushed())
+  if (serials.size() != 1 && !log_is_muted())
     for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
       if (item.second->up())
-        for (std::pair<std::string const, Peer> const& peer : item.second->node->mesh.roll.peers)
+        for (std::pair<std::string const, Peer> const& peer : item.second->node->mesh.members.peers)
           if (peer.first[0] == 'k')
             std::printf("%s serial %llu knows %s at %s %s wire %llu dialling %d refused %d\n", item.first.c_str(),
                         static_cast<unsigned long long>(item.second->node->learner.serial()), peer.first.c_str(),
--- a/proof/augury/trouble.cc
+++ b/proof/augury/trouble.cc
@@ -4,15 +4,15 @@
 #include <algorithm>
 #include <cstdio>
 
+#include "base/events.h"
 #include "flow/index/path.h"
-#include "ground/events.h"
 
 namespace pipit {
 
 void World::full_loss() {
   lost_at = -1;
   back_at = -1;
-  bool const power = dice.chance(0.5);
+  bool const power = random.chance(0.5);
   for (std::pair<std::string const, std::unique_ptr<Box>>& item : boxes) halt(*item.second, power);
   heal();
   list_up();
@@ -22,7 +22,7 @@
     Micros const from = now;
     after(seconds(12), [this, from] {
       if (lost_at != from) return;
-      if (back_at < 0 && !hushed())
+      if (back_at < 0 && !log_is_muted())
         for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
           if (item.second->up() && item.second->role == Role::passage)
             for (std::pair<std::string const, Worker> const& w : item.second->node->fleet.workers)
@@ -50,11 +50,11 @@
 void World::trouble() {
   if (quiet) return;
   std::vector<std::string> const all = plan.only.empty() ? troubles() : plan.only;
-  std::string const sort = all[dice.below(all.size())];
+  std::string const type = all[random.below(all.size())];
   ++end.troubles;
-  ++end.kinds[sort];
-  note("trouble " + sort);
-  if (!hushed()) std::printf("default] %lld TROUBLE %s\n", static_cast<long long>(now / 1000), sort.c_str());
+  ++end.kinds[type];
+  note("trouble " + type);
+  if (!log_is_muted()) std::printf("default] %lld TROUBLE %s\n", static_cast<long long>(now / 1000), type.c_str());
   Micros const span = lag(millis(500), millis(6000));
   bool const loss_under_way = lost_at >= 0 && now - lost_at < seconds(12);
   std::vector<std::string> names;
@@ -63,18 +63,18 @@
   std::vector<Hand*> field;
   for (std::pair<std::string const, std::unique_ptr<Hand>>& item : hands)
     if (item.second->life != 0 && item.second->state == "serving") field.push_back(item.second.get());
-  Hand* const hand = field.size() < 6 ? nullptr : field[dice.below(field.size())];
+  Hand* const hand = field.size() < 6 ? nullptr : field[random.below(field.size())];
   if (box == nullptr || loss_under_way) {
     // What service after a full loss is worth is judged without more trouble on top.
-  } else if (sort == "kill" || sort == "power") {
+  } else if (type == "kill" || type == "power") {
     std::string const name = box->name;
-    halt(*box, sort == "power");
+    halt(*box, type == "power");
     after(span, [this, name] { boot(*boxes[name]); });
-  } else if (sort == "freeze") {
+  } else if (type == "freeze") {
     freeze(*box, span);
-  } else if (sort == "cut") {
-    bool const one_way = dice.chance(0.3);
-    bool const outside = dice.chance(0.5);
+  } else if (type == "cut") {
+    bool const one_way = random.chance(0.3);
+    bool const outside = random.chance(0.5);
     for (std::string const& name : names) {
       if (name == box->name) continue;
       set_cut(box->name, name, true);
@@ -82,16 +82,16 @@
     }
     if (outside) set_cut(box->name, "list", true);
     after(lag(millis(500), seconds(9)), [this] { heal(); });
-  } else if (sort == "split" || sort == "keepers") {
+  } else if (type == "split" || type == "keepers") {
     std::set<std::string> side;
     for (std::string const& name : names)
-      if (sort == "keepers" ? name[0] == 'k' : dice.chance(0.5)) side.insert(name);
-    bool const each = sort == "keepers" && dice.chance(0.5);
+      if (type == "keepers" ? name[0] == 'k' : random.chance(0.5)) side.insert(name);
+    bool const each = type == "keepers" && random.chance(0.5);
     for (std::string const& a : names)
       for (std::string const& b : names)
         if (a != b && (side.count(a) != side.count(b) || (each && side.count(a) && side.count(b)))) set_cut(a, b, true);
     after(span, [this] { heal(); });
-  } else if (sort == "blank") {
+  } else if (type == "blank") {
     // One lost disk at a time: the next only once the set has taken the last one in.
     std::size_t whole = 0;
     Box* keeper = pick([](Box const& b) { return b.role == Role::accord; });
@@ -102,7 +102,7 @@
             members.holds(item.first, item.second->disk->disk))
           ++whole;
       if (whole == static_cast<std::size_t>(plan.shape->keepers) && members.keepers.size() == whole) {
-        halt(*keeper, dice.chance(0.5));
+        halt(*keeper, random.chance(0.5));
         keeper->disk.reset();
         keeper->writing.reset();
         keeper->address = "10.0.5." + std::to_string(++moved) + ":7000";
@@ -110,13 +110,13 @@
         after(span, [this, name] { boot(*boxes[name]); });
       }
     }
-  } else if (sort == "exchange") {
+  } else if (type == "exchange") {
     Box* const old = pick([](Box const& b) { return b.role == Role::passage; });
     if (old != nullptr && boxes.size() < 40) {
       std::string const zone = old->zone;
-      bool const same_address = dice.chance(0.3);
+      bool const same_address = random.chance(0.3);
       std::string const address = same_address ? old->address : "10.0.6." + std::to_string(++moved) + ":7000";
-      bool const power = dice.chance(0.3);
+      bool const power = random.chance(0.3);
       halt(*old, power);
       ++end.exchanges;
       if (power) silent.push_back(old->name);
@@ -124,10 +124,10 @@
       std::string const name = "px" + std::to_string(++moved);
       boot(add(name, address, zone, Role::passage));
     }
-  } else if (sort == "slow") {
+  } else if (type == "slow") {
     Box* const keeper = pick([](Box const& b) { return b.role == Role::accord; });
     if (keeper != nullptr) {
-      bool const stall = dice.chance(0.3);
+      bool const stall = random.chance(0.3);
       keeper->disk_low = stall ? seconds(4) : millis(100);
       keeper->disk_high = stall ? seconds(8) : millis(700);
       std::string const name = keeper->name;
@@ -136,11 +136,11 @@
         boxes[name]->disk_high = 6000;
       });
     }
-  } else if (sort == "hand" && hand != nullptr) {
+  } else if (type == "hand" && hand != nullptr) {
     // A worker crashes and comes back within moments or later, as its next life.
     hand_down(*hand);
     std::string const id = hand->row.id;
-    after(dice.chance(0.5) ? lag(millis(20), millis(300)) : span, [this, id] {
+    after(random.chance(0.5) ? lag(millis(20), millis(300)) : span, [this, id] {
       Hand& item = *hands[id];
       if (item.life != 0) return;
       ++item.row.incarnation;
@@ -148,18 +148,18 @@
       write_list();
       hand_up(item);
     });
-  } else if (sort == "dark" && hand != nullptr) {
+  } else if (type == "dark" && hand != nullptr) {
     hand->frozen = true;
     std::string const id = hand->row.id;
     std::uint64_t const life = hand->life;
     after(span, [this, id, life] {
       if (hands[id]->life == life) hands[id]->frozen = false;
     });
-  } else if (sort == "release") {
+  } else if (type == "release") {
     // Workers are replaced one after another.
     Micros wait = 0;
     for (std::pair<std::string const, std::unique_ptr<Hand>>& item : hands) {
-      if (dice.chance(0.6)) continue;
+      if (random.chance(0.6)) continue;
       std::string const id = item.first;
       wait += lag(millis(300), millis(1500));
       after(wait, [this, id] {
@@ -176,8 +176,8 @@
         });
       });
     }
-  } else if (sort == "leave" && hand != nullptr) {
-    hand->state = dice.chance(0.5) ? "leaving" : "gone";
+  } else if (type == "leave" && hand != nullptr) {
+    hand->state = random.chance(0.5) ? "leaving" : "gone";
     marks[hand->row.id][hand->row.incarnation] = now;
     write_list();
     std::string const id = hand->row.id;
@@ -189,29 +189,29 @@
       hand_down(item);
       hand_up(item);
     });
-  } else if (sort == "list" && !list_down) {
+  } else if (type == "list" && !list_down) {
     list_down = true;
-    list_silent = dice.chance(0.5);
+    list_silent = random.chance(0.5);
     list_down_from = now;
     after(span, [this] { list_up(); });
-  } else if (sort == "race") {
-    for (int i = 0; i < 2 + static_cast<int>(dice.below(3)); ++i)
+  } else if (type == "race") {
+    for (int i = 0; i < 2 + static_cast<int>(random.below(3)); ++i)
       if (Box* const at_box = pick_up())
-        operate(Change::Sort::apply, description_of(*plan.shape, ++turn), yes_serial, *at_box);
-  } else if (sort == "storm") {
+        operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *at_box);
+  } else if (type == "storm") {
     for (int i = 0; i < 20; ++i)
       after(lag(1, millis(800)), [this] {
         if (Box* const at_box = pick_up())
-          operate(Change::Sort::apply, description_of(*plan.shape, ++turn), yes_serial, *at_box);
+          operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *at_box);
       });
-  } else if (sort == "large") {
-    operate(Change::Sort::apply, description_of(*plan.shape, ++turn) + std::string(300000, ' '), yes_serial, *box);
-  } else if (sort == "loss") {
+  } else if (type == "large") {
+    operate(Change::Type::apply, description_of(*plan.shape, ++turn) + std::string(300000, ' '), yes_serial, *box);
+  } else if (type == "loss") {
     full_loss();
-  } else if (sort == "group") {
+  } else if (type == "group") {
     // Router nodes that hear one another and reach the workers, but neither the list nor any other node.
     std::set<std::string> side;
-    std::size_t const size = 2 + dice.below(2);
+    std::size_t const size = 2 + random.below(2);
     for (int i = 0; i < 10 && side.size() < size; ++i)
       if (Box* const one = pick([](Box const& b) { return b.role == Role::passage; })) side.insert(one->name);
     for (std::string const& a : side) {
@@ -220,7 +220,7 @@
       set_cut(a, "list", true);
     }
     after(lag(seconds(2), seconds(11)), [this] { heal(); });
-  } else if (sort == "stray") {
+  } else if (type == "stray") {
     // One router node is cut off and goes on serving, while all others end and return; then a zone is emptied.
     Box* const one = pick([](Box const& b) { return b.role == Role::passage; });
     if (one != nullptr && cuts.empty()) {
@@ -236,11 +236,11 @@
       after(seconds(5), [this, stray] {
         Box* const at_box = pick([&stray](Box const& b) { return b.name != stray && b.node->ready(); });
         if (at_box != nullptr && !quiet && at_box->node->desk.emptied().empty())
-          operate(Change::Sort::empty, plan.shape->zones[dice.below(plan.shape->zones.size())], 0, *at_box);
+          operate(Change::Type::empty, plan.shape->zones[random.below(plan.shape->zones.size())], 0, *at_box);
       });
       after(seconds(14), [this] { heal(); });
     }
-  } else if (sort == "amnesia") {
+  } else if (type == "amnesia") {
     // A change is chosen while one keeper is cut off; then one that took it loses its disk, another its power, and the
     // one that was cut off is back: whoever counted the blank one would go on from the older value.
     Membership const& members = box->node->learner.membership();
@@ -252,7 +252,7 @@
     if (cuts.empty() && box->role == Role::passage && whole.size() == static_cast<std::size_t>(plan.shape->keepers)) {
       for (std::string const& name : names)
         if (name != whole[2]) set_cut(name, whole[2], true), set_cut(whole[2], name, true);
-      operate(Change::Sort::apply, description_of(*plan.shape, ++turn), yes_serial, *box);
+      operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *box);
       after(millis(400), [this, whole] {
         halt(*boxes[whole[0]], true);
         boxes[whole[0]]->disk.reset();
@@ -262,13 +262,13 @@
         boot(*boxes[whole[0]]);
       });
       after(seconds(3), [this] {
-        if (Box* const at_box = pick_up()) operate(Change::Sort::read, "", 0, *at_box);
+        if (Box* const at_box = pick_up()) operate(Change::Type::read, "", 0, *at_box);
         if (Box* const at_box = pick_up())
-          operate(Change::Sort::apply, description_of(*plan.shape, ++turn), yes_serial, *at_box);
+          operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *at_box);
       });
       after(seconds(7), [this, whole] { boot(*boxes[whole[1]]); });
     }
-  } else if (sort == "drain") {
+  } else if (type == "drain") {
     std::string const name = box->name;
     std::uint64_t const life = box->life;
     enter(*box, life, [](Box& b, Micros t, NodeOut& out) { b.node->drain(t, out); });
@@ -276,10 +276,10 @@
       if (boxes[name]->life == life) halt(*boxes[name], false);
       boot(*boxes[name]);
     });
-  } else if (sort == "closing") {
+  } else if (type == "closing") {
     // Right after a yes: the node that said it loses its power, and one keeper with it.
-    closing = dice.chance(0.6);
-    operate(Change::Sort::apply, description_of(*plan.shape, ++turn), yes_serial, *box);
+    closing = random.chance(0.6);
+    operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *box);
     std::string const name = box->name;
     if (!closing)
       after(lag(millis(10), millis(60)), [this, name] {
@@ -291,13 +291,13 @@
         }
         after(lag(millis(500), seconds(3)), [this, name] { boot(*boxes[name]); });
       });
-  } else if (sort == "refuse") {
+  } else if (type == "refuse") {
     // Every worker says for a while that it does not run what it gets.
     for (std::pair<std::string const, std::unique_ptr<Hand>>& item : hands) item.second->refusing = true;
     after(span, [this] {
       for (std::pair<std::string const, std::unique_ptr<Hand>>& item : hands) item.second->refusing = false;
     });
-  } else if (sort == "crowd") {
+  } else if (type == "crowd") {
     for (int i = 0; i < 200; ++i) after(lag(1, millis(1000)), [this] { call(); });
   }
   after(lag(millis(400), millis(3500)), [this] { trouble(); });
--- a/proof/augury/world.cc
+++ b/proof/augury/world.cc
@@ -4,12 +4,12 @@
 #include <algorithm>
 #include <cstdio>
 
+#include "base/events.h"
 #include "flow/index/path.h"
-#include "ground/events.h"
 
 namespace pipit {
 
-World::World(WorldPlan plan_) : plan(std::move(plan_)), dice(plan.seed * 7919 + 17) {}
+World::World(WorldPlan plan_) : plan(std::move(plan_)), random(plan.seed * 7919 + 17) {}
 World::~World() = default;
 
 std::vector<std::string> World::troubles() {
@@ -19,7 +19,9 @@
 }
 
 void World::at(Micros when, std::function<void()> act) { events.push(Event_{when, ++order, std::move(act)}); }
-void World::note(std::string const& what) { end.hash = stir(end.hash ^ mix(what) ^ static_cast<std::uint64_t>(now)); }
+void World::note(std::string const& what) {
+  end.hash = hash_bits(end.hash ^ hash_text(what) ^ static_cast<std::uint64_t>(now));
+}
 void World::fault(std::string const& what) {
   if (end.faults.size() < 20) end.faults.push_back(what + " at " + std::to_string(now / 1000) + " ms");
 }
@@ -50,14 +52,14 @@
     hands[hand->row.id] = std::move(hand);
   }
   write_list();
-  at(seconds(3), [this] { operate(Change::Sort::apply, description_of(*plan.shape, 0), 0, *boxes["p1"]); });
+  at(seconds(3), [this] { operate(Change::Type::apply, description_of(*plan.shape, 0), 0, *boxes["p1"]); });
   Micros const end_trouble = seconds(5) + plan.length;
   at(seconds(6), [this] { operator_turn(); });
   at(seconds(7), [this] { trouble(); });
   at(seconds(4), [this] { check(); });
   Micros gap = static_cast<Micros>(1e6 / plan.rate);
   for (Micros t = seconds(5); t < end_trouble + seconds(6); t += gap)
-    at(t + static_cast<Micros>(dice.below(static_cast<std::uint64_t>(gap))), [this] { call(); });
+    at(t + static_cast<Micros>(random.below(static_cast<std::uint64_t>(gap))), [this] { call(); });
   at(end_trouble, [this] {
     quiet = true;
     heal();
@@ -78,10 +80,10 @@
   if (plan.finale) {
     at(end_trouble + seconds(24), [this] {
       for (std::string const& name : silent)
-        if (Box* const box = pick_up()) operate(Change::Sort::strike, name, 0, *box);
+        if (Box* const box = pick_up()) operate(Change::Type::strike, name, 0, *box);
     });
     at(end_trouble + seconds(30), [this] {
-      if (Box* const box = pick_up()) operate(Change::Sort::empty, plan.shape->zones[0], 0, *box);
+      if (Box* const box = pick_up()) operate(Change::Type::empty, plan.shape->zones[0], 0, *box);
     });
   }
   Micros const last = end_trouble + seconds(plan.finale ? 36 : 28);
--- a/proof/augury/world.h
+++ b/proof/augury/world.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
+#include "base/guards.h"
+#include "base/random.h"
 #include "core/node.h"
-#include "ground/guards.h"
-#include "ground/mix.h"
 #include "proof/common/shapes.h"
 
 namespace pipit {
@@ -70,7 +70,7 @@
   void note(std::string const& what);
   void fault(std::string const& what);
   Micros lag(Micros least = 300, Micros most = 4000) {
-    return least + static_cast<Micros>(dice.below(static_cast<std::uint64_t>(most - least)));
+    return least + static_cast<Micros>(random.below(static_cast<std::uint64_t>(most - least)));
   }
 
   // machines
@@ -103,7 +103,7 @@
   void told(std::uint64_t wish, std::string const& what, Micros back);
 
   // operators and trouble
-  void operate(Change::Sort sort, std::string const& text, std::uint64_t expected, Box& box);
+  void operate(Change::Type type, std::string const& text, std::uint64_t expected, Box& box);
   void answered(Box& box, Reply const& reply);
   void operator_turn();
   void trouble();
@@ -117,7 +117,7 @@
   void list_up();
 
   WorldPlan const plan;
-  Dice dice;
+  RandomSource random;
   Micros now = 0;
   std::uint64_t order = 0;
   std::priority_queue<Event_> events;
--- a/proof/checker/register_view.cc
+++ b/proof/checker/register_view.cc
@@ -4,15 +4,15 @@
 
 #include <cstdio>
 
-#include "canon/register/membership.h"
-#include "canon/register/orders.h"
+#include "consensus/register/membership.h"
+#include "consensus/register/orders.h"
 
 namespace pipit::checker {
 
 namespace {
 
-// Members that neither say nor decide anything: name, plan, and the dice and times of pauses, since the checker lets
-// each timer end whenever it likes.
+// Members that neither say nor decide anything: name, plan, and the random numbers and times of pauses, since the
+// checker lets each timer end whenever it likes.
 #if defined(__x86_64__) && defined(__GLIBCXX__) && !defined(_GLIBCXX_DEBUG)
 constexpr std::size_t proposer_size = 1448;
 constexpr std::size_t learner_size = 992;
@@ -47,7 +47,7 @@
 std::uint64_t hash_of_table(Table const& table) {
   flatbuffers::FlatBufferBuilder builder(1024);
   builder.Finish(Table::TableType::Pack(builder, &table));
-  return mix(std::string_view(reinterpret_cast<char const*>(builder.GetBufferPointer()), builder.GetSize()));
+  return hash_text(std::string_view(reinterpret_cast<char const*>(builder.GetBufferPointer()), builder.GetSize()));
 }
 
 void add(Print& out, wire::ValueT const& value, Symmetry const& symmetry) {
@@ -151,15 +151,15 @@
 
 Print print_of(Acceptor const& acceptor, Symmetry const& symmetry) {
   Print out(symmetry);
-  add(out, acceptor.slate, symmetry);
-  add(out, acceptor.firm, symmetry);
+  add(out, acceptor.state, symmetry);
+  add(out, acceptor.synced_state, symmetry);
   out.number(acceptor.busy ? 1 : 0);
   for (std::pair<std::string, wire::BodyUnion> const& item : acceptor.inbox) {
     out.name(symmetry, item.first);
     out.part(print_of(item.second, symmetry));
   }
   out.number(acceptor.inbox.size());
-  for (Letter const& item : acceptor.held_back) {
+  for (OutgoingMessage const& item : acceptor.held_back) {
     out.name(symmetry, item.to);
     out.part(print_of(item.body, symmetry));
   }
@@ -175,7 +175,7 @@
   out.number(proposer.joint_chosen);
   for (Proposer::Job const& job : proposer.jobs) {
     out.text(job.change.id);
-    out.number(static_cast<std::uint64_t>(job.change.sort));
+    out.number(static_cast<std::uint64_t>(job.change.type));
     out.number(job.change.expected);
     out.number(job.sent ? 1 : 0);
     out.number(job.sent_serial);
@@ -231,7 +231,7 @@
     one.name(symmetry, item.first);
     one.disk(symmetry, item.second.disk);
     add(one, item.second.ballot);
-    one.number(item.second.turn);
+    one.number(item.second.revision);
     one.number(item.second.members);
     votes.member(one);
   }
@@ -268,13 +268,13 @@
   wire::ValueT rest = value;
   rest.keepers.clear();
   rest.former.clear();
-  return stir(hash_of_table(rest) + members_of(value));
+  return hash_bits(hash_of_table(rest) + members_of(value));
 }
 
 std::uint64_t members_of(wire::ValueT const& value) {
   std::uint64_t out = 0;
-  for (std::unique_ptr<wire::KeeperT> const& item : value.keepers) out += stir(mix(item->name) ^ item->disk);
-  for (std::unique_ptr<wire::KeeperT> const& item : value.former) out += stir(mix(item->name) + item->disk);
+  for (std::unique_ptr<wire::KeeperT> const& item : value.keepers) out += hash_bits(hash_text(item->name) ^ item->disk);
+  for (std::unique_ptr<wire::KeeperT> const& item : value.former) out += hash_bits(hash_text(item->name) + item->disk);
   return out;
 }
 
@@ -282,7 +282,7 @@
   return Proposer::serial_of(value, id);
 }
 
-std::uint64_t revision_of(wire::ValueT const& value) { return value.turn; }
+std::uint64_t revision_of(wire::ValueT const& value) { return value.revision; }
 
 namespace {
 bool is_majority(Keepers const& keepers, std::vector<std::uint64_t> const& disks) {
@@ -300,7 +300,7 @@
 wire::ValueT first_value(std::vector<std::size_t> const& members) {
   wire::ValueT out;
   out.serial = 1;
-  out.turn = 1;
+  out.revision = 1;
   out.epoch = 2;
   out.change = "first";
   out.text = "first";
@@ -324,8 +324,8 @@
 }
 
 std::string words_of(wire::ValueT const& value) {
-  std::string out = "serial " + std::to_string(value.serial) + " '" + value.text + "' turn " +
-                    std::to_string(value.turn) + " epoch " + std::to_string(value.epoch) + " of";
+  std::string out = "serial " + std::to_string(value.serial) + " '" + value.text + "' revision " +
+                    std::to_string(value.revision) + " epoch " + std::to_string(value.epoch) + " of";
   for (std::unique_ptr<wire::KeeperT> const& item : value.keepers) out += " " + item->name;
   if (!value.former.empty()) out += " after";
   for (std::unique_ptr<wire::KeeperT> const& item : value.former) out += " " + item->name;
--- a/proof/common/shapes.h
+++ b/proof/common/shapes.h
@@ -3,11 +3,11 @@
 #include <string>
 #include <vector>
 
-#include "ground/mix.h"
+#include "base/random.h"
 
 namespace pipit {
 
-struct Kin {  // one kind of request that callers send
+struct RequestKind {  // one kind of request that callers send
   std::string lane;
   bool stream = true;
   bool safe = false;
@@ -25,7 +25,7 @@
   int passages = 8;
   int workers = 18;
   int cold = 8;
-  std::vector<Kin> kinds;
+  std::vector<RequestKind> kinds;
 };
 
 inline Shape const* shape_of(std::string const& name) {
@@ -62,15 +62,16 @@
          ",\"cold_ms\":5000,\"cache_blocks\":2000,\"block_us\":3000,\"service_ms\":800}],\n \"lanes\":[\n";
   bool first = true;
   int urgency = 3;
-  for (Kin const& kin : shape.kinds) {
+  for (RequestKind const& request_kind : shape.kinds) {
     if (!first) out += ",\n";
     first = false;
-    std::string const pools =
-        kin.opening >= 6000 ? "pool main; pool press when demand < 70%" : "pool press when demand < 90%; pool main";
-    out += "  {\"name\":\"" + kin.lane + "\",\"binding\":\"match model = \\\"tribute\\\" and user starts \\\"" +
-           kin.lane + "\\\"; " + pools + "\",";
+    std::string const pools = request_kind.opening >= 6000 ? "pool main; pool press when demand < 70%"
+                                                           : "pool press when demand < 90%; pool main";
+    out += "  {\"name\":\"" + request_kind.lane +
+           "\",\"binding\":\"match model = \\\"tribute\\\" and user starts \\\"" + request_kind.lane + "\\\"; " +
+           pools + "\",";
     out += "\"policy\":\"wait " + wait + "ms; urgency " + std::to_string(urgency) + "; repeat " +
-           (kin.safe ? "safe" : "never") + "; backlog 200; tries 2; answer 10s; stall 8s\"}";
+           (request_kind.safe ? "safe" : "never") + "; backlog 200; tries 2; answer 10s; stall 8s\"}";
     urgency += 2;
   }
   // As large as asked for, by lanes that no caller uses.
@@ -83,11 +84,11 @@
 inline std::string filler(std::uint64_t seed, int size) {
   static char const* const words[] = {"roster", "press",   "harvest", "tribute", "season", "page",   "vine",  "weigh",
                                       "school", "caption", "editor",  "cellar",  "dusk",   "bridge", "style", "guide"};
-  Dice dice(seed);
+  RandomSource random(seed);
   std::string out;
   while (static_cast<int>(out.size()) < size) {
-    out += words[dice.below(16)];
-    out += dice.below(9) == 0 ? ". " : " ";
+    out += words[random.below(16)];
+    out += random.below(9) == 0 ? ". " : " ";
   }
   out.resize(static_cast<std::size_t>(size));
   return out;
--- a/proof/control_plane/disk.cc
+++ b/proof/control_plane/disk.cc
@@ -73,21 +73,21 @@
   return boost::outcome_v2::success();
 }
 
-void SimulatedDisk::lose_power(Dice& dice, bool all_lost) {
+void SimulatedDisk::lose_power(RandomSource& random, bool all_lost) {
   revive();
   for (std::map<std::string, File>::iterator it = files.begin(); it != files.end();) {
     File& file = it->second;
-    if (!file.name_synced && (all_lost || dice.chance(0.5))) {
+    if (!file.name_synced && (all_lost || random.chance(0.5))) {
       it = files.erase(it);
       continue;
     }
     file.content = file.synced;
     for (Write write : file.unsynced) {
-      std::uint64_t const fate = all_lost ? 0 : dice.below(3);
+      std::uint64_t const fate = all_lost ? 0 : random.below(3);
       if (fate == 0) continue;
       if (fate == 2 && !write.bytes.empty()) {
-        std::size_t const from = dice.below(write.bytes.size());
-        bool const head = dice.chance(0.5);
+        std::size_t const from = random.below(write.bytes.size());
+        bool const head = random.chance(0.5);
         if (!head) write.offset += from;
         write.bytes = head ? write.bytes.substr(0, from) : write.bytes.substr(from);
       }
--- a/proof/control_plane/disk.h
+++ b/proof/control_plane/disk.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "ground/mix.h"
+#include "base/random.h"
 #include "storage/record_store.h"
 
 namespace pipit::control_plane {
@@ -28,7 +28,7 @@
   // Another process opens the disk; what the last one wrote is there.
   void revive();
   // Power goes. `all_lost`: every unsynced write is gone.
-  void lose_power(Dice& dice, bool all_lost);
+  void lose_power(RandomSource& random, bool all_lost);
   // The steps that were done since the start.
   std::uint64_t steps() const { return done_steps; }
 
--- a/proof/control_plane/fleet.cc
+++ b/proof/control_plane/fleet.cc
@@ -5,19 +5,22 @@
 namespace pipit::control_plane {
 
 namespace {
-WorldPlan world_of(ScenarioPlan const& plan, Dice& dice) {
+WorldPlan world_of(ScenarioPlan const& plan, RandomSource& random) {
   static std::size_t const sizes[] = {3, 4, 8};
   WorldPlan out;
   out.seed = plan.seed;
-  out.disks = plan.disks > 0 ? plan.disks : sizes[dice.below(3)];
-  out.plain = 3 + dice.below(7);
+  out.disks = plan.disks > 0 ? plan.disks : sizes[random.below(3)];
+  out.plain = 3 + random.below(7);
   out.tolerated = out.disks >= 8 ? 2 : 1;
   return out;
 }
 }  // namespace
 
 Fleet::Fleet(ScenarioPlan const& plan, Unstarted, JudgePlan const& judged)
-    : dice(stir(plan.seed) ^ 0x5ce4a710), world(world_of(plan, dice)), judge(world, judged), operators(world, judge) {}
+    : random(hash_bits(plan.seed) ^ 0x5ce4a710),
+      world(world_of(plan, random)),
+      judge(world, judged),
+      operators(world, judge) {}
 
 Fleet::Fleet(ScenarioPlan const& plan) : Fleet(plan, Unstarted{}, JudgePlan{}) {
   world.boot_all(true);
@@ -38,7 +41,7 @@
 
 std::vector<MachineId> Fleet::shuffled_keepers() {
   std::vector<MachineId> out = keepers();
-  for (std::size_t i = out.size(); i > 1; --i) std::swap(out[i - 1], out[dice.below(i)]);
+  for (std::size_t i = out.size(); i > 1; --i) std::swap(out[i - 1], out[random.below(i)]);
   return out;
 }
 
--- a/proof/control_plane/fleet.h
+++ b/proof/control_plane/fleet.h
@@ -27,17 +27,17 @@
   std::uint64_t epoch() { return epoch_known_to(*newest_view()); }
 
   Micros some(Micros least, Micros most) {
-    return least + static_cast<Micros>(dice.below(static_cast<std::uint64_t>(most - least + 1)));
+    return least + static_cast<Micros>(random.below(static_cast<std::uint64_t>(most - least + 1)));
   }
   int pick(int given, int count) {
-    int const rolled = static_cast<int>(dice.below(static_cast<std::uint64_t>(count)));
+    int const rolled = static_cast<int>(random.below(static_cast<std::uint64_t>(count)));
     return given >= 0 ? given % count : rolled;
   }
 
   // A calm time, in which every machine that was not removed is there, and the last judgement.
   Report finish(std::string const& setting, Micros calm = seconds(9));
 
-  Dice dice;
+  RandomSource random;
   World world;
   Judge judge;
   Operators operators;
--- a/proof/control_plane/member_scenarios.cc
+++ b/proof/control_plane/member_scenarios.cc
@@ -33,7 +33,7 @@
   std::vector<MachineId> keepers = fleet.keepers();
   std::size_t const together = world.plan.tolerated;
   // Those that go first, those that go later, each by chance.
-  for (std::size_t i = keepers.size(); i > 1; --i) std::swap(keepers[i - 1], keepers[fleet.dice.below(i)]);
+  for (std::size_t i = keepers.size(); i > 1; --i) std::swap(keepers[i - 1], keepers[fleet.random.below(i)]);
   std::vector<MachineId> const first(keepers.begin(), keepers.begin() + static_cast<std::ptrdiff_t>(together));
   std::vector<MachineId> const later(keepers.begin() + static_cast<std::ptrdiff_t>(together),
                                      keepers.begin() + static_cast<std::ptrdiff_t>(2 * together));
@@ -53,8 +53,8 @@
     world.heal();
     world.run(world.plan.catch_up);
   }
-  std::uint64_t const mode = fleet.dice.below(4);
-  int const epochs = mode == 0 ? 0 : static_cast<int>(fleet.dice.below(2 * together + 1));
+  std::uint64_t const mode = fleet.random.below(4);
+  int const epochs = mode == 0 ? 0 : static_cast<int>(fleet.random.below(2 * together + 1));
   Micros const offset = mode == 0 ? fleet.some(0, seconds(6)) : fleet.some(0, mode == 1 ? millis(20) : millis(900));
   if (kind == planned) {
     for (MachineId const id : first) world.stop(id);
@@ -101,7 +101,7 @@
   fleet.operators.storm(seconds(45), 12);
   world.run(seconds(15));
   std::vector<MachineId> const keepers = fleet.keepers();
-  MachineId target = keepers[fleet.dice.chance(0.5) ? 0 : fleet.dice.below(keepers.size())];
+  MachineId target = keepers[fleet.random.chance(0.5) ? 0 : fleet.random.below(keepers.size())];
   if (how == plain) target = world.plan.disks;
   Micros const away = fleet.some(millis(100), seconds(5));
   if (how == restarted || how == plain) world.kill(target);
@@ -122,7 +122,7 @@
   Fleet fleet(plan);
   World& world = fleet.world;
   MachineId const beside = world.plan.disks;
-  MachineId const target = fleet.dice.chance(0.5) ? world.plan.disks + 1 : fleet.keepers().front();
+  MachineId const target = fleet.random.chance(0.5) ? world.plan.disks + 1 : fleet.keepers().front();
   fleet.judge.expect_progress(true);
   fleet.operators.steady(world.now() + seconds(24));
   world.run(seconds(2));
@@ -177,7 +177,7 @@
     std::vector<MachineId> const keepers = fleet.shuffled_keepers();
     MachineId const leaving = keepers.front();
     MachineId const other = keepers.back();
-    bool const planned = fleet.dice.chance(0.4);
+    bool const planned = fleet.random.chance(0.4);
     MachineId const successor = world.add_successor(leaving);
     if (planned) {
       world.boot(successor);
@@ -188,9 +188,9 @@
       world.after(seconds(1), [&world, successor] { world.boot(successor); });
     }
     world.run(fleet.some(millis(50), millis(900)));
-    bool const frozen = fleet.dice.chance(0.3);
+    bool const frozen = fleet.random.chance(0.3);
     if (frozen) world.freeze(other, fleet.some(seconds(2), seconds(5)));
-    if (!frozen) world.isolate({other}, CutKind::silent, cut_ways[fleet.dice.below(3)]);
+    if (!frozen) world.isolate({other}, CutKind::silent, cut_ways[fleet.random.below(3)]);
     setting += planned ? " planned" : " unplanned";
     setting += frozen ? " beside a freeze" : " beside a cut";
     world.run(fleet.some(seconds(2), seconds(5)));
@@ -238,14 +238,14 @@
   Loss const loss = static_cast<Loss>(variant % 5);
   bool const quiet = variant >= 5;  // no operator asks anything for a while after it
   double const rates[] = {2, 7, 25};
-  fleet.operators.storm(seconds(120), rates[fleet.dice.below(3)]);
-  std::string setting = replace_a_few(fleet, fleet.dice.below(4));
+  fleet.operators.storm(seconds(120), rates[fleet.random.below(3)]);
+  std::string setting = replace_a_few(fleet, fleet.random.below(4));
   world.run(fleet.some(0, seconds(2)));
-  std::vector<MachineId> const order = fleet.dice.chance(0.5) ? fleet.keepers() : fleet.shuffled_keepers();
+  std::vector<MachineId> const order = fleet.random.chance(0.5) ? fleet.keepers() : fleet.shuffled_keepers();
   std::size_t const lost_disks = std::min(world.plan.tolerated, order.size());
   std::vector<MachineId> const victims(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(lost_disks));
   std::uint64_t const confirmed = fleet.judge.confirmations;
-  if (fleet.dice.chance(0.5)) {
+  if (fleet.random.chance(0.5)) {
     world.run(fleet.some(millis(5), millis(400)));
   } else {
     for (int step = 0; step < 400 && fleet.judge.confirmations == confirmed; ++step) world.run(millis(1));
@@ -343,7 +343,7 @@
   }
   world.run(how >= 4 ? fleet.some(0, world.plan.catch_up) : world.plan.catch_up);
   for (std::size_t n = 0; n < together; ++n) world.stop(keepers[n]);
-  world.run(fleet.some(0, fleet.dice.chance(0.5) ? millis(700) : seconds(3)));
+  world.run(fleet.some(0, fleet.random.chance(0.5) ? millis(700) : seconds(3)));
   for (std::size_t n = 0; n < together; ++n) {
     MachineId const id = keepers[n];
     if (!world.machine(id).up()) continue;
@@ -351,7 +351,7 @@
     if (how == 1) world.power_off(id);
     if (how <= 1) world.machine(id).removed = true;
     if (how == 2) world.freeze(id, fleet.some(millis(300), seconds(6)));
-    if (how == 3) world.isolate({id}, CutKind::silent, cut_ways[fleet.dice.below(3)]);
+    if (how == 3) world.isolate({id}, CutKind::silent, cut_ways[fleet.random.below(3)]);
   }
   // A leaving member that is killed is a loss of its own, for as long as any other.
   if (how <= 1) world.run(world.plan.catch_up);
@@ -385,7 +385,7 @@
   static char const* const words[] = {
       "late", "killed", "dark", "wiped", "frozen", "cut off", "replaced", "full at its start", "slow disk"};
   int const how = fleet.pick(plan.variant, 9);
-  MachineId const target = fleet.dice.below(std::min<std::size_t>(3, world.plan.disks));
+  MachineId const target = fleet.random.below(std::min<std::size_t>(3, world.plan.disks));
   Micros const span = fleet.some(millis(200), seconds(4));
   if (how == 7) world.fill_disk(target, span);
   if (how == 8) world.stall_disk(target, span);
@@ -398,7 +398,7 @@
   if (how == 3) world.wipe(target);
   if (how <= 3) world.after(span, [&world, target] { world.boot(target); });
   if (how == 4) world.freeze(target, span);
-  if (how == 5) world.isolate({target}, CutKind::silent, cut_ways[fleet.dice.below(3)]);
+  if (how == 5) world.isolate({target}, CutKind::silent, cut_ways[fleet.random.below(3)]);
   if (how == 6) {
     world.remove(target);
     MachineId const successor = world.add_successor(target);
@@ -421,14 +421,14 @@
   World& world = fleet.world;
   fleet.judge.expect_progress(true);
   double const rates[] = {12, 25};
-  fleet.operators.storm(seconds(70), rates[fleet.dice.below(2)]);
+  fleet.operators.storm(seconds(70), rates[fleet.random.below(2)]);
   Micros const end = world.now() + seconds(60);
   while (world.now() < end) {
     std::vector<MachineId> const keepers = fleet.shuffled_keepers();
     for (std::size_t n = 0; n < world.plan.tolerated; ++n) {
       MachineId id = keepers[n];
       Micros const away = fleet.some(millis(50), millis(1500));
-      std::uint64_t const how = fleet.dice.below(6);
+      std::uint64_t const how = fleet.random.below(6);
       if (how == 0) world.kill(id);
       if (how >= 1 && how <= 4) world.power_off(id);
       if (how == 2) world.wipe(id);
@@ -437,7 +437,7 @@
       if (how == 5) {
         world.remove(id);
         id = world.add_successor(id);
-        if (fleet.dice.chance(0.3)) world.fill_disk(id, away + fleet.some(0, seconds(1)));
+        if (fleet.random.chance(0.3)) world.fill_disk(id, away + fleet.some(0, seconds(1)));
       }
       world.after(away, [&world, id] { world.boot(id); });
     }
--- a/proof/control_plane/node_view.cc
+++ b/proof/control_plane/node_view.cc
@@ -1,6 +1,6 @@
 #include "proof/control_plane/node_view.h"
 
-#include "ground/mix.h"
+#include "base/hash.h"
 
 namespace pipit::control_plane {
 
@@ -23,13 +23,13 @@
 bool may_end(Node const& node, Micros now) { return node.may_end(now); }
 
 std::string change_id(std::string const& verb, std::uint64_t based_on, std::string const& body) {
-  return verb + "-" + std::to_string(based_on) + "-" + std::to_string(mix(body)) + "-" +
-         std::to_string(mix(body, body.size()));
+  return verb + "-" + std::to_string(based_on) + "-" + std::to_string(hash_text(body)) + "-" +
+         std::to_string(hash_text(body, body.size()));
 }
 
 Change replace_change(std::uint64_t based_on, std::uint64_t label, std::string const& body) {
   Change out;
-  out.sort = Change::Sort::apply;
+  out.type = Change::Type::apply;
   out.id = change_id("replace", based_on, body);
   out.text = body;
   out.expected = based_on;
@@ -39,7 +39,7 @@
 
 Change read_change() {
   Change out;
-  out.sort = Change::Sort::read;
+  out.type = Change::Type::read;
   return out;
 }
 
--- a/proof/control_plane/scenarios.cc
+++ b/proof/control_plane/scenarios.cc
@@ -24,13 +24,13 @@
 
 Report cut_off(ScenarioPlan const& plan) {
   Fleet fleet(plan);
-  std::size_t const kind = fleet.dice.below(3);
-  std::size_t const way = fleet.dice.below(3);
+  std::size_t const kind = fleet.random.below(3);
+  std::size_t const way = fleet.random.below(3);
   int const role = fleet.pick(plan.variant, 3);
   std::vector<MachineId> const keepers = fleet.keepers();
   MachineId target = keepers.front();
-  if (role == 1) target = keepers[1 + fleet.dice.below(keepers.size() - 1)];
-  if (role == 2) target = fleet.world.plan.disks + fleet.dice.below(fleet.world.plan.plain);
+  if (role == 1) target = keepers[1 + fleet.random.below(keepers.size() - 1)];
+  if (role == 2) target = fleet.world.plan.disks + fleet.random.below(fleet.world.plan.plain);
   OrderId const known = fleet.operators.replace(fleet.operators.newest_told(), fleet.operators.next_label());
   fleet.operators.drive(known);
   fleet.world.run(seconds(2));
@@ -55,8 +55,8 @@
   int const role = fleet.pick(plan.variant, 3);
   std::vector<MachineId> const keepers = fleet.keepers();
   MachineId target = keepers.front();
-  if (role == 1) target = keepers[1 + fleet.dice.below(keepers.size() - 1)];
-  if (role == 2) target = world.plan.disks + fleet.dice.below(world.plan.plain);
+  if (role == 1) target = keepers[1 + fleet.random.below(keepers.size() - 1)];
+  if (role == 2) target = world.plan.disks + fleet.random.below(world.plan.plain);
   OrderId const known = fleet.operators.replace(fleet.operators.newest_told(), fleet.operators.next_label());
   fleet.operators.drive(known);
   world.run(seconds(2));
@@ -64,11 +64,11 @@
   fleet.operators.steady(world.now() + seconds(34));
   world.run(fleet.some(0, seconds(1)));
   Micros const span = fleet.some(millis(300), seconds(20));
-  bool const cut = fleet.dice.chance(0.4);
+  bool const cut = fleet.random.chance(0.4);
   world.freeze(target, span);
   ask_cut_off(fleet, target, world.now() + span + seconds(3), known, fleet.operators.newest_told());
   world.run(span - fleet.some(0, millis(200)));
-  if (cut) world.isolate({target}, cut_kinds[fleet.dice.below(3)], cut_ways[fleet.dice.below(3)]);
+  if (cut) world.isolate({target}, cut_kinds[fleet.random.below(3)], cut_ways[fleet.random.below(3)]);
   world.run(seconds(4));
   world.heal();
   world.run(seconds(8));
@@ -89,12 +89,12 @@
   std::string setting = "storm, cut off:";
   for (int turn = 0; turn < 3; ++turn) {
     fleet.world.run(fleet.some(seconds(1), seconds(2)));
-    std::size_t const kind = fleet.dice.below(3);
-    std::size_t const way = fleet.dice.below(3);
+    std::size_t const kind = fleet.random.below(3);
+    std::size_t const way = fleet.random.below(3);
     std::vector<MachineId> const keepers = fleet.keepers();
-    MachineId const target = keepers[fleet.dice.chance(0.5) ? 0 : fleet.dice.below(keepers.size())];
+    MachineId const target = keepers[fleet.random.chance(0.5) ? 0 : fleet.random.below(keepers.size())];
     std::vector<MachineId> group{target};
-    if (fleet.dice.chance(0.5)) group.push_back(fleet.world.plan.disks);  // with a plain machine
+    if (fleet.random.chance(0.5)) group.push_back(fleet.world.plan.disks);  // with a plain machine
     fleet.world.isolate(group, cut_kinds[kind], cut_ways[way]);
     setting += std::string(" ") + kind_words[kind] + " " + way_words[way];
     fleet.world.run(seconds(3));
@@ -110,9 +110,9 @@
 // A keeper, most often the proposing one, is lost in one of several ways, or not at all, and comes back.
 void lose_one_for_a_while(Fleet& fleet) {
   std::vector<MachineId> const keepers = fleet.keepers();
-  MachineId const target = keepers[fleet.dice.chance(0.6) ? 0 : fleet.dice.below(keepers.size())];
+  MachineId const target = keepers[fleet.random.chance(0.6) ? 0 : fleet.random.below(keepers.size())];
   fleet.world.run(fleet.some(millis(3), millis(60)));
-  switch (fleet.dice.below(5)) {
+  switch (fleet.random.below(5)) {
     case 0:
       fleet.world.kill(target);
       break;
@@ -160,7 +160,7 @@
     std::uint64_t base = operators.newest_told();
     for (int link = 0; link < 8; ++link) {
       std::uint64_t const label = operators.next_label();
-      operators.drive(fleet.dice.chance(0.25) ? operators.amend(base, label) : operators.replace(base, label));
+      operators.drive(fleet.random.chance(0.25) ? operators.amend(base, label) : operators.replace(base, label));
       base = label;
       fleet.world.run(fleet.some(0, millis(20)));
     }
@@ -180,10 +180,10 @@
   fleet.operators.mixed(world.now() + seconds(36), 8);
   for (int turn = 0; turn < 12; ++turn) {
     std::vector<MachineId> const keepers = fleet.keepers();
-    MachineId target = keepers[fleet.dice.chance(0.6) ? 0 : fleet.dice.below(keepers.size())];
-    if (fleet.dice.chance(0.4)) target = world.plan.disks + fleet.dice.below(world.plan.plain);
+    MachineId target = keepers[fleet.random.chance(0.6) ? 0 : fleet.random.below(keepers.size())];
+    if (fleet.random.chance(0.4)) target = world.plan.disks + fleet.random.below(world.plan.plain);
     for (MachineId const id : keepers)
-      if (id != target && fleet.dice.chance(0.6)) world.stall_disk(id, fleet.some(millis(20), seconds(1)));
+      if (id != target && fleet.random.chance(0.6)) world.stall_disk(id, fleet.some(millis(20), seconds(1)));
     world.run(fleet.some(0, millis(50)));
     world.kill(target);
     world.run(fleet.some(0, millis(100)));
@@ -234,7 +234,7 @@
     fleet.world.run(fleet.some(seconds(1), millis(1500)));
     MachineId const target = fleet.keepers().front();
     Micros const span = fleet.some(millis(300), seconds(2));
-    std::uint64_t const how = fleet.dice.below(5);
+    std::uint64_t const how = fleet.random.below(5);
     static char const* const words[] = {" killed", " dark", " frozen", " cut off", " slow at its disk"};
     setting += words[how];
     if (how == 0) fleet.world.kill(target);
@@ -267,9 +267,9 @@
   World& world = fleet.world;
   std::vector<MachineId> const keepers = fleet.keepers();
   if (keepers.empty()) return;
-  MachineId const id = keepers[fleet.dice.chance(0.4) ? 0 : fleet.dice.below(keepers.size())];
+  MachineId const id = keepers[fleet.random.chance(0.4) ? 0 : fleet.random.below(keepers.size())];
   Micros const span = fleet.some(millis(100), seconds(3));
-  switch (fleet.dice.below(11)) {
+  switch (fleet.random.below(11)) {
     case 0:
       world.kill(id);
       world.after(span, [&world, id] { world.boot(id); });
@@ -300,7 +300,7 @@
     case 7:
       // Its disk is full, or hangs, when it is back.
       world.power_off(id);
-      if (fleet.dice.chance(0.5))
+      if (fleet.random.chance(0.5))
         world.fill_disk(id, span + millis(500));
       else
         world.stall_disk(id, span + millis(500));
@@ -311,7 +311,7 @@
       if (world.machine(id).successor) break;
       world.remove(id);
       MachineId const successor = world.add_successor(id);
-      if (fleet.dice.chance(0.3)) world.fill_disk(successor, seconds(1) + span);
+      if (fleet.random.chance(0.3)) world.fill_disk(successor, seconds(1) + span);
       world.after(seconds(1), [&world, successor] { world.boot(successor); });
       break;
     }
@@ -326,10 +326,10 @@
 
 void trouble_plain(Fleet& fleet) {
   World& world = fleet.world;
-  MachineId const id = world.plan.disks + fleet.dice.below(world.plan.plain);
+  MachineId const id = world.plan.disks + fleet.random.below(world.plan.plain);
   Micros const span = fleet.some(millis(100), seconds(4));
   if (!world.machine(id).up()) return;
-  if (fleet.dice.chance(0.5)) {
+  if (fleet.random.chance(0.5)) {
     world.freeze(id, span);
     return;
   }
@@ -343,14 +343,14 @@
   std::vector<MachineId> group;
   std::vector<MachineId> const keepers = fleet.keepers();
   for (std::size_t n = 0; n + world.lost() < world.plan.tolerated && n < keepers.size(); ++n)
-    if (fleet.dice.chance(0.7)) group.push_back(keepers[fleet.dice.chance(0.5) ? n : keepers.size() - 1 - n]);
+    if (fleet.random.chance(0.7)) group.push_back(keepers[fleet.random.chance(0.5) ? n : keepers.size() - 1 - n]);
   for (std::size_t n = 0; n < world.plan.plain; ++n)
-    if (fleet.dice.chance(0.2)) group.push_back(world.plan.disks + n);
+    if (fleet.random.chance(0.2)) group.push_back(world.plan.disks + n);
   std::sort(group.begin(), group.end());
   group.erase(std::unique(group.begin(), group.end()), group.end());
   if (group.empty()) return;
-  world.isolate(group, cut_kinds[fleet.dice.below(3)], cut_ways[fleet.dice.below(3)]);
-  world.after(fleet.some(millis(200), seconds(fleet.dice.chance(0.2) ? 20 : 5)), [&world] { world.heal(); });
+  world.isolate(group, cut_kinds[fleet.random.below(3)], cut_ways[fleet.random.below(3)]);
+  world.after(fleet.some(millis(200), seconds(fleet.random.chance(0.2) ? 20 : 5)), [&world] { world.heal(); });
 }
 
 Report days(ScenarioPlan const& plan, bool all) {
@@ -362,14 +362,14 @@
   Micros const end = world.now() + seconds(50);
   fleet.operators.mixed(end, 8);
   fleet.operators.steady(end);
-  if (fleet.dice.chance(0.4)) fleet.operators.storm(seconds(30), 12);
+  if (fleet.random.chance(0.4)) fleet.operators.storm(seconds(30), 12);
   fleet.judge.expect_progress(true);
   Micros next_links = world.now() + fleet.some(0, seconds(6));
   while (world.now() < end) {
     world.run(fleet.some(millis(100), millis(2500)));
-    if (fleet.dice.chance(0.3)) trouble_plain(fleet);
-    if (all && fleet.dice.chance(0.02)) {
-      bool const dark = fleet.dice.chance(0.5);
+    if (fleet.random.chance(0.3)) trouble_plain(fleet);
+    if (all && fleet.random.chance(0.02)) {
+      bool const dark = fleet.random.chance(0.5);
       for (MachineId const id : fleet.keepers()) {
         if (dark) world.power_off(id);
         if (!dark) world.kill(id);
@@ -380,7 +380,7 @@
     if (world.now() >= next_links && world.lost() < world.plan.tolerated) {
       trouble_links(fleet);
       next_links = world.now() + fleet.some(seconds(5), seconds(24));
-    } else if (world.lost() < world.plan.tolerated && fleet.dice.chance(0.6)) {
+    } else if (world.lost() < world.plan.tolerated && fleet.random.chance(0.6)) {
       trouble_keeper(fleet);
     }
   }
--- a/proof/control_plane/world.cc
+++ b/proof/control_plane/world.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "ground/events.h"
+#include "base/events.h"
 #include "proof/control_plane/node_view.h"
 
 namespace pipit::control_plane {
@@ -22,7 +22,7 @@
 constexpr std::size_t seeds_given = 3;
 }  // namespace
 
-World::World(WorldPlan plan_) : plan(plan_), dice(plan_.seed * 0x9e3779b97f4a7c15ull + 17) {
+World::World(WorldPlan plan_) : plan(plan_), random(plan_.seed * 0x9e3779b97f4a7c15ull + 17) {
   for (std::size_t i = 0; i < plan.disks; ++i) add(true);
   for (std::size_t i = 0; i < plan.plain; ++i) add(false);
 }
@@ -49,13 +49,13 @@
   std::unique_ptr<Machine> made = std::make_unique<Machine>();
   made->id = machines.size();
   // Names sort in another order than the machines were made in.
-  made->name =
-      "m" + std::to_string(100 + stir(plan.seed + 31 * machines.size()) % 900) + "-" + std::to_string(machines.size());
+  made->name = "m" + std::to_string(100 + hash_bits(plan.seed + 31 * machines.size()) % 900) + "-" +
+               std::to_string(machines.size());
   made->address = "10.0.0." + std::to_string(machines.size() + 1) + ":7000";
   made->zone = "z" + std::to_string(machines.size() % 3);
   made->keeper = keeper;
-  made->clock_rate = 1.0 + (static_cast<double>(dice.below(2001)) - 1000.0) * 1e-5;
-  made->clock_offset = static_cast<Micros>(dice.below(1000000000));
+  made->clock_rate = 1.0 + (static_cast<double>(random.below(2001)) - 1000.0) * 1e-5;
+  made->clock_offset = static_cast<Micros>(random.below(1000000000));
   made->calm_since = time;
   machines.push_back(std::move(made));
   return machines.back()->id;
@@ -139,7 +139,7 @@
   made.keeper = machine.keeper;
   machine.life = ++lives;
   made.incarnation = static_cast<std::uint64_t>(seconds(1000000) + time + machine.wall_offset + 1);
-  made.chance = made.incarnation ^ mix(machine.name) ^ stir(plan.seed);
+  made.chance = made.incarnation ^ hash_text(machine.name) ^ hash_bits(plan.seed);
   machine.powered = true;
   machine.frozen = false;
   machine.deferred.clear();
@@ -170,12 +170,12 @@
   }
   machine.disk->full(machine.disk_full);
   bool blank = false;
-  Result<wire::RecordT> opened = machine.store->open(stir(plan.seed ^ (++disks_made << 20)), blank);
+  Result<wire::RecordT> opened = machine.store->open(hash_bits(plan.seed ^ (++disks_made << 20)), blank);
   if (opened) {
     machine.opening.reset();
     return begin_life(machine, made, std::move(opened.value()));
   }
-  if (!hushed() && tries == 0)
+  if (!log_is_muted() && tries == 0)
     std::printf("%lld %s waits for its disk: %s\n", static_cast<long long>(time / 1000), machine.name.c_str(),
                 opened.error().why.c_str());
   if (tries < open_tries_most) {
@@ -191,17 +191,17 @@
 void World::begin_life(Machine& machine, NodePlan const& made, std::optional<wire::RecordT> record) {
   machine.calm_since = time;
   machine.node = std::make_unique<Node>(made, clock(machine), std::move(record));
-  if (!hushed()) std::printf("%lld %s boots\n", static_cast<long long>(time / 1000), machine.name.c_str());
+  if (!log_is_muted()) std::printf("%lld %s boots\n", static_cast<long long>(time / 1000), machine.name.c_str());
   if (on_boot) on_boot(machine);
   MachineId const id = machine.id;
   std::uint64_t const life = machine.life;
-  after(static_cast<Micros>(dice.below(static_cast<std::uint64_t>(tick_gap))), [this, id, life] { tick(id, life); });
+  after(static_cast<Micros>(random.below(static_cast<std::uint64_t>(tick_gap))), [this, id, life] { tick(id, life); });
 }
 
 void World::boot_all(bool first_start) {
   for (std::unique_ptr<Machine> const& item : machines) {
     MachineId const id = item->id;
-    after(static_cast<Micros>(dice.below(static_cast<std::uint64_t>(millis(300)))),
+    after(static_cast<Micros>(random.below(static_cast<std::uint64_t>(millis(300)))),
           [this, id, first_start] { boot(id, first_start); });
   }
 }
@@ -210,7 +210,7 @@
   machine.opening.reset();
   if (!machine.up()) return;
   interrupt_save(machine);
-  if (!hushed())
+  if (!log_is_muted())
     std::printf("%lld %s ends%s\n", static_cast<long long>(time / 1000), machine.name.c_str(), silent ? " dark" : "");
   std::map<WireId, std::pair<std::shared_ptr<Link>, int>> const wires = std::move(machine.wires);
   machine.wires.clear();
@@ -229,7 +229,7 @@
   Machine& machine = *machines[id];
   end(machine, true);
   machine.powered = false;
-  if (machine.disk) machine.disk->lose_power(dice, dice.chance(0.3));
+  if (machine.disk) machine.disk->lose_power(random, random.chance(0.3));
 }
 
 void World::wipe(MachineId id) {
@@ -292,7 +292,7 @@
     machine.deferred.push_back([this, id, life, step] { enter(id, life, step); });
     return;
   }
-  if (!hushed()) speaker() = std::to_string(time / 1000) + " " + machine.name + " ";
+  if (!log_is_muted()) log_prefix() = std::to_string(time / 1000) + " " + machine.name + " ";
   NodeOut out;
   step(*machine.node, clock(machine), out);
   obey(machine, out);
@@ -331,7 +331,7 @@
 // The process ends in the middle of a write: at any step of it, and at none while the disk hangs or refuses.
 void World::interrupt_save(Machine& machine) {
   if (!machine.writing) return;
-  machine.disk->die_after(time < machine.stalled_until ? dice.below(2) : dice.below(save_steps));
+  machine.disk->die_after(time < machine.stalled_until ? random.below(2) : random.below(save_steps));
   machine.disk->full(machine.disk_full);
   static_cast<void>(machine.store->save(*machine.writing));
   machine.disk->revive();
@@ -397,7 +397,7 @@
   barriers.push_back(Barrier{group, kind, way});
   for (MachineId const id : group) {
     Machine& inner = *machines[id];
-    if (!hushed()) std::printf("%lld %s is cut off\n", static_cast<long long>(time / 1000), inner.name.c_str());
+    if (!log_is_muted()) std::printf("%lld %s is cut off\n", static_cast<long long>(time / 1000), inner.name.c_str());
     begin_trouble(inner);
     if (minority && inner.alone_since < 0) inner.alone_since = time;
   }
--- a/proof/hollow/scale.cc
+++ b/proof/hollow/scale.cc
@@ -7,8 +7,8 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "ground/events.h"
-#include "kin/frame.h"
+#include "base/events.h"
+#include "mesh/frame.h"
 #include "proof/hollow/machine.h"
 
 namespace pipit {
@@ -56,7 +56,7 @@
   return best;
 }
 
-Scale::Scale(ScalePlan plan_) : plan(std::move(plan_)), dice(plan.seed * 6151 + 29) {
+Scale::Scale(ScalePlan plan_) : plan(std::move(plan_)), random(plan.seed * 6151 + 29) {
   for (int i = 0; i < zone_count; ++i) zones.push_back("r" + std::to_string(i % regions) + "z" + std::to_string(i));
   for (int i = 0; i < plan.nodes; ++i) {
     std::unique_ptr<Machine> made = std::make_unique<Machine>();
@@ -65,7 +65,7 @@
     made->address = "10.1." + std::to_string(i / 250) + "." + std::to_string(1 + i % 250) + ":7000";
     made->region = i % zone_count % regions;
     made->zone = zones[static_cast<std::size_t>(i % zone_count)];
-    made->offset = seconds(60) + static_cast<Micros>(dice.below(1000000000));
+    made->offset = seconds(60) + static_cast<Micros>(random.below(1000000000));
     by_name[made->name] = i;
     by_address[made->address] = i;
     machines.push_back(std::move(made));
@@ -101,17 +101,17 @@
 
 Path Scale::path(std::uint64_t prefix, std::uint64_t session) const {
   Path out;
-  std::uint64_t hash = stir(prefix + 1);
-  for (int i = 0; i < prefix_blocks; ++i) out.push_back(hash = stir(hash + 1));
+  std::uint64_t hash = hash_bits(prefix + 1);
+  for (int i = 0; i < prefix_blocks; ++i) out.push_back(hash = hash_bits(hash + 1));
   if (session == 0) return out;
-  hash ^= stir(session << 20);
-  for (int i = 0; i < session_blocks; ++i) out.push_back(hash = stir(hash + 1));
+  hash ^= hash_bits(session << 20);
+  for (int i = 0; i < session_blocks; ++i) out.push_back(hash = hash_bits(hash + 1));
   return out;
 }
 
 void Scale::fill(Machine& machine) {
   if (!machine.up() || machine.role != Role::passage || plan.workers == 0 || plan.prefixes == 0) return;
-  Index& index = machine.node->tide.index("tribute");
+  Index& index = machine.node->index_sync.index("tribute");
   Micros const t = now + machine.offset;
   Index::Bounds const bounds{100000000, seconds(900)};
   for (int i = 0; i < plan.prefixes; ++i) {
@@ -153,19 +153,19 @@
     if (m.role == Role::accord) p.founders.push_back(machines[static_cast<std::size_t>(i)]->name);
   }
   p.incarnation = 1000 + lives;
-  p.chance = stir(plan.seed * 31 + lives);
-  std::optional<wire::RecordT> slate;
+  p.chance = hash_bits(plan.seed * 31 + lives);
+  std::optional<wire::RecordT> recovered;
   if (m.role == Role::accord) {
     if (!m.disk) {
       wire::RecordT blank;
       blank.cluster = "pipit";
       blank.name = m.name;
-      blank.disk = stir(plan.seed ^ (lives << 20));
+      blank.disk = hash_bits(plan.seed ^ (lives << 20));
       m.disk = blank;
     }
-    slate = m.disk;
+    recovered = m.disk;
   }
-  m.node = std::make_unique<Node>(p, now + m.offset, slate);
+  m.node = std::make_unique<Node>(p, now + m.offset, recovered);
   std::uint64_t const life = m.life;
   after(between(0, tick_gap), [this, who, life] { tick(who, life); });
   if (m.role == Role::passage && plan.rate > 0) after(seconds(2), [this, who, life] { call(who, life); });
@@ -187,7 +187,7 @@
 
 // Runs one step of a node and counts the processor time of the step alone, not of what carries its effects out.
 template <class F>
-void Scale::enter(int who, std::uint64_t life, Step sort, F&& step, int kind) {
+void Scale::enter(int who, std::uint64_t life, Step type, F&& step, int kind) {
   Machine& m = *machines[static_cast<std::size_t>(who)];
   if (!m.up() || m.life != life) return;
   NodeOut out;
@@ -196,7 +196,7 @@
   std::int64_t const took = std::max<std::int64_t>(0, processor() - from - clock_cost);
   if (phase != nullptr) {
     Count& count = phase->count[static_cast<std::size_t>(m.role)];
-    count.nanos[static_cast<std::size_t>(sort)] += took;
+    count.nanos[static_cast<std::size_t>(type)] += took;
     if (kind >= 0) count.nanos_in[static_cast<std::size_t>(kind)] += took;
   }
   obey(who, out);
@@ -214,8 +214,8 @@
   for (Kill& kill : kills) {
     if (!kill.pending.count(who)) continue;
     std::map<std::string, Peer>::const_iterator const peer =
-        m.node->mesh.roll.peers.find(machines[static_cast<std::size_t>(kill.who)]->name);
-    if (peer == m.node->mesh.roll.peers.end() || peer->second.state() != State::down) continue;
+        m.node->mesh.members.peers.find(machines[static_cast<std::size_t>(kill.who)]->name);
+    if (peer == m.node->mesh.members.peers.end() || peer->second.state() != State::down) continue;
     kill.pending.erase(who);
     detected[kill.silent ? 1 : 0].push_back(now - kill.at);
   }
@@ -391,7 +391,7 @@
   }
   for (Verdict const& verdict : out.desk.ends) ++refused[kind_row(verdict.fault.kind).name];
   for (Reply const& reply : out.replies) {
-    bool const holds = reply.outcome.sort == Outcome::Sort::chosen;
+    bool const holds = reply.outcome.type == Outcome::Type::chosen;
     for (std::vector<Turn>::iterator it = turns.begin(); it != turns.end();) {
       if (it->yes >= 0 || reply.change != it->id) {
         ++it;
@@ -429,13 +429,13 @@
     after(mute ? seconds(1) : between(millis(1), millis(15)), [this, who, life, mute, list = std::move(list)] {
       for (Check const& check : list)
         enter(who, life, Step::vitals, [this, &check, mute](Machine& x, Micros t, NodeOut& o) {
-          std::optional<Vitals> report;
+          std::optional<HealthReport> report;
           if (!mute) {
             report.emplace();
             report->incarnation = 1;
             report->awake = now + seconds(3600);
           }
-          x.node->vitals(check, report, false, t, o);
+          x.node->health_report(check, report, false, t, o);
         });
     });
   }
@@ -452,10 +452,10 @@
   ask.facts.model = "tribute";
   ask.facts.user = "someone";
   ask.facts.size = 5000;
-  std::uint64_t const session = plan.sessions > 0 ? 1 + dice.below(static_cast<std::uint64_t>(plan.sessions)) : 0;
+  std::uint64_t const session = plan.sessions > 0 ? 1 + random.below(static_cast<std::uint64_t>(plan.sessions)) : 0;
   std::uint64_t const prefixes = static_cast<std::uint64_t>(std::max(1, plan.prefixes));
-  ask.path = path(session > 0 ? session % prefixes : dice.below(prefixes), session);
-  ask.path.push_back(stir(ask.path.back() ^ dice.roll()));
+  ask.path = path(session > 0 ? session % prefixes : random.below(prefixes), session);
+  ask.path.push_back(hash_bits(ask.path.back() ^ random.next()));
   std::uint64_t const errand = ++m.errands;
   enter(who, life, Step::errand,
         [errand, &ask](Machine& x, Micros t, NodeOut& out) { x.node->errand(errand, std::move(ask), t, out); });
@@ -466,10 +466,10 @@
   for (int i = plan.keepers; i < plan.nodes; ++i)
     if (machines[static_cast<std::size_t>(i)]->up()) field.push_back(i);
   if (field.empty()) return;
-  int const who = field[dice.below(field.size())];
+  int const who = field[random.below(field.size())];
   Machine& m = *machines[static_cast<std::size_t>(who)];
   Change item;
-  item.sort = Change::Sort::apply;
+  item.type = Change::Type::apply;
   item.text = description(++turn);
   item.expected = m.node->learner.serial();
   item.id = "c" + std::to_string(turn);
@@ -491,7 +491,7 @@
   for (int i = 0; i < plan.nodes; ++i) {
     Machine const& m = *machines[static_cast<std::size_t>(i)];
     if (!m.up()) continue;
-    for (std::pair<std::string const, Peer> const& item : m.node->mesh.roll.peers) {
+    for (std::pair<std::string const, Peer> const& item : m.node->mesh.members.peers) {
       int const j = by_name.at(item.first);
       std::pair<int, int> const pair{i, j};
       if (item.second.state() == State::alive) {
@@ -517,8 +517,8 @@
 bool Scale::all_alive() const {
   for (std::unique_ptr<Machine> const& m : machines) {
     if (!m->up()) return false;
-    if (m->node->mesh.roll.peers.size() + 1 != machines.size()) return false;
-    for (std::pair<std::string const, Peer> const& item : m->node->mesh.roll.peers)
+    if (m->node->mesh.members.peers.size() + 1 != machines.size()) return false;
+    for (std::pair<std::string const, Peer> const& item : m->node->mesh.members.peers)
       if (item.second.state() != State::alive || item.second.wire == 0) return false;
   }
   return true;
@@ -555,7 +555,7 @@
 }
 
 Figures Scale::run() {
-  hush(true);
+  mute_log(true);
   started = processor();
   Figures out;
   for (int i = 0; i < plan.nodes; ++i) after(between(0, seconds(1)), [this, i] { boot(i); });
--- a/proof/hollow/scale.h
+++ b/proof/hollow/scale.h
@@ -11,8 +11,8 @@
 #include <utility>
 #include <vector>
 
+#include "base/random.h"
 #include "core/node.h"
-#include "ground/mix.h"
 
 namespace pipit {
 
@@ -92,7 +92,7 @@
   void after(Micros wait, std::function<void()> act) { at(now + wait, std::move(act)); }
   Micros lag(Machine const& a, Machine const& b);
   Micros between(Micros least, Micros most) {
-    return least + static_cast<Micros>(dice.below(static_cast<std::uint64_t>(most - least)));
+    return least + static_cast<Micros>(random.below(static_cast<std::uint64_t>(most - least)));
   }
   bool cut(Machine const& a, Machine const& b) const;
   bool go_until(Micros when, std::function<bool()> const& done = {});
@@ -101,7 +101,7 @@
   void halt(int who, bool silent);
   void tick(int who, std::uint64_t life);
   template <class F>
-  void enter(int who, std::uint64_t life, Step sort, F&& step, int kind = -1);
+  void enter(int who, std::uint64_t life, Step type, F&& step, int kind = -1);
   void obey(int who, NodeOut& out);
   void dial(int who, std::string const& address);
   void carry(int who, WireId id, std::string bytes);
@@ -123,7 +123,7 @@
   void tell_phase(std::string const& name, Phase const& phase, Figures& out) const;
 
   ScalePlan const plan;
-  Dice dice;
+  RandomSource random;
   Micros now = 0;
   std::uint64_t order = 0;
   std::uint64_t lives = 0;
--- a/proof/requests/world.cc
+++ b/proof/requests/world.cc
@@ -30,13 +30,13 @@
          more + "}";
 }
 
-std::shared_ptr<Creed const> creed_of(int aim, bool all) {
+std::shared_ptr<Description const> compiled_description(int aim, bool all) {
   std::string const text = "{\"format\":1,\"lanes\":[],\"pools\":[{\"name\":\"p\",\"model\":\"m\"}],\"routes\":[" +
                            route_text("safe", ",\"repeatable\":true", aim) + "," +
                            route_text("live", ",\"streams\":true", aim) + "," +
                            route_text("flow", ",\"streams\":true,\"resumable\":true", aim) +
                            (all ? "," + route_text("once", "", aim) : "") + "]}";
-  Result<std::shared_ptr<Creed const>> const made = read_creed(text);
+  Result<std::shared_ptr<Description const>> const made = read_description(text);
   return made ? made.value() : nullptr;
 }
 
@@ -107,23 +107,23 @@
 };
 
 RequestWorld::RequestWorld(Choose choose_) : choose(std::move(choose_)) {
-  creeds[0] = creed_of(1000, true);
-  creeds[1] = creed_of(400, false);
-  dispatcher.in_force(creeds[0]);
+  descriptions[0] = compiled_description(1000, true);
+  descriptions[1] = compiled_description(400, false);
+  dispatcher.in_force(descriptions[0]);
   dispatcher.budget(budget_ratio, budget_store);
-  Relay::Ears ears;
-  ears.request = [this](std::uint64_t id, Query query) {
+  Relay::Callbacks callbacks;
+  callbacks.request = [this](std::uint64_t id, Query query) {
     DispatchOut out;
     dispatcher.fresh(id, std::move(query), loop_time(), out);
     relay->act(out);
   };
-  ears.ended = [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
+  callbacks.ended = [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
     DispatchOut out;
     dispatcher.ended(id, end, elsewhere, loop_time(), out);
     relay->act(out);
   };
-  ears.gone = [this](std::uint64_t id) { dispatcher.hung_up(id, loop_time()); };
-  relay = std::make_unique<Relay>(dispatcher, words(), "", std::move(ears));
+  callbacks.gone = [this](std::uint64_t id) { dispatcher.hung_up(id, loop_time()); };
+  relay = std::make_unique<Relay>(dispatcher, words(), "", std::move(callbacks));
   relay->upstream.dial_by([this](std::string const& address, std::string const&, Micros) { return dial(address); });
   for (int n = 0; n < 2; ++n) {
     callers.push_back(std::make_unique<CallerSide>());
@@ -174,13 +174,13 @@
   caller.fd = ends[0];
   caller.reader = std::make_unique<Reader>(false);
   caller.whole = false;
-  caller.reader->ears.head = [&caller](Head& head) {
+  caller.reader->callbacks.head = [&caller](Head& head) {
     caller.head = head;
     caller.body.clear();
     return true;
   };
-  caller.reader->ears.body = [&caller](std::string_view bytes) { caller.body.append(bytes); };
-  caller.reader->ears.whole = [&caller] { caller.whole = true; };
+  caller.reader->callbacks.body = [&caller](std::string_view bytes) { caller.body.append(bytes); };
+  caller.reader->callbacks.whole = [&caller] { caller.whole = true; };
   relay->server.adopt(Link::adopt(ends[1]));
 }
 
@@ -303,12 +303,12 @@
     std::unique_ptr<WorkerSide> side = std::make_unique<WorkerSide>();
     side->fd = ends[0];
     WorkerSide* const at = side.get();
-    side->reader.ears.head = [at](Head& head) {
+    side->reader.callbacks.head = [at](Head& head) {
       at->head = head;
       at->body.clear();
       return true;
     };
-    side->reader.ears.body = [at](std::string_view bytes) { at->body.append(bytes); };
+    side->reader.callbacks.body = [at](std::string_view bytes) { at->body.append(bytes); };
     worker->sides.push_back(std::move(side));
     return Link::opening(ends[1], seconds(60));
   }
@@ -595,9 +595,9 @@
       note(worker.id + " drains");
       return beat(worker, true);
     case 8:
-      creed = 1 - creed;
-      note("configuration " + std::to_string(creed));
-      return dispatcher.in_force(creeds[creed]);
+      description = 1 - description;
+      note("configuration " + std::to_string(description));
+      return dispatcher.in_force(descriptions[description]);
     case 9:
       held = !held;
       note(held ? "placing is held" : "placing goes on");
--- a/proof/requests/world.h
+++ b/proof/requests/world.h
@@ -81,18 +81,18 @@
 
   Choose choose;
   ManualTime time{seconds(1000)};
-  Tide tide{1};
+  IndexSync index_sync{1};
   Registry registry{"n1"};
   Exchange exchange{"n1"};
-  Dispatcher dispatcher{"n1", "a", tide, registry, exchange};
-  std::shared_ptr<Creed const> creeds[2];
+  Dispatcher dispatcher{"n1", "a", index_sync, registry, exchange};
+  std::shared_ptr<Description const> descriptions[2];
   std::unique_ptr<Relay> relay;
   std::map<std::string, Try> tries;
   std::vector<std::string> order;  // of the tries
   std::vector<std::unique_ptr<CallerSide>> callers;
   std::vector<std::unique_ptr<Worker>> workers;
   std::uint64_t beats = 0;
-  std::size_t creed = 0;
+  std::size_t description = 0;
   bool held = false;
   bool stopping = false;
 };
--- a/proof/stage/nodes.cc
+++ b/proof/stage/nodes.cc
@@ -20,7 +20,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "ground/mix.h"
+#include "base/hash.h"
 #include "proof/stage/clock.h"
 
 namespace pipit::stage {
@@ -222,11 +222,11 @@
   Micros const began = now();
   std::shared_ptr<Line> const line = Line::dial(node.ready(), "127." + std::to_string(plan.net) + ".5.1", millis(900));
   node.poll = line;
-  Line::Ears ears;
+  Line::Callbacks callbacks;
   std::shared_ptr<unsigned> const status = std::make_shared<unsigned>(0);
-  ears.head = [status](unsigned code) { *status = code; };
+  callbacks.head = [status](unsigned code) { *status = code; };
   Micros const told = node.leaving ? node.told_to_end : -1;
-  ears.end = [this, at, status, began, told](Line::End end) {
+  callbacks.end = [this, at, status, began, told](Line::End end) {
     bool const yes = end == Line::End::whole && *status == 200;
     if (yes && told >= 0 && began - told > heed_most) judge.broken(Promise::ready_ending, at->name);
     if (!ending && at->was_ready && in_touch(*at, began) && in_touch(*at, now())) {
@@ -241,7 +241,8 @@
       at->in = false;
     }
   };
-  line->ask(request_of("GET", "/readiness", node.ready(), "Connection: close\r\n", ""), std::move(ears), millis(900));
+  line->ask(request_of("GET", "/readiness", node.ready(), "Connection: close\r\n", ""), std::move(callbacks),
+            millis(900));
 }
 
 Node* Nodes::by_ip(std::string const& ip) {
@@ -266,7 +267,7 @@
                                    : in.size() * 2 < here.size() ? here
                                                                  : in;
   if (from.empty()) return nullptr;
-  return from[(stir(client) + static_cast<std::uint64_t>(turn)) % from.size()];
+  return from[(hash_bits(client) + static_cast<std::uint64_t>(turn)) % from.size()];
 }
 
 bool Nodes::in_touch(Node const& node, Micros at) const {
--- a/proof/stage/workers.h
+++ b/proof/stage/workers.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
+#include "base/random.h"
 #include "gate/net/http.h"
 #include "gate/net/link.h"
-#include "ground/mix.h"
 #include "proof/stage/judge.h"
 #include "proof/stage/line.h"
 #include "proof/stage/nodes.h"
@@ -22,7 +22,7 @@
 
 struct WorkersTally {
   std::uint64_t arrivals = 0;     // of requests
-  std::uint64_t probes = 0;       // of reports and vitals
+  std::uint64_t probes = 0;       // of reports and health checks
   std::uint64_t declined = 0;     // turned away, since full
   std::uint64_t elsewhere = 0;    // turned away, since another worker was meant
   std::uint64_t connections = 0;  // taken
@@ -84,7 +84,7 @@
   Nodes& nodes;
   Judge& judge;
   int const net;
-  Dice dice;
+  RandomSource random;
   int last_ip = 0;
   std::uint64_t last_id = 0;
   std::uint64_t last_job = 0;
--- a/src/ground/random_seed.cc
+++ b/src/base/random_seed.cc
@@ -1,4 +1,4 @@
-#include "ground/random_seed.h"
+#include "base/random_seed.h"
 
 #include <glib.h>
 
--- a/src/canon/register/learner.h
+++ b/src/consensus/register/learner.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "canon/register/proposer.h"
+#include "consensus/register/proposer.h"
 
 namespace pipit {
 
@@ -19,10 +19,10 @@
   // Takes a patch of a chosen value; false when it has another base than what is held here.
   bool adopt(wire::ValuePatchT const& patch, Micros now);
   // Polls: one majority read without repair, of marks only. 'keepers' are all nodes that may keep.
-  void poll(Micros now, std::vector<std::string> const& keepers, Micros age, std::vector<Letter>& out);
+  void poll(Micros now, std::vector<std::string> const& keepers, Micros age, std::vector<OutgoingMessage>& out);
   // Returns a chosen value when the read brings a newer one.
   std::optional<wire::ValueT> take(std::string const& from, wire::PeekedT const& ans, Micros now,
-                                   std::vector<Letter>& out);
+                                   std::vector<OutgoingMessage>& out);
 
   // The set of the newest chosen value; empty before one is known.
   Membership const& membership() const { return set; }
@@ -33,14 +33,14 @@
   // When the last poll was sent that a quorum answered; -1 for never.
   Micros contact() const { return floor_at; }
   std::uint64_t serial() const { return value ? value->serial : 0; }
-  std::uint64_t turn() const { return value ? value->turn : 0; }
+  std::uint64_t revision() const { return value ? value->revision : 0; }
   std::optional<wire::ValueT> value;
   std::optional<wire::ValueT> before;  // what was held before it: the base of the patch that peers get
   // When the last poll was sent whose quorum knew nothing newer than what is held here; -1 for never.
   Micros sure = -1;
   Micros changed_at = -1;  // when the value held here last changed
   bool split = false;      // the last poll that reached a quorum saw keepers that hold different ballots
-  struct Sight {
+  struct Observation {
     std::uint64_t disk = 0;
     bool formed = false;
     wire::Ballot ballot;
@@ -48,12 +48,12 @@
     Micros at = -1;
     bool retiring = false;  // it is about to end for good, or for a while
   };
-  std::map<std::string, Sight> sights;  // what each keeper last answered
+  std::map<std::string, Observation> observations;  // what each keeper last answered
 
  private:
   struct Vote {
     wire::Ballot ballot;
-    std::uint64_t turn = 0;
+    std::uint64_t revision = 0;
     std::uint64_t disk = 0;
     std::uint64_t members = 0;  // the fingerprint of its value's set
   };
@@ -73,8 +73,8 @@
   Micros asked = 0;
   std::map<std::string, Vote> votes;
   std::optional<Vote> wanted;  // chosen by count, its value still to be fetched
-  // The newest turn that a quorum of a poll knew, and when that poll was sent: nothing older was chosen later.
-  std::uint64_t floor_turn = 0;
+  // The newest revision that a quorum of a poll knew, and when that poll was sent: nothing older was chosen later.
+  std::uint64_t floor_revision = 0;
   Micros floor_at = -1;
 };
 
--- a/src/canon/register/membership.cc
+++ b/src/consensus/register/membership.cc
@@ -1,10 +1,10 @@
-#include "canon/register/membership.h"
+#include "consensus/register/membership.h"
 
 #include <algorithm>
 #include <set>
 
-#include "ground/digest.h"
-#include "ground/guards.h"
+#include "base/digest.h"
+#include "base/guards.h"
 
 namespace pipit {
 
--- a/src/canon/register/orders.cc
+++ b/src/consensus/register/orders.cc
@@ -1,8 +1,8 @@
-#include "canon/register/orders.h"
+#include "consensus/register/orders.h"
 
 #include <algorithm>
 
-#include "ground/digest.h"
+#include "base/digest.h"
 
 namespace pipit {
 
--- a/src/canon/register/orders.h
+++ b/src/consensus/register/orders.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "ground/kinds.h"
+#include "base/kinds.h"
 #include "wire_generated.h"
 
 namespace pipit {
--- a/src/canon/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -1,12 +1,12 @@
-#include "canon/register/proposer.h"
+#include "consensus/register/proposer.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "canon/register/orders.h"
-#include "canon/register/value_patch.h"
-#include "ground/digest.h"
-#include "ground/guards.h"
+#include "base/digest.h"
+#include "base/guards.h"
+#include "consensus/register/orders.h"
+#include "consensus/register/value_patch.h"
 
 namespace pipit {
 
@@ -51,9 +51,9 @@
 Proposer::Proposer(std::string self_, std::uint64_t seed, ProposerPlan plan_)
     : self(std::move(self_)),
       plan(plan_),
-      dice(derived_seed(seed, self)),
-      owner(stir(dice.roll())),
-      req(dice.roll() >> 8) {}
+      random(derived_seed(seed, self)),
+      owner(hash_bits(random.next())),
+      req(random.next() >> 8) {}
 
 bool Proposer::ask(Change change, Done done, Micros now) {
   if (jobs.size() >= plan.backlog) return false;
@@ -83,7 +83,7 @@
   return serial_of_order(value, id);
 }
 
-void Proposer::start(Micros now, std::vector<Letter>& out) {
+void Proposer::start(Micros now, std::vector<OutgoingMessage>& out) {
   ++jobs.front().tries;
   ballot = wire::Ballot(++top, owner);
   ++req;
@@ -102,7 +102,7 @@
     ask.ballot = ballot;
     ask.epoch = set.epoch;
     ask.known = held_ballot;
-    out.push_back(letter(name, std::move(ask)));
+    out.push_back(message_to(name, std::move(ask)));
   }
 }
 
@@ -115,7 +115,7 @@
   phase = Phase::pause;
   // Rivals step aside for a random while, longer with each try.
   due = now + millis(5) +
-        static_cast<Micros>(dice.below(static_cast<std::uint64_t>(millis(20) * std::min(jobs.front().tries, 8))));
+        static_cast<Micros>(random.below(static_cast<std::uint64_t>(millis(20) * std::min(jobs.front().tries, 8))));
 }
 
 void Proposer::finish(Outcome const& outcome) {
@@ -125,7 +125,8 @@
   job.done(outcome);
 }
 
-void Proposer::promise(std::string const& from, wire::PromiseT const& ans, Micros now, std::vector<Letter>& out) {
+void Proposer::promise(std::string const& from, wire::PromiseT const& ans, Micros now,
+                       std::vector<OutgoingMessage>& out) {
   if (phase != Phase::first || ans.req != req || !set.concerns(from, ans.disk)) return;
   if (!ans.ok) return again(now, ans.promised.n());
   if (!same(ans.promised, ballot)) return;  // an answer to another round, whatever its number
@@ -153,7 +154,7 @@
   round_two(now, out);
 }
 
-void Proposer::round_two(Micros now, std::vector<Letter>& out) {
+void Proposer::round_two(Micros now, std::vector<OutgoingMessage>& out) {
   if (!make_draft()) return;
   phase = Phase::second;
   due = now + plan.phase;
@@ -168,7 +169,7 @@
   }
 }
 
-void Proposer::send_accept(std::string const& to, bool whole, std::vector<Letter>& out) const {
+void Proposer::send_accept(std::string const& to, bool whole, std::vector<OutgoingMessage>& out) const {
   wire::AcceptT ask;
   ask.req = req;
   ask.ballot = ballot;
@@ -178,7 +179,7 @@
     ask.base = best;
     ask.patch = patch_between(*found, draft);
   }
-  out.push_back(letter(to, std::move(ask)));
+  out.push_back(message_to(to, std::move(ask)));
 }
 
 bool Proposer::make_draft() {
@@ -194,7 +195,7 @@
     if (!agreed) return true;
     draft.former.clear();
     ++draft.epoch;
-    ++draft.turn;
+    ++draft.revision;
     return true;
   }
   if (serial_of_order(draft, job.change.id) > 0) return true;
@@ -211,33 +212,33 @@
 // Why nobody can say what became, or will become, of the order that is to be tried now; nothing when that is certain.
 std::optional<Fault> Proposer::doubt_of(Job const& job) const {
   if (job.sent_serial > 0 && job.sent_serial <= draft.forgotten_serial) return Fault{Kind::change_unknown, "", ""};
-  if (job.change.sort != Change::Sort::apply) return std::nullopt;
+  if (job.change.type != Change::Type::apply) return std::nullopt;
   OrderBase const base{job.change.expected, job.change.label > 0};
   return doubt_about_order(draft, standing_of_order(draft, job.change.id, base));
 }
 
 void Proposer::make_change(Change const& change) {
   bool turned = false;
-  switch (change.sort) {
-    case Change::Sort::read:
+  switch (change.type) {
+    case Change::Type::read:
       break;
-    case Change::Sort::apply:
+    case Change::Type::apply:
       apply(change);
       break;
-    case Change::Sort::empty:
-    case Change::Sort::refill:
+    case Change::Type::empty:
+    case Change::Type::refill:
       change_zones(change);
       break;
-    case Change::Sort::admit:
-    case Change::Sort::dismiss:
-    case Change::Sort::replace:
+    case Change::Type::admit:
+    case Change::Type::dismiss:
+    case Change::Type::replace:
       turned = change_members(change);
       break;
     // §5.9: seats are no business of the operators' serial. Asking twice changes nothing more.
-    case Change::Sort::seat:
+    case Change::Type::seat:
       turned = take_seat(draft, change.seat);
       break;
-    case Change::Sort::strike:
+    case Change::Type::strike:
       turned = strike_seat(draft, change.seat);
       break;
   }
@@ -249,7 +250,7 @@
     job.sent_serial = draft.serial;
   }
   if (order_taken || turned) {
-    ++draft.turn;
+    ++draft.revision;
     job.sent = true;
   }
 }
@@ -272,10 +273,10 @@
   std::vector<std::string>& zones = draft.emptied;
   std::vector<std::string>::iterator const zone = std::find(zones.begin(), zones.end(), change.text);
   bool const there = zone != zones.end();
-  if (change.sort == Change::Sort::empty && !there) {
+  if (change.type == Change::Type::empty && !there) {
     zones.push_back(change.text);
     order_taken = true;
-  } else if (change.sort == Change::Sort::refill && there) {
+  } else if (change.type == Change::Type::refill && there) {
     zones.erase(zone);
     order_taken = true;
   }
@@ -285,10 +286,10 @@
 bool Proposer::change_members(Change const& change) {
   if (draft.epoch != change.expected || draft.keepers.empty()) return false;
   Membership next = membership_of(draft);
-  bool const adds = change.sort != Change::Sort::dismiss;
+  bool const adds = change.type != Change::Type::dismiss;
   if (adds && next.holds(change.keeper.name, change.keeper.disk)) return false;
   next.former = next.keepers;
-  if (change.sort != Change::Sort::admit) {
+  if (change.type != Change::Type::admit) {
     wire::KeeperT const& leaving = adds ? change.leaving : change.keeper;
     std::vector<wire::KeeperT>::iterator const spot = std::find_if(
         next.keepers.begin(), next.keepers.end(),
@@ -303,7 +304,8 @@
   return true;
 }
 
-void Proposer::accepted(std::string const& from, wire::AcceptedT const& ans, Micros now, std::vector<Letter>& out) {
+void Proposer::accepted(std::string const& from, wire::AcceptedT const& ans, Micros now,
+                        std::vector<OutgoingMessage>& out) {
   if (phase != Phase::second || ans.req != req) return;
   Membership const members = membership_of(draft);
   if (!members.concerns(from, ans.disk) && !set.concerns(from, ans.disk)) return;
@@ -315,7 +317,7 @@
 }
 
 // The draft is chosen. A joint set is settled before anything else; then the change that was asked has its turn.
-void Proposer::chosen(Micros now, std::vector<Letter>& out) {
+void Proposer::chosen(Micros now, std::vector<OutgoingMessage>& out) {
   held_ballot = ballot;
   held = draft;
   set = membership_of(draft);
@@ -330,16 +332,17 @@
   Outcome outcome;
   outcome.value = draft;
   if (verdict) {
-    outcome.sort = Outcome::Sort::refused;
+    outcome.type = Outcome::Type::refused;
     outcome.fault = *verdict;
   } else {
     outcome.serial = serial_of_order(draft, jobs.front().change.id);
-    outcome.sort = outcome.serial > 0 || members_changed ? Outcome::Sort::chosen : Outcome::Sort::kept;
+    outcome.type = outcome.serial > 0 || members_changed ? Outcome::Type::chosen : Outcome::Type::kept;
   }
   finish(outcome);
 }
 
-void Proposer::take(std::string const& from, wire::BodyUnion const& body, Micros now, std::vector<Letter>& out) {
+void Proposer::take(std::string const& from, wire::BodyUnion const& body, Micros now,
+                    std::vector<OutgoingMessage>& out) {
   if (wire::PromiseT const* const ans = body.AsPromise()) promise(from, *ans, now, out);
   if (wire::AcceptedT const* const ans = body.AsAccepted()) accepted(from, *ans, now, out);
 }
@@ -362,12 +365,12 @@
 Outcome Proposer::outcome_without_quorum(Job const& job) {
   bool const maybe_taken = job.sent || job.change.proposed_elsewhere;
   Outcome outcome;
-  outcome.sort = maybe_taken ? Outcome::Sort::unknown : Outcome::Sort::refused;
+  outcome.type = maybe_taken ? Outcome::Type::unknown : Outcome::Type::refused;
   outcome.fault.kind = maybe_taken ? Kind::change_unknown : Kind::no_majority;
   return outcome;
 }
 
-void Proposer::tick(Micros now, std::vector<Letter>& out) {
+void Proposer::tick(Micros now, std::vector<OutgoingMessage>& out) {
   while (!jobs.empty()) {
     Job& job = jobs.front();
     if (now >= job.due) {
--- a/src/canon/register/proposer.h
+++ b/src/consensus/register/proposer.h
@@ -11,17 +11,17 @@
 #include <string>
 #include <vector>
 
-#include "canon/register/acceptor.h"
-#include "canon/register/membership.h"
-#include "ground/kinds.h"
-#include "ground/mix.h"
+#include "base/kinds.h"
+#include "base/random.h"
+#include "consensus/register/acceptor.h"
+#include "consensus/register/membership.h"
 
 namespace pipit {
 
 // What a change makes of the present value: nothing (the value stays), a new value, or a refusal.
 struct Change {
-  enum class Sort : std::uint8_t { read, apply, empty, refill, admit, dismiss, seat, strike, replace };
-  Sort sort = Sort::read;
+  enum class Type : std::uint8_t { read, apply, empty, refill, admit, dismiss, seat, strike, replace };
+  Type type = Type::read;
   std::string id;
   std::string text;  // the description, or the zone's name
   std::uint64_t expected = 0;
@@ -36,8 +36,8 @@
 };
 
 struct Outcome {
-  enum class Sort : std::uint8_t { chosen, kept, refused, unknown };
-  Sort sort = Sort::unknown;
+  enum class Type : std::uint8_t { chosen, kept, refused, unknown };
+  Type type = Type::unknown;
   Fault fault;
   std::uint64_t serial = 0;  // of the change itself, when it was chosen; the value may be newer
   wire::ValueT value;        // the value chosen in the end, when one was
@@ -64,8 +64,8 @@
   // A set that was only seen: where to begin while none is known to be chosen. After all copies were lost from memory
   // and no majority shows one ballot, there is nothing else to begin with; round one judges what it finds.
   void suggest(Membership const& members);
-  void take(std::string const& from, wire::BodyUnion const& body, Micros now, std::vector<Letter>& out);
-  void tick(Micros now, std::vector<Letter>& out);
+  void take(std::string const& from, wire::BodyUnion const& body, Micros now, std::vector<OutgoingMessage>& out);
+  void tick(Micros now, std::vector<OutgoingMessage>& out);
   // Ends all changes of which nothing was sent: without a quorum they would only be waited for. They are refused, or
   // unknown where another node may have proposed them.
   void give_up_unsent();
@@ -92,11 +92,11 @@
     wire::Ballot accepted;
   };
 
-  void start(Micros now, std::vector<Letter>& out);
+  void start(Micros now, std::vector<OutgoingMessage>& out);
   void again(Micros now, std::uint64_t seen);
-  void promise(std::string const& from, wire::PromiseT const& ans, Micros now, std::vector<Letter>& out);
-  void accepted(std::string const& from, wire::AcceptedT const& ans, Micros now, std::vector<Letter>& out);
-  void round_two(Micros now, std::vector<Letter>& out);
+  void promise(std::string const& from, wire::PromiseT const& ans, Micros now, std::vector<OutgoingMessage>& out);
+  void accepted(std::string const& from, wire::AcceptedT const& ans, Micros now, std::vector<OutgoingMessage>& out);
+  void round_two(Micros now, std::vector<OutgoingMessage>& out);
   // False when the present change had to be given up, since nobody can know what became of it.
   bool make_draft();
   std::optional<Fault> doubt_of(Job const& job) const;
@@ -106,13 +106,13 @@
   void apply(Change const& change);
   void change_zones(Change const& change);
   bool change_members(Change const& change);
-  void send_accept(std::string const& to, bool whole, std::vector<Letter>& out) const;
-  void chosen(Micros now, std::vector<Letter>& out);
+  void send_accept(std::string const& to, bool whole, std::vector<OutgoingMessage>& out) const;
+  void chosen(Micros now, std::vector<OutgoingMessage>& out);
   void finish(Outcome const& outcome);
 
   std::string const self;
   ProposerPlan const plan;
-  Dice dice;
+  RandomSource random;
   std::uint64_t const owner;       // of ballots; a new one in each life, so that no ballot is ever used twice
   Membership known;                // the newest set that is known to be chosen
   Membership suggested;            // where to begin without one
--- a/src/canon/register/text_patch.cc
+++ b/src/consensus/register/text_patch.cc
@@ -1,12 +1,12 @@
-#include "canon/register/text_patch.h"
+#include "consensus/register/text_patch.h"
 
 #include <algorithm>
 #include <cstdint>
 #include <utility>
 #include <vector>
 
-#include "canon/creed/creed.h"
-#include "ground/digest.h"
+#include "base/digest.h"
+#include "config/description/description.h"
 
 namespace pipit {
 
@@ -176,7 +176,7 @@
     std::size_t const length = copy.length();
     std::size_t const fresh = copy.fresh();
     bool const fits = from + length <= base.size() && used + fresh <= patch.fresh.size();
-    if (!fits || out.size() + length + fresh > creed_limit) return std::nullopt;
+    if (!fits || out.size() + length + fresh > description_limit) return std::nullopt;
     out += base.substr(from, length);
     out += std::string_view(patch.fresh).substr(used, fresh);
     used += fresh;
--- a/src/canon/register/value_patch.cc
+++ b/src/consensus/register/value_patch.cc
@@ -1,10 +1,10 @@
-#include "canon/register/value_patch.h"
+#include "consensus/register/value_patch.h"
 
 #include <algorithm>
 
-#include "canon/register/membership.h"
-#include "canon/register/text_patch.h"
-#include "ground/digest.h"
+#include "base/digest.h"
+#include "consensus/register/membership.h"
+#include "consensus/register/text_patch.h"
 
 namespace pipit {
 
@@ -51,8 +51,9 @@
 Digest value_digest(wire::ValueT const& value) {
   Digest const text = digest_of(value.text);
   std::string out;
-  for (std::uint64_t const number : {text.high, text.low, value.serial, value.turn, value.label, value.forgotten_serial,
-                                     value.forgotten_label, value.epoch, membership_of(value).fingerprint()})
+  for (std::uint64_t const number :
+       {text.high, text.low, value.serial, value.revision, value.label, value.forgotten_serial, value.forgotten_label,
+        value.epoch, membership_of(value).fingerprint()})
     add(out, number);
   add(out, value.change);
   add(out, value.emptied.size());
@@ -72,7 +73,7 @@
   std::unique_ptr<wire::ValuePatchT> out = std::make_unique<wire::ValuePatchT>();
   std::size_t const dropped = dropped_orders(base, next);
   std::size_t const kept = base.orders.size() - dropped;
-  out->base_turn = base.turn;
+  out->base_revision = base.revision;
   out->text = text_patch(base.text, next.text);
   out->orders_dropped = static_cast<std::uint32_t>(dropped);
   out->same_members = same_members(base, next);
@@ -81,7 +82,7 @@
   rest.serial = next.serial;
   rest.change = next.change;
   rest.emptied = next.emptied;
-  rest.turn = next.turn;
+  rest.revision = next.revision;
   rest.label = next.label;
   rest.forgotten_serial = next.forgotten_serial;
   rest.forgotten_label = next.forgotten_label;
@@ -98,7 +99,7 @@
 }
 
 std::optional<wire::ValueT> patched(wire::ValueT const& base, wire::ValuePatchT const& patch) {
-  if (!patch.rest || !patch.text || base.turn != patch.base_turn || patch.orders_dropped > base.orders.size())
+  if (!patch.rest || !patch.text || base.revision != patch.base_revision || patch.orders_dropped > base.orders.size())
     return std::nullopt;
   std::optional<std::string> text = patched_text(base.text, *patch.text);
   if (!text) return std::nullopt;
--- a/src/core/changes.cc
+++ b/src/core/changes.cc
@@ -1,9 +1,9 @@
 // Operators' changes in a node: asked, settled, confirmed (§5.3, §5.5).
 #include <algorithm>
 
+#include "base/events.h"
+#include "base/guards.h"
 #include "core/node.h"
-#include "ground/events.h"
-#include "ground/guards.h"
 
 namespace pipit {
 
@@ -27,8 +27,8 @@
   if (!lately) return false;
   Voters connected;
   for (wire::KeeperT const& keeper : learner.membership().keepers) {
-    std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(keeper.name);
-    bool const here = keeper.name == plan.name || (peer != mesh.roll.peers.end() && peer->second.wire != 0);
+    std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(keeper.name);
+    bool const here = keeper.name == plan.name || (peer != mesh.members.peers.end() && peer->second.wire != 0);
     if (here) connected[keeper.name] = keeper.disk;
   }
   return learner.membership().keepers.empty() || connected.size() >= learner.membership().majority();
@@ -38,7 +38,7 @@
   Reply reply;
   reply.id = id;
   reply.change = change.id;
-  reply.outcome.sort = change.proposed_elsewhere ? Outcome::Sort::unknown : Outcome::Sort::refused;
+  reply.outcome.type = change.proposed_elsewhere ? Outcome::Type::unknown : Outcome::Type::refused;
   reply.outcome.fault.kind = change.proposed_elsewhere ? Kind::change_unknown : kind;
   out.replies.push_back(std::move(reply));
 }
@@ -55,9 +55,9 @@
     refuse_now(id, kept, Kind::too_many_changes, out);
     return;
   }
-  std::vector<Letter> letters;
-  proposer.tick(now, letters);
-  dispatch(letters, now, out);
+  std::vector<OutgoingMessage> outgoing;
+  proposer.tick(now, outgoing);
+  dispatch(outgoing, now, out);
   settle_ended(now, out);
 }
 
@@ -74,26 +74,26 @@
   reply.id = id;
   reply.change = change.id;
   reply.outcome = outcome;
-  bool const holds = outcome.sort == Outcome::Sort::chosen || outcome.sort == Outcome::Sort::kept;
+  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
   std::uint64_t const req = ++next_req;
   if (holds) {
-    tell(Event::chosen, "serial " + std::to_string(outcome.value.serial) + " change " + outcome.value.change);
+    log_event(Event::chosen, "serial " + std::to_string(outcome.value.serial) + " change " + outcome.value.change);
     bool const fresh = learner.adopt(outcome.value, now);
     if (fresh) after_value(now, out);
     // Also when a poll brought it here first: the others may hear of it from nobody else.
-    if (fresh || outcome.sort == Outcome::Sort::chosen || change.sort >= Change::Sort::empty)
+    if (fresh || outcome.type == Outcome::Type::chosen || change.type >= Change::Type::empty)
       spread(outcome.value, fresh ? learner.before : std::nullopt, req, out);
     look_ready(now, out);
   } else {
-    tell(outcome.sort == Outcome::Sort::unknown ? Event::change_lost : Event::change_refused,
-         change.id + " " + kind_row(outcome.fault.kind).name);
+    log_event(outcome.type == Outcome::Type::unknown ? Event::change_lost : Event::change_refused,
+              change.id + " " + kind_row(outcome.fault.kind).name);
     if (outcome.value.serial > 0 && learner.adopt(outcome.value, now)) after_value(now, out);
   }
   if (id == 0) {
-    (change.sort == Change::Sort::seat ? seat_busy : duty_busy) = false;
+    (change.type == Change::Type::seat ? seat_busy : duty_busy) = false;
     return;
   }
-  if (change.sort == Change::Sort::empty && holds) {
+  if (change.type == Change::Type::empty && holds) {
     Waiting wait;
     wait.serial = outcome.serial > 0 ? outcome.serial : outcome.value.serial;
     wait.due = now + confirm_bound;
@@ -108,10 +108,10 @@
     settle_waiting(now, out);
     return;
   }
-  if (outcome.sort == Outcome::Sort::chosen && guard(Guard::spread)) {
+  if (outcome.type == Outcome::Type::chosen && guard(Guard::spread)) {
     // §5.5: yes is said once half of the router nodes have it, so that it gets round whatever happens to the rest.
     Waiting wait;
-    wait.half = outcome.value.turn;
+    wait.half = outcome.value.revision;
     wait.due = now + (plan.registered ? millis(700) : half_bound);
     wait.reply = std::move(reply);
     waiting.emplace(req, std::move(wait));
@@ -139,20 +139,20 @@
   }
 }
 
-bool Node::half_has(std::uint64_t turn) const {
+bool Node::half_has(std::uint64_t revision) const {
   std::size_t all = 0;
   std::size_t have = 0;
   for (std::string const& name : passages(false)) {
     ++all;
-    std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(name);
-    if ((peer == mesh.roll.peers.end() ? learner.turn() : peer->second.member.turn) >= turn) ++have;
+    std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
+    if ((peer == mesh.members.peers.end() ? learner.revision() : peer->second.member.revision) >= revision) ++have;
   }
   return have > 0 && have * 2 >= all;
 }
 
 bool Node::zone_known(std::string const& zone) const {
   if (zone == plan.zone) return true;
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers)
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.member.zone == zone) return true;
   for (std::pair<std::string const, wire::EntryT> const& item : mesh.ledger.all())
     if (item.second.zone == zone) return true;
--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -1,15 +1,15 @@
 // What one keeper does for all: the first set, the replacement of keepers, the sweep (§5.4, §5.8).
 #include <algorithm>
 
+#include "base/events.h"
 #include "core/node.h"
-#include "ground/events.h"
 
 namespace pipit {
 
 namespace {
-constexpr Micros mend_gap = seconds(3);
+constexpr Micros repair_gap = seconds(3);
 constexpr Micros keeper_lost = seconds(3);
-constexpr Micros mend_calm = seconds(1);     // without a change, before copies that differ are mended
+constexpr Micros repair_calm = seconds(1);   // without a change, before copies that differ are mended
 constexpr Micros spare_seen = seconds(2);    // how lately a keeper must have answered to be given a place
 constexpr Micros founder_turn = seconds(1);  // how long each founder waits for the one before it
 constexpr std::size_t seeds_most = 3;        // that a node is given
@@ -31,33 +31,34 @@
   first.epoch = 1;
   for (std::string const& name : founders) {
     // §5.4: the first set is written only while every founder answers and every one of them is blank.
-    std::map<std::string, Learner::Sight>::const_iterator const sight = learner.sights.find(name);
-    if (sight == learner.sights.end() || sight->second.formed || now - sight->second.at > seconds(2))
+    std::map<std::string, Learner::Observation>::const_iterator const observation = learner.observations.find(name);
+    if (observation == learner.observations.end() || observation->second.formed ||
+        now - observation->second.at > seconds(2))
       return std::nullopt;
     wire::KeeperT keeper;
     keeper.name = name;
-    keeper.disk = sight->second.disk;
+    keeper.disk = observation->second.disk;
     keeper.address = name == plan.name ? plan.address : address_of(name);
     first.keepers.push_back(std::move(keeper));
   }
-  tell(Event::founded, std::to_string(first.keepers.size()) + " keepers");
+  log_event(Event::founded, std::to_string(first.keepers.size()) + " keepers");
   return first;
 }
 
-void Node::found(Micros now, std::vector<Letter>& letters) {
+void Node::found(Micros now, std::vector<OutgoingMessage>& outgoing) {
   if (!acceptor || acceptor->held().formed) return;
   std::optional<Membership> const first = first_set(now);
   if (!first) return;
   for (wire::KeeperT const& to : first->keepers) {
     wire::FoundT news;
     for (wire::KeeperT const& keeper : first->keepers) news.keepers.push_back(std::make_unique<wire::KeeperT>(keeper));
-    letters.push_back(letter(to.name, std::move(news)));
+    outgoing.push_back(message_to(to.name, std::move(news)));
   }
 }
 
 std::string Node::address_of(std::string const& name) const {
-  std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(name);
-  return peer == mesh.roll.peers.end() ? std::string() : peer->second.member.address;
+  std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
+  return peer == mesh.members.peers.end() ? std::string() : peer->second.member.address;
 }
 
 // §12.3: at the very first start all nodes are given the same seeds, and these are up. Those of them that keep are the
@@ -75,7 +76,7 @@
       continue;
     }
     bool heard = false;
-    for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+    for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       if (item.second.wire == 0 || item.second.member.address != address) continue;
       heard = true;
       if (item.second.member.keeper) out.push_back(item.first);
@@ -97,7 +98,7 @@
 std::size_t Node::keepers_wanted() const {
   if (!plan.registered) return std::max<std::size_t>(1, plan.founders.size());
   std::size_t all = plan.keeper ? 1 : 0;
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers)
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.member.keeper && (item.second.state() == State::alive || item.second.state() == State::suspected))
       ++all;
   std::size_t const most = std::min<std::size_t>(7, all);
@@ -106,24 +107,24 @@
 
 // A keeper that is here, and on which disk: what it last answered, if that was lately.
 std::optional<std::uint64_t> Node::disk_here(std::string const& name, Micros within, Micros now) const {
-  std::map<std::string, Learner::Sight>::const_iterator const sight = learner.sights.find(name);
-  if (sight == learner.sights.end() || now - sight->second.at >= within) return std::nullopt;
-  return sight->second.disk;
+  std::map<std::string, Learner::Observation>::const_iterator const observation = learner.observations.find(name);
+  if (observation == learner.observations.end() || now - observation->second.at >= within) return std::nullopt;
+  return observation->second.disk;
 }
 
 // A keeper that said goodbye, or that it is about to, though its process may still answer.
 bool Node::keeper_leaves(std::string const& name) const {
   if (name == plan.name) return leaving || retiring;
-  std::map<std::string, Learner::Sight>::const_iterator const sight = learner.sights.find(name);
-  if (sight != learner.sights.end() && sight->second.retiring) return true;
-  std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(name);
-  return peer != mesh.roll.peers.end() && peer->second.state() == State::leaving;
+  std::map<std::string, Learner::Observation>::const_iterator const observation = learner.observations.find(name);
+  if (observation != learner.observations.end() && observation->second.retiring) return true;
+  std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
+  return peer != mesh.members.peers.end() && peer->second.state() == State::leaving;
 }
 
 // One that is here and not in the set.
 std::optional<wire::KeeperT> Node::spare_keeper(Micros now) const {
   std::optional<wire::KeeperT> out;
-  for (std::pair<std::string const, Learner::Sight> const& item : learner.sights) {
+  for (std::pair<std::string const, Learner::Observation> const& item : learner.observations) {
     bool const here = now - item.second.at < spare_seen;
     if (!here || keeper_leaves(item.first) || learner.membership().holds(item.first, item.second.disk)) continue;
     out.emplace();
@@ -168,7 +169,7 @@
   std::vector<wire::KeeperT> next = members.keepers;
   std::optional<wire::KeeperT> const lost = lost_keeper(now);
   if (lost) {
-    change.sort = Change::Sort::replace;
+    change.type = Change::Type::replace;
     change.leaving = *lost;
     next.erase(std::remove_if(next.begin(), next.end(),
                               [&lost](wire::KeeperT const& keeper) {
@@ -176,7 +177,7 @@
                               }),
                next.end());
   } else if (members.keepers.size() < keepers_wanted()) {
-    change.sort = Change::Sort::admit;
+    change.type = Change::Type::admit;
   } else {
     return std::nullopt;
   }
@@ -188,35 +189,35 @@
 // What this keeper, which holds the duty, has to do next; nothing when all is well.
 std::optional<Change> Node::duty_due(Micros now) {
   Change change;
-  change.sort = Change::Sort::read;
+  change.type = Change::Type::read;
   // A joint set that was left behind is completed by any change (docs/control.md).
   if (learner.membership().joint()) return change;
   if (std::optional<Change> members = member_change(now)) {
-    tell(Event::keeper_swapped,
-         (members->sort == Change::Sort::admit ? "admit " : "replace " + members->leaving.name + " by ") +
-             members->keeper.name + " epoch " + std::to_string(members->expected));
+    log_event(Event::keeper_swapped,
+              (members->type == Change::Type::admit ? "admit " : "replace " + members->leaving.name + " by ") +
+                  members->keeper.name + " epoch " + std::to_string(members->expected));
     return members;
   }
   if (strike_due(now, change)) {
-    tell(Event::seat_struck, change.seat.name);
+    log_event(Event::seat_struck, change.seat.name);
     return change;
   }
   // Not oftener: each round outbids what others have under way, and a slow disk never catches up with a storm. Nor
   // while changes go by: each of them rewrites the copies, and a second proposer only delays them.
-  bool const calm = learner.changed_at < 0 || now - learner.changed_at > mend_calm;
-  if (!learner.split || !calm || now - mended_at <= mend_gap) return std::nullopt;
-  mended_at = now;
-  tell(Event::copies_mended, "epoch " + std::to_string(learner.membership().epoch));
+  bool const calm = learner.changed_at < 0 || now - learner.changed_at > repair_calm;
+  if (!learner.split || !calm || now - repaired_at <= repair_gap) return std::nullopt;
+  repaired_at = now;
+  log_event(Event::copies_repaired, "epoch " + std::to_string(learner.membership().epoch));
   return change;
 }
 
 void Node::duties(Micros now, NodeOut& out) {
   if (!acceptor || !acceptor->held().formed) return;
-  std::vector<Letter> letters;
-  if (!leaving) mend.tick(now, learner.membership(), letters);
-  dispatch(letters, now, out);
-  bool const holds = mend.holds(now);
-  if (holds != had_duty) tell(holds ? Event::grant_held : Event::grant_ended, "mend");
+  std::vector<OutgoingMessage> outgoing;
+  if (!leaving) repair_lease.tick(now, learner.membership(), outgoing);
+  dispatch(outgoing, now, out);
+  bool const holds = repair_lease.holds(now);
+  if (holds != had_duty) log_event(holds ? Event::lease_held : Event::lease_ended, "mend");
   had_duty = holds;
   if (duty_busy) return;
   std::optional<Change> change;
@@ -228,14 +229,14 @@
 }
 
 // Copies that differ after a loss leave no ballot that a majority shows; then nobody gets ready by polls alone. The
-// keeper that proposes for all reads the register, which mends them, and needs no lease for it.
+// keeper that proposes for all reads the register, which repairs them, and needs no lease for it.
 std::optional<Change> Node::catch_up_read(Micros now) {
   bool const behind = now - std::max(born, learner.sure) > unsure_for + poll_span();
-  if (!behind || now - mended_at <= mend_gap || leaving || proposing_keeper() != plan.name) return std::nullopt;
-  mended_at = now;
-  tell(Event::copies_mended, "no majority shows one ballot");
+  if (!behind || now - repaired_at <= repair_gap || leaving || proposing_keeper() != plan.name) return std::nullopt;
+  repaired_at = now;
+  log_event(Event::copies_repaired, "no majority shows one ballot");
   Change read;
-  read.sort = Change::Sort::read;
+  read.type = Change::Type::read;
   return read;
 }
 
--- a/src/core/handed.cc
+++ b/src/core/handed.cc
@@ -1,8 +1,8 @@
 // Changes that one keeper proposes for all (§12.8). Any node may still propose: a change that is not answered in time
 // is proposed here under the same id, and the register takes it once.
-#include "canon/register/text_patch.h"
+#include "base/events.h"
+#include "consensus/register/text_patch.h"
 #include "core/node.h"
-#include "ground/events.h"
 
 namespace pipit {
 
@@ -11,24 +11,25 @@
 constexpr std::uint64_t handed_mark = 1ull << 63;  // ids of changes proposed for others
 
 // A change as it is handed over, without its text.
-wire::ProposeT proposal(std::uint64_t req, Change const& change, std::uint64_t turn) {
+wire::ProposeT proposal(std::uint64_t req, Change const& change, std::uint64_t revision) {
   wire::ProposeT out;
   out.req = req;
-  out.sort = static_cast<std::uint8_t>(change.sort);
+  out.type = static_cast<std::uint8_t>(change.type);
   out.id = change.id;
   out.expected = change.expected;
   out.label = change.label;
-  out.turn = turn;
+  out.revision = revision;
   return out;
 }
 }  // namespace
 
 bool Node::keeper_reached(wire::KeeperT const& keeper) const {
   if (keeper.name == plan.name) return acceptor && acceptor->held().disk == keeper.disk && !leaving;
-  std::map<std::string, Learner::Sight>::const_iterator const sight = learner.sights.find(keeper.name);
-  if (sight != learner.sights.end() && sight->second.disk != keeper.disk) return false;
-  std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(keeper.name);
-  return peer != mesh.roll.peers.end() && peer->second.wire != 0 && peer->second.state() == State::alive;
+  std::map<std::string, Learner::Observation>::const_iterator const observation =
+      learner.observations.find(keeper.name);
+  if (observation != learner.observations.end() && observation->second.disk != keeper.disk) return false;
+  std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(keeper.name);
+  return peer != mesh.members.peers.end() && peer->second.wire != 0 && peer->second.state() == State::alive;
 }
 
 std::string Node::proposing_keeper() const {
@@ -42,7 +43,7 @@
 // A node that hears no quorum may still hear a router that does: each order is handed to the next one in turn.
 std::string Node::relaying_peer() {
   std::vector<std::string> peers;
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     bool const here = item.second.wire != 0 && item.second.state() == State::alive;
     if (here && !item.second.member.keeper) peers.push_back(item.first);
   }
@@ -52,11 +53,11 @@
 
 bool Node::hand_over(std::uint64_t id, Change const& change, Micros now, NodeOut& out) {
   if (!plan.registered || id == 0 || (id & handed_mark) != 0) return false;
-  if (change.sort != Change::Sort::apply && change.sort != Change::Sort::read) return false;
+  if (change.type != Change::Type::apply && change.type != Change::Type::read) return false;
   std::string const keeper = quorum_heard(now) ? proposing_keeper() : relaying_peer();
   if (keeper.empty() || keeper == plan.name) return false;
   std::uint64_t const req = ++next_req;
-  wire::ProposeT ask = proposal(req, change, learner.turn());
+  wire::ProposeT ask = proposal(req, change, learner.revision());
   put_text(change.text, ask);
   if (!mesh.post(keeper, std::move(ask), out.mesh)) return false;
   handed[req] = Handed{id, keeper, change, now + answer_within};
@@ -75,15 +76,15 @@
 std::optional<std::string> Node::handed_text(wire::ProposeT const& ask) const {
   if (!ask.patch) return ask.text;
   for (std::optional<wire::ValueT> const* const base : {&learner.value, &learner.before}) {
-    if (!*base || (*base)->turn != ask.turn) continue;
+    if (!*base || (*base)->revision != ask.revision) continue;
     if (std::optional<std::string> text = patched_text((*base)->text, *ask.patch)) return text;
   }
   return std::nullopt;
 }
 
 void Node::take_handed(std::string const& from, wire::ProposeT const& ask, Micros now, NodeOut& out) {
-  if (ask.sort != static_cast<std::uint8_t>(Change::Sort::apply) &&
-      ask.sort != static_cast<std::uint8_t>(Change::Sort::read))
+  if (ask.type != static_cast<std::uint8_t>(Change::Type::apply) &&
+      ask.type != static_cast<std::uint8_t>(Change::Type::read))
     return;
   std::optional<std::string> text = handed_text(ask);
   if (!text) {
@@ -94,19 +95,19 @@
     return;
   }
   Change change;
-  change.sort = static_cast<Change::Sort>(ask.sort);
+  change.type = static_cast<Change::Type>(ask.type);
   change.id = ask.id;
   change.text = std::move(*text);
   change.expected = ask.expected;
   change.label = ask.label;
   std::uint64_t const id = handed_mark | ++next_req;
-  asked_by[id] = Asked{from, ask.req, ask.turn};
+  asked_by[id] = Asked{from, ask.req, ask.revision};
   propose(id, std::move(change), now, out);
 }
 
 // The keeper took nothing of an order whose text it could not make out: it is sent again, whole.
 void Node::send_text(std::string const& to, std::uint64_t req, Change const& change, NodeOut& out) {
-  wire::ProposeT ask = proposal(req, change, learner.turn());
+  wire::ProposeT ask = proposal(req, change, learner.revision());
   ask.text = change.text;
   mesh.post(to, std::move(ask), out.mesh);
 }
@@ -114,7 +115,7 @@
 void Node::take_answer(std::string const& from, wire::ProposedT const& ans, Micros now, NodeOut& out) {
   std::map<std::uint64_t, Handed>::iterator const spot = handed.find(ans.req);
   if (spot == handed.end() || spot->second.proposer != from) return;
-  if (ans.sort > static_cast<std::uint8_t>(Outcome::Sort::unknown) || ans.kind >= kind_count()) return;
+  if (ans.type > static_cast<std::uint8_t>(Outcome::Type::unknown) || ans.kind >= kind_count()) return;
   if (ans.need_text) return send_text(from, ans.req, spot->second.change, out);
   Handed item = std::move(spot->second);
   handed.erase(spot);
@@ -124,7 +125,7 @@
   Reply reply;
   reply.id = item.id;
   reply.change = item.change.id;
-  reply.outcome.sort = static_cast<Outcome::Sort>(ans.sort);
+  reply.outcome.type = static_cast<Outcome::Type>(ans.type);
   reply.outcome.fault.kind = static_cast<Kind>(ans.kind);
   reply.outcome.fault.why = ans.why;
   reply.outcome.serial = ans.serial;
@@ -133,7 +134,7 @@
   // An answer without a value says that this node holds it, or by now a newer one that was chosen as well.
   if (ans.value)
     reply.outcome.value = *ans.value;
-  else if (ans.turn > 0 && learner.turn() >= ans.turn)
+  else if (ans.revision > 0 && learner.revision() >= ans.revision)
     reply.outcome.value = *learner.value;
   out.replies.push_back(std::move(reply));
 }
@@ -148,14 +149,15 @@
     Outcome const& outcome = it->outcome;
     wire::ProposedT ans;
     ans.req = who->second.req;
-    ans.sort = static_cast<std::uint8_t>(outcome.sort);
+    ans.type = static_cast<std::uint8_t>(outcome.type);
     ans.kind = static_cast<std::uint8_t>(outcome.fault.kind);
     ans.why = outcome.fault.why;
     ans.serial = outcome.serial;
     // Changes get round by themselves; a reading brings the value, unless the asker holds it already.
-    bool const read = outcome.sort == Outcome::Sort::kept;
-    if (read) ans.turn = outcome.value.turn;
-    if (read && who->second.turn < outcome.value.turn) ans.value = std::make_unique<wire::ValueT>(outcome.value);
+    bool const read = outcome.type == Outcome::Type::kept;
+    if (read) ans.revision = outcome.value.revision;
+    if (read && who->second.revision < outcome.value.revision)
+      ans.value = std::make_unique<wire::ValueT>(outcome.value);
     mesh.post(who->second.from, std::move(ans), out.mesh);
     asked_by.erase(who);
     it = out.replies.erase(it);
@@ -168,7 +170,7 @@
     Handed item = std::move(it->second);
     it = handed.erase(it);
     // Whoever was asked may have proposed it: without a quorum's word nobody can say that nothing was changed.
-    item.change.proposed_elsewhere = item.change.sort == Change::Sort::apply;
+    item.change.proposed_elsewhere = item.change.type == Change::Type::apply;
     propose(item.id, std::move(item.change), now, out);
   }
 }
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 
-#include "canon/register/value_patch.h"
-#include "ground/events.h"
-#include "ground/guards.h"
+#include "base/events.h"
+#include "base/guards.h"
+#include "consensus/register/value_patch.h"
 
 namespace pipit {
 
@@ -20,8 +20,8 @@
 // merely combined with another: they could cancel out, and all nodes and lives would draw the same numbers.
 enum class SeedUse : std::uint64_t { ballots = 1, polls, requests, lease };
 std::uint64_t life_seed(NodePlan const& plan, SeedUse use) {
-  std::uint64_t const life = stir(plan.incarnation + static_cast<std::uint64_t>(use)) + mix(plan.name);
-  return stir(stir(life) ^ plan.chance);
+  std::uint64_t const life = hash_bits(plan.incarnation + static_cast<std::uint64_t>(use)) + hash_text(plan.name);
+  return hash_bits(hash_bits(life) ^ plan.chance);
 }
 
 wire::MemberT self_of(NodePlan const& plan) {
@@ -40,28 +40,28 @@
   MeshPlan out;
   out.cluster = plan.cluster;
   out.seeds = plan.seeds;
-  // §3.6 needs owners that tell entries themselves and turns on pings, as where workers register.
+  // §3.6 needs owners that tell entries themselves and revisions on pings, as where workers register.
   if (!plan.registered) out.wide = SIZE_MAX;
   return out;
 }
 }  // namespace
 
-Node::Node(NodePlan plan_, Micros now, std::optional<wire::RecordT> slate)
+Node::Node(NodePlan plan_, Micros now, std::optional<wire::RecordT> recovered)
     : plan(std::move(plan_)),
       mesh(mesh_of(plan), self_of(plan), plan.chance),
       proposer(plan.name, life_seed(plan, SeedUse::ballots)),
       learner(life_seed(plan, SeedUse::polls) >> spare_number_bits),
-      tide(plan.chance + 1),
-      desk(plan.name, plan.zone, tide, fleet),
+      index_sync(plan.chance + 1),
+      desk(plan.name, plan.zone, index_sync, fleet),
       registry(plan.name),
       exchange(plan.name),
-      dispatcher(plan.name, plan.zone, tide, registry, exchange),
-      granter(now),
-      mend("mend", life_seed(plan, SeedUse::lease)),
+      dispatcher(plan.name, plan.zone, index_sync, registry, exchange),
+      lease_grantor(now),
+      repair_lease("mend", life_seed(plan, SeedUse::lease)),
       born(now),
       last_tick(now),
       next_req(life_seed(plan, SeedUse::requests) >> spare_number_bits) {
-  if (slate) acceptor.emplace(std::move(*slate));
+  if (recovered) acceptor.emplace(std::move(*recovered));
   registry.span(plan.beat_gap);
   if (plan.registered) dispatcher.begun(now);
   dispatcher.budget(plan.resend_ratio, plan.resend_store);
@@ -74,14 +74,14 @@
     look_hold();
     registry.stood_still(now);
     list_flying = false;
-    tell(Event::clock_jumped, std::to_string((now - last_tick) / 1000) + " ms");
+    log_event(Event::clock_jumped, std::to_string((now - last_tick) / 1000) + " ms");
   }
   last_tick = now;
 }
 
 std::vector<std::string> Node::keepers() const {
   std::set<std::string> out;
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers)
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if ((item.second.role() == Role::accord || item.second.member.keeper) && item.second.wire != 0)
       out.insert(item.first);
   if (acceptor) out.insert(plan.name);
@@ -91,7 +91,7 @@
 std::set<std::string> Node::passages(bool all) const {
   std::set<std::string> out;
   if (plan.role == Role::passage) out.insert(plan.name);
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     State const state = item.second.state();
     if (item.second.role() == Role::passage && (all || state == State::alive || state == State::suspected))
       out.insert(item.first);
@@ -99,9 +99,9 @@
   return out;
 }
 
-std::vector<std::string> Node::tide_peers() const {
+std::vector<std::string> Node::index_peers() const {
   std::vector<std::string> out;
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers)
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.role() == Role::passage && item.second.wire != 0 && item.second.state() == State::alive)
       out.push_back(item.first);
   return out;
@@ -109,7 +109,7 @@
 
 Index::Bounds Node::bounds(std::string const& model) const {
   Index::Bounds out;
-  for (Pool const& pool : desk.creed()->pools)
+  for (Pool const& pool : desk.description()->pools)
     if (pool.model == model) {
       out.blocks = static_cast<std::size_t>(pool.cache_blocks);
       out.age = pool.cache_age;
@@ -121,23 +121,23 @@
   return out;
 }
 
-// Carries letters until none is left: to this node itself at once, to others by the mesh.
-void Node::dispatch(std::vector<Letter>& letters, Micros now, NodeOut& out) {
-  while (!letters.empty()) {
-    std::vector<Letter> batch;
-    batch.swap(letters);
-    for (Letter& item : batch) {
+// Carries messages until none is left: to this node itself at once, to others by the mesh.
+void Node::dispatch(std::vector<OutgoingMessage>& outgoing, Micros now, NodeOut& out) {
+  while (!outgoing.empty()) {
+    std::vector<OutgoingMessage> batch;
+    batch.swap(outgoing);
+    for (OutgoingMessage& item : batch) {
       if (item.to == plan.name) {
         deliver(plan.name, item.body, now, out);
         continue;
       }
-      std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(item.to);
-      if (peer == mesh.roll.peers.end() || peer->second.wire == 0) continue;
+      std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(item.to);
+      if (peer == mesh.members.peers.end() || peer->second.wire == 0) continue;
       wire::FrameT frame;
       frame.body = std::move(item.body);
       std::string bytes = encode(frame);
       if (bytes.size() > frame_limit) {
-        tell(Event::frame_large, item.to + " " + std::to_string(bytes.size()));
+        log_event(Event::frame_large, item.to + " " + std::to_string(bytes.size()));
         continue;
       }
       out.mesh.sends.push_back({peer->second.wire, std::move(bytes)});
@@ -146,14 +146,14 @@
 }
 
 void Node::deliver(std::string const& from, wire::BodyUnion& body, Micros now, NodeOut& out) {
-  std::vector<Letter> letters;
+  std::vector<OutgoingMessage> outgoing;
   switch (body.type) {
     case wire::Body::Prepare:
     case wire::Body::Accept:
     case wire::Body::Found:
       if (acceptor) {
         acceptor->take(from, std::move(body));
-        if (std::optional<wire::RecordT> save = acceptor->step(letters)) out.save = std::move(save);
+        if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
       }
       break;
     case wire::Body::Peek:
@@ -162,25 +162,25 @@
         wire::PeekedT ans = peeked(acceptor->held(), *body.AsPeek());
         ans.age = news_age(now);
         ans.retiring = retiring;
-        letters.push_back(letter(from, std::move(ans)));
+        outgoing.push_back(message_to(from, std::move(ans)));
       }
       break;
     case wire::Body::Promise:
     case wire::Body::Accepted:
-      proposer.take(from, body, now, letters);
+      proposer.take(from, body, now, outgoing);
       settle_ended(now, out);
       break;
     case wire::Body::Peeked:
       hear(body.AsPeeked()->age, now);
-      if (learner.take(from, *body.AsPeeked(), now, letters)) after_value(now, out);
+      if (learner.take(from, *body.AsPeeked(), now, outgoing)) after_value(now, out);
       proposer.know(learner.membership());
       look_ready(now, out);
       break;
     case wire::Body::Chosen:
-      take_chosen(from, *body.AsChosen(), now, letters, out);
+      take_chosen(from, *body.AsChosen(), now, outgoing, out);
       break;
     case wire::Body::Behind:
-      send_whole(from, *body.AsBehind(), letters);
+      send_whole(from, *body.AsBehind(), outgoing);
       break;
     case wire::Body::Confirm: {
       std::map<std::uint64_t, Waiting>::iterator const spot = waiting.find(body.AsConfirm()->req);
@@ -192,19 +192,19 @@
       settle_waiting(now, out);
       break;
     }
-    case wire::Body::GrantAsk:
+    case wire::Body::LeaseRequest:
       if (acceptor) {
-        wire::GrantAskT const& ask = *body.AsGrantAsk();
-        wire::GrantAnsT ans;
+        wire::LeaseRequestT const& ask = *body.AsLeaseRequest();
+        wire::LeaseReplyT ans;
         ans.req = ask.req;
         ans.duty = ask.duty;
         ans.disk = acceptor->held().disk;
-        ans.ok = granter.ask(from, ask.duty, ask.term, now);
-        letters.push_back(letter(from, std::move(ans)));
+        ans.ok = lease_grantor.ask(from, ask.duty, ask.term, now);
+        outgoing.push_back(message_to(from, std::move(ans)));
       }
       break;
-    case wire::Body::GrantAns:
-      mend.take(from, *body.AsGrantAns(), now, learner.membership());
+    case wire::Body::LeaseReply:
+      repair_lease.take(from, *body.AsLeaseReply(), now, learner.membership());
       break;
     case wire::Body::Loads:
       hear(body.AsLoads()->age, now);
@@ -229,32 +229,32 @@
     case wire::Body::TreeAsk:
     case wire::Body::TreePage:
       if (plan.role == Role::passage)
-        tide.take(
+        index_sync.take(
             from, body, now, [this](std::string const& model) { return bounds(model); },
-            [this] { return tide_peers(); }, letters);
+            [this] { return index_peers(); }, outgoing);
       if (plan.registered && body.type == wire::Body::Deltas) exchange.pass(*body.AsDeltas());
       break;
     default:
       break;
   }
-  dispatch(letters, now, out);
+  dispatch(outgoing, now, out);
 }
 
-void Node::take_chosen(std::string const& from, wire::ChosenT const& news, Micros now, std::vector<Letter>& letters,
-                       NodeOut& out) {
+void Node::take_chosen(std::string const& from, wire::ChosenT const& news, Micros now,
+                       std::vector<OutgoingMessage>& outgoing, NodeOut& out) {
   if (!news.value && !news.patch) return;
-  std::uint64_t const turn = news.value ? news.value->turn : news.patch->rest ? news.patch->rest->turn : 0;
+  std::uint64_t const revision = news.value ? news.value->revision : news.patch->rest ? news.patch->rest->revision : 0;
   bool const fresh = news.value ? learner.adopt(*news.value, now) : learner.adopt(*news.patch, now);
   if (fresh) after_value(now, out);
   proposer.know(learner.membership());
   if (news.hops > 0) forward(news, out);
-  if (learner.turn() < turn) {
+  if (learner.revision() < revision) {
     // The patch has another base than what is held here: the whole value is asked for, and confirmed when it comes.
     wire::BehindT ask;
-    ask.turn = learner.turn();
+    ask.revision = learner.revision();
     ask.req = news.req;
     ask.origin = news.origin.empty() ? from : news.origin;
-    letters.push_back(letter(from, std::move(ask)));
+    outgoing.push_back(message_to(from, std::move(ask)));
     return;
   }
   wire::ConfirmT ok;
@@ -263,23 +263,23 @@
   // Router nodes that hold no seat may serve by this node's word alone (§6.7): who asks must hear of them.
   for (std::string const& name : plan.registered ? std::set<std::string>() : passages(true))
     if (!learner.value || seat_of(*learner.value, name) == nullptr) ok.routers.push_back(name);
-  if (news.req != 0) letters.push_back(letter(news.origin.empty() ? from : news.origin, std::move(ok)));
+  if (news.req != 0) outgoing.push_back(message_to(news.origin.empty() ? from : news.origin, std::move(ok)));
   look_ready(now, out);
 }
 
-void Node::send_whole(std::string const& to, wire::BehindT const& ask, std::vector<Letter>& letters) const {
-  if (!learner.value || learner.turn() <= ask.turn) return;
+void Node::send_whole(std::string const& to, wire::BehindT const& ask, std::vector<OutgoingMessage>& outgoing) const {
+  if (!learner.value || learner.revision() <= ask.revision) return;
   wire::ChosenT news;
   news.req = ask.req;
   news.origin = ask.origin;
   news.value = std::make_unique<wire::ValueT>(*learner.value);
-  letters.push_back(letter(to, std::move(news)));
+  outgoing.push_back(message_to(to, std::move(news)));
 }
 
 void Node::spread(wire::ValueT const& value, std::optional<wire::ValueT> const& base, std::uint64_t req, NodeOut& out) {
   wire::ChosenT news;
   news.req = req;
-  if (base && base->turn < value.turn)
+  if (base && base->revision < value.revision)
     news.patch = patch_between(*base, value);
   else
     news.value = std::make_unique<wire::ValueT>(value);
@@ -290,46 +290,46 @@
     news.hops = 1;
     std::string const far = encode_body(wire::ChosenT(news));
     std::set<std::string> reached{plan.keeper ? plan.zone : std::string()};
-    for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+    for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       if (item.second.wire == 0 || !item.second.member.keeper) continue;
       reached.insert(item.second.member.zone);
       out.mesh.sends.push_back({item.second.wire, far});
     }
-    for (std::pair<std::string const, Peer> const& item : mesh.roll.peers)
+    for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
       if (item.second.wire != 0 && !reached.count(item.second.member.zone))
         out.mesh.sends.push_back({item.second.wire, far});
     if (plan.keeper) forward(news, out);
     return;
   }
   std::string const bytes = encode_body(std::move(news));
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers)
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.wire != 0) out.mesh.sends.push_back({item.second.wire, bytes});
 }
 
 // The value held here grew newer: it comes into force.
 void Node::after_value(Micros now, NodeOut& out) {
   wire::ValueT const& value = *learner.value;
-  // A seat raises the turn alone; what the description says was compiled when its serial came.
-  if (value.serial != mesh.roll.self.serial) {
-    std::shared_ptr<Creed const> creed = std::make_shared<Creed>();
+  // A seat raises the revision alone; what the description says was compiled when its serial came.
+  if (value.serial != mesh.members.self.serial) {
+    std::shared_ptr<Description const> description = std::make_shared<Description>();
     if (!value.text.empty()) {
-      Result<std::shared_ptr<Creed const>> made = read_creed(value.text);
+      Result<std::shared_ptr<Description const>> made = read_description(value.text);
       if (!made) {
-        tell(Event::not_in_force, "serial " + std::to_string(value.serial) + " " + made.error().why);
-        creed = desk.creed();
+        log_event(Event::not_in_force, "serial " + std::to_string(value.serial) + " " + made.error().why);
+        description = desk.description();
       } else {
-        creed = made.value();
+        description = made.value();
       }
     }
-    dispatcher.in_force(creed);
-    desk.in_force(creed, std::set<std::string>(value.emptied.begin(), value.emptied.end()));
-    tell(Event::in_force, "serial " + std::to_string(value.serial));
+    dispatcher.in_force(description);
+    desk.in_force(description, std::set<std::string>(value.emptied.begin(), value.emptied.end()));
+    log_event(Event::in_force, "serial " + std::to_string(value.serial));
   }
-  mesh.roll.self.serial = value.serial;
-  mesh.roll.self.turn = value.turn;
+  mesh.members.self.serial = value.serial;
+  mesh.members.self.revision = value.revision;
   look_seat(now, out);
-  // Among nodes whose workers register, pings tell turns; a bump of the record is not needed for them (§3.6).
-  if (!plan.registered) mesh.retell(out.mesh);
+  // Among nodes whose workers register, pings carry revisions; a bump of the record is not needed for them (§3.6).
+  if (!plan.registered) mesh.announce_self(out.mesh);
 }
 
 void Node::opened(WireId id, bool outbound, std::string const& address, Micros now, NodeOut& out) {
@@ -352,7 +352,7 @@
   watch_clock(now);
   Result<std::unique_ptr<wire::FrameT>> frame = decode(bytes);
   if (!frame) {
-    tell(Event::wire_garbage, frame.error().why);
+    log_event(Event::wire_garbage, frame.error().why);
     return false;
   }
   bool const greeting = frame.value()->body.type == wire::Body::Hello;
@@ -363,9 +363,9 @@
   if (greeting) {
     // §5.5: a peer that comes with an older serial is told the chosen value at once. Where many would do so, it asks:
     // its polls and the turns that its peers tell bring the value from one.
-    std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(hello_name);
-    if (!mesh.wide() && peer != mesh.roll.peers.end() && peer->second.wire == id && learner.value &&
-        peer->second.member.turn < learner.turn()) {
+    std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(hello_name);
+    if (!mesh.wide() && peer != mesh.members.peers.end() && peer->second.wire == id && learner.value &&
+        peer->second.member.revision < learner.revision()) {
       wire::ChosenT news;
       news.value = std::make_unique<wire::ValueT>(*learner.value);
       mesh.post(hello_name, std::move(news), out.mesh);
@@ -388,17 +388,17 @@
       mesh.ledger.put(std::move(*word), now);
   }
   mesh.fresh.clear();
-  for (std::string const& id : registry.ended) tide.forget(id);
+  for (std::string const& id : registry.ended) index_sync.forget(id);
   registry.ended.clear();
-  for (std::string const& name : fleet.reborn) tide.forget(name);
+  for (std::string const& name : fleet.reborn) index_sync.forget(name);
   fleet.reborn.clear();
 }
 
 void Node::disk_done(Micros now, NodeOut& out) {
-  std::vector<Letter> letters;
-  acceptor->synced(letters);
-  if (std::optional<wire::RecordT> save = acceptor->step(letters)) out.save = std::move(save);
-  dispatch(letters, now, out);
+  std::vector<OutgoingMessage> outgoing;
+  acceptor->synced(outgoing);
+  if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
+  dispatch(outgoing, now, out);
   settle_handed(now, out);
 }
 
@@ -408,11 +408,11 @@
   if (!rows) {
     // A failed reading is no departure.
     if (answered) list_said_at = now;
-    if (!list_bad) tell(Event::list_failed, "");
+    if (!list_bad) log_event(Event::list_failed, "");
     list_bad = true;
     return;
   }
-  if (list_bad) tell(Event::list_back, "");
+  if (list_bad) log_event(Event::list_back, "");
   list_bad = false;
   fleet.take_list(*rows, now);
   // What this reading began before a jump of the clock says nothing about the time after it.
@@ -426,10 +426,11 @@
   desk.work(now, out.desk);
 }
 
-void Node::vitals(Check const& check, std::optional<Vitals> const& report, bool refused, Micros now, NodeOut& out) {
+void Node::health_report(Check const& check, std::optional<HealthReport> const& report, bool refused, Micros now,
+                         NodeOut& out) {
   watch_clock(now);
   checking.erase(check.worker);
-  fleet.vitals(check.worker, check.life, check.asked, report, refused, now);
+  fleet.health_report(check.worker, check.life, check.asked, report, refused, now);
   take_fresh(now);
   desk.work(now, out.desk);
   check_asked(now, out);
@@ -476,7 +477,7 @@
   if (!word && now - from > fresh_bound) {
     // §6.7: no majority answers. A node that was serving goes on; a new one may take the word of one that serves.
     if (able) sure = true;
-    for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+    for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       Peer const& peer = item.second;
       if (peer.wire != 0 && peer.state() == State::alive && peer.role() == Role::passage && peer.member.ready &&
           learner.value && learner.serial() >= peer.member.serial)
@@ -493,8 +494,8 @@
   if (!able) {
     able = true;
     desk.ready(true);
-    mesh.roll.self.ready = true;
-    mesh.retell(out.mesh);
+    mesh.members.self.ready = true;
+    mesh.announce_self(out.mesh);
   }
 }
 
@@ -502,30 +503,30 @@
   watch_clock(now);
   mesh.tick(now, out.mesh);
   take_fresh(now);
-  std::vector<Letter> letters;
+  std::vector<OutgoingMessage> outgoing;
   if (now >= next_poll && (guard(Guard::spread) || learner.sure < 0 || plan.role == Role::accord)) {
     next_poll = now + poll_span();
-    learner.poll(now, keepers(), news_age(now), letters);
-    found(now, letters);
+    learner.poll(now, keepers(), news_age(now), outgoing);
+    found(now, outgoing);
   }
-  ask_newer(now, letters);
+  ask_newer(now, outgoing);
   proposer.know(learner.membership());
   proposer.suggest(learner.seen());
   if (plan.registered && !quorum_heard(now)) proposer.give_up_unsent();
-  proposer.tick(now, letters);
+  proposer.tick(now, outgoing);
   settle_ended(now, out);
   if (plan.registered) {
-    tick_registered(now, letters, out);
+    tick_registered(now, outgoing, out);
   } else if (plan.role == Role::passage) {
     if (now >= next_round) {
       next_round = now + seconds(1);
       std::vector<std::pair<std::string, std::vector<std::string>>> peers;
-      for (std::string const& name : tide_peers()) peers.emplace_back(name, mesh.roll.peers.at(name).member.models);
-      tide.round(
-          now, peers, [this](std::string const& model) { return bounds(model); }, letters);
+      for (std::string const& name : index_peers()) peers.emplace_back(name, mesh.members.peers.at(name).member.models);
+      index_sync.round(
+          now, peers, [this](std::string const& model) { return bounds(model); }, outgoing);
       own_entries(now, out);
     }
-    tide.tick(now, tide_peers(), letters);
+    index_sync.tick(now, index_peers(), outgoing);
     if (now >= next_reconcile) {
       next_reconcile = now + seconds(30);
       fleet.reconcile(mesh.ledger.all(), now);
@@ -549,15 +550,15 @@
       for (std::unique_ptr<wire::SeatT> const& seat : learner.value->seats) names.insert(seat->name);
     desk.nodes(std::move(names), newcomer(now));
     look_seat(now, out);
-    tell_loads(now, letters);
+    tell_loads(now, outgoing);
     std::set<std::string> senders = passages(false);
     senders.erase(plan.name);
     fleet.sum_others(senders, now);
     look_ready(now, out);
-    bool const alone = guard(Guard::isolation) && !abreast(now);
+    bool const alone = guard(Guard::isolation) && !is_up_to_date(now);
     if (able && alone != isolated) {
       isolated = alone;
-      tell(alone ? Event::isolated : Event::not_isolated, "");
+      log_event(alone ? Event::isolated : Event::not_isolated, "");
     }
     desk.ready(able && !isolated);
     desk.work(now, out.desk);
@@ -565,7 +566,7 @@
   } else {
     look_ready(now, out);
   }
-  dispatch(letters, now, out);
+  dispatch(outgoing, now, out);
   duties(now, out);
   settle_waiting(now, out);
   settle_handed(now, out);
@@ -579,7 +580,7 @@
 }
 
 // Peers hear how many legs this node has at each worker, soon when that changed, and now and then when not.
-void Node::tell_loads(Micros now, std::vector<Letter>& letters) {
+void Node::tell_loads(Micros now, std::vector<OutgoingMessage>& outgoing) {
   if (now < next_loads) return;
   next_loads = now + load_gap;
   wire::LoadsT loads = fleet.own_legs();
@@ -590,7 +591,7 @@
   if (print == loads_last && now - loads_told < millis(500)) return;
   loads_last = print;
   loads_told = now;
-  for (std::string const& name : tide_peers()) letters.push_back(letter(name, wire::LoadsT(loads)));
+  for (std::string const& name : index_peers()) outgoing.push_back(message_to(name, wire::LoadsT(loads)));
 }
 
 void Node::check_now(std::string const& id, Micros now, NodeOut& out) {
@@ -617,7 +618,7 @@
   desk.ended(id, end, why, back, now, out.desk);
   for (std::pair<std::string, std::uint64_t> const& doubt : out.desk.doubts) {
     check_now(doubt.first, now, out);
-    for (std::string const& name : tide_peers()) {
+    for (std::string const& name : index_peers()) {
       wire::DoubtT word;
       word.worker = doubt.first;
       word.incarnation = doubt.second;
@@ -643,13 +644,13 @@
 void Node::drain(Micros now, NodeOut& out) {
   if (leaving) return;
   leaving = true;
-  std::vector<Letter> letters;
-  mend.give_back(learner.membership(), letters);
-  dispatch(letters, now, out);
+  std::vector<OutgoingMessage> outgoing;
+  repair_lease.give_back(learner.membership(), outgoing);
+  dispatch(outgoing, now, out);
   desk.drain();
-  mesh.roll.self.ready = false;
+  mesh.members.self.ready = false;
   mesh.leave(out.mesh);
-  tell(Event::drain_began, "");
+  log_event(Event::drain_began, "");
 }
 
 }  // namespace pipit
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -8,12 +8,12 @@
 #include <string>
 #include <vector>
 
-#include "canon/grant/grants.h"
-#include "canon/register/learner.h"
+#include "consensus/lease/lease.h"
+#include "consensus/register/learner.h"
 #include "flow/dispatch/dispatcher.h"
 #include "flow/errand/desk.h"
 #include "flow/registry/registry.h"
-#include "kin/mesh.h"
+#include "mesh/mesh.h"
 
 namespace pipit {
 
@@ -29,8 +29,8 @@
   std::vector<std::string> founders;  // names of the first keepers
   std::uint64_t incarnation = 1;
   std::uint64_t chance = 1;
-  // Where workers register themselves (§12): no list is read and no vitals are asked, seats are not needed since no
-  // zone is ever emptied there, and the first keepers are those at the seeds.
+  // Where workers register themselves (§12): no list is read and no health reports are asked, seats are not needed
+  // since no zone is ever emptied there, and the first keepers are those at the seeds.
   bool registered = false;
   bool keeper = false;       // a router node that keeps as well
   bool first_start = false;  // the fleet starts for the first time
@@ -66,7 +66,7 @@
 
 class Node {
  public:
-  Node(NodePlan plan_, Micros now, std::optional<wire::RecordT> slate);
+  Node(NodePlan plan_, Micros now, std::optional<wire::RecordT> recovered);
 
   void tick(Micros now, NodeOut& out);
   // A node that was stopped for a while learns it here, before anything else it does (§6.7).
@@ -81,7 +81,8 @@
   void disk_done(Micros now, NodeOut& out);
   // 'answered': a failed reading whose fault is the list's own, since its address refused or answered oddly.
   void list(std::optional<std::vector<ListRow>> const& rows, bool answered, Micros now, NodeOut& out);
-  void vitals(Check const& check, std::optional<Vitals> const& report, bool refused, Micros now, NodeOut& out);
+  void health_report(Check const& check, std::optional<HealthReport> const& report, bool refused, Micros now,
+                     NodeOut& out);
 
   // Operators. The description was checked by the caller of operate().
   void operate(std::uint64_t id, Change change, Micros now, NodeOut& out);
@@ -116,7 +117,7 @@
   Proposer proposer;
   Learner learner;
   std::optional<Acceptor> acceptor;
-  Tide tide;
+  IndexSync index_sync;
   Fleet fleet;
   Desk desk;
   Registry registry;
@@ -128,26 +129,26 @@
   struct Waiting {  // an 'empty' that waits for confirmations
     Reply reply;
     std::set<std::string> owe;
-    std::uint64_t half = 0;      // or one of an 'apply': the turn that half of the router nodes must have
+    std::uint64_t half = 0;      // or one of an 'apply': the revision that half of the router nodes must have
     std::set<std::string> sure;  // those that confirmed
     std::uint64_t serial = 0;
     Micros due = 0;
   };
   void deliver(std::string const& from, wire::BodyUnion& body, Micros now, NodeOut& out);
-  void dispatch(std::vector<Letter>& letters, Micros now, NodeOut& out);
+  void dispatch(std::vector<OutgoingMessage>& outgoing, Micros now, NodeOut& out);
   void after_value(Micros now, NodeOut& out);
   // Tells all peers of a chosen value, as a patch of 'base' where that is given.
   void spread(wire::ValueT const& value, std::optional<wire::ValueT> const& base, std::uint64_t req, NodeOut& out);
-  void take_chosen(std::string const& from, wire::ChosenT const& news, Micros now, std::vector<Letter>& letters,
-                   NodeOut& out);
-  void send_whole(std::string const& to, wire::BehindT const& ask, std::vector<Letter>& letters) const;
+  void take_chosen(std::string const& from, wire::ChosenT const& news, Micros now,
+                   std::vector<OutgoingMessage>& outgoing, NodeOut& out);
+  void send_whole(std::string const& to, wire::BehindT const& ask, std::vector<OutgoingMessage>& outgoing) const;
   void settle(std::uint64_t id, Change const& change, Outcome const& outcome, Micros now, NodeOut& out);
   void settle_ended(Micros now, NodeOut& out);
   void settle_waiting(Micros now, NodeOut& out);
   void look_ready(Micros now, NodeOut& out);
   void own_entries(Micros now, NodeOut& out);
   void duties(Micros now, NodeOut& out);
-  void found(Micros now, std::vector<Letter>& letters);
+  void found(Micros now, std::vector<OutgoingMessage>& outgoing);
   std::optional<Membership> first_set(Micros now) const;
   std::string address_of(std::string const& name) const;
   std::optional<std::uint64_t> disk_here(std::string const& name, Micros within, Micros now) const;
@@ -160,7 +161,7 @@
   std::optional<Change> catch_up_read(Micros now);
   std::vector<std::string> first_keepers(Micros now) const;
   std::size_t keepers_wanted() const;
-  void tick_registered(Micros now, std::vector<Letter>& letters, NodeOut& out);
+  void tick_registered(Micros now, std::vector<OutgoingMessage>& outgoing, NodeOut& out);
   void put_entry(wire::EntryT entry, Micros now, NodeOut& out);
   void exchange_now(Micros now, NodeOut& out);
   Paths paths() const;
@@ -183,9 +184,9 @@
   bool quorum_heard(Micros now) const;
   void refuse_now(std::uint64_t id, Change const& change, Kind kind, NodeOut& out);
   Micros poll_span() const;
-  bool half_has(std::uint64_t turn) const;
+  bool half_has(std::uint64_t revision) const;
   bool seated() const;
-  void ask_newer(Micros now, std::vector<Letter>& letters);
+  void ask_newer(Micros now, std::vector<OutgoingMessage>& outgoing);
   void look_hold();
   bool newcomer(Micros now) const;
   bool struck_self() const;
@@ -195,19 +196,19 @@
   bool strike_due(Micros now, Change& change) const;
   // Knowledge of the list that a peer passed on, as old as it said (§4.3).
   void hear(Micros age, Micros now);
-  bool abreast(Micros now);
+  bool is_up_to_date(Micros now);
   Micros news_age(Micros now) const { return news_at < 0 ? -1 : now - news_at; }
   void take_fresh(Micros now);
-  void tell_loads(Micros now, std::vector<Letter>& letters);
+  void tell_loads(Micros now, std::vector<OutgoingMessage>& outgoing);
   void check_now(std::string const& id, Micros now, NodeOut& out);
   void check_asked(Micros now, NodeOut& out);
   std::vector<std::string> keepers() const;
-  std::vector<std::string> tide_peers() const;
+  std::vector<std::string> index_peers() const;
   std::set<std::string> passages(bool all) const;
   Index::Bounds bounds(std::string const& model) const;
 
-  Granter granter;
-  Holder mend;
+  LeaseGrantor lease_grantor;
+  LeaseHolder repair_lease;
   Micros born;
   Micros last_tick;
   Micros next_poll = 0;
@@ -225,10 +226,10 @@
   std::map<std::string, Micros> check_due;
   bool able = false;
   bool isolated = false;
-  Micros news_at = -1;       // when the freshest reading of the list that is known here was begun, by whomever
-  Micros abreast_at = -1;    // until when no mark can have been missed
-  Micros half_since = -1;    // since when at least half of all members are heard
-  Micros list_said_at = -1;  // when the list's own address last refused, or answered oddly
+  Micros news_at = -1;        // when the freshest reading of the list that is known here was begun, by whomever
+  Micros up_to_date_at = -1;  // until when no mark can have been missed
+  Micros half_since = -1;     // since when at least half of all members are heard
+  Micros list_said_at = -1;   // when the list's own address last refused, or answered oddly
   bool seat_busy = false;
   bool seat_had = false;
   bool seat_known = false;  // a former life had one: nobody's share changes with this one
@@ -244,7 +245,7 @@
   std::map<std::uint64_t, Waiting> waiting;
   bool duty_busy = false;
   bool had_duty = false;
-  Micros mended_at = -seconds(60);
+  Micros repaired_at = -seconds(60);
   struct Ended {
     std::uint64_t id;
     Change change;
@@ -261,7 +262,7 @@
   struct Asked {  // by whom this node was asked to propose
     std::string from;
     std::uint64_t req = 0;
-    std::uint64_t turn = 0;  // what it held
+    std::uint64_t revision = 0;  // what it held
   };
   std::map<std::uint64_t, Asked> asked_by;
 };
--- a/src/core/registered.cc
+++ b/src/core/registered.cc
@@ -1,16 +1,16 @@
 // A node whose workers register themselves: their words, routed requests, and what nodes tell of both (§12).
 #include <algorithm>
 
+#include "base/events.h"
+#include "base/guards.h"
 #include "core/node.h"
-#include "ground/events.h"
-#include "ground/guards.h"
 
 namespace pipit {
 
 namespace {
 constexpr Micros poll_gap = millis(500);
 constexpr Micros poll_wide = seconds(1);
-constexpr Micros poll_rare = seconds(3);  // where pings bring news of turns already
+constexpr Micros poll_rare = seconds(3);  // where pings bring news of revisions already
 }  // namespace
 
 void Node::put_entry(wire::EntryT entry, Micros now, NodeOut& out) {
@@ -49,7 +49,7 @@
     best = plan.name;
     keeps = plan.keeper;
   }
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     Peer const& peer = item.second;
     if (peer.wire == 0 || peer.state() != State::alive || peer.member.zone != zone) continue;
     bool const better =
@@ -65,7 +65,7 @@
   Paths out;
   out.wide = mesh.wide();
   std::set<std::string> zones;
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     Peer const& peer = item.second;
     if (peer.wire == 0 || peer.state() != State::alive) continue;
     if (!out.wide)
@@ -88,16 +88,16 @@
 
 void Node::exchange_now(Micros now, NodeOut& out) {
   if (mesh.wide()) return;  // words of many nodes wait for the tick, so that more of them go together
-  std::vector<Letter> letters;
-  exchange.tick(now, paths(), letters);
-  dispatch(letters, now, out);
+  std::vector<OutgoingMessage> outgoing;
+  exchange.tick(now, paths(), outgoing);
+  dispatch(outgoing, now, out);
 }
 
 // §12.7: a keeper brings a chosen value to its part of its zone's other nodes.
 void Node::forward(wire::ChosenT const& news, NodeOut& out) {
   if (!plan.keeper) return;
   std::vector<std::string> hands{plan.name};
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers)
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.member.keeper && item.second.member.zone == plan.zone && item.second.wire != 0 &&
         item.second.state() == State::alive)
       hands.push_back(item.first);
@@ -108,7 +108,7 @@
   if (news.value) copy.value = std::make_unique<wire::ValueT>(*news.value);
   if (news.patch) copy.patch = std::make_unique<wire::ValuePatchT>(*news.patch);
   std::string const bytes = encode_body(std::move(copy));
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     Peer const& peer = item.second;
     if (peer.wire == 0 || peer.member.keeper || item.first == news.origin) continue;
     if (peer.member.zone == plan.zone &&
@@ -123,7 +123,7 @@
   return acceptor ? poll_wide : poll_rare;
 }
 
-void Node::tick_registered(Micros now, std::vector<Letter>& letters, NodeOut& out) {
+void Node::tick_registered(Micros now, std::vector<OutgoingMessage>& outgoing, NodeOut& out) {
   Paths const ways = paths();
   // §12.7: an owner tells every peer itself; a hub tells its zone besides, for pairs that have no connection.
   mesh.ledger.passes_on = !ways.wide;
@@ -131,10 +131,10 @@
   if (ways.hub) mesh.ledger.pass_to.insert(ways.zone.begin(), ways.zone.end());
   if (now >= next_round) {
     next_round = now + seconds(1);
-    tide.round(
-        now, {}, [this](std::string const& model) { return bounds(model); }, letters);
+    index_sync.round(
+        now, {}, [this](std::string const& model) { return bounds(model); }, outgoing);
   }
-  tide.tick(now, tide_peers(), letters);
+  index_sync.tick(now, index_peers(), outgoing);
   if (now >= next_reconcile) {
     // §4.4: what the ledger holds and the table lost.
     next_reconcile = now + seconds(30);
@@ -146,7 +146,7 @@
   dispatcher.nodes(passages(true).size(), mesh.wide());
   look_ready(now, out);
   dispatcher.tick(now, out.dispatch);
-  exchange.tick(now, ways, letters);
+  exchange.tick(now, ways, outgoing);
 }
 
 }  // namespace pipit
--- a/src/flow/errand/desk.cc
+++ b/src/flow/errand/desk.cc
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 
-#include "ground/guards.h"
-#include "ground/events.h"
-#include "ground/mix.h"
+#include "base/events.h"
+#include "base/guards.h"
+#include "base/hash.h"
 
 namespace pipit {
 
@@ -15,8 +15,8 @@
 constexpr double bucket_most = 2.0;
 }  // namespace
 
-void Desk::in_force(std::shared_ptr<Creed const> creed_, std::set<std::string> emptied_) {
-  rules = std::move(creed_);
+void Desk::in_force(std::shared_ptr<Description const> description_, std::set<std::string> emptied_) {
+  rules = std::move(description_);
   shut = std::move(emptied_);
 }
 
@@ -32,10 +32,12 @@
   if (wait == 0) wait = row.wait;
   // A crowd that is refused must not come back in one wave: the time is spread over as much again.
   if (fault.kind == Kind::crowded || fault.kind == Kind::backlog_full || fault.kind == Kind::expired)
-    wait += static_cast<Micros>(stir(errand.id ^ mix(self)) % static_cast<std::uint64_t>(std::max<Micros>(1, wait)));
+    wait += static_cast<Micros>(hash_bits(errand.id ^ hash_text(self)) %
+                                static_cast<std::uint64_t>(std::max<Micros>(1, wait)));
   if (ran == Ran::no && wait == 0 && row.status >= 429) wait = millis(1000);
-  tell(Event::errand_refused, std::string(row.name) + " lane " + (errand.lane == nullptr ? "-" : errand.lane->name) +
-                                  " ran " + ran_word(ran) + " back in " + std::to_string(wait / 1000) + " ms");
+  log_event(Event::errand_refused, std::string(row.name) + " lane " +
+                                       (errand.lane == nullptr ? "-" : errand.lane->name) + " ran " + ran_word(ran) +
+                                       " back in " + std::to_string(wait / 1000) + " ms");
   out.ends.push_back(Verdict{errand.id, std::move(fault), ran, wait});
   erase(errand);
 }
@@ -131,7 +133,7 @@
   Micros soonest = -1;
   std::int64_t cold_shares = 0;  // of workers that are free but cold
   Micros cold_ends = -1;
-  std::map<std::string, std::size_t> const hits = tide.index(errand.model).match(errand.ask.path);
+  std::map<std::string, std::size_t> const hits = index_sync.index(errand.model).match(errand.ask.path);
   for (Binding::Choice const& way : errand.lane->binding.pools) {
     Pool const* const pool = errand.rules->pool(way.pool);
     std::int64_t slots = 0;
@@ -231,7 +233,7 @@
   } else {
     ++tally.resends;
     bucket -= 1.0;
-    tell(Event::leg_resent, errand.worker);
+    log_event(Event::leg_resent, errand.worker);
   }
   if (worker.row.zone != zone) ++tally.far_sends;
   worker.legs.insert(now);
@@ -239,8 +241,9 @@
   while (!worker.sends.empty() && now - worker.sends.front() >= Fleet::cold_window) worker.sends.pop_front();
   worker.sends.push_back(now);
   Index::Bounds const bounds{static_cast<std::size_t>(pool.cache_blocks), pool.cache_age};
-  tide.queue(errand.model,
-             tide.index(errand.model).touch(errand.ask.path, worker.row.id, worker.row.incarnation, bounds, now));
+  index_sync.queue(
+      errand.model,
+      index_sync.index(errand.model).touch(errand.ask.path, worker.row.id, worker.row.incarnation, bounds, now));
   out.starts.push_back(Start{errand.id, errand.legs, worker.row.id, worker.row.address, errand.lane->policy.answer,
                              errand.lane->policy.stall});
 }
@@ -325,7 +328,7 @@
       (end == LegEnd::unreached || end == LegEnd::broke || end == LegEnd::silent || end == LegEnd::torn) &&
       fleet.doubt(errand.worker, errand.life, now))
     out.doubts.emplace_back(errand.worker, errand.life);
-  tell(Event::leg_failed, errand.worker + " " + kind_row(kind).name + " " + why);
+  log_event(Event::leg_failed, errand.worker + " " + kind_row(kind).name + " " + why);
   bool const may_repeat = errand.safe || !errand.left || !guard(Guard::never_repeat);
   bool const again = !errand.begun && may_repeat && !draining && errand.legs < errand.lane->policy.tries &&
                      now < errand.due + errand.lane->policy.answer && (bucket >= 1.0 || !guard(Guard::bucket));
--- a/src/flow/fleet/fleet.cc
+++ b/src/flow/fleet/fleet.cc
@@ -4,10 +4,10 @@
 
 #include <algorithm>
 
-#include "ground/guards.h"
-#include "ground/events.h"
-#include "ground/ip.h"
-#include "ground/mix.h"
+#include "base/events.h"
+#include "base/guards.h"
+#include "base/hash.h"
+#include "base/ip.h"
 
 namespace pipit {
 
@@ -49,17 +49,17 @@
   return out;
 }
 
-Result<Vitals> read_vitals(std::string_view text) {
+Result<HealthReport> read_health_report(std::string_view text) {
   simdjson::dom::parser parser;
   simdjson::dom::element root;
-  Vitals out;
+  HealthReport out;
   std::int64_t active = 0;
   std::int64_t queued = 0;
   std::int64_t awake = 0;
   if (parser.parse(simdjson::padded_string(text)).get(root) || root["incarnation"].get_uint64().get(out.incarnation) ||
       root["active"].get_int64().get(active) || root["queued"].get_int64().get(queued) ||
       root["awake_ms"].get_int64().get(awake))
-    return fail(Kind::worker_wrong, "the vitals cannot be read");
+    return fail(Kind::worker_wrong, "the health report cannot be read");
   out.demand = active + queued;
   out.awake = millis(awake);
   return out;
@@ -83,14 +83,14 @@
   worker.misses = 0;
   worker.demand = 0;
   reborn.push_back(worker.row.id);
-  tell(Event::worker_joined, worker.row.id + " incarnation " + std::to_string(incarnation));
+  log_event(Event::worker_joined, worker.row.id + " incarnation " + std::to_string(incarnation));
 }
 
 void Fleet::bury(Worker& worker, Standing standing) {
   if (worker.standing == Standing::serving || standing == Standing::gone) worker.standing = standing;
   worker.buried = std::max(worker.buried, worker.row.incarnation);
   worker.seen_again = 0;
-  tell(standing == Standing::gone ? Event::worker_gone : Event::worker_leaving, worker.row.id);
+  log_event(standing == Standing::gone ? Event::worker_gone : Event::worker_leaving, worker.row.id);
 }
 
 void Fleet::take_list(std::vector<ListRow> const& rows, Micros now) {
@@ -178,8 +178,8 @@
   }
 }
 
-void Fleet::vitals(std::string const& id, std::uint64_t life, Micros asked, std::optional<Vitals> const& report,
-                   bool refused, Micros now) {
+void Fleet::health_report(std::string const& id, std::uint64_t life, Micros asked,
+                          std::optional<HealthReport> const& report, bool refused, Micros now) {
   Worker* const worker = find(id);
   if (worker == nullptr || life != worker->row.incarnation) return;
   if (!report) {
@@ -187,7 +187,7 @@
     worker->asked = -1;
     if (!worker->dark && (refused || worker->misses >= 2)) {
       worker->dark = true;
-      tell(Event::worker_dark, id);
+      log_event(Event::worker_dark, id);
     }
     return;
   }
@@ -212,7 +212,7 @@
     // machine's clock began has been warm for all of it: below 0 would say that nothing is known.
     worker->woke = worker->ever ? now : std::max<Micros>(0, now - report->awake);
     worker->dark = false;
-    if (worker->ever) tell(Event::worker_back, id);
+    if (worker->ever) log_event(Event::worker_back, id);
     worker->ever = true;
   }
 }
@@ -299,23 +299,23 @@
 }
 
 std::size_t rendezvous_rank(std::string const& key, std::string const& self, std::set<std::string> const& names) {
-  std::uint64_t const seed = mix(key);
-  std::uint64_t const own = mix(self, seed);
+  std::uint64_t const seed = hash_text(key);
+  std::uint64_t const own = hash_text(self, seed);
   std::size_t rank = 0;
   for (std::string const& name : names) {
-    std::uint64_t const other = mix(name, seed);
+    std::uint64_t const other = hash_text(name, seed);
     if (name != self && (other > own || (other == own && name < self))) ++rank;
   }
   return rank;
 }
 
 std::string rendezvous(std::string const& key, std::set<std::string> const& names) {
-  std::uint64_t const seed = mix(key);
+  std::uint64_t const seed = hash_text(key);
   std::string const* first = nullptr;
   std::uint64_t most = 0;
   // Of equal hashes the name that sorts first goes before, as in rendezvous_rank().
   for (std::string const& name : names) {
-    std::uint64_t const own = mix(name, seed);
+    std::uint64_t const own = hash_text(name, seed);
     if (first != nullptr && own <= most) continue;
     first = &name;
     most = own;
--- a/src/flow/index/index.h
+++ b/src/flow/index/index.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
+#include "base/micros.h"
 #include "flow/index/path.h"
-#include "ground/micros.h"
 #include "wire_generated.h"
 
 namespace pipit {
--- a/src/flow/index/tide.cc
+++ b/src/flow/index/index_sync.cc
@@ -1,6 +1,6 @@
-#include "flow/index/tide.h"
+#include "flow/index/index_sync.h"
 
-#include "ground/events.h"
+#include "base/events.h"
 
 namespace pipit {
 
@@ -11,7 +11,7 @@
 constexpr Micros pull_gap = seconds(5);
 }  // namespace
 
-void Tide::queue(std::string const& model, wire::DeltaT delta) {
+void IndexSync::queue(std::string const& model, wire::DeltaT delta) {
   if (delta.base == 0 && delta.tail.empty()) return;
   std::vector<wire::DeltaT>& list = backlog[model];
   if (list.size() >= backlog_most) {
@@ -21,8 +21,8 @@
   list.push_back(std::move(delta));
 }
 
-void Tide::round(Micros now, std::vector<std::pair<std::string, std::vector<std::string>>> const& peers,
-                 BoundsOf const& bounds, std::vector<Letter>& out) {
+void IndexSync::round(Micros now, std::vector<std::pair<std::string, std::vector<std::string>>> const& peers,
+                      BoundsOf const& bounds, std::vector<OutgoingMessage>& out) {
   for (std::pair<std::string const, std::vector<wire::DeltaT>>& item : backlog) {
     if (item.second.empty()) continue;
     wire::DeltasT batch;
@@ -32,7 +32,7 @@
     for (std::pair<std::string, std::vector<std::string>> const& peer : peers) {
       bool serves = peer.second.empty();
       for (std::string const& model : peer.second) serves = serves || model == item.first;
-      if (serves) out.push_back(letter(peer.first, wire::DeltasT(batch)));
+      if (serves) out.push_back(message_to(peer.first, wire::DeltasT(batch)));
     }
   }
   for (std::pair<std::string const, Index>& item : trees) item.second.age(bounds(item.first), now);
@@ -40,15 +40,15 @@
     it = now - it->second.at > seconds(15) ? shots.erase(it) : std::next(it);
 }
 
-void Tide::ask(std::string const& model, Pull& pull, Micros now, std::vector<std::string> const& peers,
-               std::vector<Letter>& out) {
+void IndexSync::ask(std::string const& model, Pull& pull, Micros now, std::vector<std::string> const& peers,
+                    std::vector<OutgoingMessage>& out) {
   if (peers.empty()) {
     pull.live = false;
     pull.ended = now;
     return;
   }
   // Another peer than the one that stalled, where there is one.
-  std::string pick = peers[dice.below(peers.size())];
+  std::string pick = peers[random.below(peers.size())];
   if (pick == pull.from && peers.size() > 1)
     for (std::string const& other : peers)
       if (other != pull.from) pick = other;
@@ -60,15 +60,15 @@
   wire::TreeAskT req;
   req.model = model;
   req.pull = pull.number;
-  out.push_back(letter(pick, std::move(req)));
+  out.push_back(message_to(pick, std::move(req)));
 }
 
-void Tide::tick(Micros now, std::vector<std::string> const& peers, std::vector<Letter>& out) {
+void IndexSync::tick(Micros now, std::vector<std::string> const& peers, std::vector<OutgoingMessage>& out) {
   for (std::pair<std::string const, Pull>& item : pulling) {
     Pull& pull = item.second;
     if (!pull.live || now - pull.moved < stall) continue;
     ++stalls;
-    tell(Event::tree_stalled, item.first + " from " + pull.from);
+    log_event(Event::tree_stalled, item.first + " from " + pull.from);
     if (pull.tries > 3) {
       pull.live = false;
       pull.ended = now;
@@ -78,8 +78,8 @@
   }
 }
 
-void Tide::take(std::string const& from, wire::BodyUnion const& body, Micros now, BoundsOf const& bounds,
-                PeersOf const& peers, std::vector<Letter>& out) {
+void IndexSync::take(std::string const& from, wire::BodyUnion const& body, Micros now, BoundsOf const& bounds,
+                     PeersOf const& peers, std::vector<OutgoingMessage>& out) {
   if (wire::DeltasT const* const batch = body.AsDeltas()) {
     Index& tree = trees[batch->model];
     Index::Bounds const bound = bounds(batch->model);
@@ -116,7 +116,7 @@
       page.last = at >= shot.order.size();
       if (page.last) shots.erase({from, req->pull});
     }
-    out.push_back(letter(from, std::move(page)));
+    out.push_back(message_to(from, std::move(page)));
     return;
   }
   if (wire::TreePageT const* const page = body.AsTreePage()) {
@@ -131,18 +131,18 @@
     if (page->last) {
       pull.live = false;
       pull.ended = now;
-      tell(Event::tree_pulled, page->model + " from " + from);
+      log_event(Event::tree_pulled, page->model + " from " + from);
       return;
     }
     wire::TreeAskT req;
     req.model = page->model;
     req.pull = pull.number;
     req.page = ++pull.page;
-    out.push_back(letter(from, std::move(req)));
+    out.push_back(message_to(from, std::move(req)));
   }
 }
 
-void Tide::forget(std::string const& worker) {
+void IndexSync::forget(std::string const& worker) {
   for (std::pair<std::string const, Index>& item : trees) item.second.forget(worker);
 }
 
--- a/src/flow/registry/registry.h
+++ b/src/flow/registry/registry.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "ground/micros.h"
-#include "kin/ledger/ledger.h"
+#include "base/micros.h"
+#include "mesh/ledger/ledger.h"
 
 namespace pipit {
 
--- a/src/gate/relay/relay.h
+++ b/src/gate/relay/relay.h
@@ -31,12 +31,12 @@
 
 class Relay {
  public:
-  struct Ears {
+  struct Callbacks {
     std::function<void(std::uint64_t, Query)> request;
     std::function<void(std::uint64_t, AttemptEnd, bool elsewhere)> ended;
     std::function<void(std::uint64_t)> gone;
   };
-  Relay(Dispatcher& dispatcher_, Dialect dialect_, std::string own_host, Ears ears_);
+  Relay(Dispatcher& dispatcher_, Dialect dialect_, std::string own_host, Callbacks callbacks_);
 
   Result<void> listen(std::string const& address) { return server.listen(address); }
   void act(DispatchOut& out);
@@ -82,7 +82,7 @@
   Dispatcher& dispatcher;
   Dialect const dialect;
   std::vector<std::string> const end_to_end;
-  Ears ears;
+  Callbacks callbacks;
   std::map<std::uint64_t, Caller> callers;
 };
 
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -5,9 +5,9 @@
 
 #include <iostream>
 
-#include "ground/events.h"
-#include "ground/jot.h"
-#include "ground/random_seed.h"
+#include "base/events.h"
+#include "base/json_writer.h"
+#include "base/random_seed.h"
 
 namespace pipit {
 
@@ -25,13 +25,13 @@
   relay.reset();
   control_server.reset();
   ready_server.reset();
-  wires.reset();
+  connections.reset();
   disk.reset();
   g_main_loop_unref(loop);
 }
 
 Result<void> Station::open() {
-  std::optional<wire::RecordT> slate;
+  std::optional<wire::RecordT> recovered;
   std::unique_ptr<PosixDisk> posix;
   std::unique_ptr<RecordStore> ring;
   if (!plan.data.empty()) {
@@ -42,18 +42,18 @@
     // A disk that is full or hangs when the process starts is waited for: without it the node is no keeper.
     Result<wire::RecordT> opened = ring->open(fresh, blank);
     for (int tries = 0; !opened && opened.error().kind == Kind::bad_disk && tries < 50; ++tries) {
-      if (tries == 0) tell(Event::disk_waits, opened.error().why);
+      if (tries == 0) log_event(Event::disk_waits, opened.error().why);
       g_usleep(100000);
       opened = ring->open(fresh, blank);
     }
     if (!opened) return opened.as_failure();
-    slate = std::move(opened.value());
-    tell(blank ? Event::keeper_blank : Event::keeper_back,
-         "serial " + std::to_string(slate->value ? slate->value->serial : 0));
+    recovered = std::move(opened.value());
+    log_event(blank ? Event::keeper_blank : Event::keeper_back,
+              "serial " + std::to_string(recovered->value ? recovered->value->serial : 0));
   }
-  node = std::make_unique<Node>(plan.node, now(), std::move(slate));
+  node = std::make_unique<Node>(plan.node, now(), std::move(recovered));
 
-  Wires::Ears we;
+  Connections::Callbacks we;
   we.opened = [this](WireId id, bool outbound, std::string const& address) {
     NodeOut out;
     node->opened(id, outbound, address, now(), out);
@@ -75,9 +75,9 @@
     act(out);
     return good;
   };
-  wires = std::make_unique<Wires>(std::move(we));
+  connections = std::make_unique<Connections>(std::move(we));
 
-  Relay::Ears re;
+  Relay::Callbacks re;
   re.request = [this](std::uint64_t id, Query query) {
     NodeOut out;
     node->request(id, std::move(query), now(), out);
@@ -91,12 +91,12 @@
   re.gone = [this](std::uint64_t id) { node->dispatcher.hung_up(id, now()); };
   relay = std::make_unique<Relay>(node->dispatcher, plan.dialect, plan.own_host, std::move(re));
   control_server = std::make_unique<Server>(
-      Server::Ears{[this](Server::Call&& call) { on_call(std::move(call)); }, [](std::uint64_t) {}});
+      Server::Callbacks{[this](Server::Call&& call) { on_call(std::move(call)); }, [](std::uint64_t) {}});
   Server::Limits wide;
   wide.body_most = plan.control_body;
   control_server->limit(wide);
   ready_server = std::make_unique<Server>(
-      Server::Ears{[this](Server::Call&& call) { on_ready(std::move(call)); }, [](std::uint64_t) {}});
+      Server::Callbacks{[this](Server::Call&& call) { on_ready(std::move(call)); }, [](std::uint64_t) {}});
 
   if (ring)
     disk = std::make_unique<DiskTask>(
@@ -107,7 +107,7 @@
           act(out);
         },
         true);
-  Result<void> done = wires->listen(plan.node.address);
+  Result<void> done = connections->listen(plan.node.address);
   if (done && !plan.control.empty()) done = control_server->listen(plan.control);
   if (done && !plan.ready.empty()) done = ready_server->listen(plan.ready);
   if (done && !plan.front.empty()) done = relay->listen(plan.front);
@@ -117,9 +117,9 @@
 // The executor: obeys what the core decided.
 void Station::act(NodeOut& out) {
   if (out.save && disk) disk->save(std::move(*out.save));
-  for (std::string const& address : out.mesh.dials) wires->dial(address);
-  for (Sends::Send& send : out.mesh.sends) wires->send(send.wire, send.bytes);
-  for (WireId const id : out.mesh.shuts) wires->shut(id);
+  for (std::string const& address : out.mesh.dials) connections->dial(address);
+  for (Sends::Send& send : out.mesh.sends) connections->send(send.wire, send.bytes);
+  for (WireId const id : out.mesh.shuts) connections->shut(id);
   if (!out.dispatch.empty()) relay->act(out.dispatch);
   std::vector<Reply> const replies = std::move(out.replies);
   for (Reply const& item : replies) {
@@ -129,8 +129,8 @@
     asked.erase(spot);
     done(item);
   }
-  if (limits_of != node->dispatcher.creed()) {
-    limits_of = node->dispatcher.creed();
+  if (limits_of != node->dispatcher.description()) {
+    limits_of = node->dispatcher.description();
     relay->limits(limits_of->limits);
   }
 }
@@ -186,42 +186,57 @@
 }
 
 std::string Station::status() const {
-  Jot jot;
-  jot.open().key("name").text(plan.node.name).key("role").text("passage").key("zone").text(plan.node.zone);
-  jot.key("keeper").truth(plan.node.keeper).key("ready").truth(node->ready()).key("draining").truth(stop_from >= 0);
-  jot.key("serial").number(static_cast<std::int64_t>(node->learner.serial()));
-  jot.key("label").number(static_cast<std::int64_t>(label()));
-  jot.key("emptied").list().unlist().key("keepers").list();
-  for (wire::KeeperT const& keeper : node->learner.membership().keepers) jot.text(keeper.name);
-  jot.unlist().key("epoch").number(static_cast<std::int64_t>(node->learner.membership().epoch)).key("peers").list();
-  for (std::pair<std::string const, Peer> const& item : node->mesh.roll.peers) {
+  JsonWriter json;
+  json.begin_object().key("name").text(plan.node.name).key("role").text("passage").key("zone").text(plan.node.zone);
+  json.key("keeper")
+      .boolean(plan.node.keeper)
+      .key("ready")
+      .boolean(node->ready())
+      .key("draining")
+      .boolean(stop_from >= 0);
+  json.key("serial").number(static_cast<std::int64_t>(node->learner.serial()));
+  json.key("label").number(static_cast<std::int64_t>(label()));
+  json.key("emptied").begin_list().end_list().key("keepers").begin_list();
+  for (wire::KeeperT const& keeper : node->learner.membership().keepers) json.text(keeper.name);
+  json.end_list()
+      .key("epoch")
+      .number(static_cast<std::int64_t>(node->learner.membership().epoch))
+      .key("peers")
+      .begin_list();
+  for (std::pair<std::string const, Peer> const& item : node->mesh.members.peers) {
     Peer const& peer = item.second;
-    jot.open().key("name").text(item.first).key("state").text(state_word(peer.state()));
-    jot.key("wire").truth(peer.wire != 0).key("role").text("passage").key("zone").text(peer.member.zone);
-    jot.key("http").text(peer.member.http).key("keeper").truth(peer.member.keeper);
-    jot.key("serial")
+    json.begin_object().key("name").text(item.first).key("state").text(state_word(peer.state()));
+    json.key("wire").boolean(peer.wire != 0).key("role").text("passage").key("zone").text(peer.member.zone);
+    json.key("http").text(peer.member.http).key("keeper").boolean(peer.member.keeper);
+    json.key("serial")
         .number(static_cast<std::int64_t>(peer.member.serial))
         .key("ready")
-        .truth(peer.member.ready)
-        .shut();
+        .boolean(peer.member.ready)
+        .end_object();
   }
-  jot.unlist().key("workers").list();
+  json.end_list().key("workers").begin_list();
   for (std::pair<std::string const, Instance> const& item : node->registry.all) {
     Instance const& at = item.second;
     static char const* const words[] = {"serving", "leaving", "gone"};
-    jot.open().key("id").text(at.id).key("zone").text(at.zone).key("pool").text(at.pool);
-    jot.key("standing").text(words[static_cast<std::size_t>(at.standing)]).key("owner").text(at.owner);
-    jot.key("doubted").truth(at.doubted >= 0).key("slots").number(at.slots).key("demand").number(at.load(now())).shut();
+    json.begin_object().key("id").text(at.id).key("zone").text(at.zone).key("pool").text(at.pool);
+    json.key("standing").text(words[static_cast<std::size_t>(at.standing)]).key("owner").text(at.owner);
+    json.key("doubted")
+        .boolean(at.doubted >= 0)
+        .key("slots")
+        .number(at.slots)
+        .key("demand")
+        .number(at.load(now()))
+        .end_object();
   }
-  jot.unlist().key("under_way").number(static_cast<std::int64_t>(node->dispatcher.under_way())).shut();
-  return jot.take();
+  json.end_list().key("under_way").number(static_cast<std::int64_t>(node->dispatcher.under_way())).end_object();
+  return json.take();
 }
 
 std::string Station::metrics() const {
   DispatchTally const& t = node->dispatcher.tally;
   struct Row {
     char const* name;
-    char const* sort;
+    char const* type;
     std::uint64_t value;
   };
   Row const rows[] = {
@@ -240,8 +255,8 @@
       {"pipit_connections_dialled_total", "counter", relay->upstream.dialled},
       {"pipit_connections_reused_total", "counter", relay->upstream.reused},
       {"pipit_frames_in_total", "counter", node->mesh.frames_in},
-      {"pipit_deltas_dropped_total", "counter", node->tide.dropped},
-      {"pipit_tree_pulls_total", "counter", node->tide.pulls},
+      {"pipit_deltas_dropped_total", "counter", node->index_sync.dropped},
+      {"pipit_tree_pulls_total", "counter", node->index_sync.pulls},
       {"pipit_clock_jumps_total", "counter", node->jumps},
       {"pipit_serial", "gauge", node->learner.serial()},
       {"pipit_ready", "gauge", node->ready() ? 1u : 0u},
@@ -251,7 +266,7 @@
   std::string out;
   for (Row const& row : rows)
     out +=
-        std::string("# TYPE ") + row.name + " " + row.sort + "\n" + row.name + " " + std::to_string(row.value) + "\n";
+        std::string("# TYPE ") + row.name + " " + row.type + "\n" + row.name + " " + std::to_string(row.value) + "\n";
   out += "# TYPE pipit_answers_total counter\n";
   for (std::pair<std::string const, std::uint64_t> const& item : relay->kinds)
     out += "pipit_answers_total{kind=\"" + item.first + "\"} " + std::to_string(item.second) + "\n";
@@ -263,7 +278,7 @@
   stop_from = now();
   relay->server.closing();
   node->retire();
-  tell(Event::grace_began, "");
+  log_event(Event::grace_began, "");
 }
 
 // §12.6: first only the word that no new callers are wanted; then the doors; then what is under way comes to its end.
@@ -330,13 +345,13 @@
         return G_SOURCE_CONTINUE;
       },
       this);
-  tell(Event::started, plan.front + " mesh " + plan.node.address);
+  log_event(Event::started, plan.front + " mesh " + plan.node.address);
   g_main_loop_run(loop);
   g_source_remove(ticker);
   g_source_remove(term);
   g_source_remove(interrupt);
   g_source_remove(hup);
-  tell(Event::stopped, "");
+  log_event(Event::stopped, "");
   std::cout.flush();
   // A disk that hangs must not hold the end up: whatever it has not synced was answered to nobody.
   ::_exit(0);
--- a/src/gate/station/station.h
+++ b/src/gate/station/station.h
@@ -8,8 +8,8 @@
 
 #include "core/node.h"
 #include "gate/relay/relay.h"
-#include "hull/disk/disk_task.h"
-#include "hull/wire/wires.h"
+#include "runtime/disk/disk_task.h"
+#include "runtime/mesh/connections.h"
 
 using GMainLoop = struct _GMainLoop;
 
@@ -53,7 +53,7 @@
   void operate(Change change, Done done);
   void reseed(std::vector<std::string> const& addresses) { node->mesh.reseed(addresses); }
   // The description in force here, with the operators' own number for it.
-  std::shared_ptr<Creed const> const& creed() const { return node->dispatcher.creed(); }
+  std::shared_ptr<Description const> const& description() const { return node->dispatcher.description(); }
   std::uint64_t label() const { return node->learner.value ? node->learner.value->label : 0; }
   // The word to stop: what is under way comes to its end first.
   void stop();
@@ -72,7 +72,7 @@
   StationPlan const plan;
   GMainLoop* loop;
   std::unique_ptr<Node> node;
-  std::unique_ptr<Wires> wires;
+  std::unique_ptr<Connections> connections;
   std::unique_ptr<Relay> relay;
   std::unique_ptr<Server> control_server;
   std::unique_ptr<Server> ready_server;
@@ -81,7 +81,7 @@
   Look look;
   std::map<std::uint64_t, Done> asked;
   std::uint64_t next_ask = 0;
-  std::shared_ptr<Creed const> limits_of;
+  std::shared_ptr<Description const> limits_of;
   Micros next_sweep = 0;
   Micros next_look = 0;
   Micros stop_from = -1;
--- a/src/hull/host.cc
+++ b/src/runtime/host.cc
@@ -1,16 +1,16 @@
-#include "hull/host.h"
+#include "runtime/host.h"
 
 #include <glib-unix.h>
 #include <unistd.h>
 
 #include <cstdio>
 
-#include "canon/creed/creed.h"
+#include "base/events.h"
+#include "base/faults.h"
+#include "base/json_writer.h"
+#include "base/random_seed.h"
+#include "config/description/description.h"
 #include "flow/errand/parse.h"
-#include "ground/events.h"
-#include "ground/faults.h"
-#include "ground/jot.h"
-#include "ground/random_seed.h"
 
 namespace pipit {
 
@@ -19,7 +19,7 @@
 constexpr guint tick_ms = 25;
 }  // namespace
 
-Host::Host(Settings settings_, Role role_, std::optional<wire::RecordT> slate, std::unique_ptr<PosixDisk> disk_,
+Host::Host(Settings settings_, Role role_, std::optional<wire::RecordT> recovered, std::unique_ptr<PosixDisk> disk_,
            std::unique_ptr<RecordStore> store)
     : settings(std::move(settings_)), role(role_), loop(g_main_loop_new(nullptr, FALSE)) {
   NodePlan plan;
@@ -34,9 +34,9 @@
   plan.founders = settings.founders;
   plan.incarnation = static_cast<std::uint64_t>(g_get_real_time());
   plan.chance = random_seed();
-  node = std::make_unique<Node>(plan, now(), std::move(slate));
+  node = std::make_unique<Node>(plan, now(), std::move(recovered));
 
-  Wires::Ears we;
+  Connections::Callbacks we;
   we.opened = [this](WireId id, bool outbound, std::string const& address) {
     NodeOut out;
     node->opened(id, outbound, address, now(), out);
@@ -44,7 +44,7 @@
   };
   we.shut = [this](WireId id) {
     NodeOut out;
-    wire_names.erase(id);
+    connection_names.erase(id);
     node->shut(id, now(), out);
     act(out);
   };
@@ -61,9 +61,9 @@
     act(out);
     return good;
   };
-  wires = std::make_unique<Wires>(std::move(we));
+  connections = std::make_unique<Connections>(std::move(we));
 
-  Legs::Ears le;
+  Legs::Callbacks le;
   le.sent = [this](std::uint64_t id) { node->leg_sent(id); };
   le.piece = [this](std::uint64_t id, std::string const& event) {
     std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
@@ -95,7 +95,7 @@
   };
   legs = std::make_unique<Legs>(std::move(le));
 
-  Front::Ears fe;
+  Front::Callbacks fe;
   fe.call = [this](Front::Call const& call) { on_call(call); };
   fe.gone = [this](std::uint64_t id) {
     asked.erase(id);
@@ -104,13 +104,13 @@
     node->hung_up(id, now(), out);
     act(out);
   };
-  front = std::make_unique<Front>(std::move(fe), std::max(settings.body, creed_limit + 4096));
+  front = std::make_unique<Front>(std::move(fe), std::max(settings.body, description_limit + 4096));
 
   if (store)
     disk = std::make_unique<DiskTask>(std::move(disk_), std::move(store), [this](bool good, std::string const& why) {
       if (!good) {
         // §5.6: after a failed sync nothing is known of what the disk holds; the keeper must not speak again.
-        tell(Event::disk_failed, why);
+        log_event(Event::disk_failed, why);
         code = 3;
         g_main_loop_quit(loop);
         return;
@@ -125,32 +125,32 @@
   if (ticker != 0) g_source_remove(ticker);
   front.reset();
   legs.reset();
-  wires.reset();
+  connections.reset();
   disk.reset();
   g_main_loop_unref(loop);
 }
 
 Result<void> Host::listen() {
-  Result<void> done = wires->listen(settings.mesh);
+  Result<void> done = connections->listen(settings.mesh);
   if (!done) return done;
   return front->listen(settings.http);
 }
 
 bool Host::dropped_in(WireId id, std::string_view frame) {
-  std::string name = wire_names.count(id) ? wire_names[id] : "";
+  std::string name = connection_names.count(id) ? connection_names[id] : "";
   if (name.empty()) {
     Result<std::unique_ptr<wire::FrameT>> seen = decode(frame);
     if (seen && seen.value()->body.type == wire::Body::Hello && seen.value()->body.AsHello()->self) {
       name = seen.value()->body.AsHello()->self->name;
-      wire_names[id] = name;
+      connection_names[id] = name;
     }
   }
   return fires_for(Point::cut_in, name);
 }
 
 bool Host::dropped_out(WireId id, std::string const& frame) {
-  std::map<WireId, std::string>::const_iterator const spot = wire_names.find(id);
-  if (spot != wire_names.end() && fires_for(Point::cut_out, spot->second)) return true;
+  std::map<WireId, std::string>::const_iterator const spot = connection_names.find(id);
+  if (spot != connection_names.end() && fires_for(Point::cut_out, spot->second)) return true;
   wire::Frame const* const seen = flatbuffers::GetSizePrefixedRoot<wire::Frame>(frame.data());
   switch (seen->body_type()) {
     case wire::Body::Chosen:
@@ -175,7 +175,7 @@
 // The executor: obeys what the core decided.
 void Host::act(NodeOut& out) {
   if (out.save) disk->save(std::move(*out.save));
-  for (std::string const& address : out.mesh.dials) wires->dial(address);
+  for (std::string const& address : out.mesh.dials) connections->dial(address);
   for (Sends::Send& send : out.mesh.sends) {
     if (settings.faults && dropped_out(send.wire, send.bytes)) continue;
     wire_bytes += send.bytes.size();
@@ -183,11 +183,11 @@
     frame_bytes[flatbuffers::GetSizePrefixedRoot<wire::Frame>(send.bytes.data())->body_type()] += send.bytes.size();
     if (settings.faults && fires(Point::wire_garbage))
       for (std::size_t i = 4; i < send.bytes.size(); ++i) send.bytes[i] = static_cast<char>(send.bytes[i] ^ 0x5a);
-    wires->send(send.wire, send.bytes);
+    connections->send(send.wire, send.bytes);
   }
   for (WireId const id : out.mesh.shuts) {
-    wire_names.erase(id);
-    wires->shut(id);
+    connection_names.erase(id);
+    connections->shut(id);
   }
   for (Start const& start : out.desk.starts) {
     std::map<std::uint64_t, Caller>::iterator const spot = callers.find(start.errand);
@@ -222,18 +222,18 @@
   for (Check const& check : out.checks) {
     if (fires_for(Point::cut_workers, check.worker) || fires(Point::vitals_fail)) {
       NodeOut more;
-      node->vitals(check, std::nullopt, false, now(), more);
+      node->health_report(check, std::nullopt, false, now(), more);
       act(more);
       continue;
     }
     legs->get(check.address, "/vitals", millis(1000), [this, check](bool good, bool refused, std::string const& body) {
-      std::optional<Vitals> report;
+      std::optional<HealthReport> report;
       if (good) {
-        Result<Vitals> read = read_vitals(body);
+        Result<HealthReport> read = read_health_report(body);
         if (read) report = read.value();
       }
       NodeOut more;
-      node->vitals(check, report, refused, now(), more);
+      node->health_report(check, report, refused, now(), more);
       act(more);
     });
   }
@@ -252,7 +252,7 @@
   bool const begun = spot->second.begun;
   callers.erase(spot);
   if (begun) {
-    tell(Event::stream_broke, kind_row(verdict.fault.kind).name);
+    log_event(Event::stream_broke, kind_row(verdict.fault.kind).name);
     front->break_off(verdict.errand, "event: error\ndata: " + out.body + "\n\n");
   } else {
     front->answer(verdict.errand, out);
@@ -268,7 +268,7 @@
   }
   grace_until = now() + settings.grace;
   front->closing();
-  tell(Event::grace_began, "");
+  log_event(Event::grace_began, "");
 }
 
 void Host::look_drain() {
@@ -288,7 +288,7 @@
   std::string const flag = "--settings=" + settings.file;
   char const* const argv[] = {"reload", flag.c_str()};
   if (settings.file.empty()) {
-    tell(Event::settings_refused, "there is no settings file");
+    log_event(Event::settings_refused, "there is no settings file");
     return;
   }
   Result<Settings> fresh = read_settings(2, argv, role == Role::accord);
@@ -305,14 +305,14 @@
       why = "only platform, grace, drain and body can change without a restart";
   }
   if (!why.empty()) {
-    tell(Event::settings_refused, why);
+    log_event(Event::settings_refused, why);
     return;
   }
   settings.grace = fresh.value().grace;
   settings.drain = fresh.value().drain;
   settings.body = fresh.value().body;
   settings.platform = fresh.value().platform;
-  tell(Event::settings_taken, settings.file);
+  log_event(Event::settings_taken, settings.file);
 }
 
 int Host::run() {
@@ -354,12 +354,12 @@
         return G_SOURCE_CONTINUE;
       },
       this);
-  tell(Event::started, settings.http + " mesh " + settings.mesh);
+  log_event(Event::started, settings.http + " mesh " + settings.mesh);
   g_main_loop_run(loop);
   g_source_remove(term);
   g_source_remove(interrupt);
   g_source_remove(hup);
-  tell(Event::stopped, "");
+  log_event(Event::stopped, "");
   return code;
 }
 
@@ -375,7 +375,7 @@
     return 0;
   }
   open_log(settings.value().name, settings.value().log);
-  std::optional<wire::RecordT> slate;
+  std::optional<wire::RecordT> recovered;
   std::unique_ptr<PosixDisk> disk;
   std::unique_ptr<RecordStore> store;
   if (keeper) {
@@ -389,11 +389,11 @@
       std::fprintf(stderr, "accord: data: %s\n", opened.error().why.c_str());
       return 2;
     }
-    slate = std::move(opened.value());
-    tell(blank ? Event::keeper_blank : Event::keeper_back,
-         "serial " + std::to_string(slate->value ? slate->value->serial : 0));
+    recovered = std::move(opened.value());
+    log_event(blank ? Event::keeper_blank : Event::keeper_back,
+              "serial " + std::to_string(recovered->value ? recovered->value->serial : 0));
   }
-  Host host(std::move(settings.value()), role, std::move(slate), std::move(disk), std::move(store));
+  Host host(std::move(settings.value()), role, std::move(recovered), std::move(disk), std::move(store));
   Result<void> const listening = host.listen();
   if (!listening) {
     std::fprintf(stderr, "%s: %s\n", keeper ? "accord" : "passage", listening.error().why.c_str());
--- a/src/hull/host.h
+++ b/src/runtime/host.h
@@ -4,18 +4,18 @@
 #include <memory>
 #include <string>
 
+#include "base/settings.h"
 #include "core/node.h"
-#include "ground/settings.h"
-#include "hull/disk/disk_task.h"
-#include "hull/http/front.h"
-#include "hull/http/legs.h"
-#include "hull/wire/wires.h"
+#include "runtime/disk/disk_task.h"
+#include "runtime/http/front.h"
+#include "runtime/http/legs.h"
+#include "runtime/mesh/connections.h"
 
 namespace pipit {
 
 class Host {
  public:
-  Host(Settings settings_, Role role, std::optional<wire::RecordT> slate, std::unique_ptr<PosixDisk> disk,
+  Host(Settings settings_, Role role, std::optional<wire::RecordT> recovered, std::unique_ptr<PosixDisk> disk,
        std::unique_ptr<RecordStore> store);
   ~Host();
   Result<void> listen();
@@ -52,13 +52,13 @@
   Role const role;
   GMainLoop* loop;
   std::unique_ptr<Node> node;
-  std::unique_ptr<Wires> wires;
+  std::unique_ptr<Connections> connections;
   std::unique_ptr<Legs> legs;
   std::unique_ptr<Front> front;
   std::unique_ptr<DiskTask> disk;
   std::map<std::uint64_t, Caller> callers;
-  std::map<WireId, std::string> wire_names;
-  std::map<std::uint64_t, std::pair<Change::Sort, std::string>> asked;  // operators' calls under way
+  std::map<WireId, std::string> connection_names;
+  std::map<std::uint64_t, std::pair<Change::Type, std::string>> asked;  // operators' calls under way
   std::map<std::string, std::uint64_t> kinds;                           // refusals by kind
   Micros ticked = 0;
   std::uint64_t longest_turn = 0;
--- a/src/hull/tell.cc
+++ b/src/runtime/status.cc
@@ -1,52 +1,52 @@
 // What a node tells of itself: its status and its metrics (§9).
-#include "ground/jot.h"
-#include "hull/host.h"
+#include "base/json_writer.h"
+#include "runtime/host.h"
 
 namespace pipit {
 
 std::string Host::status() const {
-  Jot jot;
-  jot.open().key("name").text(settings.name).key("role").text(role == Role::passage ? "passage" : "accord");
-  jot.key("zone").text(settings.zone).key("ready").truth(node->ready()).key("draining").truth(grace_until >= 0);
-  jot.key("serial").number(static_cast<std::int64_t>(node->learner.serial()));
-  jot.key("emptied").list();
-  for (std::string const& zone : node->desk.emptied()) jot.text(zone);
-  jot.unlist().key("keepers").list();
-  for (wire::KeeperT const& keeper : node->learner.membership().keepers) jot.text(keeper.name);
-  jot.unlist().key("epoch").number(static_cast<std::int64_t>(node->learner.membership().epoch));
-  jot.key("peers").list();
-  for (std::pair<std::string const, Peer> const& item : node->mesh.roll.peers) {
+  JsonWriter json;
+  json.begin_object().key("name").text(settings.name).key("role").text(role == Role::passage ? "passage" : "accord");
+  json.key("zone").text(settings.zone).key("ready").boolean(node->ready()).key("draining").boolean(grace_until >= 0);
+  json.key("serial").number(static_cast<std::int64_t>(node->learner.serial()));
+  json.key("emptied").begin_list();
+  for (std::string const& zone : node->desk.emptied()) json.text(zone);
+  json.end_list().key("keepers").begin_list();
+  for (wire::KeeperT const& keeper : node->learner.membership().keepers) json.text(keeper.name);
+  json.end_list().key("epoch").number(static_cast<std::int64_t>(node->learner.membership().epoch));
+  json.key("peers").begin_list();
+  for (std::pair<std::string const, Peer> const& item : node->mesh.members.peers) {
     Peer const& peer = item.second;
-    jot.open()
+    json.begin_object()
         .key("name")
         .text(item.first)
         .key("state")
         .text(state_word(peer.state()))
         .key("wire")
-        .truth(peer.wire != 0);
-    jot.key("role").text(peer.role() == Role::passage ? "passage" : "accord").key("zone").text(peer.member.zone);
-    jot.key("http").text(peer.member.http);
-    jot.key("serial")
+        .boolean(peer.wire != 0);
+    json.key("role").text(peer.role() == Role::passage ? "passage" : "accord").key("zone").text(peer.member.zone);
+    json.key("http").text(peer.member.http);
+    json.key("serial")
         .number(static_cast<std::int64_t>(peer.member.serial))
         .key("ready")
-        .truth(peer.member.ready)
-        .shut();
+        .boolean(peer.member.ready)
+        .end_object();
   }
-  jot.unlist().key("workers").list();
+  json.end_list().key("workers").begin_list();
   for (std::pair<std::string const, Worker> const& item : node->fleet.workers) {
     Worker const& worker = item.second;
     static char const* const words[] = {"serving", "leaving", "gone"};
-    jot.open().key("id").text(item.first).key("zone").text(worker.row.zone).key("pool").text(worker.row.pool);
-    jot.key("standing").text(words[static_cast<std::size_t>(worker.standing)]).key("dark").truth(worker.dark);
-    jot.key("incarnation").number(static_cast<std::int64_t>(worker.row.incarnation));
-    Pool const* const pool = node->desk.creed()->pool(worker.row.pool);
+    json.begin_object().key("id").text(item.first).key("zone").text(worker.row.zone).key("pool").text(worker.row.pool);
+    json.key("standing").text(words[static_cast<std::size_t>(worker.standing)]).key("dark").boolean(worker.dark);
+    json.key("incarnation").number(static_cast<std::int64_t>(worker.row.incarnation));
+    Pool const* const pool = node->desk.description()->pool(worker.row.pool);
     std::int64_t const slots = pool != nullptr ? worker.room(*pool) : worker.row.slots;
-    jot.key("slots").number(slots).key("sent").number(static_cast<std::int64_t>(worker.sent));
-    jot.key("demand").number(worker.guess()).shut();
+    json.key("slots").number(slots).key("sent").number(static_cast<std::int64_t>(worker.sent));
+    json.key("demand").number(worker.guess()).end_object();
   }
-  jot.unlist().key("backlog").number(static_cast<std::int64_t>(node->desk.waiting()));
-  jot.key("under_way").number(static_cast<std::int64_t>(node->under_way())).shut();
-  return jot.take();
+  json.end_list().key("backlog").number(static_cast<std::int64_t>(node->desk.waiting()));
+  json.key("under_way").number(static_cast<std::int64_t>(node->under_way())).end_object();
+  return json.take();
 }
 
 std::string Host::metrics() const {
@@ -54,7 +54,7 @@
   Tally const& t = node->desk.tally;
   struct Row {
     char const* name;
-    char const* sort;
+    char const* type;
     std::uint64_t value;
   };
   Row const rows[] = {
@@ -71,9 +71,9 @@
       {"pipit_far_sends_total", "counter", t.far_sends},
       {"pipit_wire_bytes_total", "counter", wire_bytes},
       {"pipit_frames_in_total", "counter", node->mesh.frames_in},
-      {"pipit_deltas_dropped_total", "counter", node->tide.dropped},
-      {"pipit_tree_pulls_total", "counter", node->tide.pulls},
-      {"pipit_tree_stalls_total", "counter", node->tide.stalls},
+      {"pipit_deltas_dropped_total", "counter", node->index_sync.dropped},
+      {"pipit_tree_pulls_total", "counter", node->index_sync.pulls},
+      {"pipit_tree_stalls_total", "counter", node->index_sync.stalls},
       {"pipit_clock_jumps_total", "counter", node->jumps},
       {"pipit_longest_turn_us", "gauge", longest_turn},
       {"pipit_serial", "gauge", node->learner.serial()},
@@ -84,7 +84,7 @@
   };
   for (Row const& row : rows)
     out +=
-        std::string("# TYPE ") + row.name + " " + row.sort + "\n" + row.name + " " + std::to_string(row.value) + "\n";
+        std::string("# TYPE ") + row.name + " " + row.type + "\n" + row.name + " " + std::to_string(row.value) + "\n";
   out += "# TYPE pipit_mesh_bytes_total counter\n";
   for (std::pair<std::string const, std::uint64_t> const& item : mesh_to)
     out += "pipit_mesh_bytes_total{zone=\"" + item.first + "\"} " + std::to_string(item.second) + "\n";
