--- a/tests/change_traffic.cc
+++ b/tests/change_traffic.cc
@@ -4,9 +4,9 @@
 
 #include <algorithm>
 
-#include "canon/register/value_patch.h"
-#include "ground/events.h"
-#include "kin/frame.h"
+#include "base/events.h"
+#include "consensus/register/value_patch.h"
+#include "mesh/frame.h"
 #include "platform/description.h"
 #include "proof/control_plane/node_view.h"
 #include "proof/control_plane/world.h"
@@ -105,7 +105,7 @@
       operate(machine.id, change);
       return;
     }
-    if (reply.outcome.sort != Outcome::Sort::chosen) return;
+    if (reply.outcome.type != Outcome::Type::chosen) return;
     ++changes;
     confirmed = std::max(confirmed, labels[reply.id]);
   }
@@ -153,7 +153,7 @@
 };
 
 StormCost storm_cost(StormPlan const& storm_plan) {
-  hush(true);
+  mute_log(true);
   WorldPlan plan;
   plan.seed = 5;
   plan.disks = 3;
@@ -210,10 +210,10 @@
 TEST(ChangeTraffic, a_patch_weighs_what_the_change_does) {
   for (std::size_t const routes : {std::size_t(10), std::size_t(100), std::size_t(1000)}) {
     wire::ValueT base;
-    base.turn = 1;
+    base.revision = 1;
     base.text = description_of({8, routes});
     wire::ValueT next = base;
-    next.turn = 2;
+    next.revision = 2;
     next.text = description_of({9, routes});
     EXPECT_LT(size_of(*patch_between(base, next)), 1024u) << routes << " routes, " << next.text.size() << " bytes";
   }
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -4,21 +4,21 @@
 #include <algorithm>
 #include <deque>
 
+#include "base/random.h"
 #include "flow/dispatch/dispatcher.h"
-#include "ground/mix.h"
 
 namespace pipit {
 
 namespace {
 constexpr char hosts[] = "api.test";
 
-std::shared_ptr<Creed const> creed_of(std::string const& routes) {
-  Result<std::shared_ptr<Creed const>> const made = read_creed(
+std::shared_ptr<Description const> compiled_description(std::string const& routes) {
+  Result<std::shared_ptr<Description const>> const made = read_description(
       "{\"format\":1,\"lanes\":[],\"pools\":[{\"name\":\"p\",\"model\":\"m\"},{\"name\":\"q\",\"model\":\"m\"}],"
       "\"routes\":[" +
       routes + "]}");
   EXPECT_TRUE(made) << made.error().place << " " << made.error().why;
-  return made ? made.value() : std::make_shared<Creed const>();
+  return made ? made.value() : std::make_shared<Description const>();
 }
 
 std::string route_text(std::string const& name, std::string const& more,
@@ -27,10 +27,10 @@
          "],\"hold_ms\":3000,\"aim_ms\":1000,\"attempts\":3" + more + "}";
 }
 
-std::shared_ptr<Creed const> usual() {
-  return creed_of(route_text("once", "") + "," + route_text("safe", ",\"repeatable\":true") + "," +
-                  route_text("flow", ",\"streams\":true,\"resumable\":true") + "," +
-                  route_text("live", ",\"streams\":true"));
+std::shared_ptr<Description const> usual() {
+  return compiled_description(route_text("once", "") + "," + route_text("safe", ",\"repeatable\":true") + "," +
+                              route_text("flow", ",\"streams\":true,\"resumable\":true") + "," +
+                              route_text("live", ",\"streams\":true"));
 }
 
 Query query_of(std::string const& route) {
@@ -89,10 +89,10 @@
   std::vector<std::string> doubts() {
     Paths paths;
     paths.all = {"n2"};
-    std::vector<Letter> letters;
-    exchange.tick(now, paths, letters);
+    std::vector<OutgoingMessage> outgoing;
+    exchange.tick(now, paths, outgoing);
     std::vector<std::string> out;
-    for (Letter const& item : letters)
+    for (OutgoingMessage const& item : outgoing)
       if (item.body.type == wire::Body::Loads)
         for (std::unique_ptr<wire::LoadT> const& row : item.body.AsLoads()->list)
           if (row->doubt) out.push_back(row->worker);
@@ -106,10 +106,10 @@
 
   Micros now = seconds(100);
   std::uint64_t order = 0;
-  Tide tide{1};
+  IndexSync index_sync{1};
   Registry registry{"n1"};
   Exchange exchange{"n1"};
-  Dispatcher dispatcher{"n1", "a", tide, registry, exchange};
+  Dispatcher dispatcher{"n1", "a", index_sync, registry, exchange};
   DispatchOut out;
 };
 }  // namespace
@@ -139,7 +139,7 @@
                          Row{"v1", "api.test", "/v1/"}, Row{"other", "other.test", "/v1/chat/deep/"}})
     text += std::string(text.empty() ? "" : ",") + "{\"name\":\"" + row.name + "\",\"host\":\"" + row.host +
             "\",\"prefix\":\"" + row.prefix + "\"" + rest + "}";
-  std::shared_ptr<Creed const> const creed = creed_of(text);
+  std::shared_ptr<Description const> const description = compiled_description(text);
   Row const asked[] = {
       {"chat", "api.test", "/v1/chat/x"}, {"chat", "API.Test", "/v1/chat/deep/x"},
       {"v1", "api.test", "/v1/models"},   {"root", "api.test", "/v2"},
@@ -149,7 +149,7 @@
       {"v1", "api.test", "/v1/chat"},     {"root", "api.test", "/v1"},
   };
   for (Row const& row : asked) {
-    Route const* const route = creed->route(row.host, row.prefix);
+    Route const* const route = description->route(row.host, row.prefix);
     EXPECT_EQ(route == nullptr ? "" : route->name, row.name) << row.host << row.prefix;
   }
 }
@@ -164,7 +164,7 @@
 }
 
 TEST_F(Desks, before_any_description_is_known_callers_are_sent_away_for_a_while) {
-  dispatcher.in_force(std::make_shared<Creed>());
+  dispatcher.in_force(std::make_shared<Description>());
   place(1, "once");
   ASSERT_EQ(out.denials.size(), 1u);
   EXPECT_EQ(out.denials[0].kind, Kind::not_ready);
@@ -172,7 +172,7 @@
 }
 
 TEST_F(Desks, shares_go_by_weight) {
-  dispatcher.in_force(creed_of(route_text(
+  dispatcher.in_force(compiled_description(route_text(
       "once", "", "{\"pool\":\"p\",\"weight\":3},{\"pool\":\"q\",\"weight\":1},{\"pool\":\"p\",\"weight\":0}")));
   worker("w", "p");
   worker("v", "q");
@@ -245,7 +245,7 @@
 // After a full stop every node answered "not ready" to who came first, though the description was there a moment later.
 TEST_F(Desks, who_asks_a_node_that_has_just_begun_is_kept_for_a_moment) {
   worker("w");
-  dispatcher.in_force(std::make_shared<Creed>());
+  dispatcher.in_force(std::make_shared<Description>());
   dispatcher.begun(now);
   EXPECT_TRUE(place(1, "safe").empty());
   EXPECT_TRUE(out.denials.empty());
@@ -253,7 +253,7 @@
   wait(millis(100));
   EXPECT_EQ(started(1), "w");
   // But not for ever, and not once it should know.
-  dispatcher.in_force(std::make_shared<Creed>());
+  dispatcher.in_force(std::make_shared<Description>());
   place(2, "safe");
   Micros const from = now;
   wait(seconds(3));
@@ -615,11 +615,11 @@
     end(id, AttemptEnd::whole);
   }
   // Another node that knows nothing of it yet chooses the same one.
-  Tide other_tide(2);
+  IndexSync other_index_sync(2);
   Registry other_registry("n2");
   for (char const* const id : {"w1", "w2", "w3", "w4"}) other_registry.beat(beat_of(id, 1), now);
   Exchange other_exchange("n2");
-  Dispatcher other("n2", "a", other_tide, other_registry, other_exchange);
+  Dispatcher other("n2", "a", other_index_sync, other_registry, other_exchange);
   other.in_force(usual());
   DispatchOut first;
   other.fresh(1, query, now, first);
@@ -661,7 +661,7 @@
   constexpr double store = 18;
   for (std::size_t const count : {std::size_t(1), std::size_t(3), std::size_t(6), std::size_t(12)}) {
     struct Box {
-      Tide tide{1};
+      IndexSync index_sync{1};
       std::unique_ptr<Registry> registry;
       Exchange exchange{"n"};
       std::unique_ptr<Dispatcher> dispatcher;
@@ -673,13 +673,13 @@
       std::string const name = "n" + std::to_string(i);
       nodes[i]->registry = std::make_unique<Registry>(name);
       nodes[i]->dispatcher =
-          std::make_unique<Dispatcher>(name, "a", nodes[i]->tide, *nodes[i]->registry, nodes[i]->exchange);
+          std::make_unique<Dispatcher>(name, "a", nodes[i]->index_sync, *nodes[i]->registry, nodes[i]->exchange);
       nodes[i]->dispatcher->in_force(usual());
       nodes[i]->dispatcher->budget(ratio, store);
       nodes[i]->dispatcher->nodes(count);
       for (char const* const id : {"w1", "w2", "w3", "w4"}) nodes[i]->registry->beat(beat_of(id, 1), 0);
     }
-    Dice dice(count);
+    RandomSource random(count);
     Micros now = 0;
     std::uint64_t id = 0;
     double worst = 0;
@@ -692,7 +692,7 @@
     for (int turn = 0; turn < 4000; ++turn) {
       now += millis(20);
       bool const bad = turn % 1000 > 800 && turn % 1000 < 900;
-      Box& box = *nodes[dice.below(count)];
+      Box& box = *nodes[random.below(count)];
       DispatchOut out;
       box.dispatcher->fresh(++id, query_of("safe"), now, out);
       stretch = std::max(0.0, stretch - ratio);
@@ -791,15 +791,15 @@
 // One walk of random events; what it did is added to the sum, so that walks that show nothing are seen.
 void walk(std::uint64_t seed, DispatchTally& sum) {
   SCOPED_TRACE("seed " + std::to_string(seed));
-  Dice dice(seed);
-  Tide tide(seed);
+  RandomSource random(seed);
+  IndexSync index_sync(seed);
   Registry registry("n1");
   registry.span(millis(1000));
   Exchange exchange("n1");
-  Dispatcher dispatcher("n1", "a", tide, registry, exchange);
+  Dispatcher dispatcher("n1", "a", index_sync, registry, exchange);
   dispatcher.budget(0.3, 10);
   dispatcher.nodes(2);
-  std::shared_ptr<Creed const> const rules[] = {usual(), usual()};
+  std::shared_ptr<Description const> const rules[] = {usual(), usual()};
   dispatcher.in_force(rules[0]);
   Judge judge;
   Micros now = seconds(10);
@@ -808,40 +808,40 @@
   char const* const routes[] = {"once", "safe", "flow", "live"};
   std::vector<std::uint64_t> open;
   for (int turn = 0; turn < 40000; ++turn) {
-    now += static_cast<Micros>(dice.below(static_cast<std::uint64_t>(millis(6))));
-    if (dice.chance(0.003)) now += millis(900);  // nothing is heard of anybody for a while
+    now += static_cast<Micros>(random.below(static_cast<std::uint64_t>(millis(6))));
+    if (random.chance(0.003)) now += millis(900);  // nothing is heard of anybody for a while
     DispatchOut out;
-    std::uint64_t const what = dice.below(100);
+    std::uint64_t const what = random.below(100);
     if (what < 12 && next < 2500) {
       std::uint64_t const id = ++next;
-      Query query = query_of(routes[dice.below(4)]);
-      if (dice.chance(0.3)) query.left = millis(static_cast<std::int64_t>(1 + dice.below(1500)));
-      if (dice.chance(0.5))
-        query.parts = parse_parts("a" + std::to_string(dice.below(6)) + ":300,b" + std::to_string(id) + ":9");
-      query.tokens_in = static_cast<std::int64_t>(dice.below(500));
+      Query query = query_of(routes[random.below(4)]);
+      if (random.chance(0.3)) query.left = millis(static_cast<std::int64_t>(1 + random.below(1500)));
+      if (random.chance(0.5))
+        query.parts = parse_parts("a" + std::to_string(random.below(6)) + ":300,b" + std::to_string(id) + ":9");
+      query.tokens_in = static_cast<std::int64_t>(random.below(500));
       judge.rows[id].route = query.path.substr(1, query.path.find('/', 1) - 1);
       open.push_back(id);
       dispatcher.fresh(id, std::move(query), now, out);
     } else if (what < 24) {
       dispatcher.tick(now, out);
     } else if (what < 30) {
-      Beat word = beat_of("w" + std::to_string(dice.below(6)) + "-" + std::to_string(turn / 2000), ++order);
-      word.leaving = dice.chance(0.01);
+      Beat word = beat_of("w" + std::to_string(random.below(6)) + "-" + std::to_string(turn / 2000), ++order);
+      word.leaving = random.chance(0.01);
       registry.beat(word, now);
     } else if (what < 31) {
-      if (dice.chance(0.05))
-        registry.leave("w" + std::to_string(dice.below(6)) + "-" + std::to_string(turn / 2000), ++order, now);
+      if (random.chance(0.05))
+        registry.leave("w" + std::to_string(random.below(6)) + "-" + std::to_string(turn / 2000), ++order, now);
     } else if (what < 33) {
       registry.silent(now);
     } else if (what < 34) {
-      dispatcher.hold(dice.chance(0.2));
+      dispatcher.hold(random.chance(0.2));
     } else if (what < 35) {
-      dispatcher.in_force(rules[dice.below(2)]);
+      dispatcher.in_force(rules[random.below(2)]);
     } else if (!open.empty()) {
-      std::size_t const spot = dice.below(open.size());
+      std::size_t const spot = random.below(open.size());
       std::uint64_t const id = open[spot];
       Judge::Row& row = judge.rows.at(id);
-      std::uint64_t const step = dice.below(20);
+      std::uint64_t const step = random.below(20);
       if (row.ended) {
         // An executor's late word of what has ended.
         dispatcher.left(id, now);
@@ -876,7 +876,7 @@
                                : step < 17 && !row.began ? AttemptEnd::failed
                                                          : AttemptEnd::broke;
         judge.stop(row, how != AttemptEnd::declined);
-        dispatcher.ended(id, how, how == AttemptEnd::declined && dice.chance(0.5), now, out);
+        dispatcher.ended(id, how, how == AttemptEnd::declined && random.chance(0.5), now, out);
       }
     }
     judge.take(out, registry);
--- a/tests/fleet_traffic.cc
+++ b/tests/fleet_traffic.cc
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "ground/events.h"
+#include "base/events.h"
 #include "proof/control_plane/node_view.h"
 #include "proof/control_plane/world.h"
 
@@ -37,9 +37,9 @@
 class LoadedFleet {
  public:
   explicit LoadedFleet(FleetPlan const& plan_) : plan(plan_), world(world_of(plan_)) {
-    hush(true);
+    mute_log(true);
     world.on_reply = [this](Machine&, Reply const& reply) {
-      if (reply.outcome.sort != Outcome::Sort::chosen) return;
+      if (reply.outcome.type != Outcome::Type::chosen) return;
       slowest = std::max(slowest, world.now() - asked[reply.id]);
       ++changes;
       confirmed = std::max(confirmed, reply.id);
@@ -264,13 +264,13 @@
   LoadedFleet fleet(plan);
   World& world = fleet.machines();
   for (MachineId const id : {MachineId(3), MachineId(17), MachineId(39)}) {
-    std::uint64_t const turn = world.machine(id).node->learner.turn();
+    std::uint64_t const turn = world.machine(id).node->learner.revision();
     world.kill(id);
     world.run(millis(300));
     world.boot(id);
     world.run(seconds(1));
     EXPECT_EQ(fleet.serving_at(id), plan.nodes * workers_each) << id;
-    EXPECT_EQ(world.machine(id).node->learner.turn(), turn) << id;
+    EXPECT_EQ(world.machine(id).node->learner.revision(), turn) << id;
   }
 }
 
--- a/tests/index.cc
+++ b/tests/index.cc
@@ -1,10 +1,10 @@
 // The prefix index: what is believed kept, what is forgotten, and how indexes follow one another; warm workers.
 #include <gtest/gtest.h>
 
+#include "base/events.h"
 #include "flow/errand/parse.h"
 #include "flow/fleet/fleet.h"
-#include "flow/index/tide.h"
-#include "ground/events.h"
+#include "flow/index/index_sync.h"
 
 namespace pipit {
 
@@ -12,7 +12,7 @@
 Path line(std::uint64_t seed, std::size_t n) {
   Path out;
   std::uint64_t hash = seed;
-  for (std::size_t i = 0; i < n; ++i) out.push_back(hash = stir(hash + 1));
+  for (std::size_t i = 0; i < n; ++i) out.push_back(hash = hash_bits(hash + 1));
   return out;
 }
 Index::Bounds const wide{1000, seconds(100)};
@@ -80,22 +80,22 @@
 }
 
 TEST(Fleet, a_worker_older_than_this_machine_s_clock_is_warm) {
-  hush(true);
+  mute_log(true);
   Fleet fleet;
   fleet.take_list({ListRow{"w", "10.0.0.1:1", "z", "main", 1, 60, false}}, seconds(100));
-  Vitals report;
+  HealthReport report;
   report.incarnation = 1;
   report.awake = seconds(3600);
   EXPECT_GT(fleet.cold_for(*fleet.find("w"), seconds(5), seconds(101)), 0) << "nothing is known of it yet";
-  fleet.vitals("w", 1, seconds(100), report, false, seconds(101));
+  fleet.health_report("w", 1, seconds(100), report, false, seconds(101));
   EXPECT_EQ(fleet.cold_for(*fleet.find("w"), seconds(5), seconds(101)), 0);
 }
 
-TEST(Tide, peers_agree_and_a_lost_batch_starts_one_pull_in_pages) {
-  Tide a(1);
-  Tide b(2);
-  Tide::BoundsOf const bounds = [](std::string const&) { return Index::Bounds{2000000, seconds(1000)}; };
-  std::vector<Letter> out;
+TEST(IndexSync, peers_agree_and_a_lost_batch_starts_one_pull_in_pages) {
+  IndexSync a(1);
+  IndexSync b(2);
+  IndexSync::BoundsOf const bounds = [](std::string const&) { return Index::Bounds{2000000, seconds(1000)}; };
+  std::vector<OutgoingMessage> out;
   std::vector<std::pair<std::string, std::vector<std::string>>> const to_b = {{"b", {}}};
   for (std::uint64_t i = 0; i < 12000; ++i)
     a.queue("m", a.index("m").touch(line(i, 2), "w" + std::to_string(i % 5), 1, bounds("m"), seconds(1)));
@@ -109,8 +109,8 @@
   a.round(seconds(3), to_b, bounds, out);
   ASSERT_EQ(out.size(), 1u);
   int pages = 0;
-  // Carries letters to and fro until both are still; the first page is lost, and asked for again after the stall.
-  std::vector<Letter> to_a;
+  // Carries messages to and fro until both are still; the first page is lost, and asked for again after the stall.
+  std::vector<OutgoingMessage> to_a;
   b.take("a", out[0].body, seconds(3), bounds, {"a"}, to_a);
   ASSERT_EQ(to_a.size(), 1u);
   to_a.clear();
@@ -118,10 +118,10 @@
   EXPECT_EQ(b.stalls, 1u);
   Micros now = seconds(9);
   while (!to_a.empty() && pages < 50) {
-    std::vector<Letter> back;
-    for (Letter& item : to_a) a.take("b", item.body, now, bounds, {"b"}, back);
+    std::vector<OutgoingMessage> back;
+    for (OutgoingMessage& item : to_a) a.take("b", item.body, now, bounds, {"b"}, back);
     to_a.clear();
-    for (Letter& item : back) {
+    for (OutgoingMessage& item : back) {
       ++pages;
       b.take("a", item.body, now, bounds, {"a"}, to_a);
     }
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -1,8 +1,8 @@
 // Frames and wires: garbage ends a wire and nothing else; a foreign cluster is not greeted.
 #include <gtest/gtest.h>
 
+#include "base/events.h"
 #include "core/node.h"
-#include "ground/events.h"
 
 namespace pipit {
 
@@ -41,7 +41,7 @@
 
 // While a fleet is rolled out, processes of two versions do not talk: each version is a part of the fleet by itself.
 TEST(Frame, a_peer_of_another_format_is_not_talked_to) {
-  hush(true);
+  mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeOut out;
   node.opened(1, false, "", 0, out);
@@ -49,7 +49,7 @@
   older.format = frame_format - 1;
   node.bytes(1, encode_body(std::move(older)), 0, out);
   EXPECT_EQ(out.mesh.shuts, std::vector<WireId>{1});
-  EXPECT_EQ(node.mesh.roll.peers.count("b"), 0u);
+  EXPECT_EQ(node.mesh.members.peers.count("b"), 0u);
 }
 
 TEST(Frame, no_bytes_can_hurt) {
@@ -61,13 +61,13 @@
   EXPECT_FALSE(decode(good.substr(0, good.size() - 1)));
   EXPECT_FALSE(decode(""));
   EXPECT_EQ(announced(std::string(4, '\xff')), 0u) << "a length over the limit";
-  hush(true);
-  Dice dice(9);
+  mute_log(true);
+  RandomSource random(9);
   int taken = 0;
   for (int i = 0; i < 4000; ++i) {
     std::string bad = good;
-    for (std::uint64_t n = 1 + dice.below(4); n > 0; --n)
-      bad[4 + dice.below(bad.size() - 4)] = static_cast<char>(dice.roll());
+    for (std::uint64_t n = 1 + random.below(4); n > 0; --n)
+      bad[4 + random.below(bad.size() - 4)] = static_cast<char>(random.next());
     Node node(plan(), 0, std::nullopt);
     NodeOut out;
     node.opened(1, false, "", 0, out);
@@ -78,17 +78,17 @@
 }
 
 TEST(Mesh, a_foreign_cluster_is_shut_out) {
-  hush(true);
+  mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeOut out;
   node.opened(1, false, "", 0, out);
   node.bytes(1, encode_body(hello("other", "b")), 0, out);
   EXPECT_EQ(out.mesh.shuts, std::vector<WireId>{1});
-  EXPECT_TRUE(node.mesh.roll.peers.empty());
+  EXPECT_TRUE(node.mesh.members.peers.empty());
 }
 
 TEST(Mesh, a_newer_wire_replaces_the_remnant_of_a_former_life) {
-  hush(true);
+  mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeOut out;
   node.opened(1, true, "10.0.0.2:1", 0, out);  // 'a' sorts first, so its own wire would be kept
@@ -97,12 +97,12 @@
   next.self->incarnation = 6;
   node.opened(2, false, "", millis(10), out);
   node.bytes(2, encode_body(std::move(next)), millis(10), out);
-  EXPECT_EQ(node.mesh.roll.peers.at("b").wire, 2u);
+  EXPECT_EQ(node.mesh.members.peers.at("b").wire, 2u);
   EXPECT_EQ(out.mesh.shuts, std::vector<WireId>{1});
 }
 
 TEST(Mesh, a_peer_that_moves_while_it_is_dialled_is_dialled_anew) {
-  hush(true);
+  mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeOut out;
   node.opened(1, false, "", 0, out);
@@ -126,41 +126,41 @@
   EXPECT_NE(std::find(out.mesh.dials.begin(), out.mesh.dials.end(), "10.0.0.9:1"), out.mesh.dials.end());
 }
 
-TEST(Roll, a_node_contradicts_news_of_its_end) {
-  hush(true);
+TEST(MemberTable, a_node_contradicts_news_of_its_end) {
+  mute_log(true);
   wire::MemberT self;
   self.name = "a";
   self.incarnation = 4;
-  Roll roll(self);
+  MemberTable members(self);
   wire::MemberT said = self;
   said.state = static_cast<std::uint8_t>(State::down);
-  EXPECT_EQ(roll.merge(said, 0), Roll::News::refuted);
-  EXPECT_GT(roll.self.bump, said.bump);
+  EXPECT_EQ(members.merge(said, 0), MemberTable::News::refuted);
+  EXPECT_GT(members.self.bump, said.bump);
   said.incarnation = 9;  // a former life is remembered with a later clock
-  EXPECT_EQ(roll.merge(said, 0), Roll::News::refuted);
-  EXPECT_EQ(roll.self.incarnation, 10u);
+  EXPECT_EQ(members.merge(said, 0), MemberTable::News::refuted);
+  EXPECT_EQ(members.self.incarnation, 10u);
 }
 
-TEST(Roll, a_table_brings_what_changed_since) {
+TEST(MemberTable, a_table_brings_what_changed_since) {
   wire::MemberT self;
   self.name = "a";
   self.incarnation = 5;
-  Roll roll(self);
+  MemberTable members(self);
   wire::MemberT peer = *hello("c", "b").self;
-  EXPECT_EQ(roll.merge(peer, 0), Roll::News::fresh);
-  std::uint64_t const first = roll.version;
-  EXPECT_EQ(roll.table().size(), 2u);
-  EXPECT_EQ(roll.table(first).size(), 1u) << "its own record alone";
+  EXPECT_EQ(members.merge(peer, 0), MemberTable::News::fresh);
+  std::uint64_t const first = members.version;
+  EXPECT_EQ(members.table().size(), 2u);
+  EXPECT_EQ(members.table(first).size(), 1u) << "its own record alone";
   ++peer.bump;
-  peer.turn = 9;
-  EXPECT_EQ(roll.merge(peer, 0), Roll::News::fresh);
-  EXPECT_EQ(roll.table(first).size(), 1u) << "a newer turn is told by the peer itself";
-  roll.mark(roll.peers.at("b"), State::suspected, 1);
-  ASSERT_EQ(roll.table(first).size(), 2u);
-  std::uint64_t const second = roll.version;
+  peer.revision = 9;
+  EXPECT_EQ(members.merge(peer, 0), MemberTable::News::fresh);
+  EXPECT_EQ(members.table(first).size(), 1u) << "a newer revision is told by the peer itself";
+  members.mark(members.peers.at("b"), State::suspected, 1);
+  ASSERT_EQ(members.table(first).size(), 2u);
+  std::uint64_t const second = members.version;
   ++peer.bump;
-  EXPECT_EQ(roll.merge(peer, 2), Roll::News::fresh);
-  EXPECT_EQ(roll.table(second).size(), 2u) << "a contradicted suspicion gets round";
+  EXPECT_EQ(members.merge(peer, 2), MemberTable::News::fresh);
+  EXPECT_EQ(members.table(second).size(), 2u) << "a contradicted suspicion gets round";
 }
 
 TEST(Rendezvous, the_first_name_is_the_one_of_rank_0) {
@@ -173,7 +173,7 @@
   }
 }
 
-TEST(Grants, rivals_step_aside_until_one_holds) {
+TEST(Leases, rivals_step_aside_until_one_holds) {
   Membership members;
   for (char const* const name : {"k1", "k2", "k3"}) {
     wire::KeeperT keeper;
@@ -181,39 +181,40 @@
     keeper.disk = 1;
     members.keepers.push_back(keeper);
   }
-  std::map<std::string, Granter> granters;
-  std::map<std::string, Holder> holders;
+  std::map<std::string, LeaseGrantor> grantors;
+  std::map<std::string, LeaseHolder> holders;
   std::uint64_t seed = 0;
   for (char const* const name : {"k1", "k2", "k3"}) {
-    granters.emplace(name, Granter(0));
-    holders.emplace(name, Holder("mend", ++seed));
+    grantors.emplace(name, LeaseGrantor(0));
+    holders.emplace(name, LeaseHolder("mend", ++seed));
   }
   bool any = false;
   for (Micros now = 0; now < seconds(40); now += millis(50)) {
-    std::vector<std::pair<std::string, Letter>> mail;
-    for (std::pair<std::string const, Holder>& item : holders) {
-      std::vector<Letter> out;
+    std::vector<std::pair<std::string, OutgoingMessage>> mail;
+    for (std::pair<std::string const, LeaseHolder>& item : holders) {
+      std::vector<OutgoingMessage> out;
       item.second.tick(now, members, out);
-      for (Letter& one : out) mail.emplace_back(item.first, std::move(one));
+      for (OutgoingMessage& one : out) mail.emplace_back(item.first, std::move(one));
     }
     // Each hears itself first: the worst order.
-    std::stable_sort(mail.begin(), mail.end(),
-                     [](std::pair<std::string, Letter> const& a, std::pair<std::string, Letter> const& b) {
-                       return (a.first == a.second.to) > (b.first == b.second.to);
-                     });
-    for (std::pair<std::string, Letter>& one : mail) {
-      wire::GrantAskT const& ask = *one.second.body.AsGrantAsk();
-      wire::GrantAnsT ans;
+    std::stable_sort(
+        mail.begin(), mail.end(),
+        [](std::pair<std::string, OutgoingMessage> const& a, std::pair<std::string, OutgoingMessage> const& b) {
+          return (a.first == a.second.to) > (b.first == b.second.to);
+        });
+    for (std::pair<std::string, OutgoingMessage>& one : mail) {
+      wire::LeaseRequestT const& ask = *one.second.body.AsLeaseRequest();
+      wire::LeaseReplyT ans;
       ans.req = ask.req;
       ans.duty = ask.duty;
       ans.disk = 1;
-      ans.ok = granters.at(one.second.to).ask(one.first, ask.duty, ask.term, now);
+      ans.ok = grantors.at(one.second.to).ask(one.first, ask.duty, ask.term, now);
       holders.at(one.first).take(one.second.to, ans, now, members);
     }
     int held = 0;
-    for (std::pair<std::string const, Holder>& item : holders) held += item.second.holds(now) ? 1 : 0;
+    for (std::pair<std::string const, LeaseHolder>& item : holders) held += item.second.holds(now) ? 1 : 0;
     EXPECT_LE(held, 1);
-    EXPECT_TRUE(held == 0 || now >= grant_term) << "a keeper that just began grants nothing for a term";
+    EXPECT_TRUE(held == 0 || now >= lease_term) << "a keeper that just began gives no lease for a term";
     any = any || held == 1;
   }
   EXPECT_TRUE(any);
--- a/tests/operators.cc
+++ b/tests/operators.cc
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "ground/events.h"
+#include "base/events.h"
 #include "proof/control_plane/node_view.h"
 #include "proof/control_plane/world.h"
 
@@ -21,7 +21,7 @@
 class OrdersAtNodes : public ::testing::Test {
  protected:
   void start(std::uint64_t seed) {
-    hush(true);
+    mute_log(true);
     WorldPlan plan;
     plan.seed = seed;
     world.emplace(plan);
@@ -31,7 +31,7 @@
     world->run_until(seconds(8));
     send(first_order, plain_machine, replace_change(0, 1, text_of("first")));
     world->run(seconds(2));
-    ASSERT_EQ(answers[first_order].sort, Outcome::Sort::chosen);
+    ASSERT_EQ(answers[first_order].type, Outcome::Type::chosen);
   }
 
   static std::string text_of(std::string const& name) {
@@ -58,7 +58,7 @@
   NodePlan plan;
   plan.name = name;
   plan.incarnation = incarnation;
-  plan.chance = incarnation ^ mix(name);  // as the shells have it
+  plan.chance = incarnation ^ hash_text(name);  // as the shells have it
   Node node(plan, 0, std::nullopt);
   Membership members;
   members.epoch = 1;
@@ -69,9 +69,9 @@
   node.proposer.know(members);
   EXPECT_TRUE(node.proposer.ask(
       read_change(), [](Outcome const&) {}, 0));
-  std::vector<Letter> letters;
-  node.proposer.tick(0, letters);
-  return letters.empty() ? wire::PrepareT() : *letters.front().body.AsPrepare();
+  std::vector<OutgoingMessage> outgoing;
+  node.proposer.tick(0, outgoing);
+  return outgoing.empty() ? wire::PrepareT() : *outgoing.front().body.AsPrepare();
 }
 }  // namespace
 
@@ -97,7 +97,7 @@
     world->run(seconds(5));
     ASSERT_EQ(label_at(0), 2u) << "it was taken";
     ASSERT_TRUE(answers.count(2)) << seed;
-    EXPECT_EQ(answers[2].sort, Outcome::Sort::unknown) << seed;
+    EXPECT_EQ(answers[2].type, Outcome::Type::unknown) << seed;
     EXPECT_EQ(answers[2].fault.kind, Kind::change_unknown) << seed;
   }
 }
@@ -117,7 +117,7 @@
     world->run(seconds(6));
     ASSERT_EQ(label_at(0), 2u) << "the former one was taken, seed " << seed;
     ASSERT_TRUE(answers.count(3)) << seed;
-    EXPECT_NE(answers[3].sort, Outcome::Sort::chosen) << "confirmed and not in force, seed " << seed;
+    EXPECT_NE(answers[3].type, Outcome::Type::chosen) << "confirmed and not in force, seed " << seed;
   }
 }
 
--- a/tests/record_store.cc
+++ b/tests/record_store.cc
@@ -158,14 +158,14 @@
       for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         SCOPED_TRACE("lost after " + std::to_string(first_loss) + " and " + std::to_string(second_loss) +
                      " steps, seed " + std::to_string(seed));
-        Dice dice(seed * 1000003 + first_loss * 101 + second_loss);
+        RandomSource random(seed * 1000003 + first_loss * 101 + second_loss);
         SimulatedDisk disk;
         std::uint64_t disk_id = 0;
         std::uint64_t synced = 0;
         for (std::uint64_t const loss : {first_loss, second_loss, std::uint64_t{UINT64_MAX}}) {
           disk.die_after(loss);
           if (!write_records(disk, disk_id, synced)) break;
-          disk.lose_power(dice, seed % 3 == 0);
+          disk.lose_power(random, seed % 3 == 0);
         }
         if (HasFailure()) return;
       }
@@ -178,7 +178,7 @@
       for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         SCOPED_TRACE("full after " + std::to_string(full_from) + " steps, lost " + std::to_string(loss) +
                      " later, seed " + std::to_string(seed));
-        Dice dice(seed * 1000003 + full_from * 101 + loss);
+        RandomSource random(seed * 1000003 + full_from * 101 + loss);
         SimulatedDisk disk;
         disk.die_after(full_from);
         bool blank = false;
@@ -195,7 +195,7 @@
         }
         disk.die_after(loss);
         while (opened && !disk.died() && synced < last_serial + 3 && store.save(record(synced + 1))) ++synced;
-        disk.lose_power(dice, seed % 3 == 0);
+        disk.lose_power(random, seed % 3 == 0);
         RecordStore again(disk, "c", "k1", small_file);
         Result<wire::RecordT> const back = again.open(first_disk_id + 1, blank);
         ASSERT_TRUE(back) << back.error().why;
@@ -213,7 +213,7 @@
   for (std::uint64_t death = 0; death < 40; ++death)
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
       SCOPED_TRACE("killed after " + std::to_string(death) + " steps, seed " + std::to_string(seed));
-      Dice dice(seed * 1000003 + death);
+      RandomSource random(seed * 1000003 + death);
       SimulatedDisk disk;
       std::uint64_t disk_id = 0;
       std::uint64_t synced = 0;
@@ -222,7 +222,7 @@
       // A kill, no loss of power: a second process goes on with what is there.
       disk.revive();
       ASSERT_TRUE(write_records(disk, disk_id, synced));
-      disk.lose_power(dice, false);
+      disk.lose_power(random, false);
       ASSERT_TRUE(write_records(disk, disk_id, synced));
       if (HasFailure()) return;
     }
--- a/tests/register.cc
+++ b/tests/register.cc
@@ -8,10 +8,10 @@
 #include <string>
 #include <vector>
 
-#include "canon/register/learner.h"
-#include "canon/register/orders.h"
-#include "canon/register/proposer.h"
-#include "canon/register/value_patch.h"
+#include "consensus/register/learner.h"
+#include "consensus/register/orders.h"
+#include "consensus/register/proposer.h"
+#include "consensus/register/value_patch.h"
 
 namespace pipit {
 
@@ -67,23 +67,23 @@
   void turn(std::string const& who, std::vector<std::string> const& reach,
             std::vector<std::string> const& accepted_by) {
     Proposer& from = proposer(who);
-    std::vector<Letter> letters;
-    from.tick(now, letters);
-    while (!letters.empty()) {
-      std::vector<Letter> batch;
-      batch.swap(letters);
-      for (Letter& item : batch) {
+    std::vector<OutgoingMessage> outgoing;
+    from.tick(now, outgoing);
+    while (!outgoing.empty()) {
+      std::vector<OutgoingMessage> batch;
+      batch.swap(outgoing);
+      for (OutgoingMessage& item : batch) {
         bool const accept = item.body.AsAccept() != nullptr;
         std::vector<std::string> const& to = accept ? accepted_by : reach;
         if (std::find(to.begin(), to.end(), item.to) == to.end()) continue;
-        for (Letter& answer : deliver(item.to, who, std::move(item.body)))
-          from.take(item.to, answer.body, now, letters);
+        for (OutgoingMessage& answer : deliver(item.to, who, std::move(item.body)))
+          from.take(item.to, answer.body, now, outgoing);
       }
     }
   }
 
-  std::vector<Letter> deliver(std::string const& to, std::string const& from, wire::BodyUnion body) {
-    std::vector<Letter> answers;
+  std::vector<OutgoingMessage> deliver(std::string const& to, std::string const& from, wire::BodyUnion body) {
+    std::vector<OutgoingMessage> answers;
     Acceptor& acceptor = *acceptors.at(to);
     acceptor.take(from, std::move(body));
     if (acceptor.step(answers)) acceptor.synced(answers);
@@ -92,7 +92,7 @@
 
   Change apply(std::string const& text, std::uint64_t based_on, std::uint64_t label) const {
     Change change;
-    change.sort = Change::Sort::apply;
+    change.type = Change::Type::apply;
     change.id = text;
     change.text = text;
     change.expected = based_on;
@@ -102,7 +102,7 @@
 
   Change admit(std::string const& name, std::uint64_t epoch) const {
     Change change;
-    change.sort = Change::Sort::admit;
+    change.type = Change::Type::admit;
     change.id = "admit-" + name;
     change.keeper = keeper_named(name, std::stoull(name.substr(1)));
     change.expected = epoch;
@@ -143,7 +143,7 @@
 
 std::size_t chosen_in(std::vector<Outcome> const& outcomes) {
   return static_cast<std::size_t>(std::count_if(
-      outcomes.begin(), outcomes.end(), [](Outcome const& outcome) { return outcome.sort == Outcome::Sort::chosen; }));
+      outcomes.begin(), outcomes.end(), [](Outcome const& outcome) { return outcome.type == Outcome::Type::chosen; }));
 }
 }  // namespace
 
@@ -162,7 +162,7 @@
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}), {"k4"});
   cluster.ask("p1", cluster.admit("k4", 2), {"k1", "k2", "k3", "k4"}, {"k1"});
   cluster.ask("p2", cluster.apply("A", 0, 7), {"k1", "k2", "k3", "k4"});
-  ASSERT_EQ(cluster.last("p2").sort, Outcome::Sort::chosen);
+  ASSERT_EQ(cluster.last("p2").type, Outcome::Type::chosen);
   Membership const members = membership_of(cluster.last("p2").value);
   EXPECT_EQ(members.keepers.size(), 4u);
   EXPECT_FALSE(members.joint());
@@ -174,10 +174,10 @@
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}), {"k4"});
   cluster.ask("p1", cluster.apply("A", 0, 7), {"k1", "k2", "k3"}, {"k1", "k2"});  // k1, which leaves, is a newest copy
   Change change = cluster.admit("k4", 2);
-  change.sort = Change::Sort::replace;
+  change.type = Change::Type::replace;
   change.leaving = keeper_named("k1", 1);
   cluster.ask("p1", change, {"k2", "k3", "k4"});
-  ASSERT_EQ(cluster.last("p1").sort, Outcome::Sort::chosen);
+  ASSERT_EQ(cluster.last("p1").type, Outcome::Type::chosen);
   EXPECT_EQ(membership_of(cluster.last("p1").value).names(), (std::vector<std::string>{"k2", "k3", "k4"}));
   // k2 is lost as well, the last of those that took the order. Whoever reads has heard of the new set from its peers.
   cluster.proposer("p2").know(membership_of(cluster.last("p1").value));
@@ -191,7 +191,7 @@
   cluster.ask("p1", cluster.admit("k4", 2), {"k1", "k2", "k3"}, {"k3"});
   // k4 is gone, and k3 with the joint set: the majority that never heard of it goes on.
   cluster.ask("p2", cluster.apply("A", 0, 7), {"k1", "k2"});
-  EXPECT_EQ(cluster.last("p2").sort, Outcome::Sort::chosen);
+  EXPECT_EQ(cluster.last("p2").type, Outcome::Type::chosen);
 }
 
 // A storm of changes at one proposer, while another one, which holds the duty, replaces a member. Its timers come round
@@ -202,10 +202,10 @@
   std::uint64_t label = 0;
   bool over = false;
   Change replace = cluster.admit("k4", 1);
-  replace.sort = Change::Sort::replace;
+  replace.type = Change::Type::replace;
   replace.leaving = keeper_named("k3", 3);
   ASSERT_TRUE(cluster.proposer("p2").ask(
-      std::move(replace), [&over](Outcome const& out) { over = out.sort == Outcome::Sort::chosen; }, cluster.now));
+      std::move(replace), [&over](Outcome const& out) { over = out.type == Outcome::Type::chosen; }, cluster.now));
   for (int turn = 0; turn < 12 && !over; ++turn) {
     for (int change = 0; change < 2; ++change, ++label)
       cluster.ask("p1", cluster.apply("text-" + std::to_string(label), label, label + 1), reach);
@@ -223,10 +223,10 @@
     proposer.know(members_of(2, {"k1", "k2", "k3"}));
     ASSERT_TRUE(proposer.ask(
         cluster.read(), [](Outcome const&) {}, 0));
-    std::vector<Letter> letters;
-    proposer.tick(0, letters);
-    ASSERT_EQ(letters.size(), 3u);
-    ballots.push_back(letters.front().body.AsPrepare()->ballot);
+    std::vector<OutgoingMessage> outgoing;
+    proposer.tick(0, outgoing);
+    ASSERT_EQ(outgoing.size(), 3u);
+    ballots.push_back(outgoing.front().body.AsPrepare()->ballot);
   }
   EXPECT_FALSE(same(ballots[0], ballots[1]));
 }
@@ -236,14 +236,14 @@
 TEST(Ballots, two_nodes_never_draw_one_owner) {
   std::vector<wire::Ballot> ballots;
   for (std::string const& name : {std::string("n1"), std::string("n2")}) {
-    Proposer proposer(name, mix(name));
+    Proposer proposer(name, hash_text(name));
     proposer.know(members_of(2, {"k1", "k2", "k3"}));
     ASSERT_TRUE(proposer.ask(
         Change(), [](Outcome const&) {}, 0));
-    std::vector<Letter> letters;
-    proposer.tick(0, letters);
-    ASSERT_EQ(letters.size(), 3u);
-    ballots.push_back(letters.front().body.AsPrepare()->ballot);
+    std::vector<OutgoingMessage> outgoing;
+    proposer.tick(0, outgoing);
+    ASSERT_EQ(outgoing.size(), 3u);
+    ballots.push_back(outgoing.front().body.AsPrepare()->ballot);
   }
   EXPECT_FALSE(same(ballots[0], ballots[1]));
 }
@@ -255,11 +255,11 @@
   Cluster const cluster(members_of(2, {"k1", "k2", "k3"}));
   ASSERT_TRUE(proposer.ask(
       cluster.apply("A", 0, 1), [](Outcome const&) {}, 0));
-  std::vector<Letter> letters;
-  proposer.tick(0, letters);
-  ASSERT_EQ(letters.size(), 3u);
-  wire::PrepareT const asked = *letters.front().body.AsPrepare();
-  letters.clear();
+  std::vector<OutgoingMessage> outgoing;
+  proposer.tick(0, outgoing);
+  ASSERT_EQ(outgoing.size(), 3u);
+  wire::PrepareT const asked = *outgoing.front().body.AsPrepare();
+  outgoing.clear();
   wire::ValueT value;
   put_membership(members_of(2, {"k1", "k2", "k3"}), value);
   for (std::uint64_t disk = 1; disk <= 2; ++disk) {
@@ -270,9 +270,9 @@
     promise.promised = disk == 1 ? asked.ballot : wire::Ballot(asked.ballot.n() - 1, asked.ballot.who());
     promise.accepted = wire::Ballot(1, 1);
     promise.value = std::make_unique<wire::ValueT>(value);
-    proposer.take("k" + std::to_string(disk), letter("n", std::move(promise)).body, 0, letters);
+    proposer.take("k" + std::to_string(disk), message_to("n", std::move(promise)).body, 0, outgoing);
   }
-  EXPECT_TRUE(letters.empty()) << "round two was begun with one promise of three";
+  EXPECT_TRUE(outgoing.empty()) << "round two was begun with one promise of three";
 }
 
 TEST(Ballots, an_acceptance_of_another_ballot_does_not_count) {
@@ -282,11 +282,11 @@
   std::vector<Outcome> outcomes;
   ASSERT_TRUE(proposer.ask(
       cluster.apply("A", 0, 1), [&outcomes](Outcome const& outcome) { outcomes.push_back(outcome); }, 0));
-  std::vector<Letter> asks;
-  std::vector<Letter> accepts;
+  std::vector<OutgoingMessage> asks;
+  std::vector<OutgoingMessage> accepts;
   proposer.tick(0, asks);
-  for (Letter& ask : asks)
-    for (Letter& answer : cluster.deliver(ask.to, "n", std::move(ask.body)))
+  for (OutgoingMessage& ask : asks)
+    for (OutgoingMessage& answer : cluster.deliver(ask.to, "n", std::move(ask.body)))
       proposer.take(ask.to, answer.body, 0, accepts);
   ASSERT_FALSE(accepts.empty());
   wire::AcceptT const asked = *accepts.front().body.AsAccept();
@@ -296,8 +296,8 @@
     accepted.disk = disk;
     accepted.ok = true;
     accepted.promised = disk == 1 ? asked.ballot : wire::Ballot(asked.ballot.n() - 1, asked.ballot.who());
-    std::vector<Letter> more;
-    proposer.take("k" + std::to_string(disk), letter("n", std::move(accepted)).body, 0, more);
+    std::vector<OutgoingMessage> more;
+    proposer.take("k" + std::to_string(disk), message_to("n", std::move(accepted)).body, 0, more);
   }
   EXPECT_TRUE(outcomes.empty()) << "confirmed with one acceptance of three";
 }
@@ -309,14 +309,14 @@
   cluster.ask("p1", cluster.apply("first", 0, 1), all);
   for (std::uint64_t label = 2; label <= 500; ++label) {
     cluster.ask("p1", cluster.apply("order-" + std::to_string(label), label - 1, label), all);
-    ASSERT_EQ(cluster.last("p1").sort, Outcome::Sort::chosen) << label;
+    ASSERT_EQ(cluster.last("p1").type, Outcome::Type::chosen) << label;
   }
   cluster.ask("p2", cluster.apply("first", 0, 1), all);
-  EXPECT_EQ(cluster.last("p2").sort, Outcome::Sort::chosen);
+  EXPECT_EQ(cluster.last("p2").type, Outcome::Type::chosen);
   EXPECT_EQ(cluster.last("p2").serial, 1u);
   EXPECT_EQ(cluster.last("p2").value.label, 500u);
   cluster.ask("p2", cluster.apply("never sent", 0, 2), all);
-  EXPECT_EQ(cluster.last("p2").sort, Outcome::Sort::refused);
+  EXPECT_EQ(cluster.last("p2").type, Outcome::Type::refused);
 }
 
 TEST(Orders, beyond_what_is_remembered_the_answer_is_unclear) {
@@ -343,12 +343,12 @@
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}));
   std::vector<std::string> const all{"k1", "k2", "k3"};
   cluster.ask("p1", cluster.apply("on two", 2, 3), all);
-  EXPECT_EQ(cluster.last("p1").sort, Outcome::Sort::unknown);
+  EXPECT_EQ(cluster.last("p1").type, Outcome::Type::unknown);
   EXPECT_EQ(cluster.last("p1").fault.kind, Kind::change_unknown);
   cluster.ask("p2", cluster.apply("two", 0, 2), all);
-  EXPECT_EQ(cluster.last("p2").sort, Outcome::Sort::chosen);
+  EXPECT_EQ(cluster.last("p2").type, Outcome::Type::chosen);
   cluster.ask("p2", cluster.apply("on two", 2, 3), all);
-  EXPECT_EQ(cluster.last("p2").sort, Outcome::Sort::chosen);
+  EXPECT_EQ(cluster.last("p2").type, Outcome::Type::chosen);
 }
 
 TEST(Orders, what_a_record_of_the_first_format_remembers_is_kept) {
@@ -379,10 +379,10 @@
     base.label = n;
     remember_order(base, "order-" + std::to_string(n));
   }
-  base.turn = 17;
+  base.revision = 17;
   wire::ValueT next = base;
   next.text = std::string(4000, 'a') + "newer" + std::string(4000, 'b');
-  next.turn = 18;
+  next.revision = 18;
   next.serial = base.serial + 1;
   next.label = 7000;
   remember_order(next, "one more");
@@ -408,7 +408,7 @@
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}));
   cluster.ask("p1", cluster.apply("A", 0, 1), {"k1", "k2"});
   cluster.ask("p1", cluster.apply("B", 1, 2), {"k2", "k3"});
-  EXPECT_EQ(cluster.last("p1").sort, Outcome::Sort::chosen);
+  EXPECT_EQ(cluster.last("p1").type, Outcome::Type::chosen);
   EXPECT_EQ(cluster.acceptor("k3").held().value->text, "B");
   EXPECT_EQ(cluster.acceptor("k3").held().value->orders.size(), 2u);
 }
@@ -423,9 +423,9 @@
   cluster.ask("p1", cluster.read(), {"k1", "k2", "k3"});
   cluster.ask("p1", cluster.admit("k4", 2), {"k1", "k2", "k3"}, {"k1"});
   Learner learner;
-  std::vector<Letter> asks;
+  std::vector<OutgoingMessage> asks;
   learner.poll(0, {"k1"}, -1, asks);
-  std::vector<Letter> more;
+  std::vector<OutgoingMessage> more;
   learner.take("k1", answer_of(cluster.acceptor("k1"), *asks.front().body.AsPeek()), 0, more);
   EXPECT_TRUE(learner.membership().empty());
   EXPECT_EQ(learner.sure, -1);
@@ -436,14 +436,14 @@
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}));
   cluster.ask("p1", cluster.apply("A", 0, 1), {"k1", "k2", "k3"});
   Learner learner;
-  std::vector<Letter> asks;
+  std::vector<OutgoingMessage> asks;
   learner.poll(seconds(5), {"k1", "k2", "k3"}, -1, asks);
   wire::PeekT const peek = *asks.front().body.AsPeek();
-  std::vector<Letter> more;
+  std::vector<OutgoingMessage> more;
   learner.take("k1", answer_of(cluster.acceptor("k1"), peek), seconds(5), more);
   cluster.ask("p1", cluster.apply("B", 1, 2), {"k1", "k2"});
   learner.take("k2", answer_of(cluster.acceptor("k2"), peek), seconds(5), more);
-  EXPECT_EQ(learner.sure, -1) << "two ballots, and the newer turn is not held here";
+  EXPECT_EQ(learner.sure, -1) << "two ballots, and the newer revision is not held here";
   learner.adopt(cluster.last("p1").value, seconds(6));
   EXPECT_EQ(learner.sure, seconds(5));
 }
@@ -455,10 +455,11 @@
   cluster.ask("p1", cluster.apply("B", 1, 2), {"k1", "k2"});
   // k1 is lost. A node without any memory polls the other two.
   Learner learner;
-  std::vector<Letter> asks;
-  std::vector<Letter> more;
+  std::vector<OutgoingMessage> asks;
+  std::vector<OutgoingMessage> more;
   learner.poll(0, {"k2", "k3"}, -1, asks);
-  for (Letter const& ask : asks) learner.take(ask.to, answer_of(cluster.acceptor(ask.to), *ask.body.AsPeek()), 0, more);
+  for (OutgoingMessage const& ask : asks)
+    learner.take(ask.to, answer_of(cluster.acceptor(ask.to), *ask.body.AsPeek()), 0, more);
   EXPECT_TRUE(learner.membership().empty());
   Proposer fresh("p9", 99);
   fresh.suggest(learner.seen());
@@ -466,15 +467,15 @@
   ASSERT_TRUE(fresh.ask(
       cluster.read(), [&outcome](Outcome const& end) { outcome = end; }, 0));
   for (Micros now = 0; now < seconds(2) && !outcome; now += millis(50)) {
-    std::vector<Letter> letters;
-    fresh.tick(now, letters);
-    while (!letters.empty()) {
-      std::vector<Letter> batch;
-      batch.swap(letters);
-      for (Letter& item : batch) {
+    std::vector<OutgoingMessage> outgoing;
+    fresh.tick(now, outgoing);
+    while (!outgoing.empty()) {
+      std::vector<OutgoingMessage> batch;
+      batch.swap(outgoing);
+      for (OutgoingMessage& item : batch) {
         if (item.to == "k1") continue;
-        for (Letter& answer : cluster.deliver(item.to, "p9", std::move(item.body)))
-          fresh.take(item.to, answer.body, now, letters);
+        for (OutgoingMessage& answer : cluster.deliver(item.to, "p9", std::move(item.body)))
+          fresh.take(item.to, answer.body, now, outgoing);
       }
     }
   }
--- a/tests/text_patch.cc
+++ b/tests/text_patch.cc
@@ -4,11 +4,11 @@
 
 #include <ctime>
 
-#include "canon/creed/creed.h"
-#include "canon/register/text_patch.h"
-#include "canon/register/value_patch.h"
-#include "ground/mix.h"
-#include "kin/frame.h"
+#include "base/random.h"
+#include "config/description/description.h"
+#include "consensus/register/text_patch.h"
+#include "consensus/register/value_patch.h"
+#include "mesh/frame.h"
 
 namespace pipit {
 
@@ -22,31 +22,31 @@
 }
 
 // Letters, or commas with the given chance.
-std::string random_text(Dice& dice, std::size_t length, std::size_t alphabet, double commas) {
+std::string random_text(RandomSource& random, std::size_t length, std::size_t alphabet, double commas) {
   std::string out;
   for (std::size_t n = 0; n < length; ++n)
-    out += dice.chance(commas) ? ',' : static_cast<char>('a' + dice.below(alphabet));
+    out += random.chance(commas) ? ',' : static_cast<char>('a' + random.below(alphabet));
   return out;
 }
 
 // Puts in, takes out, doubles, or moves a piece.
-void edit(Dice& dice, std::string& text) {
-  std::size_t const from = dice.below(text.size() + 1);
-  std::size_t const length = std::min<std::size_t>(dice.below(60), text.size() - from);
+void edit(RandomSource& random, std::string& text) {
+  std::size_t const from = random.below(text.size() + 1);
+  std::size_t const length = std::min<std::size_t>(random.below(60), text.size() - from);
   std::string const piece = text.substr(from, length);
-  switch (dice.below(4)) {
+  switch (random.below(4)) {
     case 0:
-      text.insert(from, random_text(dice, dice.below(60), 26, 0.1));
+      text.insert(from, random_text(random, random.below(60), 26, 0.1));
       break;
     case 1:
       text.erase(from, length);
       break;
     case 2:
-      text.insert(dice.below(text.size() + 1), piece);
+      text.insert(random.below(text.size() + 1), piece);
       break;
     default:
       text.erase(from, length);
-      text.insert(dice.below(text.size() + 1), piece);
+      text.insert(random.below(text.size() + 1), piece);
       break;
   }
 }
@@ -82,11 +82,11 @@
 
 TEST(TextPatch, yields_the_text_whatever_was_edited) {
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
-    Dice dice(seed);
+    RandomSource random(seed);
     std::string const base =
-        random_text(dice, dice.below(1500), 1 + dice.below(26), 0.1 * static_cast<double>(dice.below(6)));
+        random_text(random, random.below(1500), 1 + random.below(26), 0.1 * static_cast<double>(random.below(6)));
     std::string next = base;
-    for (std::size_t n = dice.below(12); n > 0; --n) edit(dice, next);
+    for (std::size_t n = random.below(12); n > 0; --n) edit(random, next);
     expect_patch(base, next, "seed " + std::to_string(seed));
     if (::testing::Test::HasFatalFailure()) return;
   }
@@ -94,12 +94,12 @@
 
 TEST(TextPatch, a_patch_for_another_base_yields_nothing) {
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
-    Dice dice(seed);
-    std::string const base = random_text(dice, 800, 26, 0.1);
+    RandomSource random(seed);
+    std::string const base = random_text(random, 800, 26, 0.1);
     std::string next = base;
-    edit(dice, next);
+    edit(random, next);
     std::string other = base;
-    other[dice.below(other.size())] ^= 1;
+    other[random.below(other.size())] ^= 1;
     std::optional<std::string> const made = patched_text(other, *text_patch(base, next));
     EXPECT_TRUE(!made || *made == next) << seed;
   }
@@ -130,17 +130,17 @@
 }
 
 TEST(TextPatch, the_largest_texts_take_a_bounded_time) {
-  std::size_t const size = creed_limit;
-  Dice dice(7);
+  std::size_t const size = description_limit;
+  RandomSource random(7);
   std::string const texts[] = {
       repeated(",", size),
       repeated("a", size),
       repeated("a,", size),
       repeated("ab,ba,,", size),
-      random_text(dice, size, 2, 0.5),
+      random_text(random, size, 2, 0.5),
       numbered(size, 1),
       numbered(size, 3),
-      random_text(dice, size, 26, 0.04),
+      random_text(random, size, 26, 0.04),
   };
   for (std::string const& base : texts)
     for (std::string const& next : texts) {
@@ -156,10 +156,10 @@
 
 // A hundred edits over 2 MiB cost what they change.
 TEST(TextPatch, many_edits_of_a_large_text_cost_what_they_change) {
-  Dice dice(11);
-  std::string const base = numbered(creed_limit - 65536, 7);
+  RandomSource random(11);
+  std::string const base = numbered(description_limit - 65536, 7);
   std::string next = base;
-  for (int n = 0; n < 100; ++n) edit(dice, next);
+  for (int n = 0; n < 100; ++n) edit(random, next);
   std::unique_ptr<wire::TextPatchT> const patch = text_patch(base, next);
   ASSERT_EQ(patched_text(base, *patch), next);
   EXPECT_LT(size_of(*patch), 40000u);
@@ -168,14 +168,14 @@
 // The turn alone does not say which value it is: two that were never chosen may share one.
 TEST(ValuePatch, fits_only_the_value_that_it_was_made_for) {
   wire::ValueT base;
-  base.turn = 5;
+  base.revision = 5;
   base.serial = 4;
   base.label = 40;
   base.change = "base";
   base.text = numbered(2000, 1);
   base.orders.emplace_back(1, 2, 40);
   wire::ValueT next = base;
-  next.turn = 6;
+  next.revision = 6;
   next.serial = 5;
   next.label = 41;
   next.orders.emplace_back(3, 4, 41);
