--- a/programs/decree/main.cc
+++ b/programs/decree/main.cc
@@ -8,7 +8,7 @@
 #include <iostream>
 #include <sstream>
 
-#include "canon/creed/creed.h"
+#include "config/description/description.h"
 #include "ground/ip.h"
 #include "ground/micros.h"
 #include "hull/http/talk.h"
@@ -96,7 +96,7 @@
       std::fprintf(stderr, "decree: the file %s cannot be read\n", words[1].c_str());
       return 2;
     }
-    Result<std::shared_ptr<Creed const>> const made = read_creed(text);
+    Result<std::shared_ptr<Description const>> const made = read_description(text);
     if (!made) {
       std::fprintf(stderr, "decree: %s: %s: %s\n", kind_row(made.error().kind).name, made.error().place.c_str(),
                    made.error().why.c_str());
--- a/proof/augury/machines.cc
+++ b/proof/augury/machines.cc
@@ -56,7 +56,7 @@
     for (int i = 1; i <= plan.shape->keepers; ++i) p.founders.push_back("k" + std::to_string(i));
   p.incarnation = 1000 + lives;
   p.chance = stir(plan.seed * 31 + lives);
-  std::optional<wire::RecordT> slate;
+  std::optional<wire::RecordT> recovered;
   if (box.role == Role::accord) {
     // What was being written when the power went may be there, or not.
     if (box.writing && dice.chance(0.5)) box.disk = box.writing;
@@ -68,9 +68,9 @@
       blank.disk = stir(plan.seed ^ (lives << 20));
       box.disk = blank;
     }
-    slate = box.disk;
+    recovered = box.disk;
   }
-  box.node = std::make_unique<Node>(p, clock(box), slate);
+  box.node = std::make_unique<Node>(p, clock(box), recovered);
   std::string const name = box.name;
   std::uint64_t const life = box.life;
   after(lag(), [this, name, life] { tick(*boxes[name], life); });
--- a/proof/checker/register_view.cc
+++ b/proof/checker/register_view.cc
@@ -4,8 +4,8 @@
 
 #include <cstdio>
 
-#include "canon/register/membership.h"
-#include "canon/register/orders.h"
+#include "consensus/register/membership.h"
+#include "consensus/register/orders.h"
 
 namespace pipit::checker {
 
@@ -151,15 +151,15 @@
 
 Print print_of(Acceptor const& acceptor, Symmetry const& symmetry) {
   Print out(symmetry);
-  add(out, acceptor.slate, symmetry);
-  add(out, acceptor.firm, symmetry);
+  add(out, acceptor.state, symmetry);
+  add(out, acceptor.synced_state, symmetry);
   out.number(acceptor.busy ? 1 : 0);
   for (std::pair<std::string, wire::BodyUnion> const& item : acceptor.inbox) {
     out.name(symmetry, item.first);
     out.part(print_of(item.second, symmetry));
   }
   out.number(acceptor.inbox.size());
-  for (Letter const& item : acceptor.held_back) {
+  for (OutgoingMessage const& item : acceptor.held_back) {
     out.name(symmetry, item.to);
     out.part(print_of(item.body, symmetry));
   }
--- a/proof/checker/register_view.h
+++ b/proof/checker/register_view.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "canon/register/learner.h"
-#include "canon/register/proposer.h"
+#include "consensus/register/learner.h"
+#include "consensus/register/proposer.h"
 #include "proof/checker/print.h"
 
 namespace pipit::checker {
--- a/proof/checker/world.cc
+++ b/proof/checker/world.cc
@@ -207,7 +207,7 @@
   keeper.print = print_of(*keeper.acceptor, *symmetry);
 }
 
-void World::after_acceptor(std::size_t index, Acceptor next, std::vector<Letter>& out,
+void World::after_acceptor(std::size_t index, Acceptor next, std::vector<OutgoingMessage>& out,
                            std::optional<wire::RecordT> save) {
   Keeper& keeper = keepers[index];
   while (save) {
@@ -225,9 +225,9 @@
 }
 
 void World::deliver_to_keeper(std::size_t index, Message const& message) {
-  std::vector<Letter> out;
+  std::vector<OutgoingMessage> out;
   if (wire::PeekT const* const ask = message.body.AsPeek()) {
-    out.push_back(letter(message.from, peeked(keepers[index].acceptor->held(), *ask)));
+    out.push_back(message_to(message.from, peeked(keepers[index].acceptor->held(), *ask)));
     return send(keeper_name(index), out);
   }
   Acceptor next = *keepers[index].acceptor;
@@ -241,7 +241,7 @@
   keeper.disk = std::move(keeper.saving);
   keeper.saving.reset();
   Acceptor next = *keeper.acceptor;
-  std::vector<Letter> out;
+  std::vector<OutgoingMessage> out;
   next.synced(out);
   std::optional<wire::RecordT> save = next.step(out);
   after_acceptor(index, std::move(next), out, std::move(save));
@@ -303,7 +303,7 @@
         outcomes->push_back({index, outcome});
       },
       nodes[at].now);
-  std::vector<Letter> out;
+  std::vector<OutgoingMessage> out;
   next.tick(nodes[at].now, out);
   std::vector<Ending> endings;
   for (std::pair<std::size_t, Outcome>& item : got) endings.push_back({item.first, std::move(item.second)});
@@ -316,7 +316,7 @@
   Learner learner = *node.learner;
   std::vector<std::pair<std::size_t, Outcome>> got;
   outcomes = &got;
-  std::vector<Letter> out;
+  std::vector<OutgoingMessage> out;
   if (wire::PeekedT const* const ans = message.body.AsPeeked()) {
     if (std::optional<wire::ValueT> const fresh = learner.take(message.from, *ans, node.now, out))
       tell(*fresh, "the learner of " + scenario->nodes[index]);
@@ -332,8 +332,8 @@
   after_node(index, proposer, learner, out, endings);
 }
 
-void World::after_node(std::size_t index, Proposer const& changed, Learner const& learned, std::vector<Letter>& out,
-                       std::vector<Ending>& endings) {
+void World::after_node(std::size_t index, Proposer const& changed, Learner const& learned,
+                       std::vector<OutgoingMessage>& out, std::vector<Ending>& endings) {
   Node& node = nodes[index];
   Proposer proposer = changed;
   Learner learner = learned;
@@ -345,7 +345,7 @@
     outcomes = &got;
     proposer.tick(node.now, out);
   }
-  for (Letter const& item : out)
+  for (OutgoingMessage const& item : out)
     if (wire::AcceptT const* const sent = item.body.AsAccept()) look_ballot(sent->ballot, draft_of(proposer));
   node.proposer = std::make_shared<Proposer const>(proposer);
   node.learner = std::make_shared<Learner const>(std::move(learner));
@@ -359,7 +359,7 @@
   Proposer next = *node.proposer;
   std::vector<std::pair<std::size_t, Outcome>> got;
   outcomes = &got;
-  std::vector<Letter> out;
+  std::vector<OutgoingMessage> out;
   // The round ends, then the pause after it; a pause alone is over with the first tick.
   node.now += by;
   next.tick(node.now, out);
@@ -385,7 +385,7 @@
   Learner next = *node.learner;
   std::vector<std::string> names;
   for (std::size_t i = 0; i < keepers.size(); ++i) names.push_back(keeper_name(i));
-  std::vector<Letter> out;
+  std::vector<OutgoingMessage> out;
   next.poll(node.now, names, -1, out);
   std::vector<Ending> none;
   after_node(index, *node.proposer, next, out, none);
@@ -393,9 +393,9 @@
 
 // --- messages
 
-void World::send(std::string const& from, std::vector<Letter>& out) {
+void World::send(std::string const& from, std::vector<OutgoingMessage>& out) {
   std::map<std::string, std::string> sent;
-  for (Letter& item : out) {
+  for (OutgoingMessage& item : out) {
     std::shared_ptr<Message> message = std::make_shared<Message>();
     message->from = from;
     message->to = std::move(item.to);
@@ -447,7 +447,7 @@
   happened += text;
 }
 
-void World::end(std::size_t index, Ending const& ending, Learner& learner, std::vector<Letter>& out) {
+void World::end(std::size_t index, Ending const& ending, Learner& learner, std::vector<OutgoingMessage>& out) {
   Outcome const& outcome = ending.outcome;
   bool const holds = outcome.sort == Outcome::Sort::chosen || outcome.sort == Outcome::Sort::kept;
   look_outcome(ending.order, outcome);
@@ -457,7 +457,7 @@
     if (name == scenario->nodes[index]) continue;
     wire::ChosenT news;
     news.value = std::make_unique<wire::ValueT>(outcome.value);
-    out.push_back(letter(name, std::move(news)));
+    out.push_back(message_to(name, std::move(news)));
   }
 }
 
--- a/proof/checker/world.h
+++ b/proof/checker/world.h
@@ -149,12 +149,13 @@
 
   void start_node(std::size_t index);
   void start_keeper(std::size_t index, wire::RecordT record);
-  void after_acceptor(std::size_t index, Acceptor next, std::vector<Letter>& out, std::optional<wire::RecordT> save);
-  void after_node(std::size_t index, Proposer const& proposer, Learner const& learner, std::vector<Letter>& out,
-                  std::vector<Ending>& endings);
-  void send(std::string const& from, std::vector<Letter>& out);
+  void after_acceptor(std::size_t index, Acceptor next, std::vector<OutgoingMessage>& out,
+                      std::optional<wire::RecordT> save);
+  void after_node(std::size_t index, Proposer const& proposer, Learner const& learner,
+                  std::vector<OutgoingMessage>& out, std::vector<Ending>& endings);
+  void send(std::string const& from, std::vector<OutgoingMessage>& out);
   void drop_late();
-  void end(std::size_t node, Ending const& ending, Learner& learner, std::vector<Letter>& out);
+  void end(std::size_t node, Ending const& ending, Learner& learner, std::vector<OutgoingMessage>& out);
   void tell(wire::ValueT const& value, std::string const& by);
   void look_outcome(std::size_t order, Outcome const& outcome);
   void look_refusals();
--- a/proof/hollow/scale.cc
+++ b/proof/hollow/scale.cc
@@ -154,7 +154,7 @@
   }
   p.incarnation = 1000 + lives;
   p.chance = stir(plan.seed * 31 + lives);
-  std::optional<wire::RecordT> slate;
+  std::optional<wire::RecordT> recovered;
   if (m.role == Role::accord) {
     if (!m.disk) {
       wire::RecordT blank;
@@ -163,9 +163,9 @@
       blank.disk = stir(plan.seed ^ (lives << 20));
       m.disk = blank;
     }
-    slate = m.disk;
+    recovered = m.disk;
   }
-  m.node = std::make_unique<Node>(p, now + m.offset, slate);
+  m.node = std::make_unique<Node>(p, now + m.offset, recovered);
   std::uint64_t const life = m.life;
   after(between(0, tick_gap), [this, who, life] { tick(who, life); });
   if (m.role == Role::passage && plan.rate > 0) after(seconds(2), [this, who, life] { call(who, life); });
--- a/proof/requests/world.cc
+++ b/proof/requests/world.cc
@@ -28,13 +28,13 @@
          more + "}";
 }
 
-std::shared_ptr<Creed const> creed_of(int aim, bool all) {
+std::shared_ptr<Description const> compiled_description(int aim, bool all) {
   std::string const text = "{\"format\":1,\"lanes\":[],\"pools\":[{\"name\":\"p\",\"model\":\"m\"}],\"routes\":[" +
                            route_text("safe", ",\"repeatable\":true", aim) + "," +
                            route_text("live", ",\"streams\":true", aim) + "," +
                            route_text("flow", ",\"streams\":true,\"resumable\":true", aim) +
                            (all ? "," + route_text("once", "", aim) : "") + "]}";
-  Result<std::shared_ptr<Creed const>> const made = read_creed(text);
+  Result<std::shared_ptr<Description const>> const made = read_description(text);
   return made ? made.value() : nullptr;
 }
 
@@ -105,9 +105,9 @@
 };
 
 RequestWorld::RequestWorld(Choose choose_) : choose(std::move(choose_)) {
-  creeds[0] = creed_of(1000, true);
-  creeds[1] = creed_of(400, false);
-  dispatcher.in_force(creeds[0]);
+  descriptions[0] = compiled_description(1000, true);
+  descriptions[1] = compiled_description(400, false);
+  dispatcher.in_force(descriptions[0]);
   dispatcher.budget(budget_ratio, budget_store);
   Relay::Ears ears;
   ears.request = [this](std::uint64_t id, Query query) {
@@ -583,9 +583,9 @@
       note(worker.id + " drains");
       return beat(worker, true);
     case 8:
-      creed = 1 - creed;
-      note("configuration " + std::to_string(creed));
-      return dispatcher.in_force(creeds[creed]);
+      description = 1 - description;
+      note("configuration " + std::to_string(description));
+      return dispatcher.in_force(descriptions[description]);
     case 9:
       held = !held;
       note(held ? "placing is held" : "placing goes on");
--- a/proof/requests/world.h
+++ b/proof/requests/world.h
@@ -85,14 +85,14 @@
   Registry registry{"n1"};
   Exchange exchange{"n1"};
   Dispatcher dispatcher{"n1", "a", tide, registry, exchange};
-  std::shared_ptr<Creed const> creeds[2];
+  std::shared_ptr<Description const> descriptions[2];
   std::unique_ptr<Relay> relay;
   std::map<std::string, Try> tries;
   std::vector<std::string> order;  // of the tries
   std::vector<std::unique_ptr<CallerSide>> callers;
   std::vector<std::unique_ptr<Worker>> workers;
   std::uint64_t beats = 0;
-  std::size_t creed = 0;
+  std::size_t description = 0;
   bool held = false;
   bool stopping = false;
 };
--- a/src/canon/creed/creed.cc
+++ b/src/config/description/description.cc
@@ -1,4 +1,4 @@
-#include "canon/creed/creed.h"
+#include "config/description/description.h"
 
 #include <simdjson.h>
 
@@ -131,13 +131,13 @@
 
 }  // namespace
 
-Pool const* Creed::pool(std::string_view name) const {
+Pool const* Description::pool(std::string_view name) const {
   for (Pool const& item : pools)
     if (item.name == name) return &item;
   return nullptr;
 }
 
-Route const* Creed::route(std::string_view host, std::string_view path) const {
+Route const* Description::route(std::string_view host, std::string_view path) const {
   Route const* best = nullptr;
   for (Route const& item : routes) {
     if (path.substr(0, item.prefix.size()) != item.prefix) continue;
@@ -151,21 +151,21 @@
   return best;
 }
 
-Lane const* Creed::lane(std::string_view name) const {
+Lane const* Description::lane(std::string_view name) const {
   for (Lane const& item : lanes)
     if (item.name == name) return &item;
   return nullptr;
 }
 
-Result<std::shared_ptr<Creed const>> read_creed(std::string_view text) {
-  if (text.size() > creed_limit)
-    return fail(Kind::too_large, "a description has at most " + std::to_string(creed_limit) + " bytes");
+Result<std::shared_ptr<Description const>> read_description(std::string_view text) {
+  if (text.size() > description_limit)
+    return fail(Kind::too_large, "a description has at most " + std::to_string(description_limit) + " bytes");
   simdjson::dom::parser parser;
   Element root;
   simdjson::error_code const code = parser.parse(simdjson::padded_string(text)).get(root);
   if (code) return fail(Kind::bad_json, simdjson::error_message(code), broken_place(text));
 
-  std::shared_ptr<Creed> const out = std::make_shared<Creed>();
+  std::shared_ptr<Description> const out = std::make_shared<Description>();
   Reader reader;
   std::set<std::string> pool_names;
   std::set<std::string> lane_names;
@@ -324,7 +324,7 @@
       model = pool->model;
     }
   }
-  return std::shared_ptr<Creed const>(out);
+  return std::shared_ptr<Description const>(out);
 }
 
 }  // namespace pipit
--- a/src/canon/creed/creed.h
+++ b/src/config/description/description.h
@@ -1,4 +1,4 @@
-// The creed: one whole description of pools and lanes, checked and compiled (§5.1).
+// The description of the fleet: its pools, lanes, routes and limits, checked and compiled (§5.1).
 #pragma once
 #include <memory>
 #include <string>
@@ -58,7 +58,7 @@
   Micros idle = seconds(60);
 };
 
-struct Creed {
+struct Description {
   std::vector<Pool> pools;
   std::vector<Lane> lanes;
   std::vector<Route> routes;
@@ -71,9 +71,9 @@
   Route const* route(std::string_view host, std::string_view path) const;
 };
 
-constexpr std::size_t creed_limit = 2u << 20;
+constexpr std::size_t description_limit = 2u << 20;
 
 // The check of `decree check` and of every node that proposes or learns a description.
-Result<std::shared_ptr<Creed const>> read_creed(std::string_view text);
+Result<std::shared_ptr<Description const>> read_description(std::string_view text);
 
 }  // namespace pipit
--- a/src/canon/grant/grants.cc
+++ b/src/consensus/lease/lease.cc
@@ -1,4 +1,4 @@
-#include "canon/grant/grants.h"
+#include "consensus/lease/lease.h"
 
 namespace pipit {
 
@@ -6,19 +6,19 @@
 constexpr Micros answers_within = millis(200);  // all answers to a question are in by then
 }
 
-bool Granter::ask(std::string const& who, std::string const& duty, Micros term, Micros now) {
+bool LeaseGrantor::ask(std::string const& who, std::string const& duty, Micros term, Micros now) {
   if (term == 0) {
     if (held[duty].who == who) held.erase(duty);
     return false;
   }
-  if (term < 0 || term > grant_term || now - born < grant_term) return false;
+  if (term < 0 || term > lease_term || now - born < lease_term) return false;
   Held& item = held[duty];
   if (item.who != who && now < item.until) return false;
   item = Held{who, now + term};
   return true;
 }
 
-void Holder::tick(Micros now, Membership const& members, std::vector<Letter>& out) {
+void LeaseHolder::tick(Micros now, Membership const& members, std::vector<OutgoingMessage>& out) {
   if (members.empty()) return;
   // Rivals each hold a part. Whoever fails gives its part back as soon as the answers are in, and steps aside for a
   // random while; else the parts of a few rivals overlap all the time, and nobody ever finds a majority free.
@@ -27,17 +27,17 @@
     send(0, members, out);
     asked = -1;
     yes.clear();
-    next = now + millis(200) + static_cast<Micros>(dice.below(static_cast<std::uint64_t>(grant_term / 2)));
+    next = now + millis(200) + static_cast<Micros>(dice.below(static_cast<std::uint64_t>(lease_term / 2)));
     return;
   }
   if (now < next) return;
   asked = now;
-  next = now + grant_term / 2;
+  next = now + lease_term / 2;
   yes.clear();
-  send(grant_term, members, out);
+  send(lease_term, members, out);
 }
 
-void Holder::give_back(Membership const& members, std::vector<Letter>& out) {
+void LeaseHolder::give_back(Membership const& members, std::vector<OutgoingMessage>& out) {
   if (asked < 0) return;
   send(0, members, out);
   asked = -1;
@@ -45,21 +45,21 @@
   yes.clear();
 }
 
-void Holder::send(Micros term, Membership const& members, std::vector<Letter>& out) {
+void LeaseHolder::send(Micros term, Membership const& members, std::vector<OutgoingMessage>& out) {
   ++req;
   for (std::string const& name : members.names()) {
-    wire::GrantAskT ask;
+    wire::LeaseRequestT ask;
     ask.req = req;
     ask.duty = duty;
     ask.term = term;
-    out.push_back(letter(name, std::move(ask)));
+    out.push_back(message_to(name, std::move(ask)));
   }
 }
 
-void Holder::take(std::string const& from, wire::GrantAnsT const& ans, Micros now, Membership const& members) {
+void LeaseHolder::take(std::string const& from, wire::LeaseReplyT const& ans, Micros now, Membership const& members) {
   if (ans.duty != duty || ans.req != req || !ans.ok || !members.concerns(from, ans.disk)) return;
   yes[from] = ans.disk;
-  if (members.quorum(yes)) until = asked + grant_term * 4 / 5;
+  if (members.quorum(yes)) until = asked + lease_term * 4 / 5;
 }
 
 }  // namespace pipit
--- a/src/canon/grant/grants.h
+++ b/src/consensus/lease/lease.h
@@ -1,21 +1,21 @@
-// Duties that one node does: a majority of keepers grants them for a term; the holder stops early (§5.7).
+// Leases on duties that one node does: a majority of keepers gives them for a term; the holder stops early (§5.7).
 #pragma once
 #include <map>
 #include <string>
 
-#include "canon/register/proposer.h"
+#include "consensus/register/proposer.h"
 
 namespace pipit {
 
 // Shorter than the time after which a keeper counts as lost, so that the loss of whoever holds the duty delays nothing.
-constexpr Micros grant_term = millis(2400);
+constexpr Micros lease_term = millis(2400);
 
-// On a keeper: who holds what, in memory only. A keeper that just began grants nothing for a whole term,
-// since it may have granted just before it ended.
-class Granter {
+// On a keeper: who holds what, in memory only. A keeper that just began gives no lease for a whole term,
+// since it may have given one just before it ended.
+class LeaseGrantor {
  public:
-  explicit Granter(Micros born_) : born(born_) {}
-  // A term of 0 gives back what was granted.
+  explicit LeaseGrantor(Micros born_) : born(born_) {}
+  // A term of 0 gives the lease back.
   bool ask(std::string const& who, std::string const& duty, Micros term, Micros now);
 
  private:
@@ -28,19 +28,19 @@
 };
 
 // On the node that wants a duty.
-class Holder {
+class LeaseHolder {
  public:
-  Holder(std::string duty_, std::uint64_t seed)
+  LeaseHolder(std::string duty_, std::uint64_t seed)
       : duty(std::move(duty_)), dice(seed ^ mix(duty)), req(dice.roll() >> 8) {}
-  void tick(Micros now, Membership const& members, std::vector<Letter>& out);
+  void tick(Micros now, Membership const& members, std::vector<OutgoingMessage>& out);
   // A holder that is about to end lets the next one begin at once.
-  void give_back(Membership const& members, std::vector<Letter>& out);
-  void take(std::string const& from, wire::GrantAnsT const& ans, Micros now, Membership const& members);
-  // The holder's own end is earlier than the granters' by a fifth, for clocks that run at different rates.
+  void give_back(Membership const& members, std::vector<OutgoingMessage>& out);
+  void take(std::string const& from, wire::LeaseReplyT const& ans, Micros now, Membership const& members);
+  // The holder's own end is earlier than the grantors' by a fifth, for clocks that run at different rates.
   bool holds(Micros now) const { return now < until; }
 
  private:
-  void send(Micros term, Membership const& members, std::vector<Letter>& out);
+  void send(Micros term, Membership const& members, std::vector<OutgoingMessage>& out);
 
   std::string const duty;
   Dice dice;
--- /dev/null
+++ b/src/consensus/register/acceptor.cc
@@ -0,0 +1,143 @@
+#include "consensus/register/acceptor.h"
+
+#include "config/description/description.h"
+#include "consensus/register/membership.h"
+#include "consensus/register/orders.h"
+#include "consensus/register/value_patch.h"
+#include "ground/guards.h"
+
+namespace pipit {
+
+Acceptor::Acceptor(wire::RecordT recovered) : state(std::move(recovered)) {
+  if (state.value) convert_old_orders(*state.value);
+  synced_state = state;
+}
+
+void Acceptor::take(std::string from, wire::BodyUnion body) {
+  // A bounded backlog: what is dropped is asked again by its sender.
+  if (inbox.size() < 512) inbox.emplace_back(std::move(from), std::move(body));
+}
+
+wire::PeekedT peeked(wire::RecordT const& state, wire::PeekT const& ask) {
+  wire::PeekedT out;
+  out.req = ask.req;
+  out.disk = state.disk;
+  out.formed = state.formed;
+  out.ballot = state.accepted;
+  if (state.value) {
+    out.serial = state.value->serial;
+    out.epoch = state.value->epoch;
+    out.turn = state.value->turn;
+    out.members = membership_of(*state.value).fingerprint();
+    if (out.members != ask.members) {
+      for (std::unique_ptr<wire::KeeperT> const& item : state.value->keepers)
+        out.keepers.push_back(std::make_unique<wire::KeeperT>(*item));
+      for (std::unique_ptr<wire::KeeperT> const& item : state.value->former)
+        out.former.push_back(std::make_unique<wire::KeeperT>(*item));
+    }
+    if (ask.full) out.value = std::make_unique<wire::ValueT>(*state.value);
+  }
+  return out;
+}
+
+bool Acceptor::handle(std::string const& from, wire::BodyUnion& body, std::vector<OutgoingMessage>& out) {
+  if (wire::PrepareT const* const ask = body.AsPrepare()) return prepare(from, *ask, out);
+  if (wire::AcceptT* const ask = body.AsAccept()) return accept(from, *ask, out);
+  if (wire::FoundT const* const ask = body.AsFound()) return found(*ask);
+  return false;
+}
+
+bool Acceptor::prepare(std::string const& from, wire::PrepareT const& ask, std::vector<OutgoingMessage>& out) {
+  wire::PromiseT answer;
+  answer.req = ask.req;
+  answer.disk = state.disk;
+  answer.ok = state.promised < ask.ballot || !guard(Guard::promise);
+  if (answer.ok) state.promised = ask.ballot;
+  answer.promised = state.promised;
+  answer.accepted = state.accepted;
+  bool const known = is_set(ask.known) && same(ask.known, state.accepted);
+  if (state.value && answer.ok && !known) answer.value = std::make_unique<wire::ValueT>(*state.value);
+  bool const changed = answer.ok;
+  out.push_back(message_to(from, std::move(answer)));
+  return changed;
+}
+
+std::unique_ptr<wire::ValueT> Acceptor::value_of(wire::AcceptT& ask) const {
+  if (ask.value) return std::move(ask.value);
+  if (!ask.patch || !state.value || !is_set(ask.base) || !same(ask.base, state.accepted)) return nullptr;
+  std::optional<wire::ValueT> value = patched(*state.value, *ask.patch);
+  return value ? std::make_unique<wire::ValueT>(std::move(*value)) : nullptr;
+}
+
+bool Acceptor::accept(std::string const& from, wire::AcceptT& ask, std::vector<OutgoingMessage>& out) {
+  wire::AcceptedT answer;
+  answer.req = ask.req;
+  answer.disk = state.disk;
+  answer.promised = state.promised;
+  bool changed = false;
+  bool const outdated = ask.ballot < state.promised && guard(Guard::promise);
+  if (!outdated && same(ask.ballot, state.accepted)) {
+    answer.ok = true;  // a repetition: the value of a ballot is one
+  } else if (!outdated) {
+    std::unique_ptr<wire::ValueT> value = value_of(ask);
+    answer.need_value = value == nullptr;
+    // One limit for a description, here as at the proposer: what is larger fits neither frame nor record (§5.1).
+    if (value && value->text.size() <= description_limit) {
+      state.promised = ask.ballot;
+      state.accepted = ask.ballot;
+      state.value = std::move(value);
+      state.formed = true;
+      answer.ok = true;
+      answer.promised = state.promised;
+      changed = true;
+    }
+  }
+  out.push_back(message_to(from, std::move(answer)));
+  return changed;
+}
+
+bool Acceptor::found(wire::FoundT const& ask) {
+  // §5.4: the first set, once, and only on a disk that it names.
+  if (state.formed) return false;
+  Membership first;
+  first.epoch = 1;
+  for (std::unique_ptr<wire::KeeperT> const& keeper : ask.keepers) first.keepers.push_back(*keeper);
+  if (!first.holds(state.name, state.disk)) return false;
+  state.formed = true;
+  // Two first sets, should there ever be two, have ballots of their own.
+  state.accepted = wire::Ballot(1, first.fingerprint());
+  state.value = std::make_unique<wire::ValueT>();
+  put_membership(first, *state.value);
+  return true;
+}
+
+std::optional<wire::RecordT> Acceptor::step(std::vector<OutgoingMessage>& out) {
+  if (busy) return std::nullopt;
+  bool changed = false;
+  std::vector<OutgoingMessage> replies;
+  while (!inbox.empty()) {
+    std::pair<std::string, wire::BodyUnion> item = std::move(inbox.front());
+    inbox.pop_front();
+    changed = handle(item.first, item.second, replies) || changed;
+  }
+  if (!changed) {
+    for (OutgoingMessage& reply : replies) out.push_back(std::move(reply));
+    return std::nullopt;
+  }
+  busy = true;
+  if (!guard(Guard::sync_first)) {
+    for (OutgoingMessage& reply : replies) out.push_back(std::move(reply));
+    replies.clear();
+  }
+  held_back = std::move(replies);
+  return state;
+}
+
+void Acceptor::synced(std::vector<OutgoingMessage>& out) {
+  busy = false;
+  synced_state = state;
+  for (OutgoingMessage& reply : held_back) out.push_back(std::move(reply));
+  held_back.clear();
+}
+
+}  // namespace pipit
--- a/src/canon/register/acceptor.h
+++ b/src/consensus/register/acceptor.h
@@ -17,13 +17,13 @@
 inline bool is_set(wire::Ballot const& ballot) { return ballot.n() != 0; }
 
 // A message of the control plane, addressed by name; the mesh carries it.
-struct Letter {
+struct OutgoingMessage {
   std::string to;
   wire::BodyUnion body;
 };
 template <class T>
-Letter letter(std::string to, T&& body) {
-  Letter out;
+OutgoingMessage message_to(std::string to, T&& body) {
+  OutgoingMessage out;
   out.to = std::move(to);
   out.body.Set(std::forward<T>(body));
   return out;
@@ -32,35 +32,35 @@
 class Acceptor {
  public:
   // The durable state as recovered, or formatted anew.
-  explicit Acceptor(wire::RecordT slate_);
+  explicit Acceptor(wire::RecordT recovered);
 
   // Messages are taken into a backlog; step() works through it while no sync is under way.
   void take(std::string from, wire::BodyUnion body);
   // Fills what to send; returns a record to sync when one is due.
-  std::optional<wire::RecordT> step(std::vector<Letter>& out);
+  std::optional<wire::RecordT> step(std::vector<OutgoingMessage>& out);
   // The record that step() returned is synced.
-  void synced(std::vector<Letter>& out);
+  void synced(std::vector<OutgoingMessage>& out);
 
-  wire::RecordT const& held() const { return firm; }
+  wire::RecordT const& held() const { return synced_state; }
   std::size_t backlog() const { return inbox.size(); }
 
  private:
   // Each returns whether the durable state changed.
-  bool handle(std::string const& from, wire::BodyUnion& body, std::vector<Letter>& out);
-  bool prepare(std::string const& from, wire::PrepareT const& ask, std::vector<Letter>& out);
-  bool accept(std::string const& from, wire::AcceptT& ask, std::vector<Letter>& out);
+  bool handle(std::string const& from, wire::BodyUnion& body, std::vector<OutgoingMessage>& out);
+  bool prepare(std::string const& from, wire::PrepareT const& ask, std::vector<OutgoingMessage>& out);
+  bool accept(std::string const& from, wire::AcceptT& ask, std::vector<OutgoingMessage>& out);
   bool found(wire::FoundT const& ask);
   // The value that an accept brings, whole or as a patch of the one that is held; nothing when its base is missing.
   std::unique_ptr<wire::ValueT> value_of(wire::AcceptT& ask) const;
 
-  wire::RecordT slate;  // with what is not synced yet
-  wire::RecordT firm;   // what is synced
+  wire::RecordT state;         // with what is not synced yet
+  wire::RecordT synced_state;  // what is synced
   bool busy = false;
   std::deque<std::pair<std::string, wire::BodyUnion>> inbox;
-  std::vector<Letter> held_back;
+  std::vector<OutgoingMessage> held_back;
 };
 
 // What a keeper tells of its value. The set of keepers goes along only when it is not the one that the asker knows.
-wire::PeekedT peeked(wire::RecordT const& slate, wire::PeekT const& ask);
+wire::PeekedT peeked(wire::RecordT const& state, wire::PeekT const& ask);
 
 }  // namespace pipit
--- a/src/canon/register/learner.cc
+++ b/src/consensus/register/learner.cc
@@ -1,8 +1,8 @@
-#include "canon/register/learner.h"
+#include "consensus/register/learner.h"
 
 #include <algorithm>
 
-#include "canon/register/value_patch.h"
+#include "consensus/register/value_patch.h"
 
 namespace pipit {
 
@@ -29,7 +29,7 @@
   if (floor_at >= 0 && value->turn >= floor_turn) sure = std::max(sure, floor_at);
 }
 
-void Learner::poll(Micros now, std::vector<std::string> const& keepers, Micros age, std::vector<Letter>& out) {
+void Learner::poll(Micros now, std::vector<std::string> const& keepers, Micros age, std::vector<OutgoingMessage>& out) {
   look_split();
   ++req;
   asked = now;
@@ -43,11 +43,11 @@
     ask.age = age;
     ask.epoch = set.epoch;
     ask.members = set.empty() ? 0 : set.fingerprint();
-    out.push_back(letter(name, std::move(ask)));
+    out.push_back(message_to(name, std::move(ask)));
   }
 }
 
-// Copies that differ are mended (§5.8). A keeper that is away hides nothing: a quorum is enough to see it.
+// Copies that differ are repaired (§5.8). A keeper that is away hides nothing: a quorum is enough to see it.
 void Learner::look_split() {
   Voters voters;
   bool differ = false;
@@ -102,8 +102,8 @@
 }
 
 std::optional<wire::ValueT> Learner::take(std::string const& from, wire::PeekedT const& ans, Micros now,
-                                          std::vector<Letter>& out) {
-  sights[from] = Sight{ans.disk, ans.formed, ans.ballot, ans.serial, now, ans.retiring};
+                                          std::vector<OutgoingMessage>& out) {
+  observations[from] = Observation{ans.disk, ans.formed, ans.ballot, ans.serial, now, ans.retiring};
   if (ans.value) {
     if (!wanted || ans.req != req || !same(ans.ballot, wanted->ballot)) return std::nullopt;
     // A quorum agreed on this ballot, so this is the value that was chosen.
@@ -128,7 +128,7 @@
     wire::PeekT ask;
     ask.req = req;
     ask.full = true;
-    out.push_back(letter(from, std::move(ask)));
+    out.push_back(message_to(from, std::move(ask)));
   }
   return std::nullopt;
 }
--- a/src/canon/register/learner.h
+++ b/src/consensus/register/learner.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "canon/register/proposer.h"
+#include "consensus/register/proposer.h"
 
 namespace pipit {
 
@@ -17,10 +17,10 @@
   // Takes a patch of a chosen value; false when it has another base than what is held here.
   bool adopt(wire::ValuePatchT const& patch, Micros now);
   // Polls: one majority read without repair, of marks only. 'keepers' are all nodes that may keep.
-  void poll(Micros now, std::vector<std::string> const& keepers, Micros age, std::vector<Letter>& out);
+  void poll(Micros now, std::vector<std::string> const& keepers, Micros age, std::vector<OutgoingMessage>& out);
   // Returns a chosen value when the read brings a newer one.
   std::optional<wire::ValueT> take(std::string const& from, wire::PeekedT const& ans, Micros now,
-                                   std::vector<Letter>& out);
+                                   std::vector<OutgoingMessage>& out);
 
   // The set of the newest chosen value; empty before one is known.
   Membership const& membership() const { return set; }
@@ -38,7 +38,7 @@
   Micros sure = -1;
   Micros changed_at = -1;  // when the value held here last changed
   bool split = false;      // the last poll that reached a quorum saw keepers that hold different ballots
-  struct Sight {
+  struct Observation {
     std::uint64_t disk = 0;
     bool formed = false;
     wire::Ballot ballot;
@@ -46,7 +46,7 @@
     Micros at = -1;
     bool retiring = false;  // it is about to end for good, or for a while
   };
-  std::map<std::string, Sight> sights;  // what each keeper last answered
+  std::map<std::string, Observation> observations;  // what each keeper last answered
 
  private:
   struct Vote {
--- a/src/canon/register/membership.cc
+++ b/src/consensus/register/membership.cc
@@ -1,4 +1,4 @@
-#include "canon/register/membership.h"
+#include "consensus/register/membership.h"
 
 #include <algorithm>
 #include <set>
--- a/src/canon/register/orders.cc
+++ b/src/consensus/register/orders.cc
@@ -1,4 +1,4 @@
-#include "canon/register/orders.h"
+#include "consensus/register/orders.h"
 
 #include <algorithm>
 
--- a/src/canon/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -1,10 +1,10 @@
-#include "canon/register/proposer.h"
+#include "consensus/register/proposer.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "canon/register/orders.h"
-#include "canon/register/value_patch.h"
+#include "consensus/register/orders.h"
+#include "consensus/register/value_patch.h"
 #include "ground/digest.h"
 #include "ground/guards.h"
 
@@ -81,7 +81,7 @@
   return serial_of_order(value, id);
 }
 
-void Proposer::start(Micros now, std::vector<Letter>& out) {
+void Proposer::start(Micros now, std::vector<OutgoingMessage>& out) {
   ++jobs.front().tries;
   ballot = wire::Ballot(++top, owner);
   ++req;
@@ -100,7 +100,7 @@
     ask.ballot = ballot;
     ask.epoch = set.epoch;
     ask.known = held_ballot;
-    out.push_back(letter(name, std::move(ask)));
+    out.push_back(message_to(name, std::move(ask)));
   }
 }
 
@@ -119,7 +119,8 @@
   job.done(outcome);
 }
 
-void Proposer::promise(std::string const& from, wire::PromiseT const& ans, Micros now, std::vector<Letter>& out) {
+void Proposer::promise(std::string const& from, wire::PromiseT const& ans, Micros now,
+                       std::vector<OutgoingMessage>& out) {
   if (phase != Phase::first || ans.req != req || !set.concerns(from, ans.disk)) return;
   if (!ans.ok) return again(now, ans.promised.n());
   promises[from] = Promised{ans.disk, ans.accepted};
@@ -146,7 +147,7 @@
   round_two(now, out);
 }
 
-void Proposer::round_two(Micros now, std::vector<Letter>& out) {
+void Proposer::round_two(Micros now, std::vector<OutgoingMessage>& out) {
   if (!make_draft()) return;
   phase = Phase::second;
   due = now + plan.phase;
@@ -161,7 +162,7 @@
   }
 }
 
-void Proposer::send_accept(std::string const& to, bool whole, std::vector<Letter>& out) const {
+void Proposer::send_accept(std::string const& to, bool whole, std::vector<OutgoingMessage>& out) const {
   wire::AcceptT ask;
   ask.req = req;
   ask.ballot = ballot;
@@ -171,7 +172,7 @@
     ask.base = best;
     ask.patch = patch_between(*found, draft);
   }
-  out.push_back(letter(to, std::move(ask)));
+  out.push_back(message_to(to, std::move(ask)));
 }
 
 bool Proposer::make_draft() {
@@ -294,7 +295,8 @@
   return true;
 }
 
-void Proposer::accepted(std::string const& from, wire::AcceptedT const& ans, Micros now, std::vector<Letter>& out) {
+void Proposer::accepted(std::string const& from, wire::AcceptedT const& ans, Micros now,
+                        std::vector<OutgoingMessage>& out) {
   if (phase != Phase::second || ans.req != req) return;
   Membership const members = membership_of(draft);
   if (!members.concerns(from, ans.disk) && !set.concerns(from, ans.disk)) return;
@@ -305,7 +307,7 @@
 }
 
 // The draft is chosen. A joint set is settled before anything else; then the change that was asked has its turn.
-void Proposer::chosen(Micros now, std::vector<Letter>& out) {
+void Proposer::chosen(Micros now, std::vector<OutgoingMessage>& out) {
   held_ballot = ballot;
   held = draft;
   set = membership_of(draft);
@@ -329,7 +331,8 @@
   finish(outcome);
 }
 
-void Proposer::take(std::string const& from, wire::BodyUnion const& body, Micros now, std::vector<Letter>& out) {
+void Proposer::take(std::string const& from, wire::BodyUnion const& body, Micros now,
+                    std::vector<OutgoingMessage>& out) {
   if (wire::PromiseT const* const ans = body.AsPromise()) promise(from, *ans, now, out);
   if (wire::AcceptedT const* const ans = body.AsAccepted()) accepted(from, *ans, now, out);
 }
@@ -352,7 +355,7 @@
   for (Job& job : given_up) job.done(refused);
 }
 
-void Proposer::tick(Micros now, std::vector<Letter>& out) {
+void Proposer::tick(Micros now, std::vector<OutgoingMessage>& out) {
   while (!jobs.empty()) {
     Job& job = jobs.front();
     if (now >= job.due) {
--- a/src/canon/register/proposer.h
+++ b/src/consensus/register/proposer.h
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "canon/register/acceptor.h"
-#include "canon/register/membership.h"
+#include "consensus/register/acceptor.h"
+#include "consensus/register/membership.h"
 #include "ground/kinds.h"
 #include "ground/mix.h"
 
@@ -62,8 +62,8 @@
   // A set that was only seen: where to begin while none is known to be chosen. After all copies were lost from memory
   // and no majority shows one ballot, there is nothing else to begin with; round one judges what it finds.
   void suggest(Membership const& members);
-  void take(std::string const& from, wire::BodyUnion const& body, Micros now, std::vector<Letter>& out);
-  void tick(Micros now, std::vector<Letter>& out);
+  void take(std::string const& from, wire::BodyUnion const& body, Micros now, std::vector<OutgoingMessage>& out);
+  void tick(Micros now, std::vector<OutgoingMessage>& out);
   // Refuses all changes of which nothing was sent: without a quorum they would only be waited for.
   void give_up_unsent();
   std::size_t waiting() const { return jobs.size(); }
@@ -89,19 +89,19 @@
     wire::Ballot accepted;
   };
 
-  void start(Micros now, std::vector<Letter>& out);
+  void start(Micros now, std::vector<OutgoingMessage>& out);
   void again(Micros now, std::uint64_t seen);
-  void promise(std::string const& from, wire::PromiseT const& ans, Micros now, std::vector<Letter>& out);
-  void accepted(std::string const& from, wire::AcceptedT const& ans, Micros now, std::vector<Letter>& out);
-  void round_two(Micros now, std::vector<Letter>& out);
+  void promise(std::string const& from, wire::PromiseT const& ans, Micros now, std::vector<OutgoingMessage>& out);
+  void accepted(std::string const& from, wire::AcceptedT const& ans, Micros now, std::vector<OutgoingMessage>& out);
+  void round_two(Micros now, std::vector<OutgoingMessage>& out);
   // False when the present change had to be given up, since nobody can know what became of it.
   bool make_draft();
   void make_change(Change const& change);
   void apply(Change const& change);
   void change_zones(Change const& change);
   bool change_members(Change const& change);
-  void send_accept(std::string const& to, bool whole, std::vector<Letter>& out) const;
-  void chosen(Micros now, std::vector<Letter>& out);
+  void send_accept(std::string const& to, bool whole, std::vector<OutgoingMessage>& out) const;
+  void chosen(Micros now, std::vector<OutgoingMessage>& out);
   void finish(Outcome const& outcome);
 
   std::string const self;
--- a/src/canon/register/value_patch.cc
+++ b/src/consensus/register/value_patch.cc
@@ -1,8 +1,8 @@
-#include "canon/register/value_patch.h"
+#include "consensus/register/value_patch.h"
 
 #include <algorithm>
 
-#include "canon/register/membership.h"
+#include "consensus/register/membership.h"
 
 namespace pipit {
 
--- a/src/core/changes.cc
+++ b/src/core/changes.cc
@@ -55,9 +55,9 @@
     refuse_now(id, kept, Kind::too_many_changes, out);
     return;
   }
-  std::vector<Letter> letters;
-  proposer.tick(now, letters);
-  dispatch(letters, now, out);
+  std::vector<OutgoingMessage> outgoing;
+  proposer.tick(now, outgoing);
+  dispatch(outgoing, now, out);
   settle_ended(now, out);
 }
 
--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -7,9 +7,9 @@
 namespace pipit {
 
 namespace {
-constexpr Micros mend_gap = seconds(3);
+constexpr Micros repair_gap = seconds(3);
 constexpr Micros keeper_lost = seconds(3);
-constexpr Micros mend_calm = seconds(1);     // without a change, before copies that differ are mended
+constexpr Micros repair_calm = seconds(1);   // without a change, before copies that differ are mended
 constexpr Micros spare_seen = seconds(2);    // how lately a keeper must have answered to be given a place
 constexpr Micros founder_turn = seconds(1);  // how long each founder waits for the one before it
 constexpr Micros unsure_for = seconds(1);    // how long a majority may show no newest value before copies are mended
@@ -29,12 +29,13 @@
   first.epoch = 1;
   for (std::string const& name : founders) {
     // §5.4: the first set is written only while every founder answers and every one of them is blank.
-    std::map<std::string, Learner::Sight>::const_iterator const sight = learner.sights.find(name);
-    if (sight == learner.sights.end() || sight->second.formed || now - sight->second.at > seconds(2))
+    std::map<std::string, Learner::Observation>::const_iterator const observation = learner.observations.find(name);
+    if (observation == learner.observations.end() || observation->second.formed ||
+        now - observation->second.at > seconds(2))
       return std::nullopt;
     wire::KeeperT keeper;
     keeper.name = name;
-    keeper.disk = sight->second.disk;
+    keeper.disk = observation->second.disk;
     keeper.address = name == plan.name ? plan.address : address_of(name);
     first.keepers.push_back(std::move(keeper));
   }
@@ -42,14 +43,14 @@
   return first;
 }
 
-void Node::found(Micros now, std::vector<Letter>& letters) {
+void Node::found(Micros now, std::vector<OutgoingMessage>& outgoing) {
   if (!acceptor || acceptor->held().formed) return;
   std::optional<Membership> const first = first_set(now);
   if (!first) return;
   for (wire::KeeperT const& to : first->keepers) {
     wire::FoundT news;
     for (wire::KeeperT const& keeper : first->keepers) news.keepers.push_back(std::make_unique<wire::KeeperT>(keeper));
-    letters.push_back(letter(to.name, std::move(news)));
+    outgoing.push_back(message_to(to.name, std::move(news)));
   }
 }
 
@@ -96,16 +97,16 @@
 
 // A keeper that is here, and on which disk: what it last answered, if that was lately.
 std::optional<std::uint64_t> Node::disk_here(std::string const& name, Micros within, Micros now) const {
-  std::map<std::string, Learner::Sight>::const_iterator const sight = learner.sights.find(name);
-  if (sight == learner.sights.end() || now - sight->second.at >= within) return std::nullopt;
-  return sight->second.disk;
+  std::map<std::string, Learner::Observation>::const_iterator const observation = learner.observations.find(name);
+  if (observation == learner.observations.end() || now - observation->second.at >= within) return std::nullopt;
+  return observation->second.disk;
 }
 
 // A keeper that said goodbye, or that it is about to, though its process may still answer.
 bool Node::keeper_leaves(std::string const& name) const {
   if (name == plan.name) return leaving || retiring;
-  std::map<std::string, Learner::Sight>::const_iterator const sight = learner.sights.find(name);
-  if (sight != learner.sights.end() && sight->second.retiring) return true;
+  std::map<std::string, Learner::Observation>::const_iterator const observation = learner.observations.find(name);
+  if (observation != learner.observations.end() && observation->second.retiring) return true;
   std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(name);
   return peer != mesh.roll.peers.end() && peer->second.state() == State::leaving;
 }
@@ -113,7 +114,7 @@
 // One that is here and not in the set.
 std::optional<wire::KeeperT> Node::spare_keeper(Micros now) const {
   std::optional<wire::KeeperT> out;
-  for (std::pair<std::string const, Learner::Sight> const& item : learner.sights) {
+  for (std::pair<std::string const, Learner::Observation> const& item : learner.observations) {
     bool const here = now - item.second.at < spare_seen;
     if (!here || keeper_leaves(item.first) || learner.membership().holds(item.first, item.second.disk)) continue;
     out.emplace();
@@ -193,20 +194,20 @@
   }
   // Not oftener: each round outbids what others have under way, and a slow disk never catches up with a storm. Nor
   // while changes go by: each of them rewrites the copies, and a second proposer only delays them.
-  bool const calm = learner.changed_at < 0 || now - learner.changed_at > mend_calm;
-  if (!learner.split || !calm || now - mended_at <= mend_gap) return std::nullopt;
-  mended_at = now;
-  tell(Event::copies_mended, "epoch " + std::to_string(learner.membership().epoch));
+  bool const calm = learner.changed_at < 0 || now - learner.changed_at > repair_calm;
+  if (!learner.split || !calm || now - repaired_at <= repair_gap) return std::nullopt;
+  repaired_at = now;
+  tell(Event::copies_repaired, "epoch " + std::to_string(learner.membership().epoch));
   return change;
 }
 
 void Node::duties(Micros now, NodeOut& out) {
   if (!acceptor || !acceptor->held().formed) return;
-  std::vector<Letter> letters;
-  if (!leaving) mend.tick(now, learner.membership(), letters);
-  dispatch(letters, now, out);
-  bool const holds = mend.holds(now);
-  if (holds != had_duty) tell(holds ? Event::grant_held : Event::grant_ended, "mend");
+  std::vector<OutgoingMessage> outgoing;
+  if (!leaving) repair_lease.tick(now, learner.membership(), outgoing);
+  dispatch(outgoing, now, out);
+  bool const holds = repair_lease.holds(now);
+  if (holds != had_duty) tell(holds ? Event::lease_held : Event::lease_ended, "mend");
   had_duty = holds;
   if (duty_busy) return;
   std::optional<Change> change;
@@ -218,12 +219,12 @@
 }
 
 // Copies that differ after a loss leave no ballot that a majority shows; then nobody gets ready by polls alone. The
-// keeper that proposes for all reads the register, which mends them, and needs no lease for it.
+// keeper that proposes for all reads the register, which repairs them, and needs no lease for it.
 std::optional<Change> Node::catch_up_read(Micros now) {
   bool const behind = now - std::max(born, learner.sure) > unsure_for + poll_span();
-  if (!behind || now - mended_at <= mend_gap || leaving || proposing_keeper() != plan.name) return std::nullopt;
-  mended_at = now;
-  tell(Event::copies_mended, "no majority shows one ballot");
+  if (!behind || now - repaired_at <= repair_gap || leaving || proposing_keeper() != plan.name) return std::nullopt;
+  repaired_at = now;
+  tell(Event::copies_repaired, "no majority shows one ballot");
   Change read;
   read.sort = Change::Sort::read;
   return read;
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "canon/register/value_patch.h"
+#include "consensus/register/value_patch.h"
 #include "ground/events.h"
 #include "ground/guards.h"
 
@@ -37,7 +37,7 @@
 }
 }  // namespace
 
-Node::Node(NodePlan plan_, Micros now, std::optional<wire::RecordT> slate)
+Node::Node(NodePlan plan_, Micros now, std::optional<wire::RecordT> recovered)
     : plan(std::move(plan_)),
       mesh(mesh_of(plan), self_of(plan), plan.chance),
       proposer(plan.name, plan.chance ^ plan.incarnation),
@@ -46,11 +46,11 @@
       registry(plan.name),
       exchange(plan.name),
       dispatcher(plan.name, plan.zone, tide, registry, exchange),
-      granter(now),
-      mend("mend", plan.chance ^ plan.incarnation ^ mix(plan.name)),
+      lease_grantor(now),
+      repair_lease("mend", plan.chance ^ plan.incarnation ^ mix(plan.name)),
       born(now),
       last_tick(now) {
-  if (slate) acceptor.emplace(std::move(*slate));
+  if (recovered) acceptor.emplace(std::move(*recovered));
   registry.span(plan.beat_gap);
   if (plan.registered) dispatcher.begun(now);
   dispatcher.budget(plan.resend_ratio, plan.resend_store);
@@ -98,7 +98,7 @@
 
 Index::Bounds Node::bounds(std::string const& model) const {
   Index::Bounds out;
-  for (Pool const& pool : desk.creed()->pools)
+  for (Pool const& pool : desk.description()->pools)
     if (pool.model == model) {
       out.blocks = static_cast<std::size_t>(pool.cache_blocks);
       out.age = pool.cache_age;
@@ -110,12 +110,12 @@
   return out;
 }
 
-// Carries letters until none is left: to this node itself at once, to others by the mesh.
-void Node::dispatch(std::vector<Letter>& letters, Micros now, NodeOut& out) {
-  while (!letters.empty()) {
-    std::vector<Letter> batch;
-    batch.swap(letters);
-    for (Letter& item : batch) {
+// Carries messages until none is left: to this node itself at once, to others by the mesh.
+void Node::dispatch(std::vector<OutgoingMessage>& outgoing, Micros now, NodeOut& out) {
+  while (!outgoing.empty()) {
+    std::vector<OutgoingMessage> batch;
+    batch.swap(outgoing);
+    for (OutgoingMessage& item : batch) {
       if (item.to == plan.name) {
         deliver(plan.name, item.body, now, out);
         continue;
@@ -135,14 +135,14 @@
 }
 
 void Node::deliver(std::string const& from, wire::BodyUnion& body, Micros now, NodeOut& out) {
-  std::vector<Letter> letters;
+  std::vector<OutgoingMessage> outgoing;
   switch (body.type) {
     case wire::Body::Prepare:
     case wire::Body::Accept:
     case wire::Body::Found:
       if (acceptor) {
         acceptor->take(from, std::move(body));
-        if (std::optional<wire::RecordT> save = acceptor->step(letters)) out.save = std::move(save);
+        if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
       }
       break;
     case wire::Body::Peek:
@@ -151,25 +151,25 @@
         wire::PeekedT ans = peeked(acceptor->held(), *body.AsPeek());
         ans.age = news_age(now);
         ans.retiring = retiring;
-        letters.push_back(letter(from, std::move(ans)));
+        outgoing.push_back(message_to(from, std::move(ans)));
       }
       break;
     case wire::Body::Promise:
     case wire::Body::Accepted:
-      proposer.take(from, body, now, letters);
+      proposer.take(from, body, now, outgoing);
       settle_ended(now, out);
       break;
     case wire::Body::Peeked:
       hear(body.AsPeeked()->age, now);
-      if (learner.take(from, *body.AsPeeked(), now, letters)) after_value(now, out);
+      if (learner.take(from, *body.AsPeeked(), now, outgoing)) after_value(now, out);
       proposer.know(learner.membership());
       look_ready(now, out);
       break;
     case wire::Body::Chosen:
-      take_chosen(from, *body.AsChosen(), now, letters, out);
+      take_chosen(from, *body.AsChosen(), now, outgoing, out);
       break;
     case wire::Body::Behind:
-      send_whole(from, *body.AsBehind(), letters);
+      send_whole(from, *body.AsBehind(), outgoing);
       break;
     case wire::Body::Confirm: {
       std::map<std::uint64_t, Waiting>::iterator const spot = waiting.find(body.AsConfirm()->req);
@@ -181,19 +181,19 @@
       settle_waiting(now, out);
       break;
     }
-    case wire::Body::GrantAsk:
+    case wire::Body::LeaseRequest:
       if (acceptor) {
-        wire::GrantAskT const& ask = *body.AsGrantAsk();
-        wire::GrantAnsT ans;
+        wire::LeaseRequestT const& ask = *body.AsLeaseRequest();
+        wire::LeaseReplyT ans;
         ans.req = ask.req;
         ans.duty = ask.duty;
         ans.disk = acceptor->held().disk;
-        ans.ok = granter.ask(from, ask.duty, ask.term, now);
-        letters.push_back(letter(from, std::move(ans)));
+        ans.ok = lease_grantor.ask(from, ask.duty, ask.term, now);
+        outgoing.push_back(message_to(from, std::move(ans)));
       }
       break;
-    case wire::Body::GrantAns:
-      mend.take(from, *body.AsGrantAns(), now, learner.membership());
+    case wire::Body::LeaseReply:
+      repair_lease.take(from, *body.AsLeaseReply(), now, learner.membership());
       break;
     case wire::Body::Loads:
       hear(body.AsLoads()->age, now);
@@ -220,17 +220,17 @@
       if (plan.role == Role::passage)
         tide.take(
             from, body, now, [this](std::string const& model) { return bounds(model); },
-            [this] { return tide_peers(); }, letters);
+            [this] { return tide_peers(); }, outgoing);
       if (plan.registered && body.type == wire::Body::Deltas) exchange.pass(*body.AsDeltas());
       break;
     default:
       break;
   }
-  dispatch(letters, now, out);
+  dispatch(outgoing, now, out);
 }
 
-void Node::take_chosen(std::string const& from, wire::ChosenT const& news, Micros now, std::vector<Letter>& letters,
-                       NodeOut& out) {
+void Node::take_chosen(std::string const& from, wire::ChosenT const& news, Micros now,
+                       std::vector<OutgoingMessage>& outgoing, NodeOut& out) {
   if (!news.value && !news.patch) return;
   std::uint64_t const turn = news.value ? news.value->turn : news.patch->rest ? news.patch->rest->turn : 0;
   bool const fresh = news.value ? learner.adopt(*news.value, now) : learner.adopt(*news.patch, now);
@@ -243,7 +243,7 @@
     ask.turn = learner.turn();
     ask.req = news.req;
     ask.origin = news.origin.empty() ? from : news.origin;
-    letters.push_back(letter(from, std::move(ask)));
+    outgoing.push_back(message_to(from, std::move(ask)));
     return;
   }
   wire::ConfirmT ok;
@@ -252,17 +252,17 @@
   // Router nodes that hold no seat may serve by this node's word alone (§6.7): who asks must hear of them.
   for (std::string const& name : plan.registered ? std::set<std::string>() : passages(true))
     if (!learner.value || seat_of(*learner.value, name) == nullptr) ok.routers.push_back(name);
-  if (news.req != 0) letters.push_back(letter(news.origin.empty() ? from : news.origin, std::move(ok)));
+  if (news.req != 0) outgoing.push_back(message_to(news.origin.empty() ? from : news.origin, std::move(ok)));
   look_ready(now, out);
 }
 
-void Node::send_whole(std::string const& to, wire::BehindT const& ask, std::vector<Letter>& letters) const {
+void Node::send_whole(std::string const& to, wire::BehindT const& ask, std::vector<OutgoingMessage>& outgoing) const {
   if (!learner.value || learner.turn() <= ask.turn) return;
   wire::ChosenT news;
   news.req = ask.req;
   news.origin = ask.origin;
   news.value = std::make_unique<wire::ValueT>(*learner.value);
-  letters.push_back(letter(to, std::move(news)));
+  outgoing.push_back(message_to(to, std::move(news)));
 }
 
 void Node::spread(wire::ValueT const& value, std::optional<wire::ValueT> const& base, std::uint64_t req, NodeOut& out) {
@@ -300,18 +300,18 @@
   wire::ValueT const& value = *learner.value;
   // A seat raises the turn alone; what the description says was compiled when its serial came.
   if (value.serial != mesh.roll.self.serial) {
-    std::shared_ptr<Creed const> creed = std::make_shared<Creed>();
+    std::shared_ptr<Description const> description = std::make_shared<Description>();
     if (!value.text.empty()) {
-      Result<std::shared_ptr<Creed const>> made = read_creed(value.text);
+      Result<std::shared_ptr<Description const>> made = read_description(value.text);
       if (!made) {
         tell(Event::not_in_force, "serial " + std::to_string(value.serial) + " " + made.error().why);
-        creed = desk.creed();
+        description = desk.description();
       } else {
-        creed = made.value();
+        description = made.value();
       }
     }
-    dispatcher.in_force(creed);
-    desk.in_force(creed, std::set<std::string>(value.emptied.begin(), value.emptied.end()));
+    dispatcher.in_force(description);
+    desk.in_force(description, std::set<std::string>(value.emptied.begin(), value.emptied.end()));
     tell(Event::in_force, "serial " + std::to_string(value.serial));
   }
   mesh.roll.self.serial = value.serial;
@@ -383,10 +383,10 @@
 }
 
 void Node::disk_done(Micros now, NodeOut& out) {
-  std::vector<Letter> letters;
-  acceptor->synced(letters);
-  if (std::optional<wire::RecordT> save = acceptor->step(letters)) out.save = std::move(save);
-  dispatch(letters, now, out);
+  std::vector<OutgoingMessage> outgoing;
+  acceptor->synced(outgoing);
+  if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
+  dispatch(outgoing, now, out);
   settle_handed(now, out);
 }
 
@@ -490,30 +490,30 @@
   watch_clock(now);
   mesh.tick(now, out.mesh);
   take_fresh(now);
-  std::vector<Letter> letters;
+  std::vector<OutgoingMessage> outgoing;
   if (now >= next_poll && (guard(Guard::spread) || learner.sure < 0 || plan.role == Role::accord)) {
     next_poll = now + poll_span();
-    learner.poll(now, keepers(), news_age(now), letters);
-    found(now, letters);
+    learner.poll(now, keepers(), news_age(now), outgoing);
+    found(now, outgoing);
   }
-  ask_newer(now, letters);
+  ask_newer(now, outgoing);
   proposer.know(learner.membership());
   proposer.suggest(learner.seen());
   if (plan.registered && !quorum_heard(now)) proposer.give_up_unsent();
-  proposer.tick(now, letters);
+  proposer.tick(now, outgoing);
   settle_ended(now, out);
   if (plan.registered) {
-    tick_registered(now, letters, out);
+    tick_registered(now, outgoing, out);
   } else if (plan.role == Role::passage) {
     if (now >= next_round) {
       next_round = now + seconds(1);
       std::vector<std::pair<std::string, std::vector<std::string>>> peers;
       for (std::string const& name : tide_peers()) peers.emplace_back(name, mesh.roll.peers.at(name).member.models);
       tide.round(
-          now, peers, [this](std::string const& model) { return bounds(model); }, letters);
+          now, peers, [this](std::string const& model) { return bounds(model); }, outgoing);
       own_entries(now, out);
     }
-    tide.tick(now, tide_peers(), letters);
+    tide.tick(now, tide_peers(), outgoing);
     if (now >= next_reconcile) {
       next_reconcile = now + seconds(30);
       fleet.reconcile(mesh.ledger.all(), now);
@@ -537,7 +537,7 @@
       for (std::unique_ptr<wire::SeatT> const& seat : learner.value->seats) names.insert(seat->name);
     desk.nodes(std::move(names), newcomer(now));
     look_seat(now, out);
-    tell_loads(now, letters);
+    tell_loads(now, outgoing);
     std::set<std::string> senders = passages(false);
     senders.erase(plan.name);
     fleet.sum_others(senders, now);
@@ -553,7 +553,7 @@
   } else {
     look_ready(now, out);
   }
-  dispatch(letters, now, out);
+  dispatch(outgoing, now, out);
   duties(now, out);
   settle_waiting(now, out);
   settle_handed(now, out);
@@ -567,7 +567,7 @@
 }
 
 // Peers hear how many legs this node has at each worker, soon when that changed, and now and then when not.
-void Node::tell_loads(Micros now, std::vector<Letter>& letters) {
+void Node::tell_loads(Micros now, std::vector<OutgoingMessage>& outgoing) {
   if (now < next_loads) return;
   next_loads = now + load_gap;
   wire::LoadsT loads = fleet.own_legs();
@@ -578,7 +578,7 @@
   if (print == loads_last && now - loads_told < millis(500)) return;
   loads_last = print;
   loads_told = now;
-  for (std::string const& name : tide_peers()) letters.push_back(letter(name, wire::LoadsT(loads)));
+  for (std::string const& name : tide_peers()) outgoing.push_back(message_to(name, wire::LoadsT(loads)));
 }
 
 void Node::check_now(std::string const& id, Micros now, NodeOut& out) {
@@ -631,9 +631,9 @@
 void Node::drain(Micros now, NodeOut& out) {
   if (leaving) return;
   leaving = true;
-  std::vector<Letter> letters;
-  mend.give_back(learner.membership(), letters);
-  dispatch(letters, now, out);
+  std::vector<OutgoingMessage> outgoing;
+  repair_lease.give_back(learner.membership(), outgoing);
+  dispatch(outgoing, now, out);
   desk.drain();
   mesh.roll.self.ready = false;
   mesh.leave(out.mesh);
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "canon/grant/grants.h"
-#include "canon/register/learner.h"
+#include "consensus/lease/lease.h"
+#include "consensus/register/learner.h"
 #include "flow/dispatch/dispatcher.h"
 #include "flow/errand/desk.h"
 #include "flow/registry/registry.h"
@@ -66,7 +66,7 @@
 
 class Node {
  public:
-  Node(NodePlan plan_, Micros now, std::optional<wire::RecordT> slate);
+  Node(NodePlan plan_, Micros now, std::optional<wire::RecordT> recovered);
 
   void tick(Micros now, NodeOut& out);
   // A node that was stopped for a while learns it here, before anything else it does (§6.7).
@@ -134,20 +134,20 @@
     Micros due = 0;
   };
   void deliver(std::string const& from, wire::BodyUnion& body, Micros now, NodeOut& out);
-  void dispatch(std::vector<Letter>& letters, Micros now, NodeOut& out);
+  void dispatch(std::vector<OutgoingMessage>& outgoing, Micros now, NodeOut& out);
   void after_value(Micros now, NodeOut& out);
   // Tells all peers of a chosen value, as a patch of 'base' where that is given.
   void spread(wire::ValueT const& value, std::optional<wire::ValueT> const& base, std::uint64_t req, NodeOut& out);
-  void take_chosen(std::string const& from, wire::ChosenT const& news, Micros now, std::vector<Letter>& letters,
-                   NodeOut& out);
-  void send_whole(std::string const& to, wire::BehindT const& ask, std::vector<Letter>& letters) const;
+  void take_chosen(std::string const& from, wire::ChosenT const& news, Micros now,
+                   std::vector<OutgoingMessage>& outgoing, NodeOut& out);
+  void send_whole(std::string const& to, wire::BehindT const& ask, std::vector<OutgoingMessage>& outgoing) const;
   void settle(std::uint64_t id, Change const& change, Outcome const& outcome, Micros now, NodeOut& out);
   void settle_ended(Micros now, NodeOut& out);
   void settle_waiting(Micros now, NodeOut& out);
   void look_ready(Micros now, NodeOut& out);
   void own_entries(Micros now, NodeOut& out);
   void duties(Micros now, NodeOut& out);
-  void found(Micros now, std::vector<Letter>& letters);
+  void found(Micros now, std::vector<OutgoingMessage>& outgoing);
   std::optional<Membership> first_set(Micros now) const;
   std::string address_of(std::string const& name) const;
   std::optional<std::uint64_t> disk_here(std::string const& name, Micros within, Micros now) const;
@@ -160,7 +160,7 @@
   std::optional<Change> catch_up_read(Micros now);
   std::vector<std::string> first_keepers() const;
   std::size_t keepers_wanted() const;
-  void tick_registered(Micros now, std::vector<Letter>& letters, NodeOut& out);
+  void tick_registered(Micros now, std::vector<OutgoingMessage>& outgoing, NodeOut& out);
   void put_entry(wire::EntryT entry, Micros now, NodeOut& out);
   void exchange_now(Micros now, NodeOut& out);
   Paths paths() const;
@@ -180,7 +180,7 @@
   Micros poll_span() const;
   bool half_has(std::uint64_t turn) const;
   bool seated() const;
-  void ask_newer(Micros now, std::vector<Letter>& letters);
+  void ask_newer(Micros now, std::vector<OutgoingMessage>& outgoing);
   void look_hold();
   bool newcomer(Micros now) const;
   bool struck_self() const;
@@ -193,7 +193,7 @@
   bool abreast(Micros now);
   Micros news_age(Micros now) const { return news_at < 0 ? -1 : now - news_at; }
   void take_fresh(Micros now);
-  void tell_loads(Micros now, std::vector<Letter>& letters);
+  void tell_loads(Micros now, std::vector<OutgoingMessage>& outgoing);
   void check_now(std::string const& id, Micros now, NodeOut& out);
   void check_asked(Micros now, NodeOut& out);
   std::vector<std::string> keepers() const;
@@ -201,8 +201,8 @@
   std::set<std::string> passages(bool all) const;
   Index::Bounds bounds(std::string const& model) const;
 
-  Granter granter;
-  Holder mend;
+  LeaseGrantor lease_grantor;
+  LeaseHolder repair_lease;
   Micros born;
   Micros last_tick;
   Micros next_poll = 0;
@@ -239,7 +239,7 @@
   std::map<std::uint64_t, Waiting> waiting;
   bool duty_busy = false;
   bool had_duty = false;
-  Micros mended_at = -seconds(60);
+  Micros repaired_at = -seconds(60);
   struct Ended {
     std::uint64_t id;
     Change change;
--- a/src/core/registered.cc
+++ b/src/core/registered.cc
@@ -88,9 +88,9 @@
 
 void Node::exchange_now(Micros now, NodeOut& out) {
   if (mesh.wide()) return;  // words of many nodes wait for the tick, so that more of them go together
-  std::vector<Letter> letters;
-  exchange.tick(now, paths(), letters);
-  dispatch(letters, now, out);
+  std::vector<OutgoingMessage> outgoing;
+  exchange.tick(now, paths(), outgoing);
+  dispatch(outgoing, now, out);
 }
 
 // §12.7: a keeper brings a chosen value to its part of its zone's other nodes.
@@ -123,7 +123,7 @@
   return acceptor ? poll_wide : poll_rare;
 }
 
-void Node::tick_registered(Micros now, std::vector<Letter>& letters, NodeOut& out) {
+void Node::tick_registered(Micros now, std::vector<OutgoingMessage>& outgoing, NodeOut& out) {
   Paths const ways = paths();
   // §12.7: an owner tells every peer itself; a hub tells its zone besides, for pairs that have no connection.
   mesh.ledger.passes_on = !ways.wide;
@@ -132,9 +132,9 @@
   if (now >= next_round) {
     next_round = now + seconds(1);
     tide.round(
-        now, {}, [this](std::string const& model) { return bounds(model); }, letters);
+        now, {}, [this](std::string const& model) { return bounds(model); }, outgoing);
   }
-  tide.tick(now, tide_peers(), letters);
+  tide.tick(now, tide_peers(), outgoing);
   if (now >= next_reconcile) {
     // §4.4: what the ledger holds and the table lost.
     next_reconcile = now + seconds(30);
@@ -146,7 +146,7 @@
   dispatcher.nodes(passages(true).size(), mesh.wide());
   look_ready(now, out);
   dispatcher.tick(now, out.dispatch);
-  exchange.tick(now, ways, letters);
+  exchange.tick(now, ways, outgoing);
 }
 
 }  // namespace pipit
--- a/src/core/seats.cc
+++ b/src/core/seats.cc
@@ -64,7 +64,7 @@
 
 // §5.5: a peer tells a newer turn than is held here, and no push or poll has brought it: the peer itself is asked, so
 // that a chosen value gets round though its proposer and the keepers are gone.
-void Node::ask_newer(Micros now, std::vector<Letter>& letters) {
+void Node::ask_newer(Micros now, std::vector<OutgoingMessage>& outgoing) {
   std::string from;
   for (std::pair<std::string const, Peer> const& item : mesh.roll.peers)
     if (item.second.wire != 0 && item.second.member.turn > learner.turn()) from = item.first;
@@ -76,7 +76,7 @@
     behind_since = now;
     wire::BehindT ask;
     ask.turn = learner.turn();
-    letters.push_back(letter(from, std::move(ask)));
+    outgoing.push_back(message_to(from, std::move(ask)));
   }
 }
 
--- a/src/flow/dispatch/dispatcher.h
+++ b/src/flow/dispatch/dispatcher.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "canon/creed/creed.h"
+#include "config/description/description.h"
 #include "flow/dispatch/fate.h"
 #include "flow/exchange/exchange.h"
 #include "flow/index/tide.h"
@@ -71,7 +71,7 @@
   Dispatcher(std::string self_, std::string zone_, Tide& tide_, Registry& registry_, Exchange& exchange_)
       : self(std::move(self_)), zone(std::move(zone_)), tide(tide_), registry(registry_), exchange(exchange_) {}
 
-  void in_force(std::shared_ptr<Creed const> rules_) { rules = std::move(rules_); }
+  void in_force(std::shared_ptr<Description const> rules_) { rules = std::move(rules_); }
   void hold(bool held_) { held = held_; }
   // The part of all re-sends in a window that this node may take beside what its own requests earn (§12.5).
   void budget(double ratio, double store);
@@ -97,14 +97,14 @@
 
   Route const* route_of(std::uint64_t id) const;
   std::size_t under_way() const { return requests.size(); }
-  std::shared_ptr<Creed const> const& creed() const { return rules; }
+  std::shared_ptr<Description const> const& description() const { return rules; }
   DispatchTally tally;
 
  private:
   struct Request {
     std::uint64_t id = 0;
     Query query;
-    std::shared_ptr<Creed const> rules;  // keeps the route alive
+    std::shared_ptr<Description const> rules;  // keeps the route alive
     Route const* route = nullptr;
     Pool const* pool = nullptr;
     std::string tree;
@@ -151,7 +151,7 @@
   Tide& tide;
   Registry& registry;
   Exchange& exchange;
-  std::shared_ptr<Creed const> rules = std::make_shared<Creed>();
+  std::shared_ptr<Description const> rules = std::make_shared<Description>();
   bool held = false;
   double resend_ratio = 0.15;
   double resend_store = 4;
--- a/src/flow/errand/desk.cc
+++ b/src/flow/errand/desk.cc
@@ -15,8 +15,8 @@
 constexpr double bucket_most = 2.0;
 }  // namespace
 
-void Desk::in_force(std::shared_ptr<Creed const> creed_, std::set<std::string> emptied_) {
-  rules = std::move(creed_);
+void Desk::in_force(std::shared_ptr<Description const> description_, std::set<std::string> emptied_) {
+  rules = std::move(description_);
   shut = std::move(emptied_);
 }
 
--- a/src/flow/errand/desk.h
+++ b/src/flow/errand/desk.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "canon/creed/creed.h"
+#include "config/description/description.h"
 #include "flow/fleet/fleet.h"
 #include "flow/index/tide.h"
 #include "ground/kinds.h"
@@ -66,7 +66,7 @@
       : self(std::move(self_)), zone(std::move(zone_)), tide(tide_), fleet(fleet_) {}
   ~Desk() { backlog.clear(); }
 
-  void in_force(std::shared_ptr<Creed const> creed_, std::set<std::string> emptied_);
+  void in_force(std::shared_ptr<Description const> description_, std::set<std::string> emptied_);
   // Placing stops while the node does not know enough: at its start, and after its clock jumped.
   void hold(bool held_) { held = held_; }
   void ready(bool ready_) { open = ready_; }
@@ -86,7 +86,7 @@
 
   std::size_t under_way() const { return errands.size(); }
   std::size_t waiting() const { return backlog.size(); }
-  std::shared_ptr<Creed const> const& creed() const { return rules; }
+  std::shared_ptr<Description const> const& description() const { return rules; }
   std::set<std::string> const& emptied() const { return shut; }
   Tally tally;
 
@@ -94,7 +94,7 @@
   struct Errand : boost::intrusive::set_base_hook<> {
     std::uint64_t id = 0;
     Ask ask;
-    std::shared_ptr<Creed const> rules;  // keeps the lane alive
+    std::shared_ptr<Description const> rules;  // keeps the lane alive
     Lane const* lane = nullptr;
     std::string model;
     Micros came = 0;
@@ -140,7 +140,7 @@
   std::string const zone;
   Tide& tide;
   Fleet& fleet;
-  std::shared_ptr<Creed const> rules = std::make_shared<Creed>();
+  std::shared_ptr<Description const> rules = std::make_shared<Description>();
   std::set<std::string> shut;
   std::set<std::string> names;
   bool newcomer = false;
--- a/src/flow/exchange/exchange.cc
+++ b/src/flow/exchange/exchange.cc
@@ -73,7 +73,7 @@
   return out;
 }
 
-void Exchange::tick(Micros now, Paths const& paths, std::vector<Letter>& out) {
+void Exchange::tick(Micros now, Paths const& paths, std::vector<OutgoingMessage>& out) {
   bool const any = !words.empty() || !far.empty();
   if (any && (urgent || now >= next_words)) {
     urgent = false;
@@ -82,9 +82,9 @@
     for (std::pair<std::string const, Words> const& item : words) zone.push_back(&item.second);
     if (!paths.wide) {
       wire::LoadsT const said = loads_of(zone, Hops::last);
-      for (std::string const& name : paths.all) out.push_back(letter(name, wire::LoadsT(said)));
+      for (std::string const& name : paths.all) out.push_back(message_to(name, wire::LoadsT(said)));
     } else if (!paths.hub) {
-      if (!paths.own_hub.empty()) out.push_back(letter(paths.own_hub, loads_of(zone, Hops::to_hub)));
+      if (!paths.own_hub.empty()) out.push_back(message_to(paths.own_hub, loads_of(zone, Hops::to_hub)));
     } else {
       // Nobody is told its own words again: they would count twice.
       for (std::string const& name : paths.zone) {
@@ -92,11 +92,11 @@
         for (std::pair<std::string const, Words> const& item : words)
           if (item.first != name) parts.push_back(&item.second);
         wire::LoadsT said = loads_of(parts, Hops::last);
-        if (!said.list.empty()) out.push_back(letter(name, std::move(said)));
+        if (!said.list.empty()) out.push_back(message_to(name, std::move(said)));
       }
       if (!zone.empty()) {
         wire::LoadsT const said = loads_of(zone, Hops::to_hubs);
-        for (std::string const& name : paths.hubs) out.push_back(letter(name, wire::LoadsT(said)));
+        for (std::string const& name : paths.hubs) out.push_back(message_to(name, wire::LoadsT(said)));
       }
     }
     words.clear();
@@ -122,10 +122,10 @@
       } else if (paths.wide) {
         names = paths.zone;
       }
-      for (std::string const& name : names) out.push_back(letter(name, wire::DeltasT(said)));
+      for (std::string const& name : names) out.push_back(message_to(name, wire::DeltasT(said)));
       if (!paths.wide || !paths.hub || side == 1) continue;
       said.hops = Hops::to_hubs;
-      for (std::string const& name : paths.hubs) out.push_back(letter(name, wire::DeltasT(said)));
+      for (std::string const& name : paths.hubs) out.push_back(message_to(name, wire::DeltasT(said)));
     }
 }
 
--- a/src/flow/exchange/exchange.h
+++ b/src/flow/exchange/exchange.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "canon/register/acceptor.h"
+#include "consensus/register/acceptor.h"
 #include "flow/registry/registry.h"
 
 namespace pipit {
@@ -34,7 +34,7 @@
   void pass(std::string const& from, wire::LoadsT const& words);
   void pass(wire::DeltasT const& words);
 
-  void tick(Micros now, Paths const& paths, std::vector<Letter>& out);
+  void tick(Micros now, Paths const& paths, std::vector<OutgoingMessage>& out);
 
  private:
   struct Word {
--- a/src/flow/fleet/fleet.h
+++ b/src/flow/fleet/fleet.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "canon/creed/creed.h"
+#include "config/description/description.h"
 #include "ground/micros.h"
 #include "kin/ledger/ledger.h"
 
--- a/src/flow/index/tide.cc
+++ b/src/flow/index/tide.cc
@@ -22,7 +22,7 @@
 }
 
 void Tide::round(Micros now, std::vector<std::pair<std::string, std::vector<std::string>>> const& peers,
-                 BoundsOf const& bounds, std::vector<Letter>& out) {
+                 BoundsOf const& bounds, std::vector<OutgoingMessage>& out) {
   for (std::pair<std::string const, std::vector<wire::DeltaT>>& item : backlog) {
     if (item.second.empty()) continue;
     wire::DeltasT batch;
@@ -32,7 +32,7 @@
     for (std::pair<std::string, std::vector<std::string>> const& peer : peers) {
       bool serves = peer.second.empty();
       for (std::string const& model : peer.second) serves = serves || model == item.first;
-      if (serves) out.push_back(letter(peer.first, wire::DeltasT(batch)));
+      if (serves) out.push_back(message_to(peer.first, wire::DeltasT(batch)));
     }
   }
   for (std::pair<std::string const, Index>& item : trees) item.second.age(bounds(item.first), now);
@@ -41,7 +41,7 @@
 }
 
 void Tide::ask(std::string const& model, Pull& pull, Micros now, std::vector<std::string> const& peers,
-               std::vector<Letter>& out) {
+               std::vector<OutgoingMessage>& out) {
   if (peers.empty()) {
     pull.live = false;
     pull.ended = now;
@@ -60,10 +60,10 @@
   wire::TreeAskT req;
   req.model = model;
   req.pull = pull.number;
-  out.push_back(letter(pick, std::move(req)));
+  out.push_back(message_to(pick, std::move(req)));
 }
 
-void Tide::tick(Micros now, std::vector<std::string> const& peers, std::vector<Letter>& out) {
+void Tide::tick(Micros now, std::vector<std::string> const& peers, std::vector<OutgoingMessage>& out) {
   for (std::pair<std::string const, Pull>& item : pulling) {
     Pull& pull = item.second;
     if (!pull.live || now - pull.moved < stall) continue;
@@ -79,7 +79,7 @@
 }
 
 void Tide::take(std::string const& from, wire::BodyUnion const& body, Micros now, BoundsOf const& bounds,
-                PeersOf const& peers, std::vector<Letter>& out) {
+                PeersOf const& peers, std::vector<OutgoingMessage>& out) {
   if (wire::DeltasT const* const batch = body.AsDeltas()) {
     Index& tree = trees[batch->model];
     Index::Bounds const bound = bounds(batch->model);
@@ -116,7 +116,7 @@
       page.last = at >= shot.order.size();
       if (page.last) shots.erase({from, req->pull});
     }
-    out.push_back(letter(from, std::move(page)));
+    out.push_back(message_to(from, std::move(page)));
     return;
   }
   if (wire::TreePageT const* const page = body.AsTreePage()) {
@@ -138,7 +138,7 @@
     req.model = page->model;
     req.pull = pull.number;
     req.page = ++pull.page;
-    out.push_back(letter(from, std::move(req)));
+    out.push_back(message_to(from, std::move(req)));
   }
 }
 
--- a/src/flow/index/tide.h
+++ b/src/flow/index/tide.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "canon/register/acceptor.h"
+#include "consensus/register/acceptor.h"
 #include "flow/index/index.h"
 #include "ground/mix.h"
 
@@ -23,13 +23,13 @@
   void queue(std::string const& model, wire::DeltaT delta);
   // Once a round: one batch for each model to each peer that serves it.
   void round(Micros now, std::vector<std::pair<std::string, std::vector<std::string>>> const& peers,
-             BoundsOf const& bounds, std::vector<Letter>& out);
-  void tick(Micros now, std::vector<std::string> const& peers, std::vector<Letter>& out);
+             BoundsOf const& bounds, std::vector<OutgoingMessage>& out);
+  void tick(Micros now, std::vector<std::string> const& peers, std::vector<OutgoingMessage>& out);
   // 'peers' is asked only when a tree must be pulled; the bounds once for a batch.
   void take(std::string const& from, wire::BodyUnion const& body, Micros now, BoundsOf const& bounds,
-            PeersOf const& peers, std::vector<Letter>& out);
+            PeersOf const& peers, std::vector<OutgoingMessage>& out);
   void take(std::string const& from, wire::BodyUnion const& body, Micros now, BoundsOf const& bounds,
-            std::vector<std::string> const& peers, std::vector<Letter>& out) {
+            std::vector<std::string> const& peers, std::vector<OutgoingMessage>& out) {
     take(from, body, now, bounds, PeersOf([&peers] { return peers; }), out);
   }
   void forget(std::string const& worker);
@@ -53,7 +53,7 @@
     Micros at = 0;
   };
   void ask(std::string const& model, Pull& pull, Micros now, std::vector<std::string> const& peers,
-           std::vector<Letter>& out);
+           std::vector<OutgoingMessage>& out);
 
   Dice dice;
   std::map<std::string, Index> trees;
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -30,7 +30,7 @@
 }
 
 Result<void> Station::open() {
-  std::optional<wire::RecordT> slate;
+  std::optional<wire::RecordT> recovered;
   std::unique_ptr<PosixDisk> posix;
   std::unique_ptr<RecordStore> ring;
   if (!plan.data.empty()) {
@@ -47,11 +47,11 @@
       opened = ring->open(fresh, blank);
     }
     if (!opened) return opened.as_failure();
-    slate = std::move(opened.value());
+    recovered = std::move(opened.value());
     tell(blank ? Event::keeper_blank : Event::keeper_back,
-         "serial " + std::to_string(slate->value ? slate->value->serial : 0));
+         "serial " + std::to_string(recovered->value ? recovered->value->serial : 0));
   }
-  node = std::make_unique<Node>(plan.node, now(), std::move(slate));
+  node = std::make_unique<Node>(plan.node, now(), std::move(recovered));
 
   Wires::Ears we;
   we.opened = [this](WireId id, bool outbound, std::string const& address) {
@@ -129,8 +129,8 @@
     asked.erase(spot);
     done(item);
   }
-  if (limits_of != node->dispatcher.creed()) {
-    limits_of = node->dispatcher.creed();
+  if (limits_of != node->dispatcher.description()) {
+    limits_of = node->dispatcher.description();
     relay->limits(limits_of->limits);
   }
 }
--- a/src/gate/station/station.h
+++ b/src/gate/station/station.h
@@ -52,7 +52,7 @@
   void operate(Change change, Done done);
   void reseed(std::vector<std::string> const& addresses) { node->mesh.reseed(addresses); }
   // The description in force here, with the operators' own number for it.
-  std::shared_ptr<Creed const> const& creed() const { return node->dispatcher.creed(); }
+  std::shared_ptr<Description const> const& description() const { return node->dispatcher.description(); }
   std::uint64_t label() const { return node->learner.value ? node->learner.value->label : 0; }
   // The word to stop: what is under way comes to its end first.
   void stop();
@@ -80,7 +80,7 @@
   Look look;
   std::map<std::uint64_t, Done> asked;
   std::uint64_t next_ask = 0;
-  std::shared_ptr<Creed const> limits_of;
+  std::shared_ptr<Description const> limits_of;
   Micros next_sweep = 0;
   Micros next_look = 0;
   Micros stop_from = -1;
--- a/src/ground/events.h
+++ b/src/ground/events.h
@@ -37,9 +37,9 @@
   EVENT(307, keeper_back, INFO, "the last synced state was recovered")                      \
   EVENT(308, disk_failed, ERROR, "a sync failed; the keeper stops")                         \
   EVENT(309, keeper_swapped, INFO, "the set of keepers changed by one member")              \
-  EVENT(310, grant_held, INFO, "this node holds a duty")                                    \
-  EVENT(311, grant_ended, INFO, "this node gave a duty back")                               \
-  EVENT(312, copies_mended, INFO, "old copies of the register were rewritten")              \
+  EVENT(310, lease_held, INFO, "this node holds a duty")                                    \
+  EVENT(311, lease_ended, INFO, "this node gave a duty back")                               \
+  EVENT(312, copies_repaired, INFO, "old copies of the register were rewritten")            \
   EVENT(313, seat_taken, INFO, "this life of the router node has its seat")                 \
   EVENT(314, seat_struck, INFO, "a router node that is gone is struck from the register")   \
   EVENT(315, disk_waits, WARNING, "the disk refused a record; it is written again")         \
--- a/src/hull/doors.cc
+++ b/src/hull/doors.cc
@@ -1,7 +1,7 @@
 // Calls that come in: from callers, operators and tests (§7.1, §8.1).
 #include <cstdlib>
 
-#include "canon/creed/creed.h"
+#include "config/description/description.h"
 #include "flow/errand/parse.h"
 #include "ground/events.h"
 #include "ground/faults.h"
@@ -66,7 +66,7 @@
       std::string const expected = call.header("If-Match");
       if (expected.empty() || expected.size() > 18 || expected.find_first_not_of("0123456789") != std::string::npos)
         return refuse(call.id, Fault{Kind::bad_request, "If-Match with the expected serial is needed", ""});
-      Result<std::shared_ptr<Creed const>> const made = read_creed(call.body);
+      Result<std::shared_ptr<Description const>> const made = read_description(call.body);
       if (!made) {
         tell(Event::change_refused, made.error().why);
         return refuse(call.id, made.error());
--- a/src/hull/host.cc
+++ b/src/hull/host.cc
@@ -5,7 +5,7 @@
 
 #include <cstdio>
 
-#include "canon/creed/creed.h"
+#include "config/description/description.h"
 #include "flow/errand/parse.h"
 #include "ground/events.h"
 #include "ground/faults.h"
@@ -18,7 +18,7 @@
 constexpr guint tick_ms = 25;
 }  // namespace
 
-Host::Host(Settings settings_, Role role_, std::optional<wire::RecordT> slate, std::unique_ptr<PosixDisk> disk_,
+Host::Host(Settings settings_, Role role_, std::optional<wire::RecordT> recovered, std::unique_ptr<PosixDisk> disk_,
            std::unique_ptr<RecordStore> store)
     : settings(std::move(settings_)), role(role_), loop(g_main_loop_new(nullptr, FALSE)) {
   NodePlan plan;
@@ -33,7 +33,7 @@
   plan.founders = settings.founders;
   plan.incarnation = static_cast<std::uint64_t>(g_get_real_time());
   plan.chance = plan.incarnation ^ mix(settings.name);
-  node = std::make_unique<Node>(plan, now(), std::move(slate));
+  node = std::make_unique<Node>(plan, now(), std::move(recovered));
 
   Wires::Ears we;
   we.opened = [this](WireId id, bool outbound, std::string const& address) {
@@ -103,7 +103,7 @@
     node->hung_up(id, now(), out);
     act(out);
   };
-  front = std::make_unique<Front>(std::move(fe), std::max(settings.body, creed_limit + 4096));
+  front = std::make_unique<Front>(std::move(fe), std::max(settings.body, description_limit + 4096));
 
   if (store)
     disk = std::make_unique<DiskTask>(std::move(disk_), std::move(store), [this](bool good, std::string const& why) {
@@ -374,7 +374,7 @@
     return 0;
   }
   open_log(settings.value().name, settings.value().log);
-  std::optional<wire::RecordT> slate;
+  std::optional<wire::RecordT> recovered;
   std::unique_ptr<PosixDisk> disk;
   std::unique_ptr<RecordStore> store;
   if (keeper) {
@@ -389,11 +389,11 @@
       std::fprintf(stderr, "accord: data: %s\n", opened.error().why.c_str());
       return 2;
     }
-    slate = std::move(opened.value());
+    recovered = std::move(opened.value());
     tell(blank ? Event::keeper_blank : Event::keeper_back,
-         "serial " + std::to_string(slate->value ? slate->value->serial : 0));
+         "serial " + std::to_string(recovered->value ? recovered->value->serial : 0));
   }
-  Host host(std::move(settings.value()), role, std::move(slate), std::move(disk), std::move(store));
+  Host host(std::move(settings.value()), role, std::move(recovered), std::move(disk), std::move(store));
   Result<void> const listening = host.listen();
   if (!listening) {
     std::fprintf(stderr, "%s: %s\n", keeper ? "accord" : "passage", listening.error().why.c_str());
--- a/src/hull/host.h
+++ b/src/hull/host.h
@@ -15,7 +15,7 @@
 
 class Host {
  public:
-  Host(Settings settings_, Role role, std::optional<wire::RecordT> slate, std::unique_ptr<PosixDisk> disk,
+  Host(Settings settings_, Role role, std::optional<wire::RecordT> recovered, std::unique_ptr<PosixDisk> disk,
        std::unique_ptr<RecordStore> store);
   ~Host();
   Result<void> listen();
--- a/src/hull/tell.cc
+++ b/src/hull/tell.cc
@@ -39,7 +39,7 @@
     jot.open().key("id").text(item.first).key("zone").text(worker.row.zone).key("pool").text(worker.row.pool);
     jot.key("standing").text(words[static_cast<std::size_t>(worker.standing)]).key("dark").truth(worker.dark);
     jot.key("incarnation").number(static_cast<std::int64_t>(worker.row.incarnation));
-    Pool const* const pool = node->desk.creed()->pool(worker.row.pool);
+    Pool const* const pool = node->desk.description()->pool(worker.row.pool);
     std::int64_t const slots = pool != nullptr ? worker.room(*pool) : worker.row.slots;
     jot.key("slots").number(slots).key("sent").number(static_cast<std::int64_t>(worker.sent));
     jot.key("demand").number(worker.guess()).shut();
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -12,13 +12,13 @@
 namespace {
 constexpr char hosts[] = "api.test";
 
-std::shared_ptr<Creed const> creed_of(std::string const& routes) {
-  Result<std::shared_ptr<Creed const>> const made = read_creed(
+std::shared_ptr<Description const> compiled_description(std::string const& routes) {
+  Result<std::shared_ptr<Description const>> const made = read_description(
       "{\"format\":1,\"lanes\":[],\"pools\":[{\"name\":\"p\",\"model\":\"m\"},{\"name\":\"q\",\"model\":\"m\"}],"
       "\"routes\":[" +
       routes + "]}");
   EXPECT_TRUE(made) << made.error().place << " " << made.error().why;
-  return made ? made.value() : std::make_shared<Creed const>();
+  return made ? made.value() : std::make_shared<Description const>();
 }
 
 std::string route_text(std::string const& name, std::string const& more,
@@ -27,10 +27,10 @@
          "],\"hold_ms\":3000,\"aim_ms\":1000,\"attempts\":3" + more + "}";
 }
 
-std::shared_ptr<Creed const> usual() {
-  return creed_of(route_text("once", "") + "," + route_text("safe", ",\"repeatable\":true") + "," +
-                  route_text("flow", ",\"streams\":true,\"resumable\":true") + "," +
-                  route_text("live", ",\"streams\":true"));
+std::shared_ptr<Description const> usual() {
+  return compiled_description(route_text("once", "") + "," + route_text("safe", ",\"repeatable\":true") + "," +
+                              route_text("flow", ",\"streams\":true,\"resumable\":true") + "," +
+                              route_text("live", ",\"streams\":true"));
 }
 
 Query query_of(std::string const& route) {
@@ -89,10 +89,10 @@
   std::vector<std::string> doubts() {
     Paths paths;
     paths.all = {"n2"};
-    std::vector<Letter> letters;
-    exchange.tick(now, paths, letters);
+    std::vector<OutgoingMessage> outgoing;
+    exchange.tick(now, paths, outgoing);
     std::vector<std::string> out;
-    for (Letter const& item : letters)
+    for (OutgoingMessage const& item : outgoing)
       if (item.body.type == wire::Body::Loads)
         for (std::unique_ptr<wire::LoadT> const& row : item.body.AsLoads()->list)
           if (row->doubt) out.push_back(row->worker);
@@ -139,7 +139,7 @@
                          Row{"v1", "api.test", "/v1/"}, Row{"other", "other.test", "/v1/chat/deep/"}})
     text += std::string(text.empty() ? "" : ",") + "{\"name\":\"" + row.name + "\",\"host\":\"" + row.host +
             "\",\"prefix\":\"" + row.prefix + "\"" + rest + "}";
-  std::shared_ptr<Creed const> const creed = creed_of(text);
+  std::shared_ptr<Description const> const description = compiled_description(text);
   Row const asked[] = {
       {"chat", "api.test", "/v1/chat/x"}, {"chat", "API.Test", "/v1/chat/deep/x"},
       {"v1", "api.test", "/v1/models"},   {"root", "api.test", "/v2"},
@@ -149,7 +149,7 @@
       {"v1", "api.test", "/v1/chat"},     {"root", "api.test", "/v1"},
   };
   for (Row const& row : asked) {
-    Route const* const route = creed->route(row.host, row.prefix);
+    Route const* const route = description->route(row.host, row.prefix);
     EXPECT_EQ(route == nullptr ? "" : route->name, row.name) << row.host << row.prefix;
   }
 }
@@ -164,7 +164,7 @@
 }
 
 TEST_F(Desks, before_any_description_is_known_callers_are_sent_away_for_a_while) {
-  dispatcher.in_force(std::make_shared<Creed>());
+  dispatcher.in_force(std::make_shared<Description>());
   place(1, "once");
   ASSERT_EQ(out.denials.size(), 1u);
   EXPECT_EQ(out.denials[0].kind, Kind::not_ready);
@@ -172,7 +172,7 @@
 }
 
 TEST_F(Desks, shares_go_by_weight) {
-  dispatcher.in_force(creed_of(route_text(
+  dispatcher.in_force(compiled_description(route_text(
       "once", "", "{\"pool\":\"p\",\"weight\":3},{\"pool\":\"q\",\"weight\":1},{\"pool\":\"p\",\"weight\":0}")));
   worker("w", "p");
   worker("v", "q");
@@ -245,7 +245,7 @@
 // After a full stop every node answered "not ready" to who came first, though the description was there a moment later.
 TEST_F(Desks, who_asks_a_node_that_has_just_begun_is_kept_for_a_moment) {
   worker("w");
-  dispatcher.in_force(std::make_shared<Creed>());
+  dispatcher.in_force(std::make_shared<Description>());
   dispatcher.begun(now);
   EXPECT_TRUE(place(1, "safe").empty());
   EXPECT_TRUE(out.denials.empty());
@@ -253,7 +253,7 @@
   wait(millis(100));
   EXPECT_EQ(started(1), "w");
   // But not for ever, and not once it should know.
-  dispatcher.in_force(std::make_shared<Creed>());
+  dispatcher.in_force(std::make_shared<Description>());
   place(2, "safe");
   Micros const from = now;
   wait(seconds(3));
@@ -678,7 +678,7 @@
   Dispatcher dispatcher("n1", "a", tide, registry, exchange);
   dispatcher.budget(0.3, 10);
   dispatcher.nodes(2);
-  std::shared_ptr<Creed const> const rules[] = {usual(), usual()};
+  std::shared_ptr<Description const> const rules[] = {usual(), usual()};
   dispatcher.in_force(rules[0]);
   Judge judge;
   Micros now = seconds(10);
--- a/tests/index.cc
+++ b/tests/index.cc
@@ -95,7 +95,7 @@
   Tide a(1);
   Tide b(2);
   Tide::BoundsOf const bounds = [](std::string const&) { return Index::Bounds{2000000, seconds(1000)}; };
-  std::vector<Letter> out;
+  std::vector<OutgoingMessage> out;
   std::vector<std::pair<std::string, std::vector<std::string>>> const to_b = {{"b", {}}};
   for (std::uint64_t i = 0; i < 12000; ++i)
     a.queue("m", a.index("m").touch(line(i, 2), "w" + std::to_string(i % 5), 1, bounds("m"), seconds(1)));
@@ -109,8 +109,8 @@
   a.round(seconds(3), to_b, bounds, out);
   ASSERT_EQ(out.size(), 1u);
   int pages = 0;
-  // Carries letters to and fro until both are still; the first page is lost, and asked for again after the stall.
-  std::vector<Letter> to_a;
+  // Carries messages to and fro until both are still; the first page is lost, and asked for again after the stall.
+  std::vector<OutgoingMessage> to_a;
   b.take("a", out[0].body, seconds(3), bounds, {"a"}, to_a);
   ASSERT_EQ(to_a.size(), 1u);
   to_a.clear();
@@ -118,10 +118,10 @@
   EXPECT_EQ(b.stalls, 1u);
   Micros now = seconds(9);
   while (!to_a.empty() && pages < 50) {
-    std::vector<Letter> back;
-    for (Letter& item : to_a) a.take("b", item.body, now, bounds, {"b"}, back);
+    std::vector<OutgoingMessage> back;
+    for (OutgoingMessage& item : to_a) a.take("b", item.body, now, bounds, {"b"}, back);
     to_a.clear();
-    for (Letter& item : back) {
+    for (OutgoingMessage& item : back) {
       ++pages;
       b.take("a", item.body, now, bounds, {"a"}, to_a);
     }
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -173,7 +173,7 @@
   }
 }
 
-TEST(Grants, rivals_step_aside_until_one_holds) {
+TEST(Leases, rivals_step_aside_until_one_holds) {
   Membership members;
   for (char const* const name : {"k1", "k2", "k3"}) {
     wire::KeeperT keeper;
@@ -181,39 +181,40 @@
     keeper.disk = 1;
     members.keepers.push_back(keeper);
   }
-  std::map<std::string, Granter> granters;
-  std::map<std::string, Holder> holders;
+  std::map<std::string, LeaseGrantor> grantors;
+  std::map<std::string, LeaseHolder> holders;
   std::uint64_t seed = 0;
   for (char const* const name : {"k1", "k2", "k3"}) {
-    granters.emplace(name, Granter(0));
-    holders.emplace(name, Holder("mend", ++seed));
+    grantors.emplace(name, LeaseGrantor(0));
+    holders.emplace(name, LeaseHolder("mend", ++seed));
   }
   bool any = false;
   for (Micros now = 0; now < seconds(40); now += millis(50)) {
-    std::vector<std::pair<std::string, Letter>> mail;
-    for (std::pair<std::string const, Holder>& item : holders) {
-      std::vector<Letter> out;
+    std::vector<std::pair<std::string, OutgoingMessage>> mail;
+    for (std::pair<std::string const, LeaseHolder>& item : holders) {
+      std::vector<OutgoingMessage> out;
       item.second.tick(now, members, out);
-      for (Letter& one : out) mail.emplace_back(item.first, std::move(one));
+      for (OutgoingMessage& one : out) mail.emplace_back(item.first, std::move(one));
     }
     // Each hears itself first: the worst order.
-    std::stable_sort(mail.begin(), mail.end(),
-                     [](std::pair<std::string, Letter> const& a, std::pair<std::string, Letter> const& b) {
-                       return (a.first == a.second.to) > (b.first == b.second.to);
-                     });
-    for (std::pair<std::string, Letter>& one : mail) {
-      wire::GrantAskT const& ask = *one.second.body.AsGrantAsk();
-      wire::GrantAnsT ans;
+    std::stable_sort(
+        mail.begin(), mail.end(),
+        [](std::pair<std::string, OutgoingMessage> const& a, std::pair<std::string, OutgoingMessage> const& b) {
+          return (a.first == a.second.to) > (b.first == b.second.to);
+        });
+    for (std::pair<std::string, OutgoingMessage>& one : mail) {
+      wire::LeaseRequestT const& ask = *one.second.body.AsLeaseRequest();
+      wire::LeaseReplyT ans;
       ans.req = ask.req;
       ans.duty = ask.duty;
       ans.disk = 1;
-      ans.ok = granters.at(one.second.to).ask(one.first, ask.duty, ask.term, now);
+      ans.ok = grantors.at(one.second.to).ask(one.first, ask.duty, ask.term, now);
       holders.at(one.first).take(one.second.to, ans, now, members);
     }
     int held = 0;
-    for (std::pair<std::string const, Holder>& item : holders) held += item.second.holds(now) ? 1 : 0;
+    for (std::pair<std::string const, LeaseHolder>& item : holders) held += item.second.holds(now) ? 1 : 0;
     EXPECT_LE(held, 1);
-    EXPECT_TRUE(held == 0 || now >= grant_term) << "a keeper that just began grants nothing for a term";
+    EXPECT_TRUE(held == 0 || now >= lease_term) << "a keeper that just began gives no lease for a term";
     any = any || held == 1;
   }
   EXPECT_TRUE(any);
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -5,8 +5,8 @@
 
 #include <map>
 
-#include "canon/creed/creed.h"
-#include "canon/register/proposer.h"
+#include "config/description/description.h"
+#include "consensus/register/proposer.h"
 #include "platform/description.h"
 #include "platform/settings.h"
 
@@ -52,8 +52,8 @@
     "  \"idle_timeout_ms\": 20000},\n"
     " \"labels\": [\"one\", \"two\"], \"owner\": \"ops\"}";
 
-std::shared_ptr<Creed const> creed_of(Configuration const& made) {
-  Result<std::shared_ptr<Creed const>> const read = read_creed(made.text);
+std::shared_ptr<Description const> compiled_description(Configuration const& made) {
+  Result<std::shared_ptr<Description const>> const read = read_description(made.text);
   return read ? read.value() : nullptr;
 }
 
@@ -159,10 +159,10 @@
   ASSERT_TRUE(made) << made.error().place << " " << made.error().why;
   EXPECT_EQ(made.value().version, 4u);
   EXPECT_EQ(source_of(made.value().text), base) << "what was sent is kept word for word";
-  std::shared_ptr<Creed const> const creed = creed_of(made.value());
-  ASSERT_TRUE(creed);
-  ASSERT_EQ(creed->routes.size(), 3u);
-  Route const& chat = creed->routes[0];
+  std::shared_ptr<Description const> const description = compiled_description(made.value());
+  ASSERT_TRUE(description);
+  ASSERT_EQ(description->routes.size(), 3u);
+  Route const& chat = description->routes[0];
   EXPECT_EQ(chat.prefix, "/v1/chat/");
   EXPECT_TRUE(chat.streams && chat.resumable && !chat.repeatable);
   EXPECT_EQ(chat.hold, seconds(260));
@@ -170,24 +170,24 @@
   EXPECT_EQ(chat.gap, millis(200));
   EXPECT_EQ(chat.rank, 2);
   EXPECT_EQ(chat.attempts, 3);
-  Route const& embed = creed->routes[1];
+  Route const& embed = description->routes[1];
   EXPECT_TRUE(embed.repeatable && !embed.streams);
   ASSERT_EQ(embed.shares.size(), 2u);
   EXPECT_EQ(embed.shares[0].pool, pool_of("big_llm"));
   EXPECT_EQ(embed.shares[0].weight, 3);
-  EXPECT_FALSE(creed->routes[2].repeatable);
-  EXPECT_EQ(creed->routes[2].attempts, 1);
-  Pool const* const pool = creed->pool(pool_of("big_llm"));
+  EXPECT_FALSE(description->routes[2].repeatable);
+  EXPECT_EQ(description->routes[2].attempts, 1);
+  Pool const* const pool = description->pool(pool_of("big_llm"));
   ASSERT_NE(pool, nullptr);
   EXPECT_EQ(pool->slots, 12);
   EXPECT_EQ(pool->cache_tokens, 260000);
   EXPECT_EQ(pool->stride, 4);
   EXPECT_EQ(pool->connections, 200);
   EXPECT_EQ(pool->model, "m");
-  EXPECT_EQ(creed->limits.head_bytes, 8192);
-  EXPECT_EQ(creed->limits.body_bytes, 1000000);
-  EXPECT_EQ(creed->limits.head_time, seconds(3));
-  EXPECT_EQ(creed->limits.idle, seconds(20));
+  EXPECT_EQ(description->limits.head_bytes, 8192);
+  EXPECT_EQ(description->limits.body_bytes, 1000000);
+  EXPECT_EQ(description->limits.head_time, seconds(3));
+  EXPECT_EQ(description->limits.idle, seconds(20));
 }
 
 TEST(Configurations, each_invalid_kind_is_refused) {
@@ -252,15 +252,15 @@
   for (char const* const kept : {"\"timeout_ms\": 260000.0,", "\"cache_tokens\": 260000.0,",
                                  "\"note\": {\"by\": [1, 2.50]}", "2000.50", "[\"one\", \"two\"]", "\"ops\""})
     EXPECT_NE(source.find(kept), std::string::npos) << kept << "\n" << source;
-  std::shared_ptr<Creed const> const creed = creed_of(made.value());
-  ASSERT_TRUE(creed);
-  ASSERT_EQ(creed->routes.size(), 2u);
-  EXPECT_EQ(creed->routes[0].name, "chat");
-  EXPECT_EQ(creed->routes[1].name, "once");
-  EXPECT_EQ(creed->routes[1].hold, millis(2000));
-  EXPECT_EQ(creed->routes[1].shares[0].pool, pool_of("tiny"));
-  EXPECT_EQ(creed->pool(pool_of("small")), nullptr);
-  EXPECT_EQ(creed->limits.head_bytes, 4096);
+  std::shared_ptr<Description const> const description = compiled_description(made.value());
+  ASSERT_TRUE(description);
+  ASSERT_EQ(description->routes.size(), 2u);
+  EXPECT_EQ(description->routes[0].name, "chat");
+  EXPECT_EQ(description->routes[1].name, "once");
+  EXPECT_EQ(description->routes[1].hold, millis(2000));
+  EXPECT_EQ(description->routes[1].shares[0].pool, pool_of("tiny"));
+  EXPECT_EQ(description->pool(pool_of("small")), nullptr);
+  EXPECT_EQ(description->limits.head_bytes, 4096);
   simdjson::dom::parser parser;
   simdjson::dom::element root;
   std::uint64_t version = 0;
@@ -275,7 +275,7 @@
   Result<Configuration> const again = amended(source_of(made.value().text), "{\"version\": 9}");
   ASSERT_TRUE(again);
   EXPECT_EQ(source_of(again.value().text), source_of(made.value().text));
-  EXPECT_EQ(creed_of(made.value())->routes.size(), 3u);
+  EXPECT_EQ(compiled_description(made.value())->routes.size(), 3u);
 }
 
 TEST(Configurations, amending_nothing_at_all_begins_one) {
@@ -285,7 +285,7 @@
               "{\"version\":1,\"upsert\":{\"services\":[{\"name\":\"s\"}],\"routes\":[{\"name\":\"r\",\"host\":\"h\","
               "\"path_prefix\":\"/\",\"service\":\"s\",\"timeout_ms\":10}]}}");
   ASSERT_TRUE(made) << made.error().place << " " << made.error().why;
-  EXPECT_EQ(creed_of(made.value())->routes.size(), 1u);
+  EXPECT_EQ(compiled_description(made.value())->routes.size(), 1u);
 }
 
 TEST(Configurations, bad_changes_are_refused) {
@@ -323,17 +323,17 @@
       members.keepers.push_back(keeper);
     }
     for (std::uint64_t i = 0; i < 3; ++i) {
-      wire::RecordT slate;
-      slate.cluster = "c";
-      slate.name = members.keepers[i].name;
-      slate.disk = members.keepers[i].disk;
-      slate.formed = true;
-      slate.accepted = wire::Ballot(1, 0);
-      slate.value = std::make_unique<wire::ValueT>();
-      slate.value->epoch = 1;
+      wire::RecordT recovered;
+      recovered.cluster = "c";
+      recovered.name = members.keepers[i].name;
+      recovered.disk = members.keepers[i].disk;
+      recovered.formed = true;
+      recovered.accepted = wire::Ballot(1, 0);
+      recovered.value = std::make_unique<wire::ValueT>();
+      recovered.value->epoch = 1;
       for (wire::KeeperT const& keeper : members.keepers)
-        slate.value->keepers.push_back(std::make_unique<wire::KeeperT>(keeper));
-      keepers.emplace(slate.name, Acceptor(slate));
+        recovered.value->keepers.push_back(std::make_unique<wire::KeeperT>(keeper));
+      keepers.emplace(recovered.name, Acceptor(recovered));
     }
     proposer.know(members);
   }
@@ -350,17 +350,17 @@
         change, [&out](Outcome const& outcome) { out = outcome; }, now));
     for (int turns = 0; turns < 400 && !out; ++turns) {
       now += millis(10);
-      std::vector<Letter> asks;
+      std::vector<OutgoingMessage> asks;
       proposer.tick(now, asks);
       while (!asks.empty()) {
-        std::vector<Letter> more;
-        for (Letter& item : asks) {
+        std::vector<OutgoingMessage> more;
+        for (OutgoingMessage& item : asks) {
           std::string const to = item.to;
           Acceptor& keeper = keepers.at(to);
           keeper.take("n1", std::move(item.body));
-          std::vector<Letter> replies;
+          std::vector<OutgoingMessage> replies;
           if (keeper.step(replies)) keeper.synced(replies);
-          for (Letter& reply : replies) proposer.take(to, reply.body, now, more);
+          for (OutgoingMessage& reply : replies) proposer.take(to, reply.body, now, more);
         }
         asks = std::move(more);
       }
--- a/tests/register.cc
+++ b/tests/register.cc
@@ -8,10 +8,10 @@
 #include <string>
 #include <vector>
 
-#include "canon/register/learner.h"
-#include "canon/register/orders.h"
-#include "canon/register/proposer.h"
-#include "canon/register/value_patch.h"
+#include "consensus/register/learner.h"
+#include "consensus/register/orders.h"
+#include "consensus/register/proposer.h"
+#include "consensus/register/value_patch.h"
 
 namespace pipit {
 
@@ -59,25 +59,25 @@
   void run(std::string const& who, std::vector<std::string> const& reach, std::vector<std::string> const& accepted_by) {
     Proposer& from = proposer(who);
     for (int turn = 0; turn < 60 && from.waiting() > 0; ++turn) {
-      std::vector<Letter> letters;
-      from.tick(now, letters);
-      while (!letters.empty()) {
-        std::vector<Letter> batch;
-        batch.swap(letters);
-        for (Letter& item : batch) {
+      std::vector<OutgoingMessage> outgoing;
+      from.tick(now, outgoing);
+      while (!outgoing.empty()) {
+        std::vector<OutgoingMessage> batch;
+        batch.swap(outgoing);
+        for (OutgoingMessage& item : batch) {
           bool const accept = item.body.AsAccept() != nullptr;
           std::vector<std::string> const& to = accept ? accepted_by : reach;
           if (std::find(to.begin(), to.end(), item.to) == to.end()) continue;
-          for (Letter& answer : deliver(item.to, who, std::move(item.body)))
-            from.take(item.to, answer.body, now, letters);
+          for (OutgoingMessage& answer : deliver(item.to, who, std::move(item.body)))
+            from.take(item.to, answer.body, now, outgoing);
         }
       }
       now += millis(100);
     }
   }
 
-  std::vector<Letter> deliver(std::string const& to, std::string const& from, wire::BodyUnion body) {
-    std::vector<Letter> answers;
+  std::vector<OutgoingMessage> deliver(std::string const& to, std::string const& from, wire::BodyUnion body) {
+    std::vector<OutgoingMessage> answers;
     Acceptor& acceptor = *acceptors.at(to);
     acceptor.take(from, std::move(body));
     if (acceptor.step(answers)) acceptor.synced(answers);
@@ -196,10 +196,10 @@
     proposer.know(members_of(2, {"k1", "k2", "k3"}));
     ASSERT_TRUE(proposer.ask(
         cluster.read(), [](Outcome const&) {}, 0));
-    std::vector<Letter> letters;
-    proposer.tick(0, letters);
-    ASSERT_EQ(letters.size(), 3u);
-    ballots.push_back(letters.front().body.AsPrepare()->ballot);
+    std::vector<OutgoingMessage> outgoing;
+    proposer.tick(0, outgoing);
+    ASSERT_EQ(outgoing.size(), 3u);
+    ballots.push_back(outgoing.front().body.AsPrepare()->ballot);
   }
   EXPECT_FALSE(same(ballots[0], ballots[1]));
 }
@@ -311,9 +311,9 @@
   cluster.ask("p1", cluster.read(), {"k1", "k2", "k3"});
   cluster.ask("p1", cluster.admit("k4", 2), {"k1", "k2", "k3"}, {"k1"});
   Learner learner;
-  std::vector<Letter> asks;
+  std::vector<OutgoingMessage> asks;
   learner.poll(0, {"k1"}, -1, asks);
-  std::vector<Letter> more;
+  std::vector<OutgoingMessage> more;
   learner.take("k1", answer_of(cluster.acceptor("k1"), *asks.front().body.AsPeek()), 0, more);
   EXPECT_TRUE(learner.membership().empty());
   EXPECT_EQ(learner.sure, -1);
@@ -324,10 +324,10 @@
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}));
   cluster.ask("p1", cluster.apply("A", 0, 1), {"k1", "k2", "k3"});
   Learner learner;
-  std::vector<Letter> asks;
+  std::vector<OutgoingMessage> asks;
   learner.poll(seconds(5), {"k1", "k2", "k3"}, -1, asks);
   wire::PeekT const peek = *asks.front().body.AsPeek();
-  std::vector<Letter> more;
+  std::vector<OutgoingMessage> more;
   learner.take("k1", answer_of(cluster.acceptor("k1"), peek), seconds(5), more);
   cluster.ask("p1", cluster.apply("B", 1, 2), {"k1", "k2"});
   learner.take("k2", answer_of(cluster.acceptor("k2"), peek), seconds(5), more);
@@ -343,10 +343,11 @@
   cluster.ask("p1", cluster.apply("B", 1, 2), {"k1", "k2"});
   // k1 is lost. A node without any memory polls the other two.
   Learner learner;
-  std::vector<Letter> asks;
-  std::vector<Letter> more;
+  std::vector<OutgoingMessage> asks;
+  std::vector<OutgoingMessage> more;
   learner.poll(0, {"k2", "k3"}, -1, asks);
-  for (Letter const& ask : asks) learner.take(ask.to, answer_of(cluster.acceptor(ask.to), *ask.body.AsPeek()), 0, more);
+  for (OutgoingMessage const& ask : asks)
+    learner.take(ask.to, answer_of(cluster.acceptor(ask.to), *ask.body.AsPeek()), 0, more);
   EXPECT_TRUE(learner.membership().empty());
   Proposer fresh("p9", 99);
   fresh.suggest(learner.seen());
@@ -354,15 +355,15 @@
   ASSERT_TRUE(fresh.ask(
       cluster.read(), [&outcome](Outcome const& end) { outcome = end; }, 0));
   for (Micros now = 0; now < seconds(2) && !outcome; now += millis(50)) {
-    std::vector<Letter> letters;
-    fresh.tick(now, letters);
-    while (!letters.empty()) {
-      std::vector<Letter> batch;
-      batch.swap(letters);
-      for (Letter& item : batch) {
+    std::vector<OutgoingMessage> outgoing;
+    fresh.tick(now, outgoing);
+    while (!outgoing.empty()) {
+      std::vector<OutgoingMessage> batch;
+      batch.swap(outgoing);
+      for (OutgoingMessage& item : batch) {
         if (item.to == "k1") continue;
-        for (Letter& answer : cluster.deliver(item.to, "p9", std::move(item.body)))
-          fresh.take(item.to, answer.body, now, letters);
+        for (OutgoingMessage& answer : cluster.deliver(item.to, "p9", std::move(item.body)))
+          fresh.take(item.to, answer.body, now, outgoing);
       }
     }
   }
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -41,11 +41,11 @@
                  relay.act(out);
                },
                [this](std::uint64_t id) { dispatcher.hung_up(id, g_get_monotonic_time()); }}) {
-    Result<std::shared_ptr<Creed const>> const rules =
-        read_creed("{\"format\":1,\"lanes\":[],\"pools\":[{\"name\":\"p\",\"model\":\"m\"}],\"routes\":[" +
-                   route_text("once", "") + "," + route_text("safe", ",\"repeatable\":true") + "," +
-                   route_text("live", ",\"streams\":true") + "," +
-                   route_text("flow", ",\"streams\":true,\"resumable\":true") + "]}");
+    Result<std::shared_ptr<Description const>> const rules =
+        read_description("{\"format\":1,\"lanes\":[],\"pools\":[{\"name\":\"p\",\"model\":\"m\"}],\"routes\":[" +
+                         route_text("once", "") + "," + route_text("safe", ",\"repeatable\":true") + "," +
+                         route_text("live", ",\"streams\":true") + "," +
+                         route_text("flow", ",\"streams\":true,\"resumable\":true") + "]}");
     EXPECT_TRUE(rules);
     dispatcher.in_force(rules.value());
     dispatcher.budget(0.2, 10);
--- a/tests/rules.cc
+++ b/tests/rules.cc
@@ -1,7 +1,7 @@
 // The language and the description: what is taken, and where a refusal points.
 #include <gtest/gtest.h>
 
-#include "canon/creed/creed.h"
+#include "config/description/description.h"
 
 namespace pipit {
 
@@ -68,7 +68,7 @@
   EXPECT_TRUE(good.value().safe);
 }
 
-TEST(Creed, refusals_name_their_path) {
+TEST(Description, refusals_name_their_path) {
   struct Row {
     char const* text;
     Kind kind;
@@ -91,12 +91,12 @@
        "$.lanes[0].binding: line 1, column 6"},
   };
   for (Row const& row : rows) {
-    Result<std::shared_ptr<Creed const>> const made = read_creed(row.text);
+    Result<std::shared_ptr<Description const>> const made = read_description(row.text);
     ASSERT_FALSE(made) << row.text;
     EXPECT_EQ(made.error().kind, row.kind) << row.text;
     EXPECT_EQ(made.error().place, row.place) << row.text << ": " << made.error().why;
   }
-  EXPECT_EQ(read_creed(std::string(creed_limit + 1, ' ')).error().kind, Kind::too_large);
+  EXPECT_EQ(read_description(std::string(description_limit + 1, ' ')).error().kind, Kind::too_large);
 }
 
 }  // namespace pipit
--- a/tests/wide.cc
+++ b/tests/wide.cc
@@ -27,15 +27,15 @@
       plan.keeper = i < keepers;
       plan.chance = i + 1;
       plan.incarnation = 1000 + i;
-      std::optional<wire::RecordT> slate;
+      std::optional<wire::RecordT> recovered;
       if (plan.keeper) {
-        slate.emplace();
-        slate->cluster = plan.cluster;
-        slate->name = plan.name;
-        slate->disk = 77 + i;
+        recovered.emplace();
+        recovered->cluster = plan.cluster;
+        recovered->name = plan.name;
+        recovered->disk = 77 + i;
       }
       at[plan.address] = nodes.size();
-      nodes.push_back(std::make_unique<Node>(plan, now, std::move(slate)));
+      nodes.push_back(std::make_unique<Node>(plan, now, std::move(recovered)));
       replies.emplace_back();
     }
   }
@@ -254,7 +254,7 @@
   for (std::unique_ptr<Node> const& node : field.nodes) {
     ASSERT_TRUE(node->learner.value) << node->plan.name;
     EXPECT_EQ(node->learner.value->label, 7u) << node->plan.name;
-    EXPECT_EQ(node->dispatcher.creed()->routes.size(), 1u) << node->plan.name;
+    EXPECT_EQ(node->dispatcher.description()->routes.size(), 1u) << node->plan.name;
   }
 }
 
