--- a/proof/augury/callers.cc
+++ b/proof/augury/callers.cc
@@ -170,11 +170,11 @@
 void World::call() {
   std::unique_ptr<Wish> wish = std::make_unique<Wish>();
   wish->call = ++call_count;
-  Kin const& kin = plan.shape->kinds[random.below(plan.shape->kinds.size())];
-  wish->safe = kin.safe;
-  wish->tag = kin.lane;
-  wish->opening = std::min(random.below(static_cast<std::uint64_t>(kin.openings)),
-                           random.below(static_cast<std::uint64_t>(kin.openings)));
+  RequestKind const& request_kind = plan.shape->kinds[random.below(plan.shape->kinds.size())];
+  wish->safe = request_kind.safe;
+  wish->tag = request_kind.lane;
+  wish->opening = std::min(random.below(static_cast<std::uint64_t>(request_kind.openings)),
+                           random.below(static_cast<std::uint64_t>(request_kind.openings)));
   wish->came = now;
   std::uint64_t const id = ++wish_count;
   wishes[id] = std::move(wish);
--- a/proof/augury/judge.cc
+++ b/proof/augury/judge.cc
@@ -68,7 +68,7 @@
   if (serials.size() != 1 && !log_is_muted())
     for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
       if (item.second->up())
-        for (std::pair<std::string const, Peer> const& peer : item.second->node->mesh.roll.peers)
+        for (std::pair<std::string const, Peer> const& peer : item.second->node->mesh.members.peers)
           if (peer.first[0] == 'k')
             std::printf("%s serial %llu knows %s at %s %s wire %llu dialling %d refused %d\n", item.first.c_str(),
                         static_cast<unsigned long long>(item.second->node->learner.serial()), peer.first.c_str(),
--- a/proof/chorus/main.cc
+++ b/proof/chorus/main.cc
@@ -61,8 +61,8 @@
  public:
   explicit Chorus(Plan plan_) : plan(std::move(plan_)), shape(*shape_of(plan.shape)), random(plan.seed) {
     loop = g_main_loop_new(nullptr, FALSE);
-    for (Kin const& kin : shape.kinds)
-      for (int i = 0; i < kin.weight; ++i) wheel.push_back(&kin);
+    for (RequestKind const& request_kind : shape.kinds)
+      for (int i = 0; i < request_kind.weight; ++i) wheel.push_back(&request_kind);
   }
 
   int run() {
@@ -79,7 +79,7 @@
   struct Call {  // one caller's wish; it may take several attempts
     Chorus* host = nullptr;
     std::uint64_t number = 0;
-    Kin const* kin = nullptr;
+    RequestKind const* request_kind = nullptr;
     std::string prompt;
     Micros came = 0;
     int attempts = 0;
@@ -132,14 +132,15 @@
     std::unique_ptr<Call> call = std::make_unique<Call>();
     call->host = this;
     call->number = ++calls;
-    call->kin = wheel[random.below(wheel.size())];
+    call->request_kind = wheel[random.below(wheel.size())];
     bool const hot = random.chance(plan.hot);
     // A few openings are asked for much more often than others.
-    std::uint64_t const a = random.below(static_cast<std::uint64_t>(call->kin->openings));
-    std::uint64_t const b = random.below(static_cast<std::uint64_t>(call->kin->openings));
+    std::uint64_t const a = random.below(static_cast<std::uint64_t>(call->request_kind->openings));
+    std::uint64_t const b = random.below(static_cast<std::uint64_t>(call->request_kind->openings));
     std::uint64_t const pick = hot ? 0 : std::min(a, b);
-    call->prompt = filler(hash_text(call->kin->lane) + pick, call->kin->opening) + " #" + std::to_string(call->number) +
-                   " " + filler(plan.seed * 1000003 + call->number, call->kin->tail);
+    call->prompt = filler(hash_text(call->request_kind->lane) + pick, call->request_kind->opening) + " #" +
+                   std::to_string(call->number) + " " +
+                   filler(plan.seed * 1000003 + call->number, call->request_kind->tail);
     call->came = now();
     ++open;
     send(std::move(call));
@@ -150,9 +151,9 @@
     item->host = this;
     item->attempt = attempts.size();
     Attempt note;
-    note.tag = call->kin->lane + "-" + std::to_string(plan.seed) + "-" + std::to_string(call->number) + "." +
+    note.tag = call->request_kind->lane + "-" + std::to_string(plan.seed) + "-" + std::to_string(call->number) + "." +
                std::to_string(call->attempts++);
-    note.safe = call->kin->safe;
+    note.safe = call->request_kind->safe;
     attempts.push_back(note);
     JsonWriter json;
     json.begin_object()
@@ -161,9 +162,9 @@
         .key("user")
         .text(note.tag)
         .key("max_tokens")
-        .number(call->kin->pieces)
+        .number(call->request_kind->pieces)
         .key("stream")
-        .boolean(call->kin->stream);
+        .boolean(call->request_kind->stream);
     json.key("messages")
         .begin_list()
         .begin_object()
@@ -179,7 +180,7 @@
     item->sent = now();
     item->call = std::move(call);
     item->wire.on_body = [item](std::string_view bytes) {
-      if (item->wire.status == 200 && item->call->kin->stream) {
+      if (item->wire.status == 200 && item->call->request_kind->stream) {
         item->pieces.feed(bytes);
         item->host->stream(*item);
       } else {
@@ -247,11 +248,11 @@
     Attempt& note = attempts[item.attempt];
     note.pieces = item.seen;
     Micros const took = now() - item.sent;
-    if (good && !item.call->kin->stream && whole) {
+    if (good && !item.call->request_kind->stream && whole) {
       simdjson::dom::parser parser;
       simdjson::dom::element root;
       std::string_view content;
-      std::string const want = std::to_string(item.call->kin->pieces);
+      std::string const want = std::to_string(item.call->request_kind->pieces);
       if (parser.parse(simdjson::padded_string(item.whole)).get(root) ||
           root["choices"].at(0)["message"]["content"].get_string().get(content)) {
         fault("N4", note.tag + ": an answer that is none");
@@ -266,8 +267,8 @@
       whole_time.add(took);
       return finish(&item);
     }
-    if (good && item.call->kin->stream && whole && item.done && !item.error) {
-      if (item.seen != item.call->kin->pieces)
+    if (good && item.call->request_kind->stream && whole && item.done && !item.error) {
+      if (item.seen != item.call->request_kind->pieces)
         fault("N3", note.tag + " looks finished after " + std::to_string(item.seen));
       note.told = "done";
       ++done;
@@ -431,7 +432,7 @@
   Shape const& shape;
   RandomSource random;
   GMainLoop* loop;
-  std::vector<Kin const*> wheel;
+  std::vector<RequestKind const*> wheel;
   std::vector<std::string> doors;
   std::vector<Attempt> attempts;
   Micros begin = 0;
--- a/proof/common/shapes.h
+++ b/proof/common/shapes.h
@@ -7,7 +7,7 @@
 
 namespace pipit {
 
-struct Kin {  // one kind of request that callers send
+struct RequestKind {  // one kind of request that callers send
   std::string lane;
   bool stream = true;
   bool safe = false;
@@ -25,7 +25,7 @@
   int passages = 8;
   int workers = 18;
   int cold = 8;
-  std::vector<Kin> kinds;
+  std::vector<RequestKind> kinds;
 };
 
 inline Shape const* shape_of(std::string const& name) {
@@ -62,15 +62,16 @@
          ",\"cold_ms\":5000,\"cache_blocks\":2000,\"block_us\":3000,\"service_ms\":800}],\n \"lanes\":[\n";
   bool first = true;
   int urgency = 3;
-  for (Kin const& kin : shape.kinds) {
+  for (RequestKind const& request_kind : shape.kinds) {
     if (!first) out += ",\n";
     first = false;
-    std::string const pools =
-        kin.opening >= 6000 ? "pool main; pool press when demand < 70%" : "pool press when demand < 90%; pool main";
-    out += "  {\"name\":\"" + kin.lane + "\",\"binding\":\"match model = \\\"tribute\\\" and user starts \\\"" +
-           kin.lane + "\\\"; " + pools + "\",";
+    std::string const pools = request_kind.opening >= 6000 ? "pool main; pool press when demand < 70%"
+                                                           : "pool press when demand < 90%; pool main";
+    out += "  {\"name\":\"" + request_kind.lane +
+           "\",\"binding\":\"match model = \\\"tribute\\\" and user starts \\\"" + request_kind.lane + "\\\"; " +
+           pools + "\",";
     out += "\"policy\":\"wait " + wait + "ms; urgency " + std::to_string(urgency) + "; repeat " +
-           (kin.safe ? "safe" : "never") + "; backlog 200; tries 2; answer 10s; stall 8s\"}";
+           (request_kind.safe ? "safe" : "never") + "; backlog 200; tries 2; answer 10s; stall 8s\"}";
     urgency += 2;
   }
   // As large as asked for, by lanes that no caller uses.
--- a/proof/hollow/scale.cc
+++ b/proof/hollow/scale.cc
@@ -8,7 +8,7 @@
 #include <cstdio>
 
 #include "base/events.h"
-#include "kin/frame.h"
+#include "mesh/frame.h"
 #include "proof/hollow/machine.h"
 
 namespace pipit {
@@ -214,8 +214,8 @@
   for (Kill& kill : kills) {
     if (!kill.pending.count(who)) continue;
     std::map<std::string, Peer>::const_iterator const peer =
-        m.node->mesh.roll.peers.find(machines[static_cast<std::size_t>(kill.who)]->name);
-    if (peer == m.node->mesh.roll.peers.end() || peer->second.state() != State::down) continue;
+        m.node->mesh.members.peers.find(machines[static_cast<std::size_t>(kill.who)]->name);
+    if (peer == m.node->mesh.members.peers.end() || peer->second.state() != State::down) continue;
     kill.pending.erase(who);
     detected[kill.silent ? 1 : 0].push_back(now - kill.at);
   }
@@ -491,7 +491,7 @@
   for (int i = 0; i < plan.nodes; ++i) {
     Machine const& m = *machines[static_cast<std::size_t>(i)];
     if (!m.up()) continue;
-    for (std::pair<std::string const, Peer> const& item : m.node->mesh.roll.peers) {
+    for (std::pair<std::string const, Peer> const& item : m.node->mesh.members.peers) {
       int const j = by_name.at(item.first);
       std::pair<int, int> const pair{i, j};
       if (item.second.state() == State::alive) {
@@ -517,8 +517,8 @@
 bool Scale::all_alive() const {
   for (std::unique_ptr<Machine> const& m : machines) {
     if (!m->up()) return false;
-    if (m->node->mesh.roll.peers.size() + 1 != machines.size()) return false;
-    for (std::pair<std::string const, Peer> const& item : m->node->mesh.roll.peers)
+    if (m->node->mesh.members.peers.size() + 1 != machines.size()) return false;
+    for (std::pair<std::string const, Peer> const& item : m->node->mesh.members.peers)
       if (item.second.state() != State::alive || item.second.wire == 0) return false;
   }
   return true;
--- a/src/core/changes.cc
+++ b/src/core/changes.cc
@@ -27,8 +27,8 @@
   if (!lately) return false;
   Voters connected;
   for (wire::KeeperT const& keeper : learner.membership().keepers) {
-    std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(keeper.name);
-    bool const here = keeper.name == plan.name || (peer != mesh.roll.peers.end() && peer->second.wire != 0);
+    std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(keeper.name);
+    bool const here = keeper.name == plan.name || (peer != mesh.members.peers.end() && peer->second.wire != 0);
     if (here) connected[keeper.name] = keeper.disk;
   }
   return learner.membership().keepers.empty() || connected.size() >= learner.membership().majority();
@@ -144,15 +144,15 @@
   std::size_t have = 0;
   for (std::string const& name : passages(false)) {
     ++all;
-    std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(name);
-    if ((peer == mesh.roll.peers.end() ? learner.turn() : peer->second.member.turn) >= turn) ++have;
+    std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
+    if ((peer == mesh.members.peers.end() ? learner.turn() : peer->second.member.turn) >= turn) ++have;
   }
   return have > 0 && have * 2 >= all;
 }
 
 bool Node::zone_known(std::string const& zone) const {
   if (zone == plan.zone) return true;
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers)
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.member.zone == zone) return true;
   for (std::pair<std::string const, wire::EntryT> const& item : mesh.ledger.all())
     if (item.second.zone == zone) return true;
--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -55,8 +55,8 @@
 }
 
 std::string Node::address_of(std::string const& name) const {
-  std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(name);
-  return peer == mesh.roll.peers.end() ? std::string() : peer->second.member.address;
+  std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
+  return peer == mesh.members.peers.end() ? std::string() : peer->second.member.address;
 }
 
 // §12.3: at the very first start all nodes are given the same seeds, and these are up. Those of them that keep are the
@@ -70,7 +70,7 @@
       continue;
     }
     bool heard = false;
-    for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+    for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       if (item.second.wire == 0 || item.second.member.address != address) continue;
       heard = true;
       if (item.second.member.keeper) out.push_back(item.first);
@@ -88,7 +88,7 @@
 std::size_t Node::keepers_wanted() const {
   if (!plan.registered) return std::max<std::size_t>(1, plan.founders.size());
   std::size_t all = plan.keeper ? 1 : 0;
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers)
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.member.keeper && (item.second.state() == State::alive || item.second.state() == State::suspected))
       ++all;
   std::size_t const most = std::min<std::size_t>(7, all);
@@ -107,8 +107,8 @@
   if (name == plan.name) return leaving || retiring;
   std::map<std::string, Learner::Observation>::const_iterator const observation = learner.observations.find(name);
   if (observation != learner.observations.end() && observation->second.retiring) return true;
-  std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(name);
-  return peer != mesh.roll.peers.end() && peer->second.state() == State::leaving;
+  std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
+  return peer != mesh.members.peers.end() && peer->second.state() == State::leaving;
 }
 
 // One that is here and not in the set.
--- a/src/core/handed.cc
+++ b/src/core/handed.cc
@@ -15,8 +15,8 @@
   Membership const& members = learner.membership().empty() ? learner.seen() : learner.membership();
   for (wire::KeeperT const& keeper : members.keepers) {
     bool here = keeper.name == plan.name && plan.keeper && !leaving;
-    std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(keeper.name);
-    if (peer != mesh.roll.peers.end()) here = peer->second.wire != 0 && peer->second.state() == State::alive;
+    std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(keeper.name);
+    if (peer != mesh.members.peers.end()) here = peer->second.wire != 0 && peer->second.state() == State::alive;
     if (here && (best.empty() || keeper.name < best)) best = keeper.name;
   }
   return best;
@@ -25,7 +25,7 @@
 // A node that hears no quorum may still hear a router that does: each order is handed to the next one in turn.
 std::string Node::relaying_peer() {
   std::vector<std::string> peers;
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     bool const here = item.second.wire != 0 && item.second.state() == State::alive;
     if (here && !item.second.member.keeper) peers.push_back(item.first);
   }
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -70,7 +70,7 @@
 
 std::vector<std::string> Node::keepers() const {
   std::set<std::string> out;
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers)
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if ((item.second.role() == Role::accord || item.second.member.keeper) && item.second.wire != 0)
       out.insert(item.first);
   if (acceptor) out.insert(plan.name);
@@ -80,7 +80,7 @@
 std::set<std::string> Node::passages(bool all) const {
   std::set<std::string> out;
   if (plan.role == Role::passage) out.insert(plan.name);
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     State const state = item.second.state();
     if (item.second.role() == Role::passage && (all || state == State::alive || state == State::suspected))
       out.insert(item.first);
@@ -90,7 +90,7 @@
 
 std::vector<std::string> Node::tide_peers() const {
   std::vector<std::string> out;
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers)
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.role() == Role::passage && item.second.wire != 0 && item.second.state() == State::alive)
       out.push_back(item.first);
   return out;
@@ -120,8 +120,8 @@
         deliver(plan.name, item.body, now, out);
         continue;
       }
-      std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(item.to);
-      if (peer == mesh.roll.peers.end() || peer->second.wire == 0) continue;
+      std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(item.to);
+      if (peer == mesh.members.peers.end() || peer->second.wire == 0) continue;
       wire::FrameT frame;
       frame.body = std::move(item.body);
       std::string bytes = encode(frame);
@@ -279,19 +279,19 @@
     news.hops = 1;
     std::string const far = encode_body(wire::ChosenT(news));
     std::set<std::string> reached{plan.keeper ? plan.zone : std::string()};
-    for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+    for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       if (item.second.wire == 0 || !item.second.member.keeper) continue;
       reached.insert(item.second.member.zone);
       out.mesh.sends.push_back({item.second.wire, far});
     }
-    for (std::pair<std::string const, Peer> const& item : mesh.roll.peers)
+    for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
       if (item.second.wire != 0 && !reached.count(item.second.member.zone))
         out.mesh.sends.push_back({item.second.wire, far});
     if (plan.keeper) forward(news, out);
     return;
   }
   std::string const bytes = encode_body(std::move(news));
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers)
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.wire != 0) out.mesh.sends.push_back({item.second.wire, bytes});
 }
 
@@ -299,7 +299,7 @@
 void Node::after_value(Micros now, NodeOut& out) {
   wire::ValueT const& value = *learner.value;
   // A seat raises the turn alone; what the description says was compiled when its serial came.
-  if (value.serial != mesh.roll.self.serial) {
+  if (value.serial != mesh.members.self.serial) {
     std::shared_ptr<Description const> description = std::make_shared<Description>();
     if (!value.text.empty()) {
       Result<std::shared_ptr<Description const>> made = read_description(value.text);
@@ -314,11 +314,11 @@
     desk.in_force(description, std::set<std::string>(value.emptied.begin(), value.emptied.end()));
     log_event(Event::in_force, "serial " + std::to_string(value.serial));
   }
-  mesh.roll.self.serial = value.serial;
-  mesh.roll.self.turn = value.turn;
+  mesh.members.self.serial = value.serial;
+  mesh.members.self.turn = value.turn;
   look_seat(now, out);
   // Among nodes whose workers register, pings tell turns; a bump of the record is not needed for them (§3.6).
-  if (!plan.registered) mesh.retell(out.mesh);
+  if (!plan.registered) mesh.announce_self(out.mesh);
 }
 
 void Node::opened(WireId id, bool outbound, std::string const& address, Micros now, NodeOut& out) {
@@ -351,8 +351,8 @@
   take_fresh(now);
   if (greeting) {
     // §5.5: a peer that comes with an older serial is told the chosen value at once.
-    std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(hello_name);
-    if (peer != mesh.roll.peers.end() && peer->second.wire == id && learner.value &&
+    std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(hello_name);
+    if (peer != mesh.members.peers.end() && peer->second.wire == id && learner.value &&
         peer->second.member.turn < learner.turn()) {
       wire::ChosenT news;
       news.value = std::make_unique<wire::ValueT>(*learner.value);
@@ -464,7 +464,7 @@
   if (!word && now - from > fresh_bound) {
     // §6.7: no majority answers. A node that was serving goes on; a new one may take the word of one that serves.
     if (able) sure = true;
-    for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+    for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       Peer const& peer = item.second;
       if (peer.wire != 0 && peer.state() == State::alive && peer.role() == Role::passage && peer.member.ready &&
           learner.value && learner.serial() >= peer.member.serial)
@@ -481,8 +481,8 @@
   if (!able) {
     able = true;
     desk.ready(true);
-    mesh.roll.self.ready = true;
-    mesh.retell(out.mesh);
+    mesh.members.self.ready = true;
+    mesh.announce_self(out.mesh);
   }
 }
 
@@ -508,7 +508,7 @@
     if (now >= next_round) {
       next_round = now + seconds(1);
       std::vector<std::pair<std::string, std::vector<std::string>>> peers;
-      for (std::string const& name : tide_peers()) peers.emplace_back(name, mesh.roll.peers.at(name).member.models);
+      for (std::string const& name : tide_peers()) peers.emplace_back(name, mesh.members.peers.at(name).member.models);
       tide.round(
           now, peers, [this](std::string const& model) { return bounds(model); }, outgoing);
       own_entries(now, out);
@@ -635,7 +635,7 @@
   repair_lease.give_back(learner.membership(), outgoing);
   dispatch(outgoing, now, out);
   desk.drain();
-  mesh.roll.self.ready = false;
+  mesh.members.self.ready = false;
   mesh.leave(out.mesh);
   log_event(Event::drain_began, "");
 }
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -13,7 +13,7 @@
 #include "flow/dispatch/dispatcher.h"
 #include "flow/errand/desk.h"
 #include "flow/registry/registry.h"
-#include "kin/mesh.h"
+#include "mesh/mesh.h"
 
 namespace pipit {
 
--- a/src/core/registered.cc
+++ b/src/core/registered.cc
@@ -49,7 +49,7 @@
     best = plan.name;
     keeps = plan.keeper;
   }
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     Peer const& peer = item.second;
     if (peer.wire == 0 || peer.state() != State::alive || peer.member.zone != zone) continue;
     bool const better =
@@ -65,7 +65,7 @@
   Paths out;
   out.wide = mesh.wide();
   std::set<std::string> zones;
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     Peer const& peer = item.second;
     if (peer.wire == 0 || peer.state() != State::alive) continue;
     if (!out.wide)
@@ -97,7 +97,7 @@
 void Node::forward(wire::ChosenT const& news, NodeOut& out) {
   if (!plan.keeper) return;
   std::vector<std::string> hands{plan.name};
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers)
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.member.keeper && item.second.member.zone == plan.zone && item.second.wire != 0 &&
         item.second.state() == State::alive)
       hands.push_back(item.first);
@@ -108,7 +108,7 @@
   if (news.value) copy.value = std::make_unique<wire::ValueT>(*news.value);
   if (news.patch) copy.patch = std::make_unique<wire::ValuePatchT>(*news.patch);
   std::string const bytes = encode_body(std::move(copy));
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers) {
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     Peer const& peer = item.second;
     if (peer.wire == 0 || peer.member.keeper || item.first == news.origin) continue;
     if (peer.member.zone == plan.zone &&
--- a/src/core/seats.cc
+++ b/src/core/seats.cc
@@ -18,7 +18,7 @@
   if (!guard(Guard::seats) || plan.registered) return true;
   if (!learner.value) return false;
   wire::SeatT const* const seat = seat_of(*learner.value, plan.name);
-  return seat != nullptr && seat->incarnation == mesh.roll.self.incarnation;
+  return seat != nullptr && seat->incarnation == mesh.members.self.incarnation;
 }
 
 void Node::ask_seat(Micros now, NodeOut& out) {
@@ -29,25 +29,25 @@
   change.sort = Change::Sort::seat;
   change.seat.name = plan.name;
   change.seat.address = plan.address;
-  change.seat.incarnation = mesh.roll.self.incarnation;
+  change.seat.incarnation = mesh.members.self.incarnation;
   operate(0, std::move(change), now, out);
 }
 
 // What the register says of seats, this node's own among them.
 void Node::look_seat(Micros now, NodeOut& out) {
   if (!learner.value) return;
-  for (std::unique_ptr<wire::SeatT> const& seat : learner.value->seats) mesh.roll.seat(*seat, now);
-  mesh.roll.strike(learner.value->struck);
+  for (std::unique_ptr<wire::SeatT> const& seat : learner.value->seats) mesh.members.seat(*seat, now);
+  mesh.members.strike(learner.value->struck);
   if (plan.role != Role::passage) return;
   wire::SeatT const* const own = seat_of(*learner.value, plan.name);
-  if (own != nullptr && own->incarnation > mesh.roll.self.incarnation) {
+  if (own != nullptr && own->incarnation > mesh.members.self.incarnation) {
     // A former life had a later clock.
-    mesh.roll.self.incarnation = own->incarnation + 1;
-    mesh.retell(out.mesh);
+    mesh.members.self.incarnation = own->incarnation + 1;
+    mesh.announce_self(out.mesh);
   }
-  if (own != nullptr && own->incarnation != mesh.roll.self.incarnation) seat_known = true;
+  if (own != nullptr && own->incarnation != mesh.members.self.incarnation) seat_known = true;
   if (seated()) {
-    if (seat_at < 0) log_event(Event::seat_taken, std::to_string(mesh.roll.self.incarnation));
+    if (seat_at < 0) log_event(Event::seat_taken, std::to_string(mesh.members.self.incarnation));
     if (seat_at < 0) seat_at = now;
     if (!seat_had) {
       seat_had = true;
@@ -66,7 +66,7 @@
 // that a chosen value gets round though its proposer and the keepers are gone.
 void Node::ask_newer(Micros now, std::vector<OutgoingMessage>& outgoing) {
   std::string from;
-  for (std::pair<std::string const, Peer> const& item : mesh.roll.peers)
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.wire != 0 && item.second.member.turn > learner.turn()) from = item.first;
   if (from.empty() || !guard(Guard::spread)) {
     behind_since = -1;
@@ -94,7 +94,7 @@
 
 bool Node::struck_self() const {
   for (std::unique_ptr<wire::SeatT> const& item : learner.value->struck)
-    if (item->name == plan.name && item->incarnation >= mesh.roll.self.incarnation) return true;
+    if (item->name == plan.name && item->incarnation >= mesh.members.self.incarnation) return true;
   return false;
 }
 
@@ -102,8 +102,8 @@
 bool Node::owes(Waiting const& item, std::string const& name) const {
   if (item.sure.count(name)) return false;
   wire::SeatT const* const seat = learner.value ? seat_of(*learner.value, name) : nullptr;
-  std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(name);
-  bool const known = peer != mesh.roll.peers.end();
+  std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
+  bool const known = peer != mesh.members.peers.end();
   // That it left, or refuses a dial, says nothing of a later life.
   if (seat != nullptr && (!known || peer->second.member.incarnation < seat->incarnation)) return true;
   return !mesh.gone(name);
@@ -111,8 +111,8 @@
 
 std::optional<Fault> Node::keeps(std::string const& name) const {
   bool const known = learner.value && seat_of(*learner.value, name) != nullptr;
-  std::map<std::string, Peer>::const_iterator const peer = mesh.roll.peers.find(name);
-  bool const here = name == plan.name || (peer != mesh.roll.peers.end() && peer->second.wire != 0);
+  std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
+  bool const here = name == plan.name || (peer != mesh.members.peers.end() && peer->second.wire != 0);
   if (here) return Fault{Kind::node_alive, "the node '" + name + "' is alive", ""};
   if (!known) return Fault{Kind::unknown_node, "no router node '" + name + "' has a seat", ""};
   return std::nullopt;
@@ -122,8 +122,8 @@
 bool Node::strike_due(Micros now, Change& change) const {
   if (!learner.value) return false;
   for (std::unique_ptr<wire::SeatT> const& seat : learner.value->seats) {
-    std::map<std::string, Peer>::const_iterator const spot = mesh.roll.peers.find(seat->name);
-    if (spot == mesh.roll.peers.end() || spot->second.member.incarnation > seat->incarnation) continue;
+    std::map<std::string, Peer>::const_iterator const spot = mesh.members.peers.find(seat->name);
+    if (spot == mesh.members.peers.end() || spot->second.member.incarnation > seat->incarnation) continue;
     Peer const& peer = spot->second;
     bool const left = peer.state() == State::leaving && now - std::max(peer.since, peer.bare_since) > strike_after;
     bool const dead = peer.refused && now - peer.refused_at > strike_after;
--- a/src/flow/fleet/fleet.h
+++ b/src/flow/fleet/fleet.h
@@ -9,7 +9,7 @@
 
 #include "config/description/description.h"
 #include "base/micros.h"
-#include "kin/ledger/ledger.h"
+#include "mesh/ledger/ledger.h"
 
 namespace pipit {
 
--- a/src/flow/registry/registry.h
+++ b/src/flow/registry/registry.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/micros.h"
-#include "kin/ledger/ledger.h"
+#include "mesh/ledger/ledger.h"
 
 namespace pipit {
 
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -201,7 +201,7 @@
       .number(static_cast<std::int64_t>(node->learner.membership().epoch))
       .key("peers")
       .begin_list();
-  for (std::pair<std::string const, Peer> const& item : node->mesh.roll.peers) {
+  for (std::pair<std::string const, Peer> const& item : node->mesh.members.peers) {
     Peer const& peer = item.second;
     json.begin_object().key("name").text(item.first).key("state").text(state_word(peer.state()));
     json.key("wire").boolean(peer.wire != 0).key("role").text("passage").key("zone").text(peer.member.zone);
--- a/src/hull/tell.cc
+++ b/src/hull/tell.cc
@@ -15,7 +15,7 @@
   for (wire::KeeperT const& keeper : node->learner.membership().keepers) json.text(keeper.name);
   json.end_list().key("epoch").number(static_cast<std::int64_t>(node->learner.membership().epoch));
   json.key("peers").begin_list();
-  for (std::pair<std::string const, Peer> const& item : node->mesh.roll.peers) {
+  for (std::pair<std::string const, Peer> const& item : node->mesh.members.peers) {
     Peer const& peer = item.second;
     json.begin_object()
         .key("name")
--- a/src/hull/wire/wires.cc
+++ b/src/hull/wire/wires.cc
@@ -1,7 +1,7 @@
 #include "hull/wire/wires.h"
 
 #include "base/ip.h"
-#include "kin/frame.h"
+#include "mesh/frame.h"
 
 namespace pipit {
 
--- a/src/hull/wire/wires.h
+++ b/src/hull/wire/wires.h
@@ -7,7 +7,7 @@
 
 #include "gate/net/link.h"
 #include "base/kinds.h"
-#include "kin/effects.h"
+#include "mesh/effects.h"
 
 namespace pipit {
 
--- a/src/kin/frame.cc
+++ b/src/mesh/frame.cc
@@ -1,4 +1,4 @@
-#include "kin/frame.h"
+#include "mesh/frame.h"
 
 #include <cstdint>
 
--- a/src/kin/ledger/ledger.cc
+++ b/src/mesh/ledger/ledger.cc
@@ -1,4 +1,4 @@
-#include "kin/ledger/ledger.h"
+#include "mesh/ledger/ledger.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/kin/roll/roll.cc
+++ b/src/mesh/members/member_table.cc
@@ -1,4 +1,4 @@
-#include "kin/roll/roll.h"
+#include "mesh/members/member_table.h"
 
 #include <tuple>
 
@@ -37,7 +37,7 @@
 }
 }  // namespace
 
-Roll::News Roll::merge(wire::MemberT const& item, Micros now) {
+MemberTable::News MemberTable::merge(wire::MemberT const& item, Micros now) {
   if (item.name.empty() || item.state > 3) return News::none;
   if (item.name == self.name) {
     // §3.3: news about this node itself. An older life's record only raises the incarnation; a wrong state is refuted.
@@ -82,7 +82,7 @@
   return News::fresh;
 }
 
-void Roll::mark(Peer& peer, State state, Micros now) {
+void MemberTable::mark(Peer& peer, State state, Micros now) {
   if (peer.state() == state) return;
   peer.member.state = static_cast<std::uint8_t>(state);
   peer.since = now;
@@ -90,7 +90,7 @@
   announce(peer.member.name, state);
 }
 
-void Roll::seat(wire::SeatT const& item, Micros now) {
+void MemberTable::seat(wire::SeatT const& item, Micros now) {
   if (item.name == self.name) return;
   std::map<std::string, Peer>::iterator const spot = peers.find(item.name);
   if (spot != peers.end() && spot->second.member.incarnation >= item.incarnation) return;
@@ -117,7 +117,7 @@
   }
 }
 
-void Roll::strike(std::vector<std::unique_ptr<wire::SeatT>> const& list) {
+void MemberTable::strike(std::vector<std::unique_ptr<wire::SeatT>> const& list) {
   struck.clear();
   for (std::unique_ptr<wire::SeatT> const& item : list) {
     std::map<std::string, Peer>::iterator const spot = peers.find(item->name);
@@ -128,7 +128,7 @@
   }
 }
 
-std::vector<std::unique_ptr<wire::MemberT>> Roll::table(std::uint64_t since) const {
+std::vector<std::unique_ptr<wire::MemberT>> MemberTable::table(std::uint64_t since) const {
   std::vector<std::unique_ptr<wire::MemberT>> out;
   out.push_back(std::make_unique<wire::MemberT>(self));
   for (std::pair<std::string const, Peer> const& item : peers)
@@ -136,14 +136,14 @@
   return out;
 }
 
-std::uint64_t Roll::digest() const {
+std::uint64_t MemberTable::digest() const {
   std::uint64_t out = 0;
   out ^= print_of(self);
   for (std::pair<std::string const, Peer> const& item : peers) out ^= print_of(item.second.member);
   return out;
 }
 
-void Roll::forget(Micros now, Micros age) {
+void MemberTable::forget(Micros now, Micros age) {
   for (std::map<std::string, Peer>::iterator it = peers.begin(); it != peers.end();) {
     Peer const& peer = it->second;
     bool const out = peer.state() == State::down || peer.state() == State::leaving;
@@ -154,7 +154,7 @@
   }
 }
 
-std::size_t Roll::known(Role role) const {
+std::size_t MemberTable::known(Role role) const {
   std::size_t n = static_cast<Role>(self.role) == role ? 1 : 0;
   for (std::pair<std::string const, Peer> const& item : peers)
     if (item.second.role() == role) ++n;
--- a/src/kin/roll/roll.h
+++ b/src/mesh/members/member_table.h
@@ -1,4 +1,4 @@
-// The roll: who is in the mesh, by SWIM's states with incarnations (§3.3).
+// The table of members: who is in the mesh, by SWIM's states with incarnations (§3.3).
 #pragma once
 #include <map>
 #include <string>
@@ -23,7 +23,7 @@
   bool dialling = false;
   bool refused = false;       // its address refused a dial since it was last heard: no process is there
   Micros refused_at = -1;     // since when
-  std::uint64_t version = 0;  // the roll's, when its life, state or address last changed here
+  std::uint64_t version = 0;  // the table's, when its life, state or address last changed here
   void refuse(bool no, Micros now) {
     if (no != refused) refused_at = now;
     refused = no;
@@ -32,12 +32,12 @@
   Role role() const { return static_cast<Role>(member.role); }
 };
 
-class Roll {
+class MemberTable {
  public:
-  explicit Roll(wire::MemberT self_) : self(std::move(self_)) {}
+  explicit MemberTable(wire::MemberT self_) : self(std::move(self_)) {}
 
   enum class News { none, fresh, refuted };
-  // Takes one record of a table; tells whether it changed anything here.
+  // Takes one record of a table; says whether it changed anything here.
   News merge(wire::MemberT const& item, Micros now);
   // This node's own finding about a peer.
   void mark(Peer& peer, State state, Micros now);
--- a/src/kin/mesh.cc
+++ b/src/mesh/mesh.cc
@@ -1,4 +1,4 @@
-#include "kin/mesh.h"
+#include "mesh/mesh.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 }  // namespace
 
 Mesh::Mesh(MeshPlan plan_, wire::MemberT const& self, std::uint64_t seed)
-    : roll(self), ledger(self.name), plan(std::move(plan_)), random(seed) {
+    : members(self), ledger(self.name), plan(std::move(plan_)), random(seed) {
   for (std::string const& address : plan.seeds)
     if (address != self.address) seeds.push_back({address, 0, 0, false});
 }
@@ -20,7 +20,7 @@
 void Mesh::reseed(std::vector<std::string> const& addresses) {
   std::vector<Seed> fresh;
   for (std::string const& address : addresses) {
-    if (address == roll.self.address) continue;
+    if (address == members.self.address) continue;
     Seed made{address, 0, 0, false};
     for (Seed const& old : seeds)
       if (old.address == address) made = old;
@@ -29,18 +29,18 @@
   seeds = std::move(fresh);
 }
 
-void Mesh::retell(Sends& out) {
-  ++roll.self.bump;
-  tell_member(roll.self, out);
+void Mesh::announce_self(Sends& out) {
+  ++members.self.bump;
+  announce_member(members.self, out);
 }
 
 void Mesh::leave(Sends& out) {
-  roll.self.state = static_cast<std::uint8_t>(State::leaving);
-  retell(out);
+  members.self.state = static_cast<std::uint8_t>(State::leaving);
+  announce_self(out);
 }
 
-void Mesh::tell_member(wire::MemberT const& member, Sends& out) {
-  for (std::pair<std::string const, Peer> const& item : roll.peers) {
+void Mesh::announce_member(wire::MemberT const& member, Sends& out) {
+  for (std::pair<std::string const, Peer> const& item : members.peers) {
     if (item.second.wire == 0) continue;
     wire::NewsT news;
     news.table.push_back(std::make_unique<wire::MemberT>(member));
@@ -51,12 +51,12 @@
 // §3.6: what this node found out about another goes to some peers at once and to the rest on pings. All who find the
 // same at the same time would else tell everybody, each.
 void Mesh::find_member(wire::MemberT const& member, Sends& out) {
-  if (!wide()) return tell_member(member, out);
+  if (!wide()) return announce_member(member, out);
   int rounds = 3;
-  for (std::size_t n = roll.peers.size(); n > 0; n >>= 1) rounds += 3;
+  for (std::size_t n = members.peers.size(); n > 0; n >>= 1) rounds += 3;
   rumoured[member.name] = rounds;
   std::vector<std::string> hands;
-  for (std::pair<std::string const, Peer> const& item : roll.peers)
+  for (std::pair<std::string const, Peer> const& item : members.peers)
     if (item.second.wire != 0 && item.first != member.name) hands.push_back(item.first);
   for (std::size_t n = 0; n < plan.told && !hands.empty(); ++n) {
     std::size_t const pick = random.below(hands.size());
@@ -72,9 +72,9 @@
 std::vector<std::unique_ptr<wire::MemberT>> Mesh::rumours() {
   std::vector<std::unique_ptr<wire::MemberT>> out;
   for (std::map<std::string, int>::iterator it = rumoured.begin(); it != rumoured.end() && out.size() < 12;) {
-    std::map<std::string, Peer>::const_iterator const peer = roll.peers.find(it->first);
-    if (peer != roll.peers.end()) out.push_back(std::make_unique<wire::MemberT>(peer->second.member));
-    it = peer == roll.peers.end() || --it->second <= 0 ? rumoured.erase(it) : std::next(it);
+    std::map<std::string, Peer>::const_iterator const peer = members.peers.find(it->first);
+    if (peer != members.peers.end()) out.push_back(std::make_unique<wire::MemberT>(peer->second.member));
+    it = peer == members.peers.end() || --it->second <= 0 ? rumoured.erase(it) : std::next(it);
   }
   return out;
 }
@@ -95,7 +95,7 @@
   return true;
 }
 
-void Mesh::mend_ledger(std::string const& name, std::uint64_t theirs, Micros now, Sends& out) {
+void Mesh::repair_ledger(std::string const& name, std::uint64_t theirs, Micros now, Sends& out) {
   if (!wide() || !ledger_repair.due(ledger.digest(), theirs, now)) return;
   ledger.owe_all(name);
   wire::EntriesT batch = ledger.batch(name, false);
@@ -104,8 +104,8 @@
 
 // What a peer says of itself on frames that pass anyway.
 void Mesh::heard(std::string const& name, std::uint64_t turn, std::uint64_t serial, bool ready) {
-  std::map<std::string, Peer>::iterator const who = roll.peers.find(name);
-  if (who == roll.peers.end()) return;
+  std::map<std::string, Peer>::iterator const who = members.peers.find(name);
+  if (who == members.peers.end()) return;
   who->second.member.turn = std::max(who->second.member.turn, turn);
   who->second.member.serial = std::max(who->second.member.serial, serial);
   who->second.member.ready = ready;
@@ -113,15 +113,15 @@
 
 // Every pair's silence looked into by turns, not all pairs each second.
 Micros Mesh::quiet_span() const {
-  return wide() ? std::max(plan.quiet, static_cast<Micros>(roll.peers.size()) * millis(200)) : plan.quiet;
+  return wide() ? std::max(plan.quiet, static_cast<Micros>(members.peers.size()) * millis(200)) : plan.quiet;
 }
 Micros Mesh::knock_span() const {
-  return wide() ? std::max(plan.knock_most, static_cast<Micros>(roll.peers.size()) * millis(50)) : plan.knock_most;
+  return wide() ? std::max(plan.knock_most, static_cast<Micros>(members.peers.size()) * millis(50)) : plan.knock_most;
 }
 
 bool Mesh::gone(std::string const& name) const {
-  std::map<std::string, Peer>::const_iterator const spot = roll.peers.find(name);
-  if (spot == roll.peers.end()) return false;
+  std::map<std::string, Peer>::const_iterator const spot = members.peers.find(name);
+  if (spot == members.peers.end()) return false;
   Peer const& peer = spot->second;
   return peer.wire == 0 && (peer.refused || peer.state() == State::leaving);
 }
@@ -129,13 +129,13 @@
 std::string Mesh::zone_of(WireId id) const {
   std::map<WireId, Wire>::const_iterator const wire = wires.find(id);
   if (wire == wires.end()) return "";
-  std::map<std::string, Peer>::const_iterator const peer = roll.peers.find(wire->second.peer);
-  return peer == roll.peers.end() ? "" : peer->second.member.zone;
+  std::map<std::string, Peer>::const_iterator const peer = members.peers.find(wire->second.peer);
+  return peer == members.peers.end() ? "" : peer->second.member.zone;
 }
 
 Micros Mesh::half_heard(Micros now) const {
   std::vector<Micros> heard{now};
-  for (std::pair<std::string const, Peer> const& item : roll.peers) {
+  for (std::pair<std::string const, Peer> const& item : members.peers) {
     if (gone(item.first)) continue;
     std::map<WireId, Wire>::const_iterator const wire = wires.find(item.second.wire);
     heard.push_back(item.second.wire == 0 || wire == wires.end() ? -1 : wire->second.heard);
@@ -149,15 +149,15 @@
   if (outbound) {
     for (Seed& seed : seeds)
       if (seed.address == address) seed.dialling = false;
-    for (std::pair<std::string const, Peer>& item : roll.peers)
+    for (std::pair<std::string const, Peer>& item : members.peers)
       if (item.second.member.address == address) item.second.dialling = false;
   }
   wire::HelloT hello;
-  hello.digest = roll.digest();
+  hello.digest = members.digest();
   hello.ledger = ledger.digest();
   hello.cluster = plan.cluster;
   hello.format = frame_format;
-  hello.self = std::make_unique<wire::MemberT>(roll.self);
+  hello.self = std::make_unique<wire::MemberT>(members.self);
   out.sends.push_back({id, encode_body(std::move(hello))});
 }
 
@@ -168,8 +168,8 @@
   wires.erase(spot);
   if (name.empty()) return;
   log_event(Event::wire_shut, name);
-  std::map<std::string, Peer>::iterator const who = roll.peers.find(name);
-  if (who == roll.peers.end() || who->second.wire != id) return;
+  std::map<std::string, Peer>::iterator const who = members.peers.find(name);
+  if (who == members.peers.end() || who->second.wire != id) return;
   who->second.wire = 0;
   for (std::pair<WireId const, Wire> const& item : wires)
     if (item.second.peer == name) who->second.wire = item.first;
@@ -190,8 +190,8 @@
   if (spot == wires.end()) return;
   std::string const name = spot->second.peer;
   unbind(id, now);
-  std::map<std::string, Peer>::iterator const who = roll.peers.find(name);
-  if (who == roll.peers.end() || who->second.wire != 0) return;
+  std::map<std::string, Peer>::iterator const who = members.peers.find(name);
+  if (who == members.peers.end() || who->second.wire != 0) return;
   State const state = who->second.state();
   if (state == State::alive || state == State::suspected) probe(who->second, now, out);
 }
@@ -199,7 +199,7 @@
 void Mesh::dial_failed(std::string const& address, bool refused, Micros now, Sends& out) {
   for (Seed& seed : seeds)
     if (seed.address == address) seed.dialling = false;
-  for (std::pair<std::string const, Peer>& item : roll.peers) {
+  for (std::pair<std::string const, Peer>& item : members.peers) {
     Peer& peer = item.second;
     if (peer.member.address != address) continue;
     peer.dialling = false;
@@ -221,7 +221,7 @@
   peer.pause = std::clamp(peer.pause * 2, plan.knock, std::max(plan.knock, knock_span()));
   peer.next_dial = now + peer.pause;
   // An entry machine was exchanged: another name answers at this address, so this one is no more (§3.3).
-  for (std::pair<std::string const, Peer> const& item : roll.peers)
+  for (std::pair<std::string const, Peer> const& item : members.peers)
     if (item.second.wire != 0 && item.second.member.address == peer.member.address) {
       peer.refuse(true, now);
       return;
@@ -231,21 +231,21 @@
 }
 
 void Mesh::dials(Micros now, Sends& out) {
-  for (std::pair<std::string const, Peer>& item : roll.peers) {
+  for (std::pair<std::string const, Peer>& item : members.peers) {
     Peer& peer = item.second;
     if (peer.wire != 0 || peer.state() == State::leaving) continue;
     if (peer.state() == State::down && !guard(Guard::redial)) continue;
     // §3.2: the name that sorts first opens the pair's wire; the other steps in when none has come.
-    if (roll.self.name < item.first || now - peer.bare_since > plan.round) dial(peer, now, out);
+    if (members.self.name < item.first || now - peer.bare_since > plan.round) dial(peer, now, out);
   }
   for (Seed& seed : seeds) {
     if (seed.dialling || now < seed.next_dial || (seed.pause > 0 && !guard(Guard::redial))) continue;
     bool known = false;
-    for (std::pair<std::string const, Peer> const& item : roll.peers)
+    for (std::pair<std::string const, Peer> const& item : members.peers)
       if (item.second.member.address == seed.address && item.second.state() != State::leaving) known = true;
     for (std::pair<WireId const, Wire> const& item : wires)
       if (item.second.outbound && item.second.address == seed.address) known = true;
-    for (std::pair<std::string const, Peer> const& item : roll.peers)
+    for (std::pair<std::string const, Peer> const& item : members.peers)
       if (item.second.dialling && item.second.member.address == seed.address) known = true;
     if (known) continue;
     seed.pause = std::clamp(seed.pause * 2, plan.knock, plan.knock_most);
@@ -257,12 +257,12 @@
 
 std::vector<std::unique_ptr<wire::MemberT>> Mesh::table_for(WireId id, bool whole) {
   // A wire keeps its order and loses nothing, so what was told on it need not be told again; the whole table once in
-  // a while mends what a peer has dropped since (§3.3).
+  // a while repairs what a peer has dropped since (§3.3).
   std::map<WireId, Wire>::iterator const wire = wires.find(id);
-  if (wire == wires.end()) return roll.table();
+  if (wire == wires.end()) return members.table();
   std::uint64_t const since = whole || ++tables % whole_table == 0 ? 0 : wire->second.told;
-  wire->second.told = roll.version;
-  return roll.table(since);
+  wire->second.told = members.version;
+  return members.table(since);
 }
 
 void Mesh::probe(Peer& peer, Micros now, Sends& out) {
@@ -277,30 +277,30 @@
   wire::PingT ping;
   ping.seq = seq;
   ping.table = wide() ? rumours() : table_for(peer.wire, false);
-  ping.digest = roll.digest();
+  ping.digest = members.digest();
   ping.ledger = ledger.digest();
-  ping.turn = roll.self.turn;
-  ping.serial = roll.self.serial;
-  ping.ready = roll.self.ready;
+  ping.turn = members.self.turn;
+  ping.serial = members.self.serial;
+  ping.ready = members.self.ready;
   post(peer.member.name, std::move(ping), out);
 }
 
 void Mesh::probe_done(std::uint64_t seq, Micros now) {
   std::map<std::uint64_t, Probe>::iterator const spot = probes.find(seq);
   if (spot == probes.end()) return;
-  std::map<std::string, Peer>::iterator const who = roll.peers.find(spot->second.peer);
-  if (who != roll.peers.end()) who->second.refuse(false, now);
+  std::map<std::string, Peer>::iterator const who = members.peers.find(spot->second.peer);
+  if (who != members.peers.end()) who->second.refuse(false, now);
   probes.erase(spot);
 }
 
 void Mesh::probe_failed(std::string const& name, Micros now, Sends& out) {
-  std::map<std::string, Peer>::iterator const who = roll.peers.find(name);
-  if (who == roll.peers.end()) return;
+  std::map<std::string, Peer>::iterator const who = members.peers.find(name);
+  if (who == members.peers.end()) return;
   Peer& peer = who->second;
   if (peer.state() == State::alive) {
-    roll.mark(peer, State::suspected, now);
+    members.mark(peer, State::suspected, now);
   } else if (peer.state() == State::suspected) {
-    roll.mark(peer, State::down, now);
+    members.mark(peer, State::down, now);
     if (peer.wire != 0) drop(peer.wire, now, out);
   } else {
     return;
@@ -320,11 +320,11 @@
       it->second.indirect = true;
       it->second.due = now + plan.probe;
       // §3.4: a wire that stayed silent through a direct probe is given up and dialled anew, while others ask too.
-      std::map<std::string, Peer>::const_iterator const who = roll.peers.find(name);
-      if (who != roll.peers.end() && who->second.wire != 0 && now - wires[who->second.wire].heard > plan.quiet)
+      std::map<std::string, Peer>::const_iterator const who = members.peers.find(name);
+      if (who != members.peers.end() && who->second.wire != 0 && now - wires[who->second.wire].heard > plan.quiet)
         drop(who->second.wire, now, out);
       std::vector<std::string> hands;
-      for (std::pair<std::string const, Peer> const& item : roll.peers)
+      for (std::pair<std::string const, Peer> const& item : members.peers)
         if (item.first != name && item.second.wire != 0 && item.second.state() == State::alive)
           hands.push_back(item.first);
       int asked = 0;
@@ -349,13 +349,13 @@
     it = now >= it->second.due ? relays.erase(it) : std::next(it);
 
   Micros const quiet = quiet_span();
-  for (std::pair<std::string const, Peer>& item : roll.peers)
+  for (std::pair<std::string const, Peer>& item : members.peers)
     if (item.second.wire != 0 && item.second.state() == State::alive && now - wires[item.second.wire].heard > quiet)
       probe(item.second, now, out);
   if (now >= next_round) {
     next_round = now + plan.round;
     std::vector<Peer*> field;
-    for (std::pair<std::string const, Peer>& item : roll.peers) {
+    for (std::pair<std::string const, Peer>& item : members.peers) {
       State const state = item.second.state();
       if (state == State::alive) field.push_back(&item.second);
       if (state == State::suspected) probe(item.second, now, out);
@@ -363,7 +363,7 @@
     if (!field.empty()) probe(*field[random.below(field.size())], now, out);
     // What was not acked within a round goes again; where many are told, after three.
     if (!wide() || ++rounds % 3 == 0) flush_entries(out, true);
-    roll.forget(now, plan.forget);
+    members.forget(now, plan.forget);
     ledger.forget(now, plan.forget);
     std::vector<WireId> stale;
     for (std::pair<WireId const, Wire> const& item : wires) {
@@ -376,7 +376,7 @@
 }
 
 void Mesh::flush_entries(Sends& out, bool again) {
-  for (std::pair<std::string const, Peer> const& item : roll.peers) {
+  for (std::pair<std::string const, Peer> const& item : members.peers) {
     if (item.second.wire == 0) continue;
     wire::EntriesT batch = ledger.batch(item.first, again);
     if (!batch.list.empty()) post(item.first, std::move(batch), out);
@@ -389,7 +389,8 @@
     drop(id, now, out);
     return;
   }
-  if (hello.cluster != plan.cluster || !hello.self || hello.self->name.empty() || hello.self->name == roll.self.name) {
+  if (hello.cluster != plan.cluster || !hello.self || hello.self->name.empty() ||
+      hello.self->name == members.self.name) {
     log_event(Event::wire_foreign, hello.cluster);
     drop(id, now, out);
     return;
@@ -397,16 +398,16 @@
   std::string const& name = hello.self->name;
   wires[id].peer = name;
   wires[id].life = hello.self->incarnation;
-  roll.unstrike(name);
-  if (roll.merge(*hello.self, now) == Roll::News::fresh) find_member(*hello.self, out);
-  Peer& peer = roll.peers.at(name);
+  members.unstrike(name);
+  if (members.merge(*hello.self, now) == MemberTable::News::fresh) find_member(*hello.self, out);
+  Peer& peer = members.peers.at(name);
   peer.refuse(false, now);
   if (peer.wire != 0 && peer.wire != id) {
     // §3.2: of two wires the one stays that the name sorting first opened. Of two by the same opener only the
     // opener ends one: the two sides may have seen them in different orders.
     bool const old_mine = wires[peer.wire].outbound;
     bool const new_mine = wires[id].outbound;
-    bool const self_first = roll.self.name < name;
+    bool const self_first = members.self.name < name;
     // A peer dials only when it has no wire. So an older one is a remnant, of a former life or of a cut, unless
     // both sides dialled in the same moment.
     bool const remnant = wires[peer.wire].life != hello.self->incarnation || now - wires[peer.wire].opened > plan.round;
@@ -435,7 +436,7 @@
   ledger.meet(name);
   if (!wide() || hello.ledger != ledger.digest()) ledger.owe_all(name);
   // §3.3: the peer learns what is said of it, and answers with a higher bump if it is wrong.
-  if (!wide() || hello.digest != roll.digest()) {
+  if (!wide() || hello.digest != members.digest()) {
     wire::NewsT news;
     news.table = table_for(id, true);
     post(name, std::move(news), out);
@@ -445,13 +446,13 @@
 
 void Mesh::take_table(std::vector<std::unique_ptr<wire::MemberT>> const& table, Micros now, Sends& out) {
   for (std::unique_ptr<wire::MemberT> const& item : table) {
-    Roll::News const news = roll.merge(*item, now);
-    if (news == Roll::News::refuted) tell_member(roll.self, out);
+    MemberTable::News const news = members.merge(*item, now);
+    if (news == MemberTable::News::refuted) announce_member(members.self, out);
     // A peer that lives anew cannot have the wire of its former life.
-    if (news != Roll::News::fresh) continue;
+    if (news != MemberTable::News::fresh) continue;
     if (wide() && table.size() <= 12) rumoured[item->name] = 6;
-    std::map<std::string, Peer>::const_iterator const who = roll.peers.find(item->name);
-    if (who != roll.peers.end() && who->second.wire != 0 && wires[who->second.wire].life < item->incarnation)
+    std::map<std::string, Peer>::const_iterator const who = members.peers.find(item->name);
+    if (who != members.peers.end() && who->second.wire != 0 && wires[who->second.wire].life < item->incarnation)
       drop(who->second.wire, now, out);
   }
 }
@@ -478,15 +479,15 @@
       heard(name, ping.turn, ping.serial, ping.ready);
       wire::PongT pong;
       pong.seq = ping.seq;
-      pong.digest = roll.digest();
+      pong.digest = members.digest();
       pong.ledger = ledger.digest();
-      pong.turn = roll.self.turn;
-      pong.serial = roll.self.serial;
-      pong.ready = roll.self.ready;
+      pong.turn = members.self.turn;
+      pong.serial = members.self.serial;
+      pong.ready = members.self.ready;
       // §3.6: whoever knows something else is told everything, and answers with what it knows besides.
       pong.whole = !wide() || table_repair.due(pong.digest, ping.digest, now);
-      pong.table = !wide() ? table_for(id, false) : pong.whole ? roll.table() : rumours();
-      mend_ledger(name, ping.ledger, now, out);
+      pong.table = !wide() ? table_for(id, false) : pong.whole ? members.table() : rumours();
+      repair_ledger(name, ping.ledger, now, out);
       out.sends.push_back({id, encode_body(std::move(pong))});
       return "";
     }
@@ -494,12 +495,12 @@
       wire::PongT const& pong = *frame.body.AsPong();
       take_table(pong.table, now, out);
       heard(name, pong.turn, pong.serial, pong.ready);
-      if (wide() && pong.whole && pong.digest != roll.digest()) {
+      if (wide() && pong.whole && pong.digest != members.digest()) {
         wire::NewsT news;
-        news.table = roll.table();
+        news.table = members.table();
         post(name, std::move(news), out);
       }
-      mend_ledger(name, pong.ledger, now, out);
+      repair_ledger(name, pong.ledger, now, out);
       probe_done(pong.seq, now);
       std::map<std::uint64_t, Relay>::iterator const relay = relays.find(pong.seq);
       if (relay != relays.end()) {
@@ -514,17 +515,17 @@
     }
     case wire::Body::PingReq: {
       wire::PingReqT const& req = *frame.body.AsPingReq();
-      std::map<std::string, Peer>::const_iterator const target = roll.peers.find(req.target);
-      if (target == roll.peers.end() || target->second.wire == 0) return "";
+      std::map<std::string, Peer>::const_iterator const target = members.peers.find(req.target);
+      if (target == members.peers.end() || target->second.wire == 0) return "";
       std::uint64_t const seq = ++next_seq;
       wire::PingT ping;
       ping.seq = seq;
       ping.table = wide() ? rumours() : table_for(target->second.wire, false);
-      ping.digest = roll.digest();
+      ping.digest = members.digest();
       ping.ledger = ledger.digest();
-      ping.turn = roll.self.turn;
-      ping.serial = roll.self.serial;
-      ping.ready = roll.self.ready;
+      ping.turn = members.self.turn;
+      ping.serial = members.self.serial;
+      ping.ready = members.self.ready;
       if (post(req.target, std::move(ping), out)) relays[seq] = Relay{id, req.seq, now + plan.probe};
       return "";
     }
--- a/src/kin/mesh.h
+++ b/src/mesh/mesh.h
@@ -5,10 +5,10 @@
 #include <vector>
 
 #include "base/random.h"
-#include "kin/effects.h"
-#include "kin/frame.h"
-#include "kin/ledger/ledger.h"
-#include "kin/roll/roll.h"
+#include "mesh/effects.h"
+#include "mesh/frame.h"
+#include "mesh/ledger/ledger.h"
+#include "mesh/members/member_table.h"
 
 namespace pipit {
 
@@ -40,14 +40,14 @@
 
   template <class T>
   bool post(std::string const& name, T&& body, Sends& out) {
-    std::map<std::string, Peer>::const_iterator const spot = roll.peers.find(name);
-    if (spot == roll.peers.end() || spot->second.wire == 0) return false;
+    std::map<std::string, Peer>::const_iterator const spot = members.peers.find(name);
+    if (spot == members.peers.end() || spot->second.wire == 0) return false;
     out.sends.push_back({spot->second.wire, encode_body(std::forward<T>(body))});
     return true;
   }
 
   // This node's own record changed: a higher bump, told at once.
-  void retell(Sends& out);
+  void announce_self(Sends& out);
   void leave(Sends& out);
   // New entries go out without waiting for the round; the round sends again what was not acked.
   void flush_entries(Sends& out, bool again = false);
@@ -56,7 +56,7 @@
   void reseed(std::vector<std::string> const& addresses);
 
   // More members than can all be told everything by everybody (§3.6).
-  bool wide() const { return roll.peers.size() >= plan.wide; }
+  bool wide() const { return members.peers.size() >= plan.wide; }
 
   // Whether a member cannot be serving: it left, or its address refuses a dial (§5.5).
   bool gone(std::string const& name) const;
@@ -67,7 +67,7 @@
   // The zone of a wire's peer; empty before it greeted.
   std::string zone_of(WireId id) const;
 
-  Roll roll;
+  MemberTable members;
   Ledger ledger;
   std::vector<std::string> fresh;  // keys of entries that peers brought since the core last looked
   std::uint64_t frames_in = 0;
@@ -81,7 +81,7 @@
     Micros opened = 0;
     Micros heard = 0;
     std::uint64_t life = 0;  // the peer's incarnation when it greeted
-    std::uint64_t told = 0;  // the roll's version that the last table on it brought
+    std::uint64_t told = 0;  // the member table's version that the last table on it brought
   };
   struct Probe {
     std::string peer;
@@ -107,7 +107,7 @@
   void probe(Peer& peer, Micros now, Sends& out);
   void probe_failed(std::string const& name, Micros now, Sends& out);
   void probe_done(std::uint64_t seq, Micros now);
-  void tell_member(wire::MemberT const& member, Sends& out);
+  void announce_member(wire::MemberT const& member, Sends& out);
   void find_member(wire::MemberT const& member, Sends& out);
   std::vector<std::unique_ptr<wire::MemberT>> rumours();
   void heard(std::string const& name, std::uint64_t turn, std::uint64_t serial, bool ready);
@@ -137,7 +137,7 @@
   };
   Repair table_repair;
   Repair ledger_repair;
-  void mend_ledger(std::string const& name, std::uint64_t theirs, Micros now, Sends& out);
+  void repair_ledger(std::string const& name, std::uint64_t theirs, Micros now, Sends& out);
   std::map<std::string, int> rumoured;  // members of whom something is new, with how often it is still told
 };
 
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -49,7 +49,7 @@
   older.format = frame_format - 1;
   node.bytes(1, encode_body(std::move(older)), 0, out);
   EXPECT_EQ(out.mesh.shuts, std::vector<WireId>{1});
-  EXPECT_EQ(node.mesh.roll.peers.count("b"), 0u);
+  EXPECT_EQ(node.mesh.members.peers.count("b"), 0u);
 }
 
 TEST(Frame, no_bytes_can_hurt) {
@@ -84,7 +84,7 @@
   node.opened(1, false, "", 0, out);
   node.bytes(1, encode_body(hello("other", "b")), 0, out);
   EXPECT_EQ(out.mesh.shuts, std::vector<WireId>{1});
-  EXPECT_TRUE(node.mesh.roll.peers.empty());
+  EXPECT_TRUE(node.mesh.members.peers.empty());
 }
 
 TEST(Mesh, a_newer_wire_replaces_the_remnant_of_a_former_life) {
@@ -97,7 +97,7 @@
   next.self->incarnation = 6;
   node.opened(2, false, "", millis(10), out);
   node.bytes(2, encode_body(std::move(next)), millis(10), out);
-  EXPECT_EQ(node.mesh.roll.peers.at("b").wire, 2u);
+  EXPECT_EQ(node.mesh.members.peers.at("b").wire, 2u);
   EXPECT_EQ(out.mesh.shuts, std::vector<WireId>{1});
 }
 
@@ -126,41 +126,41 @@
   EXPECT_NE(std::find(out.mesh.dials.begin(), out.mesh.dials.end(), "10.0.0.9:1"), out.mesh.dials.end());
 }
 
-TEST(Roll, a_node_contradicts_news_of_its_end) {
+TEST(MemberTable, a_node_contradicts_news_of_its_end) {
   mute_log(true);
   wire::MemberT self;
   self.name = "a";
   self.incarnation = 4;
-  Roll roll(self);
+  MemberTable members(self);
   wire::MemberT said = self;
   said.state = static_cast<std::uint8_t>(State::down);
-  EXPECT_EQ(roll.merge(said, 0), Roll::News::refuted);
-  EXPECT_GT(roll.self.bump, said.bump);
+  EXPECT_EQ(members.merge(said, 0), MemberTable::News::refuted);
+  EXPECT_GT(members.self.bump, said.bump);
   said.incarnation = 9;  // a former life is remembered with a later clock
-  EXPECT_EQ(roll.merge(said, 0), Roll::News::refuted);
-  EXPECT_EQ(roll.self.incarnation, 10u);
+  EXPECT_EQ(members.merge(said, 0), MemberTable::News::refuted);
+  EXPECT_EQ(members.self.incarnation, 10u);
 }
 
-TEST(Roll, a_table_brings_what_changed_since) {
+TEST(MemberTable, a_table_brings_what_changed_since) {
   wire::MemberT self;
   self.name = "a";
   self.incarnation = 5;
-  Roll roll(self);
+  MemberTable members(self);
   wire::MemberT peer = *hello("c", "b").self;
-  EXPECT_EQ(roll.merge(peer, 0), Roll::News::fresh);
-  std::uint64_t const first = roll.version;
-  EXPECT_EQ(roll.table().size(), 2u);
-  EXPECT_EQ(roll.table(first).size(), 1u) << "its own record alone";
+  EXPECT_EQ(members.merge(peer, 0), MemberTable::News::fresh);
+  std::uint64_t const first = members.version;
+  EXPECT_EQ(members.table().size(), 2u);
+  EXPECT_EQ(members.table(first).size(), 1u) << "its own record alone";
   ++peer.bump;
   peer.turn = 9;
-  EXPECT_EQ(roll.merge(peer, 0), Roll::News::fresh);
-  EXPECT_EQ(roll.table(first).size(), 1u) << "a newer turn is told by the peer itself";
-  roll.mark(roll.peers.at("b"), State::suspected, 1);
-  ASSERT_EQ(roll.table(first).size(), 2u);
-  std::uint64_t const second = roll.version;
+  EXPECT_EQ(members.merge(peer, 0), MemberTable::News::fresh);
+  EXPECT_EQ(members.table(first).size(), 1u) << "a newer turn is told by the peer itself";
+  members.mark(members.peers.at("b"), State::suspected, 1);
+  ASSERT_EQ(members.table(first).size(), 2u);
+  std::uint64_t const second = members.version;
   ++peer.bump;
-  EXPECT_EQ(roll.merge(peer, 2), Roll::News::fresh);
-  EXPECT_EQ(roll.table(second).size(), 2u) << "a contradicted suspicion gets round";
+  EXPECT_EQ(members.merge(peer, 2), MemberTable::News::fresh);
+  EXPECT_EQ(members.table(second).size(), 2u) << "a contradicted suspicion gets round";
 }
 
 TEST(Rendezvous, the_first_name_is_the_one_of_rank_0) {
