--- a/programs/decree/main.cc
+++ b/programs/decree/main.cc
@@ -11,7 +11,7 @@
 #include "config/description/description.h"
 #include "base/ip.h"
 #include "base/micros.h"
-#include "hull/http/talk.h"
+#include "runtime/http/talk.h"
 
 namespace pipit {
 namespace {
--- a/programs/ordeal/main.cc
+++ b/programs/ordeal/main.cc
@@ -16,7 +16,7 @@
 #include "base/ip.h"
 #include "base/json_writer.h"
 #include "base/micros.h"
-#include "hull/http/talk.h"
+#include "runtime/http/talk.h"
 
 namespace pipit {
 namespace {
--- a/proof/fuzz/readers.cc
+++ b/proof/fuzz/readers.cc
@@ -67,13 +67,13 @@
   Reader reader(requests);
   reader.limit(head_most, body_most);
   std::string now;
-  reader.ears.head = [&](Head& head) {
+  reader.callbacks.head = [&](Head& head) {
     now = (requests ? head.method + " " + head.target : std::to_string(head.status)) + (head.keep ? " k|" : "|");
     for (std::pair<std::string, std::string> const& item : head.fields) now += item.first + "=" + item.second + "|";
     return true;
   };
-  reader.ears.body = [&now](std::string_view bytes) { now.append(bytes); };
-  reader.ears.whole = [&] {
+  reader.callbacks.body = [&now](std::string_view bytes) { now.append(bytes); };
+  reader.callbacks.whole = [&] {
     ++out.whole;
     out.messages += now + "\n";
     now.clear();
--- a/proof/requests/world.cc
+++ b/proof/requests/world.cc
@@ -109,19 +109,19 @@
   descriptions[1] = compiled_description(400, false);
   dispatcher.in_force(descriptions[0]);
   dispatcher.budget(budget_ratio, budget_store);
-  Relay::Ears ears;
-  ears.request = [this](std::uint64_t id, Query query) {
+  Relay::Callbacks callbacks;
+  callbacks.request = [this](std::uint64_t id, Query query) {
     DispatchOut out;
     dispatcher.fresh(id, std::move(query), loop_time(), out);
     relay->act(out);
   };
-  ears.ended = [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
+  callbacks.ended = [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
     DispatchOut out;
     dispatcher.ended(id, end, elsewhere, loop_time(), out);
     relay->act(out);
   };
-  ears.gone = [this](std::uint64_t id) { dispatcher.hung_up(id, loop_time()); };
-  relay = std::make_unique<Relay>(dispatcher, words(), "", std::move(ears));
+  callbacks.gone = [this](std::uint64_t id) { dispatcher.hung_up(id, loop_time()); };
+  relay = std::make_unique<Relay>(dispatcher, words(), "", std::move(callbacks));
   relay->upstream.dial_by([this](std::string const& address, std::string const&, Micros) { return dial(address); });
   for (int n = 0; n < 2; ++n) {
     callers.push_back(std::make_unique<CallerSide>());
@@ -172,13 +172,13 @@
   caller.fd = ends[0];
   caller.reader = std::make_unique<Reader>(false);
   caller.whole = false;
-  caller.reader->ears.head = [&caller](Head& head) {
+  caller.reader->callbacks.head = [&caller](Head& head) {
     caller.head = head;
     caller.body.clear();
     return true;
   };
-  caller.reader->ears.body = [&caller](std::string_view bytes) { caller.body.append(bytes); };
-  caller.reader->ears.whole = [&caller] { caller.whole = true; };
+  caller.reader->callbacks.body = [&caller](std::string_view bytes) { caller.body.append(bytes); };
+  caller.reader->callbacks.whole = [&caller] { caller.whole = true; };
   relay->server.adopt(Link::adopt(ends[1]));
 }
 
@@ -301,12 +301,12 @@
     std::unique_ptr<WorkerSide> side = std::make_unique<WorkerSide>();
     side->fd = ends[0];
     WorkerSide* const at = side.get();
-    side->reader.ears.head = [at](Head& head) {
+    side->reader.callbacks.head = [at](Head& head) {
       at->head = head;
       at->body.clear();
       return true;
     };
-    side->reader.ears.body = [at](std::string_view bytes) { at->body.append(bytes); };
+    side->reader.callbacks.body = [at](std::string_view bytes) { at->body.append(bytes); };
     worker->sides.push_back(std::move(side));
     return Link::opening(ends[1], seconds(60));
   }
--- a/proof/stage/callers.cc
+++ b/proof/stage/callers.cc
@@ -250,20 +250,20 @@
   }
   ++request.tries;
   std::uint64_t const number = request.id;
-  Line::Ears ears;
-  ears.head = [this, number](unsigned status) {
+  Line::Callbacks callbacks;
+  callbacks.head = [this, number](unsigned status) {
     std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests.find(number);
     if (spot != requests.end()) on_head(*spot->second, status);
   };
-  ears.body = [this, number](std::string_view bytes) {
+  callbacks.body = [this, number](std::string_view bytes) {
     std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests.find(number);
     if (spot != requests.end()) on_body(*spot->second, bytes);
   };
-  ears.end = [this, number](Line::End how) {
+  callbacks.end = [this, number](Line::End how) {
     std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests.find(number);
     if (spot != requests.end()) on_end(*spot->second, how);
   };
-  request.line->ask(request_of("POST", request.path, item.host, fields, request.body), std::move(ears));
+  request.line->ask(request_of("POST", request.path, item.host, fields, request.body), std::move(callbacks));
 }
 
 void Callers::on_head(Request& request, unsigned status) {
--- a/proof/stage/line.cc
+++ b/proof/stage/line.cc
@@ -42,7 +42,7 @@
   if (timer != 0) g_source_remove(timer);
   timer = 0;
   busy = false;
-  ears = {};
+  callbacks = {};
   link->close();
 }
 
@@ -53,8 +53,8 @@
   return spot == fields.end() ? "" : spot->second;
 }
 
-void Line::ask(std::string const& request, Ears ears_, Micros within) {
-  ears = std::move(ears_);
+void Line::ask(std::string const& request, Callbacks callbacks_, Micros within) {
+  callbacks = std::move(callbacks_);
   busy = true;
   ++exchanges;
   bytes_in = 0;
@@ -90,8 +90,8 @@
   if (!keep) link->close();
   if (!busy) return;
   busy = false;
-  std::function<void(End)> const say = std::move(ears.end);
-  ears = {};
+  std::function<void(End)> const say = std::move(callbacks.end);
+  callbacks = {};
   if (say) say(how);
 }
 
@@ -159,7 +159,7 @@
     stage = Stage::to_close;
     keep = false;
   }
-  if (ears.head) ears.head(status);
+  if (callbacks.head) callbacks.head(status);
   return true;
 }
 
@@ -173,7 +173,7 @@
       std::string const piece = in.substr(0, n);
       in.erase(0, n);
       left -= n;
-      if (n > 0 && ears.body) ears.body(piece);
+      if (n > 0 && callbacks.body) callbacks.body(piece);
       if (!busy) return false;
       if (left > 0) return false;
       if (stage == Stage::length) {
@@ -216,7 +216,7 @@
     default: {
       std::string const piece = std::move(in);
       in.clear();
-      if (!piece.empty() && ears.body) ears.body(piece);
+      if (!piece.empty() && callbacks.body) callbacks.body(piece);
       return false;
     }
   }
--- a/proof/stage/line.h
+++ b/proof/stage/line.h
@@ -21,7 +21,7 @@
     unreached,  // no connection came up
     left        // nothing came in the time that was given
   };
-  struct Ears {
+  struct Callbacks {
     std::function<void(unsigned status)> head;
     std::function<void(std::string_view)> body;
     std::function<void(End)> end;  // once
@@ -31,8 +31,8 @@
   ~Line();
 
   // 'within' bounds the whole exchange; 0 for no bound.
-  void ask(std::string const& request, Ears ears_, Micros within = 0);
-  // Gives the exchange up, with no word to the ears.
+  void ask(std::string const& request, Callbacks callbacks_, Micros within = 0);
+  // Gives the exchange up, without a callback.
   void close();
   // It may carry another exchange.
   bool reusable() const;
@@ -51,7 +51,7 @@
   void finish(End how);
 
   std::shared_ptr<Link> link;
-  Ears ears;
+  Callbacks callbacks;
   bool busy = false;
   bool keep = false;
   Micros keep_until = 0;
--- a/proof/stage/nodes.cc
+++ b/proof/stage/nodes.cc
@@ -221,10 +221,10 @@
   Micros const began = now();
   std::shared_ptr<Line> const line = Line::dial(node.ready(), "127." + std::to_string(plan.net) + ".5.1", millis(900));
   node.poll = line;
-  Line::Ears ears;
+  Line::Callbacks callbacks;
   std::shared_ptr<unsigned> const status = std::make_shared<unsigned>(0);
-  ears.head = [status](unsigned code) { *status = code; };
-  ears.end = [this, at, status, began](Line::End end) {
+  callbacks.head = [status](unsigned code) { *status = code; };
+  callbacks.end = [this, at, status, began](Line::End end) {
     bool const yes = end == Line::End::whole && *status == 200;
     if (!ending && at->was_ready && in_touch(*at, began) && in_touch(*at, now())) {
       ++polls;
@@ -238,7 +238,8 @@
       at->in = false;
     }
   };
-  line->ask(request_of("GET", "/readiness", node.ready(), "Connection: close\r\n", ""), std::move(ears), millis(900));
+  line->ask(request_of("GET", "/readiness", node.ready(), "Connection: close\r\n", ""), std::move(callbacks),
+            millis(900));
 }
 
 Node* Nodes::by_ip(std::string const& ip) {
--- a/proof/stage/operators.cc
+++ b/proof/stage/operators.cc
@@ -110,15 +110,15 @@
   ++call->sends;
   call->answer.clear();
   call->status = 0;
-  Line::Ears ears;
+  Line::Callbacks callbacks;
   std::weak_ptr<Call> const weak = call;
-  ears.head = [weak](unsigned status) {
+  callbacks.head = [weak](unsigned status) {
     if (std::shared_ptr<Call> const at = weak.lock()) at->status = status;
   };
-  ears.body = [weak](std::string_view bytes) {
+  callbacks.body = [weak](std::string_view bytes) {
     if (std::shared_ptr<Call> const at = weak.lock()) at->answer.append(bytes);
   };
-  ears.end = [this, call](Line::End how) {
+  callbacks.end = [this, call](Line::End how) {
     if (how != Line::End::whole) {
       if (how != Line::End::unreached) call->unclear = true;
       return move(call);
@@ -141,7 +141,7 @@
   std::size_t const verb = call->target.find(' ');
   call->line->ask(request_of(call->target.substr(0, verb), call->target.substr(verb + 1), address,
                              call->fields + "Connection: close\r\n", call->body),
-                  std::move(ears), millis(1000) + static_cast<Micros>(call->body.size()) * 10);
+                  std::move(callbacks), millis(1000) + static_cast<Micros>(call->body.size()) * 10);
 }
 
 void Operators::move(std::shared_ptr<Call> const& call) {
@@ -483,16 +483,16 @@
   std::shared_ptr<unsigned> const status = std::make_shared<unsigned>(0);
   std::shared_ptr<Reading> const reading = std::make_shared<Reading>();
   Node* const where = &node;
-  Line::Ears ears;
-  ears.head = [this, status, kept](unsigned code) {
+  Line::Callbacks callbacks;
+  callbacks.head = [this, status, kept](unsigned code) {
     *status = code;
     if (code == 408 || code == 421 || code == 429 || code == 503) judge.refused(*kept, code);
   };
-  ears.body = [this, status, kept, reading](std::string_view bytes) {
+  callbacks.body = [this, status, kept, reading](std::string_view bytes) {
     if (*status == 200) judge.read(*kept, *reading, bytes, now());
   };
   std::weak_ptr<Line> const weak = line;
-  ears.end = [this, status, kept, reading, where, number, wanted, at, weak](Line::End how) {
+  callbacks.end = [this, status, kept, reading, where, number, wanted, at, weak](Line::End how) {
     if (how == Line::End::whole && *status == 200)
       if (std::shared_ptr<Line> const own = weak.lock()) judge.whole(*kept, *reading, own->field("x-server-seal"));
     if (!nodes.in_touch(*where, at) || !nodes.in_touch(*where, now())) return;
@@ -503,7 +503,7 @@
     if (!wanted && (kept->runs > 0 || *status == 200))
       judge.broken(Promise::config_late, where->name + " still serves " + idle_name(number));
   };
-  line->ask(request_of("POST", idle_path(number) + "x", idle_host(number), fields, "look"), std::move(ears),
+  line->ask(request_of("POST", idle_path(number) + "x", idle_host(number), fields, "look"), std::move(callbacks),
             seconds(4));
 }
 
--- a/proof/stage/workers.cc
+++ b/proof/stage/workers.cc
@@ -219,13 +219,13 @@
       continue;
     }
     worker.conns.emplace(conn, made);
-    conn->reader.ears.head = [conn](Head& head) {
+    conn->reader.callbacks.head = [conn](Head& head) {
       conn->head = head;
       conn->body.clear();
       return true;
     };
-    conn->reader.ears.body = [conn](std::string_view bytes) { conn->body.append(bytes); };
-    conn->reader.ears.whole = [] {};
+    conn->reader.callbacks.body = [conn](std::string_view bytes) { conn->body.append(bytes); };
+    conn->reader.callbacks.whole = [] {};
     Worker* const at = &worker;
     conn->link->listen({nullptr,
                         [this, at, conn](std::string_view bytes) {
@@ -487,15 +487,15 @@
                    std::function<void(bool good, std::string const& body)> done) {
   std::shared_ptr<unsigned> const status = std::make_shared<unsigned>(0);
   std::shared_ptr<std::string> const got = std::make_shared<std::string>();
-  Line::Ears ears;
-  ears.head = [status](unsigned code) { *status = code; };
-  ears.body = [got](std::string_view bytes) { got->append(bytes); };
-  ears.end = [status, got, done](Line::End how) {
+  Line::Callbacks callbacks;
+  callbacks.head = [status](unsigned code) { *status = code; };
+  callbacks.body = [got](std::string_view bytes) { got->append(bytes); };
+  callbacks.end = [status, got, done](Line::End how) {
     done(how == Line::End::whole && *status >= 200 && *status < 300 && got->size() <= 4096, *got);
   };
   worker.line = Line::dial(address, worker.ip, millis(1000));
   worker.line->ask(request_of("POST", target, address, "Content-Type: application/json\r\nConnection: close\r\n", body),
-                   std::move(ears), millis(1000));
+                   std::move(callbacks), millis(1000));
 }
 
 void Workers::beat(Worker& worker, int moves) {
--- a/src/gate/net/http.cc
+++ b/src/gate/net/http.cc
@@ -188,7 +188,7 @@
   if (self.requests && (head.target.empty() || head.target[0] != '/')) self.wrong = Error::bad;
   if (head.length > static_cast<std::int64_t>(self.body_most)) self.wrong = Error::body_large;
   if (self.wrong != Error::none) return -1;
-  bool const body = self.ears.head ? self.ears.head(head) : true;
+  bool const body = self.callbacks.head ? self.callbacks.head(head) : true;
   bool const never = !self.requests && bodiless(head.status);
   return body && !never ? 0 : 1;
 }
@@ -202,7 +202,7 @@
     self.wrong = Error::body_large;
     return -1;
   }
-  if (self.ears.body) self.ears.body(std::string_view(at, size));
+  if (self.callbacks.body) self.callbacks.body(std::string_view(at, size));
   return 0;
 }
 
@@ -253,7 +253,7 @@
   }
   if (done && wrong == Error::none) {
     http_parser_pause(&parser, 0);
-    if (ears.whole) ears.whole();
+    if (callbacks.whole) callbacks.whole();
   }
   return took;
 }
@@ -264,7 +264,7 @@
   http_parser_execute(&parser, &settings(), nullptr, 0);
   if (!was && done) {
     http_parser_pause(&parser, 0);
-    if (ears.whole) ears.whole();
+    if (callbacks.whole) callbacks.whole();
     return true;
   }
   return false;
--- a/src/gate/net/http.h
+++ b/src/gate/net/http.h
@@ -48,7 +48,7 @@
 class Reader {
  public:
   enum class Error : std::uint8_t { none, bad, head_large, body_large };
-  struct Ears {
+  struct Callbacks {
     std::function<bool(Head&)> head;  // false: the message has no body whatever it says
     std::function<void(std::string_view)> body;
     std::function<void()> whole;
@@ -70,7 +70,7 @@
     head_most = head_most_;
     body_most = body_most_;
   }
-  Ears ears;
+  Callbacks callbacks;
 
  private:
   static int on_begin(http_parser* parser);
--- a/src/gate/net/link.cc
+++ b/src/gate/net/link.cc
@@ -133,9 +133,9 @@
 void Link::end(End how) {
   if (fd < 0) return;
   std::shared_ptr<Link> const keep = std::move(own);
-  std::function<void(End)> const say = std::move(ears.shut);
+  std::function<void(End)> const say = std::move(callbacks.shut);
   close();
-  ears = {};
+  callbacks = {};
   if (say) say(how);
 }
 
@@ -166,8 +166,8 @@
     if (timer != 0) g_source_remove(timer);
     timer = 0;
     want();
-    // The ears may be others by the time it returns.
-    std::function<void()> const say = ears.up;
+    // The callbacks may be others by the time it returns.
+    std::function<void()> const say = callbacks.up;
     if (say) say();
     return;
   }
@@ -188,7 +188,7 @@
     if (n < 0) return end(End::reset);
     if (n == 0) return end(End::closed);
     std::string const got(buffer, static_cast<std::size_t>(n));
-    if (ears.bytes) ears.bytes(got);
+    if (callbacks.bytes) callbacks.bytes(got);
     if (static_cast<std::size_t>(n) < sizeof buffer) return;
   }
 }
@@ -232,7 +232,7 @@
     out.clear();
     gone = 0;
     if (last) return end(End::closed);
-    if (ears.drained) ears.drained();
+    if (callbacks.drained) callbacks.drained();
     if (fd < 0) return;
   } else if (gone > room) {
     out.erase(0, gone);
@@ -247,7 +247,7 @@
   if (waiting() == 0) return end(End::closed);
   if (own) return;
   // What still comes is not read any more; the peer's end of it does not matter.
-  ears.bytes = nullptr;
+  callbacks.bytes = nullptr;
   own = shared_from_this();
   if (timer != 0) g_source_remove(timer);
   timer = g_timeout_add(
--- a/src/gate/net/link.h
+++ b/src/gate/net/link.h
@@ -16,7 +16,7 @@
 class Link : public std::enable_shared_from_this<Link> {
  public:
   enum class End : std::uint8_t { closed, reset, unreached };
-  struct Ears {
+  struct Callbacks {
     std::function<void()> up;                     // a dialled connection is open
     std::function<void(std::string_view)> bytes;  // what came; any call may shut the link
     std::function<void(End)> shut;                // said once, never after close()
@@ -31,13 +31,13 @@
   static std::shared_ptr<Link> opening(int fd, Micros within);
   ~Link();
 
-  void listen(Ears ears_) { ears = std::move(ears_); }
+  void listen(Callbacks callbacks_) { callbacks = std::move(callbacks_); }
   // Sends at once what the system takes; the rest goes when it can.
   void write(std::string_view bytes);
   std::size_t waiting() const { return out.size() - gone; }
   // Nothing is read while held; the peer feels it.
   void hold(bool held_);
-  // Closes without a word to the ears. A reset tells the peer that what it got is not whole.
+  // Closes without a callback. A reset tells the peer that what it got is not whole.
   void close(bool reset = false);
   // Closes once everything written has been taken, whoever still holds the link; the peer has a while for that.
   void finish();
@@ -72,7 +72,7 @@
   std::shared_ptr<Link> own;  // while it finishes
   std::string out;
   std::size_t gone = 0;
-  Ears ears;
+  Callbacks callbacks;
 };
 
 // A listening socket.
--- a/src/gate/net/server.cc
+++ b/src/gate/net/server.cc
@@ -18,7 +18,7 @@
   Reader reader{true};
   Call call;
   std::string ahead;    // bytes of later calls
-  bool busy = false;    // a call is with the ears, or being answered
+  bool busy = false;    // a call is with the callbacks, or being answered
   bool headed = false;  // its answer has begun
   bool chunked = false;
   bool head_only = false;  // a HEAD, or an answer whose status has no body
@@ -49,12 +49,12 @@
   conn->since = now();
   conn->may_rest = limits.idle;
   conns.emplace(conn, made);
-  conn->reader.ears.head = [conn](Head& head) {
+  conn->reader.callbacks.head = [conn](Head& head) {
     conn->call.head = head;
     return true;
   };
-  conn->reader.ears.body = [conn](std::string_view bytes) { conn->call.body.append(bytes); };
-  conn->reader.ears.whole = [] {};
+  conn->reader.callbacks.body = [conn](std::string_view bytes) { conn->call.body.append(bytes); };
+  conn->reader.callbacks.whole = [] {};
   conn->link->listen({nullptr,
                       [this, conn](std::string_view bytes) {
                         std::map<Conn*, std::shared_ptr<Conn>>::iterator const spot = conns.find(conn);
@@ -76,7 +76,7 @@
   conns.erase(&conn);
   if (id == 0) return;
   by_id.erase(id);
-  ears.gone(id);
+  callbacks.gone(id);
 }
 
 void Server::refuse(Conn& conn, unsigned status) {
@@ -148,7 +148,7 @@
   conn.call.id = call.id;
   by_id.emplace(call.id, &conn);
   conn.reader.next();
-  ears.call(std::move(call));
+  callbacks.call(std::move(call));
 }
 
 void Server::begin(std::uint64_t id, Head const& head, std::int64_t length) {
--- a/src/gate/net/server.h
+++ b/src/gate/net/server.h
@@ -18,7 +18,7 @@
     std::string body;
     Micros came = 0;  // when its first byte was read
   };
-  struct Ears {
+  struct Callbacks {
     std::function<void(Call&&)> call;
     std::function<void(std::uint64_t)> gone;  // the caller left before its answer ended
   };
@@ -29,7 +29,7 @@
     Micros body_time = seconds(20);
     Micros idle = seconds(60);
   };
-  explicit Server(Ears ears_) : ears(std::move(ears_)) {}
+  explicit Server(Callbacks callbacks_) : callbacks(std::move(callbacks_)) {}
   ~Server();
 
   Result<void> listen(std::string const& address);
@@ -70,7 +70,7 @@
   // Takes a connection out of the books; it closes once what was written has been taken.
   void let_go(Conn& conn);
 
-  Ears ears;
+  Callbacks callbacks;
   Limits limits;
   Door door;
   bool last_calls = false;
--- a/src/gate/net/upstream.cc
+++ b/src/gate/net/upstream.cc
@@ -89,17 +89,17 @@
   conn->id = id;
   conn->bytes = std::move(bytes);
   conn->link = dial(address, from, within);
-  conn->reader.ears.head = [this, conn](Head& head) {
+  conn->reader.callbacks.head = [this, conn](Head& head) {
     if (conn->id == 0) return true;
-    Owner const owner = ears.head(conn->id, head, conn->asked == 1);
+    Owner const owner = callbacks.head(conn->id, head, conn->asked == 1);
     conn->ours = owner == Owner::asker;
     conn->spoiled = owner == Owner::nobody;
     conn->keep = head.keep;
     conn->keep_for = keep_time(head.get("Keep-Alive"));
     return !(conn->ours && conn->bodiless);
   };
-  conn->reader.ears.body = [this, conn](std::string_view part) {
-    if (conn->ours && conn->id != 0) ears.body(conn->id, part);
+  conn->reader.callbacks.body = [this, conn](std::string_view part) {
+    if (conn->ours && conn->id != 0) callbacks.body(conn->id, part);
   };
   conns.emplace(conn, made);
   by_id[id] = conn;
@@ -129,7 +129,7 @@
   std::string const bytes = std::move(conn.bytes);
   conn.bytes.clear();
   // Said before the system takes the first byte: from here on nobody can know.
-  ears.left(conn.id);
+  callbacks.left(conn.id);
   conn.link->write(bytes);
 }
 
@@ -173,13 +173,13 @@
   } else {
     erase(conn);
   }
-  ears.done(id);
+  callbacks.done(id);
 }
 
 void Upstream::fail(Conn& conn, End how, std::string const& why) {
   std::uint64_t const id = conn.id;
   erase(conn);
-  if (id != 0) ears.ended(id, how, why);
+  if (id != 0) callbacks.ended(id, how, why);
 }
 
 void Upstream::shut(Conn& conn, Link::End how) {
--- a/src/gate/net/upstream.h
+++ b/src/gate/net/upstream.h
@@ -23,7 +23,7 @@
     other,   // interim, or to an earlier request: it is passed over, and what follows may be the asker's
     nobody,  // no answer to anything: the request breaks and the connection is not used again
   };
-  struct Ears {
+  struct Callbacks {
     std::function<void(std::uint64_t)> left;  // a byte of the request may have left
     // 'first': nothing was asked on the connection before.
     std::function<Owner(std::uint64_t, Head const&, bool first)> head;
@@ -31,7 +31,7 @@
     std::function<void(std::uint64_t)> done;
     std::function<void(std::uint64_t, End, std::string const& why)> ended;
   };
-  Upstream(Ears ears_, std::string from_) : ears(std::move(ears_)), from(std::move(from_)) {}
+  Upstream(Callbacks callbacks_, std::string from_) : callbacks(std::move(callbacks_)), from(std::move(from_)) {}
   ~Upstream();
 
   // How connections are opened; Link::dial unless a test says otherwise.
@@ -60,7 +60,7 @@
   void whole(Conn& conn);
   void erase(Conn& conn);
 
-  Ears ears;
+  Callbacks callbacks;
   std::string const from;
   Dial dial = Link::dial;
   std::map<Conn*, std::shared_ptr<Conn>> conns;
--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -63,12 +63,12 @@
 }
 }  // namespace
 
-Relay::Relay(Dispatcher& dispatcher_, Dialect dialect_, std::string own_host, Ears ears_)
+Relay::Relay(Dispatcher& dispatcher_, Dialect dialect_, std::string own_host, Callbacks callbacks_)
     : server({[this](Server::Call&& call) { on_call(std::move(call)); },
               [this](std::uint64_t id) {
                 if (callers.erase(id) == 0) return;
                 upstream.cut(id);
-                ears.gone(id);
+                callbacks.gone(id);
               }}),
       upstream({[this](std::uint64_t id) { dispatcher.left(id, now()); },
                 [this](std::uint64_t id, Head const& head, bool first) { return on_head(id, head, first); },
@@ -78,7 +78,7 @@
                std::move(own_host)),
       dispatcher(dispatcher_),
       dialect(std::move(dialect_)),
-      ears(std::move(ears_)) {}
+      callbacks(std::move(callbacks_)) {}
 
 void Relay::limits(CallLimits const& from) {
   Server::Limits out;
@@ -116,7 +116,7 @@
   caller.last_event = query.after;
   std::uint64_t const id = call.id;
   callers.emplace(id, std::move(caller));
-  ears.request(id, std::move(query));
+  callbacks.request(id, std::move(query));
 }
 
 void Relay::act(DispatchOut& out) {
@@ -273,9 +273,9 @@
   std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
   if (spot == callers.end()) return;
   Caller& caller = spot->second;
-  if (caller.declined) return ears.ended(id, AttemptEnd::declined, caller.elsewhere);
-  if (caller.unsaid) return ears.ended(id, AttemptEnd::broke, false);
-  if (caller.failing) return ears.ended(id, AttemptEnd::failed, false);
+  if (caller.declined) return callbacks.ended(id, AttemptEnd::declined, caller.elsewhere);
+  if (caller.unsaid) return callbacks.ended(id, AttemptEnd::broke, false);
+  if (caller.failing) return callbacks.ended(id, AttemptEnd::failed, false);
   if (caller.resumable && !caller.held.empty()) {
     std::string const rest = std::move(caller.held);
     caller.held.clear();
@@ -285,7 +285,7 @@
     server.begin(id, caller.answer, caller.resumable ? -1 : std::max<std::int64_t>(0, caller.answer.length));
   server.end(id);
   callers.erase(spot);
-  ears.ended(id, AttemptEnd::whole, false);
+  callbacks.ended(id, AttemptEnd::whole, false);
 }
 
 void Relay::on_ended(std::uint64_t id, Upstream::End end, std::string const& why) {
@@ -294,8 +294,8 @@
   log_event(Event::attempt_failed, spot->second.instance + " " + why);
   if (end == Upstream::End::torn && !guard(RequestGuard::torn_visible)) return on_done(id);
   // What the worker said before it broke off holds: it did not run the request.
-  if (spot->second.declined) return ears.ended(id, AttemptEnd::declined, spot->second.elsewhere);
-  ears.ended(id, end == Upstream::End::unreached ? AttemptEnd::unreached : AttemptEnd::broke, false);
+  if (spot->second.declined) return callbacks.ended(id, AttemptEnd::declined, spot->second.elsewhere);
+  callbacks.ended(id, end == Upstream::End::unreached ? AttemptEnd::unreached : AttemptEnd::broke, false);
 }
 
 }  // namespace pipit
--- a/src/gate/relay/relay.h
+++ b/src/gate/relay/relay.h
@@ -28,12 +28,12 @@
 
 class Relay {
  public:
-  struct Ears {
+  struct Callbacks {
     std::function<void(std::uint64_t, Query)> request;
     std::function<void(std::uint64_t, AttemptEnd, bool elsewhere)> ended;
     std::function<void(std::uint64_t)> gone;
   };
-  Relay(Dispatcher& dispatcher_, Dialect dialect_, std::string own_host, Ears ears_);
+  Relay(Dispatcher& dispatcher_, Dialect dialect_, std::string own_host, Callbacks callbacks_);
 
   Result<void> listen(std::string const& address) { return server.listen(address); }
   void act(DispatchOut& out);
@@ -74,7 +74,7 @@
 
   Dispatcher& dispatcher;
   Dialect const dialect;
-  Ears ears;
+  Callbacks callbacks;
   std::map<std::uint64_t, Caller> callers;
 };
 
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -24,7 +24,7 @@
   relay.reset();
   control_server.reset();
   ready_server.reset();
-  wires.reset();
+  connections.reset();
   disk.reset();
   g_main_loop_unref(loop);
 }
@@ -53,7 +53,7 @@
   }
   node = std::make_unique<Node>(plan.node, now(), std::move(recovered));
 
-  Wires::Ears we;
+  Connections::Callbacks we;
   we.opened = [this](WireId id, bool outbound, std::string const& address) {
     NodeOut out;
     node->opened(id, outbound, address, now(), out);
@@ -75,9 +75,9 @@
     act(out);
     return good;
   };
-  wires = std::make_unique<Wires>(std::move(we));
+  connections = std::make_unique<Connections>(std::move(we));
 
-  Relay::Ears re;
+  Relay::Callbacks re;
   re.request = [this](std::uint64_t id, Query query) {
     NodeOut out;
     node->request(id, std::move(query), now(), out);
@@ -91,12 +91,12 @@
   re.gone = [this](std::uint64_t id) { node->dispatcher.hung_up(id, now()); };
   relay = std::make_unique<Relay>(node->dispatcher, plan.dialect, plan.own_host, std::move(re));
   control_server = std::make_unique<Server>(
-      Server::Ears{[this](Server::Call&& call) { on_call(std::move(call)); }, [](std::uint64_t) {}});
+      Server::Callbacks{[this](Server::Call&& call) { on_call(std::move(call)); }, [](std::uint64_t) {}});
   Server::Limits wide;
   wide.body_most = plan.control_body;
   control_server->limit(wide);
   ready_server = std::make_unique<Server>(
-      Server::Ears{[this](Server::Call&& call) { on_ready(std::move(call)); }, [](std::uint64_t) {}});
+      Server::Callbacks{[this](Server::Call&& call) { on_ready(std::move(call)); }, [](std::uint64_t) {}});
 
   if (ring)
     disk = std::make_unique<DiskTask>(
@@ -107,7 +107,7 @@
           act(out);
         },
         true);
-  Result<void> done = wires->listen(plan.node.address);
+  Result<void> done = connections->listen(plan.node.address);
   if (done && !plan.control.empty()) done = control_server->listen(plan.control);
   if (done && !plan.ready.empty()) done = ready_server->listen(plan.ready);
   if (done && !plan.front.empty()) done = relay->listen(plan.front);
@@ -117,9 +117,9 @@
 // The executor: obeys what the core decided.
 void Station::act(NodeOut& out) {
   if (out.save && disk) disk->save(std::move(*out.save));
-  for (std::string const& address : out.mesh.dials) wires->dial(address);
-  for (Sends::Send& send : out.mesh.sends) wires->send(send.wire, send.bytes);
-  for (WireId const id : out.mesh.shuts) wires->shut(id);
+  for (std::string const& address : out.mesh.dials) connections->dial(address);
+  for (Sends::Send& send : out.mesh.sends) connections->send(send.wire, send.bytes);
+  for (WireId const id : out.mesh.shuts) connections->shut(id);
   if (!out.dispatch.empty()) relay->act(out.dispatch);
   std::vector<Reply> const replies = std::move(out.replies);
   for (Reply const& item : replies) {
--- a/src/gate/station/station.h
+++ b/src/gate/station/station.h
@@ -8,8 +8,8 @@
 
 #include "core/node.h"
 #include "gate/relay/relay.h"
-#include "hull/disk/disk_task.h"
-#include "hull/wire/wires.h"
+#include "runtime/disk/disk_task.h"
+#include "runtime/mesh/connections.h"
 
 using GMainLoop = struct _GMainLoop;
 
@@ -71,7 +71,7 @@
   StationPlan const plan;
   GMainLoop* loop;
   std::unique_ptr<Node> node;
-  std::unique_ptr<Wires> wires;
+  std::unique_ptr<Connections> connections;
   std::unique_ptr<Relay> relay;
   std::unique_ptr<Server> control_server;
   std::unique_ptr<Server> ready_server;
--- a/src/mesh/mesh.cc
+++ b/src/mesh/mesh.cc
@@ -127,8 +127,8 @@
 }
 
 std::string Mesh::zone_of(WireId id) const {
-  std::map<WireId, Wire>::const_iterator const wire = wires.find(id);
-  if (wire == wires.end()) return "";
+  std::map<WireId, Connection>::const_iterator const wire = connections.find(id);
+  if (wire == connections.end()) return "";
   std::map<std::string, Peer>::const_iterator const peer = members.peers.find(wire->second.peer);
   return peer == members.peers.end() ? "" : peer->second.member.zone;
 }
@@ -137,15 +137,15 @@
   std::vector<Micros> heard{now};
   for (std::pair<std::string const, Peer> const& item : members.peers) {
     if (gone(item.first)) continue;
-    std::map<WireId, Wire>::const_iterator const wire = wires.find(item.second.wire);
-    heard.push_back(item.second.wire == 0 || wire == wires.end() ? -1 : wire->second.heard);
+    std::map<WireId, Connection>::const_iterator const wire = connections.find(item.second.wire);
+    heard.push_back(item.second.wire == 0 || wire == connections.end() ? -1 : wire->second.heard);
   }
   std::sort(heard.rbegin(), heard.rend());
   return heard[(heard.size() + 1) / 2 - 1];
 }
 
 void Mesh::opened(WireId id, bool outbound, std::string const& address, Micros now, Sends& out) {
-  wires[id] = Wire{"", outbound, address, now, now, 0};
+  connections[id] = Connection{"", outbound, address, now, now, 0};
   if (outbound) {
     for (Seed& seed : seeds)
       if (seed.address == address) seed.dialling = false;
@@ -162,16 +162,16 @@
 }
 
 void Mesh::unbind(WireId id, Micros now) {
-  std::map<WireId, Wire>::iterator const spot = wires.find(id);
-  if (spot == wires.end()) return;
+  std::map<WireId, Connection>::iterator const spot = connections.find(id);
+  if (spot == connections.end()) return;
   std::string const name = spot->second.peer;
-  wires.erase(spot);
+  connections.erase(spot);
   if (name.empty()) return;
   log_event(Event::wire_shut, name);
   std::map<std::string, Peer>::iterator const who = members.peers.find(name);
   if (who == members.peers.end() || who->second.wire != id) return;
   who->second.wire = 0;
-  for (std::pair<WireId const, Wire> const& item : wires)
+  for (std::pair<WireId const, Connection> const& item : connections)
     if (item.second.peer == name) who->second.wire = item.first;
   if (who->second.wire != 0) return;
   who->second.bare_since = now;
@@ -186,8 +186,8 @@
 }
 
 void Mesh::shut(WireId id, Micros now, Sends& out) {
-  std::map<WireId, Wire>::const_iterator const spot = wires.find(id);
-  if (spot == wires.end()) return;
+  std::map<WireId, Connection>::const_iterator const spot = connections.find(id);
+  if (spot == connections.end()) return;
   std::string const name = spot->second.peer;
   unbind(id, now);
   std::map<std::string, Peer>::iterator const who = members.peers.find(name);
@@ -243,7 +243,7 @@
     bool known = false;
     for (std::pair<std::string const, Peer> const& item : members.peers)
       if (item.second.member.address == seed.address && item.second.state() != State::leaving) known = true;
-    for (std::pair<WireId const, Wire> const& item : wires)
+    for (std::pair<WireId const, Connection> const& item : connections)
       if (item.second.outbound && item.second.address == seed.address) known = true;
     for (std::pair<std::string const, Peer> const& item : members.peers)
       if (item.second.dialling && item.second.member.address == seed.address) known = true;
@@ -258,8 +258,8 @@
 std::vector<std::unique_ptr<wire::MemberT>> Mesh::table_for(WireId id, bool whole) {
   // A wire keeps its order and loses nothing, so what was told on it need not be told again; the whole table once in
   // a while repairs what a peer has dropped since (§3.3).
-  std::map<WireId, Wire>::iterator const wire = wires.find(id);
-  if (wire == wires.end()) return members.table();
+  std::map<WireId, Connection>::iterator const wire = connections.find(id);
+  if (wire == connections.end()) return members.table();
   std::uint64_t const since = whole || ++tables % whole_table == 0 ? 0 : wire->second.told;
   wire->second.told = members.version;
   return members.table(since);
@@ -321,7 +321,7 @@
       it->second.due = now + plan.probe;
       // §3.4: a wire that stayed silent through a direct probe is given up and dialled anew, while others ask too.
       std::map<std::string, Peer>::const_iterator const who = members.peers.find(name);
-      if (who != members.peers.end() && who->second.wire != 0 && now - wires[who->second.wire].heard > plan.quiet)
+      if (who != members.peers.end() && who->second.wire != 0 && now - connections[who->second.wire].heard > plan.quiet)
         drop(who->second.wire, now, out);
       std::vector<std::string> hands;
       for (std::pair<std::string const, Peer> const& item : members.peers)
@@ -350,7 +350,8 @@
 
   Micros const quiet = quiet_span();
   for (std::pair<std::string const, Peer>& item : members.peers)
-    if (item.second.wire != 0 && item.second.state() == State::alive && now - wires[item.second.wire].heard > quiet)
+    if (item.second.wire != 0 && item.second.state() == State::alive &&
+        now - connections[item.second.wire].heard > quiet)
       probe(item.second, now, out);
   if (now >= next_round) {
     next_round = now + plan.round;
@@ -366,7 +367,7 @@
     members.forget(now, plan.forget);
     ledger.forget(now, plan.forget);
     std::vector<WireId> stale;
-    for (std::pair<WireId const, Wire> const& item : wires) {
+    for (std::pair<WireId const, Connection> const& item : connections) {
       bool const mute = item.second.peer.empty() && now - item.second.opened > seconds(5);
       if (mute || now - item.second.heard > plan.idle) stale.push_back(item.first);
     }
@@ -396,8 +397,8 @@
     return;
   }
   std::string const& name = hello.self->name;
-  wires[id].peer = name;
-  wires[id].life = hello.self->incarnation;
+  connections[id].peer = name;
+  connections[id].life = hello.self->incarnation;
   members.unstrike(name);
   if (members.merge(*hello.self, now) == MemberTable::News::fresh) find_member(*hello.self, out);
   Peer& peer = members.peers.at(name);
@@ -405,24 +406,25 @@
   if (peer.wire != 0 && peer.wire != id) {
     // §3.2: of two wires the one stays that the name sorting first opened. Of two by the same opener only the
     // opener ends one: the two sides may have seen them in different orders.
-    bool const old_mine = wires[peer.wire].outbound;
-    bool const new_mine = wires[id].outbound;
+    bool const old_mine = connections[peer.wire].outbound;
+    bool const new_mine = connections[id].outbound;
     bool const self_first = members.self.name < name;
     // A peer dials only when it has no wire. So an older one is a remnant, of a former life or of a cut, unless
     // both sides dialled in the same moment.
-    bool const remnant = wires[peer.wire].life != hello.self->incarnation || now - wires[peer.wire].opened > plan.round;
+    bool const remnant =
+        connections[peer.wire].life != hello.self->incarnation || now - connections[peer.wire].opened > plan.round;
     if (remnant) {
       out.shuts.push_back(peer.wire);
-      wires.erase(peer.wire);
+      connections.erase(peer.wire);
     } else if (old_mine == new_mine) {
       if (new_mine) {
         out.shuts.push_back(peer.wire);
-        wires.erase(peer.wire);
+        connections.erase(peer.wire);
       }
     } else {
       WireId const loser = old_mine == self_first ? id : peer.wire;
       out.shuts.push_back(loser);
-      wires.erase(loser);
+      connections.erase(loser);
       if (loser == id) return;
     }
   } else {
@@ -452,14 +454,14 @@
     if (news != MemberTable::News::fresh) continue;
     if (wide() && table.size() <= 12) rumoured[item->name] = 6;
     std::map<std::string, Peer>::const_iterator const who = members.peers.find(item->name);
-    if (who != members.peers.end() && who->second.wire != 0 && wires[who->second.wire].life < item->incarnation)
+    if (who != members.peers.end() && who->second.wire != 0 && connections[who->second.wire].life < item->incarnation)
       drop(who->second.wire, now, out);
   }
 }
 
 std::string Mesh::frame(WireId id, wire::FrameT& frame, Micros now, Sends& out) {
-  std::map<WireId, Wire>::iterator const spot = wires.find(id);
-  if (spot == wires.end()) return "";
+  std::map<WireId, Connection>::iterator const spot = connections.find(id);
+  if (spot == connections.end()) return "";
   ++frames_in;
   spot->second.heard = now;
   if (wire::HelloT const* const hello = frame.body.AsHello()) {
@@ -508,7 +510,8 @@
         res.seq = relay->second.seq;
         res.target = name;
         res.ok = true;
-        if (wires.count(relay->second.asker)) out.sends.push_back({relay->second.asker, encode_body(std::move(res))});
+        if (connections.count(relay->second.asker))
+          out.sends.push_back({relay->second.asker, encode_body(std::move(res))});
         relays.erase(relay);
       }
       return "";
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -71,10 +71,10 @@
   Ledger ledger;
   std::vector<std::string> fresh;  // keys of entries that peers brought since the core last looked
   std::uint64_t frames_in = 0;
-  std::uint64_t wires_open() const { return wires.size(); }
+  std::uint64_t wires_open() const { return connections.size(); }
 
  private:
-  struct Wire {
+  struct Connection {
     std::string peer;
     bool outbound = false;
     std::string address;
@@ -124,7 +124,7 @@
   std::uint64_t rounds = 0;
   std::uint64_t next_seq = 0;
   std::uint64_t tables = 0;  // that pings and their answers took along
-  std::map<WireId, Wire> wires;
+  std::map<WireId, Connection> connections;
   std::map<std::uint64_t, Probe> probes;
   std::map<std::uint64_t, Relay> relays;
   std::vector<Seed> seeds;
--- a/src/hull/disk/disk_task.cc
+++ b/src/runtime/disk/disk_task.cc
@@ -1,4 +1,4 @@
-#include "hull/disk/disk_task.h"
+#include "runtime/disk/disk_task.h"
 
 #include <fcntl.h>
 #include <gio/gio.h>
--- a/src/hull/host.cc
+++ b/src/runtime/host.cc
@@ -1,4 +1,4 @@
-#include "hull/host.h"
+#include "runtime/host.h"
 
 #include <glib-unix.h>
 #include <unistd.h>
@@ -35,7 +35,7 @@
   plan.chance = plan.incarnation ^ hash_text(settings.name);
   node = std::make_unique<Node>(plan, now(), std::move(recovered));
 
-  Wires::Ears we;
+  Connections::Callbacks we;
   we.opened = [this](WireId id, bool outbound, std::string const& address) {
     NodeOut out;
     node->opened(id, outbound, address, now(), out);
@@ -43,7 +43,7 @@
   };
   we.shut = [this](WireId id) {
     NodeOut out;
-    wire_names.erase(id);
+    connection_names.erase(id);
     node->shut(id, now(), out);
     act(out);
   };
@@ -60,9 +60,9 @@
     act(out);
     return good;
   };
-  wires = std::make_unique<Wires>(std::move(we));
+  connections = std::make_unique<Connections>(std::move(we));
 
-  Legs::Ears le;
+  Legs::Callbacks le;
   le.sent = [this](std::uint64_t id) { node->leg_sent(id); };
   le.piece = [this](std::uint64_t id, std::string const& event) {
     std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
@@ -94,7 +94,7 @@
   };
   legs = std::make_unique<Legs>(std::move(le));
 
-  Front::Ears fe;
+  Front::Callbacks fe;
   fe.call = [this](Front::Call const& call) { on_call(call); };
   fe.gone = [this](std::uint64_t id) {
     asked.erase(id);
@@ -124,32 +124,32 @@
   if (ticker != 0) g_source_remove(ticker);
   front.reset();
   legs.reset();
-  wires.reset();
+  connections.reset();
   disk.reset();
   g_main_loop_unref(loop);
 }
 
 Result<void> Host::listen() {
-  Result<void> done = wires->listen(settings.mesh);
+  Result<void> done = connections->listen(settings.mesh);
   if (!done) return done;
   return front->listen(settings.http);
 }
 
 bool Host::dropped_in(WireId id, std::string_view frame) {
-  std::string name = wire_names.count(id) ? wire_names[id] : "";
+  std::string name = connection_names.count(id) ? connection_names[id] : "";
   if (name.empty()) {
     Result<std::unique_ptr<wire::FrameT>> seen = decode(frame);
     if (seen && seen.value()->body.type == wire::Body::Hello && seen.value()->body.AsHello()->self) {
       name = seen.value()->body.AsHello()->self->name;
-      wire_names[id] = name;
+      connection_names[id] = name;
     }
   }
   return fires_for(Point::cut_in, name);
 }
 
 bool Host::dropped_out(WireId id, std::string const& frame) {
-  std::map<WireId, std::string>::const_iterator const spot = wire_names.find(id);
-  if (spot != wire_names.end() && fires_for(Point::cut_out, spot->second)) return true;
+  std::map<WireId, std::string>::const_iterator const spot = connection_names.find(id);
+  if (spot != connection_names.end() && fires_for(Point::cut_out, spot->second)) return true;
   wire::Frame const* const seen = flatbuffers::GetSizePrefixedRoot<wire::Frame>(frame.data());
   switch (seen->body_type()) {
     case wire::Body::Chosen:
@@ -174,7 +174,7 @@
 // The executor: obeys what the core decided.
 void Host::act(NodeOut& out) {
   if (out.save) disk->save(std::move(*out.save));
-  for (std::string const& address : out.mesh.dials) wires->dial(address);
+  for (std::string const& address : out.mesh.dials) connections->dial(address);
   for (Sends::Send& send : out.mesh.sends) {
     if (settings.faults && dropped_out(send.wire, send.bytes)) continue;
     wire_bytes += send.bytes.size();
@@ -182,11 +182,11 @@
     frame_bytes[flatbuffers::GetSizePrefixedRoot<wire::Frame>(send.bytes.data())->body_type()] += send.bytes.size();
     if (settings.faults && fires(Point::wire_garbage))
       for (std::size_t i = 4; i < send.bytes.size(); ++i) send.bytes[i] = static_cast<char>(send.bytes[i] ^ 0x5a);
-    wires->send(send.wire, send.bytes);
+    connections->send(send.wire, send.bytes);
   }
   for (WireId const id : out.mesh.shuts) {
-    wire_names.erase(id);
-    wires->shut(id);
+    connection_names.erase(id);
+    connections->shut(id);
   }
   for (Start const& start : out.desk.starts) {
     std::map<std::uint64_t, Caller>::iterator const spot = callers.find(start.errand);
--- a/src/hull/host.h
+++ b/src/runtime/host.h
@@ -6,10 +6,10 @@
 
 #include "core/node.h"
 #include "base/settings.h"
-#include "hull/disk/disk_task.h"
-#include "hull/http/front.h"
-#include "hull/http/legs.h"
-#include "hull/wire/wires.h"
+#include "runtime/disk/disk_task.h"
+#include "runtime/http/front.h"
+#include "runtime/http/legs.h"
+#include "runtime/mesh/connections.h"
 
 namespace pipit {
 
@@ -52,12 +52,12 @@
   Role const role;
   GMainLoop* loop;
   std::unique_ptr<Node> node;
-  std::unique_ptr<Wires> wires;
+  std::unique_ptr<Connections> connections;
   std::unique_ptr<Legs> legs;
   std::unique_ptr<Front> front;
   std::unique_ptr<DiskTask> disk;
   std::map<std::uint64_t, Caller> callers;
-  std::map<WireId, std::string> wire_names;
+  std::map<WireId, std::string> connection_names;
   std::map<std::uint64_t, std::pair<Change::Sort, std::string>> asked;  // operators' calls under way
   std::map<std::string, std::uint64_t> kinds;                           // refusals by kind
   Micros ticked = 0;
--- a/src/hull/http/front.cc
+++ b/src/runtime/http/front.cc
@@ -1,4 +1,4 @@
-#include "hull/http/front.h"
+#include "runtime/http/front.h"
 
 #include <sys/socket.h>
 
@@ -43,7 +43,7 @@
   }
 };
 
-Front::Front(Ears ears_, std::size_t body_most_) : ears(std::move(ears_)), body_most(body_most_) {}
+Front::Front(Callbacks callbacks_, std::size_t body_most_) : callbacks(std::move(callbacks_)), body_most(body_most_) {}
 
 std::string Front::Call::header(char const* name) const {
   char const* const value = soup_message_headers_get_one(head, name);
@@ -165,7 +165,7 @@
     while (g_hash_table_iter_next(&it, &key, &value))
       call.query[static_cast<char const*>(key)] = value == nullptr ? "" : static_cast<char const*>(value);
   }
-  host.ears.call(call);
+  host.callbacks.call(call);
 }
 
 gboolean Front::on_peer(GSocket* socket, GIOCondition condition, gpointer data) {
@@ -198,7 +198,7 @@
   if (spot == calls.end()) return;
   std::unique_ptr<Held> const last = std::move(spot->second);
   calls.erase(spot);
-  if (log_event) ears.gone(id);
+  if (log_event) callbacks.gone(id);
 }
 
 // Ends the connection where it stands: the caller sees a body that was broken off.
--- a/src/hull/http/front.h
+++ b/src/runtime/http/front.h
@@ -23,11 +23,11 @@
     SoupMessageHeaders* head = nullptr;
     std::string header(char const* name) const;
   };
-  struct Ears {
+  struct Callbacks {
     std::function<void(Call const&)> call;
     std::function<void(std::uint64_t id)> gone;  // the caller hung up before the answer ended
   };
-  Front(Ears ears_, std::size_t body_most_);
+  Front(Callbacks callbacks_, std::size_t body_most_);
   ~Front();
 
   Result<void> listen(std::string const& address);
@@ -58,7 +58,7 @@
   void drop(Held& held, bool gone);
   void abort(Held& held);
 
-  Ears ears;
+  Callbacks callbacks;
   std::size_t const body_most;
   SoupServer* server = nullptr;
   std::uint64_t next = 0;
--- a/src/hull/http/legs.cc
+++ b/src/runtime/http/legs.cc
@@ -1,4 +1,4 @@
-#include "hull/http/legs.h"
+#include "runtime/http/legs.h"
 
 #include <cstdlib>
 
@@ -46,7 +46,8 @@
   }
 };
 
-Legs::Legs(Ears ears_) : ears(std::move(ears_)), session(make_session(4096)), small(make_session(256)) {}
+Legs::Legs(Callbacks callbacks_)
+    : callbacks(std::move(callbacks_)), session(make_session(4096)), small(make_session(256)) {}
 
 Legs::~Legs() {
   for (std::pair<std::uint64_t const, std::shared_ptr<Leg>>& item : legs) {
@@ -114,7 +115,7 @@
   if (leg.sent) return;
   leg.sent = true;
   if (leg.over) return;
-  leg.host->ears.sent(leg.start.errand);
+  leg.host->callbacks.sent(leg.start.errand);
   leg.host->arm(leg, leg.start.answer);
   if (fires(Point::leg_break_sent)) g_cancellable_cancel(leg.stop);
 }
@@ -127,7 +128,7 @@
   g_cancellable_cancel(leg.stop);
   std::uint64_t const errand = leg.start.errand;
   legs.erase(errand);  // whoever called this holds the leg
-  ears.ended(errand, end, why, back);
+  callbacks.ended(errand, end, why, back);
 }
 
 void Legs::on_head(GObject* source, GAsyncResult* result, gpointer data) {
@@ -213,7 +214,7 @@
     if (!answers_to(piece.id, leg.id))
       return finish(leg, leg.events == 0 ? LegEnd::wrong : LegEnd::torn, "a piece of another request: " + piece.id);
     ++leg.events;
-    ears.piece(leg.start.errand, event);
+    callbacks.piece(leg.start.errand, event);
     arm(leg, leg.start.stall);
     if (fires(Point::leg_break_begun)) return finish(leg, LegEnd::torn, "fault point 9");
   }
@@ -226,7 +227,7 @@
     if (!piece.json) return finish(leg, LegEnd::torn, "the answer is not whole JSON");
     if (piece.error) return finish(leg, LegEnd::wrong, "the worker reports an error");
     if (!answers_to(piece.id, leg.id)) return finish(leg, LegEnd::wrong, "the answer to another request: " + piece.id);
-    ears.whole(leg.start.errand, std::move(leg.whole));
+    callbacks.whole(leg.start.errand, std::move(leg.whole));
     return finish(leg, LegEnd::done, "");
   }
   if (!leg.closed || leg.pieces.rest())
--- a/src/hull/http/legs.h
+++ b/src/runtime/http/legs.h
@@ -14,13 +14,13 @@
 
 class Legs {
  public:
-  struct Ears {
+  struct Callbacks {
     std::function<void(std::uint64_t errand)> sent;
     std::function<void(std::uint64_t errand, std::string const& event)> piece;  // one whole event of a stream
     std::function<void(std::uint64_t errand, std::string body)> whole;          // a whole answer that is no stream
     std::function<void(std::uint64_t errand, LegEnd end, std::string const& why, Micros back)> ended;
   };
-  explicit Legs(Ears ears_);
+  explicit Legs(Callbacks callbacks_);
   ~Legs();
 
   // 'id' is what the worker is told and must answer with.
@@ -46,7 +46,7 @@
   void took(Leg& leg, std::string_view bytes);
   void eof(Leg& leg);
 
-  Ears ears;
+  Callbacks callbacks;
   SoupSession* session;
   SoupSession* small;
   std::map<std::uint64_t, std::shared_ptr<Leg>> legs;  // by errand: one leg at a time
--- a/src/hull/http/talk.cc
+++ b/src/runtime/http/talk.cc
@@ -1,4 +1,4 @@
-#include "hull/http/talk.h"
+#include "runtime/http/talk.h"
 
 #include <libsoup/soup.h>
 
--- /dev/null
+++ b/src/runtime/mesh/connections.cc
@@ -0,0 +1,121 @@
+#include "runtime/mesh/connections.h"
+
+#include "base/ip.h"
+#include "mesh/frame.h"
+
+namespace pipit {
+
+namespace {
+constexpr std::size_t backlog_most = 64u << 20;
+constexpr Micros dial_most = seconds(1);
+}  // namespace
+
+Connections::~Connections() {
+  for (std::pair<WireId const, std::shared_ptr<Connection>>& item : connections) item.second->link->close();
+}
+
+Result<void> Connections::listen(std::string const& address) {
+  std::uint16_t port = 0;
+  split_address(address, own_host, port);
+  Result<void> const open = door.open(address, [this](std::shared_ptr<Link> link) {
+    std::shared_ptr<Connection> const made = std::make_shared<Connection>();
+    made->id = ++next;
+    made->link = std::move(link);
+    adopt(made, false);
+  });
+  if (!open) return fail(Kind::bad_settings, "mesh: " + open.error().why);
+  return boost::outcome_v2::success();
+}
+
+void Connections::dial(std::string const& address) {
+  std::shared_ptr<Connection> const made = std::make_shared<Connection>();
+  made->id = ++next;
+  made->address = address;
+  // From the node's own number, so that peers and cuts see one number for one node.
+  made->link = Link::dial(address, own_host, dial_most);
+  if (!made->link->open()) {
+    callbacks.failed(address, made->link->refused());
+    return;
+  }
+  connections[made->id] = made;
+  made->link->listen({[this, id = made->id] {
+                        std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections.find(id);
+                        if (spot == connections.end()) return;
+                        std::shared_ptr<Connection> const keep = spot->second;
+                        adopt(keep, true);
+                      },
+                      nullptr, [this, id = made->id](Link::End how) { lost(id, how); }, nullptr});
+}
+
+void Connections::adopt(std::shared_ptr<Connection> const& connection, bool outbound) {
+  WireId const id = connection->id;
+  std::string const address = std::move(connection->address);
+  connection->address.clear();
+  connections[id] = connection;
+  connection->link->listen({nullptr,
+                            [this, id](std::string_view bytes) {
+                              std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections.find(id);
+                              if (spot == connections.end()) return;
+                              std::shared_ptr<Connection> const keep = spot->second;
+                              fed(*keep, bytes);
+                            },
+                            [this, id](Link::End how) { lost(id, how); }, nullptr});
+  callbacks.opened(id, outbound, address);
+}
+
+void Connections::fed(Connection& connection, std::string_view bytes) {
+  WireId const id = connection.id;
+  if (!connection.in.empty()) {
+    connection.in.append(bytes);
+    bytes = connection.in;
+  }
+  std::size_t at = 0;
+  while (bytes.size() - at >= 4) {
+    std::string_view const rest = bytes.substr(at);
+    std::size_t const need = announced(rest);
+    if (need == 0) return lost(id, Link::End::closed);
+    if (rest.size() < need + 4) break;
+    bool const good = callbacks.frame(id, rest.substr(0, need + 4));
+    if (!connections.count(id)) return;
+    if (!good) return lost(id, Link::End::closed);
+    at += need + 4;
+  }
+  if (connection.in.empty())
+    connection.in.assign(bytes.substr(at));
+  else
+    connection.in.erase(0, at);
+}
+
+void Connections::send(WireId id, std::string const& bytes) {
+  std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections.find(id);
+  if (spot == connections.end() || !spot->second->link->connected()) return;
+  spot->second->link->write(bytes);
+  // The peer does not read; it is dialled again.
+  if (spot->second->link->waiting() > backlog_most) lost(id, Link::End::reset);
+}
+
+void Connections::shut(WireId id) {
+  std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections.find(id);
+  if (spot == connections.end()) return;
+  std::shared_ptr<Connection> const keep = spot->second;
+  connections.erase(spot);
+  keep->link->listen({});
+  // What was written before, a farewell perhaps, still goes.
+  keep->link->finish();
+}
+
+void Connections::lost(WireId id, Link::End how) {
+  std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections.find(id);
+  if (spot == connections.end()) return;
+  std::shared_ptr<Connection> const keep = spot->second;
+  connections.erase(spot);
+  keep->link->listen({});
+  bool const refused = keep->link->refused();
+  keep->link->close();
+  if (how == Link::End::unreached)
+    callbacks.failed(keep->address, refused);
+  else
+    callbacks.shut(id);
+}
+
+}  // namespace pipit
--- a/src/hull/wire/wires.h
+++ b/src/runtime/mesh/connections.h
@@ -11,16 +11,16 @@
 
 namespace pipit {
 
-class Wires {
+class Connections {
  public:
-  struct Ears {
+  struct Callbacks {
     std::function<void(WireId, bool outbound, std::string const& address)> opened;
     std::function<void(WireId)> shut;
     std::function<void(std::string const& address, bool refused)> failed;
     std::function<bool(WireId, std::string_view frame)> frame;
   };
-  explicit Wires(Ears ears_) : ears(std::move(ears_)) {}
-  ~Wires();
+  explicit Connections(Callbacks callbacks_) : callbacks(std::move(callbacks_)) {}
+  ~Connections();
 
   Result<void> listen(std::string const& address);
   void dial(std::string const& address);
@@ -28,21 +28,21 @@
   void shut(WireId id);
 
  private:
-  struct Wire {
+  struct Connection {
     WireId id = 0;
     std::shared_ptr<Link> link;
     std::string address;  // that was dialled, until the link is up
     std::string in;
   };
-  void adopt(std::shared_ptr<Wire> const& wire, bool outbound);
-  void fed(Wire& wire, std::string_view bytes);
+  void adopt(std::shared_ptr<Connection> const& connection, bool outbound);
+  void fed(Connection& connection, std::string_view bytes);
   void lost(WireId id, Link::End how);
 
-  Ears ears;
+  Callbacks callbacks;
   Door door;
   std::string own_host;
   WireId next = 0;
-  std::map<WireId, std::shared_ptr<Wire>> wires;
+  std::map<WireId, std::shared_ptr<Connection>> connections;
 };
 
 }  // namespace pipit
--- a/src/hull/doors.cc
+++ b/src/runtime/operator_calls.cc
@@ -6,7 +6,7 @@
 #include "base/events.h"
 #include "base/faults.h"
 #include "base/json_writer.h"
-#include "hull/host.h"
+#include "runtime/host.h"
 
 namespace pipit {
 
--- a/src/hull/tell.cc
+++ b/src/runtime/status.cc
@@ -1,6 +1,6 @@
 // What a node tells of itself: its status and its metrics (§9).
 #include "base/json_writer.h"
-#include "hull/host.h"
+#include "runtime/host.h"
 
 namespace pipit {
 
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -43,14 +43,14 @@
   Reader reader(requests);
   reader.limit(head_most, body_most);
   Message now;
-  reader.ears.head = [&](Head& head) {
+  reader.callbacks.head = [&](Head& head) {
     now.line = requests ? head.method + " " + head.target : std::to_string(head.status);
     now.fields = head.fields;
     now.keep = head.keep;
     return !bodiless;
   };
-  reader.ears.body = [&](std::string_view bytes) { now.body.append(bytes); };
-  reader.ears.whole = [&] {
+  reader.callbacks.body = [&](std::string_view bytes) { now.body.append(bytes); };
+  reader.callbacks.whole = [&] {
     out.whole.push_back(now);
     now = Message();
   };
@@ -139,8 +139,8 @@
     Reader reader(false);
     std::string body;
     int whole = 0;
-    reader.ears.body = [&body](std::string_view bytes) { body.append(bytes); };
-    reader.ears.whole = [&whole] { ++whole; };
+    reader.callbacks.body = [&body](std::string_view bytes) { body.append(bytes); };
+    reader.callbacks.whole = [&whole] { ++whole; };
     std::string const text = cut ? "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc" : "HTTP/1.1 200 OK\r\n\r\nabc";
     EXPECT_EQ(reader.feed(text), text.size());
     EXPECT_EQ(whole, 0);
