--- a/proof/augury/operators.cc
+++ b/proof/augury/operators.cc
@@ -16,26 +16,26 @@
   return field.empty() ? nullptr : field[random.below(field.size())];
 }
 
-void World::operate(Change::Sort sort, std::string const& text, std::uint64_t expected, Box& box) {
+void World::operate(Change::Type type, std::string const& text, std::uint64_t expected, Box& box) {
   std::uint64_t const id = ++change_count;
   std::unique_ptr<Change_> made = std::make_unique<Change_>();
-  made->sort = sort;
+  made->type = type;
   made->text = text;
   made->expected = expected;
   made->from = now;
   made->floor = yes_serial;
   made->box = box.name;
   changes[id] = std::move(made);
-  if (sort == Change::Sort::refill)
+  if (type == Change::Type::refill)
     for (Emptied& zone : emptied[text])
       if (zone.to < 0) zone.to = now;
-  enter(box, box.life, [this, id, sort, text, expected](Box& b, Micros t, NodeOut& out) {
+  enter(box, box.life, [this, id, type, text, expected](Box& b, Micros t, NodeOut& out) {
     Change change;
-    if (sort == Change::Sort::strike) {
+    if (type == Change::Type::strike) {
       if (b.node->keeps(text)) return;
       change.seat = *seat_of(*b.node->learner.value, text);
     }
-    change.sort = sort;
+    change.type = type;
     change.text = text;
     change.expected = expected;
     change.id = "c" + std::to_string(id);
@@ -50,9 +50,9 @@
   change.over = true;
   change.answered = now;
   Outcome const& outcome = reply.outcome;
-  note(reply.change + " answered " + std::to_string(static_cast<int>(outcome.sort)));
-  bool const holds = outcome.sort == Outcome::Sort::chosen || outcome.sort == Outcome::Sort::kept;
-  if (outcome.sort == Outcome::Sort::refused) {
+  note(reply.change + " answered " + std::to_string(static_cast<int>(outcome.type)));
+  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
+  if (outcome.type == Outcome::Type::refused) {
     refused_changes.insert(reply.change);
     for (std::pair<std::uint64_t const, std::string> const& seen : serial_change)
       if (seen.second == reply.change)
@@ -69,7 +69,7 @@
   if (seen != serial_change.end() && seen->second != outcome.value.change)
     fault("N8 serial " + std::to_string(serial) + " is " + seen->second + " and " + outcome.value.change);
   serial_change[serial] = outcome.value.change;
-  if (change.sort == Change::Sort::read) {
+  if (change.type == Change::Type::read) {
     ++end.reads;
     std::map<std::uint64_t, std::pair<Micros, std::string>>::iterator last = yes.upper_bound(serial);
     // The text is that of the last accepted apply, unless an apply of unknown outcome came after it.
@@ -80,17 +80,17 @@
     }
     return;
   }
-  if (outcome.sort == Outcome::Sort::chosen) {
+  if (outcome.type == Outcome::Type::chosen) {
     ++end.accepted;
     yes_serial = std::max(yes_serial, own);
     due_force[own] = now;
-    if (change.sort == Change::Sort::apply) {
+    if (change.type == Change::Type::apply) {
       if (yes.count(own)) fault("N8 two rivals were told yes for serial " + std::to_string(own));
       if (own != change.expected + 1) fault("N8 a change was accepted against the wrong serial");
       yes[own] = {now, change.text};
     }
   }
-  if (closing && outcome.sort == Outcome::Sort::chosen) {
+  if (closing && outcome.type == Outcome::Type::chosen) {
     closing = false;
     for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
       if (item.second->role == Role::accord && item.second->up()) {
@@ -99,15 +99,15 @@
         after(lag(millis(300), seconds(2)), [this, name] { boot(*boxes[name]); });
       }
   }
-  if (change.sort == Change::Sort::empty && quiet) {
+  if (change.type == Change::Type::empty && quiet) {
     end.emptied = true;
     end.unconfirmed = reply.missing;
   }
-  if (change.sort == Change::Sort::empty && reply.missing.empty()) {
+  if (change.type == Change::Type::empty && reply.missing.empty()) {
     // Not when a refill was under way: it may have come after. One of unknown outcome may still come.
     bool undone = false;
     for (std::pair<std::uint64_t const, std::unique_ptr<Change_>> const& other : changes)
-      if (other.second->sort == Change::Sort::refill && other.second->text == change.text &&
+      if (other.second->type == Change::Type::refill && other.second->text == change.text &&
           (other.second->answered < 0 || other.second->answered >= change.from))
         undone = true;
     if (!undone) emptied[change.text].push_back(Emptied{now, -1});
@@ -127,19 +127,19 @@
     std::set<std::string> const& seen = box->node->desk.emptied();
     bool asked = false;
     for (std::pair<std::uint64_t const, std::unique_ptr<Change_>> const& item : changes)
-      asked = asked || (item.second->sort == Change::Sort::empty && now - item.second->from < seconds(5));
+      asked = asked || (item.second->type == Change::Type::empty && now - item.second->from < seconds(5));
     if (r < 4)
-      operate(Change::Sort::apply, description_of(*plan.shape, ++turn), yes_serial, *box);
+      operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *box);
     else if (r < 6)
-      operate(Change::Sort::read, "", 0, *box);
+      operate(Change::Type::read, "", 0, *box);
     else if (r < 8 && !any_empty && !asked && seen.empty())
-      operate(Change::Sort::empty, zone, 0, *box);
+      operate(Change::Type::empty, zone, 0, *box);
     else if (!seen.empty())
-      operate(Change::Sort::refill, std::string(*seen.begin()), 0, *box);
+      operate(Change::Type::refill, std::string(*seen.begin()), 0, *box);
     else
       for (std::pair<std::string const, std::vector<Emptied>> const& item : emptied)
         if (!item.second.empty() && item.second.back().to < 0) {
-          operate(Change::Sort::refill, item.first, 0, *box);
+          operate(Change::Type::refill, item.first, 0, *box);
           break;
         }
   }
--- a/proof/augury/parts.h
+++ b/proof/augury/parts.h
@@ -67,7 +67,7 @@
 };
 
 struct World::Change_ {
-  Change::Sort sort = Change::Sort::read;
+  Change::Type type = Change::Type::read;
   std::string text;
   std::uint64_t expected = 0;
   Micros from = 0;
--- a/proof/augury/trouble.cc
+++ b/proof/augury/trouble.cc
@@ -50,11 +50,11 @@
 void World::trouble() {
   if (quiet) return;
   std::vector<std::string> const all = plan.only.empty() ? troubles() : plan.only;
-  std::string const sort = all[random.below(all.size())];
+  std::string const type = all[random.below(all.size())];
   ++end.troubles;
-  ++end.kinds[sort];
-  note("trouble " + sort);
-  if (!log_is_muted()) std::printf("default] %lld TROUBLE %s\n", static_cast<long long>(now / 1000), sort.c_str());
+  ++end.kinds[type];
+  note("trouble " + type);
+  if (!log_is_muted()) std::printf("default] %lld TROUBLE %s\n", static_cast<long long>(now / 1000), type.c_str());
   Micros const span = lag(millis(500), millis(6000));
   bool const loss_under_way = lost_at >= 0 && now - lost_at < seconds(12);
   std::vector<std::string> names;
@@ -66,13 +66,13 @@
   Hand* const hand = field.size() < 6 ? nullptr : field[random.below(field.size())];
   if (box == nullptr || loss_under_way) {
     // What service after a full loss is worth is judged without more trouble on top.
-  } else if (sort == "kill" || sort == "power") {
+  } else if (type == "kill" || type == "power") {
     std::string const name = box->name;
-    halt(*box, sort == "power");
+    halt(*box, type == "power");
     after(span, [this, name] { boot(*boxes[name]); });
-  } else if (sort == "freeze") {
+  } else if (type == "freeze") {
     freeze(*box, span);
-  } else if (sort == "cut") {
+  } else if (type == "cut") {
     bool const one_way = random.chance(0.3);
     bool const outside = random.chance(0.5);
     for (std::string const& name : names) {
@@ -82,16 +82,16 @@
     }
     if (outside) set_cut(box->name, "list", true);
     after(lag(millis(500), seconds(9)), [this] { heal(); });
-  } else if (sort == "split" || sort == "keepers") {
+  } else if (type == "split" || type == "keepers") {
     std::set<std::string> side;
     for (std::string const& name : names)
-      if (sort == "keepers" ? name[0] == 'k' : random.chance(0.5)) side.insert(name);
-    bool const each = sort == "keepers" && random.chance(0.5);
+      if (type == "keepers" ? name[0] == 'k' : random.chance(0.5)) side.insert(name);
+    bool const each = type == "keepers" && random.chance(0.5);
     for (std::string const& a : names)
       for (std::string const& b : names)
         if (a != b && (side.count(a) != side.count(b) || (each && side.count(a) && side.count(b)))) set_cut(a, b, true);
     after(span, [this] { heal(); });
-  } else if (sort == "blank") {
+  } else if (type == "blank") {
     // One lost disk at a time: the next only once the set has taken the last one in.
     std::size_t whole = 0;
     Box* keeper = pick([](Box const& b) { return b.role == Role::accord; });
@@ -110,7 +110,7 @@
         after(span, [this, name] { boot(*boxes[name]); });
       }
     }
-  } else if (sort == "exchange") {
+  } else if (type == "exchange") {
     Box* const old = pick([](Box const& b) { return b.role == Role::passage; });
     if (old != nullptr && boxes.size() < 40) {
       std::string const zone = old->zone;
@@ -124,7 +124,7 @@
       std::string const name = "px" + std::to_string(++moved);
       boot(add(name, address, zone, Role::passage));
     }
-  } else if (sort == "slow") {
+  } else if (type == "slow") {
     Box* const keeper = pick([](Box const& b) { return b.role == Role::accord; });
     if (keeper != nullptr) {
       bool const stall = random.chance(0.3);
@@ -136,7 +136,7 @@
         boxes[name]->disk_high = 6000;
       });
     }
-  } else if (sort == "hand" && hand != nullptr) {
+  } else if (type == "hand" && hand != nullptr) {
     // A worker crashes and comes back within moments or later, as its next life.
     hand_down(*hand);
     std::string const id = hand->row.id;
@@ -148,14 +148,14 @@
       write_list();
       hand_up(item);
     });
-  } else if (sort == "dark" && hand != nullptr) {
+  } else if (type == "dark" && hand != nullptr) {
     hand->frozen = true;
     std::string const id = hand->row.id;
     std::uint64_t const life = hand->life;
     after(span, [this, id, life] {
       if (hands[id]->life == life) hands[id]->frozen = false;
     });
-  } else if (sort == "release") {
+  } else if (type == "release") {
     // Workers are replaced one after another.
     Micros wait = 0;
     for (std::pair<std::string const, std::unique_ptr<Hand>>& item : hands) {
@@ -176,7 +176,7 @@
         });
       });
     }
-  } else if (sort == "leave" && hand != nullptr) {
+  } else if (type == "leave" && hand != nullptr) {
     hand->state = random.chance(0.5) ? "leaving" : "gone";
     marks[hand->row.id][hand->row.incarnation] = now;
     write_list();
@@ -189,26 +189,26 @@
       hand_down(item);
       hand_up(item);
     });
-  } else if (sort == "list" && !list_down) {
+  } else if (type == "list" && !list_down) {
     list_down = true;
     list_silent = random.chance(0.5);
     list_down_from = now;
     after(span, [this] { list_up(); });
-  } else if (sort == "race") {
+  } else if (type == "race") {
     for (int i = 0; i < 2 + static_cast<int>(random.below(3)); ++i)
       if (Box* const at_box = pick_up())
-        operate(Change::Sort::apply, description_of(*plan.shape, ++turn), yes_serial, *at_box);
-  } else if (sort == "storm") {
+        operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *at_box);
+  } else if (type == "storm") {
     for (int i = 0; i < 20; ++i)
       after(lag(1, millis(800)), [this] {
         if (Box* const at_box = pick_up())
-          operate(Change::Sort::apply, description_of(*plan.shape, ++turn), yes_serial, *at_box);
+          operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *at_box);
       });
-  } else if (sort == "large") {
-    operate(Change::Sort::apply, description_of(*plan.shape, ++turn) + std::string(300000, ' '), yes_serial, *box);
-  } else if (sort == "loss") {
+  } else if (type == "large") {
+    operate(Change::Type::apply, description_of(*plan.shape, ++turn) + std::string(300000, ' '), yes_serial, *box);
+  } else if (type == "loss") {
     full_loss();
-  } else if (sort == "group") {
+  } else if (type == "group") {
     // Router nodes that hear one another and reach the workers, but neither the list nor any other node.
     std::set<std::string> side;
     std::size_t const size = 2 + random.below(2);
@@ -220,7 +220,7 @@
       set_cut(a, "list", true);
     }
     after(lag(seconds(2), seconds(11)), [this] { heal(); });
-  } else if (sort == "stray") {
+  } else if (type == "stray") {
     // One router node is cut off and goes on serving, while all others end and return; then a zone is emptied.
     Box* const one = pick([](Box const& b) { return b.role == Role::passage; });
     if (one != nullptr && cuts.empty()) {
@@ -236,11 +236,11 @@
       after(seconds(5), [this, stray] {
         Box* const at_box = pick([&stray](Box const& b) { return b.name != stray && b.node->ready(); });
         if (at_box != nullptr && !quiet && at_box->node->desk.emptied().empty())
-          operate(Change::Sort::empty, plan.shape->zones[random.below(plan.shape->zones.size())], 0, *at_box);
+          operate(Change::Type::empty, plan.shape->zones[random.below(plan.shape->zones.size())], 0, *at_box);
       });
       after(seconds(14), [this] { heal(); });
     }
-  } else if (sort == "amnesia") {
+  } else if (type == "amnesia") {
     // A change is chosen while one keeper is cut off; then one that took it loses its disk, another its power, and the
     // one that was cut off is back: whoever counted the blank one would go on from the older value.
     Membership const& members = box->node->learner.membership();
@@ -252,7 +252,7 @@
     if (cuts.empty() && box->role == Role::passage && whole.size() == static_cast<std::size_t>(plan.shape->keepers)) {
       for (std::string const& name : names)
         if (name != whole[2]) set_cut(name, whole[2], true), set_cut(whole[2], name, true);
-      operate(Change::Sort::apply, description_of(*plan.shape, ++turn), yes_serial, *box);
+      operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *box);
       after(millis(400), [this, whole] {
         halt(*boxes[whole[0]], true);
         boxes[whole[0]]->disk.reset();
@@ -262,13 +262,13 @@
         boot(*boxes[whole[0]]);
       });
       after(seconds(3), [this] {
-        if (Box* const at_box = pick_up()) operate(Change::Sort::read, "", 0, *at_box);
+        if (Box* const at_box = pick_up()) operate(Change::Type::read, "", 0, *at_box);
         if (Box* const at_box = pick_up())
-          operate(Change::Sort::apply, description_of(*plan.shape, ++turn), yes_serial, *at_box);
+          operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *at_box);
       });
       after(seconds(7), [this, whole] { boot(*boxes[whole[1]]); });
     }
-  } else if (sort == "drain") {
+  } else if (type == "drain") {
     std::string const name = box->name;
     std::uint64_t const life = box->life;
     enter(*box, life, [](Box& b, Micros t, NodeOut& out) { b.node->drain(t, out); });
@@ -276,10 +276,10 @@
       if (boxes[name]->life == life) halt(*boxes[name], false);
       boot(*boxes[name]);
     });
-  } else if (sort == "closing") {
+  } else if (type == "closing") {
     // Right after a yes: the node that said it loses its power, and one keeper with it.
     closing = random.chance(0.6);
-    operate(Change::Sort::apply, description_of(*plan.shape, ++turn), yes_serial, *box);
+    operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *box);
     std::string const name = box->name;
     if (!closing)
       after(lag(millis(10), millis(60)), [this, name] {
@@ -291,13 +291,13 @@
         }
         after(lag(millis(500), seconds(3)), [this, name] { boot(*boxes[name]); });
       });
-  } else if (sort == "refuse") {
+  } else if (type == "refuse") {
     // Every worker says for a while that it does not run what it gets.
     for (std::pair<std::string const, std::unique_ptr<Hand>>& item : hands) item.second->refusing = true;
     after(span, [this] {
       for (std::pair<std::string const, std::unique_ptr<Hand>>& item : hands) item.second->refusing = false;
     });
-  } else if (sort == "crowd") {
+  } else if (type == "crowd") {
     for (int i = 0; i < 200; ++i) after(lag(1, millis(1000)), [this] { call(); });
   }
   after(lag(millis(400), millis(3500)), [this] { trouble(); });
--- a/proof/augury/world.cc
+++ b/proof/augury/world.cc
@@ -52,7 +52,7 @@
     hands[hand->row.id] = std::move(hand);
   }
   write_list();
-  at(seconds(3), [this] { operate(Change::Sort::apply, description_of(*plan.shape, 0), 0, *boxes["p1"]); });
+  at(seconds(3), [this] { operate(Change::Type::apply, description_of(*plan.shape, 0), 0, *boxes["p1"]); });
   Micros const end_trouble = seconds(5) + plan.length;
   at(seconds(6), [this] { operator_turn(); });
   at(seconds(7), [this] { trouble(); });
@@ -80,10 +80,10 @@
   if (plan.finale) {
     at(end_trouble + seconds(24), [this] {
       for (std::string const& name : silent)
-        if (Box* const box = pick_up()) operate(Change::Sort::strike, name, 0, *box);
+        if (Box* const box = pick_up()) operate(Change::Type::strike, name, 0, *box);
     });
     at(end_trouble + seconds(30), [this] {
-      if (Box* const box = pick_up()) operate(Change::Sort::empty, plan.shape->zones[0], 0, *box);
+      if (Box* const box = pick_up()) operate(Change::Type::empty, plan.shape->zones[0], 0, *box);
     });
   }
   Micros const last = end_trouble + seconds(plan.finale ? 36 : 28);
--- a/proof/augury/world.h
+++ b/proof/augury/world.h
@@ -103,7 +103,7 @@
   void told(std::uint64_t wish, std::string const& what, Micros back);
 
   // operators and trouble
-  void operate(Change::Sort sort, std::string const& text, std::uint64_t expected, Box& box);
+  void operate(Change::Type type, std::string const& text, std::uint64_t expected, Box& box);
   void answered(Box& box, Reply const& reply);
   void operator_turn();
   void trouble();
--- a/proof/checker/register_view.cc
+++ b/proof/checker/register_view.cc
@@ -175,7 +175,7 @@
   out.number(proposer.joint_chosen);
   for (Proposer::Job const& job : proposer.jobs) {
     out.text(job.change.id);
-    out.number(static_cast<std::uint64_t>(job.change.sort));
+    out.number(static_cast<std::uint64_t>(job.change.type));
     out.number(job.change.expected);
     out.number(job.sent ? 1 : 0);
     out.number(job.sent_serial);
--- a/proof/checker/scenarios.cc
+++ b/proof/checker/scenarios.cc
@@ -4,27 +4,27 @@
 
 namespace {
 
-using Sort = Change::Sort;
+using Type = Change::Type;
 using Names = std::vector<std::string>;
 
 constexpr std::uint64_t first_epoch = 2;
 
 Order apply(std::string const& id, std::string const& node, std::uint64_t expected, int after = -1) {
-  return {id, node, Sort::apply, expected, "", after, ""};
+  return {id, node, Type::apply, expected, "", after, ""};
 }
 Order read(std::string const& id, std::string const& node, int after = -1) {
-  return {id, node, Sort::read, 0, "", after, ""};
+  return {id, node, Type::read, 0, "", after, ""};
 }
 Order admit(std::string const& keeper, std::string const& node, std::uint64_t epoch = first_epoch, int after = -1) {
-  return {"admit-" + keeper + "-" + node, node, Sort::admit, epoch, keeper, after, ""};
+  return {"admit-" + keeper + "-" + node, node, Type::admit, epoch, keeper, after, ""};
 }
 Order dismiss(std::string const& keeper, std::string const& node, std::uint64_t epoch = first_epoch, int after = -1) {
-  return {"dismiss-" + keeper + "-" + node, node, Sort::dismiss, epoch, keeper, after, ""};
+  return {"dismiss-" + keeper + "-" + node, node, Type::dismiss, epoch, keeper, after, ""};
 }
 
 Order replace(std::string const& leaving, std::string const& keeper, std::string const& node,
               std::uint64_t epoch = first_epoch, int after = -1) {
-  return {"replace-" + leaving + "-" + keeper + "-" + node, node, Sort::replace, epoch, keeper, after, leaving};
+  return {"replace-" + leaving + "-" + keeper + "-" + node, node, Type::replace, epoch, keeper, after, leaving};
 }
 
 Scenario of(std::string const& name, std::string const& about, std::vector<Order> orders, Bounds const& bounds) {
@@ -79,7 +79,7 @@
   out.nodes = {"p1", "p2", "p3", "p4"};
   out.orders = {one, other, apply("a", "p3", 2), apply("b", "p4", 2)};
   for (Order& order : out.orders)
-    if (order.sort == Sort::apply) order.expected = split_serial;
+    if (order.type == Type::apply) order.expected = split_serial;
   Script script;
   script.say("ask 1 " + one.id + " at p1").prepare("p1", 2, {"k1", "k2", "k3"}).accept("p1", 2, {"k1"});
   script.say("ask 2 " + other.id + " at p2").say("retry p2");
--- a/proof/checker/search.cc
+++ b/proof/checker/search.cc
@@ -153,16 +153,16 @@
 
 // How likely a kind of step is on a random path: mostly messages, faults now and then.
 std::uint64_t weight_of(Step const& step) {
-  switch (step.sort) {
-    case Step::Sort::ask:
+  switch (step.type) {
+    case Step::Type::ask:
       return 6;
-    case Step::Sort::deliver:
+    case Step::Type::deliver:
       return 16;
-    case Step::Sort::sync:
+    case Step::Type::sync:
       return 16;
-    case Step::Sort::retry:
+    case Step::Type::retry:
       return 2;
-    case Step::Sort::repeat:
+    case Step::Type::repeat:
       return 2;
     default:
       return 1;
@@ -173,7 +173,7 @@
 constexpr std::size_t cut_length = 24;
 
 bool is_cut(World const& world, Step const& step, std::uint64_t cuts) {
-  if (step.sort != Step::Sort::deliver && step.sort != Step::Sort::repeat) return false;
+  if (step.type != Step::Type::deliver && step.type != Step::Type::repeat) return false;
   Message const& message = world.message(step.index);
   std::uint64_t const pair = hash_text(message.from) + hash_text(message.to);  // both ways alike
   return hash_bits(pair ^ cuts) % 3 == 0;
--- a/proof/checker/world.cc
+++ b/proof/checker/world.cc
@@ -20,7 +20,7 @@
 // Where the proposer under way puts its outcomes: its copies share one callback for each order.
 thread_local std::vector<std::pair<std::size_t, Outcome>>* outcomes = nullptr;
 
-char const* const sort_words[] = {"ask",     "deliver", "repeat", "sync", "retry",
+char const* const type_names[] = {"ask",     "deliver", "repeat", "sync", "retry",
                                   "give up", "restart", "crash",  "wipe", "poll"};
 char const* const stage_words[] = {"waiting", "asked", "chosen", "kept", "refused", "unknown"};
 
@@ -29,7 +29,7 @@
   return text;
 }
 
-std::string sort_of(wire::BodyUnion const& body) { return small(wire::EnumNameBody(body.type)); }
+std::string type_name_of(wire::BodyUnion const& body) { return small(wire::EnumNameBody(body.type)); }
 
 wire::KeeperT keeper_of(std::string const& name) {
   wire::KeeperT out;
@@ -40,11 +40,11 @@
 
 Change change_of(Order const& order) {
   Change out;
-  out.sort = order.sort;
+  out.type = order.type;
   out.id = order.id;
   out.expected = order.expected;
-  if (order.sort == Change::Sort::apply) out.text = "text of " + order.id;
-  if (order.sort == Change::Sort::empty || order.sort == Change::Sort::refill) out.text = "zone";
+  if (order.type == Change::Type::apply) out.text = "text of " + order.id;
+  if (order.type == Change::Type::empty || order.type == Change::Type::refill) out.text = "zone";
   out.keeper = keeper_of(order.keeper);
   out.leaving = keeper_of(order.leaving);
   return out;
@@ -90,54 +90,54 @@
     if (states[i].stage != OrderState::Stage::waiting) continue;
     int const after = scenario->orders[i].after;
     if (after >= 0 && states[static_cast<std::size_t>(after)].stage <= OrderState::Stage::asked) continue;
-    out.push_back({Step::Sort::ask, i});
+    out.push_back({Step::Type::ask, i});
   }
   std::vector<std::uint64_t> seen;
   for (std::size_t i = 0; i < messages.size(); ++i) {
     std::uint64_t const lane = messages[i]->print.lane(0);
     if (std::find(seen.begin(), seen.end(), lane) != seen.end()) continue;  // the same message once more
     seen.push_back(lane);
-    out.push_back({Step::Sort::deliver, i});
-    if (left.repeats > 0) out.push_back({Step::Sort::repeat, i});
+    out.push_back({Step::Type::deliver, i});
+    if (left.repeats > 0) out.push_back({Step::Type::repeat, i});
   }
   for (std::size_t i = 0; i < keepers.size(); ++i) {
-    if (keepers[i].saving) out.push_back({Step::Sort::sync, i});
-    if (left.crashes > 0 && keepers[i].saving) out.push_back({Step::Sort::crash, i});
-    if (left.wipes > 0) out.push_back({Step::Sort::wipe, i});
+    if (keepers[i].saving) out.push_back({Step::Type::sync, i});
+    if (left.crashes > 0 && keepers[i].saving) out.push_back({Step::Type::crash, i});
+    if (left.wipes > 0) out.push_back({Step::Type::wipe, i});
   }
   for (std::size_t i = 0; i < nodes.size(); ++i) {
     bool const timer = has_timer(*nodes[i].proposer);
-    if (timer && left.retries > 0) out.push_back({Step::Sort::retry, i});
-    if (timer && left.give_ups > 0) out.push_back({Step::Sort::give_up, i});
-    if (left.restarts > 0) out.push_back({Step::Sort::restart, i});
-    if (left.polls > 0) out.push_back({Step::Sort::poll, i});
+    if (timer && left.retries > 0) out.push_back({Step::Type::retry, i});
+    if (timer && left.give_ups > 0) out.push_back({Step::Type::give_up, i});
+    if (left.restarts > 0) out.push_back({Step::Type::restart, i});
+    if (left.polls > 0) out.push_back({Step::Type::poll, i});
   }
   return out;
 }
 
 std::string World::words(Step const& step) const {
-  std::string out = sort_words[static_cast<std::size_t>(step.sort)];
-  switch (step.sort) {
-    case Step::Sort::ask:
+  std::string out = type_names[static_cast<std::size_t>(step.type)];
+  switch (step.type) {
+    case Step::Type::ask:
       // An order is named by its place: the same id may be sent twice.
       return out + " " + std::to_string(step.index + 1) + " " + scenario->orders[step.index].id + " at " +
              scenario->orders[step.index].node;
-    case Step::Sort::deliver:
-    case Step::Sort::repeat: {
+    case Step::Type::deliver:
+    case Step::Type::repeat: {
       Message const& message = *messages[step.index];
       std::size_t nth = 1;
       for (std::size_t i = 0; i < step.index; ++i)
         if (messages[i]->from == message.from && messages[i]->to == message.to &&
             messages[i]->body.type == message.body.type && round_of(messages[i]->body) == round_of(message.body))
           ++nth;
-      out += " " + sort_of(message.body) + " " + message.from + ">" + message.to;
+      out += " " + type_name_of(message.body) + " " + message.from + ">" + message.to;
       std::uint64_t const round = round_of(message.body);
       if (round > 0) out += " in round " + std::to_string(round);
       return nth > 1 ? out + " #" + std::to_string(nth) : out;
     }
-    case Step::Sort::sync:
-    case Step::Sort::crash:
-    case Step::Sort::wipe:
+    case Step::Type::sync:
+    case Step::Type::crash:
+    case Step::Type::wipe:
       return out + " " + keeper_name(step.index);
     default:
       return out + " " + scenario->nodes[step.index];
@@ -155,41 +155,41 @@
 
 void World::take(Step const& step) {
   happened.clear();
-  switch (step.sort) {
-    case Step::Sort::ask:
+  switch (step.type) {
+    case Step::Type::ask:
       ask(step.index);
       break;
-    case Step::Sort::deliver:
+    case Step::Type::deliver:
       deliver(step.index, false);
       break;
-    case Step::Sort::repeat:
+    case Step::Type::repeat:
       --left.repeats;
       deliver(step.index, true);
       break;
-    case Step::Sort::sync:
+    case Step::Type::sync:
       sync(step.index);
       break;
-    case Step::Sort::retry:
+    case Step::Type::retry:
       --left.retries;
       retry(step.index, round_time + longest_pause);
       break;
-    case Step::Sort::give_up:
+    case Step::Type::give_up:
       --left.give_ups;
       retry(step.index, whole_time);
       break;
-    case Step::Sort::restart:
+    case Step::Type::restart:
       --left.restarts;
       restart(step.index);
       break;
-    case Step::Sort::crash:
+    case Step::Type::crash:
       --left.crashes;
       crash(step.index);
       break;
-    case Step::Sort::wipe:
+    case Step::Type::wipe:
       --left.wipes;
       wipe(step.index);
       break;
-    case Step::Sort::poll:
+    case Step::Type::poll:
       --left.polls;
       poll(step.index);
       break;
@@ -405,7 +405,7 @@
     message->print.name(*symmetry, message->to);
     message->print.part(print_of(message->body, *symmetry));
     if (narrated)
-      sent["sends " + sort_of(message->body) + " (" + words_of(message->body) + ") to"] += " " + message->to;
+      sent["sends " + type_name_of(message->body) + " (" + words_of(message->body) + ") to"] += " " + message->to;
     messages.push_back(std::move(message));
   }
   for (std::pair<std::string const, std::string> const& item : sent) note(item.first + item.second);
@@ -449,7 +449,7 @@
 
 void World::end(std::size_t index, Ending const& ending, Learner& learner, std::vector<OutgoingMessage>& out) {
   Outcome const& outcome = ending.outcome;
-  bool const holds = outcome.sort == Outcome::Sort::chosen || outcome.sort == Outcome::Sort::kept;
+  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
   look_outcome(ending.order, outcome);
   if (holds || outcome.value.serial > 0) learner.adopt(outcome.value, nodes[index].now);
   if (!holds || !scenario->push) return;
@@ -465,9 +465,9 @@
   OrderState& state = states[index];
   Order const& order = scenario->orders[index];
   std::string const who = "order " + std::to_string(index + 1) + " (" + order.id + ")";
-  state.stage = outcome.sort == Outcome::Sort::chosen    ? OrderState::Stage::chosen
-                : outcome.sort == Outcome::Sort::kept    ? OrderState::Stage::kept
-                : outcome.sort == Outcome::Sort::refused ? OrderState::Stage::refused
+  state.stage = outcome.type == Outcome::Type::chosen    ? OrderState::Stage::chosen
+                : outcome.type == Outcome::Type::kept    ? OrderState::Stage::kept
+                : outcome.type == Outcome::Type::refused ? OrderState::Stage::refused
                                                          : OrderState::Stage::unknown;
   note(who + " is " + stage_words[static_cast<std::size_t>(state.stage)] +
        (outcome.value.serial > 0 ? ": " + words_of(outcome.value) : ""));
@@ -479,9 +479,9 @@
   }
   if (state.stage == OrderState::Stage::chosen) {
     state.serial = outcome.serial;
-    if (order.sort == Change::Sort::apply && outcome.serial == 0)
+    if (order.type == Change::Type::apply && outcome.serial == 0)
       blame(who + " was confirmed, yet it is not in the value");
-    else if (order.sort == Change::Sort::apply && outcome.serial != order.expected + 1)
+    else if (order.type == Change::Type::apply && outcome.serial != order.expected + 1)
       blame(who + " was made on serial " + std::to_string(outcome.serial - 1) + ", not on the expected " +
             std::to_string(order.expected));
     for (std::size_t i = 0; i < states.size(); ++i) {
@@ -608,19 +608,19 @@
   lift_bounds(true);
   for (int turn = 0; turn < turns && wrong.empty(); ++turn) {
     for (std::size_t i = 0; i < keepers.size(); ++i)
-      while (keepers[i].saving) take({Step::Sort::sync, i});
+      while (keepers[i].saving) take({Step::Type::sync, i});
     while (!messages.empty() && wrong.empty()) {
-      take({Step::Sort::deliver, 0});
+      take({Step::Type::deliver, 0});
       for (std::size_t i = 0; i < keepers.size(); ++i)
-        while (keepers[i].saving) take({Step::Sort::sync, i});
+        while (keepers[i].saving) take({Step::Type::sync, i});
     }
     bool busy = false;
     for (std::size_t i = 0; i < nodes.size() && wrong.empty(); ++i)
       if (has_timer(*nodes[i].proposer) && messages.empty()) {
         busy = true;
-        take({Step::Sort::retry, i});
+        take({Step::Type::retry, i});
         // One at a time, so that no two outbid each other for ever.
-        while (!messages.empty() && wrong.empty()) take({Step::Sort::deliver, 0});
+        while (!messages.empty() && wrong.empty()) take({Step::Type::deliver, 0});
       }
     if (!busy && messages.empty()) break;
   }
@@ -635,7 +635,7 @@
     if (keeper.acceptor->held().value && !is_quorum(*keeper.acceptor->held().value, disks)) return "";
   World later = *this;
   Scenario changed = *scenario;
-  changed.orders.push_back({"recovery", "reader", Change::Sort::read, 0, "", -1, ""});
+  changed.orders.push_back({"recovery", "reader", Change::Type::read, 0, "", -1, ""});
   changed.nodes.push_back("reader");
   changed.slow_disks = false;
   changed.push = false;
@@ -655,7 +655,7 @@
   }
   for (int round = 0; round < 3; ++round) {
     later.poll(later.nodes.size() - 1);
-    while (!later.messages.empty()) later.take({Step::Sort::deliver, 0});
+    while (!later.messages.empty()) later.take({Step::Type::deliver, 0});
   }
   later.ask(later.states.size() - 1);
   later.drain(recovery_turns);
--- a/proof/checker/world.h
+++ b/proof/checker/world.h
@@ -14,7 +14,7 @@
 struct Order {
   std::string id;
   std::string node;
-  Change::Sort sort = Change::Sort::read;
+  Change::Type type = Change::Type::read;
   std::uint64_t expected = 0;
   std::string keeper;   // admitted or dismissed
   int after = -1;       // asked only once that order has its answer
@@ -49,8 +49,8 @@
 
 // Steps of a world.
 struct Step {
-  enum class Sort : std::uint8_t { ask, deliver, repeat, sync, retry, give_up, restart, crash, wipe, poll };
-  Sort sort = Sort::ask;
+  enum class Type : std::uint8_t { ask, deliver, repeat, sync, retry, give_up, restart, crash, wipe, poll };
+  Type type = Type::ask;
   std::size_t index = 0;  // of the order, message, keeper or node
 };
 
--- a/proof/control_plane/node_view.cc
+++ b/proof/control_plane/node_view.cc
@@ -41,7 +41,7 @@
 
 Change replace_change(std::uint64_t based_on, std::uint64_t label, std::string const& body) {
   Change out;
-  out.sort = Change::Sort::apply;
+  out.type = Change::Type::apply;
   out.id = change_id("replace", based_on, body);
   out.text = body;
   out.expected = based_on;
@@ -51,7 +51,7 @@
 
 Change read_change() {
   Change out;
-  out.sort = Change::Sort::read;
+  out.type = Change::Type::read;
   return out;
 }
 
--- a/proof/control_plane/operators.cc
+++ b/proof/control_plane/operators.cc
@@ -112,23 +112,23 @@
   calls.erase(spot);
   --machine.calls_under_way;
   Outcome const& outcome = reply.outcome;
-  bool const holds = outcome.sort == Outcome::Sort::chosen || outcome.sort == Outcome::Sort::kept;
+  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
   if (call.reading) {
     if (!holds) return answer(call, Verdict::unclear, "", 0, "");
     Configuration const found = configuration_of(outcome.value);
     return answer(call, Verdict::confirmed, "", found.label, found.text);
   }
   if (judge.order(call.order).amend && !call.looked) return amend_read(call, reply);
-  if (outcome.sort == Outcome::Sort::chosen) return answer(call, Verdict::confirmed, "", 0, "");
-  unsigned const status = outcome.sort == Outcome::Sort::kept ? 504 : kind_row(outcome.fault.kind).status;
-  bool const clear = outcome.sort == Outcome::Sort::refused && status < 500 && status != 429;
+  if (outcome.type == Outcome::Type::chosen) return answer(call, Verdict::confirmed, "", 0, "");
+  unsigned const status = outcome.type == Outcome::Type::kept ? 504 : kind_row(outcome.fault.kind).status;
+  bool const clear = outcome.type == Outcome::Type::refused && status < 500 && status != 429;
   answer(call, clear ? Verdict::stale : Verdict::unclear, outcome.fault.why, 0, "");
 }
 
 // As the shell does it: what an amend builds on is read from the register, then the whole is proposed.
 void Operators::amend_read(Call call, Reply const& reply) {
   Outcome const& outcome = reply.outcome;
-  if (outcome.sort == Outcome::Sort::refused || outcome.sort == Outcome::Sort::unknown)
+  if (outcome.type == Outcome::Type::refused || outcome.type == Outcome::Type::unknown)
     return answer(call, Verdict::unclear, "", 0, "");
   Order const& order = judge.order(call.order);
   std::string const id = change_id("amend", order.base, order.body);
--- a/proof/hollow/scale.cc
+++ b/proof/hollow/scale.cc
@@ -187,7 +187,7 @@
 
 // Runs one step of a node and counts the processor time of the step alone, not of what carries its effects out.
 template <class F>
-void Scale::enter(int who, std::uint64_t life, Step sort, F&& step, int kind) {
+void Scale::enter(int who, std::uint64_t life, Step type, F&& step, int kind) {
   Machine& m = *machines[static_cast<std::size_t>(who)];
   if (!m.up() || m.life != life) return;
   NodeOut out;
@@ -196,7 +196,7 @@
   std::int64_t const took = std::max<std::int64_t>(0, processor() - from - clock_cost);
   if (phase != nullptr) {
     Count& count = phase->count[static_cast<std::size_t>(m.role)];
-    count.nanos[static_cast<std::size_t>(sort)] += took;
+    count.nanos[static_cast<std::size_t>(type)] += took;
     if (kind >= 0) count.nanos_in[static_cast<std::size_t>(kind)] += took;
   }
   obey(who, out);
@@ -391,7 +391,7 @@
   }
   for (Verdict const& verdict : out.desk.ends) ++refused[kind_row(verdict.fault.kind).name];
   for (Reply const& reply : out.replies) {
-    bool const holds = reply.outcome.sort == Outcome::Sort::chosen;
+    bool const holds = reply.outcome.type == Outcome::Type::chosen;
     for (std::vector<Turn>::iterator it = turns.begin(); it != turns.end();) {
       if (it->yes >= 0 || reply.change != it->id) {
         ++it;
@@ -469,7 +469,7 @@
   int const who = field[random.below(field.size())];
   Machine& m = *machines[static_cast<std::size_t>(who)];
   Change item;
-  item.sort = Change::Sort::apply;
+  item.type = Change::Type::apply;
   item.text = description(++turn);
   item.expected = m.node->learner.serial();
   item.id = "c" + std::to_string(turn);
--- a/proof/hollow/scale.h
+++ b/proof/hollow/scale.h
@@ -101,7 +101,7 @@
   void halt(int who, bool silent);
   void tick(int who, std::uint64_t life);
   template <class F>
-  void enter(int who, std::uint64_t life, Step sort, F&& step, int kind = -1);
+  void enter(int who, std::uint64_t life, Step type, F&& step, int kind = -1);
   void obey(int who, NodeOut& out);
   void dial(int who, std::string const& address);
   void carry(int who, WireId id, std::string bytes);
--- a/proof/scene/steps.cc
+++ b/proof/scene/steps.cc
@@ -90,7 +90,7 @@
     if (step.args.size() != row->args.size())
       return fail(Kind::bad_request, "'" + step.verb + "' takes " + std::to_string(row->args.size()) + " arguments");
     for (std::size_t i = 0; i < step.args.size(); ++i) {
-      char const sort = row->args[i];
+      char const type = row->args[i];
       std::stringstream names(step.args[i]);
       std::string name;
       while (std::getline(names, name, ',')) {
@@ -98,13 +98,13 @@
         bool const passage = among(cast.passages, name);
         bool const worker = among(cast.workers, name);
         bool good = false;
-        if (sort == 'N') good = keeper || passage || worker;
-        if (sort == 'n') good = keeper || passage;
-        if (sort == 'k') good = keeper;
-        if (sort == 'p') good = passage;
-        if (sort == 'w') good = worker;
-        if (sort == 'z') good = among(cast.zones, name);
-        if (sort == '#')
+        if (type == 'N') good = keeper || passage || worker;
+        if (type == 'n') good = keeper || passage;
+        if (type == 'k') good = keeper;
+        if (type == 'p') good = passage;
+        if (type == 'w') good = worker;
+        if (type == 'z') good = among(cast.zones, name);
+        if (type == '#')
           good = !name.empty() && name.find_first_not_of("0123456789") == std::string::npos && name.size() < 6;
         if (!good) return fail(Kind::bad_request, "'" + step.verb + "' does not take '" + name + "'");
       }
--- a/src/consensus/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -195,7 +195,7 @@
   // The value remembers a bounded number of orders. Where that memory no longer reaches back, nothing is certain.
   bool const by_label = job.change.label > 0;
   bool const forgotten = (job.sent_serial > 0 && job.sent_serial <= draft.forgotten_serial) ||
-                         (job.change.sort == Change::Sort::apply &&
+                         (job.change.type == Change::Type::apply &&
                           order_may_be_forgotten(draft, job.change.expected, job.change.expected, by_label));
   if (forgotten) {
     Outcome lost;
@@ -209,26 +209,26 @@
 
 void Proposer::make_change(Change const& change) {
   bool turned = false;
-  switch (change.sort) {
-    case Change::Sort::read:
+  switch (change.type) {
+    case Change::Type::read:
       break;
-    case Change::Sort::apply:
+    case Change::Type::apply:
       apply(change);
       break;
-    case Change::Sort::empty:
-    case Change::Sort::refill:
+    case Change::Type::empty:
+    case Change::Type::refill:
       change_zones(change);
       break;
-    case Change::Sort::admit:
-    case Change::Sort::dismiss:
-    case Change::Sort::replace:
+    case Change::Type::admit:
+    case Change::Type::dismiss:
+    case Change::Type::replace:
       turned = change_members(change);
       break;
     // §5.9: seats are no business of the operators' serial. Asking twice changes nothing more.
-    case Change::Sort::seat:
+    case Change::Type::seat:
       turned = take_seat(draft, change.seat);
       break;
-    case Change::Sort::strike:
+    case Change::Type::strike:
       turned = strike_seat(draft, change.seat);
       break;
   }
@@ -264,10 +264,10 @@
   std::vector<std::string>& zones = draft.emptied;
   std::vector<std::string>::iterator const zone = std::find(zones.begin(), zones.end(), change.text);
   bool const there = zone != zones.end();
-  if (change.sort == Change::Sort::empty && !there) {
+  if (change.type == Change::Type::empty && !there) {
     zones.push_back(change.text);
     order_taken = true;
-  } else if (change.sort == Change::Sort::refill && there) {
+  } else if (change.type == Change::Type::refill && there) {
     zones.erase(zone);
     order_taken = true;
   }
@@ -277,10 +277,10 @@
 bool Proposer::change_members(Change const& change) {
   if (draft.epoch != change.expected || draft.keepers.empty()) return false;
   Membership next = membership_of(draft);
-  bool const adds = change.sort != Change::Sort::dismiss;
+  bool const adds = change.type != Change::Type::dismiss;
   if (adds && next.holds(change.keeper.name, change.keeper.disk)) return false;
   next.former = next.keepers;
-  if (change.sort != Change::Sort::admit) {
+  if (change.type != Change::Type::admit) {
     wire::KeeperT const& leaving = adds ? change.leaving : change.keeper;
     std::vector<wire::KeeperT>::iterator const spot = std::find_if(
         next.keepers.begin(), next.keepers.end(),
@@ -322,11 +322,11 @@
   Outcome outcome;
   outcome.value = draft;
   if (verdict) {
-    outcome.sort = Outcome::Sort::refused;
+    outcome.type = Outcome::Type::refused;
     outcome.fault = *verdict;
   } else {
     outcome.serial = serial_of_order(draft, jobs.front().change.id);
-    outcome.sort = outcome.serial > 0 || members_changed ? Outcome::Sort::chosen : Outcome::Sort::kept;
+    outcome.type = outcome.serial > 0 || members_changed ? Outcome::Type::chosen : Outcome::Type::kept;
   }
   finish(outcome);
 }
@@ -339,7 +339,7 @@
 
 void Proposer::give_up_unsent() {
   Outcome refused;
-  refused.sort = Outcome::Sort::refused;
+  refused.type = Outcome::Type::refused;
   refused.fault.kind = Kind::no_majority;
   std::deque<Job> kept;
   std::vector<Job> given_up;
@@ -360,7 +360,7 @@
     Job& job = jobs.front();
     if (now >= job.due) {
       Outcome outcome;
-      outcome.sort = job.sent ? Outcome::Sort::unknown : Outcome::Sort::refused;
+      outcome.type = job.sent ? Outcome::Type::unknown : Outcome::Type::refused;
       outcome.fault.kind = job.sent ? Kind::change_unknown : Kind::no_majority;
       finish(outcome);
       continue;
--- a/src/consensus/register/proposer.h
+++ b/src/consensus/register/proposer.h
@@ -20,8 +20,8 @@
 
 // What a change makes of the present value: nothing (the value stays), a new value, or a refusal.
 struct Change {
-  enum class Sort : std::uint8_t { read, apply, empty, refill, admit, dismiss, seat, strike, replace };
-  Sort sort = Sort::read;
+  enum class Type : std::uint8_t { read, apply, empty, refill, admit, dismiss, seat, strike, replace };
+  Type type = Type::read;
   std::string id;
   std::string text;  // the description, or the zone's name
   std::uint64_t expected = 0;
@@ -34,8 +34,8 @@
 };
 
 struct Outcome {
-  enum class Sort : std::uint8_t { chosen, kept, refused, unknown };
-  Sort sort = Sort::unknown;
+  enum class Type : std::uint8_t { chosen, kept, refused, unknown };
+  Type type = Type::unknown;
   Fault fault;
   std::uint64_t serial = 0;  // of the change itself, when it was chosen; the value may be newer
   wire::ValueT value;        // the value chosen in the end, when one was
--- a/src/core/changes.cc
+++ b/src/core/changes.cc
@@ -38,7 +38,7 @@
   Reply reply;
   reply.id = id;
   reply.change = change.id;
-  reply.outcome.sort = Outcome::Sort::refused;
+  reply.outcome.type = Outcome::Type::refused;
   reply.outcome.fault.kind = kind;
   out.replies.push_back(std::move(reply));
 }
@@ -74,26 +74,26 @@
   reply.id = id;
   reply.change = change.id;
   reply.outcome = outcome;
-  bool const holds = outcome.sort == Outcome::Sort::chosen || outcome.sort == Outcome::Sort::kept;
+  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
   std::uint64_t const req = ++next_req;
   if (holds) {
     log_event(Event::chosen, "serial " + std::to_string(outcome.value.serial) + " change " + outcome.value.change);
     bool const fresh = learner.adopt(outcome.value, now);
     if (fresh) after_value(now, out);
     // Also when a poll brought it here first: the others may hear of it from nobody else.
-    if (fresh || outcome.sort == Outcome::Sort::chosen || change.sort >= Change::Sort::empty)
+    if (fresh || outcome.type == Outcome::Type::chosen || change.type >= Change::Type::empty)
       spread(outcome.value, fresh ? learner.before : std::nullopt, req, out);
     look_ready(now, out);
   } else {
-    log_event(outcome.sort == Outcome::Sort::unknown ? Event::change_lost : Event::change_refused,
+    log_event(outcome.type == Outcome::Type::unknown ? Event::change_lost : Event::change_refused,
               change.id + " " + kind_row(outcome.fault.kind).name);
     if (outcome.value.serial > 0 && learner.adopt(outcome.value, now)) after_value(now, out);
   }
   if (id == 0) {
-    (change.sort == Change::Sort::seat ? seat_busy : duty_busy) = false;
+    (change.type == Change::Type::seat ? seat_busy : duty_busy) = false;
     return;
   }
-  if (change.sort == Change::Sort::empty && holds) {
+  if (change.type == Change::Type::empty && holds) {
     Waiting wait;
     wait.serial = outcome.serial > 0 ? outcome.serial : outcome.value.serial;
     wait.due = now + confirm_bound;
@@ -108,7 +108,7 @@
     settle_waiting(now, out);
     return;
   }
-  if (outcome.sort == Outcome::Sort::chosen && guard(Guard::spread)) {
+  if (outcome.type == Outcome::Type::chosen && guard(Guard::spread)) {
     // §5.5: yes is said once half of the router nodes have it, so that it gets round whatever happens to the rest.
     Waiting wait;
     wait.half = outcome.value.turn;
--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -159,7 +159,7 @@
   std::vector<wire::KeeperT> next = members.keepers;
   std::optional<wire::KeeperT> const lost = lost_keeper(now);
   if (lost) {
-    change.sort = Change::Sort::replace;
+    change.type = Change::Type::replace;
     change.leaving = *lost;
     next.erase(std::remove_if(next.begin(), next.end(),
                               [&lost](wire::KeeperT const& keeper) {
@@ -167,7 +167,7 @@
                               }),
                next.end());
   } else if (members.keepers.size() < keepers_wanted()) {
-    change.sort = Change::Sort::admit;
+    change.type = Change::Type::admit;
   } else {
     return std::nullopt;
   }
@@ -179,12 +179,12 @@
 // What this keeper, which holds the duty, has to do next; nothing when all is well.
 std::optional<Change> Node::duty_due(Micros now) {
   Change change;
-  change.sort = Change::Sort::read;
+  change.type = Change::Type::read;
   // A joint set that was left behind is completed by any change (docs/control.md).
   if (learner.membership().joint()) return change;
   if (std::optional<Change> members = member_change(now)) {
     log_event(Event::keeper_swapped,
-              (members->sort == Change::Sort::admit ? "admit " : "replace " + members->leaving.name + " by ") +
+              (members->type == Change::Type::admit ? "admit " : "replace " + members->leaving.name + " by ") +
                   members->keeper.name + " epoch " + std::to_string(members->expected));
     return members;
   }
@@ -226,7 +226,7 @@
   repaired_at = now;
   log_event(Event::copies_repaired, "no majority shows one ballot");
   Change read;
-  read.sort = Change::Sort::read;
+  read.type = Change::Type::read;
   return read;
 }
 
--- a/src/core/handed.cc
+++ b/src/core/handed.cc
@@ -35,13 +35,13 @@
 
 bool Node::hand_over(std::uint64_t id, Change const& change, Micros now, NodeOut& out) {
   if (!plan.registered || id == 0 || (id & handed_mark) != 0) return false;
-  if (change.sort != Change::Sort::apply && change.sort != Change::Sort::read) return false;
+  if (change.type != Change::Type::apply && change.type != Change::Type::read) return false;
   std::string const keeper = quorum_heard(now) ? proposing_keeper() : relaying_peer();
   if (keeper.empty() || keeper == plan.name) return false;
   std::uint64_t const req = ++next_req;
   wire::ProposeT ask;
   ask.req = req;
-  ask.sort = static_cast<std::uint8_t>(change.sort);
+  ask.type = static_cast<std::uint8_t>(change.type);
   ask.id = change.id;
   ask.text = change.text;
   ask.expected = change.expected;
@@ -53,11 +53,11 @@
 }
 
 void Node::take_handed(std::string const& from, wire::ProposeT const& ask, Micros now, NodeOut& out) {
-  if (ask.sort != static_cast<std::uint8_t>(Change::Sort::apply) &&
-      ask.sort != static_cast<std::uint8_t>(Change::Sort::read))
+  if (ask.type != static_cast<std::uint8_t>(Change::Type::apply) &&
+      ask.type != static_cast<std::uint8_t>(Change::Type::read))
     return;
   Change change;
-  change.sort = static_cast<Change::Sort>(ask.sort);
+  change.type = static_cast<Change::Type>(ask.type);
   change.id = ask.id;
   change.text = ask.text;
   change.expected = ask.expected;
@@ -69,7 +69,7 @@
 
 void Node::take_answer(wire::ProposedT const& ans, Micros now, NodeOut& out) {
   std::map<std::uint64_t, Handed>::iterator const spot = handed.find(ans.req);
-  if (spot == handed.end() || ans.sort > static_cast<std::uint8_t>(Outcome::Sort::unknown) || ans.kind >= kind_count())
+  if (spot == handed.end() || ans.type > static_cast<std::uint8_t>(Outcome::Type::unknown) || ans.kind >= kind_count())
     return;
   Handed item = std::move(spot->second);
   handed.erase(spot);
@@ -79,7 +79,7 @@
   Reply reply;
   reply.id = item.id;
   reply.change = item.change.id;
-  reply.outcome.sort = static_cast<Outcome::Sort>(ans.sort);
+  reply.outcome.type = static_cast<Outcome::Type>(ans.type);
   reply.outcome.fault.kind = static_cast<Kind>(ans.kind);
   reply.outcome.fault.why = ans.why;
   reply.outcome.serial = ans.serial;
@@ -103,12 +103,12 @@
     Outcome const& outcome = it->outcome;
     wire::ProposedT ans;
     ans.req = who->second.req;
-    ans.sort = static_cast<std::uint8_t>(outcome.sort);
+    ans.type = static_cast<std::uint8_t>(outcome.type);
     ans.kind = static_cast<std::uint8_t>(outcome.fault.kind);
     ans.why = outcome.fault.why;
     ans.serial = outcome.serial;
     // Changes get round by themselves; a reading brings the value, unless the asker holds it already.
-    bool const read = outcome.sort == Outcome::Sort::kept;
+    bool const read = outcome.type == Outcome::Type::kept;
     if (read) ans.turn = outcome.value.turn;
     if (read && who->second.turn < outcome.value.turn) ans.value = std::make_unique<wire::ValueT>(outcome.value);
     mesh.post(who->second.from, std::move(ans), out.mesh);
--- a/src/core/seats.cc
+++ b/src/core/seats.cc
@@ -26,7 +26,7 @@
   seat_busy = true;
   seat_next = now + seat_gap;
   Change change;
-  change.sort = Change::Sort::seat;
+  change.type = Change::Type::seat;
   change.seat.name = plan.name;
   change.seat.address = plan.address;
   change.seat.incarnation = mesh.members.self.incarnation;
@@ -128,7 +128,7 @@
     bool const left = peer.state() == State::leaving && now - std::max(peer.since, peer.bare_since) > strike_after;
     bool const dead = peer.refused && now - peer.refused_at > strike_after;
     if (peer.wire != 0 || (!left && !dead)) continue;
-    change.sort = Change::Sort::strike;
+    change.type = Change::Type::strike;
     change.seat = *seat;
     return true;
   }
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -234,7 +234,7 @@
   DispatchTally const& t = node->dispatcher.tally;
   struct Row {
     char const* name;
-    char const* sort;
+    char const* type;
     std::uint64_t value;
   };
   Row const rows[] = {
@@ -264,7 +264,7 @@
   std::string out;
   for (Row const& row : rows)
     out +=
-        std::string("# TYPE ") + row.name + " " + row.sort + "\n" + row.name + " " + std::to_string(row.value) + "\n";
+        std::string("# TYPE ") + row.name + " " + row.type + "\n" + row.name + " " + std::to_string(row.value) + "\n";
   out += "# TYPE pipit_answers_total counter\n";
   for (std::pair<std::string const, std::uint64_t> const& item : relay->kinds)
     out += "pipit_answers_total{kind=\"" + item.first + "\"} " + std::to_string(item.second) + "\n";
--- a/src/runtime/host.h
+++ b/src/runtime/host.h
@@ -58,7 +58,7 @@
   std::unique_ptr<DiskTask> disk;
   std::map<std::uint64_t, Caller> callers;
   std::map<WireId, std::string> connection_names;
-  std::map<std::uint64_t, std::pair<Change::Sort, std::string>> asked;  // operators' calls under way
+  std::map<std::uint64_t, std::pair<Change::Type, std::string>> asked;  // operators' calls under way
   std::map<std::string, std::uint64_t> kinds;                           // refusals by kind
   Micros ticked = 0;
   std::uint64_t longest_turn = 0;
--- a/src/runtime/http/legs.cc
+++ b/src/runtime/http/legs.cc
@@ -157,10 +157,10 @@
                                             : LegEnd::wrong,
                             "status " + std::to_string(status), back);
   }
-  char const* const sort = soup_message_headers_get_content_type(head, nullptr);
+  char const* const type = soup_message_headers_get_content_type(head, nullptr);
   std::string const want = leg.stream ? "text/event-stream" : "application/json";
-  if (sort == nullptr || want != sort)
-    return leg.host->finish(leg, LegEnd::wrong, std::string("content type ") + (sort == nullptr ? "none" : sort));
+  if (type == nullptr || want != type)
+    return leg.host->finish(leg, LegEnd::wrong, std::string("content type ") + (type == nullptr ? "none" : type));
   leg.host->read_more(leg);
 }
 
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -61,7 +61,7 @@
   Change change;
   if (call.path == "/v1/description") {
     if (call.method == "GET") {
-      change.sort = Change::Sort::read;
+      change.type = Change::Type::read;
     } else if (call.method == "PUT") {
       std::string const expected = call.header("If-Match");
       if (expected.empty() || expected.size() > 18 || expected.find_first_not_of("0123456789") != std::string::npos)
@@ -71,7 +71,7 @@
         log_event(Event::change_refused, made.error().why);
         return refuse(call.id, made.error());
       }
-      change.sort = Change::Sort::apply;
+      change.type = Change::Type::apply;
       change.text = call.body;
       change.expected = std::stoull(expected);
     } else {
@@ -83,9 +83,9 @@
     std::string const verb = cut == std::string::npos ? "" : rest.substr(cut + 1);
     change.text = rest.substr(0, cut);
     if (verb == "empty")
-      change.sort = Change::Sort::empty;
+      change.type = Change::Type::empty;
     else if (verb == "refill")
-      change.sort = Change::Sort::refill;
+      change.type = Change::Type::refill;
     else
       return refuse(call.id, Fault{Kind::not_found, "", ""});
     if (call.method != "POST") return refuse(call.id, Fault{Kind::bad_method, "", ""});
@@ -99,30 +99,30 @@
     if (call.method != "POST") return refuse(call.id, Fault{Kind::bad_method, "", ""});
     std::string const name = rest.substr(0, cut);
     if (std::optional<Fault> const why = node->keeps(name)) return refuse(call.id, *why);
-    change.sort = Change::Sort::strike;
+    change.type = Change::Type::strike;
     change.seat = *seat_of(*node->learner.value, name);
   } else if (call.path.rfind("/v1/changes/", 0) == 0 && call.method == "GET") {
-    change.sort = Change::Sort::read;
-    asked[call.id] = {change.sort, call.path.substr(12)};
+    change.type = Change::Type::read;
+    asked[call.id] = {change.type, call.path.substr(12)};
     NodeOut out;
     node->operate(call.id, std::move(change), now(), out);
     return act(out);
   } else {
     return refuse(call.id, Fault{Kind::not_found, "", ""});
   }
-  asked[call.id] = {change.sort, ""};
+  asked[call.id] = {change.type, ""};
   NodeOut out;
   node->operate(call.id, std::move(change), now(), out);
   act(out);
 }
 
 void Host::reply(Reply const& item) {
-  std::map<std::uint64_t, std::pair<Change::Sort, std::string>>::iterator const spot = asked.find(item.id);
+  std::map<std::uint64_t, std::pair<Change::Type, std::string>>::iterator const spot = asked.find(item.id);
   if (spot == asked.end()) return;
-  std::pair<Change::Sort, std::string> const what = spot->second;
+  std::pair<Change::Type, std::string> const what = spot->second;
   asked.erase(spot);
   Outcome const& outcome = item.outcome;
-  if (outcome.sort == Outcome::Sort::refused || outcome.sort == Outcome::Sort::unknown) {
+  if (outcome.type == Outcome::Type::refused || outcome.type == Outcome::Type::unknown) {
     ++kinds[kind_row(outcome.fault.kind).name];
     KindRow const& row = kind_row(outcome.fault.kind);
     Answer const out = answer_for(outcome.fault);
@@ -131,7 +131,7 @@
     return front->answer(item.id, out.status, "application/json", out.body, more);
   }
   wire::ValueT const& value = outcome.value;
-  if (what.first == Change::Sort::read && what.second.empty()) {
+  if (what.first == Change::Type::read && what.second.empty()) {
     std::string emptied;
     for (std::string const& zone : value.emptied) emptied += (emptied.empty() ? "" : ",") + zone;
     return front->answer(item.id, 200, "application/json", value.text,
@@ -139,7 +139,7 @@
                           {"X-Pipit-Emptied", emptied},
                           {"ETag", std::to_string(value.serial)}});
   }
-  if (what.first == Change::Sort::read) {
+  if (what.first == Change::Type::read) {
     std::uint64_t const serial = Proposer::serial_of(value, what.second);
     if (serial == 0) return refuse(item.id, Fault{Kind::unknown_change, "", ""});
     JsonWriter json;
@@ -157,8 +157,8 @@
       .number(static_cast<std::int64_t>(outcome.serial > 0 ? outcome.serial : value.serial))
       .key("change")
       .text(item.change);
-  json.key("changed").boolean(outcome.sort == Outcome::Sort::chosen);
-  if (what.first == Change::Sort::empty) {
+  json.key("changed").boolean(outcome.type == Outcome::Type::chosen);
+  if (what.first == Change::Type::empty) {
     json.key("unconfirmed").begin_list();
     for (std::string const& name : item.missing) json.text(name);
     json.end_list();
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -54,7 +54,7 @@
   Tally const& t = node->desk.tally;
   struct Row {
     char const* name;
-    char const* sort;
+    char const* type;
     std::uint64_t value;
   };
   Row const rows[] = {
@@ -84,7 +84,7 @@
   };
   for (Row const& row : rows)
     out +=
-        std::string("# TYPE ") + row.name + " " + row.sort + "\n" + row.name + " " + std::to_string(row.value) + "\n";
+        std::string("# TYPE ") + row.name + " " + row.type + "\n" + row.name + " " + std::to_string(row.value) + "\n";
   out += "# TYPE pipit_mesh_bytes_total counter\n";
   for (std::pair<std::string const, std::uint64_t> const& item : mesh_to)
     out += "pipit_mesh_bytes_total{zone=\"" + item.first + "\"} " + std::to_string(item.second) + "\n";
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -340,7 +340,7 @@
 
   Outcome ask(std::string const& id, std::string const& text, std::uint64_t expected, std::uint64_t label) {
     Change change;
-    change.sort = Change::Sort::apply;
+    change.type = Change::Type::apply;
     change.id = id;
     change.text = text;
     change.expected = expected;
@@ -376,9 +376,9 @@
 }  // namespace
 
 TEST_F(Versions, follow_one_another_by_the_operators_own_numbers) {
-  EXPECT_EQ(ask("a", "one", 0, 10).sort, Outcome::Sort::chosen);
+  EXPECT_EQ(ask("a", "one", 0, 10).type, Outcome::Type::chosen);
   Outcome const second = ask("b", "two", 10, 25);
-  EXPECT_EQ(second.sort, Outcome::Sort::chosen);
+  EXPECT_EQ(second.type, Outcome::Type::chosen);
   EXPECT_EQ(second.value.label, 25u);
   EXPECT_EQ(second.value.serial, 2u);
   EXPECT_EQ(second.value.text, "two");
@@ -388,7 +388,7 @@
   ask("a", "one", 0, 10);
   for (std::uint64_t const based : {std::uint64_t(0), std::uint64_t(9), std::uint64_t(11)}) {
     Outcome const out = ask("c" + std::to_string(based), "two", based, 12);
-    EXPECT_EQ(out.sort, Outcome::Sort::refused);
+    EXPECT_EQ(out.type, Outcome::Type::refused);
     EXPECT_EQ(out.fault.kind, Kind::stale_serial) << based;
     EXPECT_EQ(out.value.text, "one");
     EXPECT_EQ(out.value.label, 10u);
@@ -399,7 +399,7 @@
   ask("a", "one", 0, 10);
   for (std::uint64_t const label : {std::uint64_t(10), std::uint64_t(9), std::uint64_t(1)}) {
     Outcome const out = ask("c" + std::to_string(label), "two", 10, label);
-    EXPECT_EQ(out.sort, Outcome::Sort::refused);
+    EXPECT_EQ(out.type, Outcome::Type::refused);
     EXPECT_EQ(out.fault.kind, Kind::bad_description) << label;
     EXPECT_EQ(out.value.text, "one");
   }
@@ -410,11 +410,11 @@
 TEST_F(Versions, a_change_that_is_repeated_is_the_same_change) {
   Outcome const first = ask("a", "one", 0, 10);
   Outcome const again = ask("a", "one", 0, 10);
-  EXPECT_EQ(again.sort, Outcome::Sort::chosen);
+  EXPECT_EQ(again.type, Outcome::Type::chosen);
   EXPECT_EQ(again.serial, first.serial);
   ask("b", "two", 10, 11);
   Outcome const late = ask("a", "one", 0, 10);
-  EXPECT_EQ(late.sort, Outcome::Sort::chosen);
+  EXPECT_EQ(late.type, Outcome::Type::chosen);
   EXPECT_EQ(late.serial, first.serial);
   EXPECT_EQ(late.value.text, "two") << "it is not made a second time";
   EXPECT_EQ(late.value.label, 11u);
@@ -425,7 +425,7 @@
   ask("a", "one", 0, 10);
   EXPECT_EQ(ask("b", "two", 10, 0).fault.kind, Kind::stale_serial);
   Outcome const out = ask("c", "two", 1, 0);
-  EXPECT_EQ(out.sort, Outcome::Sort::chosen);
+  EXPECT_EQ(out.type, Outcome::Type::chosen);
   EXPECT_EQ(out.value.label, 10u);
 }
 
--- a/tests/register.cc
+++ b/tests/register.cc
@@ -86,7 +86,7 @@
 
   Change apply(std::string const& text, std::uint64_t based_on, std::uint64_t label) const {
     Change change;
-    change.sort = Change::Sort::apply;
+    change.type = Change::Type::apply;
     change.id = text;
     change.text = text;
     change.expected = based_on;
@@ -96,7 +96,7 @@
 
   Change admit(std::string const& name, std::uint64_t epoch) const {
     Change change;
-    change.sort = Change::Sort::admit;
+    change.type = Change::Type::admit;
     change.id = "admit-" + name;
     change.keeper = keeper_named(name, std::stoull(name.substr(1)));
     change.expected = epoch;
@@ -137,7 +137,7 @@
 
 std::size_t chosen_in(std::vector<Outcome> const& outcomes) {
   return static_cast<std::size_t>(std::count_if(
-      outcomes.begin(), outcomes.end(), [](Outcome const& outcome) { return outcome.sort == Outcome::Sort::chosen; }));
+      outcomes.begin(), outcomes.end(), [](Outcome const& outcome) { return outcome.type == Outcome::Type::chosen; }));
 }
 }  // namespace
 
@@ -156,7 +156,7 @@
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}), {"k4"});
   cluster.ask("p1", cluster.admit("k4", 2), {"k1", "k2", "k3", "k4"}, {"k1"});
   cluster.ask("p2", cluster.apply("A", 0, 7), {"k1", "k2", "k3", "k4"});
-  ASSERT_EQ(cluster.last("p2").sort, Outcome::Sort::chosen);
+  ASSERT_EQ(cluster.last("p2").type, Outcome::Type::chosen);
   Membership const members = membership_of(cluster.last("p2").value);
   EXPECT_EQ(members.keepers.size(), 4u);
   EXPECT_FALSE(members.joint());
@@ -168,10 +168,10 @@
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}), {"k4"});
   cluster.ask("p1", cluster.apply("A", 0, 7), {"k1", "k2", "k3"}, {"k1", "k2"});  // k1, which leaves, is a newest copy
   Change change = cluster.admit("k4", 2);
-  change.sort = Change::Sort::replace;
+  change.type = Change::Type::replace;
   change.leaving = keeper_named("k1", 1);
   cluster.ask("p1", change, {"k2", "k3", "k4"});
-  ASSERT_EQ(cluster.last("p1").sort, Outcome::Sort::chosen);
+  ASSERT_EQ(cluster.last("p1").type, Outcome::Type::chosen);
   EXPECT_EQ(membership_of(cluster.last("p1").value).names(), (std::vector<std::string>{"k2", "k3", "k4"}));
   // k2 is lost as well, the last of those that took the order. Whoever reads has heard of the new set from its peers.
   cluster.proposer("p2").know(membership_of(cluster.last("p1").value));
@@ -185,7 +185,7 @@
   cluster.ask("p1", cluster.admit("k4", 2), {"k1", "k2", "k3"}, {"k3"});
   // k4 is gone, and k3 with the joint set: the majority that never heard of it goes on.
   cluster.ask("p2", cluster.apply("A", 0, 7), {"k1", "k2"});
-  EXPECT_EQ(cluster.last("p2").sort, Outcome::Sort::chosen);
+  EXPECT_EQ(cluster.last("p2").type, Outcome::Type::chosen);
 }
 
 TEST(Ballots, a_proposer_that_restarts_uses_none_of_its_former_life) {
@@ -211,14 +211,14 @@
   cluster.ask("p1", cluster.apply("first", 0, 1), all);
   for (std::uint64_t label = 2; label <= 500; ++label) {
     cluster.ask("p1", cluster.apply("order-" + std::to_string(label), label - 1, label), all);
-    ASSERT_EQ(cluster.last("p1").sort, Outcome::Sort::chosen) << label;
+    ASSERT_EQ(cluster.last("p1").type, Outcome::Type::chosen) << label;
   }
   cluster.ask("p2", cluster.apply("first", 0, 1), all);
-  EXPECT_EQ(cluster.last("p2").sort, Outcome::Sort::chosen);
+  EXPECT_EQ(cluster.last("p2").type, Outcome::Type::chosen);
   EXPECT_EQ(cluster.last("p2").serial, 1u);
   EXPECT_EQ(cluster.last("p2").value.label, 500u);
   cluster.ask("p2", cluster.apply("never sent", 0, 2), all);
-  EXPECT_EQ(cluster.last("p2").sort, Outcome::Sort::refused);
+  EXPECT_EQ(cluster.last("p2").type, Outcome::Type::refused);
 }
 
 TEST(Orders, beyond_what_is_remembered_the_answer_is_unclear) {
@@ -296,7 +296,7 @@
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}));
   cluster.ask("p1", cluster.apply("A", 0, 1), {"k1", "k2"});
   cluster.ask("p1", cluster.apply("B", 1, 2), {"k2", "k3"});
-  EXPECT_EQ(cluster.last("p1").sort, Outcome::Sort::chosen);
+  EXPECT_EQ(cluster.last("p1").type, Outcome::Type::chosen);
   EXPECT_EQ(cluster.acceptor("k3").held().value->text, "B");
   EXPECT_EQ(cluster.acceptor("k3").held().value->orders.size(), 2u);
 }
--- a/tests/wide.cc
+++ b/tests/wide.cc
@@ -95,7 +95,7 @@
   // Puts an empty configuration in force.
   void configure(std::uint64_t label) {
     Change change;
-    change.sort = Change::Sort::apply;
+    change.type = Change::Type::apply;
     change.text = R"({"format":1,"pools":[],"lanes":[]})";
     change.label = label;
     change.id = "configure-" + std::to_string(label);
@@ -240,7 +240,7 @@
   field.run(seconds(20));
   EXPECT_EQ(field.nodes[0]->learner.membership().keepers.size(), 7u) << "an odd number of all that keep";
   Change change;
-  change.sort = Change::Sort::apply;
+  change.type = Change::Type::apply;
   change.text = R"({"format":1,"pools":[{"name":"p","model":"m"}],"lanes":[],)"
                 R"("routes":[{"name":"r","host":"h","prefix":"/","shares":[{"pool":"p"}]}]})";
   change.expected = 0;
@@ -250,7 +250,7 @@
   field.act(31, out);
   field.run(millis(900));
   ASSERT_EQ(field.replies[31].size(), 1u);
-  EXPECT_EQ(field.replies[31][0].outcome.sort, Outcome::Sort::chosen);
+  EXPECT_EQ(field.replies[31][0].outcome.type, Outcome::Type::chosen);
   for (std::unique_ptr<Node> const& node : field.nodes) {
     ASSERT_TRUE(node->learner.value) << node->plan.name;
     EXPECT_EQ(node->learner.value->label, 7u) << node->plan.name;
@@ -266,7 +266,7 @@
   std::size_t chosen = 0;
   for (std::uint64_t n = 0; n < 8; ++n) {
     Change change;
-    change.sort = Change::Sort::apply;
+    change.type = Change::Type::apply;
     change.text = R"({"format":1,"pools":[],"lanes":[]})";
     change.label = 10 + n;
     change.id = "change-" + std::to_string(n);
@@ -277,12 +277,12 @@
   field.run(millis(900));
   for (std::uint64_t n = 0; n < 8; ++n) {
     ASSERT_EQ(field.replies[9 + n].size(), 1u) << n;
-    if (field.replies[9 + n][0].outcome.sort == Outcome::Sort::chosen) ++chosen;
+    if (field.replies[9 + n][0].outcome.type == Outcome::Type::chosen) ++chosen;
   }
   EXPECT_EQ(chosen, 1u) << "all were made on the same label";
   field.mute = 0;  // the keeper that proposes says nothing more, though its connections stand
   Change change;
-  change.sort = Change::Sort::apply;
+  change.type = Change::Type::apply;
   change.text = R"({"format":1,"pools":[],"lanes":[]})";
   change.expected = field.nodes[20]->learner.value->label;
   change.label = 100;
@@ -292,7 +292,7 @@
   field.act(20, out);
   field.run(millis(1800));
   ASSERT_EQ(field.replies[20].size(), 1u);
-  EXPECT_EQ(field.replies[20][0].outcome.sort, Outcome::Sort::chosen);
+  EXPECT_EQ(field.replies[20][0].outcome.type, Outcome::Type::chosen);
 }
 
 }  // namespace pipit
