--- a/proof/checker/register_view.cc
+++ b/proof/checker/register_view.cc
@@ -231,7 +231,7 @@
     one.name(symmetry, item.first);
     one.disk(symmetry, item.second.disk);
     add(one, item.second.ballot);
-    one.number(item.second.turn);
+    one.number(item.second.revision);
     one.number(item.second.members);
     votes.member(one);
   }
@@ -282,7 +282,7 @@
   return Proposer::serial_of(value, id);
 }
 
-std::uint64_t revision_of(wire::ValueT const& value) { return value.turn; }
+std::uint64_t revision_of(wire::ValueT const& value) { return value.revision; }
 
 namespace {
 bool is_majority(Keepers const& keepers, std::vector<std::uint64_t> const& disks) {
@@ -300,7 +300,7 @@
 wire::ValueT first_value(std::vector<std::size_t> const& members) {
   wire::ValueT out;
   out.serial = 1;
-  out.turn = 1;
+  out.revision = 1;
   out.epoch = 2;
   out.change = "first";
   out.text = "first";
@@ -324,8 +324,8 @@
 }
 
 std::string words_of(wire::ValueT const& value) {
-  std::string out = "serial " + std::to_string(value.serial) + " '" + value.text + "' turn " +
-                    std::to_string(value.turn) + " epoch " + std::to_string(value.epoch) + " of";
+  std::string out = "serial " + std::to_string(value.serial) + " '" + value.text + "' revision " +
+                    std::to_string(value.revision) + " epoch " + std::to_string(value.epoch) + " of";
   for (std::unique_ptr<wire::KeeperT> const& item : value.keepers) out += " " + item->name;
   if (!value.former.empty()) out += " after";
   for (std::unique_ptr<wire::KeeperT> const& item : value.former) out += " " + item->name;
--- a/src/consensus/register/acceptor.cc
+++ b/src/consensus/register/acceptor.cc
@@ -27,7 +27,7 @@
   if (state.value) {
     out.serial = state.value->serial;
     out.epoch = state.value->epoch;
-    out.turn = state.value->turn;
+    out.revision = state.value->revision;
     out.members = membership_of(*state.value).fingerprint();
     if (out.members != ask.members) {
       for (std::unique_ptr<wire::KeeperT> const& item : state.value->keepers)
--- a/src/consensus/register/learner.cc
+++ b/src/consensus/register/learner.cc
@@ -7,8 +7,8 @@
 namespace pipit {
 
 bool Learner::adopt(wire::ValueT const& fresh, Micros now) {
-  // Every change raises the turn, and those of operators the serial with it.
-  if (value && value->turn >= fresh.turn) return false;
+  // Every change raises the revision, and those of operators the serial with it.
+  if (value && value->revision >= fresh.revision) return false;
   replace(fresh, now);
   return true;
 }
@@ -16,7 +16,7 @@
 bool Learner::adopt(wire::ValuePatchT const& patch, Micros now) {
   if (!value) return false;
   std::optional<wire::ValueT> fresh = patched(*value, patch);
-  if (!fresh || fresh->turn <= value->turn) return false;
+  if (!fresh || fresh->revision <= value->revision) return false;
   replace(std::move(*fresh), now);
   return true;
 }
@@ -26,7 +26,7 @@
   changed_at = now;
   value = std::move(next);
   set = membership_of(*value);
-  if (floor_at >= 0 && value->turn >= floor_turn) sure = std::max(sure, floor_at);
+  if (floor_at >= 0 && value->revision >= floor_revision) sure = std::max(sure, floor_at);
 }
 
 void Learner::poll(Micros now, std::vector<std::string> const& keepers, Micros age, std::vector<OutgoingMessage>& out) {
@@ -86,19 +86,19 @@
 void Learner::look_floor() {
   Vote const* newest = nullptr;
   Voters voters;
-  std::uint64_t turn = 0;
+  std::uint64_t revision = 0;
   for (std::pair<std::string const, Vote> const& item : votes) {
     if (newest == nullptr || newest->ballot < item.second.ballot) newest = &item.second;
     voters[item.first] = item.second.disk;
-    turn = std::max(turn, item.second.turn);
+    revision = std::max(revision, item.second.revision);
   }
   Membership const* const members = newest == nullptr ? nullptr : members_of(*newest);
   if (members == nullptr) return;
   seen_set = *members;
   if (!members->quorum(voters)) return;
-  floor_turn = turn;
+  floor_revision = revision;
   floor_at = asked;
-  if (value && value->turn >= floor_turn) sure = std::max(sure, floor_at);
+  if (value && value->revision >= floor_revision) sure = std::max(sure, floor_at);
 }
 
 std::optional<wire::ValueT> Learner::take(std::string const& from, wire::PeekedT const& ans, Micros now,
@@ -114,12 +114,12 @@
   }
   if (ans.req != req || !ans.formed) return std::nullopt;
   remember_members(ans);
-  Vote const vote{ans.ballot, ans.turn, ans.disk, ans.members};
+  Vote const vote{ans.ballot, ans.revision, ans.disk, ans.members};
   votes[from] = vote;
   look_floor();
   Membership const* const members = members_of(vote);
   if (members == nullptr || !members->quorum(holders(vote.ballot))) return std::nullopt;
-  if (value && value->turn >= vote.turn) {
+  if (value && value->revision >= vote.revision) {
     sure = std::max(sure, asked);
     return std::nullopt;
   }
--- a/src/consensus/register/learner.h
+++ b/src/consensus/register/learner.h
@@ -31,7 +31,7 @@
   // When the last poll was sent that a quorum answered; -1 for never.
   Micros contact() const { return floor_at; }
   std::uint64_t serial() const { return value ? value->serial : 0; }
-  std::uint64_t turn() const { return value ? value->turn : 0; }
+  std::uint64_t revision() const { return value ? value->revision : 0; }
   std::optional<wire::ValueT> value;
   std::optional<wire::ValueT> before;  // what was held before it: the base of the patch that peers get
   // When the last poll was sent whose quorum knew nothing newer than what is held here; -1 for never.
@@ -51,7 +51,7 @@
  private:
   struct Vote {
     wire::Ballot ballot;
-    std::uint64_t turn = 0;
+    std::uint64_t revision = 0;
     std::uint64_t disk = 0;
     std::uint64_t members = 0;  // the fingerprint of its value's set
   };
@@ -71,8 +71,8 @@
   Micros asked = 0;
   std::map<std::string, Vote> votes;
   std::optional<Vote> wanted;  // chosen by count, its value still to be fetched
-  // The newest turn that a quorum of a poll knew, and when that poll was sent: nothing older was chosen later.
-  std::uint64_t floor_turn = 0;
+  // The newest revision that a quorum of a poll knew, and when that poll was sent: nothing older was chosen later.
+  std::uint64_t floor_revision = 0;
   Micros floor_at = -1;
 };
 
--- a/src/consensus/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -188,7 +188,7 @@
     if (!agreed) return true;
     draft.former.clear();
     ++draft.epoch;
-    ++draft.turn;
+    ++draft.revision;
     return true;
   }
   if (serial_of_order(draft, job.change.id) > 0) return true;
@@ -240,7 +240,7 @@
     job.sent_serial = draft.serial;
   }
   if (order_taken || turned) {
-    ++draft.turn;
+    ++draft.revision;
     job.sent = true;
   }
 }
--- a/src/consensus/register/value_patch.cc
+++ b/src/consensus/register/value_patch.cc
@@ -48,7 +48,7 @@
   Splice const splice = splice_of(base.text, next.text);
   std::size_t const dropped = dropped_orders(base, next);
   std::size_t const kept = base.orders.size() - dropped;
-  out->base_turn = base.turn;
+  out->base_revision = base.revision;
   out->head = static_cast<std::uint32_t>(splice.head);
   out->tail = static_cast<std::uint32_t>(splice.tail);
   out->orders_dropped = static_cast<std::uint32_t>(dropped);
@@ -59,7 +59,7 @@
   rest.change = next.change;
   rest.text = next.text.substr(splice.head, next.text.size() - splice.head - splice.tail);
   rest.emptied = next.emptied;
-  rest.turn = next.turn;
+  rest.revision = next.revision;
   rest.label = next.label;
   rest.forgotten_serial = next.forgotten_serial;
   rest.forgotten_label = next.forgotten_label;
@@ -75,7 +75,7 @@
 std::optional<wire::ValueT> patched(wire::ValueT const& base, wire::ValuePatchT const& patch) {
   std::size_t const head = patch.head;
   std::size_t const tail = patch.tail;
-  if (!patch.rest || base.turn != patch.base_turn || head + tail > base.text.size() ||
+  if (!patch.rest || base.revision != patch.base_revision || head + tail > base.text.size() ||
       patch.orders_dropped > base.orders.size())
     return std::nullopt;
   wire::ValueT out = *patch.rest;
--- a/src/core/changes.cc
+++ b/src/core/changes.cc
@@ -111,7 +111,7 @@
   if (outcome.type == Outcome::Type::chosen && guard(Guard::spread)) {
     // §5.5: yes is said once half of the router nodes have it, so that it gets round whatever happens to the rest.
     Waiting wait;
-    wait.half = outcome.value.turn;
+    wait.half = outcome.value.revision;
     wait.due = now + (plan.registered ? millis(700) : half_bound);
     wait.reply = std::move(reply);
     waiting.emplace(req, std::move(wait));
@@ -139,13 +139,13 @@
   }
 }
 
-bool Node::half_has(std::uint64_t turn) const {
+bool Node::half_has(std::uint64_t revision) const {
   std::size_t all = 0;
   std::size_t have = 0;
   for (std::string const& name : passages(false)) {
     ++all;
     std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
-    if ((peer == mesh.members.peers.end() ? learner.turn() : peer->second.member.turn) >= turn) ++have;
+    if ((peer == mesh.members.peers.end() ? learner.revision() : peer->second.member.revision) >= revision) ++have;
   }
   return have > 0 && have * 2 >= all;
 }
--- a/src/core/handed.cc
+++ b/src/core/handed.cc
@@ -46,7 +46,7 @@
   ask.text = change.text;
   ask.expected = change.expected;
   ask.label = change.label;
-  ask.turn = learner.turn();
+  ask.revision = learner.revision();
   if (!mesh.post(keeper, std::move(ask), out.mesh)) return false;
   handed[req] = Handed{id, change, now + answer_within};
   return true;
@@ -63,7 +63,7 @@
   change.expected = ask.expected;
   change.label = ask.label;
   std::uint64_t const id = handed_mark | ++next_req;
-  asked_by[id] = Asked{from, ask.req, ask.turn};
+  asked_by[id] = Asked{from, ask.req, ask.revision};
   propose(id, std::move(change), now, out);
 }
 
@@ -88,7 +88,7 @@
   // An answer without a value says that this node holds it, or by now a newer one that was chosen as well.
   if (ans.value)
     reply.outcome.value = *ans.value;
-  else if (ans.turn > 0 && learner.turn() >= ans.turn)
+  else if (ans.revision > 0 && learner.revision() >= ans.revision)
     reply.outcome.value = *learner.value;
   out.replies.push_back(std::move(reply));
 }
@@ -109,8 +109,9 @@
     ans.serial = outcome.serial;
     // Changes get round by themselves; a reading brings the value, unless the asker holds it already.
     bool const read = outcome.type == Outcome::Type::kept;
-    if (read) ans.turn = outcome.value.turn;
-    if (read && who->second.turn < outcome.value.turn) ans.value = std::make_unique<wire::ValueT>(outcome.value);
+    if (read) ans.revision = outcome.value.revision;
+    if (read && who->second.revision < outcome.value.revision)
+      ans.value = std::make_unique<wire::ValueT>(outcome.value);
     mesh.post(who->second.from, std::move(ans), out.mesh);
     asked_by.erase(who);
     it = out.replies.erase(it);
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -31,7 +31,7 @@
   MeshPlan out;
   out.cluster = plan.cluster;
   out.seeds = plan.seeds;
-  // §3.6 needs owners that tell entries themselves and turns on pings, as where workers register.
+  // §3.6 needs owners that tell entries themselves and revisions on pings, as where workers register.
   if (!plan.registered) out.wide = SIZE_MAX;
   return out;
 }
@@ -232,15 +232,15 @@
 void Node::take_chosen(std::string const& from, wire::ChosenT const& news, Micros now,
                        std::vector<OutgoingMessage>& outgoing, NodeOut& out) {
   if (!news.value && !news.patch) return;
-  std::uint64_t const turn = news.value ? news.value->turn : news.patch->rest ? news.patch->rest->turn : 0;
+  std::uint64_t const revision = news.value ? news.value->revision : news.patch->rest ? news.patch->rest->revision : 0;
   bool const fresh = news.value ? learner.adopt(*news.value, now) : learner.adopt(*news.patch, now);
   if (fresh) after_value(now, out);
   proposer.know(learner.membership());
   if (news.hops > 0) forward(news, out);
-  if (learner.turn() < turn) {
+  if (learner.revision() < revision) {
     // The patch has another base than what is held here: the whole value is asked for, and confirmed when it comes.
     wire::BehindT ask;
-    ask.turn = learner.turn();
+    ask.revision = learner.revision();
     ask.req = news.req;
     ask.origin = news.origin.empty() ? from : news.origin;
     outgoing.push_back(message_to(from, std::move(ask)));
@@ -257,7 +257,7 @@
 }
 
 void Node::send_whole(std::string const& to, wire::BehindT const& ask, std::vector<OutgoingMessage>& outgoing) const {
-  if (!learner.value || learner.turn() <= ask.turn) return;
+  if (!learner.value || learner.revision() <= ask.revision) return;
   wire::ChosenT news;
   news.req = ask.req;
   news.origin = ask.origin;
@@ -268,7 +268,7 @@
 void Node::spread(wire::ValueT const& value, std::optional<wire::ValueT> const& base, std::uint64_t req, NodeOut& out) {
   wire::ChosenT news;
   news.req = req;
-  if (base && base->turn < value.turn)
+  if (base && base->revision < value.revision)
     news.patch = patch_between(*base, value);
   else
     news.value = std::make_unique<wire::ValueT>(value);
@@ -298,7 +298,7 @@
 // The value held here grew newer: it comes into force.
 void Node::after_value(Micros now, NodeOut& out) {
   wire::ValueT const& value = *learner.value;
-  // A seat raises the turn alone; what the description says was compiled when its serial came.
+  // A seat raises the revision alone; what the description says was compiled when its serial came.
   if (value.serial != mesh.members.self.serial) {
     std::shared_ptr<Description const> description = std::make_shared<Description>();
     if (!value.text.empty()) {
@@ -315,9 +315,9 @@
     log_event(Event::in_force, "serial " + std::to_string(value.serial));
   }
   mesh.members.self.serial = value.serial;
-  mesh.members.self.turn = value.turn;
+  mesh.members.self.revision = value.revision;
   look_seat(now, out);
-  // Among nodes whose workers register, pings tell turns; a bump of the record is not needed for them (§3.6).
+  // Among nodes whose workers register, pings carry revisions; a bump of the record is not needed for them (§3.6).
   if (!plan.registered) mesh.announce_self(out.mesh);
 }
 
@@ -353,7 +353,7 @@
     // §5.5: a peer that comes with an older serial is told the chosen value at once.
     std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(hello_name);
     if (peer != mesh.members.peers.end() && peer->second.wire == id && learner.value &&
-        peer->second.member.turn < learner.turn()) {
+        peer->second.member.revision < learner.revision()) {
       wire::ChosenT news;
       news.value = std::make_unique<wire::ValueT>(*learner.value);
       mesh.post(hello_name, std::move(news), out.mesh);
@@ -542,7 +542,7 @@
     senders.erase(plan.name);
     fleet.sum_others(senders, now);
     look_ready(now, out);
-    bool const alone = guard(Guard::isolation) && !abreast(now);
+    bool const alone = guard(Guard::isolation) && !is_up_to_date(now);
     if (able && alone != isolated) {
       isolated = alone;
       log_event(alone ? Event::isolated : Event::not_isolated, "");
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -128,7 +128,7 @@
   struct Waiting {  // an 'empty' that waits for confirmations
     Reply reply;
     std::set<std::string> owe;
-    std::uint64_t half = 0;      // or one of an 'apply': the turn that half of the router nodes must have
+    std::uint64_t half = 0;      // or one of an 'apply': the revision that half of the router nodes must have
     std::set<std::string> sure;  // those that confirmed
     std::uint64_t serial = 0;
     Micros due = 0;
@@ -178,7 +178,7 @@
   bool quorum_heard(Micros now) const;
   void refuse_now(std::uint64_t id, Change const& change, Kind kind, NodeOut& out);
   Micros poll_span() const;
-  bool half_has(std::uint64_t turn) const;
+  bool half_has(std::uint64_t revision) const;
   bool seated() const;
   void ask_newer(Micros now, std::vector<OutgoingMessage>& outgoing);
   void look_hold();
@@ -190,7 +190,7 @@
   bool strike_due(Micros now, Change& change) const;
   // Knowledge of the list that a peer passed on, as old as it said (§4.3).
   void hear(Micros age, Micros now);
-  bool abreast(Micros now);
+  bool is_up_to_date(Micros now);
   Micros news_age(Micros now) const { return news_at < 0 ? -1 : now - news_at; }
   void take_fresh(Micros now);
   void tell_loads(Micros now, std::vector<OutgoingMessage>& outgoing);
@@ -220,10 +220,10 @@
   std::map<std::string, Micros> check_due;
   bool able = false;
   bool isolated = false;
-  Micros news_at = -1;       // when the freshest reading of the list that is known here was begun, by whomever
-  Micros abreast_at = -1;    // until when no mark can have been missed
-  Micros half_since = -1;    // since when at least half of all members are heard
-  Micros list_said_at = -1;  // when the list's own address last refused, or answered oddly
+  Micros news_at = -1;        // when the freshest reading of the list that is known here was begun, by whomever
+  Micros up_to_date_at = -1;  // until when no mark can have been missed
+  Micros half_since = -1;     // since when at least half of all members are heard
+  Micros list_said_at = -1;   // when the list's own address last refused, or answered oddly
   bool seat_busy = false;
   bool seat_had = false;
   bool seat_known = false;  // a former life had one: nobody's share changes with this one
@@ -255,7 +255,7 @@
   struct Asked {  // by whom this node was asked to propose
     std::string from;
     std::uint64_t req = 0;
-    std::uint64_t turn = 0;  // what it held
+    std::uint64_t revision = 0;  // what it held
   };
   std::map<std::uint64_t, Asked> asked_by;
 };
--- a/src/core/registered.cc
+++ b/src/core/registered.cc
@@ -10,7 +10,7 @@
 namespace {
 constexpr Micros poll_gap = millis(500);
 constexpr Micros poll_wide = seconds(1);
-constexpr Micros poll_rare = seconds(3);  // where pings bring news of turns already
+constexpr Micros poll_rare = seconds(3);  // where pings bring news of revisions already
 }  // namespace
 
 void Node::put_entry(wire::EntryT entry, Micros now, NodeOut& out) {
--- a/src/core/seats.cc
+++ b/src/core/seats.cc
@@ -62,12 +62,12 @@
   }
 }
 
-// §5.5: a peer tells a newer turn than is held here, and no push or poll has brought it: the peer itself is asked, so
-// that a chosen value gets round though its proposer and the keepers are gone.
+// §5.5: a peer announces a newer revision than is held here, and no push or poll has brought it: the peer itself is
+// asked, so that a chosen value gets round though its proposer and the keepers are gone.
 void Node::ask_newer(Micros now, std::vector<OutgoingMessage>& outgoing) {
   std::string from;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-    if (item.second.wire != 0 && item.second.member.turn > learner.turn()) from = item.first;
+    if (item.second.wire != 0 && item.second.member.revision > learner.revision()) from = item.first;
   if (from.empty() || !guard(Guard::spread)) {
     behind_since = -1;
   } else if (behind_since < 0) {
@@ -75,7 +75,7 @@
   } else if (now - behind_since > behind_gap) {
     behind_since = now;
     wire::BehindT ask;
-    ask.turn = learner.turn();
+    ask.revision = learner.revision();
     outgoing.push_back(message_to(from, std::move(ask)));
   }
 }
@@ -138,18 +138,18 @@
 // §4.3: who knows no late reading of the list cannot know which workers are marked. Unless the list itself is down,
 // so that nobody can have read any more: its own address says so, or half of all members have no news either. That
 // holds on from what was known before; a node that was alone must first hear from half of them for a while.
-bool Node::abreast(Micros now) {
+bool Node::is_up_to_date(Micros now) {
   Micros const half_at = mesh.half_heard(now);
   bool const half = half_at >= 0 && now - half_at <= alone_after;
   if (!half)
     half_since = -1;
   else if (half_since < 0)
     half_since = now;
-  abreast_at = std::max(abreast_at, news_at);
+  up_to_date_at = std::max(up_to_date_at, news_at);
   Micros const word = std::max(half_at, list_said_at);
-  bool const held = abreast_at >= 0 && word - abreast_at <= alone_after;
-  if (held || (half && now - half_since > catch_up)) abreast_at = std::max(abreast_at, word);
-  return now - abreast_at <= alone_after;
+  bool const held = up_to_date_at >= 0 && word - up_to_date_at <= alone_after;
+  if (held || (half && now - half_since > catch_up)) up_to_date_at = std::max(up_to_date_at, word);
+  return now - up_to_date_at <= alone_after;
 }
 
 void Node::hear(Micros age, Micros now) {
--- a/src/mesh/mesh.cc
+++ b/src/mesh/mesh.cc
@@ -103,10 +103,10 @@
 }
 
 // What a peer says of itself on frames that pass anyway.
-void Mesh::heard(std::string const& name, std::uint64_t turn, std::uint64_t serial, bool ready) {
+void Mesh::heard(std::string const& name, std::uint64_t revision, std::uint64_t serial, bool ready) {
   std::map<std::string, Peer>::iterator const who = members.peers.find(name);
   if (who == members.peers.end()) return;
-  who->second.member.turn = std::max(who->second.member.turn, turn);
+  who->second.member.revision = std::max(who->second.member.revision, revision);
   who->second.member.serial = std::max(who->second.member.serial, serial);
   who->second.member.ready = ready;
 }
@@ -279,7 +279,7 @@
   ping.table = wide() ? rumours() : table_for(peer.wire, false);
   ping.digest = members.digest();
   ping.ledger = ledger.digest();
-  ping.turn = members.self.turn;
+  ping.revision = members.self.revision;
   ping.serial = members.self.serial;
   ping.ready = members.self.ready;
   post(peer.member.name, std::move(ping), out);
@@ -478,12 +478,12 @@
     case wire::Body::Ping: {
       wire::PingT const& ping = *frame.body.AsPing();
       take_table(ping.table, now, out);
-      heard(name, ping.turn, ping.serial, ping.ready);
+      heard(name, ping.revision, ping.serial, ping.ready);
       wire::PongT pong;
       pong.seq = ping.seq;
       pong.digest = members.digest();
       pong.ledger = ledger.digest();
-      pong.turn = members.self.turn;
+      pong.revision = members.self.revision;
       pong.serial = members.self.serial;
       pong.ready = members.self.ready;
       // §3.6: whoever knows something else is told everything, and answers with what it knows besides.
@@ -496,7 +496,7 @@
     case wire::Body::Pong: {
       wire::PongT const& pong = *frame.body.AsPong();
       take_table(pong.table, now, out);
-      heard(name, pong.turn, pong.serial, pong.ready);
+      heard(name, pong.revision, pong.serial, pong.ready);
       if (wide() && pong.whole && pong.digest != members.digest()) {
         wire::NewsT news;
         news.table = members.table();
@@ -526,7 +526,7 @@
       ping.table = wide() ? rumours() : table_for(target->second.wire, false);
       ping.digest = members.digest();
       ping.ledger = ledger.digest();
-      ping.turn = members.self.turn;
+      ping.revision = members.self.revision;
       ping.serial = members.self.serial;
       ping.ready = members.self.ready;
       if (post(req.target, std::move(ping), out)) relays[seq] = Relay{id, req.seq, now + plan.probe};
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -110,7 +110,7 @@
   void announce_member(wire::MemberT const& member, Sends& out);
   void find_member(wire::MemberT const& member, Sends& out);
   std::vector<std::unique_ptr<wire::MemberT>> rumours();
-  void heard(std::string const& name, std::uint64_t turn, std::uint64_t serial, bool ready);
+  void heard(std::string const& name, std::uint64_t revision, std::uint64_t serial, bool ready);
   Micros quiet_span() const;
   Micros knock_span() const;
   void dials(Micros now, Sends& out);
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -152,9 +152,9 @@
   EXPECT_EQ(members.table().size(), 2u);
   EXPECT_EQ(members.table(first).size(), 1u) << "its own record alone";
   ++peer.bump;
-  peer.turn = 9;
+  peer.revision = 9;
   EXPECT_EQ(members.merge(peer, 0), MemberTable::News::fresh);
-  EXPECT_EQ(members.table(first).size(), 1u) << "a newer turn is told by the peer itself";
+  EXPECT_EQ(members.table(first).size(), 1u) << "a newer revision is told by the peer itself";
   members.mark(members.peers.at("b"), State::suspected, 1);
   ASSERT_EQ(members.table(first).size(), 2u);
   std::uint64_t const second = members.version;
--- a/tests/register.cc
+++ b/tests/register.cc
@@ -268,10 +268,10 @@
     base.label = n;
     remember_order(base, "order-" + std::to_string(n));
   }
-  base.turn = 17;
+  base.revision = 17;
   wire::ValueT next = base;
   next.text = std::string(4000, 'a') + "newer" + std::string(4000, 'b');
-  next.turn = 18;
+  next.revision = 18;
   next.serial = base.serial + 1;
   next.label = 7000;
   remember_order(next, "one more");
@@ -331,7 +331,7 @@
   learner.take("k1", answer_of(cluster.acceptor("k1"), peek), seconds(5), more);
   cluster.ask("p1", cluster.apply("B", 1, 2), {"k1", "k2"});
   learner.take("k2", answer_of(cluster.acceptor("k2"), peek), seconds(5), more);
-  EXPECT_EQ(learner.sure, -1) << "two ballots, and the newer turn is not held here";
+  EXPECT_EQ(learner.sure, -1) << "two ballots, and the newer revision is not held here";
   learner.adopt(cluster.last("p1").value, seconds(6));
   EXPECT_EQ(learner.sure, seconds(5));
 }
