--- a/proof/augury/machines.cc
+++ b/proof/augury/machines.cc
@@ -338,7 +338,7 @@
     bool const silent = hand == nullptr || hand->frozen || cut(name, hand->row.id);
     bool const refused = !silent && hand->life == 0;
     after(silent ? seconds(1) : lag(millis(1), millis(15)), [this, name, life, check, silent, refused] {
-      std::optional<Vitals> report;
+      std::optional<HealthReport> report;
       bool no = refused;
       if (!silent && !refused)
         for (std::pair<std::string const, std::unique_ptr<Hand>>& item : hands)
@@ -347,7 +347,7 @@
               no = true;
               break;
             }
-            Vitals v;
+            HealthReport v;
             v.incarnation = item.second->life;
             v.awake = now - item.second->woke;
             for (std::pair<Micros, std::int64_t> const& past : item.second->history)
@@ -355,7 +355,7 @@
             report = v;
           }
       enter(*boxes[name], life,
-            [check, report, no](Box& b, Micros t, NodeOut& o) { b.node->vitals(check, report, no, t, o); });
+            [check, report, no](Box& b, Micros t, NodeOut& o) { b.node->health_report(check, report, no, t, o); });
     });
   }
 }
--- a/proof/hollow/scale.cc
+++ b/proof/hollow/scale.cc
@@ -111,7 +111,7 @@
 
 void Scale::fill(Machine& machine) {
   if (!machine.up() || machine.role != Role::passage || plan.workers == 0 || plan.prefixes == 0) return;
-  Index& index = machine.node->tide.index("tribute");
+  Index& index = machine.node->index_sync.index("tribute");
   Micros const t = now + machine.offset;
   Index::Bounds const bounds{100000000, seconds(900)};
   for (int i = 0; i < plan.prefixes; ++i) {
@@ -429,13 +429,13 @@
     after(mute ? seconds(1) : between(millis(1), millis(15)), [this, who, life, mute, list = std::move(list)] {
       for (Check const& check : list)
         enter(who, life, Step::vitals, [this, &check, mute](Machine& x, Micros t, NodeOut& o) {
-          std::optional<Vitals> report;
+          std::optional<HealthReport> report;
           if (!mute) {
             report.emplace();
             report->incarnation = 1;
             report->awake = now + seconds(3600);
           }
-          x.node->vitals(check, report, false, t, o);
+          x.node->health_report(check, report, false, t, o);
         });
     });
   }
--- a/proof/requests/world.h
+++ b/proof/requests/world.h
@@ -81,10 +81,10 @@
 
   Choose choose;
   ManualTime time{seconds(1000)};
-  Tide tide{1};
+  IndexSync index_sync{1};
   Registry registry{"n1"};
   Exchange exchange{"n1"};
-  Dispatcher dispatcher{"n1", "a", tide, registry, exchange};
+  Dispatcher dispatcher{"n1", "a", index_sync, registry, exchange};
   std::shared_ptr<Description const> descriptions[2];
   std::unique_ptr<Relay> relay;
   std::map<std::string, Try> tries;
--- a/proof/stage/workers.h
+++ b/proof/stage/workers.h
@@ -22,7 +22,7 @@
 
 struct WorkersTally {
   std::uint64_t arrivals = 0;     // of requests
-  std::uint64_t probes = 0;       // of reports and vitals
+  std::uint64_t probes = 0;       // of reports and health checks
   std::uint64_t declined = 0;     // turned away, since full
   std::uint64_t elsewhere = 0;    // turned away, since another worker was meant
   std::uint64_t connections = 0;  // taken
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -41,11 +41,11 @@
     : plan(std::move(plan_)),
       mesh(mesh_of(plan), self_of(plan), plan.chance),
       proposer(plan.name, plan.chance ^ plan.incarnation),
-      tide(plan.chance + 1),
-      desk(plan.name, plan.zone, tide, fleet),
+      index_sync(plan.chance + 1),
+      desk(plan.name, plan.zone, index_sync, fleet),
       registry(plan.name),
       exchange(plan.name),
-      dispatcher(plan.name, plan.zone, tide, registry, exchange),
+      dispatcher(plan.name, plan.zone, index_sync, registry, exchange),
       lease_grantor(now),
       repair_lease("mend", plan.chance ^ plan.incarnation ^ hash_text(plan.name)),
       born(now),
@@ -88,7 +88,7 @@
   return out;
 }
 
-std::vector<std::string> Node::tide_peers() const {
+std::vector<std::string> Node::index_peers() const {
   std::vector<std::string> out;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.role() == Role::passage && item.second.wire != 0 && item.second.state() == State::alive)
@@ -218,9 +218,9 @@
     case wire::Body::TreeAsk:
     case wire::Body::TreePage:
       if (plan.role == Role::passage)
-        tide.take(
+        index_sync.take(
             from, body, now, [this](std::string const& model) { return bounds(model); },
-            [this] { return tide_peers(); }, outgoing);
+            [this] { return index_peers(); }, outgoing);
       if (plan.registered && body.type == wire::Body::Deltas) exchange.pass(*body.AsDeltas());
       break;
     default:
@@ -376,9 +376,9 @@
       mesh.ledger.put(std::move(*word), now);
   }
   mesh.fresh.clear();
-  for (std::string const& id : registry.ended) tide.forget(id);
+  for (std::string const& id : registry.ended) index_sync.forget(id);
   registry.ended.clear();
-  for (std::string const& name : fleet.reborn) tide.forget(name);
+  for (std::string const& name : fleet.reborn) index_sync.forget(name);
   fleet.reborn.clear();
 }
 
@@ -414,10 +414,11 @@
   desk.work(now, out.desk);
 }
 
-void Node::vitals(Check const& check, std::optional<Vitals> const& report, bool refused, Micros now, NodeOut& out) {
+void Node::health_report(Check const& check, std::optional<HealthReport> const& report, bool refused, Micros now,
+                         NodeOut& out) {
   watch_clock(now);
   checking.erase(check.worker);
-  fleet.vitals(check.worker, check.life, check.asked, report, refused, now);
+  fleet.health_report(check.worker, check.life, check.asked, report, refused, now);
   take_fresh(now);
   desk.work(now, out.desk);
   check_asked(now, out);
@@ -508,12 +509,12 @@
     if (now >= next_round) {
       next_round = now + seconds(1);
       std::vector<std::pair<std::string, std::vector<std::string>>> peers;
-      for (std::string const& name : tide_peers()) peers.emplace_back(name, mesh.members.peers.at(name).member.models);
-      tide.round(
+      for (std::string const& name : index_peers()) peers.emplace_back(name, mesh.members.peers.at(name).member.models);
+      index_sync.round(
           now, peers, [this](std::string const& model) { return bounds(model); }, outgoing);
       own_entries(now, out);
     }
-    tide.tick(now, tide_peers(), outgoing);
+    index_sync.tick(now, index_peers(), outgoing);
     if (now >= next_reconcile) {
       next_reconcile = now + seconds(30);
       fleet.reconcile(mesh.ledger.all(), now);
@@ -578,7 +579,7 @@
   if (print == loads_last && now - loads_told < millis(500)) return;
   loads_last = print;
   loads_told = now;
-  for (std::string const& name : tide_peers()) outgoing.push_back(message_to(name, wire::LoadsT(loads)));
+  for (std::string const& name : index_peers()) outgoing.push_back(message_to(name, wire::LoadsT(loads)));
 }
 
 void Node::check_now(std::string const& id, Micros now, NodeOut& out) {
@@ -605,7 +606,7 @@
   desk.ended(id, end, why, back, now, out.desk);
   for (std::pair<std::string, std::uint64_t> const& doubt : out.desk.doubts) {
     check_now(doubt.first, now, out);
-    for (std::string const& name : tide_peers()) {
+    for (std::string const& name : index_peers()) {
       wire::DoubtT word;
       word.worker = doubt.first;
       word.incarnation = doubt.second;
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -29,8 +29,8 @@
   std::vector<std::string> founders;  // names of the first keepers
   std::uint64_t incarnation = 1;
   std::uint64_t chance = 1;
-  // Where workers register themselves (§12): no list is read and no vitals are asked, seats are not needed since no
-  // zone is ever emptied there, and the first keepers are those at the seeds.
+  // Where workers register themselves (§12): no list is read and no health reports are asked, seats are not needed
+  // since no zone is ever emptied there, and the first keepers are those at the seeds.
   bool registered = false;
   bool keeper = false;       // a router node that keeps as well
   bool first_start = false;  // the fleet starts for the first time
@@ -81,7 +81,8 @@
   void disk_done(Micros now, NodeOut& out);
   // 'answered': a failed reading whose fault is the list's own, since its address refused or answered oddly.
   void list(std::optional<std::vector<ListRow>> const& rows, bool answered, Micros now, NodeOut& out);
-  void vitals(Check const& check, std::optional<Vitals> const& report, bool refused, Micros now, NodeOut& out);
+  void health_report(Check const& check, std::optional<HealthReport> const& report, bool refused, Micros now,
+                     NodeOut& out);
 
   // Operators. The description was checked by the caller of operate().
   void operate(std::uint64_t id, Change change, Micros now, NodeOut& out);
@@ -116,7 +117,7 @@
   Proposer proposer;
   Learner learner;
   std::optional<Acceptor> acceptor;
-  Tide tide;
+  IndexSync index_sync;
   Fleet fleet;
   Desk desk;
   Registry registry;
@@ -197,7 +198,7 @@
   void check_now(std::string const& id, Micros now, NodeOut& out);
   void check_asked(Micros now, NodeOut& out);
   std::vector<std::string> keepers() const;
-  std::vector<std::string> tide_peers() const;
+  std::vector<std::string> index_peers() const;
   std::set<std::string> passages(bool all) const;
   Index::Bounds bounds(std::string const& model) const;
 
--- a/src/core/registered.cc
+++ b/src/core/registered.cc
@@ -131,10 +131,10 @@
   if (ways.hub) mesh.ledger.pass_to.insert(ways.zone.begin(), ways.zone.end());
   if (now >= next_round) {
     next_round = now + seconds(1);
-    tide.round(
+    index_sync.round(
         now, {}, [this](std::string const& model) { return bounds(model); }, outgoing);
   }
-  tide.tick(now, tide_peers(), outgoing);
+  index_sync.tick(now, index_peers(), outgoing);
   if (now >= next_reconcile) {
     // §4.4: what the ledger holds and the table lost.
     next_reconcile = now + seconds(30);
--- a/src/flow/dispatch/dispatcher.cc
+++ b/src/flow/dispatch/dispatcher.cc
@@ -168,7 +168,7 @@
 void Dispatcher::place(Request& request, Micros now, DispatchOut& out) {
   if (held) return;
   Parts const& parts = request.query.parts;
-  std::map<std::string, std::size_t> const hits = tide.index(request.tree).match(parts.path);
+  std::map<std::string, std::size_t> const hits = index_sync.index(request.tree).match(parts.path);
   std::int64_t sum = 0;
   for (std::uint32_t const n : parts.tokens) sum += n;
   std::int64_t const prompt = std::max(sum, request.query.tokens_in);
@@ -277,12 +277,13 @@
                                                                           : request.pool->cache_blocks);
   bounds.age = request.pool->cache_age;
   if (!wide && !parts.path.empty())
-    exchange.delta(request.tree, tide.index(request.tree).touch(parts.path, instance.id, 1, bounds, now, parts.tokens));
+    exchange.delta(request.tree,
+                   index_sync.index(request.tree).touch(parts.path, instance.id, 1, bounds, now, parts.tokens));
   if (wide && !at_home && parts.path.size() > 1) {
     // The shared parts alone, whole, so that no peer has to know anything to take them in.
     Path const path(parts.path.begin(), parts.path.end() - 1);
     std::vector<std::uint32_t> const tokens(parts.tokens.begin(), parts.tokens.end() - 1);
-    wire::DeltaT word = tide.index(request.tree).touch(path, instance.id, 1, bounds, now, tokens);
+    wire::DeltaT word = index_sync.index(request.tree).touch(path, instance.id, 1, bounds, now, tokens);
     word.base = 0;
     word.tail = path;
     word.weights = tokens;
--- a/src/flow/dispatch/dispatcher.h
+++ b/src/flow/dispatch/dispatcher.h
@@ -10,7 +10,7 @@
 #include "config/description/description.h"
 #include "flow/dispatch/fate.h"
 #include "flow/exchange/exchange.h"
-#include "flow/index/tide.h"
+#include "flow/index/index_sync.h"
 #include "flow/registry/registry.h"
 #include "base/kinds.h"
 
@@ -68,8 +68,12 @@
 
 class Dispatcher {
  public:
-  Dispatcher(std::string self_, std::string zone_, Tide& tide_, Registry& registry_, Exchange& exchange_)
-      : self(std::move(self_)), zone(std::move(zone_)), tide(tide_), registry(registry_), exchange(exchange_) {}
+  Dispatcher(std::string self_, std::string zone_, IndexSync& index_sync_, Registry& registry_, Exchange& exchange_)
+      : self(std::move(self_)),
+        zone(std::move(zone_)),
+        index_sync(index_sync_),
+        registry(registry_),
+        exchange(exchange_) {}
 
   void in_force(std::shared_ptr<Description const> rules_) { rules = std::move(rules_); }
   void hold(bool held_) { held = held_; }
@@ -148,7 +152,7 @@
 
   std::string const self;
   std::string const zone;
-  Tide& tide;
+  IndexSync& index_sync;
   Registry& registry;
   Exchange& exchange;
   std::shared_ptr<Description const> rules = std::make_shared<Description>();
--- a/src/flow/errand/desk.cc
+++ b/src/flow/errand/desk.cc
@@ -133,7 +133,7 @@
   Micros soonest = -1;
   std::int64_t cold_shares = 0;  // of workers that are free but cold
   Micros cold_ends = -1;
-  std::map<std::string, std::size_t> const hits = tide.index(errand.model).match(errand.ask.path);
+  std::map<std::string, std::size_t> const hits = index_sync.index(errand.model).match(errand.ask.path);
   for (Binding::Choice const& way : errand.lane->binding.pools) {
     Pool const* const pool = errand.rules->pool(way.pool);
     std::int64_t slots = 0;
@@ -241,8 +241,9 @@
   while (!worker.sends.empty() && now - worker.sends.front() >= Fleet::cold_window) worker.sends.pop_front();
   worker.sends.push_back(now);
   Index::Bounds const bounds{static_cast<std::size_t>(pool.cache_blocks), pool.cache_age};
-  tide.queue(errand.model,
-             tide.index(errand.model).touch(errand.ask.path, worker.row.id, worker.row.incarnation, bounds, now));
+  index_sync.queue(
+      errand.model,
+      index_sync.index(errand.model).touch(errand.ask.path, worker.row.id, worker.row.incarnation, bounds, now));
   out.starts.push_back(Start{errand.id, errand.legs, worker.row.id, worker.row.address, errand.lane->policy.answer,
                              errand.lane->policy.stall});
 }
--- a/src/flow/errand/desk.h
+++ b/src/flow/errand/desk.h
@@ -9,7 +9,7 @@
 
 #include "config/description/description.h"
 #include "flow/fleet/fleet.h"
-#include "flow/index/tide.h"
+#include "flow/index/index_sync.h"
 #include "base/kinds.h"
 
 namespace pipit {
@@ -62,8 +62,8 @@
 
 class Desk {
  public:
-  Desk(std::string self_, std::string zone_, Tide& tide_, Fleet& fleet_)
-      : self(std::move(self_)), zone(std::move(zone_)), tide(tide_), fleet(fleet_) {}
+  Desk(std::string self_, std::string zone_, IndexSync& index_sync_, Fleet& fleet_)
+      : self(std::move(self_)), zone(std::move(zone_)), index_sync(index_sync_), fleet(fleet_) {}
   ~Desk() { backlog.clear(); }
 
   void in_force(std::shared_ptr<Description const> description_, std::set<std::string> emptied_);
@@ -138,7 +138,7 @@
 
   std::string const self;
   std::string const zone;
-  Tide& tide;
+  IndexSync& index_sync;
   Fleet& fleet;
   std::shared_ptr<Description const> rules = std::make_shared<Description>();
   std::set<std::string> shut;
--- a/src/flow/fleet/fleet.cc
+++ b/src/flow/fleet/fleet.cc
@@ -49,17 +49,17 @@
   return out;
 }
 
-Result<Vitals> read_vitals(std::string_view text) {
+Result<HealthReport> read_health_report(std::string_view text) {
   simdjson::dom::parser parser;
   simdjson::dom::element root;
-  Vitals out;
+  HealthReport out;
   std::int64_t active = 0;
   std::int64_t queued = 0;
   std::int64_t awake = 0;
   if (parser.parse(simdjson::padded_string(text)).get(root) || root["incarnation"].get_uint64().get(out.incarnation) ||
       root["active"].get_int64().get(active) || root["queued"].get_int64().get(queued) ||
       root["awake_ms"].get_int64().get(awake))
-    return fail(Kind::worker_wrong, "the vitals cannot be read");
+    return fail(Kind::worker_wrong, "the health report cannot be read");
   out.demand = active + queued;
   out.awake = millis(awake);
   return out;
@@ -178,8 +178,8 @@
   }
 }
 
-void Fleet::vitals(std::string const& id, std::uint64_t life, Micros asked, std::optional<Vitals> const& report,
-                   bool refused, Micros now) {
+void Fleet::health_report(std::string const& id, std::uint64_t life, Micros asked,
+                          std::optional<HealthReport> const& report, bool refused, Micros now) {
   Worker* const worker = find(id);
   if (worker == nullptr || life != worker->row.incarnation) return;
   if (!report) {
--- a/src/flow/fleet/fleet.h
+++ b/src/flow/fleet/fleet.h
@@ -23,7 +23,7 @@
   bool leaving = false;
 };
 
-struct Vitals {
+struct HealthReport {
   std::uint64_t incarnation = 0;
   std::int64_t demand = 0;  // running and waiting at the worker
   Micros awake = 0;         // since it woke
@@ -66,7 +66,7 @@
 
 // Parses the platform's list. A torn or odd text is a failed reading, never a departure.
 Result<std::vector<ListRow>> read_list(std::string_view text);
-Result<Vitals> read_vitals(std::string_view text);
+Result<HealthReport> read_health_report(std::string_view text);
 
 class Fleet {
  public:
@@ -76,8 +76,8 @@
   void take_list(std::vector<ListRow> const& rows, Micros now);
   void take_entry(wire::EntryT const& entry, Micros now);
   // True when a dark worker came back or a life began.
-  void vitals(std::string const& id, std::uint64_t life, Micros asked, std::optional<Vitals> const& report,
-              bool refused, Micros now);
+  void health_report(std::string const& id, std::uint64_t life, Micros asked, std::optional<HealthReport> const& report,
+                     bool refused, Micros now);
   // A wire to the worker broke, here or at a peer. True when that is news.
   bool doubt(std::string const& id, std::uint64_t life, Micros now);
   // Restores what entries hold as serving and this table lost (§4.4).
--- a/src/flow/index/tide.cc
+++ b/src/flow/index/index_sync.cc
@@ -1,4 +1,4 @@
-#include "flow/index/tide.h"
+#include "flow/index/index_sync.h"
 
 #include "base/events.h"
 
@@ -11,7 +11,7 @@
 constexpr Micros pull_gap = seconds(5);
 }  // namespace
 
-void Tide::queue(std::string const& model, wire::DeltaT delta) {
+void IndexSync::queue(std::string const& model, wire::DeltaT delta) {
   if (delta.base == 0 && delta.tail.empty()) return;
   std::vector<wire::DeltaT>& list = backlog[model];
   if (list.size() >= backlog_most) {
@@ -21,8 +21,8 @@
   list.push_back(std::move(delta));
 }
 
-void Tide::round(Micros now, std::vector<std::pair<std::string, std::vector<std::string>>> const& peers,
-                 BoundsOf const& bounds, std::vector<OutgoingMessage>& out) {
+void IndexSync::round(Micros now, std::vector<std::pair<std::string, std::vector<std::string>>> const& peers,
+                      BoundsOf const& bounds, std::vector<OutgoingMessage>& out) {
   for (std::pair<std::string const, std::vector<wire::DeltaT>>& item : backlog) {
     if (item.second.empty()) continue;
     wire::DeltasT batch;
@@ -40,8 +40,8 @@
     it = now - it->second.at > seconds(15) ? shots.erase(it) : std::next(it);
 }
 
-void Tide::ask(std::string const& model, Pull& pull, Micros now, std::vector<std::string> const& peers,
-               std::vector<OutgoingMessage>& out) {
+void IndexSync::ask(std::string const& model, Pull& pull, Micros now, std::vector<std::string> const& peers,
+                    std::vector<OutgoingMessage>& out) {
   if (peers.empty()) {
     pull.live = false;
     pull.ended = now;
@@ -63,7 +63,7 @@
   out.push_back(message_to(pick, std::move(req)));
 }
 
-void Tide::tick(Micros now, std::vector<std::string> const& peers, std::vector<OutgoingMessage>& out) {
+void IndexSync::tick(Micros now, std::vector<std::string> const& peers, std::vector<OutgoingMessage>& out) {
   for (std::pair<std::string const, Pull>& item : pulling) {
     Pull& pull = item.second;
     if (!pull.live || now - pull.moved < stall) continue;
@@ -78,8 +78,8 @@
   }
 }
 
-void Tide::take(std::string const& from, wire::BodyUnion const& body, Micros now, BoundsOf const& bounds,
-                PeersOf const& peers, std::vector<OutgoingMessage>& out) {
+void IndexSync::take(std::string const& from, wire::BodyUnion const& body, Micros now, BoundsOf const& bounds,
+                     PeersOf const& peers, std::vector<OutgoingMessage>& out) {
   if (wire::DeltasT const* const batch = body.AsDeltas()) {
     Index& tree = trees[batch->model];
     Index::Bounds const bound = bounds(batch->model);
@@ -142,7 +142,7 @@
   }
 }
 
-void Tide::forget(std::string const& worker) {
+void IndexSync::forget(std::string const& worker) {
   for (std::pair<std::string const, Index>& item : trees) item.second.forget(worker);
 }
 
--- a/src/flow/index/tide.h
+++ b/src/flow/index/index_sync.h
@@ -11,9 +11,9 @@
 
 namespace pipit {
 
-class Tide {
+class IndexSync {
  public:
-  explicit Tide(std::uint64_t seed) : random(seed) {}
+  explicit IndexSync(std::uint64_t seed) : random(seed) {}
 
   using BoundsOf = std::function<Index::Bounds(std::string const& model)>;
   using PeersOf = std::function<std::vector<std::string>()>;
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -221,18 +221,18 @@
   for (Check const& check : out.checks) {
     if (fires_for(Point::cut_workers, check.worker) || fires(Point::vitals_fail)) {
       NodeOut more;
-      node->vitals(check, std::nullopt, false, now(), more);
+      node->health_report(check, std::nullopt, false, now(), more);
       act(more);
       continue;
     }
     legs->get(check.address, "/vitals", millis(1000), [this, check](bool good, bool refused, std::string const& body) {
-      std::optional<Vitals> report;
+      std::optional<HealthReport> report;
       if (good) {
-        Result<Vitals> read = read_vitals(body);
+        Result<HealthReport> read = read_health_report(body);
         if (read) report = read.value();
       }
       NodeOut more;
-      node->vitals(check, report, refused, now(), more);
+      node->health_report(check, report, refused, now(), more);
       act(more);
     });
   }
--- a/src/runtime/http/legs.h
+++ b/src/runtime/http/legs.h
@@ -28,7 +28,7 @@
   void cut(std::uint64_t errand);
   std::size_t open() const { return legs.size(); }
 
-  // One small GET, for lists and vitals; the answer is nullopt when it failed.
+  // One small GET, for lists and health reports; the answer is nullopt when it failed.
   void get(std::string const& address, std::string const& path, Micros within,
            std::function<void(bool good, bool refused, std::string const& body)> done);
 
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -106,10 +106,10 @@
 
   Micros now = seconds(100);
   std::uint64_t order = 0;
-  Tide tide{1};
+  IndexSync index_sync{1};
   Registry registry{"n1"};
   Exchange exchange{"n1"};
-  Dispatcher dispatcher{"n1", "a", tide, registry, exchange};
+  Dispatcher dispatcher{"n1", "a", index_sync, registry, exchange};
   DispatchOut out;
 };
 }  // namespace
@@ -494,11 +494,11 @@
     end(id, AttemptEnd::whole);
   }
   // Another node that knows nothing of it yet chooses the same one.
-  Tide other_tide(2);
+  IndexSync other_index_sync(2);
   Registry other_registry("n2");
   for (char const* const id : {"w1", "w2", "w3", "w4"}) other_registry.beat(beat_of(id, 1), now);
   Exchange other_exchange("n2");
-  Dispatcher other("n2", "a", other_tide, other_registry, other_exchange);
+  Dispatcher other("n2", "a", other_index_sync, other_registry, other_exchange);
   other.in_force(usual());
   DispatchOut first;
   other.fresh(1, query, now, first);
@@ -540,7 +540,7 @@
   constexpr double store = 18;
   for (std::size_t const count : {std::size_t(1), std::size_t(3), std::size_t(6), std::size_t(12)}) {
     struct Box {
-      Tide tide{1};
+      IndexSync index_sync{1};
       std::unique_ptr<Registry> registry;
       Exchange exchange{"n"};
       std::unique_ptr<Dispatcher> dispatcher;
@@ -552,7 +552,7 @@
       std::string const name = "n" + std::to_string(i);
       nodes[i]->registry = std::make_unique<Registry>(name);
       nodes[i]->dispatcher =
-          std::make_unique<Dispatcher>(name, "a", nodes[i]->tide, *nodes[i]->registry, nodes[i]->exchange);
+          std::make_unique<Dispatcher>(name, "a", nodes[i]->index_sync, *nodes[i]->registry, nodes[i]->exchange);
       nodes[i]->dispatcher->in_force(usual());
       nodes[i]->dispatcher->budget(ratio, store);
       nodes[i]->dispatcher->nodes(count);
@@ -671,11 +671,11 @@
 void walk(std::uint64_t seed, DispatchTally& sum) {
   SCOPED_TRACE("seed " + std::to_string(seed));
   RandomSource random(seed);
-  Tide tide(seed);
+  IndexSync index_sync(seed);
   Registry registry("n1");
   registry.span(millis(1000));
   Exchange exchange("n1");
-  Dispatcher dispatcher("n1", "a", tide, registry, exchange);
+  Dispatcher dispatcher("n1", "a", index_sync, registry, exchange);
   dispatcher.budget(0.3, 10);
   dispatcher.nodes(2);
   std::shared_ptr<Description const> const rules[] = {usual(), usual()};
--- a/tests/index.cc
+++ b/tests/index.cc
@@ -3,7 +3,7 @@
 
 #include "flow/errand/parse.h"
 #include "flow/fleet/fleet.h"
-#include "flow/index/tide.h"
+#include "flow/index/index_sync.h"
 #include "base/events.h"
 
 namespace pipit {
@@ -83,18 +83,18 @@
   mute_log(true);
   Fleet fleet;
   fleet.take_list({ListRow{"w", "10.0.0.1:1", "z", "main", 1, 60, false}}, seconds(100));
-  Vitals report;
+  HealthReport report;
   report.incarnation = 1;
   report.awake = seconds(3600);
   EXPECT_GT(fleet.cold_for(*fleet.find("w"), seconds(5), seconds(101)), 0) << "nothing is known of it yet";
-  fleet.vitals("w", 1, seconds(100), report, false, seconds(101));
+  fleet.health_report("w", 1, seconds(100), report, false, seconds(101));
   EXPECT_EQ(fleet.cold_for(*fleet.find("w"), seconds(5), seconds(101)), 0);
 }
 
-TEST(Tide, peers_agree_and_a_lost_batch_starts_one_pull_in_pages) {
-  Tide a(1);
-  Tide b(2);
-  Tide::BoundsOf const bounds = [](std::string const&) { return Index::Bounds{2000000, seconds(1000)}; };
+TEST(IndexSync, peers_agree_and_a_lost_batch_starts_one_pull_in_pages) {
+  IndexSync a(1);
+  IndexSync b(2);
+  IndexSync::BoundsOf const bounds = [](std::string const&) { return Index::Bounds{2000000, seconds(1000)}; };
   std::vector<OutgoingMessage> out;
   std::vector<std::pair<std::string, std::vector<std::string>>> const to_b = {{"b", {}}};
   for (std::uint64_t i = 0; i < 12000; ++i)
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -96,10 +96,10 @@
     return dispatcher.under_way() == 0;
   }
 
-  Tide tide{1};
+  IndexSync index_sync{1};
   Registry registry{"n1"};
   Exchange exchange{"n1"};
-  Dispatcher dispatcher{"n1", "a", tide, registry, exchange};
+  Dispatcher dispatcher{"n1", "a", index_sync, registry, exchange};
   Relay relay;
   std::string address;
   std::map<std::string, std::unique_ptr<Worker>> workers;
