--- a/programs/decree/main.cc
+++ b/programs/decree/main.cc
@@ -8,9 +8,9 @@
 #include <iostream>
 #include <sstream>
 
-#include "config/description/description.h"
 #include "base/ip.h"
 #include "base/micros.h"
+#include "config/description/description.h"
 #include "runtime/http/talk.h"
 
 namespace pipit {
--- a/proof/augury/callers.cc
+++ b/proof/augury/callers.cc
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "flow/index/path.h"
 #include "base/events.h"
+#include "flow/index/path.h"
 
 namespace pipit {
 
--- a/proof/augury/world.h
+++ b/proof/augury/world.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "core/node.h"
 #include "base/guards.h"
 #include "base/random.h"
+#include "core/node.h"
 #include "proof/common/shapes.h"
 
 namespace pipit {
--- a/proof/chorus/main.cc
+++ b/proof/chorus/main.cc
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
-#include "flow/errand/pieces.h"
-#include "base/json_writer.h"
 #include "base/hash.h"
+#include "base/json_writer.h"
 #include "base/random.h"
+#include "flow/errand/pieces.h"
 #include "proof/common/books.h"
 #include "proof/common/caller.h"
 #include "proof/common/shapes.h"
--- a/proof/fuzz/readers.cc
+++ b/proof/fuzz/readers.cc
@@ -4,8 +4,8 @@
 #include <cstdio>
 #include <vector>
 
-#include "gate/net/http.h"
 #include "base/random.h"
+#include "gate/net/http.h"
 
 namespace pipit {
 
--- a/proof/hollow/scale.h
+++ b/proof/hollow/scale.h
@@ -11,8 +11,8 @@
 #include <utility>
 #include <vector>
 
-#include "core/node.h"
 #include "base/random.h"
+#include "core/node.h"
 
 namespace pipit {
 
--- a/proof/mimic/main.cc
+++ b/proof/mimic/main.cc
@@ -13,11 +13,11 @@
 #include <string>
 #include <unordered_map>
 
-#include "flow/errand/parse.h"
-#include "flow/index/path.h"
 #include "base/ip.h"
 #include "base/json_writer.h"
 #include "base/micros.h"
+#include "flow/errand/parse.h"
+#include "flow/index/path.h"
 
 namespace pipit {
 namespace {
--- a/proof/stage/line.h
+++ b/proof/stage/line.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <string_view>
 
-#include "gate/net/link.h"
 #include "base/micros.h"
+#include "gate/net/link.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/workers.h
+++ b/proof/stage/workers.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
+#include "base/random.h"
 #include "gate/net/http.h"
 #include "gate/net/link.h"
-#include "base/random.h"
 #include "proof/stage/judge.h"
 #include "proof/stage/line.h"
 #include "proof/stage/nodes.h"
--- a/src/consensus/register/acceptor.cc
+++ b/src/consensus/register/acceptor.cc
@@ -1,10 +1,10 @@
 #include "consensus/register/acceptor.h"
 
+#include "base/guards.h"
 #include "config/description/description.h"
 #include "consensus/register/membership.h"
 #include "consensus/register/orders.h"
 #include "consensus/register/value_patch.h"
-#include "base/guards.h"
 
 namespace pipit {
 
--- a/src/consensus/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -3,10 +3,10 @@
 #include <algorithm>
 #include <utility>
 
-#include "consensus/register/orders.h"
-#include "consensus/register/value_patch.h"
 #include "base/digest.h"
 #include "base/guards.h"
+#include "consensus/register/orders.h"
+#include "consensus/register/value_patch.h"
 
 namespace pipit {
 
--- a/src/consensus/register/proposer.h
+++ b/src/consensus/register/proposer.h
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
-#include "consensus/register/acceptor.h"
-#include "consensus/register/membership.h"
 #include "base/kinds.h"
 #include "base/random.h"
+#include "consensus/register/acceptor.h"
+#include "consensus/register/membership.h"
 
 namespace pipit {
 
--- a/src/core/changes.cc
+++ b/src/core/changes.cc
@@ -1,9 +1,9 @@
 // Operators' changes in a node: asked, settled, confirmed (§5.3, §5.5).
 #include <algorithm>
 
-#include "core/node.h"
 #include "base/events.h"
 #include "base/guards.h"
+#include "core/node.h"
 
 namespace pipit {
 
--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -1,8 +1,8 @@
 // What one keeper does for all: the first set, the replacement of keepers, the sweep (§5.4, §5.8).
 #include <algorithm>
 
-#include "core/node.h"
 #include "base/events.h"
+#include "core/node.h"
 
 namespace pipit {
 
--- a/src/core/handed.cc
+++ b/src/core/handed.cc
@@ -1,7 +1,7 @@
 // Changes that one keeper proposes for all (§12.8). Any node may still propose: a change that is not answered in time
 // is proposed here under the same id, and the register takes it once.
-#include "core/node.h"
 #include "base/events.h"
+#include "core/node.h"
 
 namespace pipit {
 
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 
-#include "consensus/register/value_patch.h"
 #include "base/events.h"
 #include "base/guards.h"
+#include "consensus/register/value_patch.h"
 
 namespace pipit {
 
--- a/src/core/registered.cc
+++ b/src/core/registered.cc
@@ -1,9 +1,9 @@
 // A node whose workers register themselves: their words, routed requests, and what nodes tell of both (§12).
 #include <algorithm>
 
-#include "core/node.h"
 #include "base/events.h"
 #include "base/guards.h"
+#include "core/node.h"
 
 namespace pipit {
 
--- a/src/flow/dispatch/dispatcher.h
+++ b/src/flow/dispatch/dispatcher.h
@@ -7,12 +7,12 @@
 #include <string>
 #include <vector>
 
+#include "base/kinds.h"
 #include "config/description/description.h"
 #include "flow/dispatch/fate.h"
 #include "flow/exchange/exchange.h"
 #include "flow/index/index_sync.h"
 #include "flow/registry/registry.h"
-#include "base/kinds.h"
 
 namespace pipit {
 
--- a/src/flow/errand/desk.cc
+++ b/src/flow/errand/desk.cc
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-#include "base/guards.h"
 #include "base/events.h"
+#include "base/guards.h"
 #include "base/hash.h"
 
 namespace pipit {
--- a/src/flow/errand/parse.h
+++ b/src/flow/errand/parse.h
@@ -3,8 +3,8 @@
 #include <string>
 #include <string_view>
 
-#include "flow/errand/desk.h"
 #include "base/kinds.h"
+#include "flow/errand/desk.h"
 
 namespace pipit {
 
--- a/src/flow/fleet/fleet.cc
+++ b/src/flow/fleet/fleet.cc
@@ -4,10 +4,10 @@
 
 #include <algorithm>
 
-#include "base/guards.h"
 #include "base/events.h"
-#include "base/ip.h"
+#include "base/guards.h"
 #include "base/hash.h"
+#include "base/ip.h"
 
 namespace pipit {
 
--- a/src/flow/fleet/fleet.h
+++ b/src/flow/fleet/fleet.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "config/description/description.h"
 #include "base/micros.h"
+#include "config/description/description.h"
 #include "mesh/ledger/ledger.h"
 
 namespace pipit {
--- a/src/flow/index/index.h
+++ b/src/flow/index/index.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "flow/index/path.h"
 #include "base/micros.h"
+#include "flow/index/path.h"
 #include "wire_generated.h"
 
 namespace pipit {
--- a/src/flow/index/index_sync.h
+++ b/src/flow/index/index_sync.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
+#include "base/random.h"
 #include "consensus/register/acceptor.h"
 #include "flow/index/index.h"
-#include "base/random.h"
 
 namespace pipit {
 
--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -5,9 +5,9 @@
 #include <algorithm>
 #include <cstdlib>
 
-#include "gate/net/clock.h"
 #include "base/events.h"
 #include "base/request_guards.h"
+#include "gate/net/clock.h"
 
 namespace pipit {
 
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -5,11 +5,11 @@
 
 #include <cstdio>
 
-#include "config/description/description.h"
-#include "flow/errand/parse.h"
 #include "base/events.h"
 #include "base/faults.h"
 #include "base/json_writer.h"
+#include "config/description/description.h"
+#include "flow/errand/parse.h"
 
 namespace pipit {
 
--- a/src/runtime/host.h
+++ b/src/runtime/host.h
@@ -4,8 +4,8 @@
 #include <memory>
 #include <string>
 
-#include "core/node.h"
 #include "base/settings.h"
+#include "core/node.h"
 #include "runtime/disk/disk_task.h"
 #include "runtime/http/front.h"
 #include "runtime/http/legs.h"
--- a/src/runtime/http/legs.cc
+++ b/src/runtime/http/legs.cc
@@ -2,8 +2,8 @@
 
 #include <cstdlib>
 
-#include "flow/errand/parse.h"
 #include "base/faults.h"
+#include "flow/errand/parse.h"
 
 namespace pipit {
 
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -1,11 +1,11 @@
 // Calls that come in: from callers, operators and tests (§7.1, §8.1).
 #include <cstdlib>
 
-#include "config/description/description.h"
-#include "flow/errand/parse.h"
 #include "base/events.h"
 #include "base/faults.h"
 #include "base/json_writer.h"
+#include "config/description/description.h"
+#include "flow/errand/parse.h"
 #include "runtime/host.h"
 
 namespace pipit {
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <deque>
 
-#include "flow/dispatch/dispatcher.h"
 #include "base/random.h"
+#include "flow/dispatch/dispatcher.h"
 
 namespace pipit {
 
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -8,9 +8,9 @@
 #include <functional>
 #include <stdexcept>
 
+#include "base/random.h"
 #include "gate/net/server.h"
 #include "gate/net/upstream.h"
-#include "base/random.h"
 #include "tests/loopback.h"
 
 namespace pipit {
--- a/tests/index.cc
+++ b/tests/index.cc
@@ -1,10 +1,10 @@
 // The prefix index: what is believed kept, what is forgotten, and how indexes follow one another; warm workers.
 #include <gtest/gtest.h>
 
+#include "base/events.h"
 #include "flow/errand/parse.h"
 #include "flow/fleet/fleet.h"
 #include "flow/index/index_sync.h"
-#include "base/events.h"
 
 namespace pipit {
 
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -1,8 +1,8 @@
 // Frames and wires: garbage ends a wire and nothing else; a foreign cluster is not greeted.
 #include <gtest/gtest.h>
 
-#include "core/node.h"
 #include "base/events.h"
+#include "core/node.h"
 
 namespace pipit {
 
--- a/tests/wide.cc
+++ b/tests/wide.cc
@@ -3,8 +3,8 @@
 
 #include <deque>
 
-#include "core/node.h"
 #include "base/events.h"
+#include "core/node.h"
 
 namespace pipit {
 
