--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -105,6 +105,9 @@
   std::vector<std::unique_ptr<wire::MemberT>> table_for(WireId id, bool whole);
   void take_table(std::vector<std::unique_ptr<wire::MemberT>> const& table, Micros now, Sends& out);
   void probe(Peer& peer, Micros now, Sends& out);
+  bool probe_through_others(std::string const& name, std::uint64_t seq, Sends& out);
+  void end_overdue_probes(Micros now, Sends& out);
+  void run_round(Micros now, Sends& out);
   void probe_failed(std::string const& name, Micros now, Sends& out);
   void probe_done(std::uint64_t seq, Micros now);
   void announce_member(wire::MemberT const& member, Sends& out);
--- /dev/null
+++ b/src/mesh/mesh_frames.cc
@@ -0,0 +1,108 @@
+// The mesh: what it does with a frame of a peer (§3.2 to §3.6).
+#include <algorithm>
+
+#include "base/events.h"
+#include "mesh/mesh.h"
+
+namespace pipit {
+
+std::string Mesh::frame(WireId id, wire::FrameT& frame, Micros now, Sends& out) {
+  std::map<WireId, Connection>::iterator const spot = connections.find(id);
+  if (spot == connections.end()) return "";
+  ++frames_in;
+  spot->second.heard = now;
+  if (wire::HelloT const* const hello = frame.body.AsHello()) {
+    if (spot->second.peer.empty()) greet(id, *hello, now, out);
+    return "";
+  }
+  std::string const name = spot->second.peer;
+  if (name.empty()) {
+    log_event(Event::wire_garbage, "a frame before the greeting");
+    drop(id, now, out);
+    return "";
+  }
+  switch (frame.body.type) {
+    case wire::Body::Ping: {
+      wire::PingT const& ping = *frame.body.AsPing();
+      take_table(ping.table, now, out);
+      heard(name, ping.revision, ping.serial, ping.ready);
+      wire::PongT pong;
+      pong.seq = ping.seq;
+      pong.digest = members.digest();
+      pong.ledger = ledger.digest();
+      pong.revision = members.self.revision;
+      pong.serial = members.self.serial;
+      pong.ready = members.self.ready;
+      // §3.6: whoever knows something else is told everything, and answers with what it knows besides.
+      pong.whole = !wide() || table_repair.due(pong.digest, ping.digest, now);
+      pong.table = !wide() ? table_for(id, false) : pong.whole ? members.table() : rumours();
+      repair_ledger(name, ping.ledger, now, out);
+      out.sends.push_back({id, encode_body(std::move(pong))});
+      return "";
+    }
+    case wire::Body::Pong: {
+      wire::PongT const& pong = *frame.body.AsPong();
+      take_table(pong.table, now, out);
+      heard(name, pong.revision, pong.serial, pong.ready);
+      if (wide() && pong.whole && pong.digest != members.digest()) {
+        wire::NewsT news;
+        news.table = members.table();
+        post(name, std::move(news), out);
+      }
+      repair_ledger(name, pong.ledger, now, out);
+      probe_done(pong.seq, now);
+      std::map<std::uint64_t, Relay>::iterator const relay = relays.find(pong.seq);
+      if (relay != relays.end()) {
+        wire::PingResT res;
+        res.seq = relay->second.seq;
+        res.target = name;
+        res.ok = true;
+        if (connections.count(relay->second.asker))
+          out.sends.push_back({relay->second.asker, encode_body(std::move(res))});
+        relays.erase(relay);
+      }
+      return "";
+    }
+    case wire::Body::PingReq: {
+      wire::PingReqT const& req = *frame.body.AsPingReq();
+      std::map<std::string, Peer>::const_iterator const target = members.peers.find(req.target);
+      if (target == members.peers.end() || target->second.wire == 0) return "";
+      std::uint64_t const seq = ++next_seq;
+      wire::PingT ping;
+      ping.seq = seq;
+      ping.table = wide() ? rumours() : table_for(target->second.wire, false);
+      ping.digest = members.digest();
+      ping.ledger = ledger.digest();
+      ping.revision = members.self.revision;
+      ping.serial = members.self.serial;
+      ping.ready = members.self.ready;
+      if (post(req.target, std::move(ping), out)) relays[seq] = Relay{id, req.seq, now + plan.probe};
+      return "";
+    }
+    case wire::Body::PingRes: {
+      wire::PingResT const& res = *frame.body.AsPingRes();
+      if (res.ok) probe_done(res.seq, now);
+      return "";
+    }
+    case wire::Body::News:
+      take_table(frame.body.AsNews()->table, now, out);
+      return "";
+    case wire::Body::Entries: {
+      wire::EntriesT const& list = *frame.body.AsEntries();
+      for (std::unique_ptr<wire::EntryT> const& item : list.list)
+        if (ledger.merge(name, *item, now)) fresh.push_back(item->key);
+      wire::EntriesAckT ack;
+      ack.batch = list.batch;
+      out.sends.push_back({id, encode_body(std::move(ack))});
+      if (!fresh.empty()) flush_entries(out);
+      return "";
+    }
+    case wire::Body::EntriesAck:
+      ledger.acked(name, frame.body.AsEntriesAck()->batch);
+      return "";
+    default:
+      return name;
+  }
+}
+
+}  // namespace pipit
