--- a/proof/stage/operators.h
+++ b/proof/stage/operators.h
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "base/random.h"
+#include "proof/stage/canonical.h"
 #include "proof/stage/judge.h"
 #include "proof/stage/line.h"
 #include "proof/stage/nodes.h"
@@ -17,9 +18,6 @@
 
 namespace pipit::stage {
 
-// The same text for configurations that mean the same: keys and named items in order. Empty when it cannot be read.
-std::string canonical(std::string_view json);
-
 struct OperatorsTally {
   std::uint64_t changes = 0;
   std::uint64_t acknowledged = 0;
--- /dev/null
+++ b/proof/stage/worker_troubles.cc
@@ -0,0 +1,91 @@
+// The stand-in workers: crashes, silence, releases, lies, and addresses that pass to others.
+#include "base/json_writer.h"
+#include "proof/stage/clock.h"
+#include "proof/stage/worker_parts.h"
+
+namespace pipit::stage {
+
+namespace {
+constexpr Micros address_reuse = seconds(2);
+}  // namespace
+
+// Some workers that stand, of the service that gets the traffic.
+std::vector<Workers::Worker*> Workers::some(Trouble const& trouble) {
+  std::vector<Worker*> up;
+  for (std::unique_ptr<Worker> const& worker : all)
+    if (worker->state == State::up && !worker->is_dark && worker->service == shape.service) up.push_back(worker.get());
+  std::size_t want = trouble.count > 0
+                         ? static_cast<std::size_t>(trouble.count)
+                         : static_cast<std::size_t>(trouble.share * static_cast<double>(up.size()) + 0.999);
+  std::vector<Worker*> out;
+  while (want-- > 0 && !up.empty()) {
+    std::size_t const i = random.below(up.size());
+    out.push_back(up[i]);
+    up.erase(up.begin() + static_cast<std::ptrdiff_t>(i));
+  }
+  return out;
+}
+
+// Once a worker has ended, its address may pass to one of another service. A few times is enough.
+void Workers::reuse(std::string const& ip, std::string const& zone) {
+  if (reused >= 2) return;
+  ++reused;
+  after(address_reuse, [this, ip, zone] {
+    if (!over) open(zone, other_service, ip);
+  });
+}
+
+void Workers::crash(Trouble const& trouble) {
+  for (Worker* const worker : some(trouble)) {
+    end(*worker, true);
+    reuse(worker->ip, worker->zone);
+    if (trouble.on == "lost") continue;
+    std::string const zone = worker->zone;
+    after(trouble.span, [this, zone] {
+      if (!over) open(zone, shape.service, next_ip());
+    });
+  }
+}
+
+void Workers::dark(Trouble const& trouble) {
+  for (Worker* const worker : some(trouble)) {
+    worker->is_dark = true;
+    for (std::pair<Conn* const, std::shared_ptr<Conn>> const& conn : worker->conns) conn.second->link->hold(true);
+    if (worker->watch != 0) g_source_remove(worker->watch);
+    worker->watch = 0;
+    after(trouble.span, [this, worker] {
+      // What it had under way is lost; it comes back as another, at its old address.
+      std::string const ip = worker->ip;
+      std::string const zone = worker->zone;
+      end(*worker, true);
+      if (!over) open(zone, shape.service, ip);
+    });
+  }
+}
+
+void Workers::release(Trouble const& trouble) {
+  Micros when = 0;
+  for (Worker* const worker : some(trouble)) {
+    after(when, [this, worker] {
+      if (worker->state != State::up || over) return;
+      drain(*worker);
+      std::string const zone = worker->zone;
+      std::string const ip = worker->ip;
+      after(millis(500), [this, zone] {
+        if (!over) open(zone, shape.service, next_ip());
+      });
+      after(unheard_end + seconds(1), [this, ip, zone] { reuse(ip, zone); });
+    });
+    when += trouble.gap;
+  }
+}
+
+void Workers::lie(Trouble const& trouble) {
+  for (Worker* const worker : some(trouble)) {
+    worker->lie = trouble.kind == Trouble::Kind::surplus ? Lie::surplus : Lie::garble;
+    worker->lie_chance = trouble.x;
+    worker->lie_until = now() + trouble.span;
+  }
+}
+
+}  // namespace pipit::stage
