--- a/proof/hollow/scale.h
+++ b/proof/hollow/scale.h
@@ -118,6 +118,14 @@
   bool all_ready() const;
   bool all_alive() const;
 
+  // The phases of a run, in their order; each says whether the run can go on.
+  bool run_start(Figures& out);
+  bool run_change(Figures& out);
+  bool run_restart(Figures& out);
+  bool run_cut(Figures& out);
+  bool run_region(Figures& out);
+  void restart(int who, bool silent);
+  bool wants(char const* name) const;
   void begin(std::string const& name);
   void finish(Figures& out);
   void tell_phase(std::string const& name, Phase const& phase, Figures& out) const;
