--- a/programs/decree/main.cc
+++ b/programs/decree/main.cc
@@ -8,6 +8,7 @@
 #include <iostream>
 #include <sstream>
 
+#include "base/flags.h"
 #include "base/ip.h"
 #include "base/micros.h"
 #include "config/description/description.h"
@@ -72,18 +73,9 @@
   all.add_options()("words", options::value(&words));
   options::positional_options_description spots;
   spots.add("words", -1);
-  try {
-    options::variables_map map;
-    options::store(options::command_line_parser(argc, argv).options(all).positional(spots).run(), map);
-    options::notify(map);
-    if (map.count("help")) {
-      std::cout << usage << flags;
-      return 0;
-    }
-  } catch (options::error const& bad) {
-    std::fprintf(stderr, "decree: %s\n", bad.what());
-    return 2;
-  }
+  std::function<void()> const print_help = [&] { std::cout << usage << flags; };
+  std::optional<int> const ended = read_flags("decree", argc, argv, all, print_help, &spots);
+  if (ended) return *ended;
   std::string const verb = words.empty() ? "" : words[0];
   bool const two = words.size() == 2;
   if (!good_address(node)) {
--- a/programs/ordeal/main.cc
+++ b/programs/ordeal/main.cc
@@ -13,6 +13,7 @@
 #include <set>
 #include <vector>
 
+#include "base/flags.h"
 #include "base/ip.h"
 #include "base/json_writer.h"
 #include "base/micros.h"
@@ -251,18 +252,9 @@
   flags.add_options()("node", options::value(&node), "IP:port of any node")("zone", options::value(&zone), "the zone")(
       "hold", options::value(&hold), "seconds without it, above 5")(
       "most", options::value(&most), "how much of the other zones' slots the demand may take")("help", "this text");
-  try {
-    options::variables_map map;
-    options::store(options::parse_command_line(argc, argv, flags), map);
-    options::notify(map);
-    if (map.count("help")) {
-      std::cout << flags;
-      return 0;
-    }
-  } catch (options::error const& bad) {
-    std::fprintf(stderr, "ordeal: %s\n", bad.what());
-    return 2;
-  }
+  std::function<void()> const print_help = [&] { std::cout << flags; };
+  std::optional<int> const ended = read_flags("ordeal", argc, argv, flags, print_help);
+  if (ended) return *ended;
   if (!good_address(node) || zone.empty() || hold <= 5 || hold > 600 || most <= 0 || most > 1) {
     std::fprintf(stderr,
                  "ordeal: --node IP:port, --zone, a --hold above 5 and at most 600, and --most up to 1 are needed\n");
--- a/proof/augury/main.cc
+++ b/proof/augury/main.cc
@@ -9,6 +9,7 @@
 #include <thread>
 
 #include "base/events.h"
+#include "base/flags.h"
 #include "proof/augury/world.h"
 
 namespace pipit {
@@ -24,32 +25,25 @@
   std::uint64_t count = 20;
   unsigned jobs = std::thread::hardware_concurrency();
   double length = 30;
+  bool loud = false;
   options::options_description flags("augury: seeded worlds of the product's cores under virtual time");
   flags.add_options()("shape", options::value(&shape_name), "coop or utility")(
       "from", options::value(&from), "the first seed")("seeds", options::value(&count), "how many")(
       "jobs", options::value(&jobs))("length", options::value(&length), "seconds of trouble")(
       "only", options::value(&only), "kinds of trouble, with commas between")(
-      "off", options::value(&off), "switch one guard off")("log", "print events (one seed)")("help", "");
-  bool loud = false;
-  try {
-    options::variables_map map;
-    options::store(options::parse_command_line(argc, argv, flags), map);
-    options::notify(map);
-    loud = map.count("log") > 0;
-    if (map.count("help")) {
-      std::cout << flags << "Troubles:";
-      for (std::string const& name : World::troubles()) std::cout << " " << name;
-      std::size_t n = 0;
-      GuardRow const* const rows = guard_rows(n);
-      std::cout << "\nGuards:\n";
-      for (std::size_t i = 0; i < n; ++i)
-        std::cout << "  " << rows[i].name << " (" << rows[i].point << "): " << rows[i].text << "\n";
-      return 0;
-    }
-  } catch (options::error const& bad) {
-    std::fprintf(stderr, "augury: %s\n", bad.what());
-    return 2;
-  }
+      "off", options::value(&off), "switch one guard off")("log", options::bool_switch(&loud),
+                                                           "print events (one seed)")("help", "");
+  std::function<void()> const print_help = [&] {
+    std::cout << flags << "Troubles:";
+    for (std::string const& name : World::troubles()) std::cout << " " << name;
+    std::size_t n = 0;
+    GuardRow const* const rows = guard_rows(n);
+    std::cout << "\nGuards:\n";
+    for (std::size_t i = 0; i < n; ++i)
+      std::cout << "  " << rows[i].name << " (" << rows[i].point << "): " << rows[i].text << "\n";
+  };
+  std::optional<int> const ended = read_flags("augury", argc, argv, flags, print_help);
+  if (ended) return *ended;
   Shape const* const shape = shape_of(shape_name);
   if (shape == nullptr) return std::fprintf(stderr, "augury: there is no shape '%s'\n", shape_name.c_str()), 2;
   std::vector<std::string> kept;
--- a/proof/chorus/main.cc
+++ b/proof/chorus/main.cc
@@ -12,6 +12,7 @@
 #include <string>
 #include <vector>
 
+#include "base/flags.h"
 #include "base/hash.h"
 #include "base/json_writer.h"
 #include "base/random.h"
@@ -455,18 +456,9 @@
                                                                                 "a file for the report")(
       "rate", options::value(&plan.rate), "requests a second")("seconds", options::value(&plan.seconds))(
       "hot", options::value(&plan.hot), "the share of one hot opening")("seed", options::value(&plan.seed))("help", "");
-  try {
-    options::variables_map map;
-    options::store(options::parse_command_line(argc, argv, flags), map);
-    options::notify(map);
-    if (map.count("help")) {
-      std::cout << flags;
-      return 0;
-    }
-  } catch (options::error const& bad) {
-    std::fprintf(stderr, "chorus: %s\n", bad.what());
-    return 2;
-  }
+  std::function<void()> const print_help = [&] { std::cout << flags; };
+  std::optional<int> const ended = read_flags("chorus", argc, argv, flags, print_help);
+  if (ended) return *ended;
   if (shape_of(plan.shape) == nullptr || plan.entries.empty() || plan.books.empty() || plan.rate <= 0 ||
       plan.rate > 2000 || plan.seconds <= 0 || plan.seconds > 900) {
     std::fprintf(stderr, "chorus: shape, entries and books are needed; rate up to 2000; seconds up to 900\n");
--- a/proof/mimic/main.cc
+++ b/proof/mimic/main.cc
@@ -13,6 +13,7 @@
 #include <string>
 #include <unordered_map>
 
+#include "base/flags.h"
 #include "base/ip.h"
 #include "base/json_writer.h"
 #include "base/micros.h"
@@ -381,18 +382,9 @@
       "lag-us", options::value(&plan.lag), "how late it is told")("help", "");
   options::positional_options_description spots;
   spots.add("sort", 1);
-  try {
-    options::variables_map map;
-    options::store(options::command_line_parser(argc, argv).options(flags).positional(spots).run(), map);
-    options::notify(map);
-    if (map.count("help")) {
-      std::cout << flags;
-      return 0;
-    }
-  } catch (options::error const& bad) {
-    std::fprintf(stderr, "mimic: %s\n", bad.what());
-    return 2;
-  }
+  std::function<void()> const print_help = [&] { std::cout << flags; };
+  std::optional<int> const ended = read_flags("mimic", argc, argv, flags, print_help, &spots);
+  if (ended) return *ended;
   std::string host;
   std::uint16_t port = 0;
   if (!split_address(plan.http, host, port) || (plan.sort != "worker" && plan.sort != "platform")) {
--- a/proof/scene/main.cc
+++ b/proof/scene/main.cc
@@ -7,6 +7,7 @@
 #include <filesystem>
 #include <iostream>
 
+#include "base/flags.h"
 #include "proof/scene/scene.h"
 
 namespace pipit {
@@ -30,18 +31,9 @@
       "lies", options::bool_switch(&plan.lies), "only tell the callers lies, and see that they name each")(
       "folder", options::value(&plan.folder), "where data, logs and books go")(
       "net", options::value(&plan.net), "the second number of the loopback addresses, 2 to 250")("help", "");
-  try {
-    options::variables_map map;
-    options::store(options::parse_command_line(argc, argv, flags), map);
-    options::notify(map);
-    if (map.count("help")) {
-      std::cout << flags << "Schedules:\n" << schedule_list();
-      return 0;
-    }
-  } catch (options::error const& bad) {
-    std::fprintf(stderr, "scene: %s\n", bad.what());
-    return 2;
-  }
+  std::function<void()> const print_help = [&] { std::cout << flags << "Schedules:\n" << schedule_list(); };
+  std::optional<int> const ended = read_flags("scene", argc, argv, flags, print_help);
+  if (ended) return *ended;
   Shape const* const shape = shape_of(plan.shape);
   if (shape == nullptr) return std::fprintf(stderr, "scene: there is no shape '%s'\n", plan.shape.c_str()), 2;
   Schedule const* const schedule = schedule_of(plan.schedule);
