--- a/src/flow/registry/registry.cc
+++ b/src/flow/registry/registry.cc
@@ -120,17 +120,18 @@
 }
 
 // Connections to many workers that break together speak of this node's network, not of each worker.
-bool Registry::doubts_many() const {
+bool Registry::doubts_many(Micros now) const {
   std::size_t const doubted = static_cast<std::size_t>(
-      std::count_if(all.begin(), all.end(), [](std::pair<std::string const, Instance> const& item) {
-        return item.second.doubted >= 0 && item.second.standing != Standing::gone;
+      std::count_if(all.begin(), all.end(), [&](std::pair<std::string const, Instance> const& item) {
+        Instance const& at = item.second;
+        return at.doubted >= 0 && now - at.doubted < beat_gap * 3 && at.standing != Standing::gone;
       }));
   return doubted >= std::max(many_doubts_least, all.size() / 4);
 }
 
 std::vector<wire::EntryT> Registry::silent(Micros now) {
   std::vector<wire::EntryT> out;
-  bool const doubt_counts = !doubts_many();
+  bool const doubt_counts = !doubts_many(now);
   for (std::map<std::string, Instance>::iterator it = all.begin(); it != all.end();) {
     Instance& item = it->second;
     // Two beats may be lost on the way to the next node; one and a half are enough when a connection broke as well.
--- a/src/flow/registry/registry.h
+++ b/src/flow/registry/registry.h
@@ -91,7 +91,7 @@
 
  private:
   wire::EntryT entry_of(Instance const& instance) const;
-  bool doubts_many() const;
+  bool doubts_many(Micros now) const;
   void stand(Instance& instance, Standing standing, Micros now);
 
   std::string const self;
--- a/tests/registry.cc
+++ b/tests/registry.cc
@@ -171,8 +171,16 @@
     for (int n = 0; n < 12; ++n) registry.beat(beat_of("w" + std::to_string(n), 1), 0);
     for (std::size_t n = 0; n < broken; ++n) registry.doubt("w" + std::to_string(n), millis(100));
     EXPECT_EQ(registry.silent(2 * gap).size(), broken < 3 ? broken : 0u);
+    EXPECT_TRUE(registry.silent(3 * gap - 1).empty());
     EXPECT_EQ(registry.silent(3 * gap + 1).size(), broken < 3 ? 12 - broken : 12u) << "but silence ends them all";
   }
+  // Old doubts of workers that others hear of are no sign of trouble here.
+  registry.all.clear();
+  for (int n = 0; n < 12; ++n) registry.take_entry(entry_of("v" + std::to_string(n), 1, Standing::serving, "n2"), 0);
+  for (int n = 0; n < 12; ++n) registry.doubt("v" + std::to_string(n), 0);
+  registry.beat(beat_of("w", 1), 10 * gap);
+  registry.doubt("w", 10 * gap);
+  EXPECT_EQ(registry.silent(12 * gap).size(), 1u);
 }
 
 TEST_F(Workers, a_node_that_stood_still_blames_nobody) {
