--- a/src/consensus/register/acceptor.cc
+++ b/src/consensus/register/acceptor.cc
@@ -1,5 +1,7 @@
 #include "consensus/register/acceptor.h"
 
+#include <utility>
+
 #include "base/guards.h"
 #include "config/description/description.h"
 #include "consensus/register/membership.h"
@@ -13,6 +15,12 @@
   synced_state = state;
 }
 
+void Acceptor::await_founding(std::vector<std::string> const& seeds) {
+  if (state.formed || !state.founding_seeds.empty()) return;
+  state.founding_seeds = seeds;
+  marked = true;
+}
+
 void Acceptor::take(std::string from, wire::BodyUnion body) {
   // A bounded backlog: what is dropped is asked again by its sender.
   if (inbox.size() < 512) inbox.emplace_back(std::move(from), std::move(body));
@@ -23,6 +31,7 @@
   out.req = ask.req;
   out.disk = state.disk;
   out.formed = state.formed;
+  out.awaits_founding = !state.formed && !state.founding_seeds.empty();
   out.ballot = state.accepted;
   if (state.value) {
     out.serial = state.value->serial;
@@ -113,7 +122,7 @@
 
 std::optional<wire::RecordT> Acceptor::step(std::vector<OutgoingMessage>& out) {
   if (busy) return std::nullopt;
-  bool changed = false;
+  bool changed = std::exchange(marked, false);
   std::vector<OutgoingMessage> replies;
   while (!inbox.empty()) {
     std::pair<std::string, wire::BodyUnion> item = std::move(inbox.front());
--- a/src/consensus/register/learner.h
+++ b/src/consensus/register/learner.h
@@ -46,7 +46,8 @@
     wire::Ballot ballot;
     std::uint64_t serial = 0;
     Micros at = -1;
-    bool retiring = false;  // it is about to end for good, or for a while
+    bool retiring = false;         // it is about to end for good, or for a while
+    bool awaits_founding = false;  // blank since the first start of all
   };
   std::map<std::string, Observation> observations;  // what each keeper last answered
 
--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -35,6 +35,9 @@
     if (observation == learner.observations.end() || observation->second.formed ||
         now - observation->second.at > seconds(2))
       return std::nullopt;
+    // After a restart a blank disk may also be a wiped one: only the marks of the first start tell them apart. A set
+    // that was chosen has left a majority of the founders without them (docs/control.md, "Point 3").
+    if (founds_again && !observation->second.awaits_founding) return std::nullopt;
     wire::KeeperT keeper;
     keeper.name = name;
     keeper.disk = observation->second.disk;
@@ -68,9 +71,9 @@
 // two of three seeds keep and are heard: the quorums of any two such sets meet, so no more than one of them is chosen.
 std::vector<std::string> Node::first_keepers(Micros now) const {
   std::vector<std::string> out;
-  if (!plan.first_start || !acceptor) return out;
+  if (plan.founding_seeds.empty() || !acceptor) return out;
   bool all_heard = true;
-  for (std::string const& address : plan.seeds) {
+  for (std::string const& address : plan.founding_seeds) {
     if (address == plan.address) {
       out.push_back(plan.name);
       continue;
@@ -84,7 +87,7 @@
     all_heard = all_heard && heard;
   }
   if (!all_heard) {
-    bool const enough = plan.seeds.size() == seeds_most && out.size() > seeds_most / 2;
+    bool const enough = plan.founding_seeds.size() == seeds_most && out.size() > seeds_most / 2;
     return enough && now - born > lost_seed_after ? out : std::vector<std::string>();
   }
   if (out.empty()) {
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -44,10 +44,19 @@
   if (!plan.registered) out.wide = SIZE_MAX;
   return out;
 }
+// A founder whose life ended before the first set was written goes on waiting for it, with the seeds of the first
+// start.
+NodePlan with_founding(NodePlan plan, std::optional<wire::RecordT> const& recovered) {
+  if (recovered && !recovered->founding_seeds.empty())
+    plan.founding_seeds = recovered->founding_seeds;
+  else if (plan.first_start)
+    plan.founding_seeds = plan.seeds;
+  return plan;
+}
 }  // namespace
 
 Node::Node(NodePlan plan_, Micros now, std::optional<wire::RecordT> recovered)
-    : plan(std::move(plan_)),
+    : plan(with_founding(std::move(plan_), recovered)),
       mesh(mesh_of(plan), self_of(plan), plan.chance),
       proposer(plan.name, life_seed(plan, SeedUse::ballots)),
       learner(life_seed(plan, SeedUse::polls) >> spare_number_bits),
@@ -62,6 +71,10 @@
       last_tick(now),
       next_req(life_seed(plan, SeedUse::requests) >> spare_number_bits) {
   if (recovered) acceptor.emplace(std::move(*recovered));
+  founds_again = acceptor && !acceptor->held().founding_seeds.empty();
+  std::vector<std::string> const& seeds = plan.founding_seeds;
+  bool const founder = std::find(seeds.begin(), seeds.end(), plan.address) != seeds.end();
+  if (acceptor && plan.registered && founder) acceptor->await_founding(seeds);
   registry.span(plan.beat_gap);
   if (plan.registered) dispatcher.begun(now);
   dispatcher.budget(plan.resend_ratio, plan.resend_store);
@@ -509,6 +522,8 @@
     learner.poll(now, keepers(), news_age(now), outgoing);
     found(now, outgoing);
   }
+  if (acceptor)
+    if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
   ask_newer(now, outgoing);
   proposer.know(learner.membership());
   proposer.suggest(learner.seen());
