--- a/proof/checker/register_view.cc
+++ b/proof/checker/register_view.cc
@@ -16,7 +16,7 @@
 #if defined(__x86_64__) && defined(__GLIBCXX__) && !defined(_GLIBCXX_DEBUG)
 constexpr std::size_t proposer_size = 1448;
 constexpr std::size_t learner_size = 992;
-constexpr std::size_t acceptor_size = 368;
+constexpr std::size_t acceptor_size = 416;
 static_assert(sizeof(Proposer) == proposer_size, "a member of Proposer changed: see print_of, has_timer and is_late");
 static_assert(sizeof(Learner) == learner_size, "a member of Learner changed: see print_of and is_late");
 static_assert(sizeof(Acceptor) == acceptor_size, "a member of Acceptor changed: see print_of");
@@ -154,6 +154,7 @@
   add(out, acceptor.slate, symmetry);
   add(out, acceptor.firm, symmetry);
   out.number(acceptor.busy ? 1 : 0);
+  out.number(acceptor.marked ? 1 : 0);
   for (std::pair<std::string, wire::BodyUnion> const& item : acceptor.inbox) {
     out.name(symmetry, item.first);
     out.part(print_of(item.second, symmetry));
--- a/src/canon/register/acceptor.cc
+++ b/src/canon/register/acceptor.cc
@@ -1,5 +1,7 @@
 #include "canon/register/acceptor.h"
 
+#include <utility>
+
 #include "canon/creed/creed.h"
 #include "canon/register/membership.h"
 #include "canon/register/orders.h"
@@ -13,6 +15,12 @@
   firm = slate;
 }
 
+void Acceptor::await_founding(std::vector<std::string> const& seeds) {
+  if (slate.formed || !slate.founding_seeds.empty()) return;
+  slate.founding_seeds = seeds;
+  marked = true;
+}
+
 void Acceptor::take(std::string from, wire::BodyUnion body) {
   // A bounded backlog: what is dropped is asked again by its sender.
   if (inbox.size() < 512) inbox.emplace_back(std::move(from), std::move(body));
@@ -23,6 +31,7 @@
   out.req = ask.req;
   out.disk = slate.disk;
   out.formed = slate.formed;
+  out.awaits_founding = !slate.formed && !slate.founding_seeds.empty();
   out.ballot = slate.accepted;
   if (slate.value) {
     out.serial = slate.value->serial;
@@ -113,7 +122,7 @@
 
 std::optional<wire::RecordT> Acceptor::step(std::vector<Letter>& out) {
   if (busy) return std::nullopt;
-  bool changed = false;
+  bool changed = std::exchange(marked, false);
   std::vector<Letter> replies;
   while (!inbox.empty()) {
     std::pair<std::string, wire::BodyUnion> item = std::move(inbox.front());
--- a/src/canon/register/acceptor.h
+++ b/src/canon/register/acceptor.h
@@ -38,6 +38,9 @@
   void take(std::string from, wire::BodyUnion body);
   // Fills what to send; returns a record to sync when one is due.
   std::optional<wire::RecordT> step(std::vector<Letter>& out);
+  // Notes the seeds of the first start on a blank disk, so that a later life may still take part in founding; step()
+  // has it synced.
+  void await_founding(std::vector<std::string> const& seeds);
   // The record that step() returned is synced.
   void synced(std::vector<Letter>& out);
 
@@ -56,6 +59,7 @@
   wire::RecordT slate;  // with what is not synced yet
   wire::RecordT firm;   // what is synced
   bool busy = false;
+  bool marked = false;  // `slate` was marked since the last step
   std::deque<std::pair<std::string, wire::BodyUnion>> inbox;
   std::vector<Letter> held_back;
 };
--- a/src/canon/register/learner.cc
+++ b/src/canon/register/learner.cc
@@ -103,7 +103,7 @@
 
 std::optional<wire::ValueT> Learner::take(std::string const& from, wire::PeekedT const& ans, Micros now,
                                           std::vector<Letter>& out) {
-  sights[from] = Sight{ans.disk, ans.formed, ans.ballot, ans.serial, now, ans.retiring};
+  sights[from] = Sight{ans.disk, ans.formed, ans.ballot, ans.serial, now, ans.retiring, ans.awaits_founding};
   if (ans.value) {
     if (!wanted || ans.req != req || !same(ans.ballot, wanted->ballot)) return std::nullopt;
     // A quorum agreed on this ballot, so this is the value that was chosen.
--- a/src/canon/register/learner.h
+++ b/src/canon/register/learner.h
@@ -44,7 +44,8 @@
     wire::Ballot ballot;
     std::uint64_t serial = 0;
     Micros at = -1;
-    bool retiring = false;  // it is about to end for good, or for a while
+    bool retiring = false;         // it is about to end for good, or for a while
+    bool awaits_founding = false;  // blank since the first start of all
   };
   std::map<std::string, Sight> sights;  // what each keeper last answered
 
--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -32,6 +32,9 @@
     std::map<std::string, Learner::Sight>::const_iterator const sight = learner.sights.find(name);
     if (sight == learner.sights.end() || sight->second.formed || now - sight->second.at > seconds(2))
       return std::nullopt;
+    // After a restart a blank disk may also be a wiped one: only the marks of the first start tell them apart. A set
+    // that was chosen has left a majority of the founders without them (docs/control.md, "Point 3").
+    if (founds_again && !sight->second.awaits_founding) return std::nullopt;
     wire::KeeperT keeper;
     keeper.name = name;
     keeper.disk = sight->second.disk;
@@ -62,8 +65,8 @@
 // first set, once every seed is heard; where none keeps, the first three that do. The set grows by the duty.
 std::vector<std::string> Node::first_keepers() const {
   std::vector<std::string> out;
-  if (!plan.first_start || !acceptor) return out;
-  for (std::string const& address : plan.seeds) {
+  if (plan.founding_seeds.empty() || !acceptor) return out;
+  for (std::string const& address : plan.founding_seeds) {
     if (address == plan.address) {
       out.push_back(plan.name);
       continue;
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -35,10 +35,19 @@
   if (!plan.registered) out.wide = SIZE_MAX;
   return out;
 }
+// A founder whose life ended before the first set was written goes on waiting for it, with the seeds of the first
+// start.
+NodePlan with_founding(NodePlan plan, std::optional<wire::RecordT> const& slate) {
+  if (slate && !slate->founding_seeds.empty())
+    plan.founding_seeds = slate->founding_seeds;
+  else if (plan.first_start)
+    plan.founding_seeds = plan.seeds;
+  return plan;
+}
 }  // namespace
 
 Node::Node(NodePlan plan_, Micros now, std::optional<wire::RecordT> slate)
-    : plan(std::move(plan_)),
+    : plan(with_founding(std::move(plan_), slate)),
       mesh(mesh_of(plan), self_of(plan), plan.chance),
       proposer(plan.name, plan.chance ^ plan.incarnation),
       tide(plan.chance + 1),
@@ -51,6 +60,10 @@
       born(now),
       last_tick(now) {
   if (slate) acceptor.emplace(std::move(*slate));
+  founds_again = acceptor && !acceptor->held().founding_seeds.empty();
+  std::vector<std::string> const& seeds = plan.founding_seeds;
+  bool const founder = std::find(seeds.begin(), seeds.end(), plan.address) != seeds.end();
+  if (acceptor && plan.registered && founder) acceptor->await_founding(seeds);
   registry.span(plan.beat_gap);
   if (plan.registered) dispatcher.begun(now);
   dispatcher.budget(plan.resend_ratio, plan.resend_store);
@@ -496,6 +509,8 @@
     learner.poll(now, keepers(), news_age(now), letters);
     found(now, letters);
   }
+  if (acceptor)
+    if (std::optional<wire::RecordT> save = acceptor->step(letters)) out.save = std::move(save);
   ask_newer(now, letters);
   proposer.know(learner.membership());
   proposer.suggest(learner.seen());
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -34,6 +34,8 @@
   bool registered = false;
   bool keeper = false;       // a router node that keeps as well
   bool first_start = false;  // the fleet starts for the first time
+  // Whose keepers are the first set; none where this node may not found. The node fills it in.
+  std::vector<std::string> founding_seeds;
   Micros beat_gap = millis(1200);
   double resend_ratio = 0.15;
   double resend_store = 30;  // of all nodes together
@@ -116,6 +118,7 @@
   Proposer proposer;
   Learner learner;
   std::optional<Acceptor> acceptor;
+  bool founds_again = false;  // an earlier life of this founder ended before the first set was written
   Tide tide;
   Fleet fleet;
   Desk desk;
