--- a/src/kin/mesh.cc
+++ b/src/kin/mesh.cc
@@ -457,7 +457,7 @@
 // §3.3: the peer learns what is said of it, and answers with a higher bump if it is wrong.
 void Mesh::tell_met(WireId id, std::string const& name, wire::HelloT const& hello, Sends& out) {
   if (wide() && hello.digest == roll.digest()) return;
-  bool const whole = !wide() || hello.members * 2 < roll.peers.size();
+  bool const whole = !wide() || hello.members < roll.peers.size() / 2;
   wire::NewsT news;
   news.table = whole ? table_for(id, true) : rumours();
   if (!whole) news.table.push_back(std::make_unique<wire::MemberT>(roll.peers.at(name).member));
