--- a/tests/wide.cc
+++ b/tests/wide.cc
@@ -295,4 +295,32 @@
   EXPECT_EQ(field.replies[20][0].outcome.sort, Outcome::Sort::chosen);
 }
 
+// An order is handed over as a patch of what its node holds. Where the keeper holds something else it asks for the
+// whole.
+TEST(Wide, an_order_whose_patch_has_another_base_is_sent_again_whole) {
+  Field field(30, 3, 3);
+  field.run(seconds(12));
+  field.configure(1);
+  field.run(seconds(3));
+  Node& node = *field.nodes[20];
+  ASSERT_TRUE(node.learner.value);
+  node.learner.value->text += " ";
+  Change change;
+  change.sort = Change::Sort::apply;
+  change.text = R"({"format":1,"pools":[{"name":"p","model":"m"}],"lanes":[]})";
+  change.expected = 1;
+  change.label = 2;
+  change.id = "order";
+  NodeOut out;
+  node.operate(7, change, field.now, out);
+  field.act(20, out);
+  field.run(millis(500));  // before the node would propose it by itself
+  ASSERT_EQ(field.replies[20].size(), 1u);
+  EXPECT_EQ(field.replies[20][0].outcome.sort, Outcome::Sort::chosen);
+  for (std::unique_ptr<Node> const& item : field.nodes) {
+    ASSERT_TRUE(item->learner.value) << item->plan.name;
+    EXPECT_EQ(item->learner.value->text, change.text) << item->plan.name;
+  }
+}
+
 }  // namespace pipit
