--- a/tests/control_plane.cc
+++ b/tests/control_plane.cc
@@ -151,6 +151,9 @@
 // All of it in one day.
 TEST(ControlPlane, days_with_everything) { expect_clean("day", 0, -1, 1, 6); }
 
+// The one that replaces a lost keeper was outbid for a second by the orders of a storm, and the next loss came.
+TEST(ControlPlane, a_replacement_is_not_held_up_by_a_storm_of_orders) { expect_clean("day", 0, -1, 1227, 1); }
+
 // The same seed gives the same run.
 TEST(ControlPlane, a_run_is_fixed_by_its_seed) {
   mute_log(true);
