--- a/src/canon/register/proposer.cc
+++ b/src/canon/register/proposer.cc
@@ -19,7 +19,8 @@
 namespace {
 constexpr std::size_t struck_most = 256;
 constexpr std::uint64_t ballot_leap = 4;
-constexpr int leap_tries_most = 16;
+constexpr int refusals_without_leap = 8;
+constexpr int leaps_most = 16;
 
 void unseat(std::vector<std::unique_ptr<wire::SeatT>>& list, std::string const& name) {
   list.erase(std::remove_if(list.begin(), list.end(),
@@ -107,11 +108,11 @@
 }
 
 void Proposer::again(Micros now, std::uint64_t seen) {
-  // A rival that makes many changes raises its ballots faster than this proposer's timers come round: each refusal
-  // leaps further beyond what was promised to it.
-  std::uint64_t const leap =
-      static_cast<std::uint64_t>(std::min(jobs.front().tries - 1, leap_tries_most)) * ballot_leap;
-  top = std::max(top, seen > 0 ? seen + leap : seen);
+  // A rival that makes many changes raises its ballots faster than this proposer's timers come round: after a few
+  // refusals each one leaps further beyond what was promised to it.
+  if (seen > 0) ++jobs.front().refusals;
+  int const leaps = std::clamp(jobs.front().refusals - refusals_without_leap, 0, leaps_most);
+  top = std::max(top, seen > 0 ? seen + static_cast<std::uint64_t>(leaps) * ballot_leap : seen);
   phase = Phase::pause;
   // Rivals step aside for a random while, longer with each try.
   due = now + millis(5) +
--- a/src/canon/register/proposer.h
+++ b/src/canon/register/proposer.h
@@ -83,6 +83,7 @@
     std::uint64_t sent_serial = 0;
     std::uint64_t joint_written = 0;  // the fingerprint of the joint set that this change wrote
     int tries = 0;
+    int refusals = 0;  // by keepers that had promised a higher ballot
   };
   struct Promised {
     std::uint64_t disk = 0;
--- a/src/storage/record_store.cc
+++ b/src/storage/record_store.cc
@@ -120,7 +120,7 @@
   bool const marked = disk.exists(formatted_mark);
   blank = !marked && !holds_vote();
   if (blank) return format(new_disk_id);
-  // The mark's name was made and never synced. Without it the votes tell, so that a refusal does no harm.
+  // The mark's name was made and never synced. Without it the votes decide, so that a refusal does no harm.
   if (!marked) static_cast<void>(disk.allocate(formatted_mark, mark_size));
   Result<Files> const read = read_files();
   if (!read) return read.as_failure();
