--- a/tests/world.cc
+++ b/tests/world.cc
@@ -113,7 +113,7 @@
     {Guard::confirm_all, "N6", "coop", 1, 12, {"stray"}},
     {Guard::isolation, "N5", "utility", 3, 12, {"group", "leave"}},
     {Guard::tombstone, "N5", "utility", 245, 60, {"leave", "group"}},
-    {Guard::sync_first, "N8", "utility", 85, 60, {"slow", "closing", "power"}},
+    {Guard::sync_first, "N8", "utility", 260, 60, {"slow", "closing", "power"}},
     {Guard::disk_id, "N9", "utility", 1, 12, {"amnesia"}},
     {Guard::expected, "N8", "coop", 1, 12, {"race", "storm"}},
     {Guard::promise, "N8", "coop", 1, 12, {"race", "storm"}},
