--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -9,11 +9,12 @@
 namespace {
 constexpr Micros repair_gap = seconds(3);
 constexpr Micros keeper_lost = seconds(3);
-constexpr Micros repair_calm = seconds(1);   // without a change, before copies that differ are mended
-constexpr Micros spare_seen = seconds(2);    // how lately a keeper must have answered to be given a place
-constexpr Micros founder_turn = seconds(1);  // how long each founder waits for the one before it
-constexpr std::size_t least_keepers = 3;     // a set of more than these may shrink
-constexpr std::size_t seeds_most = 3;        // that a node is given
+constexpr Micros repair_calm = seconds(1);    // without a change, before copies that differ are mended
+constexpr Micros answer_slack = millis(300);  // beyond a poll, for an answer on its way
+constexpr Micros spare_seen = seconds(2);     // how lately a keeper must have answered to be given a place
+constexpr Micros founder_turn = seconds(1);   // how long each founder waits for the one before it
+constexpr std::size_t least_keepers = 3;      // a set of more than these may shrink
+constexpr std::size_t seeds_most = 3;         // that a node is given
 constexpr Micros lost_seed_after = seconds(5);
 constexpr Micros unsure_for = seconds(1);  // how long a majority may show no newest value before copies are mended
 }  // namespace
@@ -162,6 +163,16 @@
   return here >= keepers.size() / 2 + 1;
 }
 
+// Whether every member answered the last poll. A set does not grow while one of them may be lost: with a dead member a
+// set of four needs all the others, and the one that should take the dead one's place would only add to them.
+bool Node::members_answer(Micros now) const {
+  std::vector<wire::KeeperT> const& keepers = learner.membership().keepers;
+  return std::all_of(keepers.begin(), keepers.end(), [this, now](wire::KeeperT const& keeper) {
+    std::optional<std::uint64_t> const disk = disk_here(keeper.name, poll_span() + answer_slack, now);
+    return disk && *disk == keeper.disk;
+  });
+}
+
 // §5.8: a keeper that is lost gives its place to one that is here, in one change; the set grows to the wanted size.
 std::optional<Change> Node::member_change(Micros now) const {
   Membership const& members = learner.membership();
@@ -182,7 +193,7 @@
                                 return keeper.name == lost->name && keeper.disk == lost->disk;
                               }),
                next.end());
-  } else if (members.keepers.size() < keepers_wanted()) {
+  } else if (members.keepers.size() < keepers_wanted() && members_answer(now)) {
     change.type = Change::Type::admit;
   } else {
     return std::nullopt;
