--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -102,10 +102,12 @@
 // §5.8, §12.3: an odd number of all that keep, so that no disk more makes the set no stronger; seven at most.
 std::size_t Node::keepers_wanted() const {
   if (!plan.registered) return std::max<std::size_t>(1, plan.founders.size());
-  std::size_t all = plan.keeper ? 1 : 0;
-  for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-    if (item.second.member.keeper && (item.second.state() == State::alive || item.second.state() == State::suspected))
-      ++all;
+  std::size_t all = plan.keeper && !keeper_leaves(plan.name) ? 1 : 0;
+  for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
+    State const state = item.second.state();
+    bool const stays = (state == State::alive || state == State::suspected) && !keeper_leaves(item.first);
+    if (item.second.member.keeper && stays) ++all;
+  }
   std::size_t const most = std::min<std::size_t>(7, all);
   return std::max<std::size_t>(1, most % 2 == 0 ? most - 1 : most);
 }
@@ -163,6 +165,11 @@
   return here >= keepers.size() / 2 + 1;
 }
 
+// Whether the set has more members than are wanted: then one that is lost need not be replaced.
+bool Node::set_may_shrink() const {
+  return learner.membership().keepers.size() > std::max(least_keepers, keepers_wanted());
+}
+
 // Whether every member answered the last poll. A set does not grow while one of them may be lost: with a dead member a
 // set of four needs all the others, and the one that should take the dead one's place would only add to them.
 bool Node::members_answer(Micros now) const {
@@ -179,7 +186,7 @@
   std::optional<wire::KeeperT> const spare = spare_keeper(now);
   std::optional<wire::KeeperT> const lost = lost_keeper(now);
   // A set that grew for successors shrinks again when those that they succeed are gone.
-  bool const shrinks = lost && !spare && members.keepers.size() > std::max(least_keepers, keepers_wanted());
+  bool const shrinks = lost && !spare && set_may_shrink();
   if (!spare && !shrinks) return std::nullopt;
   Change change;
   change.expected = members.epoch;
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -655,7 +655,8 @@
   if (!acceptor || !acceptor->held().formed) return true;
   if (!learner.membership().concerns(plan.name, acceptor->held().disk)) return true;
   // Who hears no quorum cannot know whether a keeper is here to take its place: it waits for the end of its grace.
-  return quorum_heard(now) && !spare_keeper(now);
+  // Nor does one end that the set can do without: it is taken out first.
+  return quorum_heard(now) && !spare_keeper(now) && !set_may_shrink();
 }
 
 void Node::drain(Micros now, NodeOut& out) {
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -160,6 +160,7 @@
   std::optional<wire::KeeperT> lost_keeper(Micros now) const;
   bool majority_here(std::vector<wire::KeeperT> const& keepers, Micros now) const;
   bool members_answer(Micros now) const;
+  bool set_may_shrink() const;
   std::optional<Change> member_change(Micros now) const;
   std::optional<Change> duty_due(Micros now);
   std::optional<Change> catch_up_read(Micros now);
--- a/tests/control_plane.cc
+++ b/tests/control_plane.cc
@@ -158,6 +158,8 @@
 // The one that replaces a lost keeper was outbid for a second by the orders of a storm, and the next loss came.
 TEST(ControlPlane, a_replacement_is_not_held_up_by_a_storm_of_orders) { expect_clean("day", 0, -1, 1227, 1); }
 
+// Two of a set that had grown to five left at once, for nobody was to take their places, beside a member that was lost.
+TEST(ControlPlane, members_that_leave_a_grown_set_are_taken_out_first) { expect_clean("day", 0, -1, 20279, 1); }
 // A spare was admitted beside a member that had just gone: three of four were needed, and the next loss left two.
 TEST(ControlPlane, a_set_does_not_grow_while_a_member_is_away) { expect_clean("restarts_in_storm", 0, -1, 10222, 1); }
 // Two successors of three let the set grow to five; it did not shrink when those that left were gone, so that the next
