--- a/programs/ordeal/main.cc
+++ b/programs/ordeal/main.cc
@@ -93,23 +93,23 @@
 
 class Drill {
  public:
-  Drill(std::string node_, std::string zone_, double hold_, double most_)
-      : node(std::move(node_)), zone(std::move(zone_)), hold(static_cast<Micros>(hold_ * 1e6)), most(most_) {}
+  Drill(std::string node, std::string zone, double hold, double most)
+      : node_(std::move(node)), zone_(std::move(zone)), hold_(static_cast<Micros>(hold * 1e6)), most_(most) {}
 
   int run() {
-    View const first = look(node);
-    if (!first.good) return refuse("the node " + node + " is not reached");
+    View const first = look(node_);
+    if (!first.good) return refuse("the node " + node_ + " is not reached");
     std::string const why = unfit(first);
     if (!why.empty()) return refuse(why);
-    routers = first.routers;
-    if (first.router) routers[first.name] = node;
+    routers_ = first.routers;
+    if (first.router) routers_[first.name] = node_;
     // From here on the zone is put back, whatever happens.
     bool const clean = empty_and_watch();
     bool const back = refill();
     report(back);
     if (!back) return 5;
     if (stopped) return 3;
-    return clean && faults.empty() ? 0 : 1;
+    return clean && faults_.empty() ? 0 : 1;
   }
 
  private:
@@ -126,20 +126,20 @@
     for (std::pair<std::string const, Worker> const& item : view.workers) {
       if (!item.second.serving) continue;
       demand += item.second.demand;
-      if (item.second.zone == zone)
+      if (item.second.zone == zone_)
         ++inside;
       else
         rest += item.second.slots;
     }
     if (!view.emptied.empty()) return "the zone " + *view.emptied.begin() + " is emptied already";
-    if (inside == 0) return "no worker serves in the zone " + zone;
-    if (rest == 0 || static_cast<double>(demand) > most * static_cast<double>(rest))
+    if (inside == 0) return "no worker serves in the zone " + zone_;
+    if (rest == 0 || static_cast<double>(demand) > most_ * static_cast<double>(rest))
       return "the other zones have " + std::to_string(rest) + " slots for a demand of " + std::to_string(demand);
     return "";
   }
 
   void fault(std::string const& what) {
-    if (std::find(faults.begin(), faults.end(), what) == faults.end()) faults.push_back(what);
+    if (std::find(faults_.begin(), faults_.end(), what) == faults_.end()) faults_.push_back(what);
   }
 
   bool empty_and_watch() {
@@ -147,7 +147,7 @@
     std::string const none;
     Got got;
     do {
-      got = talk("POST", node, "/v1/zones/" + zone + "/empty", &none, "");
+      got = talk("POST", node_, "/v1/zones/" + zone_ + "/empty", &none, "");
       if (got.status == 200) break;
       pause_for(millis(500));
     } while (!stopped && now() - asked < seconds(20));
@@ -156,22 +156,22 @@
       return false;
     }
     Micros const yes = now();
-    confirmed = yes - asked;
+    confirmed_ = yes - asked;
     simdjson::dom::parser parser;
     simdjson::dom::element root;
     std::uint64_t serial = 0;
     if (parser.parse(simdjson::padded_string(got.body)).get(root) || root["serial"].get_uint64().get(serial))
       fault("the answer has no serial");
     std::map<std::string, std::uint64_t> sent;  // node and worker, as of five seconds after the yes
-    while (!stopped && now() - yes < hold) {
-      for (std::pair<std::string const, std::string> const& router : routers) {
+    while (!stopped && now() - yes < hold_) {
+      for (std::pair<std::string const, std::string> const& router : routers_) {
         View const view = look(router.second);
         Micros const age = now() - yes;
         if (!view.good) {
           fault(router.first + " was not reached");
           continue;
         }
-        ++looks;
+        ++looks_;
         if (age > seconds(2) && view.serial < serial)
           fault(router.first + " has not the serial in force after two seconds");
         if (!view.ready) fault(router.first + " was not ready");
@@ -180,10 +180,10 @@
           std::uint64_t const before = sent.count(key) ? sent[key] : item.second.sent;
           sent[key] = item.second.sent;
           if (item.second.sent == before) continue;
-          if (item.second.zone != zone) {
-            elsewhere += item.second.sent - before;
+          if (item.second.zone != zone_) {
+            elsewhere_ += item.second.sent - before;
           } else {
-            last_inside = std::max(last_inside, age);
+            last_inside_ = std::max(last_inside_, age);
             if (age > seconds(5)) fault(router.first + " sent to " + item.first + " after five seconds");
           }
         }
@@ -191,8 +191,8 @@
       pause_for(millis(250));
     }
     // A drill that saw no traffic has shown nothing.
-    if (!stopped && elsewhere == 0) fault("no traffic was seen while the zone was empty");
-    if (!stopped && hold <= seconds(5)) fault("the hold was too short to see the promise kept");
+    if (!stopped && elsewhere_ == 0) fault("no traffic was seen while the zone was empty");
+    if (!stopped && hold_ <= seconds(5)) fault("the hold was too short to see the promise kept");
     return true;
   }
 
@@ -200,10 +200,10 @@
     std::string const none;
     Micros const asked = now();
     while (now() - asked < seconds(30)) {
-      if (talk("POST", node, "/v1/zones/" + zone + "/refill", &none, "").status == 200) return true;
+      if (talk("POST", node_, "/v1/zones/" + zone_ + "/refill", &none, "").status == 200) return true;
       // Any node proposes; the next may be reached where this one is not.
-      for (std::pair<std::string const, std::string> const& router : routers)
-        if (talk("POST", router.second, "/v1/zones/" + zone + "/refill", &none, "").status == 200) return true;
+      for (std::pair<std::string const, std::string> const& router : routers_)
+        if (talk("POST", router.second, "/v1/zones/" + zone_ + "/refill", &none, "").status == 200) return true;
       g_usleep(300000);
     }
     return false;
@@ -213,33 +213,33 @@
     JsonWriter json;
     json.begin_object()
         .key("zone")
-        .text(zone)
+        .text(zone_)
         .key("routers")
-        .number(static_cast<std::int64_t>(routers.size()))
+        .number(static_cast<std::int64_t>(routers_.size()))
         .key("looks")
-        .number(looks);
+        .number(looks_);
     json.key("confirmed_ms")
-        .number(confirmed / 1000)
+        .number(confirmed_ / 1000)
         .key("last_inside_ms")
-        .number(last_inside / 1000)
+        .number(last_inside_ / 1000)
         .key("sent_elsewhere")
-        .number(static_cast<std::int64_t>(elsewhere));
+        .number(static_cast<std::int64_t>(elsewhere_));
     json.key("put_back").boolean(back).key("interrupted").boolean(stopped != 0).key("faults").begin_list();
-    for (std::string const& item : faults) json.text(item);
+    for (std::string const& item : faults_) json.text(item);
     json.end_list().end_object();
-    std::printf("%s\n%s\n", json.take().c_str(), faults.empty() && back && !stopped ? "PASS" : "FAIL");
+    std::printf("%s\n%s\n", json.take().c_str(), faults_.empty() && back && !stopped ? "PASS" : "FAIL");
   }
 
-  std::string const node;
-  std::string const zone;
-  Micros const hold;
-  double const most;
-  std::map<std::string, std::string> routers;
-  std::vector<std::string> faults;
-  Micros confirmed = 0;
-  Micros last_inside = 0;
-  std::uint64_t elsewhere = 0;
-  std::int64_t looks = 0;
+  std::string const node_;
+  std::string const zone_;
+  Micros const hold_;
+  double const most_;
+  std::map<std::string, std::string> routers_;
+  std::vector<std::string> faults_;
+  Micros confirmed_ = 0;
+  Micros last_inside_ = 0;
+  std::uint64_t elsewhere_ = 0;
+  std::int64_t looks_ = 0;
 };
 
 int run(int argc, char** argv) {
--- a/proof/checker/register_view.cc
+++ b/proof/checker/register_view.cc
@@ -151,16 +151,16 @@
 
 Print print_of(Acceptor const& acceptor, Symmetry const& symmetry) {
   Print out(symmetry);
-  add(out, acceptor.state, symmetry);
-  add(out, acceptor.synced_state, symmetry);
-  out.number(acceptor.busy ? 1 : 0);
-  out.number(acceptor.marked ? 1 : 0);
-  for (std::pair<std::string, wire::BodyUnion> const& item : acceptor.inbox) {
+  add(out, acceptor.state_, symmetry);
+  add(out, acceptor.synced_state_, symmetry);
+  out.number(acceptor.busy_ ? 1 : 0);
+  out.number(acceptor.marked_ ? 1 : 0);
+  for (std::pair<std::string, wire::BodyUnion> const& item : acceptor.inbox_) {
     out.name(symmetry, item.first);
     out.part(print_of(item.second, symmetry));
   }
-  out.number(acceptor.inbox.size());
-  for (OutgoingMessage const& item : acceptor.held_back) {
+  out.number(acceptor.inbox_.size());
+  for (OutgoingMessage const& item : acceptor.held_back_) {
     out.name(symmetry, item.to);
     out.part(print_of(item.body, symmetry));
   }
@@ -169,12 +169,12 @@
 
 Print print_of(Proposer const& proposer, Symmetry const& symmetry) {
   Print out(symmetry);
-  out.number(proposer.owner);
-  add(out, proposer.known, symmetry);
-  add(out, proposer.suggested, symmetry);
-  add(out, proposer.set, symmetry);
-  out.number(proposer.joint_chosen);
-  for (Proposer::Job const& job : proposer.jobs) {
+  out.number(proposer.owner_);
+  add(out, proposer.known_, symmetry);
+  add(out, proposer.suggested_, symmetry);
+  add(out, proposer.set_, symmetry);
+  out.number(proposer.joint_chosen_);
+  for (Proposer::Job const& job : proposer.jobs_) {
     out.text(job.change.id);
     out.number(static_cast<std::uint64_t>(job.change.type));
     out.number(job.change.expected);
@@ -182,16 +182,16 @@
     out.number(job.sent_serial);
     out.number(job.joint_written);
   }
-  out.number(proposer.jobs.size());
-  out.number(static_cast<std::uint64_t>(proposer.phase));
-  out.number(proposer.req);
-  out.number(proposer.top);
-  add(out, proposer.ballot);
-  add(out, proposer.held_ballot);
-  add_optional(out, proposer.held, symmetry);
-  if (proposer.phase == Proposer::Phase::first || proposer.phase == Proposer::Phase::second) {
+  out.number(proposer.jobs_.size());
+  out.number(static_cast<std::uint64_t>(proposer.phase_));
+  out.number(proposer.req_);
+  out.number(proposer.top_);
+  add(out, proposer.ballot_);
+  add(out, proposer.held_ballot_);
+  add_optional(out, proposer.held_, symmetry);
+  if (proposer.phase_ == Proposer::Phase::first || proposer.phase_ == Proposer::Phase::second) {
     Print promises(symmetry);
-    for (std::pair<std::string const, Proposer::Promised> const& item : proposer.promises) {
+    for (std::pair<std::string const, Proposer::Promised> const& item : proposer.promises_) {
       Print one(symmetry);
       one.name(symmetry, item.first);
       one.disk(symmetry, item.second.disk);
@@ -199,35 +199,35 @@
       promises.member(one);
     }
     out.part(promises);
-    add(out, proposer.best);
-    add_optional(out, proposer.found, symmetry);
+    add(out, proposer.best_);
+    add_optional(out, proposer.found_, symmetry);
   }
-  if (proposer.phase == Proposer::Phase::second) {
-    add(out, proposer.accepts, symmetry);
-    add(out, proposer.draft, symmetry);
-    out.number(static_cast<std::uint64_t>(proposer.step));
-    out.number(proposer.order_taken ? 1 : 0);
-    out.number(proposer.verdict ? 1 : 0);
+  if (proposer.phase_ == Proposer::Phase::second) {
+    add(out, proposer.accepts_, symmetry);
+    add(out, proposer.draft_, symmetry);
+    out.number(static_cast<std::uint64_t>(proposer.step_));
+    out.number(proposer.order_taken_ ? 1 : 0);
+    out.number(proposer.verdict_ ? 1 : 0);
   }
   return out;
 }
 
 Print print_of(Learner const& learner, Symmetry const& symmetry) {
   Print out(symmetry);
-  add(out, learner.set, symmetry);
-  add(out, learner.seen_set, symmetry);
-  add(out, learner.first_set, symmetry);
+  add(out, learner.set_, symmetry);
+  add(out, learner.seen_set_, symmetry);
+  add(out, learner.first_set_, symmetry);
   add_optional(out, learner.value, symmetry);
-  out.number(learner.req);
+  out.number(learner.req_);
   Print offered(symmetry);
-  for (std::pair<std::uint64_t const, Membership> const& item : learner.offered) {
+  for (std::pair<std::uint64_t const, Membership> const& item : learner.offered_) {
     Print one(symmetry);
     add(one, item.second, symmetry);
     offered.member(one);
   }
   out.part(offered);
   Print votes(symmetry);
-  for (std::pair<std::string const, Learner::Vote> const& item : learner.votes) {
+  for (std::pair<std::string const, Learner::Vote> const& item : learner.votes_) {
     Print one(symmetry);
     one.name(symmetry, item.first);
     one.disk(symmetry, item.second.disk);
@@ -237,25 +237,25 @@
     votes.member(one);
   }
   out.part(votes);
-  out.number(learner.wanted ? 1 : 0);
-  if (learner.wanted) add(out, learner.wanted->ballot);
+  out.number(learner.wanted_ ? 1 : 0);
+  if (learner.wanted_) add(out, learner.wanted_->ballot);
   return out;
 }
 
-bool has_timer(Proposer const& proposer) { return proposer.phase != Proposer::Phase::idle; }
+bool has_timer(Proposer const& proposer) { return proposer.phase_ != Proposer::Phase::idle; }
 
 bool is_late(Proposer const& proposer, wire::BodyUnion const& body) {
   if (wire::PromiseT const* const ans = body.AsPromise())
-    return proposer.phase != Proposer::Phase::first || ans->req != proposer.req;
+    return proposer.phase_ != Proposer::Phase::first || ans->req != proposer.req_;
   if (wire::AcceptedT const* const ans = body.AsAccepted())
-    return ans->req != proposer.req ||
-           (proposer.phase != Proposer::Phase::second && proposer.phase != Proposer::Phase::first);
+    return ans->req != proposer.req_ ||
+           (proposer.phase_ != Proposer::Phase::second && proposer.phase_ != Proposer::Phase::first);
   return false;
 }
 
 bool is_late(Learner const& learner, wire::BodyUnion const& body) {
   wire::PeekedT const* const ans = body.AsPeeked();
-  return ans != nullptr && ans->req != learner.req;
+  return ans != nullptr && ans->req != learner.req_;
 }
 
 void tell_members(Proposer& proposer, Learner const& learner) { proposer.know(learner.membership()); }
@@ -315,7 +315,7 @@
   return out;
 }
 
-wire::ValueT const& draft_of(Proposer const& proposer) { return proposer.draft; }
+wire::ValueT const& draft_of(Proposer const& proposer) { return proposer.draft_; }
 
 std::string words_of(wire::Ballot const& ballot) {
   char text[40];
--- a/src/base/invariants.cc
+++ b/src/base/invariants.cc
@@ -44,15 +44,15 @@
 }
 
 ExpectedViolations::ExpectedViolations() {
-  for (std::size_t i = 0; i < std::size(rows); ++i) before[i] = counts[i];
+  for (std::size_t i = 0; i < std::size(rows); ++i) before_[i] = counts[i];
 }
 
 ExpectedViolations::~ExpectedViolations() {
-  for (std::size_t i = 0; i < std::size(rows); ++i) counts[i] = before[i];
+  for (std::size_t i = 0; i < std::size(rows); ++i) counts[i] = before_[i];
 }
 
 std::uint64_t ExpectedViolations::seen(Invariant invariant) const {
-  return violations(invariant) - before[static_cast<std::size_t>(invariant)];
+  return violations(invariant) - before_[static_cast<std::size_t>(invariant)];
 }
 
 }  // namespace pipit
--- a/src/base/invariants.h
+++ b/src/base/invariants.h
@@ -64,7 +64,7 @@
   std::uint64_t seen(Invariant invariant) const;
 
  private:
-  std::uint64_t before[64];
+  std::uint64_t before_[64];
 };
 
 }  // namespace pipit
--- a/src/base/json_writer.h
+++ b/src/base/json_writer.h
@@ -18,38 +18,38 @@
   JsonWriter& end_list() { return end(']'); }
   JsonWriter& key(std::string_view name) {
     gap();
-    out += json_text(name);
-    out += ':';
-    bare = true;
+    out_ += json_text(name);
+    out_ += ':';
+    bare_ = true;
     return *this;
   }
   JsonWriter& text(std::string_view raw) { return put(json_text(raw)); }
   JsonWriter& number(std::int64_t n) { return put(std::to_string(n)); }
   JsonWriter& boolean(bool yes) { return put(yes ? "true" : "false"); }
   JsonWriter& raw(std::string_view json) { return put(json); }
-  std::string take() { return std::move(out); }
+  std::string take() { return std::move(out_); }
 
  private:
   void gap() {
-    if (!bare && !out.empty() && out.back() != '{' && out.back() != '[') out += ',';
-    bare = false;
+    if (!bare_ && !out_.empty() && out_.back() != '{' && out_.back() != '[') out_ += ',';
+    bare_ = false;
   }
   JsonWriter& put(std::string_view text) {
     gap();
-    out += text;
+    out_ += text;
     return *this;
   }
   JsonWriter& begin(char c) {
     gap();
-    out += c;
+    out_ += c;
     return *this;
   }
   JsonWriter& end(char c) {
-    out += c;
+    out_ += c;
     return *this;
   }
-  std::string out;
-  bool bare = false;
+  std::string out_;
+  bool bare_ = false;
 };
 
 }  // namespace pipit
--- a/src/base/metrics_text.cc
+++ b/src/base/metrics_text.cc
@@ -5,14 +5,14 @@
 namespace pipit {
 
 void MetricsText::row(char const* name, char const* type, std::uint64_t value) {
-  out += std::string("# TYPE ") + name + " " + type + "\n" + name + " " + std::to_string(value) + "\n";
+  out_ += std::string("# TYPE ") + name + " " + type + "\n" + name + " " + std::to_string(value) + "\n";
 }
 
 void MetricsText::labelled(char const* name, char const* type, char const* label,
                            std::map<std::string, std::uint64_t> const& values) {
-  out += std::string("# TYPE ") + name + " " + type + "\n";
+  out_ += std::string("# TYPE ") + name + " " + type + "\n";
   for (std::pair<std::string const, std::uint64_t> const& item : values)
-    out += std::string(name) + "{" + label + "=\"" + item.first + "\"} " + std::to_string(item.second) + "\n";
+    out_ += std::string(name) + "{" + label + "=\"" + item.first + "\"} " + std::to_string(item.second) + "\n";
 }
 
 void MetricsText::counters(char const* name, char const* label, std::map<std::string, std::uint64_t> const& values) {
--- a/src/base/metrics_text.h
+++ b/src/base/metrics_text.h
@@ -15,13 +15,13 @@
   void gauges(char const* name, char const* label, std::map<std::string, std::uint64_t> const& values);
   // Violations of each invariant, those that hold as well: a missing row would say nothing.
   void invariants();
-  std::string take() { return std::move(out); }
+  std::string take() { return std::move(out_); }
 
  private:
   void row(char const* name, char const* type, std::uint64_t value);
   void labelled(char const* name, char const* type, char const* label,
                 std::map<std::string, std::uint64_t> const& values);
-  std::string out;
+  std::string out_;
 };
 
 }  // namespace pipit
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -8,16 +8,16 @@
 
 class RandomSource {
  public:
-  explicit RandomSource(std::uint64_t seed) : state(seed + 0x9e3779b97f4a7c15ull) {}
+  explicit RandomSource(std::uint64_t seed) : state_(seed + 0x9e3779b97f4a7c15ull) {}
   std::uint64_t next() {
-    state += 0x9e3779b97f4a7c15ull;
-    return hash_bits(state);
+    state_ += 0x9e3779b97f4a7c15ull;
+    return hash_bits(state_);
   }
   std::uint64_t below(std::uint64_t n) { return n == 0 ? 0 : next() % n; }
   bool chance(double p) { return static_cast<double>(next() >> 11) * 0x1.0p-53 < p; }
 
  private:
-  std::uint64_t state;
+  std::uint64_t state_;
 };
 
 }  // namespace pipit
--- a/src/config/description/builder.h
+++ b/src/config/description/builder.h
@@ -19,21 +19,21 @@
   Result<void> add(Route route, std::string const& place);
   Result<void> add(Tenant tenant, std::string const& place);
   // From here on a request needs a tenant's key, though no tenant may have been added.
-  void require_keys() { description->keys_required = true; }
-  void limits(CallLimits const& limits_) { description->limits = limits_; }
-  void source(std::string text) { description->source = std::move(text); }
-  void locality_cost(Micros cost) { description->locality_cost = cost; }
-  bool has_pool(std::string const& name) const { return pool_names.count(name) > 0; }
+  void require_keys() { description_->keys_required = true; }
+  void limits(CallLimits const& limits) { description_->limits = limits; }
+  void source(std::string text) { description_->source = std::move(text); }
+  void locality_cost(Micros cost) { description_->locality_cost = cost; }
+  bool has_pool(std::string const& name) const { return pool_names_.count(name) > 0; }
   // Checks the lanes, and hands the description over.
   Result<std::shared_ptr<Description const>> finish();
 
  private:
-  std::shared_ptr<Description> description = std::make_shared<Description>();
-  std::unordered_set<std::string> pool_names;
-  std::unordered_set<std::string> lane_names;
-  std::unordered_set<std::string> route_names;
-  std::unordered_set<std::string> route_places;
-  std::unordered_set<std::string> tenant_names;
+  std::shared_ptr<Description> description_ = std::make_shared<Description>();
+  std::unordered_set<std::string> pool_names_;
+  std::unordered_set<std::string> lane_names_;
+  std::unordered_set<std::string> route_names_;
+  std::unordered_set<std::string> route_places_;
+  std::unordered_set<std::string> tenant_names_;
 };
 
 }  // namespace pipit
--- a/src/config/rules/lexer.cc
+++ b/src/config/rules/lexer.cc
@@ -15,34 +15,34 @@
 
 class Lexer {
  public:
-  explicit Lexer(std::string_view text_) : text(text_) {}
+  explicit Lexer(std::string_view text) : text_(text) {}
 
   Result<std::vector<Token>> run() {
     std::vector<Token> tokens;
     while (skip_spaces()) {
       Token token;
-      token.offset = position;
+      token.offset = position_;
       Result<void> const done = read(token);
       if (!done) return done.as_failure();
       tokens.push_back(std::move(token));
     }
     Token end;
-    end.offset = text.size();
+    end.offset = text_.size();
     tokens.push_back(end);
     return tokens;
   }
 
  private:
-  bool more() const { return position < text.size(); }
+  bool more() const { return position_ < text_.size(); }
 
   // Whether anything follows.
   bool skip_spaces() {
-    while (more() && is_space(text[position])) ++position;
+    while (more() && is_space(text_[position_])) ++position_;
     return more();
   }
 
   Result<void> read(Token& token) {
-    char const first = text[position];
+    char const first = text_[position_];
     if (is_alphabetic(first)) return read_word(token);
     if (is_digit(first)) return read_number(token);
     if (first == '"') return read_text(token);
@@ -51,47 +51,47 @@
 
   Result<void> read_word(Token& token) {
     token.kind = TokenKind::word;
-    while (more() && (is_alphabetic(text[position]) || is_digit(text[position]) || text[position] == '-'))
-      token.text += text[position++];
+    while (more() && (is_alphabetic(text_[position_]) || is_digit(text_[position_]) || text_[position_] == '-'))
+      token.text += text_[position_++];
     return boost::outcome_v2::success();
   }
 
   Result<void> read_number(Token& token) {
     token.kind = TokenKind::number;
-    while (more() && is_digit(text[position])) {
+    while (more() && is_digit(text_[position_])) {
       if (token.number > largest_number) return error("the number is too large", token);
-      token.number = token.number * 10 + (text[position++] - '0');
+      token.number = token.number * 10 + (text_[position_++] - '0');
     }
-    while (more() && (is_alphabetic(text[position]) || text[position] == '%')) token.unit += text[position++];
+    while (more() && (is_alphabetic(text_[position_]) || text_[position_] == '%')) token.unit += text_[position_++];
     return boost::outcome_v2::success();
   }
 
   Result<void> read_text(Token& token) {
     token.kind = TokenKind::text;
-    ++position;
-    while (more() && text[position] != '"') token.text += text[position++];
+    ++position_;
+    while (more() && text_[position_] != '"') token.text += text_[position_++];
     if (!more()) return error("the quoted text has no end", token);
-    ++position;
+    ++position_;
     return boost::outcome_v2::success();
   }
 
   Result<void> read_symbol(Token& token) {
     token.kind = TokenKind::symbol;
-    char const first = text[position++];
+    char const first = text_[position_++];
     token.text = first;
     bool const may_be_two = first == '<' || first == '>' || first == '!';
-    if (may_be_two && more() && text[position] == '=') token.text += text[position++];
+    if (may_be_two && more() && text_[position_] == '=') token.text += text_[position_++];
     for (std::string_view const symbol : symbols)
       if (symbol == token.text) return boost::outcome_v2::success();
     return error("'" + token.text + "' has no meaning here", token);
   }
 
   Result<void> error(std::string why, Token const& token) const {
-    return fail(Kind::bad_language, std::move(why), place_of(text, token.offset));
+    return fail(Kind::bad_language, std::move(why), place_of(text_, token.offset));
   }
 
-  std::string_view const text;
-  std::size_t position = 0;
+  std::string_view const text_;
+  std::size_t position_ = 0;
 };
 
 }  // namespace
--- a/src/config/rules/parser.h
+++ b/src/config/rules/parser.h
@@ -13,11 +13,11 @@
 class Parser {
  public:
   // `text` must outlive the parser; it is what `tokens` was made from.
-  Parser(std::string_view text_, std::vector<Token> tokens_) : text(text_), tokens(std::move(tokens_)) {}
+  Parser(std::string_view text, std::vector<Token> tokens) : text_(text), tokens_(std::move(tokens)) {}
 
-  Token const& peek() const { return tokens[position]; }
+  Token const& peek() const { return tokens_[position_]; }
   // The token here, and a step on; the last one stays.
-  Token const& take() { return tokens[position + 1 < tokens.size() ? position++ : position]; }
+  Token const& take() { return tokens_[position_ + 1 < tokens_.size() ? position_++ : position_]; }
   bool at_end() const { return peek().kind == TokenKind::end; }
   // Takes the token here if it is this word or symbol; else nothing moves.
   bool take_word(std::string_view name) { return take_if(TokenKind::word, name); }
@@ -25,7 +25,7 @@
 
   Fault error_here(std::string why) const { return error_at(peek().offset, std::move(why)); }
   Fault error_at(std::size_t offset, std::string why) const {
-    return Fault{Kind::bad_language, std::move(why), place_of(text, offset)};
+    return Fault{Kind::bad_language, std::move(why), place_of(text_, offset)};
   }
 
   // Parses a condition and appends its instructions to `out`; `fault` is set when it returns false.
@@ -41,9 +41,9 @@
   bool parse_number_test(Condition::Instruction& out, Fault& fault);
   bool parse_number(Condition::Instruction& out, Fault& fault);
 
-  std::string_view const text;
-  std::vector<Token> const tokens;
-  std::size_t position = 0;
+  std::string_view const text_;
+  std::vector<Token> const tokens_;
+  std::size_t position_ = 0;
 };
 
 }  // namespace pipit
--- a/src/consensus/lease/lease.h
+++ b/src/consensus/lease/lease.h
@@ -14,7 +14,7 @@
 // since it may have given one just before it ended.
 class LeaseGrantor {
  public:
-  explicit LeaseGrantor(Micros born_) : born(born_) {}
+  explicit LeaseGrantor(Micros born) : born_(born) {}
   // A term of 0 gives the lease back.
   bool ask(std::string const& who, std::string const& duty, Micros term, Micros now);
 
@@ -23,32 +23,32 @@
     std::string who;
     Micros until = 0;
   };
-  Micros const born;
-  std::map<std::string, Held> held;
+  Micros const born_;
+  std::map<std::string, Held> held_;
 };
 
 // On the node that wants a duty.
 class LeaseHolder {
  public:
-  LeaseHolder(std::string duty_, std::uint64_t seed)
-      : duty(std::move(duty_)), random(derived_seed(seed, duty)), req(random.next() >> 8) {}
+  LeaseHolder(std::string duty, std::uint64_t seed)
+      : duty_(std::move(duty)), random_(derived_seed(seed, duty_)), req_(random_.next() >> 8) {}
   void tick(Micros now, Membership const& members, std::vector<OutgoingMessage>& out);
   // A holder that is about to end lets the next one begin at once.
   void give_back(Membership const& members, std::vector<OutgoingMessage>& out);
   void take(std::string const& from, wire::LeaseReplyT const& ans, Micros now, Membership const& members);
   // The holder's own end is earlier than the grantors' by a fifth, for clocks that run at different rates.
-  bool holds(Micros now) const { return now < until; }
+  bool holds(Micros now) const { return now < until_; }
 
  private:
   void send(Micros term, Membership const& members, std::vector<OutgoingMessage>& out);
 
-  std::string const duty;
-  RandomSource random;
-  std::uint64_t req;
-  Micros next = 0;
-  Micros asked = -1;
-  Micros until = -1;
-  Voters yes;
+  std::string const duty_;
+  RandomSource random_;
+  std::uint64_t req_;
+  Micros next_ = 0;
+  Micros asked_ = -1;
+  Micros until_ = -1;
+  Voters yes_;
 };
 
 }  // namespace pipit
--- a/src/consensus/register/acceptor.cc
+++ b/src/consensus/register/acceptor.cc
@@ -11,26 +11,26 @@
 
 namespace pipit {
 
-Acceptor::Acceptor(wire::RecordT recovered) : state(std::move(recovered)) {
-  if (state.value) convert_old_orders(*state.value);
-  synced_state = state;
+Acceptor::Acceptor(wire::RecordT recovered) : state_(std::move(recovered)) {
+  if (state_.value) convert_old_orders(*state_.value);
+  synced_state_ = state_;
 }
 
 void Acceptor::note_quota_members(std::uint64_t fingerprint) {
-  if (state.quota_members == fingerprint) return;
-  state.quota_members = fingerprint;
-  marked = true;
+  if (state_.quota_members == fingerprint) return;
+  state_.quota_members = fingerprint;
+  marked_ = true;
 }
 
 void Acceptor::await_founding(std::vector<std::string> const& seeds) {
-  if (state.formed || !state.founding_seeds.empty()) return;
-  state.founding_seeds = seeds;
-  marked = true;
+  if (state_.formed || !state_.founding_seeds.empty()) return;
+  state_.founding_seeds = seeds;
+  marked_ = true;
 }
 
 void Acceptor::take(std::string from, wire::BodyUnion body) {
   // A bounded backlog: what is dropped is asked again by its sender.
-  if (inbox.size() < 512) inbox.emplace_back(std::move(from), std::move(body));
+  if (inbox_.size() < 512) inbox_.emplace_back(std::move(from), std::move(body));
 }
 
 wire::PeekedT peeked(wire::RecordT const& state, wire::PeekT const& ask) {
@@ -68,12 +68,12 @@
 }  // namespace
 
 bool Acceptor::handle(std::string const& from, wire::BodyUnion& body, std::vector<OutgoingMessage>& out) {
-  wire::Ballot const promised = state.promised;
-  wire::Ballot const accepted = state.accepted;
+  wire::Ballot const promised = state_.promised;
+  wire::Ballot const accepted = state_.accepted;
   bool const changed = answer(from, body, out);
-  check_invariant(!(state.promised < promised) && !(state.accepted < accepted), Invariant::promise_kept, [&] {
-    return "promised " + text_of(promised) + " then " + text_of(state.promised) + ", accepted " + text_of(accepted) +
-           " then " + text_of(state.accepted) + " by a frame of " + from;
+  check_invariant(!(state_.promised < promised) && !(state_.accepted < accepted), Invariant::promise_kept, [&] {
+    return "promised " + text_of(promised) + " then " + text_of(state_.promised) + ", accepted " + text_of(accepted) +
+           " then " + text_of(state_.accepted) + " by a frame of " + from;
   });
   return changed;
 }
@@ -88,13 +88,13 @@
 bool Acceptor::prepare(std::string const& from, wire::PrepareT const& ask, std::vector<OutgoingMessage>& out) {
   wire::PromiseT answer;
   answer.req = ask.req;
-  answer.disk = state.disk;
-  answer.ok = state.promised < ask.ballot || !guard(Guard::promise);
-  if (answer.ok) state.promised = ask.ballot;
-  answer.promised = state.promised;
-  answer.accepted = state.accepted;
-  bool const known = is_set(ask.known) && same(ask.known, state.accepted);
-  if (state.value && answer.ok && !known) answer.value = std::make_unique<wire::ValueT>(*state.value);
+  answer.disk = state_.disk;
+  answer.ok = state_.promised < ask.ballot || !guard(Guard::promise);
+  if (answer.ok) state_.promised = ask.ballot;
+  answer.promised = state_.promised;
+  answer.accepted = state_.accepted;
+  bool const known = is_set(ask.known) && same(ask.known, state_.accepted);
+  if (state_.value && answer.ok && !known) answer.value = std::make_unique<wire::ValueT>(*state_.value);
   bool const changed = answer.ok;
   out.push_back(message_to(from, std::move(answer)));
   return changed;
@@ -102,35 +102,35 @@
 
 std::unique_ptr<wire::ValueT> Acceptor::value_of(wire::AcceptT& ask) const {
   if (ask.value) return std::move(ask.value);
-  if (!ask.patch || !state.value || !is_set(ask.base) || !same(ask.base, state.accepted)) return nullptr;
-  std::optional<wire::ValueT> value = patched(*state.value, *ask.patch);
+  if (!ask.patch || !state_.value || !is_set(ask.base) || !same(ask.base, state_.accepted)) return nullptr;
+  std::optional<wire::ValueT> value = patched(*state_.value, *ask.patch);
   return value ? std::make_unique<wire::ValueT>(std::move(*value)) : nullptr;
 }
 
 bool Acceptor::accept(std::string const& from, wire::AcceptT& ask, std::vector<OutgoingMessage>& out) {
   wire::AcceptedT answer;
   answer.req = ask.req;
-  answer.disk = state.disk;
-  answer.promised = state.promised;
+  answer.disk = state_.disk;
+  answer.promised = state_.promised;
   bool changed = false;
-  bool const outdated = ask.ballot < state.promised && guard(Guard::promise);
-  if (!outdated && same(ask.ballot, state.accepted)) {
+  bool const outdated = ask.ballot < state_.promised && guard(Guard::promise);
+  if (!outdated && same(ask.ballot, state_.accepted)) {
     answer.ok = true;  // a repetition: the value of a ballot is one
-    check_invariant(!ask.value || !state.value || same_value(*ask.value, *state.value), Invariant::promise_kept, [&] {
-      return "ballot " + text_of(ask.ballot) + " has revision " + std::to_string(state.value->revision) + " here and " +
-             std::to_string(ask.value->revision) + " at " + from;
+    check_invariant(!ask.value || !state_.value || same_value(*ask.value, *state_.value), Invariant::promise_kept, [&] {
+      return "ballot " + text_of(ask.ballot) + " has revision " + std::to_string(state_.value->revision) +
+             " here and " + std::to_string(ask.value->revision) + " at " + from;
     });
   } else if (!outdated) {
     std::unique_ptr<wire::ValueT> value = value_of(ask);
     answer.need_value = value == nullptr;
     // One limit for a description, here as at the proposer: what is larger fits neither frame nor record (§5.1).
     if (value && value->text.size() <= description_limit) {
-      state.promised = ask.ballot;
-      state.accepted = ask.ballot;
-      state.value = std::move(value);
-      state.formed = true;
+      state_.promised = ask.ballot;
+      state_.accepted = ask.ballot;
+      state_.value = std::move(value);
+      state_.formed = true;
       answer.ok = true;
-      answer.promised = state.promised;
+      answer.promised = state_.promised;
       changed = true;
     }
   }
@@ -140,46 +140,46 @@
 
 bool Acceptor::found(wire::FoundT const& ask) {
   // §5.4: the first set, once, and only on a disk that it names.
-  if (state.formed) return false;
+  if (state_.formed) return false;
   Membership first;
   first.epoch = 1;
   for (std::unique_ptr<wire::KeeperT> const& keeper : ask.keepers) first.keepers.push_back(*keeper);
-  if (!first.holds(state.name, state.disk)) return false;
-  state.formed = true;
+  if (!first.holds(state_.name, state_.disk)) return false;
+  state_.formed = true;
   // Two first sets, should there ever be two, have ballots of their own.
-  state.accepted = wire::Ballot(1, first.fingerprint());
-  state.value = std::make_unique<wire::ValueT>();
-  put_membership(first, *state.value);
+  state_.accepted = wire::Ballot(1, first.fingerprint());
+  state_.value = std::make_unique<wire::ValueT>();
+  put_membership(first, *state_.value);
   return true;
 }
 
 std::optional<wire::RecordT> Acceptor::step(std::vector<OutgoingMessage>& out) {
-  if (busy) return std::nullopt;
-  bool changed = std::exchange(marked, false);
+  if (busy_) return std::nullopt;
+  bool changed = std::exchange(marked_, false);
   std::vector<OutgoingMessage> replies;
-  while (!inbox.empty()) {
-    std::pair<std::string, wire::BodyUnion> item = std::move(inbox.front());
-    inbox.pop_front();
+  while (!inbox_.empty()) {
+    std::pair<std::string, wire::BodyUnion> item = std::move(inbox_.front());
+    inbox_.pop_front();
     changed = handle(item.first, item.second, replies) || changed;
   }
   if (!changed) {
     for (OutgoingMessage& reply : replies) out.push_back(std::move(reply));
     return std::nullopt;
   }
-  busy = true;
+  busy_ = true;
   if (!guard(Guard::sync_first)) {
     for (OutgoingMessage& reply : replies) out.push_back(std::move(reply));
     replies.clear();
   }
-  held_back = std::move(replies);
-  return state;
+  held_back_ = std::move(replies);
+  return state_;
 }
 
 void Acceptor::synced(std::vector<OutgoingMessage>& out) {
-  busy = false;
-  synced_state = state;
-  for (OutgoingMessage& reply : held_back) out.push_back(std::move(reply));
-  held_back.clear();
+  busy_ = false;
+  synced_state_ = state_;
+  for (OutgoingMessage& reply : held_back_) out.push_back(std::move(reply));
+  held_back_.clear();
 }
 
 }  // namespace pipit
--- a/src/consensus/register/acceptor.h
+++ b/src/consensus/register/acceptor.h
@@ -46,8 +46,8 @@
   // The record that step() returned is synced.
   void synced(std::vector<OutgoingMessage>& out);
 
-  wire::RecordT const& held() const { return synced_state; }
-  std::size_t backlog() const { return inbox.size(); }
+  wire::RecordT const& held() const { return synced_state_; }
+  std::size_t backlog() const { return inbox_.size(); }
 
  private:
   // Each returns whether the durable state changed. The first one also checks what no message may do to it.
@@ -59,12 +59,12 @@
   // The value that an accept brings, whole or as a patch of the one that is held; nothing when its base is missing.
   std::unique_ptr<wire::ValueT> value_of(wire::AcceptT& ask) const;
 
-  wire::RecordT state;         // with what is not synced yet
-  wire::RecordT synced_state;  // what is synced
-  bool busy = false;
-  bool marked = false;  // the record was marked since the last step
-  std::deque<std::pair<std::string, wire::BodyUnion>> inbox;
-  std::vector<OutgoingMessage> held_back;
+  wire::RecordT state_;         // with what is not synced yet
+  wire::RecordT synced_state_;  // what is synced
+  bool busy_ = false;
+  bool marked_ = false;  // the record was marked since the last step
+  std::deque<std::pair<std::string, wire::BodyUnion>> inbox_;
+  std::vector<OutgoingMessage> held_back_;
 };
 
 // What a keeper tells of its value. The set of keepers goes along only when it is not the one that the asker knows.
--- a/src/consensus/register/learner.cc
+++ b/src/consensus/register/learner.cc
@@ -37,24 +37,24 @@
   before = std::move(value);
   changed_at = now;
   value = std::move(next);
-  set = membership_of(*value);
-  if (floor_at >= 0 && value->revision >= floor_revision) sure = std::max(sure, floor_at);
+  set_ = membership_of(*value);
+  if (floor_at_ >= 0 && value->revision >= floor_revision_) sure = std::max(sure, floor_at_);
 }
 
 void Learner::poll(Micros now, std::vector<std::string> const& keepers, Micros age, std::vector<OutgoingMessage>& out) {
   look_split();
-  ++req;
-  asked = now;
-  votes.clear();
-  offered.clear();
-  if (!set.empty()) offered[set.fingerprint()] = set;
-  wanted.reset();
+  ++req_;
+  asked_ = now;
+  votes_.clear();
+  offered_.clear();
+  if (!set_.empty()) offered_[set_.fingerprint()] = set_;
+  wanted_.reset();
   for (std::string const& name : keepers) {
     wire::PeekT ask;
-    ask.req = req;
+    ask.req = req_;
     ask.age = age;
-    ask.epoch = set.epoch;
-    ask.members = set.empty() ? 0 : set.fingerprint();
+    ask.epoch = set_.epoch;
+    ask.members = set_.empty() ? 0 : set_.fingerprint();
     out.push_back(message_to(name, std::move(ask)));
   }
 }
@@ -63,12 +63,12 @@
 void Learner::look_split() {
   Voters voters;
   bool differ = false;
-  for (std::pair<std::string const, Vote> const& item : votes) {
-    if (!set.concerns(item.first, item.second.disk)) continue;
+  for (std::pair<std::string const, Vote> const& item : votes_) {
+    if (!set_.concerns(item.first, item.second.disk)) continue;
     voters[item.first] = item.second.disk;
-    differ = differ || !same(item.second.ballot, votes.at(voters.begin()->first).ballot);
+    differ = differ || !same(item.second.ballot, votes_.at(voters.begin()->first).ballot);
   }
-  split = differ && !set.empty() && set.quorum(voters);
+  split = differ && !set_.empty() && set_.quorum(voters);
 }
 
 void Learner::remember_members(wire::PeekedT const& ans) {
@@ -77,18 +77,18 @@
   for (std::unique_ptr<wire::KeeperT> const& keeper : ans.keepers) members.keepers.push_back(*keeper);
   for (std::unique_ptr<wire::KeeperT> const& keeper : ans.former) members.former.push_back(*keeper);
   if (members.empty()) return;
-  if (members.epoch == 1 && first_set.empty()) first_set = members;
-  offered[members.fingerprint()] = std::move(members);
+  if (members.epoch == 1 && first_set_.empty()) first_set_ = members;
+  offered_[members.fingerprint()] = std::move(members);
 }
 
 Membership const* Learner::members_of(Vote const& vote) const {
-  std::map<std::uint64_t, Membership>::const_iterator const spot = offered.find(vote.members);
-  return spot == offered.end() ? nullptr : &spot->second;
+  std::map<std::uint64_t, Membership>::const_iterator const spot = offered_.find(vote.members);
+  return spot == offered_.end() ? nullptr : &spot->second;
 }
 
 Voters Learner::holders(wire::Ballot const& ballot) const {
   Voters out;
-  for (std::pair<std::string const, Vote> const& item : votes)
+  for (std::pair<std::string const, Vote> const& item : votes_)
     if (same(item.second.ballot, ballot)) out[item.first] = item.second.disk;
   return out;
 }
@@ -99,18 +99,18 @@
   Vote const* newest = nullptr;
   Voters voters;
   std::uint64_t revision = 0;
-  for (std::pair<std::string const, Vote> const& item : votes) {
+  for (std::pair<std::string const, Vote> const& item : votes_) {
     if (newest == nullptr || newest->ballot < item.second.ballot) newest = &item.second;
     voters[item.first] = item.second.disk;
     revision = std::max(revision, item.second.revision);
   }
   Membership const* const members = newest == nullptr ? nullptr : members_of(*newest);
   if (members == nullptr) return;
-  seen_set = *members;
+  seen_set_ = *members;
   if (!members->quorum(voters)) return;
-  floor_revision = revision;
-  floor_at = asked;
-  if (value && value->revision >= floor_revision) sure = std::max(sure, floor_at);
+  floor_revision_ = revision;
+  floor_at_ = asked_;
+  if (value && value->revision >= floor_revision_) sure = std::max(sure, floor_at_);
 }
 
 std::optional<wire::ValueT> Learner::take(std::string const& from, wire::PeekedT const& ans, Micros now,
@@ -118,31 +118,31 @@
   observations[from] =
       Observation{ans.disk, ans.formed, ans.ballot, ans.serial, now, ans.retiring, ans.awaits_founding};
   if (ans.value) {
-    if (!wanted || ans.req != req || !same(ans.ballot, wanted->ballot)) return std::nullopt;
+    if (!wanted_ || ans.req != req_ || !same(ans.ballot, wanted_->ballot)) return std::nullopt;
     // A quorum agreed on this ballot, so this is the value that was chosen.
-    wanted.reset();
-    sure = std::max(sure, asked);
+    wanted_.reset();
+    sure = std::max(sure, asked_);
     if (adopt(*ans.value, now)) return *ans.value;
     return std::nullopt;
   }
-  if (ans.req != req) return std::nullopt;
+  if (ans.req != req_) return std::nullopt;
   remember_members(ans);
   // A keeper that has accepted nothing yet says so: no value was chosen with its help. It counts where a set names it
   // with its disk, as a member that was dark when it got its place.
   Vote const vote{ans.ballot, ans.revision, ans.disk, ans.members};
-  votes[from] = vote;
+  votes_[from] = vote;
   look_floor();
   if (!ans.formed) return std::nullopt;
   Membership const* const members = members_of(vote);
   if (members == nullptr || !members->quorum(holders(vote.ballot))) return std::nullopt;
   if (value && value->revision >= vote.revision) {
-    sure = std::max(sure, asked);
+    sure = std::max(sure, asked_);
     return std::nullopt;
   }
-  if (!wanted) {
-    wanted = vote;
+  if (!wanted_) {
+    wanted_ = vote;
     wire::PeekT ask;
-    ask.req = req;
+    ask.req = req_;
     ask.full = true;
     out.push_back(message_to(from, std::move(ask)));
   }
--- a/src/consensus/register/learner.h
+++ b/src/consensus/register/learner.h
@@ -13,7 +13,7 @@
 class Learner {
  public:
   // Polls are numbered from here on; another number in each life, so that no answer to a former life counts.
-  explicit Learner(std::uint64_t first_request = 0) : req(first_request) {}
+  explicit Learner(std::uint64_t first_request = 0) : req_(first_request) {}
   // Takes a value that is known to be chosen; true when it is newer than what is held.
   bool adopt(wire::ValueT const& value, Micros now);
   // Takes a patch of a chosen value; false when it has another base than what is held here.
@@ -25,13 +25,13 @@
                                    std::vector<OutgoingMessage>& out);
 
   // The set of the newest chosen value; empty before one is known.
-  Membership const& membership() const { return set; }
+  Membership const& membership() const { return set_; }
   // The set of the newest value that the last poll showed, chosen or not; a proposer may begin with it.
-  Membership const& seen() const { return seen_set; }
+  Membership const& seen() const { return seen_set_; }
   // A first set that some keeper holds, though nobody knows yet whether it is chosen; empty when none was seen.
-  Membership const& founding() const { return first_set; }
+  Membership const& founding() const { return first_set_; }
   // When the last poll was sent that a quorum answered; -1 for never.
-  Micros contact() const { return floor_at; }
+  Micros contact() const { return floor_at_; }
   std::uint64_t serial() const { return value ? value->serial : 0; }
   std::uint64_t revision() const { return value ? value->revision : 0; }
   std::optional<wire::ValueT> value;
@@ -67,17 +67,17 @@
   void look_floor();
   void look_split();
 
-  Membership set;
-  Membership seen_set;
-  Membership first_set;
-  std::map<std::uint64_t, Membership> offered;  // sets of the present poll, by fingerprint
-  std::uint64_t req;
-  Micros asked = 0;
-  std::map<std::string, Vote> votes;
-  std::optional<Vote> wanted;  // chosen by count, its value still to be fetched
+  Membership set_;
+  Membership seen_set_;
+  Membership first_set_;
+  std::map<std::uint64_t, Membership> offered_;  // sets of the present poll, by fingerprint
+  std::uint64_t req_;
+  Micros asked_ = 0;
+  std::map<std::string, Vote> votes_;
+  std::optional<Vote> wanted_;  // chosen by count, its value still to be fetched
   // The newest revision that a quorum of a poll knew, and when that poll was sent: nothing older was chosen later.
-  std::uint64_t floor_revision = 0;
-  Micros floor_at = -1;
+  std::uint64_t floor_revision_ = 0;
+  Micros floor_at_ = -1;
 };
 
 }  // namespace pipit
--- a/src/consensus/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -49,35 +49,35 @@
 }
 }  // namespace
 
-Proposer::Proposer(std::string self_, std::uint64_t seed, ProposerPlan plan_)
-    : self(std::move(self_)),
-      plan(plan_),
-      random(derived_seed(seed, self)),
-      owner(hash_bits(random.next())),
-      req(random.next() >> 8) {}
+Proposer::Proposer(std::string self, std::uint64_t seed, ProposerPlan plan)
+    : self_(std::move(self)),
+      plan_(plan),
+      random_(derived_seed(seed, self_)),
+      owner_(hash_bits(random_.next())),
+      req_(random_.next() >> 8) {}
 
 bool Proposer::ask(Change change, Done done, Micros now) {
-  if (jobs.size() >= plan.backlog) return false;
+  if (jobs_.size() >= plan_.backlog) return false;
   Job job;
   job.change = std::move(change);
   job.done = std::move(done);
-  job.due = now + plan.whole;
-  jobs.push_back(std::move(job));
+  job.due = now + plan_.whole;
+  jobs_.push_back(std::move(job));
   return true;
 }
 
 void Proposer::know(Membership const& members) {
-  if (members.epoch <= known.epoch) return;
-  known = members;
-  if (members.joint()) joint_chosen = members.fingerprint();
-  if (members.epoch <= set.epoch) return;
-  set = members;
-  if (phase == Phase::first) phase = Phase::pause;  // round one begins anew with the newer set
+  if (members.epoch <= known_.epoch) return;
+  known_ = members;
+  if (members.joint()) joint_chosen_ = members.fingerprint();
+  if (members.epoch <= set_.epoch) return;
+  set_ = members;
+  if (phase_ == Phase::first) phase_ = Phase::pause;  // round one begins anew with the newer set
 }
 
 void Proposer::suggest(Membership const& members) {
-  suggested = members;
-  if (set.empty()) set = members;
+  suggested_ = members;
+  if (set_.empty()) set_ = members;
 }
 
 std::uint64_t Proposer::serial_of(wire::ValueT const& value, std::string const& id) {
@@ -85,24 +85,24 @@
 }
 
 void Proposer::start(Micros now, std::vector<OutgoingMessage>& out) {
-  ++jobs.front().tries;
-  ballot = wire::Ballot(++top, owner);
-  ++req;
-  promises.clear();
-  accepts.clear();
+  ++jobs_.front().tries;
+  ballot_ = wire::Ballot(++top_, owner_);
+  ++req_;
+  promises_.clear();
+  accepts_.clear();
   // What this proposer saw at a ballot stays seen, also where no keeper of the set holds it: else it could go to and
   // fro between two sets for ever.
-  best = held_ballot;
-  found = held;
-  verdict.reset();
-  phase = Phase::first;
-  due = now + plan.phase;
-  for (std::string const& name : set.names()) {
+  best_ = held_ballot_;
+  found_ = held_;
+  verdict_.reset();
+  phase_ = Phase::first;
+  due_ = now + plan_.phase;
+  for (std::string const& name : set_.names()) {
     wire::PrepareT ask;
-    ask.req = req;
-    ask.ballot = ballot;
-    ask.epoch = set.epoch;
-    ask.known = held_ballot;
+    ask.req = req_;
+    ask.ballot = ballot_;
+    ask.epoch = set_.epoch;
+    ask.known = held_ballot_;
     out.push_back(message_to(name, std::move(ask)));
   }
 }
@@ -110,45 +110,45 @@
 void Proposer::again(Micros now, std::uint64_t seen) {
   // A rival that makes many changes raises its ballots faster than this proposer's timers come round: after a few
   // refusals each one leaps further beyond what was promised to it.
-  if (seen > 0) ++jobs.front().refusals;
-  int const leaps = std::clamp(jobs.front().refusals - refusals_without_leap, 0, leaps_most);
-  top = std::max(top, seen > 0 ? seen + static_cast<std::uint64_t>(leaps) * ballot_leap : seen);
-  phase = Phase::pause;
+  if (seen > 0) ++jobs_.front().refusals;
+  int const leaps = std::clamp(jobs_.front().refusals - refusals_without_leap, 0, leaps_most);
+  top_ = std::max(top_, seen > 0 ? seen + static_cast<std::uint64_t>(leaps) * ballot_leap : seen);
+  phase_ = Phase::pause;
   // Rivals step aside for a random while, longer with each try.
-  due = now + millis(5) +
-        static_cast<Micros>(random.below(static_cast<std::uint64_t>(millis(20) * std::min(jobs.front().tries, 8))));
+  due_ = now + millis(5) +
+         static_cast<Micros>(random_.below(static_cast<std::uint64_t>(millis(20) * std::min(jobs_.front().tries, 8))));
 }
 
 void Proposer::finish(Outcome const& outcome) {
-  Job job = std::move(jobs.front());
-  jobs.pop_front();
-  phase = Phase::idle;
+  Job job = std::move(jobs_.front());
+  jobs_.pop_front();
+  phase_ = Phase::idle;
   job.done(outcome);
 }
 
 void Proposer::promise(std::string const& from, wire::PromiseT const& ans, Micros now,
                        std::vector<OutgoingMessage>& out) {
-  if (phase != Phase::first || ans.req != req || !set.concerns(from, ans.disk)) return;
+  if (phase_ != Phase::first || ans.req != req_ || !set_.concerns(from, ans.disk)) return;
   if (!ans.ok) return again(now, ans.promised.n());
-  if (!same(ans.promised, ballot)) return;  // an answer to another round, whatever its number
-  promises[from] = Promised{ans.disk, ans.accepted};
-  if (is_set(ans.accepted) && best < ans.accepted) {
-    bool const have = held && same(ans.accepted, held_ballot);
+  if (!same(ans.promised, ballot_)) return;  // an answer to another round, whatever its number
+  promises_[from] = Promised{ans.disk, ans.accepted};
+  if (is_set(ans.accepted) && best_ < ans.accepted) {
+    bool const have = held_ && same(ans.accepted, held_ballot_);
     if (!have && !ans.value) return again(now, 0);
-    best = ans.accepted;
-    found = have ? *held : *ans.value;
+    best_ = ans.accepted;
+    found_ = have ? *held_ : *ans.value;
   }
   Voters voters;
-  for (std::pair<std::string const, Promised> const& item : promises) voters[item.first] = item.second.disk;
-  if (!set.quorum(voters)) return;
-  if (!found && set.epoch != 1) return again(now, 0);
-  if (found) {
-    held_ballot = best;
-    held = *found;
-    Membership const members = membership_of(*found);
-    if (members.fingerprint() != set.fingerprint() && guard(Guard::found_set)) {
+  for (std::pair<std::string const, Promised> const& item : promises_) voters[item.first] = item.second.disk;
+  if (!set_.quorum(voters)) return;
+  if (!found_ && set_.epoch != 1) return again(now, 0);
+  if (found_) {
+    held_ballot_ = best_;
+    held_ = *found_;
+    Membership const members = membership_of(*found_);
+    if (members.fingerprint() != set_.fingerprint() && guard(Guard::found_set)) {
       // Round one counts only at a quorum of the set that it found: it is begun again with that one.
-      set = members;
+      set_ = members;
       return again(now, 0);
     }
   }
@@ -157,49 +157,49 @@
 
 void Proposer::round_two(Micros now, std::vector<OutgoingMessage>& out) {
   if (!make_draft()) return;
-  phase = Phase::second;
-  due = now + plan.phase;
-  Membership const next = membership_of(draft);
-  std::vector<std::string> names = set.names();
+  phase_ = Phase::second;
+  due_ = now + plan_.phase;
+  Membership const next = membership_of(draft_);
+  std::vector<std::string> names = set_.names();
   for (std::string const& name : next.names())
     if (std::find(names.begin(), names.end(), name) == names.end()) names.push_back(name);
   for (std::string const& name : names) {
-    std::map<std::string, Promised>::const_iterator const spot = promises.find(name);
-    bool const other = spot != promises.end() && !same(spot->second.accepted, best);
-    send_accept(name, other || !found, out);
+    std::map<std::string, Promised>::const_iterator const spot = promises_.find(name);
+    bool const other = spot != promises_.end() && !same(spot->second.accepted, best_);
+    send_accept(name, other || !found_, out);
   }
 }
 
 void Proposer::send_accept(std::string const& to, bool whole, std::vector<OutgoingMessage>& out) const {
   wire::AcceptT ask;
-  ask.req = req;
-  ask.ballot = ballot;
+  ask.req = req_;
+  ask.ballot = ballot_;
   if (whole) {
-    ask.value = std::make_unique<wire::ValueT>(draft);
+    ask.value = std::make_unique<wire::ValueT>(draft_);
   } else {
-    ask.base = best;
-    ask.patch = patch_between(*found, draft);
+    ask.base = best_;
+    ask.patch = patch_between(*found_, draft_);
   }
   out.push_back(message_to(to, std::move(ask)));
 }
 
 bool Proposer::make_draft() {
-  Job& job = jobs.front();
-  draft = found ? *found : wire::ValueT();
-  if (!found) put_membership(set, draft);  // the first set, which no keeper has written yet
-  order_taken = false;
-  step = Step::change;
-  if (set.joint()) {
+  Job& job = jobs_.front();
+  draft_ = found_ ? *found_ : wire::ValueT();
+  if (!found_) put_membership(set_, draft_);  // the first set, which no keeper has written yet
+  order_taken_ = false;
+  step_ = Step::change;
+  if (set_.joint()) {
     // A joint set that was found is first made chosen, and settled only then.
-    bool const agreed = joint_chosen == set.fingerprint() || !guard(Guard::settle_chosen);
-    step = agreed ? Step::settle : Step::confirm_joint;
+    bool const agreed = joint_chosen_ == set_.fingerprint() || !guard(Guard::settle_chosen);
+    step_ = agreed ? Step::settle : Step::confirm_joint;
     if (!agreed) return true;
-    draft.former.clear();
-    ++draft.epoch;
-    ++draft.revision;
+    draft_.former.clear();
+    ++draft_.epoch;
+    ++draft_.revision;
     return true;
   }
-  if (serial_of_order(draft, job.change.id) > 0) return true;
+  if (serial_of_order(draft_, job.change.id) > 0) return true;
   if (std::optional<Fault> const doubt = doubt_of(job)) {
     Outcome lost;
     lost.fault = *doubt;
@@ -212,10 +212,10 @@
 
 // Why nobody can say what became, or will become, of the order that is to be tried now; nothing when that is certain.
 std::optional<Fault> Proposer::doubt_of(Job const& job) const {
-  if (job.sent_serial > 0 && job.sent_serial <= draft.forgotten_serial) return Fault{Kind::change_unknown, "", ""};
+  if (job.sent_serial > 0 && job.sent_serial <= draft_.forgotten_serial) return Fault{Kind::change_unknown, "", ""};
   if (job.change.type != Change::Type::apply) return std::nullopt;
   OrderBase const base{job.change.expected, job.change.label > 0};
-  return doubt_about_order(draft, standing_of_order(draft, job.change.id, base));
+  return doubt_about_order(draft_, standing_of_order(draft_, job.change.id, base));
 }
 
 void Proposer::make_change(Change const& change) {
@@ -237,56 +237,56 @@
       break;
     // §5.9: seats are no business of the operators' serial. Asking twice changes nothing more.
     case Change::Type::seat:
-      turned = take_seat(draft, change.seat);
+      turned = take_seat(draft_, change.seat);
       break;
     case Change::Type::strike:
-      turned = strike_seat(draft, change.seat);
+      turned = strike_seat(draft_, change.seat);
       break;
   }
-  Job& job = jobs.front();
-  if (order_taken) {
-    ++draft.serial;
-    draft.change = change.id;
-    remember_order(draft, change.id);
-    job.sent_serial = draft.serial;
+  Job& job = jobs_.front();
+  if (order_taken_) {
+    ++draft_.serial;
+    draft_.change = change.id;
+    remember_order(draft_, change.id);
+    job.sent_serial = draft_.serial;
   }
-  if (order_taken || turned) {
-    ++draft.revision;
+  if (order_taken_ || turned) {
+    ++draft_.revision;
     job.sent = true;
   }
 }
 
 void Proposer::apply(Change const& change) {
   bool const by_label = change.label > 0;
-  OrderStanding const standing = standing_of_order(draft, change.id, OrderBase{change.expected, by_label});
+  OrderStanding const standing = standing_of_order(draft_, change.id, OrderBase{change.expected, by_label});
   if (standing != OrderStanding::fits && guard(Guard::expected)) {
-    verdict = outdated_fault(draft, by_label);
-  } else if (by_label && change.label <= draft.label) {
-    verdict = Fault{Kind::bad_description, "the label is not above " + std::to_string(draft.label), ""};
+    verdict_ = outdated_fault(draft_, by_label);
+  } else if (by_label && change.label <= draft_.label) {
+    verdict_ = Fault{Kind::bad_description, "the label is not above " + std::to_string(draft_.label), ""};
   } else {
-    draft.text = change.text;
-    if (by_label) draft.label = change.label;
-    order_taken = true;
+    draft_.text = change.text;
+    if (by_label) draft_.label = change.label;
+    order_taken_ = true;
   }
 }
 
 void Proposer::change_zones(Change const& change) {
-  std::vector<std::string>& zones = draft.emptied;
+  std::vector<std::string>& zones = draft_.emptied;
   std::vector<std::string>::iterator const zone = std::find(zones.begin(), zones.end(), change.text);
   bool const there = zone != zones.end();
   if (change.type == Change::Type::empty && !there) {
     zones.push_back(change.text);
-    order_taken = true;
+    order_taken_ = true;
   } else if (change.type == Change::Type::refill && there) {
     zones.erase(zone);
-    order_taken = true;
+    order_taken_ = true;
   }
 }
 
 // Writes the joint set of a change of members; false when it does not fit the present set.
 bool Proposer::change_members(Change const& change) {
-  if (draft.epoch != change.expected || draft.keepers.empty()) return false;
-  Membership next = membership_of(draft);
+  if (draft_.epoch != change.expected || draft_.keepers.empty()) return false;
+  Membership next = membership_of(draft_);
   bool const adds = change.type != Change::Type::dismiss;
   if (adds && next.holds(change.keeper.name, change.keeper.disk)) return false;
   next.former = next.keepers;
@@ -300,43 +300,44 @@
   }
   if (adds) next.keepers.push_back(change.keeper);
   ++next.epoch;
-  put_membership(next, draft);
-  jobs.front().joint_written = next.fingerprint();
+  put_membership(next, draft_);
+  jobs_.front().joint_written = next.fingerprint();
   return true;
 }
 
 void Proposer::accepted(std::string const& from, wire::AcceptedT const& ans, Micros now,
                         std::vector<OutgoingMessage>& out) {
-  if (phase != Phase::second || ans.req != req) return;
-  Membership const members = membership_of(draft);
-  if (!members.concerns(from, ans.disk) && !set.concerns(from, ans.disk)) return;
+  if (phase_ != Phase::second || ans.req != req_) return;
+  Membership const members = membership_of(draft_);
+  if (!members.concerns(from, ans.disk) && !set_.concerns(from, ans.disk)) return;
   if (ans.need_value) return send_accept(from, true, out);
   if (!ans.ok) return again(now, ans.promised.n());
-  if (!same(ans.promised, ballot)) return;  // an answer to another round, whatever its number
-  accepts[from] = ans.disk;
-  if (members.quorum(accepts)) chosen(now, out);
+  if (!same(ans.promised, ballot_)) return;  // an answer to another round, whatever its number
+  accepts_[from] = ans.disk;
+  if (members.quorum(accepts_)) chosen(now, out);
 }
 
 // The draft is chosen. A joint set is settled before anything else; then the change that was asked has its turn.
 void Proposer::chosen(Micros now, std::vector<OutgoingMessage>& out) {
-  held_ballot = ballot;
-  held = draft;
-  set = membership_of(draft);
-  known = set.epoch > known.epoch ? set : known;
-  if (set.joint()) {
-    joint_chosen = set.fingerprint();
+  held_ballot_ = ballot_;
+  held_ = draft_;
+  set_ = membership_of(draft_);
+  known_ = set_.epoch > known_.epoch ? set_ : known_;
+  if (set_.joint()) {
+    joint_chosen_ = set_.fingerprint();
     return start(now, out);
   }
-  bool const taken = serial_of_order(draft, jobs.front().change.id) > 0;
-  bool const members_changed = step == Step::settle && joint_chosen != 0 && jobs.front().joint_written == joint_chosen;
-  if (step == Step::settle && !taken && !members_changed) return start(now, out);
+  bool const taken = serial_of_order(draft_, jobs_.front().change.id) > 0;
+  bool const members_changed =
+      step_ == Step::settle && joint_chosen_ != 0 && jobs_.front().joint_written == joint_chosen_;
+  if (step_ == Step::settle && !taken && !members_changed) return start(now, out);
   Outcome outcome;
-  outcome.value = draft;
-  if (verdict) {
+  outcome.value = draft_;
+  if (verdict_) {
     outcome.type = Outcome::Type::refused;
-    outcome.fault = *verdict;
+    outcome.fault = *verdict_;
   } else {
-    outcome.serial = serial_of_order(draft, jobs.front().change.id);
+    outcome.serial = serial_of_order(draft_, jobs_.front().change.id);
     outcome.type = outcome.serial > 0 || members_changed ? Outcome::Type::chosen : Outcome::Type::kept;
   }
   finish(outcome);
@@ -351,15 +352,15 @@
 void Proposer::give_up_unsent() {
   std::deque<Job> kept;
   std::vector<Job> given_up;
-  for (Job& job : jobs) {
+  for (Job& job : jobs_) {
     if (job.sent)
       kept.push_back(std::move(job));
     else
       given_up.push_back(std::move(job));
   }
-  jobs = std::move(kept);
+  jobs_ = std::move(kept);
   if (given_up.empty()) return;
-  phase = Phase::idle;
+  phase_ = Phase::idle;
   for (Job& job : given_up) job.done(outcome_without_quorum(job));
 }
 
@@ -372,22 +373,22 @@
 }
 
 void Proposer::tick(Micros now, std::vector<OutgoingMessage>& out) {
-  while (!jobs.empty()) {
-    Job& job = jobs.front();
+  while (!jobs_.empty()) {
+    Job& job = jobs_.front();
     if (now >= job.due) {
       finish(outcome_without_quorum(job));
       continue;
     }
-    if (phase == Phase::idle) {
-      if (set.empty()) return;
+    if (phase_ == Phase::idle) {
+      if (set_.empty()) return;
       start(now, out);
-    } else if (phase == Phase::pause) {
-      if (now >= due && !set.empty()) start(now, out);
-    } else if (now >= due) {
+    } else if (phase_ == Phase::pause) {
+      if (now >= due_ && !set_.empty()) start(now, out);
+    } else if (now >= due_) {
       // A set that was only found may be one that nobody can complete: the next try begins with the chosen one.
-      set = known.empty() ? suggested : known;
-      held.reset();
-      held_ballot = wire::Ballot(0, 0);
+      set_ = known_.empty() ? suggested_ : known_;
+      held_.reset();
+      held_ballot_ = wire::Ballot(0, 0);
       again(now, 0);
     }
     return;
--- a/src/consensus/register/proposer.h
+++ b/src/consensus/register/proposer.h
@@ -55,7 +55,7 @@
 class Proposer {
  public:
   using Done = std::function<void(Outcome const&)>;
-  Proposer(std::string self_, std::uint64_t seed, ProposerPlan plan_ = {});
+  Proposer(std::string self, std::uint64_t seed, ProposerPlan plan = {});
 
   // False when too many changes wait already.
   bool ask(Change change, Done done, Micros now);
@@ -69,8 +69,8 @@
   // Ends all changes of which nothing was sent: without a quorum they would only be waited for. They are refused, or
   // unknown where another node may have proposed them.
   void give_up_unsent();
-  std::size_t waiting() const { return jobs.size(); }
-  Membership const& membership() const { return set; }
+  std::size_t waiting() const { return jobs_.size(); }
+  Membership const& membership() const { return set_; }
   // The serial under which a value remembers a change; 0 when it does not.
   static std::uint64_t serial_of(wire::ValueT const& value, std::string const& id);
 
@@ -111,31 +111,31 @@
   void chosen(Micros now, std::vector<OutgoingMessage>& out);
   void finish(Outcome const& outcome);
 
-  std::string const self;
-  ProposerPlan const plan;
-  RandomSource random;
-  std::uint64_t const owner;       // of ballots; a new one in each life, so that no ballot is ever used twice
-  Membership known;                // the newest set that is known to be chosen
-  Membership suggested;            // where to begin without one
-  Membership set;                  // the one that this round works with; it may be one that was only found
-  std::uint64_t joint_chosen = 0;  // the fingerprint of the joint set that this proposer saw chosen
-  std::deque<Job> jobs;
-  Phase phase = Phase::idle;
-  Step step = Step::change;
-  Micros due = 0;
-  std::uint64_t req = 0;
-  std::uint64_t top = 1;  // the highest ballot number seen
-  wire::Ballot ballot;
-  std::map<std::string, Promised> promises;  // of round one
-  Voters accepts;                            // of round two
-  wire::Ballot best;                         // of the value found in round one, or held before it
-  std::optional<wire::ValueT> found;
-  wire::ValueT draft;        // of round two
-  bool order_taken = false;  // the draft takes the job's order
+  std::string const self_;
+  ProposerPlan const plan_;
+  RandomSource random_;
+  std::uint64_t const owner_;       // of ballots; a new one in each life, so that no ballot is ever used twice
+  Membership known_;                // the newest set that is known to be chosen
+  Membership suggested_;            // where to begin without one
+  Membership set_;                  // the one that this round works with; it may be one that was only found
+  std::uint64_t joint_chosen_ = 0;  // the fingerprint of the joint set that this proposer saw chosen
+  std::deque<Job> jobs_;
+  Phase phase_ = Phase::idle;
+  Step step_ = Step::change;
+  Micros due_ = 0;
+  std::uint64_t req_ = 0;
+  std::uint64_t top_ = 1;  // the highest ballot number seen
+  wire::Ballot ballot_;
+  std::map<std::string, Promised> promises_;  // of round one
+  Voters accepts_;                            // of round two
+  wire::Ballot best_;                         // of the value found in round one, or held before it
+  std::optional<wire::ValueT> found_;
+  wire::ValueT draft_;        // of round two
+  bool order_taken_ = false;  // the draft takes the job's order
   // The value that this proposer last found or wrote, and at which ballot: keepers that hold it need not send it.
-  wire::Ballot held_ballot;
-  std::optional<wire::ValueT> held;
-  std::optional<Fault> verdict;  // a refusal that is given once round two has settled the present value
+  wire::Ballot held_ballot_;
+  std::optional<wire::ValueT> held_;
+  std::optional<Fault> verdict_;  // a refusal that is given once round two has settled the present value
 };
 
 }  // namespace pipit
--- a/src/consensus/register/text_patch.cc
+++ b/src/consensus/register/text_patch.cc
@@ -51,31 +51,31 @@
 // Where a text's chunks occur in it, by their hashes.
 class ChunkIndex {
  public:
-  explicit ChunkIndex(std::string_view text_) : text(text_), chunks(chunks_of(text_)) {
-    places.reserve(chunks.size());
-    for (std::size_t n = 0; n < chunks.size(); ++n) places.emplace_back(digest_of(part(text, chunks[n])).low, n);
-    std::sort(places.begin(), places.end());
+  explicit ChunkIndex(std::string_view text) : text_(text), chunks_(chunks_of(text)) {
+    places_.reserve(chunks_.size());
+    for (std::size_t n = 0; n < chunks_.size(); ++n) places_.emplace_back(digest_of(part(text_, chunks_[n])).low, n);
+    std::sort(places_.begin(), places_.end());
   }
 
   // The occurrence of these bytes that is next to an expected place, at or after it if there is one; npos for none.
   std::size_t find(std::string_view bytes, std::size_t expected) const {
     std::uint64_t const hash = digest_of(bytes).low;
-    std::vector<Place>::const_iterator spot = std::lower_bound(places.begin(), places.end(), Place(hash, expected));
-    bool const after = spot != places.end() && spot->first == hash;
-    if (!after && spot == places.begin()) return none;
+    std::vector<Place>::const_iterator spot = std::lower_bound(places_.begin(), places_.end(), Place(hash, expected));
+    bool const after = spot != places_.end() && spot->first == hash;
+    if (!after && spot == places_.begin()) return none;
     if (!after) --spot;
-    if (spot->first != hash || part(text, chunks[spot->second]) != bytes) return none;
+    if (spot->first != hash || part(text_, chunks_[spot->second]) != bytes) return none;
     return spot->second;
   }
 
-  std::size_t offset(std::size_t chunk) const { return chunks[chunk].offset; }
+  std::size_t offset(std::size_t chunk) const { return chunks_[chunk].offset; }
   static constexpr std::size_t none = SIZE_MAX;
 
  private:
   using Place = std::pair<std::uint64_t, std::size_t>;
-  std::string_view const text;
-  std::vector<Chunk> const chunks;
-  std::vector<Place> places;
+  std::string_view const text_;
+  std::vector<Chunk> const chunks_;
+  std::vector<Place> places_;
 };
 
 // Appends a stretch, to the last one where they follow one another.
--- a/src/core/changes.cc
+++ b/src/core/changes.cc
@@ -16,7 +16,7 @@
 void Node::operate(std::uint64_t id, Change change, Micros now, NodeOut& out) {
   watch_clock(now);
   if (change.id.empty())
-    change.id = plan.name + "-" + std::to_string(plan.incarnation) + "-" + std::to_string(++change_count);
+    change.id = plan.name + "-" + std::to_string(plan.incarnation) + "-" + std::to_string(++change_count_);
   note_call(id, change);
   if (hand_over(id, change, now, out)) return;
   if (plan.registered && id != 0 && !quorum_heard(now)) return refuse_now(id, change, Kind::no_majority, out);
@@ -50,7 +50,7 @@
   bool const taken = proposer.ask(
       std::move(change),
       [this, id, kept](Outcome const& outcome) {
-        ended.push_back({id, kept, outcome});
+        ended_.push_back({id, kept, outcome});
       },
       now);
   if (!taken) {
@@ -64,9 +64,9 @@
 }
 
 void Node::settle_ended(Micros now, NodeOut& out) {
-  while (!ended.empty()) {
-    Ended const item = std::move(ended.front());
-    ended.erase(ended.begin());
+  while (!ended_.empty()) {
+    Ended const item = std::move(ended_.front());
+    ended_.erase(ended_.begin());
     settle(item.id, item.change, item.outcome, now, out);
   }
 }
@@ -77,7 +77,7 @@
   reply.change = change.id;
   reply.outcome = outcome;
   bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
-  std::uint64_t const req = ++next_req;
+  std::uint64_t const req = ++next_req_;
   if (holds) {
     log_event(Event::chosen, "serial " + std::to_string(outcome.value.serial) + " change " + outcome.value.change);
     bool const fresh = learner.adopt(outcome.value, now);
@@ -92,7 +92,7 @@
     if (outcome.value.serial > 0 && learner.adopt(outcome.value, now)) after_value(now, out);
   }
   if (id == 0) {
-    (change.type == Change::Type::seat ? seat_busy : duty_busy) = false;
+    (change.type == Change::Type::seat ? seat_busy_ : duty_busy_) = false;
     return;
   }
   if (change.type == Change::Type::empty && holds) {
@@ -106,7 +106,7 @@
       if (guard(Guard::seats) && guard(Guard::confirm_all)) wait.owe.insert(seat->name);
     wait.owe.erase(plan.name);
     wait.reply = std::move(reply);
-    waiting.emplace(req, std::move(wait));
+    waiting_.emplace(req, std::move(wait));
     settle_waiting(now, out);
     return;
   }
@@ -116,7 +116,7 @@
     wait.half = outcome.value.revision;
     wait.due = now + (plan.registered ? millis(700) : half_bound);
     wait.reply = std::move(reply);
-    waiting.emplace(req, std::move(wait));
+    waiting_.emplace(req, std::move(wait));
     settle_waiting(now, out);
     return;
   }
@@ -124,7 +124,7 @@
 }
 
 void Node::settle_waiting(Micros now, NodeOut& out) {
-  for (std::map<std::uint64_t, Waiting>::iterator it = waiting.begin(); it != waiting.end();) {
+  for (std::map<std::uint64_t, Waiting>::iterator it = waiting_.begin(); it != waiting_.end();) {
     Waiting& item = it->second;
     std::set<std::string> owe;
     for (std::string const& name : item.owe)
@@ -137,7 +137,7 @@
     }
     item.reply.missing.assign(owe.begin(), owe.end());
     out.replies.push_back(std::move(item.reply));
-    it = waiting.erase(it);
+    it = waiting_.erase(it);
   }
 }
 
--- a/src/core/checks.cc
+++ b/src/core/checks.cc
@@ -18,19 +18,19 @@
 }  // namespace
 
 void Node::note_call(std::uint64_t id, Change const& change) {
-  if (id != 0) open_calls[id] = OpenCall{change.type, change.id, learner.revision()};
+  if (id != 0) open_calls_[id] = OpenCall{change.type, change.id, learner.revision()};
 }
 
 void Node::check_replies(NodeOut const& out) {
-  if (open_calls.empty()) return;
+  if (open_calls_.empty()) return;
   for (Reply const& reply : out.replies) check_reply(reply);
 }
 
 void Node::check_reply(Reply const& reply) {
-  std::map<std::uint64_t, OpenCall>::iterator const spot = open_calls.find(reply.id);
-  if (spot == open_calls.end()) return;
+  std::map<std::uint64_t, OpenCall>::iterator const spot = open_calls_.find(reply.id);
+  if (spot == open_calls_.end()) return;
   OpenCall const call = std::move(spot->second);
-  open_calls.erase(spot);
+  open_calls_.erase(spot);
   Outcome const& outcome = reply.outcome;
   bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
   bool const current = call.type != Change::Type::read || !holds || outcome.value.revision >= call.revision;
@@ -56,21 +56,21 @@
   // With so many members the set outlives the loss of as many disks as are allowed, whatever else is without power.
   std::size_t const least = 2 * plan.tolerated + 1;
   std::size_t const size = learner.membership().keepers.size();
-  check_invariant(size >= settled_size || size >= least, Invariant::quorum_possible, [&] {
-    return std::to_string(size) + " keepers after " + std::to_string(settled_size) + " in epoch " +
+  check_invariant(size >= settled_size_ || size >= least, Invariant::quorum_possible, [&] {
+    return std::to_string(size) + " keepers after " + std::to_string(settled_size_) + " in epoch " +
            std::to_string(value.epoch) + ", " + std::to_string(plan.tolerated) + " may lose their disks";
   });
-  settled_size = size;
+  settled_size_ = size;
 }
 
 void Node::tell_waiting(Micros now) {
-  if (able || leaving || now - born < waiting_first || now < next_waiting) return;
-  next_waiting = now + waiting_gap;
+  if (able_ || leaving_ || now - born_ < waiting_first || now < next_waiting_) return;
+  next_waiting_ = now + waiting_gap;
   log_event(Event::not_ready, waits_for(now));
 }
 
 std::string Node::waits_for(Micros now) const {
-  Micros const from = stale_from >= 0 ? stale_from : born;
+  Micros const from = stale_from_ >= 0 ? stale_from_ : born_;
   if (learner.sure < from)
     return "no majority of keepers has answered since " + std::to_string((now - from) / 1000) + " ms, " +
            std::to_string(mesh.wires_open()) + " connections to peers, " +
--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -29,7 +29,7 @@
   std::vector<std::string>::const_iterator const own = std::find(founders.begin(), founders.end(), plan.name);
   if (own == founders.end()) return std::nullopt;
   // The first by name writes it; another only when that one has had its time, for it may have lost its disk.
-  if (now - born < founder_turn * (own - founders.begin())) return std::nullopt;
+  if (now - born_ < founder_turn * (own - founders.begin())) return std::nullopt;
   Membership first;
   first.epoch = 1;
   for (std::string const& name : founders) {
@@ -91,7 +91,7 @@
   }
   if (!all_heard) {
     bool const enough = plan.founding_seeds.size() == seeds_most && out.size() > seeds_most / 2;
-    return enough && now - born > lost_seed_after ? out : std::vector<std::string>();
+    return enough && now - born_ > lost_seed_after ? out : std::vector<std::string>();
   }
   if (out.empty()) {
     out = keepers();
@@ -122,7 +122,7 @@
 
 // A keeper that said goodbye, or that it is about to, though its process may still answer.
 bool Node::keeper_leaves(std::string const& name) const {
-  if (name == plan.name) return leaving || retiring;
+  if (name == plan.name) return leaving_ || retiring_;
   std::map<std::string, Learner::Observation>::const_iterator const observation = learner.observations.find(name);
   if (observation != learner.observations.end() && observation->second.retiring) return true;
   std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
@@ -151,7 +151,7 @@
     std::optional<std::uint64_t> const disk = disk_here(keeper.name, keeper_lost, now);
     if (disk && *disk != keeper.disk) return keeper;
     if (keeper_leaves(keeper.name)) return keeper;
-    if (!disk && !away && now - born > keeper_lost) away = keeper;
+    if (!disk && !away && now - born_ > keeper_lost) away = keeper;
   }
   return away;
 }
@@ -240,8 +240,8 @@
   // Not oftener: each round outbids what others have under way, and a slow disk never catches up with a storm. Nor
   // while changes go by: each of them rewrites the copies, and a second proposer only delays them.
   bool const calm = learner.changed_at < 0 || now - learner.changed_at > repair_calm;
-  if (!learner.split || !calm || now - repaired_at <= repair_gap) return std::nullopt;
-  repaired_at = now;
+  if (!learner.split || !calm || now - repaired_at_ <= repair_gap) return std::nullopt;
+  repaired_at_ = now;
   log_event(Event::copies_repaired, "epoch " + std::to_string(learner.membership().epoch));
   return change;
 }
@@ -251,26 +251,26 @@
   // A member that holds nothing yet gets no lease, but the others may wait for it to read the register.
   bool const formed = acceptor->held().formed;
   std::vector<OutgoingMessage> outgoing;
-  if (!leaving && formed) repair_lease.tick(now, learner.membership(), outgoing);
+  if (!leaving_ && formed) repair_lease_.tick(now, learner.membership(), outgoing);
   dispatch(outgoing, now, out);
-  bool const holds = repair_lease.holds(now);
-  if (holds != had_duty) log_event(holds ? Event::lease_held : Event::lease_ended, "mend");
-  had_duty = holds;
-  if (duty_busy) return;
+  bool const holds = repair_lease_.holds(now);
+  if (holds != had_duty_) log_event(holds ? Event::lease_held : Event::lease_ended, "mend");
+  had_duty_ = holds;
+  if (duty_busy_) return;
   std::optional<Change> change;
   if (holds) change = duty_due(now);
   if (!change) change = catch_up_read(now);
   if (!change) return;
-  duty_busy = true;
+  duty_busy_ = true;
   operate(0, std::move(*change), now, out);
 }
 
 // Copies that differ after a loss leave no ballot that a majority shows; then nobody gets ready by polls alone. The
 // keeper that proposes for all reads the register, which repairs them, and needs no lease for it.
 std::optional<Change> Node::catch_up_read(Micros now) {
-  bool const behind = now - std::max(born, learner.sure) > unsure_for + poll_span();
-  if (!behind || now - repaired_at <= repair_gap || leaving || proposing_keeper() != plan.name) return std::nullopt;
-  repaired_at = now;
+  bool const behind = now - std::max(born_, learner.sure) > unsure_for + poll_span();
+  if (!behind || now - repaired_at_ <= repair_gap || leaving_ || proposing_keeper() != plan.name) return std::nullopt;
+  repaired_at_ = now;
   log_event(Event::copies_repaired, "no majority shows one ballot");
   Change read;
   read.type = Change::Type::read;
--- a/src/core/handed.cc
+++ b/src/core/handed.cc
@@ -24,7 +24,7 @@
 }  // namespace
 
 bool Node::keeper_reached(wire::KeeperT const& keeper) const {
-  if (keeper.name == plan.name) return acceptor && acceptor->held().disk == keeper.disk && !leaving;
+  if (keeper.name == plan.name) return acceptor && acceptor->held().disk == keeper.disk && !leaving_;
   std::map<std::string, Learner::Observation>::const_iterator const observation =
       learner.observations.find(keeper.name);
   if (observation != learner.observations.end() && observation->second.disk != keeper.disk) return false;
@@ -48,7 +48,7 @@
     if (here && !item.second.member.keeper) peers.push_back(item.first);
   }
   if (peers.empty()) return "";
-  return peers[relay_turn++ % peers.size()];
+  return peers[relay_turn_++ % peers.size()];
 }
 
 bool Node::hand_over(std::uint64_t id, Change const& change, Micros now, NodeOut& out) {
@@ -56,11 +56,11 @@
   if (change.type != Change::Type::apply && change.type != Change::Type::read) return false;
   std::string const keeper = quorum_heard(now) ? proposing_keeper() : relaying_peer();
   if (keeper.empty() || keeper == plan.name) return false;
-  std::uint64_t const req = ++next_req;
+  std::uint64_t const req = ++next_req_;
   wire::ProposeT ask = proposal(req, change, learner.revision());
   put_text(change.text, ask);
   if (!mesh.post(keeper, std::move(ask), out.mesh)) return false;
-  handed[req] = Handed{id, keeper, change, now + answer_within};
+  handed_[req] = Handed{id, keeper, change, now + answer_within};
   return true;
 }
 
@@ -100,8 +100,8 @@
   change.text = std::move(*text);
   change.expected = ask.expected;
   change.label = ask.label;
-  std::uint64_t const id = handed_mark | ++next_req;
-  asked_by[id] = Asked{from, ask.req, ask.revision};
+  std::uint64_t const id = handed_mark | ++next_req_;
+  asked_by_[id] = Asked{from, ask.req, ask.revision};
   propose(id, std::move(change), now, out);
 }
 
@@ -113,12 +113,12 @@
 }
 
 void Node::take_answer(std::string const& from, wire::ProposedT const& ans, Micros now, NodeOut& out) {
-  std::map<std::uint64_t, Handed>::iterator const spot = handed.find(ans.req);
-  if (spot == handed.end() || spot->second.proposer != from) return;
+  std::map<std::uint64_t, Handed>::iterator const spot = handed_.find(ans.req);
+  if (spot == handed_.end() || spot->second.proposer != from) return;
   if (ans.type > static_cast<std::uint8_t>(Outcome::Type::unknown) || ans.kind >= kind_count()) return;
   if (ans.need_text) return send_text(from, ans.req, spot->second.change, out);
   Handed item = std::move(spot->second);
-  handed.erase(spot);
+  handed_.erase(spot);
   // A keeper that is cut off proposed nothing; this node may still hear a quorum.
   if (static_cast<Kind>(ans.kind) == Kind::no_majority && quorum_heard(now))
     return propose(item.id, std::move(item.change), now, out);
@@ -141,8 +141,8 @@
 
 void Node::settle_handed(Micros now, NodeOut& out) {
   for (std::vector<Reply>::iterator it = out.replies.begin(); it != out.replies.end();) {
-    std::map<std::uint64_t, Asked>::iterator const who = asked_by.find(it->id);
-    if (who == asked_by.end()) {
+    std::map<std::uint64_t, Asked>::iterator const who = asked_by_.find(it->id);
+    if (who == asked_by_.end()) {
       ++it;
       continue;
     }
@@ -159,16 +159,16 @@
     if (read && who->second.revision < outcome.value.revision)
       ans.value = std::make_unique<wire::ValueT>(outcome.value);
     mesh.post(who->second.from, std::move(ans), out.mesh);
-    asked_by.erase(who);
+    asked_by_.erase(who);
     it = out.replies.erase(it);
   }
-  for (std::map<std::uint64_t, Handed>::iterator it = handed.begin(); it != handed.end();) {
+  for (std::map<std::uint64_t, Handed>::iterator it = handed_.begin(); it != handed_.end();) {
     if (now < it->second.due) {
       ++it;
       continue;
     }
     Handed item = std::move(it->second);
-    it = handed.erase(it);
+    it = handed_.erase(it);
     // Whoever was asked may have proposed it: without a quorum's word nobody can say that nothing was changed.
     item.change.proposed_elsewhere = item.change.type == Change::Type::apply;
     propose(item.id, std::move(item.change), now, out);
--- a/src/core/listed.cc
+++ b/src/core/listed.cc
@@ -16,8 +16,8 @@
 
 // What a router node does each turn where the platform has a list of workers.
 void Node::tick_listed(Micros now, std::vector<OutgoingMessage>& outgoing, NodeOut& out) {
-  if (now >= next_round) {
-    next_round = now + seconds(1);
+  if (now >= next_round_) {
+    next_round_ = now + seconds(1);
     std::vector<std::pair<std::string, std::vector<std::string>>> peers;
     for (std::string const& name : index_peers()) peers.emplace_back(name, mesh.members.peers.at(name).member.models);
     index_sync.round(
@@ -25,21 +25,21 @@
     own_entries(now, out);
   }
   index_sync.tick(now, index_peers(), outgoing);
-  if (now >= next_reconcile) {
-    next_reconcile = now + seconds(30);
+  if (now >= next_reconcile_) {
+    next_reconcile_ = now + seconds(30);
     fleet.reconcile(mesh.ledger.all(), now);
   }
-  if (list_flying && now - list_flew > seconds(3)) list_flying = false;
-  if (now >= next_list && !list_flying) {
-    next_list = now + list_gap;
-    list_flying = true;
-    list_flew = now;
+  if (list_flying_ && now - list_flew_ > seconds(3)) list_flying_ = false;
+  if (now >= next_list_ && !list_flying_) {
+    next_list_ = now + list_gap;
+    list_flying_ = true;
+    list_flew_ = now;
     out.read_list = true;
   }
   for (std::pair<std::string const, Worker> const& item : fleet.workers) {
     Worker const& worker = item.second;
-    if (worker.standing == Standing::gone || checking.count(item.first)) continue;
-    if (now >= check_due[item.first]) check_now(item.first, now, out);
+    if (worker.standing == Standing::gone || checking_.count(item.first)) continue;
+    if (now >= check_due_[item.first]) check_now(item.first, now, out);
   }
   // §6.6: the share of a cold worker's bound counts every node that is known, DOWN ones too, so that a cut never
   // raises the sum.
@@ -54,32 +54,32 @@
   fleet.sum_others(senders, now);
   look_ready(now, out);
   bool const alone = guard(Guard::isolation) && !is_up_to_date(now);
-  if (able && alone != isolated) {
-    isolated = alone;
+  if (able_ && alone != isolated_) {
+    isolated_ = alone;
     log_event(alone ? Event::isolated : Event::not_isolated, "");
   }
-  desk.ready(able && !isolated);
+  desk.ready(able_ && !isolated_);
   desk.work(now, out.desk);
   check_asked(now, out);
 }
 
 void Node::list(std::optional<std::vector<ListRow>> const& rows, bool answered, Micros now, NodeOut& out) {
   watch_clock(now);
-  list_flying = false;
+  list_flying_ = false;
   if (!rows) {
     // A failed reading is no departure.
-    if (answered) list_said_at = now;
-    if (!list_bad) log_event(Event::list_failed, "");
-    list_bad = true;
+    if (answered) list_said_at_ = now;
+    if (!list_bad_) log_event(Event::list_failed, "");
+    list_bad_ = true;
     return;
   }
-  if (list_bad) log_event(Event::list_back, "");
-  list_bad = false;
+  if (list_bad_) log_event(Event::list_back, "");
+  list_bad_ = false;
   fleet.take_list(*rows, now);
   // What this reading began before a jump of the clock says nothing about the time after it.
-  if (stale_from < 0 || list_flew >= stale_from) {
-    listed_at = list_flew;
-    news_at = std::max(news_at, listed_at);
+  if (stale_from_ < 0 || list_flew_ >= stale_from_) {
+    listed_at_ = list_flew_;
+    news_at_ = std::max(news_at_, listed_at_);
   }
   take_fresh(now);
   own_entries(now, out);
@@ -90,7 +90,7 @@
 void Node::health_report(Check const& check, std::optional<HealthReport> const& report, bool refused, Micros now,
                          NodeOut& out) {
   watch_clock(now);
-  checking.erase(check.worker);
+  checking_.erase(check.worker);
   fleet.health_report(check.worker, check.life, check.asked, report, refused, now);
   take_fresh(now);
   desk.work(now, out.desk);
@@ -98,7 +98,7 @@
 }
 
 void Node::own_entries(Micros now, NodeOut& out) {
-  if (plan.role != Role::passage || listed_at < 0 || now - listed_at > seconds(5) || leaving) return;
+  if (plan.role != Role::passage || listed_at_ < 0 || now - listed_at_ > seconds(5) || leaving_) return;
   std::set<std::string> const names = passages(false);
   std::set<std::string> mine;
   for (std::pair<std::string const, Worker> const& item : fleet.workers)
@@ -129,24 +129,24 @@
 
 // Peers hear how many legs this node has at each worker, soon when that changed, and now and then when not.
 void Node::tell_loads(Micros now, std::vector<OutgoingMessage>& outgoing) {
-  if (now < next_loads) return;
-  next_loads = now + load_gap;
+  if (now < next_loads_) return;
+  next_loads_ = now + load_gap;
   wire::LoadsT loads = fleet.own_legs();
   loads.age = news_age(now);
   std::string print;
   for (std::unique_ptr<wire::LoadT> const& item : loads.list)
     print += item->worker + " " + std::to_string(item->legs) + " ";
-  if (print == loads_last && now - loads_told < millis(500)) return;
-  loads_last = print;
-  loads_told = now;
+  if (print == loads_last_ && now - loads_told_ < millis(500)) return;
+  loads_last_ = print;
+  loads_told_ = now;
   for (std::string const& name : index_peers()) outgoing.push_back(message_to(name, wire::LoadsT(loads)));
 }
 
 void Node::check_now(std::string const& id, Micros now, NodeOut& out) {
   Worker const* const worker = fleet.find(id);
   if (worker == nullptr) return;
-  check_due[id] = now + check_gap;
-  checking.insert(id);
+  check_due_[id] = now + check_gap;
+  checking_.insert(id);
   out.checks.push_back(Check{id, worker->row.address, worker->row.incarnation, now});
 }
 
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -56,8 +56,8 @@
 }
 }  // namespace
 
-Node::Node(NodePlan plan_, Micros now, std::optional<wire::RecordT> recovered)
-    : plan(with_founding(std::move(plan_), recovered)),
+Node::Node(NodePlan initial_plan, Micros now, std::optional<wire::RecordT> recovered)
+    : plan(with_founding(std::move(initial_plan), recovered)),
       mesh(mesh_of(plan), self_of(plan), plan.chance),
       proposer(plan.name, life_seed(plan, SeedUse::ballots)),
       learner(life_seed(plan, SeedUse::polls) >> spare_number_bits),
@@ -69,13 +69,13 @@
       lease(plan.revocation, plan.in_force),
       quota_owner(plan.quota),
       quota_client(plan.name, life_seed(plan, SeedUse::quota) >> spare_number_bits),
-      owner_lease(owner_span_of(plan)),
-      quota_shares(plan.name, owner_span_of(plan), recovered ? recovered->quota_members : 0),
-      lease_grantor(now),
-      repair_lease("mend", life_seed(plan, SeedUse::lease)),
-      born(now),
-      last_tick(now),
-      next_req(life_seed(plan, SeedUse::requests) >> spare_number_bits) {
+      owner_lease_(owner_span_of(plan)),
+      quota_shares_(plan.name, owner_span_of(plan), recovered ? recovered->quota_members : 0),
+      lease_grantor_(now),
+      repair_lease_("mend", life_seed(plan, SeedUse::lease)),
+      born_(now),
+      last_tick_(now),
+      next_req_(life_seed(plan, SeedUse::requests) >> spare_number_bits) {
   if (recovered) acceptor.emplace(std::move(*recovered));
   founds_again = acceptor && !acceptor->held().founding_seeds.empty();
   std::vector<std::string> const& seeds = plan.founding_seeds;
@@ -88,15 +88,15 @@
 }
 
 void Node::watch_clock(Micros now) {
-  if (now - last_tick > jump && guard(Guard::fresh_start)) {
+  if (now - last_tick_ > jump && guard(Guard::fresh_start)) {
     ++jumps;
-    stale_from = now;
+    stale_from_ = now;
     look_hold();
     registry.stood_still(now);
-    list_flying = false;
-    log_event(Event::clock_jumped, std::to_string((now - last_tick) / 1000) + " ms");
+    list_flying_ = false;
+    log_event(Event::clock_jumped, std::to_string((now - last_tick_) / 1000) + " ms");
   }
-  last_tick = now;
+  last_tick_ = now;
 }
 
 std::vector<std::string> Node::keepers() const {
@@ -181,7 +181,7 @@
       if (acceptor) {
         wire::PeekedT ans = peeked(acceptor->held(), *body.AsPeek());
         ans.age = news_age(now);
-        ans.retiring = retiring;
+        ans.retiring = retiring_;
         outgoing.push_back(message_to(from, std::move(ans)));
       }
       break;
@@ -203,8 +203,8 @@
       send_whole(from, *body.AsBehind(), outgoing);
       break;
     case wire::Body::Confirm: {
-      std::map<std::uint64_t, Waiting>::iterator const spot = waiting.find(body.AsConfirm()->req);
-      if (spot != waiting.end() && body.AsConfirm()->serial >= spot->second.serial) {
+      std::map<std::uint64_t, Waiting>::iterator const spot = waiting_.find(body.AsConfirm()->req);
+      if (spot != waiting_.end() && body.AsConfirm()->serial >= spot->second.serial) {
         spot->second.sure.insert(from);
         for (std::string const& name : body.AsConfirm()->routers)
           if (name != plan.name && guard(Guard::confirm_all)) spot->second.owe.insert(name);
@@ -219,12 +219,12 @@
         ans.req = ask.req;
         ans.duty = ask.duty;
         ans.disk = acceptor->held().disk;
-        ans.ok = lease_grantor.ask(from, ask.duty, ask.term, now);
+        ans.ok = lease_grantor_.ask(from, ask.duty, ask.term, now);
         outgoing.push_back(message_to(from, std::move(ans)));
       }
       break;
     case wire::Body::LeaseReply:
-      repair_lease.take(from, *body.AsLeaseReply(), now, learner.membership());
+      repair_lease_.take(from, *body.AsLeaseReply(), now, learner.membership());
       break;
     case wire::Body::Loads:
       hear(body.AsLoads()->age, now);
@@ -409,7 +409,7 @@
     return true;
   }
   if (!from.empty()) deliver(from, frame.value()->body, now, out);
-  if (!waiting.empty()) settle_waiting(now, out);
+  if (!waiting_.empty()) settle_waiting(now, out);
   settle_handed(now, out);
   settle_ends(now, out);
   check_replies(out);
@@ -443,22 +443,22 @@
 
 void Node::look_ready(Micros now, NodeOut& out) {
   // What must be known: a majority's word on the register, and the list; both after the last jump.
-  Micros const from = stale_from >= 0 ? stale_from : born;
+  Micros const from = stale_from_ >= 0 ? stale_from_ : born_;
   bool const word = learner.sure >= from;  // of a majority
   // Where keepers are many enough for the losses that are allowed, nothing else will do (docs/control.md).
-  if (plan.registered && !word && !able) return;
+  if (plan.registered && !word && !able_) return;
   bool sure = word;
   if (word && plan.role == Role::passage && !seated()) {
     // §5.9: nothing is placed before this life of the node has its seat; while a majority answers, by nobody's word.
     ask_seat(now, out);
-    if (!able) return;
+    if (!able_) return;
   }
   // Where workers register: a description, and the word of workers, or time enough for any to have called.
   bool const told = plan.registered && learner.serial() > 0 && (!registry.all.empty() || now - from > seconds(2));
-  bool const listed = plan.role == Role::accord || listed_at >= from || told;
+  bool const listed = plan.role == Role::accord || listed_at_ >= from || told;
   if (!word && now - from > fresh_bound) {
     // §6.7: no majority answers. A node that was serving goes on; a new one may take the word of one that serves.
-    if (able) sure = true;
+    if (able_) sure = true;
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       Peer const& peer = item.second;
       if (peer.wire != 0 && peer.state() == State::alive && peer.role() == Role::passage && peer.member.ready &&
@@ -466,17 +466,17 @@
         sure = true;
     }
   }
-  if (!sure || !(listed || (able && now - from > fresh_bound))) return;
-  if (stale_from >= 0) {
-    stale_from = -1;
+  if (!sure || !(listed || (able_ && now - from > fresh_bound))) return;
+  if (stale_from_ >= 0) {
+    stale_from_ = -1;
     look_hold();
     desk.work(now, out.desk);
   }
-  if (!able && newcomer(now)) return;
-  if (!able) {
-    able = true;
+  if (!able_ && newcomer(now)) return;
+  if (!able_) {
+    able_ = true;
     log_event(Event::ready, "revision " + std::to_string(learner.revision()) + ", " +
-                                std::to_string((now - born) / 1000) + " ms after its start");
+                                std::to_string((now - born_) / 1000) + " ms after its start");
     desk.ready(true);
     mesh.members.self.ready = true;
     mesh.announce_self(out.mesh);
@@ -488,8 +488,8 @@
   mesh.tick(now, out.mesh);
   take_fresh(now);
   std::vector<OutgoingMessage> outgoing;
-  if (now >= next_poll && (guard(Guard::spread) || learner.sure < 0 || plan.role == Role::accord)) {
-    next_poll = now + poll_span();
+  if (now >= next_poll_ && (guard(Guard::spread) || learner.sure < 0 || plan.role == Role::accord)) {
+    next_poll_ = now + poll_span();
     learner.poll(now, keepers(), news_age(now), outgoing);
     found(now, outgoing);
   }
@@ -525,10 +525,10 @@
 }
 
 void Node::drain(Micros now, NodeOut& out) {
-  if (leaving) return;
-  leaving = true;
+  if (leaving_) return;
+  leaving_ = true;
   std::vector<OutgoingMessage> outgoing;
-  repair_lease.give_back(learner.membership(), outgoing);
+  repair_lease_.give_back(learner.membership(), outgoing);
   dispatch(outgoing, now, out);
   desk.drain();
   mesh.members.self.ready = false;
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -88,7 +88,7 @@
 
 class Node {
  public:
-  Node(NodePlan plan_, Micros now, std::optional<wire::RecordT> recovered);
+  Node(NodePlan initial_plan, Micros now, std::optional<wire::RecordT> recovered);
 
   void tick(Micros now, NodeOut& out);
   // A node that was stopped for a while learns it here, before anything else it does (§6.7).
@@ -129,16 +129,16 @@
   void hung_up(std::uint64_t id, Micros now, NodeOut& out);
 
   // A planned stop is near: a keeper asks to be replaced while it still holds its copy.
-  void retire() { retiring = true; }
+  void retire() { retiring_ = true; }
   // Whether nothing is lost when this node ends now: it keeps no more, or nobody is here to take its place.
   bool may_end(Micros now) const;
   void drain(Micros now, NodeOut& out);
-  bool ready() const { return able; }
+  bool ready() const { return able_; }
   // Ready, and not without the lease that keys need.
   bool takes_requests(Micros now) const {
-    return able && (!dispatcher.description()->keys_required || lease.holds(now));
+    return able_ && (!dispatcher.description()->keys_required || lease.holds(now));
   }
-  bool draining() const { return leaving; }
+  bool draining() const { return leaving_; }
   std::size_t under_way() const { return desk.under_way(); }
 
   NodePlan const plan;
@@ -263,7 +263,7 @@
   // Knowledge of the list that a peer passed on, as old as it said (§4.3).
   void hear(Micros age, Micros now);
   bool is_up_to_date(Micros now);
-  Micros news_age(Micros now) const { return news_at < 0 ? -1 : now - news_at; }
+  Micros news_age(Micros now) const { return news_at_ < 0 ? -1 : now - news_at_; }
   void take_fresh(Micros now);
   void tell_loads(Micros now, std::vector<OutgoingMessage>& outgoing);
   void check_now(std::string const& id, Micros now, NodeOut& out);
@@ -273,86 +273,86 @@
   std::set<std::string> passages(bool all) const;
   Index::Bounds bounds(std::string const& model) const;
 
-  ConfigurationLease owner_lease;  // for handing limits out
-  QuotaShares quota_shares;
-  std::map<std::uint64_t, Micros> newest_asks;  // when each question that may still be answered was sent
+  ConfigurationLease owner_lease_;  // for handing limits out
+  QuotaShares quota_shares_;
+  std::map<std::uint64_t, Micros> newest_asks_;  // when each question that may still be answered was sent
   // By revision that is not held here yet: a moment at which nothing above it had been chosen.
-  std::map<std::uint64_t, Micros> newest_told;
-  Micros next_newest_ask = 0;
-  std::uint64_t newest_turn = 0;
+  std::map<std::uint64_t, Micros> newest_told_;
+  Micros next_newest_ask_ = 0;
+  std::uint64_t newest_turn_ = 0;
 
-  LeaseGrantor lease_grantor;
-  LeaseHolder repair_lease;
-  Micros born;
-  Micros last_tick;
-  Micros next_poll = 0;
-  Micros next_list = 0;
-  Micros next_round = 0;
-  Micros next_reconcile = 0;
-  Micros next_adoption = 0;
-  Micros next_loads = 0;
-  Micros loads_told = 0;
-  std::string loads_last;
-  bool list_flying = false;
-  Micros list_flew = 0;
-  Micros listed_at = -1;
-  bool list_bad = false;
-  std::set<std::string> checking;
-  std::map<std::string, Micros> check_due;
-  bool able = false;
-  bool isolated = false;
-  Micros news_at = -1;        // when the freshest reading of the list that is known here was begun, by whomever
-  Micros up_to_date_at = -1;  // until when no mark can have been missed
-  Micros half_since = -1;     // since when at least half of all members are heard
-  Micros list_said_at = -1;   // when the list's own address last refused, or answered oddly
-  bool seat_busy = false;
-  bool seat_had = false;
-  bool seat_known = false;  // a former life had one: nobody's share changes with this one
-  Micros behind_since = -1;
-  Micros seat_next = 0;
-  Micros seat_at = -1;
-  bool leaving = false;
-  bool retiring = false;
-  Micros stale_from = -1;  // since when a jump of the clock waits for fresh knowledge
-  std::uint64_t change_count = 0;
-  std::uint64_t relay_turn = 0;  // which peer is next to be asked for a quorum's sake
-  std::uint64_t next_req;        // begins at another number in each life: an answer to a former life finds no request
-  std::map<std::uint64_t, Waiting> waiting;
-  bool duty_busy = false;
-  bool had_duty = false;
-  Micros repaired_at = -seconds(60);
+  LeaseGrantor lease_grantor_;
+  LeaseHolder repair_lease_;
+  Micros born_;
+  Micros last_tick_;
+  Micros next_poll_ = 0;
+  Micros next_list_ = 0;
+  Micros next_round_ = 0;
+  Micros next_reconcile_ = 0;
+  Micros next_adoption_ = 0;
+  Micros next_loads_ = 0;
+  Micros loads_told_ = 0;
+  std::string loads_last_;
+  bool list_flying_ = false;
+  Micros list_flew_ = 0;
+  Micros listed_at_ = -1;
+  bool list_bad_ = false;
+  std::set<std::string> checking_;
+  std::map<std::string, Micros> check_due_;
+  bool able_ = false;
+  bool isolated_ = false;
+  Micros news_at_ = -1;        // when the freshest reading of the list that is known here was begun, by whomever
+  Micros up_to_date_at_ = -1;  // until when no mark can have been missed
+  Micros half_since_ = -1;     // since when at least half of all members are heard
+  Micros list_said_at_ = -1;   // when the list's own address last refused, or answered oddly
+  bool seat_busy_ = false;
+  bool seat_had_ = false;
+  bool seat_known_ = false;  // a former life had one: nobody's share changes with this one
+  Micros behind_since_ = -1;
+  Micros seat_next_ = 0;
+  Micros seat_at_ = -1;
+  bool leaving_ = false;
+  bool retiring_ = false;
+  Micros stale_from_ = -1;  // since when a jump of the clock waits for fresh knowledge
+  std::uint64_t change_count_ = 0;
+  std::uint64_t relay_turn_ = 0;  // which peer is next to be asked for a quorum's sake
+  std::uint64_t next_req_;        // begins at another number in each life: an answer to a former life finds no request
+  std::map<std::uint64_t, Waiting> waiting_;
+  bool duty_busy_ = false;
+  bool had_duty_ = false;
+  Micros repaired_at_ = -seconds(60);
   struct WorkerEnd {  // that waits until the others know of it
     std::string worker;
     Micros due = 0;
   };
-  std::map<std::uint64_t, WorkerEnd> worker_ends;
+  std::map<std::uint64_t, WorkerEnd> worker_ends_;
   struct OpenCall {  // of an operator, until it is answered
     Change::Type type = Change::Type::read;
     std::string change;
     std::uint64_t revision = 0;  // that was known here when it was asked
   };
-  std::map<std::uint64_t, OpenCall> open_calls;
-  std::size_t settled_size = 0;  // of the last settled set of keepers that was in force here
-  Micros next_waiting = 0;
+  std::map<std::uint64_t, OpenCall> open_calls_;
+  std::size_t settled_size_ = 0;  // of the last settled set of keepers that was in force here
+  Micros next_waiting_ = 0;
   struct Ended {
     std::uint64_t id;
     Change change;
     Outcome outcome;
   };
-  std::vector<Ended> ended;
+  std::vector<Ended> ended_;
   struct Handed {  // a change that another node was asked to propose
     std::uint64_t id = 0;
     std::string proposer;  // that node
     Change change;
     Micros due = 0;
   };
-  std::map<std::uint64_t, Handed> handed;
+  std::map<std::uint64_t, Handed> handed_;
   struct Asked {  // by whom this node was asked to propose
     std::string from;
     std::uint64_t req = 0;
     std::uint64_t revision = 0;  // what it held
   };
-  std::map<std::uint64_t, Asked> asked_by;
+  std::map<std::uint64_t, Asked> asked_by_;
 };
 
 }  // namespace pipit
--- a/src/core/registered.cc
+++ b/src/core/registered.cc
@@ -129,7 +129,7 @@
 
 Micros Node::poll_span() const {
   if (!plan.registered || !mesh.wide()) return poll_gap;
-  if (!able || stale_from >= 0) return poll_gap;
+  if (!able_ || stale_from_ >= 0) return poll_gap;
   return acceptor ? poll_wide : poll_rare;
 }
 
@@ -138,8 +138,8 @@
 // another node meanwhile, which owns it by then. Whoever hears too few others takes nothing over: it may be the one
 // that is gone.
 void Node::adopt_workers(Micros now, NodeOut& out) {
-  next_adoption = now + adopt_gap;
-  if (leaving || !hears_others(now)) return;
+  next_adoption_ = now + adopt_gap;
+  if (leaving_ || !hears_others(now)) return;
   std::set<std::string> const here = passages(false);
   for (std::pair<std::string const, Instance> const& item : registry.all) {
     Instance const& at = item.second;
@@ -147,7 +147,7 @@
     std::map<std::string, Peer>::const_iterator const owner = mesh.members.peers.find(at.owner);
     bool const met = owner != mesh.members.peers.end();
     // A node that is new has not met everybody yet.
-    Micros const gone_for = met ? now - owner->second.since : now - std::max(born, at.known) - strange_owner;
+    Micros const gone_for = met ? now - owner->second.since : now - std::max(born_, at.known) - strange_owner;
     if (gone_for < plan.beat_gap * 2) continue;
     if (rendezvous(item.first, here) != plan.name) continue;
     put_entry(registry.adopt(item.first, now), now, out);
@@ -160,20 +160,20 @@
   mesh.ledger.passes_on = !ways.wide;
   mesh.ledger.pass_to.clear();
   if (ways.hub) mesh.ledger.pass_to.insert(ways.zone.begin(), ways.zone.end());
-  if (now >= next_round) {
-    next_round = now + seconds(1);
+  if (now >= next_round_) {
+    next_round_ = now + seconds(1);
     index_sync.round(
         now, {}, [this](std::string const& model) { return bounds(model); }, outgoing);
   }
   index_sync.tick(now, index_peers(), outgoing);
-  if (now >= next_reconcile) {
+  if (now >= next_reconcile_) {
     // §4.4: what the ledger holds and the table lost.
-    next_reconcile = now + seconds(30);
+    next_reconcile_ = now + seconds(30);
     for (std::pair<std::string const, wire::EntryT> const& item : mesh.ledger.all())
       if (registry.find(item.first) == nullptr) registry.take_entry(item.second, now);
   }
   for (wire::EntryT& entry : registry.silent(now)) put_entry(std::move(entry), now, out);
-  if (now >= next_adoption) adopt_workers(now, out);
+  if (now >= next_adoption_) adopt_workers(now, out);
   take_fresh(now);
   settle_ends(now, out);
   dispatcher.nodes(passages(true).size(), mesh.wide());
--- a/src/core/seats.cc
+++ b/src/core/seats.cc
@@ -22,9 +22,9 @@
 }
 
 void Node::ask_seat(Micros now, NodeOut& out) {
-  if (seat_busy || leaving || now < seat_next) return;
-  seat_busy = true;
-  seat_next = now + seat_gap;
+  if (seat_busy_ || leaving_ || now < seat_next_) return;
+  seat_busy_ = true;
+  seat_next_ = now + seat_gap;
   Change change;
   change.type = Change::Type::seat;
   change.seat.name = plan.name;
@@ -45,19 +45,19 @@
     mesh.members.self.incarnation = own->incarnation + 1;
     mesh.announce_self(out.mesh);
   }
-  if (own != nullptr && own->incarnation != mesh.members.self.incarnation) seat_known = true;
+  if (own != nullptr && own->incarnation != mesh.members.self.incarnation) seat_known_ = true;
   if (seated()) {
-    if (seat_at < 0) log_event(Event::seat_taken, std::to_string(mesh.members.self.incarnation));
-    if (seat_at < 0) seat_at = now;
-    if (!seat_had) {
-      seat_had = true;
+    if (seat_at_ < 0) log_event(Event::seat_taken, std::to_string(mesh.members.self.incarnation));
+    if (seat_at_ < 0) seat_at_ = now;
+    if (!seat_had_) {
+      seat_had_ = true;
       look_hold();
     }
-  } else if (seat_had) {
+  } else if (seat_had_) {
     // It was struck, though it lives: it places nothing until it has a seat again, and then begins as a newcomer.
-    seat_had = false;
-    seat_known = false;
-    seat_at = -1;
+    seat_had_ = false;
+    seat_known_ = false;
+    seat_at_ = -1;
     look_hold();
   }
 }
@@ -69,11 +69,11 @@
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.wire != 0 && item.second.member.revision > learner.revision()) from = item.first;
   if (from.empty() || !guard(Guard::spread)) {
-    behind_since = -1;
-  } else if (behind_since < 0) {
-    behind_since = now;
-  } else if (now - behind_since > behind_gap) {
-    behind_since = now;
+    behind_since_ = -1;
+  } else if (behind_since_ < 0) {
+    behind_since_ = now;
+  } else if (now - behind_since_ > behind_gap) {
+    behind_since_ = now;
     wire::BehindT ask;
     ask.revision = learner.revision();
     outgoing.push_back(message_to(from, std::move(ask)));
@@ -84,14 +84,14 @@
 // Its start changes everybody's share of a cold worker's bound; where workers register there are no such shares.
 bool Node::newcomer(Micros now) const {
   if (plan.registered) return false;
-  return plan.role == Role::passage && !seat_known && seat_at >= 0 && now - seat_at < newcomer_span;
+  return plan.role == Role::passage && !seat_known_ && seat_at_ >= 0 && now - seat_at_ < newcomer_span;
 }
 
 void Node::look_hold() {
   if (plan.role != Role::passage) return;
-  dispatcher.hold(stale_from >= 0);
-  bool const lost = guard(Guard::seats) && able && seat_at < 0 && learner.value && struck_self();
-  desk.hold(stale_from >= 0 || lost);
+  dispatcher.hold(stale_from_ >= 0);
+  bool const lost = guard(Guard::seats) && able_ && seat_at_ < 0 && learner.value && struck_self();
+  desk.hold(stale_from_ >= 0 || lost);
 }
 
 bool Node::struck_self() const {
@@ -144,19 +144,19 @@
   Micros const half_at = mesh.half_heard(now);
   bool const half = half_at >= 0 && now - half_at <= alone_after;
   if (!half)
-    half_since = -1;
-  else if (half_since < 0)
-    half_since = now;
-  up_to_date_at = std::max(up_to_date_at, news_at);
-  Micros const word = std::max(half_at, list_said_at);
-  bool const held = up_to_date_at >= 0 && word - up_to_date_at <= alone_after;
-  if (held || (half && now - half_since > catch_up)) up_to_date_at = std::max(up_to_date_at, word);
-  return now - up_to_date_at <= alone_after;
+    half_since_ = -1;
+  else if (half_since_ < 0)
+    half_since_ = now;
+  up_to_date_at_ = std::max(up_to_date_at_, news_at_);
+  Micros const word = std::max(half_at, list_said_at_);
+  bool const held = up_to_date_at_ >= 0 && word - up_to_date_at_ <= alone_after;
+  if (held || (half && now - half_since_ > catch_up)) up_to_date_at_ = std::max(up_to_date_at_, word);
+  return now - up_to_date_at_ <= alone_after;
 }
 
 void Node::hear(Micros age, Micros now) {
   // What lay in a wire while this node stood still is older than it says.
-  if (age >= 0 && stale_from < 0) news_at = std::max(news_at, now - age);
+  if (age >= 0 && stale_from_ < 0) news_at_ = std::max(news_at_, now - age);
 }
 
 }  // namespace pipit
--- a/src/core/tenancy.cc
+++ b/src/core/tenancy.cc
@@ -21,12 +21,12 @@
 void Node::confirm_configuration(Micros now) {
   if (learner.sure >= 0) {
     lease.confirm(learner.sure);
-    owner_lease.confirm(learner.sure);
+    owner_lease_.confirm(learner.sure);
   }
-  while (!newest_told.empty() && newest_told.begin()->first <= learner.revision()) {
-    lease.confirm(newest_told.begin()->second);
-    owner_lease.confirm(newest_told.begin()->second);
-    newest_told.erase(newest_told.begin());
+  while (!newest_told_.empty() && newest_told_.begin()->first <= learner.revision()) {
+    lease.confirm(newest_told_.begin()->second);
+    owner_lease_.confirm(newest_told_.begin()->second);
+    newest_told_.erase(newest_told_.begin());
   }
 }
 
@@ -34,9 +34,9 @@
 // and from its half on by any peer besides, since a cut may part this node from the keepers alone.
 void Node::renew_lease(Micros now, std::vector<OutgoingMessage>& outgoing) {
   confirm_configuration(now);
-  if (!dispatcher.description()->keys_required || !owner_lease.ageing(now) || now < next_newest_ask) return;
-  next_newest_ask = now + newest_gap;
-  std::erase_if(newest_asks, [now](std::pair<std::uint64_t const, Micros> const& item) {
+  if (!dispatcher.description()->keys_required || !owner_lease_.ageing(now) || now < next_newest_ask_) return;
+  next_newest_ask_ = now + newest_gap;
+  std::erase_if(newest_asks_, [now](std::pair<std::uint64_t const, Micros> const& item) {
     return now - item.second > newest_within;
   });
   std::vector<std::string> keepers_here;
@@ -46,14 +46,14 @@
     (item.second.member.keeper ? keepers_here : others).push_back(item.first);
   }
   std::vector<std::string> targets;
-  ++newest_turn;
-  if (!keepers_here.empty()) targets.push_back(keepers_here[newest_turn % keepers_here.size()]);
-  if (!others.empty() && (keepers_here.empty() || owner_lease.urgent(now)))
-    targets.push_back(others[newest_turn % others.size()]);
+  ++newest_turn_;
+  if (!keepers_here.empty()) targets.push_back(keepers_here[newest_turn_ % keepers_here.size()]);
+  if (!others.empty() && (keepers_here.empty() || owner_lease_.urgent(now)))
+    targets.push_back(others[newest_turn_ % others.size()]);
   for (std::string const& target : targets) {
     wire::NewestAskT ask;
-    ask.req = ++next_req;
-    newest_asks[ask.req] = now;
+    ask.req = ++next_req_;
+    newest_asks_[ask.req] = now;
     outgoing.push_back(message_to(target, std::move(ask)));
   }
 }
@@ -62,7 +62,7 @@
   wire::NewestReplyT out;
   out.req = req;
   out.revision = learner.revision();
-  if (owner_lease.confirmed() >= 0) out.age = now - owner_lease.confirmed();
+  if (owner_lease_.confirmed() >= 0) out.age = now - owner_lease_.confirmed();
   return out;
 }
 
@@ -70,16 +70,16 @@
 // it can only be taken for an earlier one than it was.
 void Node::take_newest(std::string const& from, wire::NewestReplyT const& reply, Micros now,
                        std::vector<OutgoingMessage>& outgoing) {
-  std::map<std::uint64_t, Micros>::iterator const spot = newest_asks.find(reply.req);
-  if (spot == newest_asks.end()) return;
+  std::map<std::uint64_t, Micros>::iterator const spot = newest_asks_.find(reply.req);
+  if (spot == newest_asks_.end()) return;
   Micros const asked = spot->second;
-  newest_asks.erase(spot);
+  newest_asks_.erase(spot);
   if (reply.age < 0) return;
-  Micros& told = newest_told.emplace(reply.revision, -1).first->second;
+  Micros& told = newest_told_.emplace(reply.revision, -1).first->second;
   told = std::max(told, asked - reply.age);
   confirm_configuration(now);
-  if (newest_told.size() > newest_told_most) newest_told.erase(newest_told.begin());
-  if (newest_told.empty() || !owner_lease.urgent(now)) return;
+  if (newest_told_.size() > newest_told_most) newest_told_.erase(newest_told_.begin());
+  if (newest_told_.empty() || !owner_lease_.urgent(now)) return;
   // What is newer has not come by itself.
   wire::BehindT ask;
   ask.revision = learner.revision();
@@ -88,8 +88,8 @@
 
 QuotaPeers Node::quota_peers() const {
   QuotaPeers out;
-  out.owner_count = quota_shares.owners().size();
-  for (std::string const& name : quota_shares.owners())
+  out.owner_count = quota_shares_.owners().size();
+  for (std::string const& name : quota_shares_.owners())
     if (name == plan.name || reached(name)) out.owners.push_back(name);
   if (!out.owners.empty()) return out;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
@@ -98,10 +98,10 @@
 }
 
 void Node::tick_quota(Micros now, std::vector<OutgoingMessage>& outgoing) {
-  quota_shares.note(learner.membership(), now);
+  quota_shares_.note(learner.membership(), now);
   if (!dispatcher.description()->keys_required) return;
-  std::uint64_t const settled = quota_shares.settled(now);
-  if (acceptor && settled != 0 && owner_lease.holds(now)) acceptor->note_quota_members(settled);
+  std::uint64_t const settled = quota_shares_.settled(now);
+  if (acceptor && settled != 0 && owner_lease_.holds(now)) acceptor->note_quota_members(settled);
   quota_owner.forget(now);
   if (quota_client.waiting() > 0) quota_client.tick(quota_peers(), now, outgoing);
 }
@@ -114,7 +114,7 @@
   std::vector<QuotaNeed> const needs = std::move(wants.quota_needs);
   wants.quota_needs.clear();
   if (!needs.empty()) {
-    quota_shares.note(learner.membership(), now);
+    quota_shares_.note(learner.membership(), now);
     QuotaPeers const peers = quota_peers();
     for (QuotaNeed const& need : needs) {
       Tenant const* const tenant = dispatcher.description()->tenant(need.tenant);
@@ -137,12 +137,12 @@
 }
 
 QuotaDecision Node::decide_quota(wire::QuotaAskT const& ask, Micros now) {
-  quota_shares.note(learner.membership(), now);
+  quota_shares_.note(learner.membership(), now);
   confirm_configuration(now);
   Tenant const* const tenant = dispatcher.description()->tenant(ask.tenant);
-  double const share = quota_shares.share(now);
-  if (tenant == nullptr || share <= 0 || !owner_lease.holds(now) || ask.count < 0) return QuotaDecision{};
-  Micros const since = quota_shares.active_since(now);
+  double const share = quota_shares_.share(now);
+  if (tenant == nullptr || share <= 0 || !owner_lease_.holds(now) || ask.count < 0) return QuotaDecision{};
+  Micros const since = quota_shares_.active_since(now);
   switch (static_cast<QuotaPurpose>(ask.purpose)) {
     case QuotaPurpose::debit:
       quota_owner.debit(*tenant, ask.count, share, since, now);
@@ -158,7 +158,7 @@
 void Node::take_quota_ask(std::string const& from, wire::QuotaAskT const& ask, Micros now,
                           std::vector<OutgoingMessage>& outgoing) {
   bool const question = ask.purpose == static_cast<std::uint8_t>(QuotaPurpose::ask);
-  std::vector<std::string> const& owners = quota_shares.owners();
+  std::vector<std::string> const& owners = quota_shares_.owners();
   bool const own = std::find(owners.begin(), owners.end(), plan.name) != owners.end();
   if (!own && question && ask.hops > 0) {
     // The asker reaches no owner; this node may.
@@ -166,7 +166,7 @@
     if (!peers.owners.empty()) {
       wire::QuotaAskT passed = ask;
       passed.hops = 0;
-      outgoing.push_back(message_to(peers.owners[++newest_turn % peers.owners.size()], std::move(passed)));
+      outgoing.push_back(message_to(peers.owners[++newest_turn_ % peers.owners.size()], std::move(passed)));
       return;
     }
   }
--- a/src/core/worker_ends.cc
+++ b/src/core/worker_ends.cc
@@ -55,12 +55,12 @@
 }
 
 void Node::await_end(std::uint64_t id, std::string const& worker, Micros now, NodeOut& out) {
-  worker_ends[id] = WorkerEnd{worker, now + told_within};
+  worker_ends_[id] = WorkerEnd{worker, now + told_within};
   settle_ends(now, out);
 }
 
 void Node::settle_ends(Micros now, NodeOut& out) {
-  for (std::map<std::uint64_t, WorkerEnd>::iterator it = worker_ends.begin(); it != worker_ends.end();) {
+  for (std::map<std::uint64_t, WorkerEnd>::iterator it = worker_ends_.begin(); it != worker_ends_.end();) {
     WorkerEnd const& end = it->second;
     bool const enough = told_enough(end.worker);
     bool const known = enough && told_all_reached(end.worker);
@@ -70,7 +70,7 @@
     }
     if (enough) check_end(end.worker);
     out.end_answers.push_back(EndAnswer{it->first, enough});
-    it = worker_ends.erase(it);
+    it = worker_ends_.erase(it);
   }
 }
 
--- a/src/flow/dispatch/dispatcher.cc
+++ b/src/flow/dispatch/dispatcher.cc
@@ -20,13 +20,13 @@
 }  // namespace
 
 void Dispatcher::budget(double ratio, double store) {
-  resend_ratio = ratio;
-  resend_store = store;
+  resend_ratio_ = ratio;
+  resend_store_ = store;
 }
 
 Dispatcher::Bucket& Dispatcher::bucket(Pool const& pool) {
-  Bucket& out = buckets[pool.name];
-  double const most = std::max(1.0, resend_store / static_cast<double>(node_count));
+  Bucket& out = buckets_[pool.name];
+  double const most = std::max(1.0, resend_store_ / static_cast<double>(node_count_));
   if (!out.known) {
     out.known = true;
     out.level = most;
@@ -45,11 +45,11 @@
 }
 
 Route const* Dispatcher::route_of(std::uint64_t id) const {
-  std::map<std::uint64_t, std::unique_ptr<Request>>::const_iterator const spot = requests.find(id);
-  return spot == requests.end() ? nullptr : spot->second->route;
+  std::map<std::uint64_t, std::unique_ptr<Request>>::const_iterator const spot = requests_.find(id);
+  return spot == requests_.end() ? nullptr : spot->second->route;
 }
 
-void Dispatcher::erase(std::uint64_t id) { requests.erase(id); }
+void Dispatcher::erase(std::uint64_t id) { requests_.erase(id); }
 
 void Dispatcher::deny(Request& request, Kind kind, Micros wait, Micros now, DispatchOut& out) {
   if (request.quota == QuotaState::asked) out.quota_drops.push_back(request.id);
@@ -89,7 +89,7 @@
 
 Micros Dispatcher::oldest(Micros now) const {
   Micros out = 0;
-  for (std::pair<std::uint64_t const, std::unique_ptr<Request>> const& item : requests)
+  for (std::pair<std::uint64_t const, std::unique_ptr<Request>> const& item : requests_)
     out = std::max(out, now - item.second->came);
   return out;
 }
@@ -100,27 +100,27 @@
   Request& request = *made;
   request.id = id;
   request.query = std::move(query);
-  request.rules = rules;
+  request.rules = rules_;
   request.came = now;
-  requests.emplace(id, std::move(made));
+  requests_.emplace(id, std::move(made));
   // A node that has only just begun reads the description in a moment: who asks meanwhile is kept rather than refused.
   Micros const patience = request.query.left > 0 ? std::min(request.query.left / 4, begin_wait) : begin_wait;
   request.give_up = now + patience;
-  if (rules->routes.empty() && now - born < begin_span) return;
+  if (rules_->routes.empty() && now - born_ < begin_span) return;
   admit(request, now, out);
 }
 
 // What the description says of it, once there is one.
 void Dispatcher::admit(Request& request, Micros now, DispatchOut& out) {
-  request.rules = rules;
-  if (rules->routes.empty()) return deny(request, Kind::not_ready, millis(300), now, out);
-  request.route = rules->route(request.query.host, request.query.path);
+  request.rules = rules_;
+  if (rules_->routes.empty()) return deny(request, Kind::not_ready, millis(300), now, out);
+  request.route = rules_->route(request.query.host, request.query.path);
   if (request.route == nullptr) {
     // Where keys are needed a configuration that may be old refuses nothing for good.
-    bool const sure = !rules->keys_required || lease->certain(now);
+    bool const sure = !rules_->keys_required || lease_->certain(now);
     return sure ? deny(request, Kind::not_found, 0, now, out) : deny(request, Kind::unconfirmed, millis(300), now, out);
   }
-  request.pool = rules->pool(share_turns.next(*request.route).pool);
+  request.pool = rules_->pool(share_turns_.next(*request.route).pool);
   if (request.pool == nullptr) return deny(request, Kind::no_worker, millis(500), now, out);
   request.repeatable = request.route->repeatable || (request.route->streams && request.route->resumable);
   if (!authorize(request, now, out)) return;
@@ -129,15 +129,15 @@
   request.due = request.came - request.query.read_for + std::min(left, request.route->hold) - way_back;
   if (request.due <= now) return deny(request, Kind::expired, millis(100), now, out);
   request.give_up = request.came + std::min(request.route->aim / 5, left / 4);
-  if (now - born < begin_span) request.give_up = request.came + std::min(begin_wait, left / 4);
+  if (now - born_ < begin_span) request.give_up = request.came + std::min(begin_wait, left / 4);
   Bucket& earned = bucket(*request.pool);
-  earned.level += resend_ratio;
+  earned.level += resend_ratio_;
   need_quota(request, now, out);
   if (request.quota != QuotaState::asked) try_place(request, now, out);
 }
 
 void Dispatcher::release(Request& request) {
-  Instance* const at = registry.find(request.at);
+  Instance* const at = registry_.find(request.at);
   if (at != nullptr) {
     --at->running;
     at->held -= request.query.tokens_in + request.query.tokens_out;
@@ -146,8 +146,8 @@
 }
 
 void Dispatcher::left(std::uint64_t id, Micros now) {
-  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests.find(id);
-  if (spot == requests.end()) return;
+  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests_.find(id);
+  if (spot == requests_.end()) return;
   Request& request = *spot->second;
   ++tally.sends;
   if (++request.sends > 1) ++tally.resends;
@@ -161,19 +161,19 @@
 }
 
 void Dispatcher::began(std::uint64_t id, Micros now) {
-  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests.find(id);
-  if (spot == requests.end()) return;
+  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests_.find(id);
+  if (spot == requests_.end()) return;
   spot->second->reach = Reach::answering;
   spot->second->begun = true;
   event(id, now);
 }
 
 void Dispatcher::event(std::uint64_t id, Micros now) {
-  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests.find(id);
-  if (spot == requests.end()) return;
+  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests_.find(id);
+  if (spot == requests_.end()) return;
   Request& request = *spot->second;
   request.heard = now;
-  Instance* const at = registry.find(request.at);
+  Instance* const at = registry_.find(request.at);
   if (at == nullptr) return;
   if (!request.read) {
     request.read = true;
@@ -184,12 +184,12 @@
       at->pace = std::clamp(at->pace * 0.95 + std::min(seen, 3.0) * 0.05, 0.8, 3.0);
     }
   }
-  registry.well(*at, now);
+  registry_.well(*at, now);
 }
 
 void Dispatcher::unmarked(std::uint64_t id) {
-  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests.find(id);
-  if (spot != requests.end()) spot->second->marked = false;
+  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests_.find(id);
+  if (spot != requests_.end()) spot->second->marked = false;
 }
 
 bool Dispatcher::resumable(Request const& request) {
@@ -197,31 +197,31 @@
 }
 
 void Dispatcher::ended(std::uint64_t id, AttemptEnd end, bool elsewhere, Micros now, DispatchOut& out) {
-  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests.find(id);
-  if (spot == requests.end() || spot->second->at.empty()) return;
+  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests_.find(id);
+  if (spot == requests_.end() || spot->second->at.empty()) return;
   Request& request = *spot->second;
   std::string const at = request.at;
-  Instance* const instance = registry.find(at);
+  Instance* const instance = registry_.find(at);
   Reach const reach = request.reach;
   release(request);
   if (instance != nullptr) {
     switch (end) {
       case AttemptEnd::declined:
-        registry.well(*instance, now);
+        registry_.well(*instance, now);
         // It is full, or it is somebody else who lives there now.
         instance->shunned = now + (elsewhere ? seconds(3) : millis(120));
-        if (elsewhere) exchange.doubt(at);
+        if (elsewhere) exchange_.doubt(at);
         break;
       case AttemptEnd::whole:
       case AttemptEnd::failed:
-        registry.well(*instance, now);
+        registry_.well(*instance, now);
         break;
       default:
         // One slow answer among others that flow is no sign of a worker in trouble.
         if (end == AttemptEnd::silent && now - instance->last_byte < quiet_least) break;
-        if (registry.doubt(at, now)) {
+        if (registry_.doubt(at, now)) {
           log_event(Event::worker_doubted, at);
-          exchange.doubt(at);
+          exchange_.doubt(at);
         }
         break;
     }
@@ -267,18 +267,18 @@
 }
 
 void Dispatcher::said(std::uint64_t id, std::int64_t load, Micros now) {
-  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests.find(id);
-  Instance* const at = spot == requests.end() ? nullptr : registry.find(spot->second->at);
+  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests_.find(id);
+  Instance* const at = spot == requests_.end() ? nullptr : registry_.find(spot->second->at);
   if (at == nullptr) return;
   at->said = load;
   at->said_at = now;
   // Only what may change a choice of somebody else is worth a word.
-  if (load * 5 >= at->slots * 2) exchange.load(at->id, load);
+  if (load * 5 >= at->slots * 2) exchange_.load(at->id, load);
 }
 
 std::optional<FailedRequest> Dispatcher::hung_up(std::uint64_t id, Micros now) {
-  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests.find(id);
-  if (spot == requests.end()) return std::nullopt;
+  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests_.find(id);
+  if (spot == requests_.end()) return std::nullopt;
   ++tally.hangups;
   FailedRequest const out = failure_of(*spot->second, FailedEnd::left, Kind::caller_gone, now);
   if (!spot->second->at.empty()) release(*spot->second);
@@ -288,25 +288,25 @@
 
 // A node that stood still has not read what came meanwhile: that is no silence of its workers.
 void Dispatcher::note_stillness(Micros now) {
-  Micros const span = now - last_tick;
-  bool const stood_still = last_tick >= 0 && span > still_least;
-  last_tick = now;
+  Micros const span = now - last_tick_;
+  bool const stood_still = last_tick_ >= 0 && span > still_least;
+  last_tick_ = now;
   if (!stood_still) return;
-  for (std::pair<std::uint64_t const, std::unique_ptr<Request>> const& item : requests)
+  for (std::pair<std::uint64_t const, std::unique_ptr<Request>> const& item : requests_)
     item.second->heard = std::min(now, item.second->heard + span);
 }
 
 void Dispatcher::tick(Micros now, DispatchOut& out) {
   note_stillness(now);
   std::vector<std::uint64_t> ids;
-  ids.reserve(requests.size());
-  for (std::pair<std::uint64_t const, std::unique_ptr<Request>> const& item : requests) ids.push_back(item.first);
+  ids.reserve(requests_.size());
+  for (std::pair<std::uint64_t const, std::unique_ptr<Request>> const& item : requests_) ids.push_back(item.first);
   for (std::uint64_t const id : ids) {
-    std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests.find(id);
-    if (spot == requests.end()) continue;
+    std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests_.find(id);
+    if (spot == requests_.end()) continue;
     Request& request = *spot->second;
     if (request.route == nullptr) {
-      if (!rules->routes.empty() || now >= request.give_up) admit(request, now, out);
+      if (!rules_->routes.empty() || now >= request.give_up) admit(request, now, out);
       continue;
     }
     if (request.at.empty()) {
@@ -344,12 +344,12 @@
       }
       continue;
     }
-    if (!request.repeatable || request.reach == Reach::none || held) continue;
+    if (!request.repeatable || request.reach == Reach::none || held_) continue;
     // What has begun and cannot go on elsewhere is waited for, as is anything once another worker would come too late.
     if (request.begun && !resumable(request)) continue;
     if (now + time_least >= request.due || request.dials >= dials_most) continue;
     // A stream that may go on elsewhere does not wait for a worker that has fallen silent (§12.5).
-    Instance const* const at = registry.find(request.at);
+    Instance const* const at = registry_.find(request.at);
     Micros const quiet = now - request.heard;
     Micros const others = at == nullptr ? quiet : now - at->last_byte;
     // A worker that is merely busy is no better left: what was sent there would be read twice, and the crowd would feed
@@ -374,7 +374,7 @@
 
 // After each tick nobody waits beyond the time, and every request that came is under way or had one end.
 void Dispatcher::check_requests(Micros now) const {
-  for (std::pair<std::uint64_t const, std::unique_ptr<Request>> const& item : requests) {
+  for (std::pair<std::uint64_t const, std::unique_ptr<Request>> const& item : requests_) {
     Request const& request = *item.second;
     bool const in_time = request.route == nullptr || now < request.due;
     check_invariant(in_time, Invariant::answered_in_time, [&] {
@@ -383,9 +383,9 @@
     });
   }
   std::uint64_t const ended = tally.served + tally.refused + tally.failed + tally.passed + tally.broken + tally.hangups;
-  check_invariant(tally.asked == ended + requests.size(), Invariant::request_ends_once, [&] {
+  check_invariant(tally.asked == ended + requests_.size(), Invariant::request_ends_once, [&] {
     return std::to_string(tally.asked) + " came, " + std::to_string(ended) + " ended, " +
-           std::to_string(requests.size()) + " are under way";
+           std::to_string(requests_.size()) + " are under way";
   });
 }
 
--- a/src/flow/dispatch/dispatcher.h
+++ b/src/flow/dispatch/dispatcher.h
@@ -123,28 +123,28 @@
 
 class Dispatcher {
  public:
-  Dispatcher(std::string self_, std::string zone_, IndexSync& index_sync_, Registry& registry_, Exchange& exchange_)
-      : self(std::move(self_)),
-        zone(std::move(zone_)),
-        index_sync(index_sync_),
-        registry(registry_),
-        exchange(exchange_),
-        share_turns(self) {}
+  Dispatcher(std::string self, std::string zone, IndexSync& index_sync, Registry& registry, Exchange& exchange)
+      : self_(std::move(self)),
+        zone_(std::move(zone)),
+        index_sync_(index_sync),
+        registry_(registry),
+        exchange_(exchange),
+        share_turns_(self_) {}
 
-  void in_force(std::shared_ptr<Description const> rules_) { rules = std::move(rules_); }
-  void hold(bool held_) { held = held_; }
+  void in_force(std::shared_ptr<Description const> rules) { rules_ = std::move(rules); }
+  void hold(bool held) { held_ = held; }
   // What keys are taken under; without one they are taken always.
-  void lease_on(ConfigurationLease const& lease_) { lease = &lease_; }
+  void lease_on(ConfigurationLease const& lease) { lease_ = &lease; }
   // A request's part of its tenant's limit was granted, or was not.
   void quota_result(QuotaResult const& result, Micros now, DispatchOut& out);
   // The part of all re-sends in a window that this node may take beside what its own requests earn (§12.5).
   void budget(double ratio, double store);
   // When this node began: for a while it may know fewer workers than there are, and who asks waits a little longer.
-  void begun(Micros at) { born = at; }
+  void begun(Micros at) { born_ = at; }
   // Its state is known from now on to the table of members, DOWN ones too.
-  void nodes(std::size_t count, bool wide_ = false) {
-    node_count = std::max<std::size_t>(1, count);
-    wide = wide_;
+  void nodes(std::size_t count, bool wide = false) {
+    node_count_ = std::max<std::size_t>(1, count);
+    wide_ = wide;
   }
 
   void fresh(std::uint64_t id, Query query, Micros now, DispatchOut& out);
@@ -161,10 +161,10 @@
   void tick(Micros now, DispatchOut& out);
 
   Route const* route_of(std::uint64_t id) const;
-  std::size_t under_way() const { return requests.size(); }
+  std::size_t under_way() const { return requests_.size(); }
   // How long the oldest request has been held.
   Micros oldest(Micros now) const;
-  std::shared_ptr<Description const> const& description() const { return rules; }
+  std::shared_ptr<Description const> const& description() const { return rules_; }
   DispatchTally tally;
   std::map<std::string, TenantTally> tenant_tallies;
 
@@ -235,24 +235,24 @@
   bool can_pay(Pool const& pool);
   Bucket& bucket(Pool const& pool);
 
-  std::string const self;
-  std::string const zone;
-  IndexSync& index_sync;
-  Registry& registry;
-  Exchange& exchange;
-  std::shared_ptr<Description const> rules = std::make_shared<Description>();
-  bool held = false;
-  ConfigurationLease const unleased;
-  ConfigurationLease const* lease = &unleased;
-  double resend_ratio = 0.15;
-  double resend_store = 4;
-  std::size_t node_count = 1;
-  bool wide = false;  // so many nodes that kept parts are told only where nobody would guess them (§12.7)
-  ShareTurns share_turns;
-  Micros born = -seconds(3600);
-  Micros last_tick = -1;
-  std::map<std::uint64_t, std::unique_ptr<Request>> requests;
-  std::map<std::string, Bucket> buckets;
+  std::string const self_;
+  std::string const zone_;
+  IndexSync& index_sync_;
+  Registry& registry_;
+  Exchange& exchange_;
+  std::shared_ptr<Description const> rules_ = std::make_shared<Description>();
+  bool held_ = false;
+  ConfigurationLease const unleased_;
+  ConfigurationLease const* lease_ = &unleased_;
+  double resend_ratio_ = 0.15;
+  double resend_store_ = 4;
+  std::size_t node_count_ = 1;
+  bool wide_ = false;  // so many nodes that kept parts are told only where nobody would guess them (§12.7)
+  ShareTurns share_turns_;
+  Micros born_ = -seconds(3600);
+  Micros last_tick_ = -1;
+  std::map<std::uint64_t, std::unique_ptr<Request>> requests_;
+  std::map<std::string, Bucket> buckets_;
 };
 
 }  // namespace pipit
--- a/src/flow/dispatch/placement.cc
+++ b/src/flow/dispatch/placement.cc
@@ -35,9 +35,9 @@
 // §12.5: every worker has a price, in parts of what a late answer loses: how likely it makes the answer late, what it
 // reads again though another keeps it, what crosses a border. The cheapest is taken.
 void Dispatcher::place(Request& request, Micros now, DispatchOut& out) {
-  if (held) return;
+  if (held_) return;
   Parts const& parts = request.query.parts;
-  std::map<std::string, std::size_t> const hits = index_sync.index(request.tree).match(parts.path);
+  std::map<std::string, std::size_t> const hits = index_sync_.index(request.tree).match(parts.path);
   std::int64_t sum = 0;
   for (std::uint32_t const n : parts.tokens) sum += n;
   std::int64_t const prompt = std::max(sum, request.query.tokens_in);
@@ -48,7 +48,7 @@
   };
   std::vector<Choice> field;
   std::size_t deepest = 0;
-  for (std::pair<std::string const, Instance>& item : registry.all) {
+  for (std::pair<std::string const, Instance>& item : registry_.all) {
     Instance& at = item.second;
     if (at.pool != request.pool->name || !at.takes() || request.tried.count(item.first)) continue;
     std::map<std::string, std::size_t>::const_iterator const hit = hits.find(item.first);
@@ -64,12 +64,12 @@
   // §12.7: among many nodes the largest shared part decides alone, and its home is held to keep it: then nobody needs
   // to be told what stays at home.
   std::size_t key = deepest;
-  if (wide && shared > 0)
+  if (wide_ && shared > 0)
     key = static_cast<std::size_t>(std::distance(
         parts.tokens.begin(),
         std::max_element(parts.tokens.begin(), parts.tokens.begin() + static_cast<std::ptrdiff_t>(shared))));
   if (key < shared) {
-    home_worth = wide ? 0 : new_part_worth * static_cast<double>(parts.tokens[key]);
+    home_worth = wide_ ? 0 : new_part_worth * static_cast<double>(parts.tokens[key]);
     for (Choice const& item : field) {
       if (item.at->shunned > now) continue;
       std::uint64_t const rank = hash_text(item.at->id, parts.path[key]);
@@ -78,7 +78,7 @@
       home_rank = rank;
     }
   }
-  if (wide && !home.empty()) {
+  if (wide_ && !home.empty()) {
     deepest = shared;
     for (Choice& item : field)
       if (item.at->id == home) item.depth = std::max(item.depth, shared);
@@ -104,7 +104,7 @@
     double price = 1.0 / (1.0 + std::exp(std::clamp((aim - took) / blur, -30.0, 30.0)));
     price += 0.1 * took / aim;
     price += again_price * static_cast<double>(again);
-    if (at.zone != zone) price += far_price * static_cast<double>(size);
+    if (at.zone != zone_) price += far_price * static_cast<double>(size);
     if (at.id == home) price -= home_worth;
     price += 0.05 * static_cast<double>(at.load(now)) / static_cast<double>(std::max<std::int64_t>(1, at.slots));
     if (at.load(now) >= at.slots) price += 2;
@@ -123,10 +123,11 @@
 
 // Whether there is a worker that it has not been sent to and that takes requests.
 bool Dispatcher::another_takes(Request const& request) const {
-  return std::any_of(registry.all.begin(), registry.all.end(), [&](std::pair<std::string const, Instance> const& item) {
-    Instance const& at = item.second;
-    return at.pool == request.pool->name && at.takes() && request.tried.count(item.first) == 0;
-  });
+  return std::any_of(registry_.all.begin(), registry_.all.end(),
+                     [&](std::pair<std::string const, Instance> const& item) {
+                       Instance const& at = item.second;
+                       return at.pool == request.pool->name && at.takes() && request.tried.count(item.first) == 0;
+                     });
 }
 
 void Dispatcher::begin(Request& request, Instance& instance, std::int64_t missing, std::int64_t kept, Micros guess,
@@ -142,32 +143,32 @@
   Micros const reading = static_cast<Micros>(instance.pace * static_cast<double>(read_time(missing, kept)));
   request.busy = instance.busy(now);
   instance.work(reading, now);
-  exchange.work(instance.id, reading);
+  exchange_.work(instance.id, reading);
   request.read = false;
   request.tried.insert(instance.id);
   ++request.dials;
   ++instance.running;
   instance.held += request.query.tokens_in + request.query.tokens_out;
   instance.last_sent = now;
-  if (instance.zone != zone) ++tally.far_sends;
+  if (instance.zone != zone_) ++tally.far_sends;
   Parts const& parts = request.query.parts;
   for (std::size_t i = 0; i + 1 < parts.tokens.size(); ++i) tally.tokens_shared += parts.tokens[i];
   Index::Bounds bounds;
   bounds.blocks = static_cast<std::size_t>(request.pool->cache_tokens > 0 ? request.pool->cache_tokens
                                                                           : request.pool->cache_blocks);
   bounds.age = request.pool->cache_age;
-  if (!wide && !parts.path.empty())
-    exchange.delta(request.tree,
-                   index_sync.index(request.tree).touch(parts.path, instance.id, 1, bounds, now, parts.tokens));
-  if (wide && !at_home && parts.path.size() > 1) {
+  if (!wide_ && !parts.path.empty())
+    exchange_.delta(request.tree,
+                    index_sync_.index(request.tree).touch(parts.path, instance.id, 1, bounds, now, parts.tokens));
+  if (wide_ && !at_home && parts.path.size() > 1) {
     // The shared parts alone, whole, so that no peer has to know anything to take them in.
     Path const path(parts.path.begin(), parts.path.end() - 1);
     std::vector<std::uint32_t> const tokens(parts.tokens.begin(), parts.tokens.end() - 1);
-    wire::DeltaT word = index_sync.index(request.tree).touch(path, instance.id, 1, bounds, now, tokens);
+    wire::DeltaT word = index_sync_.index(request.tree).touch(path, instance.id, 1, bounds, now, tokens);
     word.base = 0;
     word.tail = path;
     word.weights = tokens;
-    exchange.delta(request.tree, std::move(word));
+    exchange_.delta(request.tree, std::move(word));
   }
   Attempt start;
   start.request = request.id;
@@ -177,7 +178,7 @@
   start.left = std::max<Micros>(millis(1), request.due - now);
   start.rank = rank_of(request);
   start.tenant = request.tenant;
-  start.keyed = rules->keys_required;
+  start.keyed = rules_->keys_required;
   start.resumed = request.begun;
   out.starts.push_back(std::move(start));
 }
--- a/src/flow/dispatch/share_turns.h
+++ b/src/flow/dispatch/share_turns.h
@@ -27,8 +27,8 @@
   Turns& turns_of(Route const& route);
   static std::size_t take_turn(Turns& turns);
 
-  std::uint64_t const seed;
-  std::map<std::string, Turns> routes;  // by name
+  std::uint64_t const seed_;
+  std::map<std::string, Turns> routes_;  // by name
 };
 
 }  // namespace pipit
--- a/src/flow/dispatch/tenancy.cc
+++ b/src/flow/dispatch/tenancy.cc
@@ -17,20 +17,20 @@
 // configuration is known to be new.
 std::optional<Kind> Dispatcher::key_fault(Request const& request, Description const& by, Micros now) const {
   if (!by.keys_required) return std::nullopt;
-  if (!lease->holds(now)) return Kind::unconfirmed;
+  if (!lease_->holds(now)) return Kind::unconfirmed;
   bool const known = request.query.key && by.tenant_of(*request.query.key) != nullptr;
   if (known || request.route->is_public) return std::nullopt;
-  return lease->certain(now) ? Kind::unknown_key : Kind::unconfirmed;
+  return lease_->certain(now) ? Kind::unknown_key : Kind::unconfirmed;
 }
 
 bool Dispatcher::authorize(Request& request, Micros now, DispatchOut& out) {
-  if (std::optional<Kind> const fault = key_fault(request, *rules, now)) {
+  if (std::optional<Kind> const fault = key_fault(request, *rules_, now)) {
     withdraw(request, *fault, now, out);
     return false;
   }
-  request.confirmed = lease->confirmed();
-  if (!rules->keys_required || !request.query.key) return true;
-  Tenant const* const tenant = rules->tenant_of(*request.query.key);
+  request.confirmed = lease_->confirmed();
+  if (!rules_->keys_required || !request.query.key) return true;
+  Tenant const* const tenant = rules_->tenant_of(*request.query.key);
   if (tenant == nullptr) return true;
   request.tenant = tenant->name;
   request.count = quota_count(*tenant, request.query.names_tokens, request.query.tokens_in + request.query.tokens_out);
@@ -39,13 +39,13 @@
 
 // Whatever waited is looked at again under the configuration that is in force by now.
 bool Dispatcher::still_authorized(Request& request, Micros now, DispatchOut& out) {
-  if (std::optional<Kind> const fault = key_fault(request, *rules, now)) {
+  if (std::optional<Kind> const fault = key_fault(request, *rules_, now)) {
     withdraw(request, *fault, now, out);
     return false;
   }
-  request.confirmed = lease->confirmed();
+  request.confirmed = lease_->confirmed();
   Tenant const* const tenant =
-      rules->keys_required && request.query.key ? rules->tenant_of(*request.query.key) : nullptr;
+      rules_->keys_required && request.query.key ? rules_->tenant_of(*request.query.key) : nullptr;
   request.tenant = tenant == nullptr ? "" : tenant->name;
   return true;
 }
@@ -60,7 +60,7 @@
 
 void Dispatcher::need_quota(Request& request, Micros now, DispatchOut& out) {
   if (request.tenant.empty() || request.count <= 0) return;
-  Tenant const* const tenant = rules->tenant_of(*request.query.key);
+  Tenant const* const tenant = rules_->tenant_of(*request.query.key);
   if (tenant == nullptr || !tenant->limited()) return;
   ++tenant_tallies[request.tenant].asked;
   request.quota = QuotaState::asked;
@@ -74,8 +74,8 @@
 }
 
 void Dispatcher::quota_result(QuotaResult const& result, Micros now, DispatchOut& out) {
-  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests.find(result.request);
-  if (spot == requests.end() || spot->second->quota != QuotaState::asked) return;
+  std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests_.find(result.request);
+  if (spot == requests_.end() || spot->second->quota != QuotaState::asked) return;
   Request& request = *spot->second;
   request.quota = QuotaState::granted;
   if (result.type == QuotaResult::Type::granted) {
@@ -93,15 +93,15 @@
 }
 
 std::int64_t Dispatcher::rank_of(Request const& request) const {
-  Tenant const* const tenant = request.tenant.empty() ? nullptr : rules->tenant(request.tenant);
-  return rules->rank_of(*request.route, tenant);
+  Tenant const* const tenant = request.tenant.empty() ? nullptr : rules_->tenant(request.tenant);
+  return rules_->rank_of(*request.route, tenant);
 }
 
 // A byte of the request is about to leave. Its caller had sent it when it came, so that is the moment at which the
 // configuration that knows its key must have been new enough.
 void Dispatcher::check_key(Request const& request) const {
-  if (!lease->needed() || !request.rules->keys_required) return;
-  bool const confirmed = request.came - request.confirmed <= lease->span;
+  if (!lease_->needed() || !request.rules->keys_required) return;
+  bool const confirmed = request.came - request.confirmed <= lease_->span;
   check_invariant(confirmed, Invariant::key_confirmed, [&] {
     return "request " + std::to_string(request.id) + " came " +
            std::to_string((request.came - request.confirmed) / 1000) +
--- a/src/flow/errand/desk.cc
+++ b/src/flow/errand/desk.cc
@@ -15,14 +15,14 @@
 constexpr double bucket_most = 2.0;
 }  // namespace
 
-void Desk::in_force(std::shared_ptr<Description const> description_, std::set<std::string> emptied_) {
-  rules = std::move(description_);
-  shut = std::move(emptied_);
+void Desk::in_force(std::shared_ptr<Description const> description, std::set<std::string> emptied) {
+  rules_ = std::move(description);
+  shut_ = std::move(emptied);
 }
 
 Micros Desk::service(Pool const& pool) const {
-  std::map<std::string, double>::const_iterator const seen = service_seen.find(pool.name);
-  return seen == service_seen.end() ? pool.service : static_cast<Micros>(seen->second);
+  std::map<std::string, double>::const_iterator const seen = service_seen_.find(pool.name);
+  return seen == service_seen_.end() ? pool.service : static_cast<Micros>(seen->second);
 }
 
 void Desk::give_up(Errand& errand, Fault fault, Micros wait, DeskOut& out) {
@@ -32,7 +32,7 @@
   if (wait == 0) wait = row.wait;
   // A crowd that is refused must not come back in one wave: the time is spread over as much again.
   if (fault.kind == Kind::crowded || fault.kind == Kind::backlog_full || fault.kind == Kind::expired)
-    wait += static_cast<Micros>(hash_bits(errand.id ^ hash_text(self)) %
+    wait += static_cast<Micros>(hash_bits(errand.id ^ hash_text(self_)) %
                                 static_cast<std::uint64_t>(std::max<Micros>(1, wait)));
   if (ran == Ran::no && wait == 0 && row.status >= 429) wait = millis(1000);
   log_event(Event::errand_refused, std::string(row.name) + " lane " +
@@ -47,7 +47,7 @@
 void Desk::learn_wait(Errand const& errand, Micros took) {
   if (errand.guess < millis(20)) return;
   double const seen = static_cast<double>(took) / static_cast<double>(errand.guess);
-  longer = std::clamp(longer * 0.95 + seen * 0.05, 1.0, 8.0);
+  longer_ = std::clamp(longer_ * 0.95 + seen * 0.05, 1.0, 8.0);
 }
 
 // What has waited longer than it was believed to has lost one race after another, and is held to lose more.
@@ -55,14 +55,14 @@
   return 3 * std::max<Micros>(0, now - errand.came - likely(errand.guess));
 }
 
-Micros Desk::likely(Micros wait) const { return static_cast<Micros>(static_cast<double>(wait) * longer); }
+Micros Desk::likely(Micros wait) const { return static_cast<Micros>(static_cast<double>(wait) * longer_); }
 
 void Desk::erase(Errand& errand) {
   if (errand.is_linked()) {
-    backlog.erase(backlog.iterator_to(errand));
-    --lane_waiting[errand.lane->name];
+    backlog_.erase(backlog_.iterator_to(errand));
+    --lane_waiting_[errand.lane->name];
   }
-  errands.erase(errand.id);
+  errands_.erase(errand.id);
 }
 
 void Desk::fresh(std::uint64_t id, Ask ask, Micros now, DeskOut& out) {
@@ -71,18 +71,18 @@
   Errand& errand = *made;
   errand.id = id;
   errand.ask = std::move(ask);
-  errand.rules = rules;
+  errand.rules = rules_;
   errand.came = now;
-  errands.emplace(id, std::move(made));
-  if (draining) return give_up(errand, Fault{Kind::draining, "", ""}, 0, out);
-  if (!open) return give_up(errand, Fault{Kind::not_ready, "", ""}, 0, out);
+  errands_.emplace(id, std::move(made));
+  if (draining_) return give_up(errand, Fault{Kind::draining, "", ""}, 0, out);
+  if (!open_) return give_up(errand, Fault{Kind::not_ready, "", ""}, 0, out);
   Facts const& facts = errand.ask.facts;
   bool model_known = false;
-  for (Pool const& pool : rules->pools) model_known = model_known || pool.model == facts.model;
+  for (Pool const& pool : rules_->pools) model_known = model_known || pool.model == facts.model;
   if (!model_known)
     return give_up(errand, Fault{Kind::unknown_model, "no pool serves the model '" + facts.model + "'", ""}, 0, out);
   if (!errand.ask.lane.empty()) {
-    errand.lane = rules->lane(errand.ask.lane);
+    errand.lane = rules_->lane(errand.ask.lane);
     if (errand.lane == nullptr)
       return give_up(errand, Fault{Kind::unknown_lane, "there is no lane '" + errand.ask.lane + "'", ""}, 0, out);
     if (!errand.lane->binding.match.holds(facts, 0))
@@ -90,23 +90,23 @@
                      Fault{Kind::unknown_lane, "the lane '" + errand.ask.lane + "' does not take this request", ""}, 0,
                      out);
   } else {
-    for (Lane const& lane : rules->lanes)
+    for (Lane const& lane : rules_->lanes)
       if (errand.lane == nullptr && lane.binding.match.holds(facts, 0)) errand.lane = &lane;
     if (errand.lane == nullptr)
       return give_up(errand, Fault{Kind::unknown_lane, "no lane takes this request", ""}, 0, out);
   }
-  errand.model = rules->pool(errand.lane->binding.pools.front().pool)->model;
+  errand.model = rules_->pool(errand.lane->binding.pools.front().pool)->model;
   if (errand.model != facts.model)
     return give_up(errand, Fault{Kind::unknown_model, "the lane does not serve the model '" + facts.model + "'", ""}, 0,
                    out);
   errand.safe = errand.lane->policy.safe || errand.ask.safe;
   errand.due = now + errand.lane->policy.wait;
   std::size_t ahead = 0;
-  for (Errand const& other : backlog) {
+  for (Errand const& other : backlog_) {
     if (!(other < errand)) break;
     ++ahead;
   }
-  Choice choice = held ? Choice{Say::wait, nullptr, 0, 0, Kind::not_ready, ""} : select(errand, ahead, now);
+  Choice choice = held_ ? Choice{Say::wait, nullptr, 0, 0, Kind::not_ready, ""} : select(errand, ahead, now);
   if (choice.say == Say::go && ahead == 0) return go(errand, choice, now, out);
   if (!choice.ask.empty()) out.asks.push_back(choice.ask);
   if (choice.say == Say::never) return give_up(errand, Fault{choice.kind, "", ""}, choice.wait, out);
@@ -116,12 +116,12 @@
   if (choice.say == Say::wait && likely(choice.wait) > errand.lane->policy.wait / 2)
     return give_up(errand, Fault{Kind::crowded, "", ""}, std::clamp<Micros>(choice.wait, millis(500), seconds(10)),
                    out);
-  std::int64_t& count = lane_waiting[errand.lane->name];
+  std::int64_t& count = lane_waiting_[errand.lane->name];
   if (count >= errand.lane->policy.backlog)
     return give_up(errand, Fault{Kind::backlog_full, "", ""}, std::clamp<Micros>(choice.wait, millis(500), seconds(10)),
                    out);
   ++count;
-  backlog.insert(errand);
+  backlog_.insert(errand);
   // Nobody overtakes those who wait already: what is free goes out in the backlog's order.
   if (choice.say == Say::go) work(now, out);
 }
@@ -133,17 +133,17 @@
   Micros soonest = -1;
   std::int64_t cold_shares = 0;  // of workers that are free but cold
   Micros cold_ends = -1;
-  std::map<std::string, std::size_t> const hits = index_sync.index(errand.model).match(errand.ask.path);
+  std::map<std::string, std::size_t> const hits = index_sync_.index(errand.model).match(errand.ask.path);
   for (Binding::Choice const& way : errand.lane->binding.pools) {
     Pool const* const pool = errand.rules->pool(way.pool);
     std::int64_t slots = 0;
     std::int64_t busy = 0;
     std::vector<Worker*> field;
-    for (std::pair<std::string const, Worker>& item : fleet.workers) {
+    for (std::pair<std::string const, Worker>& item : fleet_.workers) {
       Worker& worker = item.second;
-      if (worker.row.pool != pool->name || !worker.takes() || (guard(Guard::zone_veto) && shut.count(worker.row.zone)))
+      if (worker.row.pool != pool->name || !worker.takes() || (guard(Guard::zone_veto) && shut_.count(worker.row.zone)))
         continue;
-      if (errand.lane->policy.locality == Locality::only && worker.row.zone != zone) continue;
+      if (errand.lane->policy.locality == Locality::only && worker.row.zone != zone_) continue;
       slots += worker.room(*pool);
       busy += worker.guess();
       if (!errand.tried.count(item.first)) field.push_back(&worker);
@@ -154,21 +154,21 @@
       std::int64_t const room = worker->room(*pool);
       std::int64_t const load = worker->guess();
       if (load >= room) {
-        std::int64_t const nodes = static_cast<std::int64_t>(std::max<std::size_t>(1, names.size()));
+        std::int64_t const nodes = static_cast<std::int64_t>(std::max<std::size_t>(1, names_.size()));
         Micros const wait = hold * static_cast<Micros>(ahead + 1) * nodes / std::max<std::int64_t>(1, slots);
         if (soonest < 0 || wait < soonest) soonest = wait;
         continue;
       }
-      std::int64_t const share = newcomer ? 0 : fleet.cold_share(*worker, pool->cold, self, names);
-      Micros const cold = fleet.cold_for(*worker, pool->cold_span, now);
-      if (cold > 0 && guard(Guard::cold_share) && !fleet.cold_room(*worker, share, now)) {
+      std::int64_t const share = newcomer_ ? 0 : fleet_.cold_share(*worker, pool->cold, self_, names_);
+      Micros const cold = fleet_.cold_for(*worker, pool->cold_span, now);
+      if (cold > 0 && guard(Guard::cold_share) && !fleet_.cold_room(*worker, share, now)) {
         cold_shares += share;
         if (cold_ends < 0 || cold < cold_ends) cold_ends = cold;
         continue;
       }
       // §6.6: a worker that does not answer in time is passed over while others can be had.
       bool const bare = share == 0 && guard(Guard::cold_share);
-      bool const unsure = guard(Guard::ask_first) && fleet.unsure(*worker, share, now);
+      bool const unsure = guard(Guard::ask_first) && fleet_.unsure(*worker, share, now);
       if (unsure && (sure_only || (worker->asked >= 0 && now - worker->asked > millis(100)))) {
         if (soonest < 0 || soonest > millis(50)) soonest = millis(50);
         continue;
@@ -178,7 +178,7 @@
       // §6.4: what is missing of the prefix, what runs already, and the way there.
       Micros cost = static_cast<Micros>(errand.ask.path.size() - have) * pool->block_cost;
       cost += hold * load / room / 10;
-      if (worker->row.zone != zone && errand.lane->policy.locality != Locality::any)
+      if (worker->row.zone != zone_ && errand.lane->policy.locality != Locality::any)
         cost += errand.rules->locality_cost;
       // A node that has no share of this worker's bound goes there only for want of any other.
       if (best.worker == nullptr || (bare != least_bare ? least_bare : cost < least)) {
@@ -212,8 +212,8 @@
 
 void Desk::go(Errand& errand, Choice const& choice, Micros now, DeskOut& out) {
   if (errand.is_linked()) {
-    backlog.erase(backlog.iterator_to(errand));
-    --lane_waiting[errand.lane->name];
+    backlog_.erase(backlog_.iterator_to(errand));
+    --lane_waiting_[errand.lane->name];
   }
   Worker& worker = *choice.worker;
   Pool const& pool = *errand.rules->pool(worker.row.pool);
@@ -227,39 +227,39 @@
   errand.tried.insert(worker.row.id);
   if (first) {
     ++tally.first_sends;
-    bucket = std::min(bucket_most, bucket + bucket_share);
+    bucket_ = std::min(bucket_most, bucket_ + bucket_share);
     tally.blocks_asked += errand.ask.path.size();
     tally.blocks_hit += choice.hit;
   } else {
     ++tally.resends;
-    bucket -= 1.0;
+    bucket_ -= 1.0;
     log_event(Event::leg_resent, errand.worker);
   }
-  if (worker.row.zone != zone) ++tally.far_sends;
+  if (worker.row.zone != zone_) ++tally.far_sends;
   worker.legs.insert(now);
   ++worker.sent;
   while (!worker.sends.empty() && now - worker.sends.front() >= Fleet::cold_window) worker.sends.pop_front();
   worker.sends.push_back(now);
   Index::Bounds const bounds{static_cast<std::size_t>(pool.cache_blocks), pool.cache_age};
-  index_sync.queue(
+  index_sync_.queue(
       errand.model,
-      index_sync.index(errand.model).touch(errand.ask.path, worker.row.id, worker.row.incarnation, bounds, now));
+      index_sync_.index(errand.model).touch(errand.ask.path, worker.row.id, worker.row.incarnation, bounds, now));
   out.starts.push_back(Start{errand.id, errand.legs, worker.row.id, worker.row.address, errand.lane->policy.answer,
                              errand.lane->policy.stall});
 }
 
 void Desk::sent(std::uint64_t id) {
-  std::map<std::uint64_t, std::unique_ptr<Errand>>::iterator const spot = errands.find(id);
-  if (spot != errands.end()) spot->second->left = true;
+  std::map<std::uint64_t, std::unique_ptr<Errand>>::iterator const spot = errands_.find(id);
+  if (spot != errands_.end()) spot->second->left = true;
 }
 
 void Desk::began(std::uint64_t id) {
-  std::map<std::uint64_t, std::unique_ptr<Errand>>::iterator const spot = errands.find(id);
-  if (spot != errands.end()) spot->second->begun = true;
+  std::map<std::uint64_t, std::unique_ptr<Errand>>::iterator const spot = errands_.find(id);
+  if (spot != errands_.end()) spot->second->begun = true;
 }
 
 void Desk::release(Errand& errand, Micros now, bool good) {
-  Worker* const worker = fleet.find(errand.worker);
+  Worker* const worker = fleet_.find(errand.worker);
   if (worker != nullptr) {
     std::multiset<Micros>::iterator const leg = worker->legs.find(errand.leg_from);
     if (leg != worker->legs.end()) {
@@ -269,15 +269,15 @@
     }
   }
   if (good) {
-    double& seen = service_seen.try_emplace(errand.pool, static_cast<double>(errand.rules->pool(errand.pool)->service))
+    double& seen = service_seen_.try_emplace(errand.pool, static_cast<double>(errand.rules->pool(errand.pool)->service))
                        .first->second;
     seen = seen * 0.95 + static_cast<double>(now - errand.leg_from) * 0.05;
   }
 }
 
 void Desk::ended(std::uint64_t id, LegEnd end, std::string const& why, Micros back, Micros now, DeskOut& out) {
-  std::map<std::uint64_t, std::unique_ptr<Errand>>::iterator const spot = errands.find(id);
-  if (spot == errands.end()) return;
+  std::map<std::uint64_t, std::unique_ptr<Errand>>::iterator const spot = errands_.find(id);
+  if (spot == errands_.end()) return;
   Errand& errand = *spot->second;
   release(errand, now, end == LegEnd::done);
   if (end == LegEnd::done) {
@@ -323,15 +323,15 @@
   if (!guard(Guard::honest_ran) && ran == Ran::unknown) ran = Ran::no;
   errand.ran = std::max(errand.ran, ran);
   // §6.6: a broken wire may mean that the worker ended; it is asked before it gets anything more.
-  Worker const* const worker = fleet.find(errand.worker);
+  Worker const* const worker = fleet_.find(errand.worker);
   if (worker != nullptr &&
       (end == LegEnd::unreached || end == LegEnd::broke || end == LegEnd::silent || end == LegEnd::torn) &&
-      fleet.doubt(errand.worker, errand.life, now))
+      fleet_.doubt(errand.worker, errand.life, now))
     out.doubts.emplace_back(errand.worker, errand.life);
   log_event(Event::leg_failed, errand.worker + " " + kind_row(kind).name + " " + why);
   bool const may_repeat = errand.safe || !errand.left || !guard(Guard::never_repeat);
-  bool const again = !errand.begun && may_repeat && !draining && errand.legs < errand.lane->policy.tries &&
-                     now < errand.due + errand.lane->policy.answer && (bucket >= 1.0 || !guard(Guard::bucket));
+  bool const again = !errand.begun && may_repeat && !draining_ && errand.legs < errand.lane->policy.tries &&
+                     now < errand.due + errand.lane->policy.answer && (bucket_ >= 1.0 || !guard(Guard::bucket));
   if (again) {
     Choice const choice = select(errand, 0, now, true);
     if (choice.say == Say::go) return go(errand, choice, now, out);
@@ -342,8 +342,8 @@
 }
 
 void Desk::hung_up(std::uint64_t id, Micros now, DeskOut& out) {
-  std::map<std::uint64_t, std::unique_ptr<Errand>>::iterator const spot = errands.find(id);
-  if (spot == errands.end()) return;
+  std::map<std::uint64_t, std::unique_ptr<Errand>>::iterator const spot = errands_.find(id);
+  if (spot == errands_.end()) return;
   ++tally.hangups;
   Errand& errand = *spot->second;
   if (errand.legs > 0) {
@@ -356,18 +356,18 @@
 void Desk::work(Micros now, DeskOut& out) {
   std::size_t ahead = 0;
   int idle = 0;
-  for (Backlog::iterator it = backlog.begin(); it != backlog.end();) {
+  for (Backlog::iterator it = backlog_.begin(); it != backlog_.end();) {
     Errand& errand = *it++;
     if (now >= errand.due) {
       ++tally.late;
-      give_up(errand, Fault{held ? Kind::not_ready : Kind::expired, "", ""}, 0, out);
+      give_up(errand, Fault{held_ ? Kind::not_ready : Kind::expired, "", ""}, 0, out);
       continue;
     }
-    if (!open) {
+    if (!open_) {
       give_up(errand, Fault{Kind::not_ready, "", ""}, 0, out);
       continue;
     }
-    if (held || idle >= 64) {
+    if (held_ || idle >= 64) {
       ++ahead;
       continue;
     }
--- a/src/flow/errand/desk.h
+++ b/src/flow/errand/desk.h
@@ -62,19 +62,19 @@
 
 class Desk {
  public:
-  Desk(std::string self_, std::string zone_, IndexSync& index_sync_, Fleet& fleet_)
-      : self(std::move(self_)), zone(std::move(zone_)), index_sync(index_sync_), fleet(fleet_) {}
-  ~Desk() { backlog.clear(); }
+  Desk(std::string self, std::string zone, IndexSync& index_sync, Fleet& fleet)
+      : self_(std::move(self)), zone_(std::move(zone)), index_sync_(index_sync), fleet_(fleet) {}
+  ~Desk() { backlog_.clear(); }
 
-  void in_force(std::shared_ptr<Description const> description_, std::set<std::string> emptied_);
+  void in_force(std::shared_ptr<Description const> description, std::set<std::string> emptied);
   // Placing stops while the node does not know enough: at its start, and after its clock jumped.
-  void hold(bool held_) { held = held_; }
-  void ready(bool ready_) { open = ready_; }
-  void drain() { draining = true; }
+  void hold(bool held) { held_ = held; }
+  void ready(bool ready) { open_ = ready; }
+  void drain() { draining_ = true; }
   // All router nodes that may send, and whether this one is new among them: then it has no share yet (§6.6).
-  void nodes(std::set<std::string> names_, bool newcomer_) {
-    names = std::move(names_);
-    newcomer = newcomer_;
+  void nodes(std::set<std::string> names, bool newcomer) {
+    names_ = std::move(names);
+    newcomer_ = newcomer;
   }
 
   void fresh(std::uint64_t id, Ask ask, Micros now, DeskOut& out);
@@ -84,10 +84,10 @@
   void hung_up(std::uint64_t id, Micros now, DeskOut& out);
   void work(Micros now, DeskOut& out);  // looks through the backlog
 
-  std::size_t under_way() const { return errands.size(); }
-  std::size_t waiting() const { return backlog.size(); }
-  std::shared_ptr<Description const> const& description() const { return rules; }
-  std::set<std::string> const& emptied() const { return shut; }
+  std::size_t under_way() const { return errands_.size(); }
+  std::size_t waiting() const { return backlog_.size(); }
+  std::shared_ptr<Description const> const& description() const { return rules_; }
+  std::set<std::string> const& emptied() const { return shut_; }
   Tally tally;
 
  private:
@@ -136,23 +136,23 @@
   Micros likely(Micros wait) const;
   Micros overdue(Errand const& errand, Micros now) const;
 
-  std::string const self;
-  std::string const zone;
-  IndexSync& index_sync;
-  Fleet& fleet;
-  std::shared_ptr<Description const> rules = std::make_shared<Description>();
-  std::set<std::string> shut;
-  std::set<std::string> names;
-  bool newcomer = false;
-  bool held = false;
-  bool open = false;
-  bool draining = false;
-  double bucket = 1.0;
-  double longer = 1.0;
-  std::map<std::uint64_t, std::unique_ptr<Errand>> errands;
-  Backlog backlog;
-  std::map<std::string, std::int64_t> lane_waiting;
-  std::map<std::string, double> service_seen;
+  std::string const self_;
+  std::string const zone_;
+  IndexSync& index_sync_;
+  Fleet& fleet_;
+  std::shared_ptr<Description const> rules_ = std::make_shared<Description>();
+  std::set<std::string> shut_;
+  std::set<std::string> names_;
+  bool newcomer_ = false;
+  bool held_ = false;
+  bool open_ = false;
+  bool draining_ = false;
+  double bucket_ = 1.0;
+  double longer_ = 1.0;
+  std::map<std::uint64_t, std::unique_ptr<Errand>> errands_;
+  Backlog backlog_;
+  std::map<std::string, std::int64_t> lane_waiting_;
+  std::map<std::string, double> service_seen_;
 };
 
 }  // namespace pipit
--- a/src/flow/errand/pieces.h
+++ b/src/flow/errand/pieces.h
@@ -7,14 +7,14 @@
 
 class Pieces {
  public:
-  void feed(std::string_view bytes) { store += bytes; }
+  void feed(std::string_view bytes) { store_ += bytes; }
   // Takes the next whole event, without its blank line; false when none is whole.
   bool next(std::string& event);
   bool rest() const;  // something that is not a whole event is left
-  std::size_t size() const { return store.size(); }
+  std::size_t size() const { return store_.size(); }
 
  private:
-  std::string store;
+  std::string store_;
 };
 
 // The data of an event, its lines joined.
--- a/src/flow/exchange/exchange.cc
+++ b/src/flow/exchange/exchange.cc
@@ -16,37 +16,37 @@
 void Exchange::work(std::string const& worker, Micros span) {
   Word& word = own(worker);
   word.work += span;
-  urgent = urgent || word.work >= urgent_least;
+  urgent_ = urgent_ || word.work >= urgent_least;
 }
 
 void Exchange::load(std::string const& worker, std::int64_t running) { own(worker).running = running; }
 
 void Exchange::doubt(std::string const& worker) {
   own(worker).doubt = true;
-  urgent = true;
+  urgent_ = true;
 }
 
 void Exchange::delta(std::string const& tree, wire::DeltaT item) {
   if (item.base == 0 && item.tail.empty()) return;
-  std::vector<wire::DeltaT>& list = deltas[tree];
+  std::vector<wire::DeltaT>& list = deltas_[tree];
   if (list.size() < deltas_most) list.push_back(std::move(item));
 }
 
 void Exchange::pass(std::string const& from, wire::LoadsT const& said) {
   if (said.hops == Hops::last) return;
-  Words& into = said.hops == Hops::to_hub ? words[from] : far;
+  Words& into = said.hops == Hops::to_hub ? words_[from] : far_;
   for (std::unique_ptr<wire::LoadT> const& item : said.list) {
     Word& word = into[item->worker];
     word.work += item->reading;
     if (item->legs > 0) word.running = item->legs;
     word.doubt = word.doubt || item->doubt;
   }
-  urgent = true;
+  urgent_ = true;
 }
 
 void Exchange::pass(wire::DeltasT const& said) {
   if (said.hops == Hops::last) return;
-  std::vector<wire::DeltaT>& list = (said.hops == Hops::to_hub ? deltas : far_deltas)[said.model];
+  std::vector<wire::DeltaT>& list = (said.hops == Hops::to_hub ? deltas_ : far_deltas_)[said.model];
   for (std::unique_ptr<wire::DeltaT> const& item : said.list)
     if (list.size() < deltas_most) list.push_back(*item);
 }
@@ -74,12 +74,12 @@
 }
 
 void Exchange::tick(Micros now, Paths const& paths, std::vector<OutgoingMessage>& out) {
-  bool const any = !words.empty() || !far.empty();
-  if (any && (urgent || now >= next_words)) {
-    urgent = false;
-    next_words = now + words_gap;
+  bool const any = !words_.empty() || !far_.empty();
+  if (any && (urgent_ || now >= next_words_)) {
+    urgent_ = false;
+    next_words_ = now + words_gap;
     std::vector<Words const*> zone;
-    for (std::pair<std::string const, Words> const& item : words) zone.push_back(&item.second);
+    for (std::pair<std::string const, Words> const& item : words_) zone.push_back(&item.second);
     if (!paths.wide) {
       wire::LoadsT const said = loads_of(zone, Hops::last);
       for (std::string const& name : paths.all) out.push_back(message_to(name, wire::LoadsT(said)));
@@ -88,8 +88,8 @@
     } else {
       // Nobody is told its own words again: they would count twice.
       for (std::string const& name : paths.zone) {
-        std::vector<Words const*> parts{&far};
-        for (std::pair<std::string const, Words> const& item : words)
+        std::vector<Words const*> parts{&far_};
+        for (std::pair<std::string const, Words> const& item : words_)
           if (item.first != name) parts.push_back(&item.second);
         wire::LoadsT said = loads_of(parts, Hops::last);
         if (!said.list.empty()) out.push_back(message_to(name, std::move(said)));
@@ -99,15 +99,15 @@
         for (std::string const& name : paths.hubs) out.push_back(message_to(name, wire::LoadsT(said)));
       }
     }
-    words.clear();
-    far.clear();
+    words_.clear();
+    far_.clear();
   }
-  if (now < next_deltas || (deltas.empty() && far_deltas.empty())) return;
-  next_deltas = now + deltas_gap;
-  std::map<std::string, std::vector<wire::DeltaT>> const own_list = std::move(deltas);
-  std::map<std::string, std::vector<wire::DeltaT>> const far_list = std::move(far_deltas);
-  deltas.clear();
-  far_deltas.clear();
+  if (now < next_deltas_ || (deltas_.empty() && far_deltas_.empty())) return;
+  next_deltas_ = now + deltas_gap;
+  std::map<std::string, std::vector<wire::DeltaT>> const own_list = std::move(deltas_);
+  std::map<std::string, std::vector<wire::DeltaT>> const far_list = std::move(far_deltas_);
+  deltas_.clear();
+  far_deltas_.clear();
   for (int side = 0; side < 2; ++side)
     for (std::pair<std::string const, std::vector<wire::DeltaT>> const& tree : side == 0 ? own_list : far_list) {
       wire::DeltasT said;
--- a/src/flow/exchange/exchange.h
+++ b/src/flow/exchange/exchange.h
@@ -23,7 +23,7 @@
 
 class Exchange {
  public:
-  explicit Exchange(std::string self_) : self(std::move(self_)) {}
+  explicit Exchange(std::string self) : self_(std::move(self)) {}
 
   // This node's own words.
   void work(std::string const& worker, Micros span);           // it was given so much to read
@@ -44,16 +44,16 @@
   };
   using Words = std::map<std::string, Word>;
   static wire::LoadsT loads_of(std::vector<Words const*> const& parts, std::uint8_t hops);
-  Word& own(std::string const& worker) { return words[self][worker]; }
-
-  std::string const self;
-  std::map<std::string, Words> words;                           // of this zone, by who said them
-  Words far;                                                    // of other zones
-  std::map<std::string, std::vector<wire::DeltaT>> deltas;      // of this zone
-  std::map<std::string, std::vector<wire::DeltaT>> far_deltas;  // of other zones
-  bool urgent = false;
-  Micros next_words = 0;
-  Micros next_deltas = 0;
+  Word& own(std::string const& worker) { return words_[self_][worker]; }
+
+  std::string const self_;
+  std::map<std::string, Words> words_;                           // of this zone, by who said them
+  Words far_;                                                    // of other zones
+  std::map<std::string, std::vector<wire::DeltaT>> deltas_;      // of this zone
+  std::map<std::string, std::vector<wire::DeltaT>> far_deltas_;  // of other zones
+  bool urgent_ = false;
+  Micros next_words_ = 0;
+  Micros next_deltas_ = 0;
 };
 
 }  // namespace pipit
--- a/src/flow/fleet/fleet.cc
+++ b/src/flow/fleet/fleet.cc
@@ -238,7 +238,7 @@
 }
 
 void Fleet::peer_legs(std::string const& peer, wire::LoadsT const& loads, Micros now) {
-  Told& item = told[peer];
+  Told& item = told_[peer];
   item.at = now;
   item.legs.clear();
   for (std::unique_ptr<wire::LoadT> const& load : loads.list) item.legs[load->worker] = load->legs;
@@ -248,17 +248,17 @@
   constexpr Micros lately = millis(1500);
   bool exact = true;
   std::map<std::string, std::int64_t> sums;
-  for (std::map<std::string, Told>::iterator it = told.begin(); it != told.end();) {
+  for (std::map<std::string, Told>::iterator it = told_.begin(); it != told_.end();) {
     if (now - it->second.at > seconds(10)) {
-      it = told.erase(it);
+      it = told_.erase(it);
       continue;
     }
     for (std::pair<std::string const, std::int64_t> const& item : it->second.legs) sums[item.first] += item.second;
     ++it;
   }
   for (std::string const& name : senders) {
-    std::map<std::string, Told>::const_iterator const spot = told.find(name);
-    exact = exact && spot != told.end() && now - spot->second.at <= lately;
+    std::map<std::string, Told>::const_iterator const spot = told_.find(name);
+    exact = exact && spot != told_.end() && now - spot->second.at <= lately;
   }
   for (std::pair<std::string const, Worker>& item : workers) {
     std::map<std::string, std::int64_t>::const_iterator const sum = sums.find(item.first);
--- a/src/flow/fleet/fleet.h
+++ b/src/flow/fleet/fleet.h
@@ -115,7 +115,7 @@
     Micros at = 0;
     std::map<std::string, std::int64_t> legs;
   };
-  std::map<std::string, Told> told;
+  std::map<std::string, Told> told_;
   void begin_life(Worker& worker, std::uint64_t incarnation);
   void bury(Worker& worker, Standing standing);
 };
--- a/src/flow/index/index.cc
+++ b/src/flow/index/index.cc
@@ -7,14 +7,14 @@
 namespace pipit {
 
 Index::Keep* Index::fresh_keep() {
-  if (spare.empty()) return &pool.emplace_back();
-  Keep* const out = spare.back();
-  spare.pop_back();
+  if (spare_.empty()) return &pool_.emplace_back();
+  Keep* const out = spare_.back();
+  spare_.pop_back();
   return out;
 }
 
 Index::Shelf* Index::shelf_for(std::string const& worker, std::uint64_t incarnation) {
-  std::unique_ptr<Shelf>& slot = shelves[worker];
+  std::unique_ptr<Shelf>& slot = shelves_[worker];
   if (!slot) {
     slot = std::make_unique<Shelf>();
     slot->worker = worker;
@@ -29,16 +29,16 @@
 }
 
 Index::Crumb* Index::grow(std::uint64_t hash, std::uint64_t parent, std::uint32_t weight) {
-  tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::iterator const spot = crumbs.find(hash);
-  if (spot != crumbs.end()) return spot->second.get();
+  tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::iterator const spot = crumbs_.find(hash);
+  if (spot != crumbs_.end()) return spot->second.get();
   std::unique_ptr<Crumb> made = std::make_unique<Crumb>();
   made->hash = hash;
   made->parent = parent;
   made->weight = std::max<std::uint32_t>(1, weight);
   Crumb* const out = made.get();
-  crumbs.emplace(hash, std::move(made));
-  tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::iterator const up = crumbs.find(parent);
-  if (up != crumbs.end()) ++up->second->children;
+  crumbs_.emplace(hash, std::move(made));
+  tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::iterator const up = crumbs_.find(parent);
+  if (up != crumbs_.end()) ++up->second->children;
   return out;
 }
 
@@ -61,10 +61,10 @@
 
 void Index::prune(Crumb* crumb) {
   while (crumb != nullptr && crumb->keeps.empty() && crumb->children == 0) {
-    tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::iterator const up = crumbs.find(crumb->parent);
-    Crumb* const parent = up == crumbs.end() ? nullptr : up->second.get();
+    tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::iterator const up = crumbs_.find(crumb->parent);
+    Crumb* const parent = up == crumbs_.end() ? nullptr : up->second.get();
     if (parent != nullptr) --parent->children;
-    crumbs.erase(crumb->hash);
+    crumbs_.erase(crumb->hash);
     crumb = parent;
   }
 }
@@ -74,7 +74,7 @@
   item.shelf->keeps.erase(item.shelf->keeps.iterator_to(item));
   item.shelf->count -= crumb->weight;
   crumb->keeps.erase(crumb->keeps.iterator_to(item));
-  spare.push_back(&item);
+  spare_.push_back(&item);
   prune(crumb);
 }
 
@@ -91,8 +91,8 @@
   std::map<std::string, std::size_t> out;
   std::size_t depth = 0;
   for (std::uint64_t const hash : path) {
-    tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::const_iterator const spot = crumbs.find(hash);
-    if (spot == crumbs.end()) break;
+    tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::const_iterator const spot = crumbs_.find(hash);
+    if (spot == crumbs_.end()) break;
     bool any = false;
     for (Keep const& item : spot->second->keeps) {
       if (depth == 0) {
@@ -124,7 +124,7 @@
   for (std::size_t i = 0; i < path.size(); ++i) {
     std::uint64_t const hash = path[i];
     std::uint32_t const weight = i < weights.size() ? weights[i] : 1;
-    bool const known = crumbs.find(hash) != crumbs.end();
+    bool const known = crumbs_.find(hash) != crumbs_.end();
     if (known && out.tail.empty()) out.base = hash;
     if (!known) out.tail.push_back(hash);
     if (!known && !weights.empty()) out.weights.push_back(weight);
@@ -140,12 +140,12 @@
 bool Index::apply(wire::DeltaT const& delta, Bounds const& bounds, Micros now) {
   // First the shelf: a new life empties it, and what only the former one kept ends with that, the base perhaps too.
   Shelf* const shelf = shelf_for(delta.worker, delta.incarnation);
-  if (delta.base != 0 && crumbs.find(delta.base) == crumbs.end()) return false;
+  if (delta.base != 0 && crumbs_.find(delta.base) == crumbs_.end()) return false;
   if (shelf == nullptr) return true;
   std::vector<Crumb*> line;
   for (std::uint64_t hash = delta.base; hash != 0;) {
-    tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::const_iterator const spot = crumbs.find(hash);
-    if (spot == crumbs.end() || line.size() > block_most) break;
+    tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::const_iterator const spot = crumbs_.find(hash);
+    if (spot == crumbs_.end() || line.size() > block_most) break;
     line.push_back(spot->second.get());
     hash = spot->second->parent;
   }
@@ -163,28 +163,28 @@
 }
 
 void Index::forget(std::string const& worker) {
-  std::map<std::string, std::unique_ptr<Shelf>>::iterator const spot = shelves.find(worker);
-  if (spot != shelves.end()) clear(*spot->second);
+  std::map<std::string, std::unique_ptr<Shelf>>::iterator const spot = shelves_.find(worker);
+  if (spot != shelves_.end()) clear(*spot->second);
 }
 
 void Index::age(Bounds const& bounds, Micros now) {
-  for (std::pair<std::string const, std::unique_ptr<Shelf>>& item : shelves) trim(*item.second, bounds, now);
+  for (std::pair<std::string const, std::unique_ptr<Shelf>>& item : shelves_) trim(*item.second, bounds, now);
 }
 
 std::size_t Index::held(std::string const& worker) const {
-  std::map<std::string, std::unique_ptr<Shelf>>::const_iterator const spot = shelves.find(worker);
-  return spot == shelves.end() ? 0 : spot->second->count;
+  std::map<std::string, std::unique_ptr<Shelf>>::const_iterator const spot = shelves_.find(worker);
+  return spot == shelves_.end() ? 0 : spot->second->count;
 }
 
 std::vector<std::uint64_t> Index::order() const {
   // Parents before children: by depth, then by hash, so that equal trees give equal orders.
   std::vector<std::pair<std::size_t, std::uint64_t>> rows;
-  for (std::pair<std::uint64_t, std::unique_ptr<Crumb>> const& item : crumbs) {
+  for (std::pair<std::uint64_t, std::unique_ptr<Crumb>> const& item : crumbs_) {
     std::size_t depth = 0;
     std::uint64_t up = item.second->parent;
     while (up != 0 && depth <= block_most) {
-      tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::const_iterator const spot = crumbs.find(up);
-      if (spot == crumbs.end()) break;
+      tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::const_iterator const spot = crumbs_.find(up);
+      if (spot == crumbs_.end()) break;
       up = spot->second->parent;
       ++depth;
     }
@@ -198,8 +198,8 @@
 }
 
 std::unique_ptr<wire::CrumbT> Index::crumb(std::uint64_t hash, Micros now) const {
-  tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::const_iterator const spot = crumbs.find(hash);
-  if (spot == crumbs.end()) return nullptr;
+  tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::const_iterator const spot = crumbs_.find(hash);
+  if (spot == crumbs_.end()) return nullptr;
   std::unique_ptr<wire::CrumbT> out = std::make_unique<wire::CrumbT>();
   out->hash = hash;
   out->parent = spot->second->parent;
@@ -217,7 +217,7 @@
   std::vector<Shelf*> on;
   // All shelves before the first crumb is held: one that a new life empties may end the very crumb, or its parent.
   for (std::size_t i = 0; i < n; ++i) on.push_back(shelf_for(item.workers[i], item.incarnations[i]));
-  if (item.hash == 0 || (item.parent != 0 && crumbs.find(item.parent) == crumbs.end())) return;
+  if (item.hash == 0 || (item.parent != 0 && crumbs_.find(item.parent) == crumbs_.end())) return;
   Crumb* const made = grow(item.hash, item.parent, item.weight);
   for (std::size_t i = 0; i < n; ++i) {
     Shelf* const shelf = on[i];
@@ -231,7 +231,7 @@
 
 std::uint64_t Index::digest() const {
   std::uint64_t out = 0;
-  for (std::pair<std::uint64_t, std::unique_ptr<Crumb>> const& item : crumbs)
+  for (std::pair<std::uint64_t, std::unique_ptr<Crumb>> const& item : crumbs_)
     for (Keep const& k : item.second->keeps) out ^= hash_text(k.shelf->worker, item.first);
   return out;
 }
--- a/src/flow/index/index.h
+++ b/src/flow/index/index.h
@@ -41,7 +41,7 @@
   std::unique_ptr<wire::CrumbT> crumb(std::uint64_t hash, Micros now) const;
   void learn(wire::CrumbT const& crumb, Bounds const& bounds, Micros now);
 
-  std::size_t size() const { return crumbs.size(); }
+  std::size_t size() const { return crumbs_.size(); }
   std::size_t held(std::string const& worker) const;
   std::uint64_t digest() const;
 
@@ -84,10 +84,10 @@
   void trim(Shelf& shelf, Bounds const& bounds, Micros now);
   Keep* fresh_keep();
 
-  tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>> crumbs;
-  std::map<std::string, std::unique_ptr<Shelf>> shelves;
-  std::deque<Keep> pool;
-  std::vector<Keep*> spare;
+  tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>> crumbs_;
+  std::map<std::string, std::unique_ptr<Shelf>> shelves_;
+  std::deque<Keep> pool_;
+  std::vector<Keep*> spare_;
 };
 
 }  // namespace pipit
--- a/src/flow/index/index_sync.cc
+++ b/src/flow/index/index_sync.cc
@@ -13,7 +13,7 @@
 
 void IndexSync::queue(std::string const& model, wire::DeltaT delta) {
   if (delta.base == 0 && delta.tail.empty()) return;
-  std::vector<wire::DeltaT>& list = backlog[model];
+  std::vector<wire::DeltaT>& list = backlog_[model];
   if (list.size() >= backlog_most) {
     ++dropped;  // best effort: a peer that misses it pulls the tree when it meets a path it does not know
     return;
@@ -23,7 +23,7 @@
 
 void IndexSync::round(Micros now, std::vector<std::pair<std::string, std::vector<std::string>>> const& peers,
                       BoundsOf const& bounds, std::vector<OutgoingMessage>& out) {
-  for (std::pair<std::string const, std::vector<wire::DeltaT>>& item : backlog) {
+  for (std::pair<std::string const, std::vector<wire::DeltaT>>& item : backlog_) {
     if (item.second.empty()) continue;
     wire::DeltasT batch;
     batch.model = item.first;
@@ -35,9 +35,9 @@
       if (serves) out.push_back(message_to(peer.first, wire::DeltasT(batch)));
     }
   }
-  for (std::pair<std::string const, Index>& item : trees) item.second.age(bounds(item.first), now);
-  for (std::map<std::pair<std::string, std::uint64_t>, Shot>::iterator it = shots.begin(); it != shots.end();)
-    it = now - it->second.at > seconds(15) ? shots.erase(it) : std::next(it);
+  for (std::pair<std::string const, Index>& item : trees_) item.second.age(bounds(item.first), now);
+  for (std::map<std::pair<std::string, std::uint64_t>, Shot>::iterator it = shots_.begin(); it != shots_.end();)
+    it = now - it->second.at > seconds(15) ? shots_.erase(it) : std::next(it);
 }
 
 void IndexSync::ask(std::string const& model, Pull& pull, Micros now, std::vector<std::string> const& peers,
@@ -48,12 +48,12 @@
     return;
   }
   // Another peer than the one that stalled, where there is one.
-  std::string pick = peers[random.below(peers.size())];
+  std::string pick = peers[random_.below(peers.size())];
   if (pick == pull.from && peers.size() > 1)
     for (std::string const& other : peers)
       if (other != pull.from) pick = other;
   pull.from = pick;
-  pull.number = ++next;
+  pull.number = ++next_;
   pull.page = 0;
   pull.moved = now;
   ++pull.tries;
@@ -64,7 +64,7 @@
 }
 
 void IndexSync::tick(Micros now, std::vector<std::string> const& peers, std::vector<OutgoingMessage>& out) {
-  for (std::pair<std::string const, Pull>& item : pulling) {
+  for (std::pair<std::string const, Pull>& item : pulling_) {
     Pull& pull = item.second;
     if (!pull.live || now - pull.moved < stall) continue;
     ++stalls;
@@ -81,12 +81,12 @@
 void IndexSync::take(std::string const& from, wire::BodyUnion const& body, Micros now, BoundsOf const& bounds,
                      PeersOf const& peers, std::vector<OutgoingMessage>& out) {
   if (wire::DeltasT const* const batch = body.AsDeltas()) {
-    Index& tree = trees[batch->model];
+    Index& tree = trees_[batch->model];
     Index::Bounds const bound = bounds(batch->model);
     bool lost = false;
     for (std::unique_ptr<wire::DeltaT> const& delta : batch->list)
       if (!tree.apply(*delta, bound, now)) lost = true;
-    Pull& pull = pulling[batch->model];
+    Pull& pull = pulling_[batch->model];
     // Unknown paths that come while a pull is under way are folded into it; pulls of a model keep a distance.
     if (lost && !pull.live && now - pull.ended >= pull_gap) {
       pull.live = true;
@@ -97,14 +97,14 @@
     return;
   }
   if (wire::TreeAskT const* const req = body.AsTreeAsk()) {
-    std::map<std::string, Index>::const_iterator const tree = trees.find(req->model);
+    std::map<std::string, Index>::const_iterator const tree = trees_.find(req->model);
     wire::TreePageT page;
     page.model = req->model;
     page.pull = req->pull;
     page.page = req->page;
     page.last = true;
-    if (tree != trees.end()) {
-      Shot& shot = shots[{from, req->pull}];
+    if (tree != trees_.end()) {
+      Shot& shot = shots_[{from, req->pull}];
       if (req->page == 0) shot.order = tree->second.order();
       shot.at = now;
       std::size_t at = 0;
@@ -114,17 +114,17 @@
         if (std::unique_ptr<wire::CrumbT> crumb = tree->second.crumb(shot.order[at], now))
           page.list.push_back(std::move(crumb));
       page.last = at >= shot.order.size();
-      if (page.last) shots.erase({from, req->pull});
+      if (page.last) shots_.erase({from, req->pull});
     }
     out.push_back(message_to(from, std::move(page)));
     return;
   }
   if (wire::TreePageT const* const page = body.AsTreePage()) {
-    std::map<std::string, Pull>::iterator const spot = pulling.find(page->model);
-    if (spot == pulling.end()) return;
+    std::map<std::string, Pull>::iterator const spot = pulling_.find(page->model);
+    if (spot == pulling_.end()) return;
     Pull& pull = spot->second;
     if (!pull.live || pull.from != from || pull.number != page->pull || pull.page != page->page) return;
-    Index& tree = trees[page->model];
+    Index& tree = trees_[page->model];
     Index::Bounds const bound = bounds(page->model);
     for (std::unique_ptr<wire::CrumbT> const& crumb : page->list) tree.learn(*crumb, bound, now);
     pull.moved = now;
@@ -143,7 +143,7 @@
 }
 
 void IndexSync::forget(std::string const& worker) {
-  for (std::pair<std::string const, Index>& item : trees) item.second.forget(worker);
+  for (std::pair<std::string const, Index>& item : trees_) item.second.forget(worker);
 }
 
 }  // namespace pipit
--- a/src/flow/index/index_sync.h
+++ b/src/flow/index/index_sync.h
@@ -13,13 +13,13 @@
 
 class IndexSync {
  public:
-  explicit IndexSync(std::uint64_t seed) : random(seed) {}
+  explicit IndexSync(std::uint64_t seed) : random_(seed) {}
 
   using BoundsOf = std::function<Index::Bounds(std::string const& model)>;
   using PeersOf = std::function<std::vector<std::string>()>;
 
-  Index& index(std::string const& model) { return trees[model]; }
-  std::map<std::string, Index> const& all() const { return trees; }
+  Index& index(std::string const& model) { return trees_[model]; }
+  std::map<std::string, Index> const& all() const { return trees_; }
   void queue(std::string const& model, wire::DeltaT delta);
   // Once a round: one batch for each model to each peer that serves it.
   void round(Micros now, std::vector<std::pair<std::string, std::vector<std::string>>> const& peers,
@@ -55,12 +55,12 @@
   void ask(std::string const& model, Pull& pull, Micros now, std::vector<std::string> const& peers,
            std::vector<OutgoingMessage>& out);
 
-  RandomSource random;
-  std::map<std::string, Index> trees;
-  std::map<std::string, std::vector<wire::DeltaT>> backlog;
-  std::map<std::string, Pull> pulling;
-  std::map<std::pair<std::string, std::uint64_t>, Shot> shots;
-  std::uint64_t next = 0;
+  RandomSource random_;
+  std::map<std::string, Index> trees_;
+  std::map<std::string, std::vector<wire::DeltaT>> backlog_;
+  std::map<std::string, Pull> pulling_;
+  std::map<std::pair<std::string, std::uint64_t>, Shot> shots_;
+  std::uint64_t next_ = 0;
 };
 
 }  // namespace pipit
--- a/src/flow/registry/registry.cc
+++ b/src/flow/registry/registry.cc
@@ -53,7 +53,7 @@
   Instance& item = all[word.id];
   bool const first = item.id.empty();
   if (!first && word.order < item.order) return std::nullopt;  // a late call
-  bool news = first || item.owner != self || item.address != word.address || item.zone != word.zone ||
+  bool news = first || item.owner != self_ || item.address != word.address || item.zone != word.zone ||
               item.pool != word.pool || item.slots != word.slots;
   if (first) {
     item.id = word.id;
@@ -65,7 +65,7 @@
   item.pool = word.pool;
   item.slots = word.slots;
   item.order = word.order;
-  item.owner = self;
+  item.owner = self_;
   item.heard = now;
   // What it says after the doubt answers the doubt; what has failed since is counted on.
   if (item.doubted >= 0 && item.faults <= 1) item.shunned = -1;
@@ -83,7 +83,7 @@
 
 bool Registry::hear(Beat const& word, Micros now) {
   Instance* const item = find(word.id);
-  if (item == nullptr || item->owner == self) return false;
+  if (item == nullptr || item->owner == self_) return false;
   if (word.order >= item->order) item->last_byte = now;
   return true;
 }
@@ -92,14 +92,14 @@
   Instance* const item = find(id);
   if (item == nullptr) return std::nullopt;
   item->order = std::max(item->order, order) + farewell_step;
-  item->owner = self;
+  item->owner = self_;
   stand(*item, Standing::gone, now);
   return entry_of(*item);
 }
 
 wire::EntryT Registry::adopt(std::string const& id, Micros now) {
   Instance& item = all[id];
-  item.owner = self;
+  item.owner = self_;
   item.heard = now;
   return entry_of(item);
 }
@@ -126,7 +126,7 @@
   item.pool = entry.pool;
   item.slots = entry.slots;
   item.order = std::max(item.order, entry.incarnation);
-  bool const mine = entry.owner == self && item.owner != self;
+  bool const mine = entry.owner == self_ && item.owner != self_;
   item.owner = entry.owner;
   if (mine) item.heard = now;  // of a former life of this node: it has a span to say something here
   if (!first) stand(item, said, now);
@@ -138,7 +138,7 @@
   std::size_t const doubted = static_cast<std::size_t>(
       std::count_if(all.begin(), all.end(), [&](std::pair<std::string const, Instance> const& item) {
         Instance const& at = item.second;
-        return at.doubted >= 0 && now - at.doubted < beat_gap * 3 && at.standing != Standing::gone;
+        return at.doubted >= 0 && now - at.doubted < beat_gap_ * 3 && at.standing != Standing::gone;
       }));
   return doubted >= std::max(many_doubts_least, all.size() / 4);
 }
@@ -150,10 +150,10 @@
     Instance& item = it->second;
     // Two beats may be lost on the way to the next node; one and a half are enough when a connection broke as well.
     bool const doubted = item.doubted >= 0 && doubt_counts;
-    Micros const most = doubted ? beat_gap * 7 / 4 : beat_gap * 3;
+    Micros const most = doubted ? beat_gap_ * 7 / 4 : beat_gap_ * 3;
     // Beats may also come late by seconds: while nothing speaks against a worker, what its answers bring counts too.
     Micros const heard = doubted ? item.heard : std::max(item.heard, item.last_byte);
-    if (item.owner == self && item.heard >= 0 && item.standing != Standing::gone && now - heard > most) {
+    if (item.owner == self_ && item.heard >= 0 && item.standing != Standing::gone && now - heard > most) {
       stand(item, Standing::gone, now);
       out.push_back(entry_of(item));
     }
