--- a/src/flow/registry/registry.h
+++ b/src/flow/registry/registry.h
@@ -65,8 +65,8 @@
 
 class Registry {
  public:
-  explicit Registry(std::string self_) : self(std::move(self_)) {}
-  void span(Micros beat_gap_) { beat_gap = beat_gap_; }
+  explicit Registry(std::string self) : self_(std::move(self)) {}
+  void span(Micros beat_gap) { beat_gap_ = beat_gap; }
 
   // A worker called here. The entry to be written, when its word says something new.
   std::optional<wire::EntryT> beat(Beat const& word, Micros now);
@@ -98,8 +98,8 @@
   bool doubts_many(Micros now) const;
   void stand(Instance& instance, Standing standing, Micros now);
 
-  std::string const self;
-  Micros beat_gap = millis(1200);
+  std::string const self_;
+  Micros beat_gap_ = millis(1200);
 };
 
 }  // namespace pipit
--- a/src/flow/tenants/quota_client.cc
+++ b/src/flow/tenants/quota_client.cc
@@ -30,7 +30,7 @@
   ask.wanted = wanted;
   ask.piece_most = std::max<std::int64_t>(1, piece_most);
   ask.missing = wanted.count;
-  ask_next(++next, std::move(ask), peers, now, out);
+  ask_next(++next_, std::move(ask), peers, now, out);
 }
 
 // Owners in an order of this node's and the tenant's own, so that neither all nodes nor all tenants crowd on one. One
@@ -40,13 +40,13 @@
   std::uint64_t best_rank = 0;
   for (std::string const& owner : peers.owners) {
     if (ask.tried.count(owner) > 0) continue;
-    std::map<Key, Dry>::const_iterator const spot = dry.find(Key(ask.wanted.tenant, owner));
-    if (spot != dry.end() && now < spot->second.until && ask.piece >= spot->second.count) {
+    std::map<Key, Dry>::const_iterator const spot = dry_.find(Key(ask.wanted.tenant, owner));
+    if (spot != dry_.end() && now < spot->second.until && ask.piece >= spot->second.count) {
       Micros const wait = spot->second.until - now;
       ask.wait = ask.wait < 0 ? wait : std::min(ask.wait, wait);
       continue;
     }
-    std::uint64_t const rank = hash_text(owner, hash_text(ask.wanted.tenant, hash_text(self)));
+    std::uint64_t const rank = hash_text(owner, hash_text(ask.wanted.tenant, hash_text(self_)));
     if (!best.empty() && rank <= best_rank) continue;
     best = owner;
     best_rank = rank;
@@ -58,7 +58,7 @@
 std::optional<std::string> QuotaClient::next_peer(Ask const& ask, QuotaPeers const& peers) const {
   if (!peers.owners.empty() || peers.others.empty() || ask.tried.size() >= peers_tried_most) return std::nullopt;
   for (std::size_t n = 0; n < peers.others.size(); ++n) {
-    std::string const& peer = peers.others[(next + n) % peers.others.size()];
+    std::string const& peer = peers.others[(next_ + n) % peers.others.size()];
     if (ask.tried.count(peer) == 0) return peer;
   }
   return std::nullopt;
@@ -80,18 +80,18 @@
   ask.due = std::min(now + answer_within, ask.wanted.due);
   wire::QuotaAskT message = question(req, ask.wanted.tenant, ask.piece, QuotaPurpose::ask);
   if (ask.through_peer) {
-    message.origin = self;
+    message.origin = self_;
     message.hops = 1;
   }
   ++tally.messages;
   out.push_back(message_to(ask.at, std::move(message)));
-  asks.insert_or_assign(req, std::move(ask));
+  asks_.insert_or_assign(req, std::move(ask));
 }
 
 void QuotaClient::take(std::string const& from, wire::QuotaReplyT const& reply, QuotaPeers const& peers, Micros now,
                        std::vector<OutgoingMessage>& out) {
-  std::map<std::uint64_t, Ask>::iterator const spot = asks.find(reply.req);
-  if (spot == asks.end() || spot->second.at != from) {
+  std::map<std::uint64_t, Ask>::iterator const spot = asks_.find(reply.req);
+  if (spot == asks_.end() || spot->second.at != from) {
     // Too late: the request went on or is gone.
     if (!reply.granted) return;
     ++tally.given_back;
@@ -99,7 +99,7 @@
     return;
   }
   Ask ask = std::move(spot->second);
-  asks.erase(spot);
+  asks_.erase(spot);
   if (reply.granted) {
     ask.given.push_back(Given{from, ask.piece});
     ask.missing -= ask.piece;
@@ -107,31 +107,31 @@
     ask.tried[from] = 1;
   } else if (reply.wait > 0) {
     ask.wait = ask.wait < 0 ? reply.wait : std::min<Micros>(ask.wait, reply.wait);
-    if (!ask.through_peer && dry.size() < dry_count_most)
-      dry[Key(ask.wanted.tenant, from)] = Dry{now + std::clamp<Micros>(reply.wait, dry_least, dry_most), ask.piece};
+    if (!ask.through_peer && dry_.size() < dry_count_most)
+      dry_[Key(ask.wanted.tenant, from)] = Dry{now + std::clamp<Micros>(reply.wait, dry_least, dry_most), ask.piece};
   }
   ask_next(reply.req, std::move(ask), peers, now, out);
 }
 
 void QuotaClient::tick(QuotaPeers const& peers, Micros now, std::vector<OutgoingMessage>& out) {
-  std::erase_if(dry, [now](std::pair<Key const, Dry> const& item) { return now >= item.second.until; });
+  std::erase_if(dry_, [now](std::pair<Key const, Dry> const& item) { return now >= item.second.until; });
   std::vector<std::uint64_t> late;
-  for (std::pair<std::uint64_t const, Ask> const& item : asks)
+  for (std::pair<std::uint64_t const, Ask> const& item : asks_)
     if (now >= item.second.due) late.push_back(item.first);
   for (std::uint64_t const req : late) {
     ++tally.timeouts;
-    Ask ask = std::move(asks.at(req));
-    asks.erase(req);
+    Ask ask = std::move(asks_.at(req));
+    asks_.erase(req);
     // Under another number: an answer to the former question goes back.
-    ask_next(++next, std::move(ask), peers, now, out);
+    ask_next(++next_, std::move(ask), peers, now, out);
   }
 }
 
 void QuotaClient::cancel(std::uint64_t request, std::vector<OutgoingMessage>& out) {
-  for (std::map<std::uint64_t, Ask>::iterator it = asks.begin(); it != asks.end(); ++it) {
+  for (std::map<std::uint64_t, Ask>::iterator it = asks_.begin(); it != asks_.end(); ++it) {
     if (it->second.wanted.request != request) continue;
     give_back(it->second, out);
-    asks.erase(it);
+    asks_.erase(it);
     return;
   }
 }
@@ -139,7 +139,7 @@
 void QuotaClient::debit(std::string const& tenant, std::int64_t count, QuotaPeers const& peers,
                         std::vector<OutgoingMessage>& out) {
   if (peers.owners.empty()) return;
-  std::string const& owner = peers.owners[++next % peers.owners.size()];
+  std::string const& owner = peers.owners[++next_ % peers.owners.size()];
   out.push_back(message_to(owner, question(0, tenant, count, QuotaPurpose::debit)));
 }
 
--- a/src/flow/tenants/quota_client.h
+++ b/src/flow/tenants/quota_client.h
@@ -42,7 +42,7 @@
 class QuotaClient {
  public:
   // 'first_request' numbers the questions of this life of the node.
-  QuotaClient(std::string self_, std::uint64_t first_request) : self(std::move(self_)), next(first_request) {}
+  QuotaClient(std::string self, std::uint64_t first_request) : self_(std::move(self)), next_(first_request) {}
 
   // 'piece_most': more is not asked of one owner at once.
   void begin(QuotaRequest const& wanted, std::int64_t piece_most, QuotaPeers const& peers, Micros now,
@@ -56,7 +56,7 @@
   // What is sent once more is counted where it can be, and nobody waits for that.
   void debit(std::string const& tenant, std::int64_t count, QuotaPeers const& peers, std::vector<OutgoingMessage>& out);
   std::vector<QuotaResult> results;  // for the caller to take
-  std::size_t waiting() const { return asks.size(); }
+  std::size_t waiting() const { return asks_.size(); }
 
   struct Tally {
     std::uint64_t asked = 0, messages = 0, timeouts = 0, given_back = 0;
@@ -92,10 +92,10 @@
   void give_back(Ask const& ask, std::vector<OutgoingMessage>& out);
   void finish(Ask const& ask, QuotaResult::Type type, std::vector<OutgoingMessage>& out);
 
-  std::string const self;
-  std::uint64_t next;
-  std::map<std::uint64_t, Ask> asks;
-  std::map<Key, Dry> dry;
+  std::string const self_;
+  std::uint64_t next_;
+  std::map<std::uint64_t, Ask> asks_;
+  std::map<Key, Dry> dry_;
 };
 
 }  // namespace pipit
--- a/src/flow/tenants/quota_owner.cc
+++ b/src/flow/tenants/quota_owner.cc
@@ -14,21 +14,21 @@
 }  // namespace
 
 QuotaOwner::Bucket& QuotaOwner::bucket(Tenant const& tenant, double share, Micros active_since, Micros now) {
-  QuotaBudget const budget = QuotaBudget::of(tenant, terms);
+  QuotaBudget const budget = QuotaBudget::of(tenant, terms_);
   double const rate = budget.rate * share;
   double const depth = budget.depth * share;
-  std::map<std::string, Bucket>::iterator spot = buckets.find(tenant.name);
-  if (spot != buckets.end() && spot->second.began < active_since) {
+  std::map<std::string, Bucket>::iterator spot = buckets_.find(tenant.name);
+  if (spot != buckets_.end() && spot->second.began < active_since) {
     // The part was lost in between: others may have handed it out.
-    buckets.erase(spot);
-    spot = buckets.end();
+    buckets_.erase(spot);
+    spot = buckets_.end();
   }
-  if (spot == buckets.end()) {
+  if (spot == buckets_.end()) {
     // Nobody asked before: the bucket has filled since this node has its part.
     Bucket fresh;
     fresh.began = active_since;
     fresh.at = active_since;
-    spot = buckets.emplace(tenant.name, fresh).first;
+    spot = buckets_.emplace(tenant.name, fresh).first;
   }
   Bucket& out = spot->second;
   double const came = rate * static_cast<double>(std::max<Micros>(0, now - out.at)) / micros_a_second;
@@ -71,13 +71,13 @@
   Bucket& to = bucket(tenant, share, active_since, now);
   double const back = std::min(static_cast<double>(count), to.granted);
   to.granted -= back;
-  to.level = std::min(QuotaBudget::of(tenant, terms).depth * share, to.level + back);
+  to.level = std::min(QuotaBudget::of(tenant, terms_).depth * share, to.level + back);
 }
 
 void QuotaOwner::forget(Micros now) {
-  if (buckets.size() < tenants_most) return;
-  std::erase_if(buckets, [&](std::pair<std::string const, Bucket> const& item) {
-    return now - item.second.at > terms.window * 2;
+  if (buckets_.size() < tenants_most) return;
+  std::erase_if(buckets_, [&](std::pair<std::string const, Bucket> const& item) {
+    return now - item.second.at > terms_.window * 2;
   });
 }
 
--- a/src/flow/tenants/quota_owner.h
+++ b/src/flow/tenants/quota_owner.h
@@ -17,7 +17,7 @@
 
 class QuotaOwner {
  public:
-  explicit QuotaOwner(QuotaTerms terms_) : terms(terms_) {}
+  explicit QuotaOwner(QuotaTerms terms) : terms_(terms) {}
 
   // 'share' is this node's part, which it has had since 'active_since'.
   QuotaDecision ask(Tenant const& tenant, std::int64_t count, double share, Micros active_since, Micros now);
@@ -45,8 +45,8 @@
   };
   Bucket& bucket(Tenant const& tenant, double share, Micros active_since, Micros now);
 
-  QuotaTerms const terms;
-  std::map<std::string, Bucket> buckets;
+  QuotaTerms const terms_;
+  std::map<std::string, Bucket> buckets_;
 };
 
 }  // namespace pipit
--- a/src/flow/tenants/quota_shares.cc
+++ b/src/flow/tenants/quota_shares.cc
@@ -8,45 +8,45 @@
 
 double QuotaShares::part_in(std::vector<wire::KeeperT> const& keepers) const {
   for (wire::KeeperT const& keeper : keepers)
-    if (keeper.name == self) return 1.0 / static_cast<double>(keepers.size());
+    if (keeper.name == self_) return 1.0 / static_cast<double>(keepers.size());
   return 0;
 }
 
 void QuotaShares::note(Membership const& members, Micros now) {
-  if (members.empty() || (known && members.fingerprint() == fingerprint)) return;
-  Micros const until = guard(Guard::quota_fence) ? now + fence : now;
-  for (Part& part : parts)
+  if (members.empty() || (known_ && members.fingerprint() == fingerprint_)) return;
+  Micros const until = guard(Guard::quota_fence) ? now + fence_ : now;
+  for (Part& part : parts_)
     if (part.until < 0) part.until = until;
   // What was in force before this process began is not known: it may have had no part.
-  if (!known && members.fingerprint() != settled_before) parts.push_back(Part{0, until});
-  known = true;
-  fingerprint = members.fingerprint();
-  parts.push_back(Part{part_in(members.keepers), -1});
-  if (members.joint()) parts.push_back(Part{part_in(members.former), -1});
-  names.clear();
-  for (wire::KeeperT const& keeper : members.keepers) names.push_back(keeper.name);
+  if (!known_ && members.fingerprint() != settled_before_) parts_.push_back(Part{0, until});
+  known_ = true;
+  fingerprint_ = members.fingerprint();
+  parts_.push_back(Part{part_in(members.keepers), -1});
+  if (members.joint()) parts_.push_back(Part{part_in(members.former), -1});
+  names_.clear();
+  for (wire::KeeperT const& keeper : members.keepers) names_.push_back(keeper.name);
 }
 
 double QuotaShares::share(Micros now) {
-  std::erase_if(parts, [now](Part const& part) { return part.until >= 0 && now > part.until; });
-  double out = parts.empty() ? 0 : 1;
-  for (Part const& part : parts) out = std::min(out, part.share);
+  std::erase_if(parts_, [now](Part const& part) { return part.until >= 0 && now > part.until; });
+  double out = parts_.empty() ? 0 : 1;
+  for (Part const& part : parts_) out = std::min(out, part.share);
   if (out <= 0)
-    since = -1;
-  else if (since < 0)
-    since = now;
+    since_ = -1;
+  else if (since_ < 0)
+    since_ = now;
   return out;
 }
 
 std::uint64_t QuotaShares::settled(Micros now) {
   share(now);
-  bool const all_in_force = std::all_of(parts.begin(), parts.end(), [](Part const& part) { return part.until < 0; });
-  return known && all_in_force ? fingerprint : 0;
+  bool const all_in_force = std::all_of(parts_.begin(), parts_.end(), [](Part const& part) { return part.until < 0; });
+  return known_ && all_in_force ? fingerprint_ : 0;
 }
 
 Micros QuotaShares::active_since(Micros now) {
   share(now);
-  return since;
+  return since_;
 }
 
 }  // namespace pipit
--- a/src/flow/tenants/quota_shares.h
+++ b/src/flow/tenants/quota_shares.h
@@ -14,8 +14,8 @@
  public:
   // 'fence': for how long a node may go by a set after a newer one was chosen.
   // 'settled': the fingerprint of a set that an earlier life of this node saw settled() with, 0 for none.
-  QuotaShares(std::string self_, Micros fence_, std::uint64_t settled_ = 0)
-      : self(std::move(self_)), fence(fence_), settled_before(settled_) {}
+  QuotaShares(std::string self, Micros fence, std::uint64_t settled = 0)
+      : self_(std::move(self)), fence_(fence), settled_before_(settled) {}
 
   // The set that is in force now.
   void note(Membership const& members, Micros now);
@@ -26,7 +26,7 @@
   // The fingerprint of the set in force, once nobody may go by an older one any more; 0 before.
   std::uint64_t settled(Micros now);
   // Whoever may be asked: the members of the newest set.
-  std::vector<std::string> const& owners() const { return names; }
+  std::vector<std::string> const& owners() const { return names_; }
 
  private:
   struct Part {
@@ -35,14 +35,14 @@
   };
   double part_in(std::vector<wire::KeeperT> const& keepers) const;
 
-  std::string const self;
-  Micros const fence;
-  std::uint64_t const settled_before;
-  std::uint64_t fingerprint = 0;
-  bool known = false;
-  std::vector<Part> parts;
-  std::vector<std::string> names;
-  Micros since = -1;
+  std::string const self_;
+  Micros const fence_;
+  std::uint64_t const settled_before_;
+  std::uint64_t fingerprint_ = 0;
+  bool known_ = false;
+  std::vector<Part> parts_;
+  std::vector<std::string> names_;
+  Micros since_ = -1;
 };
 
 }  // namespace pipit
--- a/src/gate/net/http.cc
+++ b/src/gate/net/http.cc
@@ -109,11 +109,11 @@
   return out;
 }
 
-Reader::Reader(bool requests_) : requests(requests_), lines(requests_) {
+Reader::Reader(bool requests) : requests_(requests), lines_(requests) {
   // A head is bounded here, by the operator's limit; the grammar's own bound would refuse what that allows.
   http_parser_set_max_header_size(std::numeric_limits<std::uint32_t>::max());
-  http_parser_init(&parser, requests ? HTTP_REQUEST : HTTP_RESPONSE);
-  parser.data = this;
+  http_parser_init(&parser_, requests_ ? HTTP_REQUEST : HTTP_RESPONSE);
+  parser_.data = this;
 }
 
 http_parser_settings const& Reader::settings() {
@@ -135,43 +135,43 @@
 
 int Reader::on_begin(http_parser* parser) {
   Reader& self = *static_cast<Reader*>(parser->data);
-  self.begun = true;
+  self.begun_ = true;
   return 0;
 }
 
 int Reader::on_target(http_parser* parser, char const* at, std::size_t size) {
-  static_cast<Reader*>(parser->data)->head.target.append(at, size);
+  static_cast<Reader*>(parser->data)->head_.target.append(at, size);
   return 0;
 }
 
 int Reader::on_status(http_parser* parser, char const* at, std::size_t size) {
-  static_cast<Reader*>(parser->data)->head.reason.append(at, size);
+  static_cast<Reader*>(parser->data)->head_.reason.append(at, size);
   return 0;
 }
 
 int Reader::on_field(http_parser* parser, char const* at, std::size_t size) {
   Reader& self = *static_cast<Reader*>(parser->data);
-  if (self.headed) return self.take_trailer(size);
-  if (self.in_value || self.head.fields.empty()) self.head.fields.emplace_back();
-  self.in_value = false;
-  self.head.fields.back().first.append(at, size);
+  if (self.headed_) return self.take_trailer(size);
+  if (self.in_value_ || self.head_.fields.empty()) self.head_.fields.emplace_back();
+  self.in_value_ = false;
+  self.head_.fields.back().first.append(at, size);
   return 0;
 }
 
 int Reader::on_value(http_parser* parser, char const* at, std::size_t size) {
   Reader& self = *static_cast<Reader*>(parser->data);
-  if (self.headed) return self.take_trailer(size);
-  self.in_value = true;
-  self.head.fields.back().second.append(at, size);
+  if (self.headed_) return self.take_trailer(size);
+  self.in_value_ = true;
+  self.head_.fields.back().second.append(at, size);
   return 0;
 }
 
 int Reader::on_headers(http_parser* parser) {
   Reader& self = *static_cast<Reader*>(parser->data);
-  Head& head = self.head;
-  self.headed = true;
-  head.status = self.requests ? 0 : parser->status_code;
-  if (self.requests) head.method = http_method_str(static_cast<http_method>(parser->method));
+  Head& head = self.head_;
+  self.headed_ = true;
+  head.status = self.requests_ ? 0 : parser->status_code;
+  if (self.requests_) head.method = http_method_str(static_cast<http_method>(parser->method));
   head.keep = http_should_keep_alive(parser) != 0;
   head.chunked = (parser->flags & F_CHUNKED) != 0;
   head.length = (parser->flags & F_CONTENTLENGTH) != 0 ? static_cast<std::int64_t>(parser->content_length) : -1;
@@ -185,27 +185,28 @@
     if (same_letters(item.first, "Content-Length")) ++lengths;
     if (same_letters(item.first, "Transfer-Encoding")) ++encodings;
     for (char const c : item.second)
-      if ((static_cast<unsigned char>(c) < 0x20 && c != '\t') || c == 0x7f) self.wrong = Error::bad;
+      if ((static_cast<unsigned char>(c) < 0x20 && c != '\t') || c == 0x7f) self.wrong_ = Error::bad;
     // Anything but plain "chunked" may be read differently by whoever comes next.
-    if (same_letters(item.first, "Transfer-Encoding") && !same_letters(item.second, "chunked")) self.wrong = Error::bad;
+    if (same_letters(item.first, "Transfer-Encoding") && !same_letters(item.second, "chunked"))
+      self.wrong_ = Error::bad;
   }
-  if (lengths > 1 || encodings > 1 || (lengths > 0 && (head.chunked || head.length < 0))) self.wrong = Error::bad;
-  if (self.requests && (hosts != 1 || parser->http_major != 1 || parser->upgrade)) self.wrong = Error::bad;
-  if (self.requests && (head.target.empty() || head.target[0] != '/')) self.wrong = Error::bad;
-  if (head.length > static_cast<std::int64_t>(self.body_most)) self.wrong = Error::body_large;
-  if (self.wrong != Error::none) return -1;
+  if (lengths > 1 || encodings > 1 || (lengths > 0 && (head.chunked || head.length < 0))) self.wrong_ = Error::bad;
+  if (self.requests_ && (hosts != 1 || parser->http_major != 1 || parser->upgrade)) self.wrong_ = Error::bad;
+  if (self.requests_ && (head.target.empty() || head.target[0] != '/')) self.wrong_ = Error::bad;
+  if (head.length > static_cast<std::int64_t>(self.body_most_)) self.wrong_ = Error::body_large;
+  if (self.wrong_ != Error::none) return -1;
   bool const body = self.callbacks.head ? self.callbacks.head(head) : true;
-  bool const never = !self.requests && bodiless(head.status);
+  bool const never = !self.requests_ && bodiless(head.status);
   return body && !never ? 0 : 1;
 }
 
 int Reader::on_body(http_parser* parser, char const* at, std::size_t size) {
   Reader& self = *static_cast<Reader*>(parser->data);
   if (!self.lines_to(at)) return -1;
-  self.seen = at + size;
-  self.body_size += size;
-  if (self.body_size > self.body_most) {
-    self.wrong = Error::body_large;
+  self.seen_ = at + size;
+  self.body_size_ += size;
+  if (self.body_size_ > self.body_most_) {
+    self.wrong_ = Error::body_large;
     return -1;
   }
   if (self.callbacks.body) self.callbacks.body(std::string_view(at, size));
@@ -214,70 +215,70 @@
 
 int Reader::on_whole(http_parser* parser) {
   Reader& self = *static_cast<Reader*>(parser->data);
-  self.done = true;
+  self.done_ = true;
   http_parser_pause(parser, 1);
   return 0;
 }
 
 // A trailer belongs to the framing, which is written anew: it is bounded and passed over.
 int Reader::take_trailer(std::size_t size) {
-  trailer_size += size;
-  if (trailer_size <= head_most) return 0;
-  wrong = Error::head_large;
+  trailer_size_ += size;
+  if (trailer_size_ <= head_most_) return 0;
+  wrong_ = Error::head_large;
   return -1;
 }
 
 // Looks at the lines among what is fed, up to there.
 bool Reader::lines_to(char const* end) {
-  if (!lines.take(std::string_view(seen, static_cast<std::size_t>(end - seen))) && wrong == Error::none)
-    wrong = Error::bad;
-  seen = end;
-  return wrong == Error::none;
+  if (!lines_.take(std::string_view(seen_, static_cast<std::size_t>(end - seen_))) && wrong_ == Error::none)
+    wrong_ = Error::bad;
+  seen_ = end;
+  return wrong_ == Error::none;
 }
 
 std::size_t Reader::run(std::string_view bytes) {
-  std::size_t const took = http_parser_execute(&parser, &settings(), bytes.data(), bytes.size());
-  http_errno const code = HTTP_PARSER_ERRNO(&parser);
-  if (code == HPE_HEADER_OVERFLOW && wrong == Error::none) wrong = Error::head_large;
-  if (code != HPE_OK && code != HPE_PAUSED && wrong == Error::none) wrong = Error::bad;
+  std::size_t const took = http_parser_execute(&parser_, &settings(), bytes.data(), bytes.size());
+  http_errno const code = HTTP_PARSER_ERRNO(&parser_);
+  if (code == HPE_HEADER_OVERFLOW && wrong_ == Error::none) wrong_ = Error::head_large;
+  if (code != HPE_OK && code != HPE_PAUSED && wrong_ == Error::none) wrong_ = Error::bad;
   return took;
 }
 
 std::size_t Reader::feed(std::string_view bytes) {
-  if (wrong != Error::none || done || bytes.empty()) return 0;
+  if (wrong_ != Error::none || done_ || bytes.empty()) return 0;
   std::size_t took = 0;
-  if (!headed) {
+  if (!headed_) {
     // The head by itself, and no more of it than it may have: its bound is the same however its bytes come.
-    std::string_view const part = bytes.substr(0, lines.take_head(bytes.substr(0, head_most - head_size)));
-    if (!lines.fits()) {
-      wrong = Error::bad;
+    std::string_view const part = bytes.substr(0, lines_.take_head(bytes.substr(0, head_most_ - head_size_)));
+    if (!lines_.fits()) {
+      wrong_ = Error::bad;
       return 0;
     }
-    head_size += part.size();
+    head_size_ += part.size();
     took = run(part);
-    if (headed != lines.headed() && wrong == Error::none) wrong = Error::bad;
-    if (!headed && head_size >= head_most && wrong == Error::none) wrong = Error::head_large;
+    if (headed_ != lines_.headed() && wrong_ == Error::none) wrong_ = Error::bad;
+    if (!headed_ && head_size_ >= head_most_ && wrong_ == Error::none) wrong_ = Error::head_large;
   }
-  if (headed && !done && wrong == Error::none && took < bytes.size()) {
+  if (headed_ && !done_ && wrong_ == Error::none && took < bytes.size()) {
     std::string_view const rest = bytes.substr(took);
-    seen = rest.data();
+    seen_ = rest.data();
     std::size_t const more = run(rest);
-    if (wrong == Error::none) lines_to(rest.data() + more);
+    if (wrong_ == Error::none) lines_to(rest.data() + more);
     took += more;
   }
-  if (done && wrong == Error::none) {
-    http_parser_pause(&parser, 0);
+  if (done_ && wrong_ == Error::none) {
+    http_parser_pause(&parser_, 0);
     if (callbacks.whole) callbacks.whole();
   }
   return took;
 }
 
 bool Reader::eof() {
-  if (!begun || done) return true;
-  bool const was = done;
-  http_parser_execute(&parser, &settings(), nullptr, 0);
-  if (!was && done) {
-    http_parser_pause(&parser, 0);
+  if (!begun_ || done_) return true;
+  bool const was = done_;
+  http_parser_execute(&parser_, &settings(), nullptr, 0);
+  if (!was && done_) {
+    http_parser_pause(&parser_, 0);
     if (callbacks.whole) callbacks.whole();
     return true;
   }
@@ -285,12 +286,12 @@
 }
 
 void Reader::next() {
-  http_parser_init(&parser, requests ? HTTP_REQUEST : HTTP_RESPONSE);
-  parser.data = this;
-  lines = Lines(requests);
-  head = Head();
-  in_value = begun = headed = done = false;
-  head_size = body_size = trailer_size = 0;
+  http_parser_init(&parser_, requests_ ? HTTP_REQUEST : HTTP_RESPONSE);
+  parser_.data = this;
+  lines_ = Lines(requests_);
+  head_ = Head();
+  in_value_ = begun_ = headed_ = done_ = false;
+  head_size_ = body_size_ = trailer_size_ = 0;
 }
 
 }  // namespace pipit
--- a/src/gate/net/http.h
+++ b/src/gate/net/http.h
@@ -62,13 +62,13 @@
   // The connection ended: an answer without length ends with it. False when that cuts a message.
   bool eof();
   void next();
-  bool idle() const { return !begun; }  // between messages
-  bool in_body() const { return headed && !done; }
-  bool complete() const { return done; }
-  Error error() const { return wrong; }
-  void limit(std::size_t head_most_, std::size_t body_most_) {
-    head_most = head_most_;
-    body_most = body_most_;
+  bool idle() const { return !begun_; }  // between messages
+  bool in_body() const { return headed_ && !done_; }
+  bool complete() const { return done_; }
+  Error error() const { return wrong_; }
+  void limit(std::size_t head_most, std::size_t body_most) {
+    head_most_ = head_most;
+    body_most_ = body_most;
   }
   Callbacks callbacks;
 
@@ -86,21 +86,21 @@
   bool lines_to(char const* end);
   int take_trailer(std::size_t size);
 
-  bool const requests;
-  http_parser parser;
-  Lines lines;
-  char const* seen = nullptr;  // what is fed was looked at up to here: as a line, or as a part of a body
-  Head head;
-  bool in_value = false;
-  bool begun = false;
-  bool headed = false;
-  bool done = false;
-  std::size_t head_size = 0;
-  std::size_t body_size = 0;
-  std::size_t trailer_size = 0;
-  std::size_t head_most = 65536;
-  std::size_t body_most = 64u << 20;
-  Error wrong = Error::none;
+  bool const requests_;
+  http_parser parser_;
+  Lines lines_;
+  char const* seen_ = nullptr;  // what is fed was looked at up to here: as a line, or as a part of a body
+  Head head_;
+  bool in_value_ = false;
+  bool begun_ = false;
+  bool headed_ = false;
+  bool done_ = false;
+  std::size_t head_size_ = 0;
+  std::size_t body_size_ = 0;
+  std::size_t trailer_size_ = 0;
+  std::size_t head_most_ = 65536;
+  std::size_t body_most_ = 64u << 20;
+  Error wrong_ = Error::none;
 };
 
 }  // namespace pipit
--- a/src/gate/net/lines.cc
+++ b/src/gate/net/lines.cc
@@ -25,8 +25,8 @@
 }  // namespace
 
 bool Lines::first_fits() const {
-  std::string_view const line = first;
-  if (!requests) {
+  std::string_view const line = first_;
+  if (!requests_) {
     std::size_t const status = version.size() + 2;
     return line.size() > status && is_version(line.substr(0, status - 1)) && line[status - 1] == ' ' &&
            is_status(line.substr(status));
@@ -38,24 +38,24 @@
 }
 
 bool Lines::end_of_line() {
-  bool const empty = count == 0;
-  switch (part) {
+  bool const empty = count_ == 0;
+  switch (part_) {
     case Part::first:
       if (empty) return true;  // before a message
-      part = Part::field;
+      part_ = Part::field;
       return first_fits();
     case Part::field:
-      if (empty) part = Part::size;
-      return empty || colon;
+      if (empty) part_ = Part::size;
+      return empty || colon_;
     case Part::size:
-      part = some ? Part::after_chunk : Part::trailer;
-      return digits > 0;
+      part_ = some_ ? Part::after_chunk : Part::trailer;
+      return digits_ > 0;
     case Part::after_chunk:
-      part = Part::size;
+      part_ = Part::size;
       return empty;
     case Part::trailer:
-      if (empty) part = Part::over;
-      return empty || colon;
+      if (empty) part_ = Part::over;
+      return empty || colon_;
     case Part::over:
       return false;
   }
@@ -63,40 +63,40 @@
 }
 
 bool Lines::byte(char c) {
-  if (cr) {
-    cr = false;
+  if (cr_) {
+    cr_ = false;
     if (c != '\n' || !end_of_line()) return false;
-    count = digits = 0;
-    colon = some = blank = extension = false;
+    count_ = digits_ = 0;
+    colon_ = some_ = blank_ = extension_ = false;
     return true;
   }
   if (c == '\r') {
-    cr = true;
+    cr_ = true;
     return true;
   }
   if ((static_cast<unsigned char>(c) < 0x20 && c != '\t') || c == 0x7f) return false;
-  ++count;
-  switch (part) {
+  ++count_;
+  switch (part_) {
     case Part::first:
-      first += c;
+      first_ += c;
       return true;
     case Part::field:
     case Part::trailer:
-      if (colon) return true;
-      colon = c == ':';
-      return colon ? count > 1 : is_token(c);
+      if (colon_) return true;
+      colon_ = c == ':';
+      return colon_ ? count_ > 1 : is_token(c);
     case Part::size:
-      if (extension) return true;
+      if (extension_) return true;
       if (c == ' ' || c == '\t') {
-        blank = true;
-        return digits > 0;
+        blank_ = true;
+        return digits_ > 0;
       }
       if (c == ';') {
-        extension = true;
-        return digits > 0;
+        extension_ = true;
+        return digits_ > 0;
       }
-      some = some || c != '0';
-      return is_hex(c) && !blank && ++digits <= digits_most;
+      some_ = some_ || c != '0';
+      return is_hex(c) && !blank_ && ++digits_ <= digits_most;
     case Part::after_chunk:
     case Part::over:
       return false;
@@ -105,13 +105,13 @@
 }
 
 bool Lines::take(std::string_view bytes) {
-  for (std::size_t i = 0; good && i < bytes.size(); ++i) good = byte(bytes[i]);
-  return good;
+  for (std::size_t i = 0; good_ && i < bytes.size(); ++i) good_ = byte(bytes[i]);
+  return good_;
 }
 
 std::size_t Lines::take_head(std::string_view bytes) {
   std::size_t n = 0;
-  while (good && !headed() && n < bytes.size()) good = byte(bytes[n++]);
+  while (good_ && !headed() && n < bytes.size()) good_ = byte(bytes[n++]);
   return n;
 }
 
--- a/src/gate/net/link.cc
+++ b/src/gate/net/link.cc
@@ -46,23 +46,23 @@
   static gboolean dispatch(GSource* source, GSourceFunc, gpointer) {
     Watch* const self = reinterpret_cast<Watch*>(source);
     std::shared_ptr<Link> const keep = self->link->shared_from_this();
-    keep->ready(g_source_query_unix_fd(source, keep->tag));
+    keep->ready(g_source_query_unix_fd(source, keep->tag_));
     return G_SOURCE_CONTINUE;
   }
 };
 
 void Link::watch() {
   static GSourceFuncs funcs = {nullptr, nullptr, Watch::dispatch, nullptr, nullptr, nullptr};
-  source = g_source_new(&funcs, sizeof(Watch));
-  reinterpret_cast<Watch*>(source)->link = this;
-  asked = state == State::dialling ? G_IO_OUT : G_IO_IN;
-  tag = g_source_add_unix_fd(source, fd, static_cast<GIOCondition>(asked));
-  g_source_attach(source, nullptr);
+  source_ = g_source_new(&funcs, sizeof(Watch));
+  reinterpret_cast<Watch*>(source_)->link = this;
+  asked_ = state_ == State::dialling ? G_IO_OUT : G_IO_IN;
+  tag_ = g_source_add_unix_fd(source_, fd_, static_cast<GIOCondition>(asked_));
+  g_source_attach(source_, nullptr);
 }
 
 std::shared_ptr<Link> Link::adopt(int fd) {
   std::shared_ptr<Link> const out(new Link);
-  out->fd = fd;
+  out->fd_ = fd;
   tune(fd);
   out->watch();
   return out;
@@ -86,7 +86,7 @@
   }
   tune(fd);
   if (::connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) != 0 && errno != EINPROGRESS) {
-    out->told_no = errno == ECONNREFUSED;
+    out->told_no_ = errno == ECONNREFUSED;
     ::close(fd);
     return out;
   }
@@ -95,14 +95,14 @@
 
 std::shared_ptr<Link> Link::opening(int fd, Micros within) {
   std::shared_ptr<Link> const out(new Link);
-  out->fd = fd;
-  out->state = State::dialling;
+  out->fd_ = fd;
+  out->state_ = State::dialling;
   out->watch();
-  out->timer = g_timeout_add(
+  out->timer_ = g_timeout_add(
       static_cast<guint>(std::max<Micros>(1, within / 1000)),
       [](gpointer self) -> gboolean {
         std::shared_ptr<Link> const link = static_cast<Link*>(self)->shared_from_this();
-        link->timer = 0;
+        link->timer_ = 0;
         link->end(End::unreached);
         return G_SOURCE_REMOVE;
       },
@@ -113,84 +113,84 @@
 Link::~Link() { close(); }
 
 void Link::close(bool reset) {
-  std::shared_ptr<Link> const keep = std::move(own);
-  if (timer != 0) g_source_remove(timer);
-  timer = 0;
-  if (source != nullptr) {
-    g_source_destroy(source);
-    g_source_unref(source);
-    source = nullptr;
+  std::shared_ptr<Link> const keep = std::move(own_);
+  if (timer_ != 0) g_source_remove(timer_);
+  timer_ = 0;
+  if (source_ != nullptr) {
+    g_source_destroy(source_);
+    g_source_unref(source_);
+    source_ = nullptr;
   }
-  if (fd >= 0) {
+  if (fd_ >= 0) {
     if (reset) {
       linger const now = {1, 0};
-      setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+      setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
     }
-    ::close(fd);
-    fd = -1;
+    ::close(fd_);
+    fd_ = -1;
   }
-  state = State::shut;
+  state_ = State::shut;
 }
 
 void Link::end(End how) {
-  if (fd < 0) return;
-  std::shared_ptr<Link> const keep = std::move(own);
-  std::function<void(End)> const say = std::move(callbacks.shut);
+  if (fd_ < 0) return;
+  std::shared_ptr<Link> const keep = std::move(own_);
+  std::function<void(End)> const say = std::move(callbacks_.shut);
   close();
-  callbacks = {};
+  callbacks_ = {};
   if (say) say(how);
 }
 
 void Link::want() {
-  if (source == nullptr) return;
-  unsigned need = state == State::dialling || waiting() > 0 ? G_IO_OUT : 0;
-  if (state == State::up && !held) need |= G_IO_IN;
-  if (need == asked) return;
-  asked = need;
-  g_source_modify_unix_fd(source, tag, static_cast<GIOCondition>(need));
+  if (source_ == nullptr) return;
+  unsigned need = state_ == State::dialling || waiting() > 0 ? G_IO_OUT : 0;
+  if (state_ == State::up && !held_) need |= G_IO_IN;
+  if (need == asked_) return;
+  asked_ = need;
+  g_source_modify_unix_fd(source_, tag_, static_cast<GIOCondition>(need));
 }
 
-void Link::hold(bool held_) {
-  held = held_;
+void Link::hold(bool held) {
+  held_ = held;
   want();
 }
 
 void Link::ready(unsigned conditions) {
-  if (fd < 0) return;
-  if (state == State::dialling) {
+  if (fd_ < 0) return;
+  if (state_ == State::dialling) {
     int error = 0;
     socklen_t size = sizeof error;
-    getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size);
-    told_no = error == ECONNREFUSED;
+    getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size);
+    told_no_ = error == ECONNREFUSED;
     if (error != 0) return end(End::unreached);
     if ((conditions & G_IO_OUT) == 0) return;
-    state = State::up;
-    if (timer != 0) g_source_remove(timer);
-    timer = 0;
+    state_ = State::up;
+    if (timer_ != 0) g_source_remove(timer_);
+    timer_ = 0;
     want();
     // The callbacks may be others by the time it returns.
-    std::function<void()> const say = callbacks.up;
+    std::function<void()> const say = callbacks_.up;
     if (say) say();
     return;
   }
   if ((conditions & G_IO_OUT) != 0) flush();
-  if (fd < 0 || (conditions & (G_IO_IN | G_IO_HUP | G_IO_ERR)) == 0) return;
+  if (fd_ < 0 || (conditions & (G_IO_IN | G_IO_HUP | G_IO_ERR)) == 0) return;
   // Held, and the connection is dead both ways: nothing that is still to be read matters any more.
-  if (held) return end(End::reset);
+  if (held_) return end(End::reset);
   read_some();
 }
 
 void Link::read_some() {
   static char buffer[room];
   // Until it is empty, but not for ever: others wait for the loop too.
-  for (int turns = 0; turns < 4 && fd >= 0 && !held; ++turns) {
-    ssize_t const n = ::recv(fd, buffer, sizeof buffer, 0);
+  for (int turns = 0; turns < 4 && fd_ >= 0 && !held_; ++turns) {
+    ssize_t const n = ::recv(fd_, buffer, sizeof buffer, 0);
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
     if (n < 0) return end(End::reset);
-    if (n == 0) return end(lost ? End::reset : End::closed);
+    if (n == 0) return end(lost_ ? End::reset : End::closed);
     std::string const got(buffer, static_cast<std::size_t>(n));
-    if (callbacks.bytes) callbacks.bytes(got);
+    if (callbacks_.bytes) callbacks_.bytes(got);
     if (static_cast<std::size_t>(n) < sizeof buffer) return;
   }
 }
@@ -199,86 +199,86 @@
   sockaddr_in peer;
   socklen_t size = sizeof peer;
   char text[INET_ADDRSTRLEN];
-  if (fd < 0 || getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &size) != 0) return "";
+  if (fd_ < 0 || getpeername(fd_, reinterpret_cast<sockaddr*>(&peer), &size) != 0) return "";
   return inet_ntop(AF_INET, &peer.sin_addr, text, sizeof text) == nullptr ? "" : text;
 }
 
 bool Link::quiet() const {
-  if (fd < 0 || state != State::up) return false;
+  if (fd_ < 0 || state_ != State::up) return false;
   char byte = 0;
-  ssize_t const n = ::recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  ssize_t const n = ::recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
 }
 
 bool Link::ended_by_peer() const {
-  if (fd < 0 || state != State::up) return fd < 0;
+  if (fd_ < 0 || state_ != State::up) return fd_ < 0;
   char byte = 0;
-  ssize_t const n = ::recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  ssize_t const n = ::recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return n == 0 || (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
 }
 
 void Link::write(std::string_view bytes) {
-  if (fd < 0 || lost) return;
-  if (state == State::up && waiting() == 0) {
-    out.clear();
-    gone = 0;
-    ssize_t const n = ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
+  if (fd_ < 0 || lost_) return;
+  if (state_ == State::up && waiting() == 0) {
+    out_.clear();
+    gone_ = 0;
+    ssize_t const n = ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (n > 0) bytes.remove_prefix(static_cast<std::size_t>(n));
     // What follows must not take the place of what is lost: nothing more is sent, and the peer sees an end. Here that
     // is heard of when it is read; the caller of write() must not find the connection gone under its feet.
     if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) {
-      lost = true;
-      ::shutdown(fd, SHUT_RDWR);
+      lost_ = true;
+      ::shutdown(fd_, SHUT_RDWR);
       return;
     }
   }
   if (bytes.empty()) return;
-  out.append(bytes);
+  out_.append(bytes);
   want();
 }
 
 void Link::flush() {
   while (waiting() > 0) {
-    ssize_t const n = ::send(fd, out.data() + gone, waiting(), MSG_NOSIGNAL);
+    ssize_t const n = ::send(fd_, out_.data() + gone_, waiting(), MSG_NOSIGNAL);
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) break;
     if (n <= 0) return lose();
-    gone += static_cast<std::size_t>(n);
+    gone_ += static_cast<std::size_t>(n);
   }
   if (waiting() == 0) {
-    out.clear();
-    gone = 0;
-    if (last) return end(End::closed);
-    if (callbacks.drained) callbacks.drained();
-    if (fd < 0) return;
-  } else if (gone > room) {
-    out.erase(0, gone);
-    gone = 0;
+    out_.clear();
+    gone_ = 0;
+    if (last_) return end(End::closed);
+    if (callbacks_.drained) callbacks_.drained();
+    if (fd_ < 0) return;
+  } else if (gone_ > room) {
+    out_.erase(0, gone_);
+    gone_ = 0;
   }
   want();
 }
 
 // The peer takes no more; what it said before that may still be here, as an answer that came early.
 void Link::lose() {
-  lost = true;
-  if (!held) read_some();
+  lost_ = true;
+  if (!held_) read_some();
   end(End::reset);
 }
 
 void Link::finish() {
-  if (fd < 0) return;
-  last = true;
+  if (fd_ < 0) return;
+  last_ = true;
   if (waiting() == 0) return end(End::closed);
-  if (own) return;
+  if (own_) return;
   // What still comes is not read any more; the peer's end of it does not matter.
-  callbacks.bytes = nullptr;
-  own = shared_from_this();
-  if (timer != 0) g_source_remove(timer);
-  timer = g_timeout_add(
+  callbacks_.bytes = nullptr;
+  own_ = shared_from_this();
+  if (timer_ != 0) g_source_remove(timer_);
+  timer_ = g_timeout_add(
       finish_ms,
       [](gpointer self) -> gboolean {
-        std::shared_ptr<Link> const link = static_cast<Link*>(self)->own;
-        link->timer = 0;
+        std::shared_ptr<Link> const link = static_cast<Link*>(self)->own_;
+        link->timer_ = 0;
         link->end(End::reset);
         return G_SOURCE_REMOVE;
       },
@@ -286,14 +286,14 @@
   hold(true);
 }
 
-Result<void> Door::open(std::string const& address, Taken taken_) {
-  taken = std::move(taken_);
+Result<void> Door::open(std::string const& address, Taken taken) {
+  taken_ = std::move(taken);
   sockaddr_in own;
   if (!address_of(address, own)) return fail(Kind::bad_settings, "'" + address + "' is not an IP number with a port");
-  fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   int const one = 1;
-  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-  if (fd < 0 || ::bind(fd, reinterpret_cast<sockaddr*>(&own), sizeof own) != 0 || ::listen(fd, 512) != 0) {
+  setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
+  if (fd_ < 0 || ::bind(fd_, reinterpret_cast<sockaddr*>(&own), sizeof own) != 0 || ::listen(fd_, 512) != 0) {
     std::string const why = std::strerror(errno);
     close();
     return fail(Kind::bad_settings, address + " cannot be listened on: " + why);
@@ -303,8 +303,8 @@
 }
 
 void Door::listen_on() {
-  watch = g_unix_fd_add(
-      fd, G_IO_IN,
+  watch_ = g_unix_fd_add(
+      fd_, G_IO_IN,
       [](gint, GIOCondition, gpointer self) -> gboolean {
         static_cast<Door*>(self)->accept_some();
         return G_SOURCE_CONTINUE;
@@ -313,15 +313,15 @@
 }
 
 void Door::rest() {
-  if (!short_of_descriptors) log_event(Event::descriptors_gone, std::strerror(errno));
-  short_of_descriptors = true;
-  if (watch != 0) g_source_remove(watch);
-  watch = 0;
-  timer = g_timeout_add(
+  if (!short_of_descriptors_) log_event(Event::descriptors_gone, std::strerror(errno));
+  short_of_descriptors_ = true;
+  if (watch_ != 0) g_source_remove(watch_);
+  watch_ = 0;
+  timer_ = g_timeout_add(
       rest_ms,
       [](gpointer data) -> gboolean {
         Door* const self = static_cast<Door*>(data);
-        self->timer = 0;
+        self->timer_ = 0;
         self->listen_on();
         return G_SOURCE_REMOVE;
       },
@@ -329,21 +329,21 @@
 }
 
 void Door::accept_some() {
-  for (int turns = 0; turns < 32 && fd >= 0; ++turns) {
-    int const got = ::accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+  for (int turns = 0; turns < 32 && fd_ >= 0; ++turns) {
+    int const got = ::accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (got < 0 && (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM)) return rest();
     if (got < 0) return;
-    short_of_descriptors = false;
-    taken(Link::adopt(got));
+    short_of_descriptors_ = false;
+    taken_(Link::adopt(got));
   }
 }
 
 void Door::close() {
-  if (watch != 0) g_source_remove(watch);
-  if (timer != 0) g_source_remove(timer);
-  watch = timer = 0;
-  if (fd >= 0) ::close(fd);
-  fd = -1;
+  if (watch_ != 0) g_source_remove(watch_);
+  if (timer_ != 0) g_source_remove(timer_);
+  watch_ = timer_ = 0;
+  if (fd_ >= 0) ::close(fd_);
+  fd_ = -1;
 }
 
 }  // namespace pipit
--- a/src/gate/net/link.h
+++ b/src/gate/net/link.h
@@ -31,20 +31,20 @@
   static std::shared_ptr<Link> opening(int fd, Micros within);
   ~Link();
 
-  void listen(Callbacks callbacks_) { callbacks = std::move(callbacks_); }
+  void listen(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
   // Sends at once what the system takes; the rest goes when it can.
   void write(std::string_view bytes);
-  std::size_t waiting() const { return out.size() - gone; }
+  std::size_t waiting() const { return out_.size() - gone_; }
   // Nothing is read while held; the peer feels it.
-  void hold(bool held_);
+  void hold(bool held);
   // Closes without a callback. A reset tells the peer that what it got is not whole.
   void close(bool reset = false);
   // Closes once everything written has been taken, whoever still holds the link; the peer has a while for that.
   void finish();
-  bool open() const { return fd >= 0; }
+  bool open() const { return fd_ >= 0; }
   // Whether somebody said no when it was dialled: no process listens there.
-  bool refused() const { return told_no; }
-  bool connected() const { return state == State::up; }
+  bool refused() const { return told_no_; }
+  bool connected() const { return state_ == State::up; }
   // The IP number of the other end; empty once the connection is no more.
   std::string peer_ip() const;
   // Open, and nothing has come that is still to be read, not even its end.
@@ -64,20 +64,20 @@
   void lose();
   void end(End how);
 
-  int fd = -1;
-  State state = State::up;
-  GSource* source = nullptr;
-  void* tag = nullptr;
-  unsigned timer = 0;
-  unsigned asked = 0;
-  bool held = false;
-  bool last = false;
-  bool lost = false;  // something could not be sent; nothing is sent after it
-  bool told_no = false;
-  std::shared_ptr<Link> own;  // while it finishes
-  std::string out;
-  std::size_t gone = 0;
-  Callbacks callbacks;
+  int fd_ = -1;
+  State state_ = State::up;
+  GSource* source_ = nullptr;
+  void* tag_ = nullptr;
+  unsigned timer_ = 0;
+  unsigned asked_ = 0;
+  bool held_ = false;
+  bool last_ = false;
+  bool lost_ = false;  // something could not be sent; nothing is sent after it
+  bool told_no_ = false;
+  std::shared_ptr<Link> own_;  // while it finishes
+  std::string out_;
+  std::size_t gone_ = 0;
+  Callbacks callbacks_;
 };
 
 // A listening socket.
@@ -85,20 +85,20 @@
  public:
   using Taken = std::function<void(std::shared_ptr<Link>)>;
   ~Door() { close(); }
-  Result<void> open(std::string const& address, Taken taken_);
+  Result<void> open(std::string const& address, Taken taken);
   void close();
-  bool is_open() const { return fd >= 0; }
+  bool is_open() const { return fd_ >= 0; }
 
  private:
   void accept_some();
   void listen_on();
   // Without descriptors nothing can be taken for a while; looking again at once would only keep the loop busy.
   void rest();
-  int fd = -1;
-  unsigned watch = 0;
-  unsigned timer = 0;
-  bool short_of_descriptors = false;  // that was logged
-  Taken taken;
+  int fd_ = -1;
+  unsigned watch_ = 0;
+  unsigned timer_ = 0;
+  bool short_of_descriptors_ = false;  // that was logged
+  Taken taken_;
 };
 
 }  // namespace pipit
--- a/src/gate/net/server.cc
+++ b/src/gate/net/server.cc
@@ -31,16 +31,16 @@
 };
 
 Server::~Server() {
-  for (std::pair<Conn* const, std::shared_ptr<Conn>>& item : conns) item.second->link->close();
+  for (std::pair<Conn* const, std::shared_ptr<Conn>>& item : conns_) item.second->link->close();
 }
 
 Result<void> Server::listen(std::string const& address) {
-  return door.open(address, [this](std::shared_ptr<Link> link) { take(std::move(link)); });
+  return door_.open(address, [this](std::shared_ptr<Link> link) { take(std::move(link)); });
 }
 
 Server::Conn* Server::conn_of(std::uint64_t id) const {
-  std::map<std::uint64_t, Conn*>::const_iterator const spot = by_id.find(id);
-  return spot == by_id.end() ? nullptr : spot->second;
+  std::map<std::uint64_t, Conn*>::const_iterator const spot = by_id_.find(id);
+  return spot == by_id_.end() ? nullptr : spot->second;
 }
 
 void Server::take(std::shared_ptr<Link> link) {
@@ -48,8 +48,8 @@
   Conn* const conn = made.get();
   conn->link = std::move(link);
   conn->since = now();
-  conn->may_rest = limits.idle;
-  conns.emplace(conn, made);
+  conn->may_rest = limits_.idle;
+  conns_.emplace(conn, made);
   conn->reader.callbacks.head = [conn](Head& head) {
     conn->call.head = head;
     return true;
@@ -58,26 +58,26 @@
   conn->reader.callbacks.whole = [] {};
   conn->link->listen({nullptr,
                       [this, conn](std::string_view bytes) {
-                        std::map<Conn*, std::shared_ptr<Conn>>::iterator const spot = conns.find(conn);
-                        if (spot == conns.end()) return;
+                        std::map<Conn*, std::shared_ptr<Conn>>::iterator const spot = conns_.find(conn);
+                        if (spot == conns_.end()) return;
                         std::shared_ptr<Conn> const keep = spot->second;
                         fed(*conn, bytes);
                       },
                       [this, conn](Link::End) {
-                        std::map<Conn*, std::shared_ptr<Conn>>::iterator const spot = conns.find(conn);
-                        if (spot != conns.end()) drop(*conn);
+                        std::map<Conn*, std::shared_ptr<Conn>>::iterator const spot = conns_.find(conn);
+                        if (spot != conns_.end()) drop(*conn);
                       },
                       nullptr});
 }
 
 void Server::drop(Conn& conn) {
-  std::shared_ptr<Conn> const keep = conns[&conn];
+  std::shared_ptr<Conn> const keep = conns_[&conn];
   std::uint64_t const id = conn.busy ? conn.call.id : 0;
   keep->link->close();
-  conns.erase(&conn);
+  conns_.erase(&conn);
   if (id == 0) return;
-  by_id.erase(id);
-  callbacks.gone(id);
+  by_id_.erase(id);
+  callbacks_.gone(id);
 }
 
 void Server::refuse(Conn& conn, unsigned status) {
@@ -89,17 +89,17 @@
 }
 
 void Server::let_go(Conn& conn) {
-  std::shared_ptr<Conn> const keep = conns[&conn];
-  conns.erase(&conn);
+  std::shared_ptr<Conn> const keep = conns_[&conn];
+  conns_.erase(&conn);
   keep->link->listen({});
   keep->link->finish();
-  std::erase_if(last_ones, [](std::weak_ptr<Link> const& item) { return item.expired(); });
-  if (keep->link->open()) last_ones.push_back(keep->link);
+  std::erase_if(last_ones_, [](std::weak_ptr<Link> const& item) { return item.expired(); });
+  if (keep->link->open()) last_ones_.push_back(keep->link);
 }
 
 std::size_t Server::finishing() const {
   std::size_t out = 0;
-  for (std::weak_ptr<Link> const& item : last_ones) {
+  for (std::weak_ptr<Link> const& item : last_ones_) {
     std::shared_ptr<Link> const link = item.lock();
     if (link && link->open()) ++out;
   }
@@ -123,7 +123,7 @@
   if (conn.reader.idle() && !conn.reader.complete()) {
     conn.since = now();
     conn.call.came = conn.since;
-    conn.reader.limit(limits.head_most, limits.body_most);
+    conn.reader.limit(limits_.head_most, limits_.body_most);
   }
   std::size_t const took = conn.reader.feed(bytes);
   if (conn.reader.error() != Reader::Error::none) {
@@ -145,19 +145,19 @@
   conn.last = !conn.call.head.keep;
   conn.head_only = conn.call.head.method == "HEAD";
   Call call = std::move(conn.call);
-  call.id = ++next;
+  call.id = ++next_;
   conn.call = Call();
   conn.call.id = call.id;
-  by_id.emplace(call.id, &conn);
+  by_id_.emplace(call.id, &conn);
   conn.reader.next();
-  callbacks.call(std::move(call));
+  callbacks_.call(std::move(call));
 }
 
 void Server::begin(std::uint64_t id, Head const& head, std::int64_t length) {
   Conn* const conn = conn_of(id);
   if (conn == nullptr || conn->headed) return;
   conn->headed = true;
-  conn->last = conn->last || last_calls;
+  conn->last = conn->last || last_calls_;
   conn->head_only = conn->head_only || bodiless(head.status);
   conn->chunked = length < 0;
   conn->owed = length;
@@ -188,7 +188,7 @@
 void Server::answer(std::uint64_t id, Head const& head, std::string_view body) {
   Conn* const conn = conn_of(id);
   if (conn == nullptr || conn->headed) return;
-  conn->last = conn->last || last_calls;
+  conn->last = conn->last || last_calls_;
   conn->head_only = conn->head_only || bodiless(head.status);
   std::string text = answer_text(head, static_cast<std::int64_t>(body.size()), conn->last);
   if (!conn->head_only) text.append(body);
@@ -199,19 +199,19 @@
 void Server::break_off(std::uint64_t id) {
   Conn* const conn = conn_of(id);
   if (conn == nullptr) return;
-  by_id.erase(id);
+  by_id_.erase(id);
   let_go(*conn);
 }
 
 void Server::finished(Conn& conn) {
-  std::shared_ptr<Conn> const keep = conns[&conn];
-  by_id.erase(conn.call.id);
+  std::shared_ptr<Conn> const keep = conns_[&conn];
+  by_id_.erase(conn.call.id);
   conn.busy = false;
   conn.since = now();
-  conn.may_rest = limits.idle;
+  conn.may_rest = limits_.idle;
   // An answer whose head left before `closing` did not say that it is the last: its caller would ask again at once, and
   // a call taken after the doors were shut may not end before the process does.
-  if (conn.last || (doors_shut && conn.ahead.empty())) return let_go(conn);
+  if (conn.last || (doors_shut_ && conn.ahead.empty())) return let_go(conn);
   conn.link->hold(false);
   if (!conn.ahead.empty()) {
     // Not from inside the answer: the next call is read in a turn of its own.
@@ -247,7 +247,7 @@
 
 void Server::close_idle() {
   std::vector<Conn*> idle;
-  for (std::pair<Conn* const, std::shared_ptr<Conn>> const& item : conns)
+  for (std::pair<Conn* const, std::shared_ptr<Conn>> const& item : conns_)
     if (!item.second->busy && item.second->reader.idle() && item.second->ahead.empty()) idle.push_back(item.first);
   for (Conn* const conn : idle) let_go(*conn);
 }
@@ -255,13 +255,13 @@
 void Server::sweep(Micros now) {
   std::vector<Conn*> idle;
   std::vector<Conn*> slow;
-  for (std::pair<Conn* const, std::shared_ptr<Conn>> const& item : conns) {
+  for (std::pair<Conn* const, std::shared_ptr<Conn>> const& item : conns_) {
     Conn const& conn = *item.second;
     if (conn.busy) continue;
     Micros const span = now - conn.since;
     if (conn.reader.idle() && conn.ahead.empty()) {
-      if (span > std::max(limits.idle, conn.may_rest)) idle.push_back(item.first);
-    } else if (span > (conn.reader.in_body() ? limits.body_time : limits.head_time)) {
+      if (span > std::max(limits_.idle, conn.may_rest)) idle.push_back(item.first);
+    } else if (span > (conn.reader.in_body() ? limits_.body_time : limits_.head_time)) {
       slow.push_back(item.first);
     }
   }
--- a/src/gate/net/server.h
+++ b/src/gate/net/server.h
@@ -29,7 +29,7 @@
     Micros body_time = seconds(20);
     Micros idle = seconds(60);
   };
-  explicit Server(Callbacks callbacks_) : callbacks(std::move(callbacks_)) {}
+  explicit Server(Callbacks callbacks) : callbacks_(std::move(callbacks)) {}
   ~Server();
 
   Result<void> listen(std::string const& address);
@@ -37,14 +37,14 @@
   void adopt(std::shared_ptr<Link> link) { take(std::move(link)); }
   // No connection comes in any more, and each one that is here closes with the answer that it carries.
   void stop_listening() {
-    door.close();
-    doors_shut = true;
+    door_.close();
+    doors_shut_ = true;
   }
   // Every answer closes its connection from now on.
-  void closing() { last_calls = true; }
+  void closing() { last_calls_ = true; }
   // Connections that carry no call are closed.
   void close_idle();
-  void limit(Limits const& limits_) { limits = limits_; }
+  void limit(Limits const& limits) { limits_ = limits; }
 
   void answer(std::uint64_t id, Head const& head, std::string_view body);
   // An answer that comes in pieces; length -1 when it is not known.
@@ -59,9 +59,9 @@
   std::size_t waiting(std::uint64_t id) const;
 
   void sweep(Micros now);  // closes what is idle or slow for too long
-  std::size_t calls() const { return by_id.size(); }
+  std::size_t calls() const { return by_id_.size(); }
   // Those that carry calls or may, and those whose last answer has not yet been taken.
-  std::size_t connections() const { return conns.size() + finishing(); }
+  std::size_t connections() const { return conns_.size() + finishing(); }
   // Those whose last answer still waits in this process: its end would cut them.
   std::size_t finishing() const;
 
@@ -76,15 +76,15 @@
   // Takes a connection out of the books; it closes once what was written has been taken.
   void let_go(Conn& conn);
 
-  Callbacks callbacks;
-  Limits limits;
-  Door door;
-  bool last_calls = false;
-  bool doors_shut = false;
-  std::uint64_t next = 0;
-  std::map<Conn*, std::shared_ptr<Conn>> conns;
-  std::map<std::uint64_t, Conn*> by_id;
-  std::vector<std::weak_ptr<Link>> last_ones;  // connections that were let go
+  Callbacks callbacks_;
+  Limits limits_;
+  Door door_;
+  bool last_calls_ = false;
+  bool doors_shut_ = false;
+  std::uint64_t next_ = 0;
+  std::map<Conn*, std::shared_ptr<Conn>> conns_;
+  std::map<std::uint64_t, Conn*> by_id_;
+  std::vector<std::weak_ptr<Link>> last_ones_;  // connections that were let go
 };
 
 }  // namespace pipit
--- a/src/gate/net/upstream.cc
+++ b/src/gate/net/upstream.cc
@@ -42,30 +42,30 @@
 };
 
 Upstream::~Upstream() {
-  for (std::pair<Conn* const, std::shared_ptr<Conn>>& item : conns) item.second->link->close();
+  for (std::pair<Conn* const, std::shared_ptr<Conn>>& item : conns_) item.second->link->close();
 }
 
 std::size_t Upstream::kept(std::string const& peer) const {
-  std::map<std::string, std::vector<Conn*>>::const_iterator const spot = idle.find(peer);
-  return spot == idle.end() ? 0 : spot->second.size();
+  std::map<std::string, std::vector<Conn*>>::const_iterator const spot = idle_.find(peer);
+  return spot == idle_.end() ? 0 : spot->second.size();
 }
 
 void Upstream::erase(Conn& conn, bool reset) {
-  std::vector<Conn*>& list = idle[conn.peer];
+  std::vector<Conn*>& list = idle_[conn.peer];
   list.erase(std::remove(list.begin(), list.end(), &conn), list.end());
-  if (list.empty()) idle.erase(conn.peer);
-  if (conn.id != 0) by_id.erase(conn.id);
+  if (list.empty()) idle_.erase(conn.peer);
+  if (conn.id != 0) by_id_.erase(conn.id);
   conn.id = 0;  // whatever is still being read of it is nobody's
   conn.link->close(reset);
-  conns.erase(&conn);
+  conns_.erase(&conn);
 }
 
 void Upstream::start(std::uint64_t id, std::string const& peer, std::string const& address, std::string bytes,
                      Micros within) {
-  std::map<std::string, std::vector<Conn*>>::iterator const list = idle.find(peer);
-  while (list != idle.end() && !list->second.empty()) {
+  std::map<std::string, std::vector<Conn*>>::iterator const list = idle_.find(peer);
+  while (list != idle_.end() && !list->second.empty()) {
     Conn* const conn = list->second.back();
-    std::shared_ptr<Conn> const hold = conns[conn];
+    std::shared_ptr<Conn> const hold = conns_[conn];
     // What may not repeat is lost on a connection that the worker has just closed.
     if (conn->address != address || now() - conn->idle_since > conn->keep_for || !conn->link->quiet()) {
       bool const only = list->second.size() == 1;
@@ -77,7 +77,7 @@
     ++reused;
     conn->id = id;
     conn->bytes = std::move(bytes);
-    by_id[id] = conn;
+    by_id_[id] = conn;
     send(*conn);
     return;
   }
@@ -88,10 +88,10 @@
   conn->address = address;
   conn->id = id;
   conn->bytes = std::move(bytes);
-  conn->link = dial(address, from, within);
+  conn->link = dial_(address, from_, within);
   conn->reader.callbacks.head = [this, conn](Head& head) {
     if (conn->id == 0) return true;
-    Owner const owner = callbacks.head(conn->id, head, conn->asked == 1);
+    Owner const owner = callbacks_.head(conn->id, head, conn->asked == 1);
     conn->ours = owner == Owner::asker;
     conn->spoiled = owner == Owner::nobody;
     conn->keep = head.keep;
@@ -99,21 +99,21 @@
     return !(conn->ours && conn->bodiless);
   };
   conn->reader.callbacks.body = [this, conn](std::string_view part) {
-    if (conn->ours && conn->id != 0) callbacks.body(conn->id, part);
+    if (conn->ours && conn->id != 0) callbacks_.body(conn->id, part);
   };
-  conns.emplace(conn, made);
-  by_id[id] = conn;
+  conns_.emplace(conn, made);
+  by_id_[id] = conn;
   if (!conn->link->open()) return fail(*conn, End::unreached, "no connection could be begun");
   conn->link->listen({[this, conn] { send(*conn); },
                       [this, conn](std::string_view part) {
-                        std::map<Conn*, std::shared_ptr<Conn>>::iterator const spot = conns.find(conn);
-                        if (spot == conns.end()) return;
+                        std::map<Conn*, std::shared_ptr<Conn>>::iterator const spot = conns_.find(conn);
+                        if (spot == conns_.end()) return;
                         std::shared_ptr<Conn> const hold = spot->second;
                         fed(*conn, part);
                       },
                       [this, conn](Link::End how) {
-                        std::map<Conn*, std::shared_ptr<Conn>>::iterator const spot = conns.find(conn);
-                        if (spot == conns.end()) return;
+                        std::map<Conn*, std::shared_ptr<Conn>>::iterator const spot = conns_.find(conn);
+                        if (spot == conns_.end()) return;
                         std::shared_ptr<Conn> const hold = spot->second;
                         shut(*conn, how);
                       },
@@ -129,7 +129,7 @@
   std::string const bytes = std::move(conn.bytes);
   conn.bytes.clear();
   // Said before the system takes the first byte: from here on nobody can know.
-  callbacks.left(conn.id);
+  callbacks_.left(conn.id);
   conn.link->write(bytes);
 }
 
@@ -137,7 +137,7 @@
   while (!bytes.empty()) {
     if (conn.id == 0) return erase(conn);  // nothing is due on a kept connection
     std::size_t const took = conn.reader.feed(bytes);
-    if (!conn.link->open() || conns.find(&conn) == conns.end()) return;
+    if (!conn.link->open() || conns_.find(&conn) == conns_.end()) return;
     if (conn.reader.error() != Reader::Error::none)
       return fail(conn, conn.ours ? End::torn : End::broke, "what came is no answer");
     if (conn.spoiled) return fail(conn, End::broke, "what came does not name the request");
@@ -162,24 +162,24 @@
 
 void Upstream::whole(Conn& conn) {
   std::uint64_t const id = conn.id;
-  by_id.erase(id);
+  by_id_.erase(id);
   conn.id = 0;
   conn.sent = false;
   // An answer before the request was whole: the next one would come behind the rest of this.
   bool const all_sent = conn.link->waiting() == 0;
   if (conn.keep && conn.keep_for > 0 && all_sent) {
     conn.idle_since = now();
-    idle[conn.peer].push_back(&conn);
+    idle_[conn.peer].push_back(&conn);
   } else {
     erase(conn);
   }
-  callbacks.done(id);
+  callbacks_.done(id);
 }
 
 void Upstream::fail(Conn& conn, End how, std::string const& why) {
   std::uint64_t const id = conn.id;
   erase(conn);
-  if (id != 0) callbacks.ended(id, how, why);
+  if (id != 0) callbacks_.ended(id, how, why);
 }
 
 void Upstream::shut(Conn& conn, Link::End how) {
@@ -195,29 +195,29 @@
 }
 
 void Upstream::cut(std::uint64_t id) {
-  std::map<std::uint64_t, Conn*>::iterator const spot = by_id.find(id);
-  if (spot == by_id.end()) return;
-  std::shared_ptr<Conn> const hold = conns[spot->second];
+  std::map<std::uint64_t, Conn*>::iterator const spot = by_id_.find(id);
+  if (spot == by_id_.end()) return;
+  std::shared_ptr<Conn> const hold = conns_[spot->second];
   erase(*hold, true);
 }
 
 void Upstream::forget(std::string const& peer) {
-  std::map<std::string, std::vector<Conn*>>::iterator const spot = idle.find(peer);
-  if (spot == idle.end()) return;
+  std::map<std::string, std::vector<Conn*>>::iterator const spot = idle_.find(peer);
+  if (spot == idle_.end()) return;
   std::vector<Conn*> const list = spot->second;
   for (Conn* const conn : list) {
-    std::shared_ptr<Conn> const hold = conns[conn];
+    std::shared_ptr<Conn> const hold = conns_[conn];
     erase(*hold);
   }
 }
 
 void Upstream::sweep(Micros now) {
   std::vector<Conn*> old;
-  for (std::pair<std::string const, std::vector<Conn*>> const& item : idle)
+  for (std::pair<std::string const, std::vector<Conn*>> const& item : idle_)
     for (Conn* const conn : item.second)
       if (now - conn->idle_since > conn->keep_for) old.push_back(conn);
   for (Conn* const conn : old) {
-    std::shared_ptr<Conn> const hold = conns[conn];
+    std::shared_ptr<Conn> const hold = conns_[conn];
     erase(*hold);
   }
 }
--- a/src/gate/net/upstream.h
+++ b/src/gate/net/upstream.h
@@ -31,12 +31,12 @@
     std::function<void(std::uint64_t)> done;
     std::function<void(std::uint64_t, End, std::string const& why)> ended;
   };
-  Upstream(Callbacks callbacks_, std::string from_) : callbacks(std::move(callbacks_)), from(std::move(from_)) {}
+  Upstream(Callbacks callbacks, std::string from) : callbacks_(std::move(callbacks)), from_(std::move(from)) {}
   ~Upstream();
 
   // How connections are opened; Link::dial unless a test says otherwise.
   using Dial = std::function<std::shared_ptr<Link>(std::string const& address, std::string const& from, Micros within)>;
-  void dial_by(Dial dial_) { dial = std::move(dial_); }
+  void dial_by(Dial dial) { dial_ = std::move(dial); }
 
   // Sends a request; 'peer' names who lives at the address, and kept connections belong to that name.
   void start(std::uint64_t id, std::string const& peer, std::string const& address, std::string bytes, Micros within);
@@ -45,9 +45,9 @@
   // Nobody of that name is there any more: its kept connections are closed.
   void forget(std::string const& peer);
   void sweep(Micros now);
-  std::size_t open() const { return by_id.size(); }
+  std::size_t open() const { return by_id_.size(); }
   std::size_t kept(std::string const& peer) const;
-  std::size_t connections() const { return conns.size(); }
+  std::size_t connections() const { return conns_.size(); }
 
   std::uint64_t dialled = 0;
   std::uint64_t reused = 0;
@@ -61,12 +61,12 @@
   void whole(Conn& conn);
   void erase(Conn& conn, bool reset = false);
 
-  Callbacks callbacks;
-  std::string const from;
-  Dial dial = Link::dial;
-  std::map<Conn*, std::shared_ptr<Conn>> conns;
-  std::map<std::uint64_t, Conn*> by_id;
-  std::map<std::string, std::vector<Conn*>> idle;  // by peer, the last used at the end
+  Callbacks callbacks_;
+  std::string const from_;
+  Dial dial_ = Link::dial;
+  std::map<Conn*, std::shared_ptr<Conn>> conns_;
+  std::map<std::uint64_t, Conn*> by_id_;
+  std::map<std::string, std::vector<Conn*>> idle_;  // by peer, the last used at the end
 };
 
 }  // namespace pipit
--- a/src/gate/relay/failure_log.cc
+++ b/src/gate/relay/failure_log.cc
@@ -16,14 +16,14 @@
 }  // namespace
 
 bool FailureLog::affords(Micros now) {
-  if (second < 0 || now - second >= seconds(1)) {
-    second = now;
-    lines = 0;
-    if (untold > 0) log_event(Event::failures_untold, std::to_string(untold));
-    untold = 0;
+  if (second_ < 0 || now - second_ >= seconds(1)) {
+    second_ = now;
+    lines_ = 0;
+    if (untold_ > 0) log_event(Event::failures_untold, std::to_string(untold_));
+    untold_ = 0;
   }
-  if (++lines <= lines_most) return true;
-  ++untold;
+  if (++lines_ <= lines_most) return true;
+  ++untold_;
   return false;
 }
 
--- a/src/gate/relay/failure_log.h
+++ b/src/gate/relay/failure_log.h
@@ -15,9 +15,9 @@
  private:
   bool affords(Micros now);
 
-  Micros second = -1;  // when the present second began
-  std::uint64_t lines = 0;
-  std::uint64_t untold = 0;  // failures since the last line that were only counted
+  Micros second_ = -1;  // when the present second began
+  std::uint64_t lines_ = 0;
+  std::uint64_t untold_ = 0;  // failures since the last line that were only counted
 };
 
 }  // namespace pipit
--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -97,28 +97,28 @@
 }
 }  // namespace
 
-Relay::Relay(Dispatcher& dispatcher_, Dialect dialect_, std::string own_host, Callbacks callbacks_)
+Relay::Relay(Dispatcher& dispatcher, Dialect dialect, std::string own_host, Callbacks callbacks)
     : server({[this](Server::Call&& call) { on_call(std::move(call)); },
               [this](std::uint64_t id) {
-                if (callers.count(id) == 0) return;
+                if (callers_.count(id) == 0) return;
                 upstream.cut(id);
-                if (std::optional<FailedRequest> const failed = callbacks.gone(id)) log_failure(*failed);
-                callers.erase(id);
+                if (std::optional<FailedRequest> const failed = callbacks_.gone(id)) log_failure(*failed);
+                callers_.erase(id);
               }}),
       upstream({[this](std::uint64_t id) {
-                  std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
-                  if (spot != callers.end()) ++spot->second.sent;
-                  dispatcher.left(id, now());
+                  std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(id);
+                  if (spot != callers_.end()) ++spot->second.sent;
+                  dispatcher_.left(id, now());
                 },
                 [this](std::uint64_t id, Head const& head, bool first) { return on_head(id, head, first); },
                 [this](std::uint64_t id, std::string_view bytes) { on_body(id, bytes); },
                 [this](std::uint64_t id) { on_done(id); },
                 [this](std::uint64_t id, Upstream::End end, std::string const& why) { on_ended(id, end, why); }},
                std::move(own_host)),
-      dispatcher(dispatcher_),
-      dialect(std::move(dialect_)),
-      end_to_end(dialect.end_to_end()),
-      callbacks(std::move(callbacks_)) {}
+      dispatcher_(dispatcher),
+      dialect_(std::move(dialect)),
+      end_to_end_(dialect_.end_to_end()),
+      callbacks_(std::move(callbacks)) {}
 
 void Relay::limits(CallLimits const& from) {
   Server::Limits out;
@@ -142,36 +142,36 @@
   std::size_t const port = query.host.rfind(':');
   if (port != std::string::npos && query.host.find(']', port) == std::string::npos) query.host.resize(port);
   query.path = call.head.target.substr(0, call.head.target.find('?'));
-  query.model = call.head.get(dialect.model);
-  query.parts = parse_parts(call.head.get(dialect.parts));
-  std::string const tokens = call.head.get(dialect.tokens);
+  query.model = call.head.get(dialect_.model);
+  query.parts = parse_parts(call.head.get(dialect_.parts));
+  std::string const tokens = call.head.get(dialect_.tokens);
   query.tokens_in = count_from(tokens.c_str(), nullptr);
   std::size_t const comma = tokens.find(',');
   if (comma != std::string::npos) query.tokens_out = count_from(tokens.c_str() + comma + 1, nullptr);
   query.names_tokens = !tokens.empty();
-  query.key = key_of(call.head, dialect);
-  query.left = time_left(call.head.find(dialect.left));
+  query.key = key_of(call.head, dialect_);
+  query.left = time_left(call.head.find(dialect_.left));
   query.read_for = std::max<Micros>(0, now() - call.came);
-  query.after = call.head.get(dialect.after);
+  query.after = call.head.get(dialect_.after);
   Caller caller;
   caller.head = std::move(call.head);
-  drop_hop_fields(caller.head, end_to_end);
+  drop_hop_fields(caller.head, end_to_end_);
   caller.body = std::move(call.body);
-  caller.attempt = caller.head.get(dialect.attempt);
+  caller.attempt = caller.head.get(dialect_.attempt);
   caller.last_event = query.after;
   std::uint64_t const id = call.id;
-  callers.emplace(id, std::move(caller));
-  callbacks.request(id, std::move(query));
+  callers_.emplace(id, std::move(caller));
+  callbacks_.request(id, std::move(query));
 }
 
 void Relay::log_failure(FailedRequest const& failed) {
-  std::map<std::uint64_t, Caller>::const_iterator const spot = callers.find(failed.request);
-  if (spot == callers.end()) return;
-  failure_log.write(failed, spot->second.attempt, spot->second.failure, now());
+  std::map<std::uint64_t, Caller>::const_iterator const spot = callers_.find(failed.request);
+  if (spot == callers_.end()) return;
+  failure_log_.write(failed, spot->second.attempt, spot->second.failure, now());
 }
 
 bool Relay::may_repeat(std::uint64_t id) const {
-  Route const* const route = dispatcher.route_of(id);
+  Route const* const route = dispatcher_.route_of(id);
   return route != nullptr && (route->repeatable || (route->streams && route->resumable));
 }
 
@@ -179,23 +179,23 @@
 void Relay::decline(std::uint64_t id, Caller& caller) {
   ++caller.declined_count;
   caller.failure = caller.elsewhere ? "another instance lives there" : "the worker did not run it";
-  callbacks.ended(id, AttemptEnd::declined, caller.elsewhere);
+  callbacks_.ended(id, AttemptEnd::declined, caller.elsewhere);
 }
 
 void Relay::act(DispatchOut& out) {
   for (FailedRequest const& failed : out.failed) log_failure(failed);
   for (std::uint64_t const id : out.cuts) upstream.cut(id);
   for (std::uint64_t const id : out.passes) {
-    std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
-    if (spot == callers.end()) continue;
+    std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(id);
+    if (spot == callers_.end()) continue;
     Caller const caller = std::move(spot->second);
-    callers.erase(spot);
+    callers_.erase(spot);
     server.answer(id, caller.answer, caller.held);
   }
   for (Denial const& denial : out.denials) deny(denial);
   for (std::uint64_t const id : out.breaks) {
     log_event(Event::stream_broke, "");
-    callers.erase(id);
+    callers_.erase(id);
     server.break_off(id);
   }
   std::vector<Attempt> const starts = std::move(out.starts);
@@ -210,31 +210,31 @@
   Head head;
   // What may be asked again has not run, whatever the kind says of other cases.
   head.status = denial.wait > 0 && !promises(answer.status) ? 503 : answer.status;
-  if (head.status == 401) head.fields.emplace_back("WWW-Authenticate", dialect.scheme);
+  if (head.status == 401) head.fields.emplace_back("WWW-Authenticate", dialect_.scheme);
   head.fields.emplace_back("Content-Type", "application/json");
   if (denial.wait > 0) {
     char text[32];
     g_ascii_formatd(text, sizeof text, "%.3f", static_cast<double>(denial.wait) / 1e6);
     head.fields.emplace_back("Retry-After", text);
   }
-  std::map<std::uint64_t, Caller>::const_iterator const spot = callers.find(denial.request);
-  if (spot != callers.end()) {
+  std::map<std::uint64_t, Caller>::const_iterator const spot = callers_.find(denial.request);
+  if (spot != callers_.end()) {
     Caller const& caller = spot->second;
     bool const honest = !promises(head.status) || denial.may_repeat || !caller.may_have_run();
     check_invariant(honest, Invariant::true_refusal, [&] {
       return caller.attempt + " gets " + std::to_string(head.status) + " after " + std::to_string(caller.sent) +
              " sends, " + std::to_string(caller.declined_count) + " of them declined, the last to " + caller.instance;
     });
-    callers.erase(spot);
+    callers_.erase(spot);
   }
   server.answer(denial.request, head, answer.body);
 }
 
 void Relay::start(Attempt const& attempt) {
-  std::map<std::uint64_t, Caller>::iterator const spot = callers.find(attempt.request);
-  if (spot == callers.end()) return;
+  std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(attempt.request);
+  if (spot == callers_.end()) return;
   Caller& caller = spot->second;
-  Route const* const route = dispatcher.route_of(attempt.request);
+  Route const* const route = dispatcher_.route_of(attempt.request);
   check_invariant(may_repeat(attempt.request) || !caller.may_have_run(), Invariant::single_run, [&] {
     return caller.attempt + " is sent to " + attempt.instance + " after " + caller.instance + ", " +
            std::to_string(caller.sent) + " sends, " + std::to_string(caller.declined_count) + " of them declined";
@@ -248,32 +248,32 @@
   caller.held.clear();
   caller.tail.clear();
   Head head = caller.head;
-  head.set(dialect.left, std::to_string(std::max<Micros>(1, attempt.left / 1000)));
-  if (guard(RequestGuard::instance)) head.set(dialect.instance, attempt.instance);
-  head.set(dialect.rank, std::to_string(std::clamp<std::int64_t>(attempt.rank, 0, 9)));
-  if (attempt.keyed) put_tenant(head, dialect, attempt.tenant);
-  if (caller.resumed && !caller.last_event.empty()) head.set(dialect.after, caller.last_event);
+  head.set(dialect_.left, std::to_string(std::max<Micros>(1, attempt.left / 1000)));
+  if (guard(RequestGuard::instance)) head.set(dialect_.instance, attempt.instance);
+  head.set(dialect_.rank, std::to_string(std::clamp<std::int64_t>(attempt.rank, 0, 9)));
+  if (attempt.keyed) put_tenant(head, dialect_, attempt.tenant);
+  if (caller.resumed && !caller.last_event.empty()) head.set(dialect_.after, caller.last_event);
   std::string bytes = request_text(head, static_cast<std::int64_t>(caller.body.size()));
   bytes += caller.body;
   upstream.start(attempt.request, attempt.instance, attempt.address, std::move(bytes), attempt.within);
 }
 
 Upstream::Owner Relay::on_head(std::uint64_t id, Head const& head, bool first) {
-  std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
-  if (spot == callers.end()) return Upstream::Owner::asker;
+  std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(id);
+  if (spot == callers_.end()) return Upstream::Owner::asker;
   Caller& caller = spot->second;
   if (head.status < 200) return Upstream::Owner::other;
-  std::string const whose = head.get(dialect.attempt);
+  std::string const whose = head.get(dialect_.attempt);
   bool const mine = whose == caller.attempt || !guard(RequestGuard::answer_id);
   if (!whose.empty() && !mine) return Upstream::Owner::other;
-  if (names_two(head, dialect.attempt)) return Upstream::Owner::nobody;
-  if (std::string const* const load = head.find(dialect.load)) {
+  if (names_two(head, dialect_.attempt)) return Upstream::Owner::nobody;
+  if (std::string const* const load = head.find(dialect_.load)) {
     char* rest = nullptr;
     std::int64_t const running = count_from(load->c_str(), &rest);
     std::int64_t const waiting = *rest == ',' ? count_from(rest + 1, nullptr) : 0;
-    dispatcher.said(id, running + waiting, now());
+    dispatcher_.said(id, running + waiting, now());
   }
-  bool const not_run = head.find(dialect.not_run) != nullptr;
+  bool const not_run = head.find(dialect_.not_run) != nullptr;
   caller.elsewhere = head.status == 421;
   caller.declined = not_run || caller.elsewhere || (head.status == 429 && !guard(RequestGuard::promise_mark));
   caller.failing = !caller.declined && head.status >= 300;
@@ -284,12 +284,12 @@
     caller.declined = caller.elsewhere = false;
     return Upstream::Owner::nobody;
   }
-  bool const sealed = dialect.seal.empty() || !guard(RequestGuard::seal) || head.find(dialect.seal) != nullptr;
+  bool const sealed = dialect_.seal.empty() || !guard(RequestGuard::seal) || head.find(dialect_.seal) != nullptr;
   if (!caller.declined && !caller.failing && !sealed) return Upstream::Owner::nobody;
   caller.unbounded = head.length < 0 && !head.chunked && !bodiless(head.status) && caller.head.method != "HEAD";
   if (caller.resumed) return Upstream::Owner::asker;
   caller.answer = head;
-  drop_hop_fields(caller.answer, end_to_end);
+  drop_hop_fields(caller.answer, end_to_end_);
   caller.answer.length = head.length;
   return Upstream::Owner::asker;
 }
@@ -322,7 +322,7 @@
     });
     caller.spliced = true;
     if (!name.empty()) caller.last_event = name;
-    if (name.empty() && event.find("data") != std::string::npos) dispatcher.unmarked(id);
+    if (name.empty() && event.find("data") != std::string::npos) dispatcher_.unmarked(id);
     kept += event;
   }
   return kept;
@@ -330,11 +330,11 @@
 
 // What begins to go to a caller is the sealed answer to its own request.
 void Relay::check_own(Caller const& caller) const {
-  bool const named = caller.answer.get(dialect.attempt) == caller.attempt;
-  bool const sealed = dialect.seal.empty() || caller.answer.find(dialect.seal) != nullptr;
+  bool const named = caller.answer.get(dialect_.attempt) == caller.attempt;
+  bool const sealed = dialect_.seal.empty() || caller.answer.find(dialect_.seal) != nullptr;
   check_invariant(named && sealed && caller.answer.status < 300, Invariant::own_answer, [&] {
     return caller.attempt + " gets status " + std::to_string(caller.answer.status) + " of '" +
-           caller.answer.get(dialect.attempt) + "' from " + caller.instance + (sealed ? "" : " without a seal");
+           caller.answer.get(dialect_.attempt) + "' from " + caller.instance + (sealed ? "" : " without a seal");
   });
 }
 
@@ -345,16 +345,16 @@
     check_own(caller);
     std::int64_t const length = caller.resumable ? -1 : caller.answer.length;
     server.begin(id, caller.answer, length);
-    dispatcher.began(id, now());
+    dispatcher_.began(id, now());
   } else {
-    dispatcher.event(id, now());
+    dispatcher_.event(id, now());
   }
   server.piece(id, bytes);
 }
 
 void Relay::on_body(std::uint64_t id, std::string_view bytes) {
-  std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
-  if (spot == callers.end()) return;
+  std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(id);
+  if (spot == callers_.end()) return;
   Caller& caller = spot->second;
   if (caller.declined) return;
   if (caller.failing) {
@@ -381,13 +381,13 @@
 }
 
 void Relay::on_done(std::uint64_t id) {
-  std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
-  if (spot == callers.end()) return;
+  std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(id);
+  if (spot == callers_.end()) return;
   Caller& caller = spot->second;
   if (caller.declined) return decline(id, caller);
-  if (caller.unsaid) return callbacks.ended(id, AttemptEnd::broke, false);
-  if (caller.failing) return callbacks.ended(id, AttemptEnd::failed, false);
-  if (stops_in_event(caller)) return callbacks.ended(id, AttemptEnd::broke, false);
+  if (caller.unsaid) return callbacks_.ended(id, AttemptEnd::broke, false);
+  if (caller.failing) return callbacks_.ended(id, AttemptEnd::failed, false);
+  if (stops_in_event(caller)) return callbacks_.ended(id, AttemptEnd::broke, false);
   if (caller.resumable && !caller.held.empty()) {
     std::string const rest = std::move(caller.held);
     caller.held.clear();
@@ -398,19 +398,19 @@
     server.begin(id, caller.answer, caller.resumable ? -1 : std::max<std::int64_t>(0, caller.answer.length));
   }
   server.end(id);
-  callers.erase(spot);
-  callbacks.ended(id, AttemptEnd::whole, false);
+  callers_.erase(spot);
+  callbacks_.ended(id, AttemptEnd::whole, false);
 }
 
 void Relay::on_ended(std::uint64_t id, Upstream::End end, std::string const& why) {
-  std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
-  if (spot == callers.end()) return;
+  std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(id);
+  if (spot == callers_.end()) return;
   spot->second.failure = why;
   log_event(Event::attempt_failed, spot->second.attempt + " at " + spot->second.instance + " " + why);
   if (end == Upstream::End::torn && !guard(RequestGuard::torn_visible)) return on_done(id);
   // What the worker said before it broke off holds: it did not run the request.
   if (spot->second.declined) return decline(id, spot->second);
-  callbacks.ended(id, end == Upstream::End::unreached ? AttemptEnd::unreached : AttemptEnd::broke, false);
+  callbacks_.ended(id, end == Upstream::End::unreached ? AttemptEnd::unreached : AttemptEnd::broke, false);
 }
 
 }  // namespace pipit
--- a/src/gate/relay/relay.h
+++ b/src/gate/relay/relay.h
@@ -41,7 +41,7 @@
     std::function<void(std::uint64_t, AttemptEnd, bool elsewhere)> ended;
     std::function<std::optional<FailedRequest>(std::uint64_t)> gone;
   };
-  Relay(Dispatcher& dispatcher_, Dialect dialect_, std::string own_host, Callbacks callbacks_);
+  Relay(Dispatcher& dispatcher, Dialect dialect, std::string own_host, Callbacks callbacks);
 
   Result<void> listen(std::string const& address) { return server.listen(address); }
   void act(DispatchOut& out);
@@ -94,12 +94,12 @@
   void check_own(Caller const& caller) const;
   void log_failure(FailedRequest const& failed);
 
-  Dispatcher& dispatcher;
-  Dialect const dialect;
-  std::vector<std::string> const end_to_end;
-  Callbacks callbacks;
-  std::map<std::uint64_t, Caller> callers;
-  FailureLog failure_log;
+  Dispatcher& dispatcher_;
+  Dialect const dialect_;
+  std::vector<std::string> const end_to_end_;
+  Callbacks callbacks_;
+  std::map<std::uint64_t, Caller> callers_;
+  FailureLog failure_log_;
 };
 
 }  // namespace pipit
--- a/src/gate/station/station.h
+++ b/src/gate/station/station.h
@@ -38,16 +38,16 @@
   using Done = std::function<void(Reply const&)>;
   using Look = std::function<void()>;
 
-  explicit Station(StationPlan plan_);
+  explicit Station(StationPlan plan);
   ~Station();
   // Opens the disk and the addresses.
   Result<void> open();
   // Returns the exit code once the process is to end.
   int run();
 
-  void on_control(Control control_) { control = std::move(control_); }
+  void on_control(Control control) { control_ = std::move(control); }
   // Called on SIGHUP and every other second.
-  void on_look(Look look_) { look = std::move(look_); }
+  void on_look(Look look) { look_ = std::move(look); }
 
   using EndDone = std::function<void(bool known)>;
   // False when this node cannot tell the others of the worker.
@@ -57,10 +57,10 @@
   // False when no worker of that name is known here.
   bool beat_end(std::string const& id, std::uint64_t order);
   void operate(Change change, Done done);
-  void reseed(std::vector<std::string> const& addresses) { node->mesh.reseed(addresses); }
+  void reseed(std::vector<std::string> const& addresses) { node_->mesh.reseed(addresses); }
   // The description in force here, with the operators' own number for it.
-  std::shared_ptr<Description const> const& description() const { return node->dispatcher.description(); }
-  std::uint64_t label() const { return node->learner.value ? node->learner.value->label : 0; }
+  std::shared_ptr<Description const> const& description() const { return node_->dispatcher.description(); }
+  std::uint64_t label() const { return node_->learner.value ? node_->learner.value->label : 0; }
   // The word to stop: what is under way comes to its end first.
   void stop();
   void answer(std::uint64_t call, unsigned status, std::string const& body,
@@ -81,26 +81,26 @@
   std::string tenants() const;
   std::map<std::string, std::uint64_t> by_tenant(std::uint64_t TenantTally::*of) const;
 
-  StationPlan const plan;
-  GMainLoop* loop;
-  std::unique_ptr<Node> node;
-  std::unique_ptr<Connections> connections;
-  std::unique_ptr<Relay> relay;
-  std::unique_ptr<Server> control_server;
-  std::unique_ptr<Server> ready_server;
-  std::unique_ptr<Server> metrics_server;
-  std::unique_ptr<DiskTask> disk;
-  Control control;
-  Look look;
-  std::map<std::uint64_t, Done> asked;
-  std::map<std::uint64_t, EndDone> ends_asked;
-  std::uint64_t next_ask = 0;
-  std::map<std::string, std::uint64_t> order_answers;  // of operators, by status
-  std::shared_ptr<Description const> limits_of;
-  Micros next_sweep = 0;
-  Micros next_look = 0;
-  Micros stop_from = -1;
-  bool doors_shut = false;
+  StationPlan const plan_;
+  GMainLoop* loop_;
+  std::unique_ptr<Node> node_;
+  std::unique_ptr<Connections> connections_;
+  std::unique_ptr<Relay> relay_;
+  std::unique_ptr<Server> control_server_;
+  std::unique_ptr<Server> ready_server_;
+  std::unique_ptr<Server> metrics_server_;
+  std::unique_ptr<DiskTask> disk_;
+  Control control_;
+  Look look_;
+  std::map<std::uint64_t, Done> asked_;
+  std::map<std::uint64_t, EndDone> ends_asked_;
+  std::uint64_t next_ask_ = 0;
+  std::map<std::string, std::uint64_t> order_answers_;  // of operators, by status
+  std::shared_ptr<Description const> limits_of_;
+  Micros next_sweep_ = 0;
+  Micros next_look_ = 0;
+  Micros stop_from_ = -1;
+  bool doors_shut_ = false;
 };
 
 }  // namespace pipit
--- a/src/gate/station/status.cc
+++ b/src/gate/station/status.cc
@@ -47,23 +47,23 @@
 
 std::string Station::status() const {
   JsonWriter json;
-  json.begin_object().key("name").text(plan.node.name).key("role").text("passage").key("zone").text(plan.node.zone);
+  json.begin_object().key("name").text(plan_.node.name).key("role").text("passage").key("zone").text(plan_.node.zone);
   json.key("keeper")
-      .boolean(plan.node.keeper)
+      .boolean(plan_.node.keeper)
       .key("ready")
-      .boolean(node->ready())
+      .boolean(node_->ready())
       .key("draining")
-      .boolean(stop_from >= 0);
-  json.key("serial").number(static_cast<std::int64_t>(node->learner.serial()));
+      .boolean(stop_from_ >= 0);
+  json.key("serial").number(static_cast<std::int64_t>(node_->learner.serial()));
   json.key("label").number(static_cast<std::int64_t>(label()));
   json.key("emptied").begin_list().end_list().key("keepers").begin_list();
-  for (wire::KeeperT const& keeper : node->learner.membership().keepers) json.text(keeper.name);
+  for (wire::KeeperT const& keeper : node_->learner.membership().keepers) json.text(keeper.name);
   json.end_list()
       .key("epoch")
-      .number(static_cast<std::int64_t>(node->learner.membership().epoch))
+      .number(static_cast<std::int64_t>(node_->learner.membership().epoch))
       .key("peers")
       .begin_list();
-  for (std::pair<std::string const, Peer> const& item : node->mesh.members.peers) {
+  for (std::pair<std::string const, Peer> const& item : node_->mesh.members.peers) {
     Peer const& peer = item.second;
     json.begin_object().key("name").text(item.first).key("state").text(state_word(peer.state()));
     json.key("wire").boolean(peer.wire != 0).key("role").text("passage").key("zone").text(peer.member.zone);
@@ -75,7 +75,7 @@
         .end_object();
   }
   json.end_list().key("workers").begin_list();
-  for (std::pair<std::string const, Instance> const& item : node->registry.all) {
+  for (std::pair<std::string const, Instance> const& item : node_->registry.all) {
     Instance const& at = item.second;
     static char const* const words[] = {"serving", "leaving", "gone"};
     json.begin_object().key("id").text(at.id).key("zone").text(at.zone).key("pool").text(at.pool);
@@ -88,24 +88,24 @@
         .number(at.load(now()))
         .end_object();
   }
-  json.end_list().key("under_way").number(static_cast<std::int64_t>(node->dispatcher.under_way())).end_object();
+  json.end_list().key("under_way").number(static_cast<std::int64_t>(node_->dispatcher.under_way())).end_object();
   return json.take();
 }
 
 // What is known here of each tenant and its keys, which are named by their digests alone.
 std::string Station::tenants() const {
-  Description const& rules = *node->dispatcher.description();
+  Description const& rules = *node_->dispatcher.description();
   JsonWriter json;
   json.begin_object().key("keys_required").boolean(rules.keys_required);
-  json.key("configuration_confirmed_ms_ago").number(lease_age_ms(*node));
-  json.key("keys_taken").boolean(node->lease.holds(now())).key("tenants").begin_list();
+  json.key("configuration_confirmed_ms_ago").number(lease_age_ms(*node_));
+  json.key("keys_taken").boolean(node_->lease.holds(now())).key("tenants").begin_list();
   for (Tenant const& tenant : rules.tenants) {
     json.begin_object().key("name").text(tenant.name).key("rank").number(tenant.rank).key("keys").begin_list();
     for (Digest const& key : tenant.keys) json.text(short_text(key));
     json.end_list().key("counts").text(tenant.unit == CountingUnit::tokens ? "tokens" : "requests");
     json.key("rate").number(tenant.rate).key("burst").number(tenant.burst);
-    TenantTally const asked = value_at(node->dispatcher.tenant_tallies, tenant.name);
-    QuotaOwner::Tally const granted = value_at(node->quota_owner.tallies, tenant.name);
+    TenantTally const asked = value_at(node_->dispatcher.tenant_tallies, tenant.name);
+    QuotaOwner::Tally const granted = value_at(node_->quota_owner.tallies, tenant.name);
     json.key("here").begin_object();
     json.key("asked").number(static_cast<std::int64_t>(asked.asked));
     json.key("refused").number(static_cast<std::int64_t>(asked.refused));
@@ -120,13 +120,13 @@
 // A row for each of the first tenants by name, and one for the rest, however many there are.
 std::map<std::string, std::uint64_t> Station::by_tenant(std::uint64_t TenantTally::*of) const {
   std::map<std::string, std::uint64_t> out;
-  for (std::pair<std::string const, TenantTally> const& item : node->dispatcher.tenant_tallies)
+  for (std::pair<std::string const, TenantTally> const& item : node_->dispatcher.tenant_tallies)
     out[out.size() < tenant_rows_most ? item.first : "(others)"] += item.second.*of;
   return out;
 }
 
 std::string Station::metrics() const {
-  DispatchTally const& t = node->dispatcher.tally;
+  DispatchTally const& t = node_->dispatcher.tally;
   MetricsText text;
   text.counter("pipit_asked_total", t.asked);
   text.counter("pipit_done_total", t.served);
@@ -140,37 +140,37 @@
   text.counter("pipit_resumes_total", t.resumes);
   text.counter("pipit_silences_total", t.silences);
   text.counter("pipit_far_sends_total", t.far_sends);
-  text.counter("pipit_connections_dialled_total", relay->upstream.dialled);
-  text.counter("pipit_connections_reused_total", relay->upstream.reused);
-  text.counter("pipit_frames_in_total", node->mesh.frames_in);
-  text.counter("pipit_deltas_dropped_total", node->index_sync.dropped);
-  text.counter("pipit_tree_pulls_total", node->index_sync.pulls);
-  text.counter("pipit_clock_jumps_total", node->jumps);
-  text.gauge("pipit_serial", node->learner.serial());
-  text.gauge("pipit_revision", node->learner.revision());
+  text.counter("pipit_connections_dialled_total", relay_->upstream.dialled);
+  text.counter("pipit_connections_reused_total", relay_->upstream.reused);
+  text.counter("pipit_frames_in_total", node_->mesh.frames_in);
+  text.counter("pipit_deltas_dropped_total", node_->index_sync.dropped);
+  text.counter("pipit_tree_pulls_total", node_->index_sync.pulls);
+  text.counter("pipit_clock_jumps_total", node_->jumps);
+  text.gauge("pipit_serial", node_->learner.serial());
+  text.gauge("pipit_revision", node_->learner.revision());
   text.gauge("pipit_label", label());
-  text.gauge("pipit_keepers", node->learner.membership().keepers.size());
-  text.gauge("pipit_keepers_epoch", node->learner.membership().epoch);
-  text.gauge("pipit_quorum_heard_ms_ago", age_ms(node->learner.contact(), now()));
-  text.gauge("pipit_ready", node->ready() ? 1u : 0u);
-  text.gauge("pipit_stopping", stop_from >= 0 ? 1u : 0u);
-  text.gauge("pipit_under_way", node->dispatcher.under_way());
-  text.gauge("pipit_oldest_request_ms", static_cast<std::uint64_t>(node->dispatcher.oldest(now()) / 1000));
-  text.gauge("pipit_callers", relay->server.connections());
-  text.gauge("pipit_orders_under_way", asked.size());
-  text.gauge("pipit_wires", node->mesh.wires_open());
-  text.gauges("pipit_peers", "state", peers_by_state(*node));
-  text.gauges("pipit_workers", "standing", workers_by_standing(*node));
-  text.gauge("pipit_configuration_confirmed_ms_ago", age_ms(node->lease.confirmed(), now()));
+  text.gauge("pipit_keepers", node_->learner.membership().keepers.size());
+  text.gauge("pipit_keepers_epoch", node_->learner.membership().epoch);
+  text.gauge("pipit_quorum_heard_ms_ago", age_ms(node_->learner.contact(), now()));
+  text.gauge("pipit_ready", node_->ready() ? 1u : 0u);
+  text.gauge("pipit_stopping", stop_from_ >= 0 ? 1u : 0u);
+  text.gauge("pipit_under_way", node_->dispatcher.under_way());
+  text.gauge("pipit_oldest_request_ms", static_cast<std::uint64_t>(node_->dispatcher.oldest(now()) / 1000));
+  text.gauge("pipit_callers", relay_->server.connections());
+  text.gauge("pipit_orders_under_way", asked_.size());
+  text.gauge("pipit_wires", node_->mesh.wires_open());
+  text.gauges("pipit_peers", "state", peers_by_state(*node_));
+  text.gauges("pipit_workers", "standing", workers_by_standing(*node_));
+  text.gauge("pipit_configuration_confirmed_ms_ago", age_ms(node_->lease.confirmed(), now()));
   text.counter("pipit_keys_unknown_total", t.unknown_keys);
   text.counter("pipit_keys_unconfirmed_total", t.unconfirmed);
-  text.counter("pipit_quota_messages_total", node->quota_client.tally.messages);
-  text.counter("pipit_quota_timeouts_total", node->quota_client.tally.timeouts);
+  text.counter("pipit_quota_messages_total", node_->quota_client.tally.messages);
+  text.counter("pipit_quota_timeouts_total", node_->quota_client.tally.timeouts);
   text.counters("pipit_quota_asked_total", "tenant", by_tenant(&TenantTally::asked));
   text.counters("pipit_quota_refused_total", "tenant", by_tenant(&TenantTally::refused));
   text.counters("pipit_quota_unreachable_total", "tenant", by_tenant(&TenantTally::unreachable));
-  text.counters("pipit_answers_total", "kind", relay->kinds);
-  text.counters("pipit_order_answers_total", "status", order_answers);
+  text.counters("pipit_answers_total", "kind", relay_->kinds);
+  text.counters("pipit_order_answers_total", "status", order_answers_);
   text.invariants();
   return text.take();
 }
--- a/src/mesh/ledger/ledger.cc
+++ b/src/mesh/ledger/ledger.cc
@@ -19,73 +19,73 @@
 }  // namespace
 
 void Ledger::owe(std::string const& but, std::string const& key, std::uint64_t stamp) {
-  for (std::pair<std::string const, Debt>& item : owed)
+  for (std::pair<std::string const, Debt>& item : owed_)
     if (item.first != but) item.second.keys[key] = Owed{stamp, false};
 }
 
 bool Ledger::put(wire::EntryT item, Micros now) {
-  std::map<std::string, wire::EntryT>::iterator const spot = items.find(item.key);
-  if (spot != items.end() && spot->second.owner == self && same(spot->second, item)) return false;
-  item.owner = self;
-  item.stamp = ++clock;
+  std::map<std::string, wire::EntryT>::iterator const spot = items_.find(item.key);
+  if (spot != items_.end() && spot->second.owner == self_ && same(spot->second, item)) return false;
+  item.owner = self_;
+  item.stamp = ++clock_;
   if (passing(item))
-    gone_at[item.key] = now;
+    gone_at_[item.key] = now;
   else
-    gone_at.erase(item.key);
+    gone_at_.erase(item.key);
   owe("", item.key, item.stamp);
-  items[item.key] = std::move(item);
+  items_[item.key] = std::move(item);
   return true;
 }
 
 bool Ledger::merge(std::string const& from, wire::EntryT const& item, Micros now) {
   if (item.key.empty() || item.state > 2) return false;
-  clock = std::max(clock, item.stamp);
-  std::map<std::string, wire::EntryT>::iterator const spot = items.find(item.key);
-  if (spot != items.end() && std::tie(spot->second.stamp, spot->second.owner) >= std::tie(item.stamp, item.owner))
+  clock_ = std::max(clock_, item.stamp);
+  std::map<std::string, wire::EntryT>::iterator const spot = items_.find(item.key);
+  if (spot != items_.end() && std::tie(spot->second.stamp, spot->second.owner) >= std::tie(item.stamp, item.owner))
     return false;
   if (passing(item))
-    gone_at[item.key] = now;
+    gone_at_[item.key] = now;
   else
-    gone_at.erase(item.key);
-  items[item.key] = item;
+    gone_at_.erase(item.key);
+  items_[item.key] = item;
   if (passes_on) {
     owe(from, item.key, item.stamp);
   } else {
     for (std::string const& name : pass_to)
-      if (name != from && name != item.owner && owed.count(name)) owed[name].keys[item.key] = Owed{item.stamp, false};
+      if (name != from && name != item.owner && owed_.count(name)) owed_[name].keys[item.key] = Owed{item.stamp, false};
   }
   return true;
 }
 
 void Ledger::owe_all(std::string const& peer) {
-  Debt& debt = owed[peer];
+  Debt& debt = owed_[peer];
   debt.flying.clear();
-  for (std::pair<std::string const, wire::EntryT> const& item : items)
+  for (std::pair<std::string const, wire::EntryT> const& item : items_)
     debt.keys[item.first] = Owed{item.second.stamp, false};
 }
 
 void Ledger::owe_own(std::string const& peer) {
-  Debt& debt = owed[peer];
-  for (std::pair<std::string const, wire::EntryT> const& item : items)
-    if (item.second.owner == self) debt.keys[item.first] = Owed{item.second.stamp, false};
+  Debt& debt = owed_[peer];
+  for (std::pair<std::string const, wire::EntryT> const& item : items_)
+    if (item.second.owner == self_) debt.keys[item.first] = Owed{item.second.stamp, false};
 }
 
 wire::EntriesT Ledger::batch(std::string const& peer, bool again) {
   wire::EntriesT out;
-  std::map<std::string, Debt>::iterator const spot = owed.find(peer);
-  if (spot == owed.end() || spot->second.keys.empty()) return out;
+  std::map<std::string, Debt>::iterator const spot = owed_.find(peer);
+  if (spot == owed_.end() || spot->second.keys.empty()) return out;
   std::vector<std::pair<std::string, std::uint64_t>> sent;
   for (std::pair<std::string const, Owed>& key : spot->second.keys) {
     if (key.second.flown && !again) continue;
-    std::map<std::string, wire::EntryT>::const_iterator const item = items.find(key.first);
-    if (item == items.end()) continue;
+    std::map<std::string, wire::EntryT>::const_iterator const item = items_.find(key.first);
+    if (item == items_.end()) continue;
     out.list.push_back(std::make_unique<wire::EntryT>(item->second));
     sent.emplace_back(key.first, item->second.stamp);
     key.second.flown = true;
     if (sent.size() >= 256) break;
   }
   if (sent.empty()) return out;
-  out.batch = ++next;
+  out.batch = ++next_;
   // Only the latest few batches can still be acked; older ones are resent with a number of their own.
   while (spot->second.flying.size() >= 8) spot->second.flying.erase(spot->second.flying.begin());
   spot->second.flying[out.batch] = std::move(sent);
@@ -93,8 +93,8 @@
 }
 
 void Ledger::acked(std::string const& peer, std::uint64_t batch) {
-  std::map<std::string, Debt>::iterator const spot = owed.find(peer);
-  if (spot == owed.end()) return;
+  std::map<std::string, Debt>::iterator const spot = owed_.find(peer);
+  if (spot == owed_.end()) return;
   Debt& debt = spot->second;
   std::map<std::uint64_t, std::vector<std::pair<std::string, std::uint64_t>>>::iterator const fly =
       debt.flying.find(batch);
@@ -107,23 +107,23 @@
 }
 
 bool Ledger::told(std::string const& peer, std::string const& key) const {
-  std::map<std::string, Debt>::const_iterator const spot = owed.find(peer);
-  return spot != owed.end() && items.count(key) > 0 && spot->second.keys.count(key) == 0;
+  std::map<std::string, Debt>::const_iterator const spot = owed_.find(peer);
+  return spot != owed_.end() && items_.count(key) > 0 && spot->second.keys.count(key) == 0;
 }
 
 std::uint64_t Ledger::digest() const {
   std::uint64_t out = 0;
-  for (std::pair<std::string const, wire::EntryT> const& item : items)
-    if (!gone_at.count(item.first))
+  for (std::pair<std::string const, wire::EntryT> const& item : items_)
+    if (!gone_at_.count(item.first))
       out ^= hash_text(item.first, hash_bits(item.second.stamp ^ hash_text(item.second.owner)));
   return out;
 }
 
 void Ledger::forget(Micros now, Micros age) {
-  for (std::map<std::string, Micros>::iterator it = gone_at.begin(); it != gone_at.end();) {
+  for (std::map<std::string, Micros>::iterator it = gone_at_.begin(); it != gone_at_.end();) {
     if (now - it->second > age) {
-      items.erase(it->first);
-      it = gone_at.erase(it);
+      items_.erase(it->first);
+      it = gone_at_.erase(it);
     } else {
       ++it;
     }
--- a/src/mesh/ledger/ledger.h
+++ b/src/mesh/ledger/ledger.h
@@ -18,7 +18,7 @@
 
 class Ledger {
  public:
-  explicit Ledger(std::string self_) : self(std::move(self_)) {}
+  explicit Ledger(std::string self) : self_(std::move(self)) {}
 
   // Writes an entry that this node took; true when it said something new.
   bool put(wire::EntryT item, Micros now);
@@ -29,8 +29,8 @@
   // A wire to the peer opened, and others tell it the rest: it is owed what this node said itself.
   void owe_own(std::string const& peer);
   // A wire opened to a peer that holds the same already: it is owed what changes from now on.
-  void meet(std::string const& peer) { owed[peer]; }
-  void drop(std::string const& peer) { owed.erase(peer); }
+  void meet(std::string const& peer) { owed_[peer]; }
+  void drop(std::string const& peer) { owed_.erase(peer); }
   // The next batch for the peer: what was never sent to it, and with 'again' also what it has not acked.
   wire::EntriesT batch(std::string const& peer, bool again);
   void acked(std::string const& peer, std::uint64_t batch);
@@ -43,7 +43,7 @@
   bool passes_on = true;
   std::set<std::string> pass_to;  // but to these, where it does not pass on to everybody
 
-  std::map<std::string, wire::EntryT> const& all() const { return items; }
+  std::map<std::string, wire::EntryT> const& all() const { return items_; }
 
  private:
   struct Owed {
@@ -56,12 +56,12 @@
   };
   void owe(std::string const& but, std::string const& key, std::uint64_t stamp);
 
-  std::string const self;
-  std::uint64_t clock = 0;
-  std::uint64_t next = 0;
-  std::map<std::string, wire::EntryT> items;
-  std::map<std::string, Micros> gone_at;
-  std::map<std::string, Debt> owed;
+  std::string const self_;
+  std::uint64_t clock_ = 0;
+  std::uint64_t next_ = 0;
+  std::map<std::string, wire::EntryT> items_;
+  std::map<std::string, Micros> gone_at_;
+  std::map<std::string, Debt> owed_;
 };
 
 }  // namespace pipit
--- a/src/mesh/members/member_table.h
+++ b/src/mesh/members/member_table.h
@@ -34,7 +34,7 @@
 
 class MemberTable {
  public:
-  explicit MemberTable(wire::MemberT self_) : self(std::move(self_)) {}
+  explicit MemberTable(wire::MemberT self) : self(std::move(self)) {}
 
   enum class News { none, fresh, refuted };
   // Takes one record of a table; says whether it changed anything here.
--- a/src/mesh/mesh.cc
+++ b/src/mesh/mesh.cc
@@ -11,10 +11,10 @@
 constexpr std::uint64_t whole_table = 16;  // one in so many tables of pings and answers is whole
 }  // namespace
 
-Mesh::Mesh(MeshPlan plan_, wire::MemberT const& self, std::uint64_t seed)
-    : members(self), ledger(self.name), plan(std::move(plan_)), random(seed) {
-  for (std::string const& address : plan.seeds)
-    if (address != self.address) seeds.push_back({address, 0, 0, false});
+Mesh::Mesh(MeshPlan plan, wire::MemberT const& self, std::uint64_t seed)
+    : members(self), ledger(self.name), plan_(std::move(plan)), random_(seed) {
+  for (std::string const& address : plan_.seeds)
+    if (address != self.address) seeds_.push_back({address, 0, 0, false});
 }
 
 void Mesh::reseed(std::vector<std::string> const& addresses) {
@@ -22,11 +22,11 @@
   for (std::string const& address : addresses) {
     if (address == members.self.address) continue;
     Seed made{address, 0, 0, false};
-    for (Seed const& old : seeds)
+    for (Seed const& old : seeds_)
       if (old.address == address) made = old;
     fresh.push_back(std::move(made));
   }
-  seeds = std::move(fresh);
+  seeds_ = std::move(fresh);
 }
 
 void Mesh::announce_self(Sends& out) {
@@ -54,12 +54,12 @@
   if (!wide()) return announce_member(member, out);
   int rounds = 3;
   for (std::size_t n = members.peers.size(); n > 0; n >>= 1) rounds += 3;
-  rumoured[member.name] = rounds;
+  rumoured_[member.name] = rounds;
   std::vector<std::string> hands;
   for (std::pair<std::string const, Peer> const& item : members.peers)
     if (item.second.wire != 0 && item.first != member.name) hands.push_back(item.first);
-  for (std::size_t n = 0; n < plan.told && !hands.empty(); ++n) {
-    std::size_t const pick = random.below(hands.size());
+  for (std::size_t n = 0; n < plan_.told && !hands.empty(); ++n) {
+    std::size_t const pick = random_.below(hands.size());
     wire::NewsT news;
     news.table.push_back(std::make_unique<wire::MemberT>(member));
     post(hands[pick], std::move(news), out);
@@ -71,10 +71,10 @@
 // What goes along with a ping or its answer.
 std::vector<std::unique_ptr<wire::MemberT>> Mesh::rumours() {
   std::vector<std::unique_ptr<wire::MemberT>> out;
-  for (std::map<std::string, int>::iterator it = rumoured.begin(); it != rumoured.end() && out.size() < 12;) {
+  for (std::map<std::string, int>::iterator it = rumoured_.begin(); it != rumoured_.end() && out.size() < 12;) {
     std::map<std::string, Peer>::const_iterator const peer = members.peers.find(it->first);
     if (peer != members.peers.end()) out.push_back(std::make_unique<wire::MemberT>(peer->second.member));
-    it = peer == members.peers.end() || --it->second <= 0 ? rumoured.erase(it) : std::next(it);
+    it = peer == members.peers.end() || --it->second <= 0 ? rumoured_.erase(it) : std::next(it);
   }
   return out;
 }
@@ -96,7 +96,7 @@
 }
 
 void Mesh::repair_ledger(std::string const& name, std::uint64_t theirs, Micros now, Sends& out) {
-  if (!wide() || !ledger_repair.due(ledger.digest(), theirs, now)) return;
+  if (!wide() || !ledger_repair_.due(ledger.digest(), theirs, now)) return;
   ledger.owe_all(name);
   wire::EntriesT batch = ledger.batch(name, false);
   if (!batch.list.empty()) post(name, std::move(batch), out);
@@ -119,8 +119,8 @@
 }
 
 std::string Mesh::zone_of(WireId id) const {
-  std::map<WireId, Connection>::const_iterator const wire = connections.find(id);
-  if (wire == connections.end()) return "";
+  std::map<WireId, Connection>::const_iterator const wire = connections_.find(id);
+  if (wire == connections_.end()) return "";
   std::map<std::string, Peer>::const_iterator const peer = members.peers.find(wire->second.peer);
   return peer == members.peers.end() ? "" : peer->second.member.zone;
 }
@@ -129,8 +129,8 @@
   std::vector<Micros> heard{now};
   for (std::pair<std::string const, Peer> const& item : members.peers) {
     if (gone(item.first)) continue;
-    std::map<WireId, Connection>::const_iterator const wire = connections.find(item.second.wire);
-    heard.push_back(item.second.wire == 0 || wire == connections.end() ? -1 : wire->second.heard);
+    std::map<WireId, Connection>::const_iterator const wire = connections_.find(item.second.wire);
+    heard.push_back(item.second.wire == 0 || wire == connections_.end() ? -1 : wire->second.heard);
   }
   std::sort(heard.rbegin(), heard.rend());
   return heard[(heard.size() + 1) / 2 - 1];
@@ -139,9 +139,9 @@
 std::vector<std::unique_ptr<wire::MemberT>> Mesh::table_for(WireId id, bool whole) {
   // A wire keeps its order and loses nothing, so what was told on it need not be told again; the whole table once in
   // a while repairs what a peer has dropped since (§3.3).
-  std::map<WireId, Connection>::iterator const wire = connections.find(id);
-  if (wire == connections.end()) return members.table();
-  std::uint64_t const since = whole || ++tables % whole_table == 0 ? 0 : wire->second.told;
+  std::map<WireId, Connection>::iterator const wire = connections_.find(id);
+  if (wire == connections_.end()) return members.table();
+  std::uint64_t const since = whole || ++tables_ % whole_table == 0 ? 0 : wire->second.told;
   wire->second.told = members.version;
   return members.table(since);
 }
@@ -163,9 +163,9 @@
     if (news == MemberTable::News::refuted) announce_member(members.self, out);
     // A peer that lives anew cannot have the wire of its former life.
     if (news != MemberTable::News::fresh) continue;
-    if (wide() && table.size() <= 12) rumoured[item->name] = 6;
+    if (wide() && table.size() <= 12) rumoured_[item->name] = 6;
     std::map<std::string, Peer>::const_iterator const who = members.peers.find(item->name);
-    if (who != members.peers.end() && who->second.wire != 0 && connections[who->second.wire].life < item->incarnation)
+    if (who != members.peers.end() && who->second.wire != 0 && connections_[who->second.wire].life < item->incarnation)
       drop(who->second.wire, now, out);
   }
 }
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -28,7 +28,7 @@
 
 class Mesh {
  public:
-  Mesh(MeshPlan plan_, wire::MemberT const& self, std::uint64_t seed);
+  Mesh(MeshPlan plan, wire::MemberT const& self, std::uint64_t seed);
 
   void tick(Micros now, Sends& out);
   void opened(WireId id, bool outbound, std::string const& address, Micros now, Sends& out);
@@ -56,7 +56,7 @@
   void reseed(std::vector<std::string> const& addresses);
 
   // More members than can all be told everything by everybody (§3.6).
-  bool wide() const { return members.peers.size() >= plan.wide; }
+  bool wide() const { return members.peers.size() >= plan_.wide; }
 
   // Whether a member cannot be serving: it left, or its address refuses a dial (§5.5).
   bool gone(std::string const& name) const;
@@ -71,7 +71,7 @@
   Ledger ledger;
   std::vector<std::string> fresh;  // keys of entries that peers brought since the core last looked
   std::uint64_t frames_in = 0;
-  std::uint64_t wires_open() const { return connections.size(); }
+  std::uint64_t wires_open() const { return connections_.size(); }
 
  private:
   struct Connection {
@@ -123,16 +123,16 @@
   void unbind(WireId id, Micros now);
   void drop(WireId id, Micros now, Sends& out);
 
-  MeshPlan const plan;
-  RandomSource random;
-  Micros next_round = 0;
-  std::uint64_t rounds = 0;
-  std::uint64_t next_seq = 0;
-  std::uint64_t tables = 0;  // that pings and their answers took along
-  std::map<WireId, Connection> connections;
-  std::map<std::uint64_t, Probe> probes;
-  std::map<std::uint64_t, Relay> relays;
-  std::vector<Seed> seeds;
+  MeshPlan const plan_;
+  RandomSource random_;
+  Micros next_round_ = 0;
+  std::uint64_t rounds_ = 0;
+  std::uint64_t next_seq_ = 0;
+  std::uint64_t tables_ = 0;  // that pings and their answers took along
+  std::map<WireId, Connection> connections_;
+  std::map<std::uint64_t, Probe> probes_;
+  std::map<std::uint64_t, Relay> relays_;
+  std::vector<Seed> seeds_;
   // A repair that compares everything, by whole tables or ledgers: rare, and not while changes are on their way.
   struct Repair {
     std::uint64_t digest = 0;
@@ -140,10 +140,10 @@
     Micros last = -seconds(60);
     bool due(std::uint64_t own, std::uint64_t theirs, Micros now);
   };
-  Repair table_repair;
-  Repair ledger_repair;
+  Repair table_repair_;
+  Repair ledger_repair_;
   void repair_ledger(std::string const& name, std::uint64_t theirs, Micros now, Sends& out);
-  std::map<std::string, int> rumoured;  // members of whom something is new, with how often it is still told
+  std::map<std::string, int> rumoured_;  // members of whom something is new, with how often it is still told
 };
 
 }  // namespace pipit
--- a/src/mesh/mesh_connections.cc
+++ b/src/mesh/mesh_connections.cc
@@ -8,9 +8,9 @@
 namespace pipit {
 
 void Mesh::opened(WireId id, bool outbound, std::string const& address, Micros now, Sends& out) {
-  connections[id] = Connection{"", outbound, address, now, now, 0};
+  connections_[id] = Connection{"", outbound, address, now, now, 0};
   if (outbound) {
-    for (Seed& seed : seeds)
+    for (Seed& seed : seeds_)
       if (seed.address == address) seed.dialling = false;
     for (std::pair<std::string const, Peer>& item : members.peers)
       if (item.second.member.address == address) item.second.dialling = false;
@@ -18,7 +18,7 @@
   wire::HelloT hello;
   hello.digest = members.digest();
   hello.ledger = ledger.digest();
-  hello.cluster = plan.cluster;
+  hello.cluster = plan_.cluster;
   hello.format = frame_format;
   hello.members = static_cast<std::uint32_t>(members.peers.size());
   hello.entries = static_cast<std::uint32_t>(ledger.all().size());
@@ -27,16 +27,16 @@
 }
 
 void Mesh::unbind(WireId id, Micros now) {
-  std::map<WireId, Connection>::iterator const spot = connections.find(id);
-  if (spot == connections.end()) return;
+  std::map<WireId, Connection>::iterator const spot = connections_.find(id);
+  if (spot == connections_.end()) return;
   std::string const name = spot->second.peer;
-  connections.erase(spot);
+  connections_.erase(spot);
   if (name.empty()) return;
   log_event(Event::wire_shut, name);
   std::map<std::string, Peer>::iterator const who = members.peers.find(name);
   if (who == members.peers.end() || who->second.wire != id) return;
   who->second.wire = 0;
-  for (std::pair<WireId const, Connection> const& item : connections)
+  for (std::pair<WireId const, Connection> const& item : connections_)
     if (item.second.peer == name) who->second.wire = item.first;
   if (who->second.wire != 0) return;
   who->second.bare_since = now;
@@ -51,8 +51,8 @@
 }
 
 void Mesh::shut(WireId id, Micros now, Sends& out) {
-  std::map<WireId, Connection>::const_iterator const spot = connections.find(id);
-  if (spot == connections.end()) return;
+  std::map<WireId, Connection>::const_iterator const spot = connections_.find(id);
+  if (spot == connections_.end()) return;
   std::string const name = spot->second.peer;
   unbind(id, now);
   std::map<std::string, Peer>::iterator const who = members.peers.find(name);
@@ -62,7 +62,7 @@
 }
 
 void Mesh::dial_failed(std::string const& address, bool refused, Micros now, Sends& out) {
-  for (Seed& seed : seeds)
+  for (Seed& seed : seeds_)
     if (seed.address == address) seed.dialling = false;
   for (std::pair<std::string const, Peer>& item : members.peers) {
     Peer& peer = item.second;
@@ -72,22 +72,22 @@
     peer.refuse(refused, now);
     // A refusal is proof that no process is there: the probe need not run out its time.
     if (refused && (peer.state() == State::alive || peer.state() == State::suspected)) {
-      for (std::map<std::uint64_t, Probe>::iterator it = probes.begin(); it != probes.end();)
-        it = it->second.peer == item.first ? probes.erase(it) : std::next(it);
+      for (std::map<std::uint64_t, Probe>::iterator it = probes_.begin(); it != probes_.end();)
+        it = it->second.peer == item.first ? probes_.erase(it) : std::next(it);
       probe_failed(item.first, now, out);
     }
   }
 }
 
 Micros Mesh::knock_span() const {
-  return wide() ? std::max(plan.knock_most, static_cast<Micros>(members.peers.size()) * millis(50)) : plan.knock_most;
+  return wide() ? std::max(plan_.knock_most, static_cast<Micros>(members.peers.size()) * millis(50)) : plan_.knock_most;
 }
 
 void Mesh::dial(Peer& peer, Micros now, Sends& out) {
   if (peer.dialling || peer.wire != 0 || now < peer.next_dial) return;
-  for (Seed const& seed : seeds)
+  for (Seed const& seed : seeds_)
     if (seed.dialling && seed.address == peer.member.address) return;
-  peer.pause = std::clamp(peer.pause * 2, plan.knock, std::max(plan.knock, knock_span()));
+  peer.pause = std::clamp(peer.pause * 2, plan_.knock, std::max(plan_.knock, knock_span()));
   peer.next_dial = now + peer.pause;
   // An entry machine was exchanged: another name answers at this address, so this one is no more (§3.3).
   for (std::pair<std::string const, Peer> const& item : members.peers)
@@ -105,19 +105,19 @@
     if (peer.wire != 0 || peer.state() == State::leaving) continue;
     if (peer.state() == State::down && !guard(Guard::redial)) continue;
     // §3.2: the name that sorts first opens the pair's wire; the other steps in when none has come.
-    if (members.self.name < item.first || now - peer.bare_since > plan.round) dial(peer, now, out);
+    if (members.self.name < item.first || now - peer.bare_since > plan_.round) dial(peer, now, out);
   }
-  for (Seed& seed : seeds) {
+  for (Seed& seed : seeds_) {
     if (seed.dialling || now < seed.next_dial || (seed.pause > 0 && !guard(Guard::redial))) continue;
     bool known = false;
     for (std::pair<std::string const, Peer> const& item : members.peers)
       if (item.second.member.address == seed.address && item.second.state() != State::leaving) known = true;
-    for (std::pair<WireId const, Connection> const& item : connections)
+    for (std::pair<WireId const, Connection> const& item : connections_)
       if (item.second.outbound && item.second.address == seed.address) known = true;
     for (std::pair<std::string const, Peer> const& item : members.peers)
       if (item.second.dialling && item.second.member.address == seed.address) known = true;
     if (known) continue;
-    seed.pause = std::clamp(seed.pause * 2, plan.knock, plan.knock_most);
+    seed.pause = std::clamp(seed.pause * 2, plan_.knock, plan_.knock_most);
     seed.next_dial = now + seed.pause;
     seed.dialling = true;
     out.dials.push_back(seed.address);
@@ -130,15 +130,15 @@
     drop(id, now, out);
     return;
   }
-  if (hello.cluster != plan.cluster || !hello.self || hello.self->name.empty() ||
+  if (hello.cluster != plan_.cluster || !hello.self || hello.self->name.empty() ||
       hello.self->name == members.self.name) {
     log_event(Event::wire_foreign, hello.cluster);
     drop(id, now, out);
     return;
   }
   std::string const& name = hello.self->name;
-  connections[id].peer = name;
-  connections[id].life = hello.self->incarnation;
+  connections_[id].peer = name;
+  connections_[id].life = hello.self->incarnation;
   members.unstrike(name);
   if (members.merge(*hello.self, now) == MemberTable::News::fresh) find_member(*hello.self, out);
   Peer& peer = members.peers.at(name);
@@ -146,25 +146,25 @@
   if (peer.wire != 0 && peer.wire != id) {
     // §3.2: of two wires the one stays that the name sorting first opened. Of two by the same opener only the
     // opener ends one: the two sides may have seen them in different orders.
-    bool const old_mine = connections[peer.wire].outbound;
-    bool const new_mine = connections[id].outbound;
+    bool const old_mine = connections_[peer.wire].outbound;
+    bool const new_mine = connections_[id].outbound;
     bool const self_first = members.self.name < name;
     // A peer dials only when it has no wire. So an older one is a remnant, of a former life or of a cut, unless
     // both sides dialled in the same moment.
     bool const remnant =
-        connections[peer.wire].life != hello.self->incarnation || now - connections[peer.wire].opened > plan.round;
+        connections_[peer.wire].life != hello.self->incarnation || now - connections_[peer.wire].opened > plan_.round;
     if (remnant) {
       out.shuts.push_back(peer.wire);
-      connections.erase(peer.wire);
+      connections_.erase(peer.wire);
     } else if (old_mine == new_mine) {
       if (new_mine) {
         out.shuts.push_back(peer.wire);
-        connections.erase(peer.wire);
+        connections_.erase(peer.wire);
       }
     } else {
       WireId const loser = old_mine == self_first ? id : peer.wire;
       out.shuts.push_back(loser);
-      connections.erase(loser);
+      connections_.erase(loser);
       if (loser == id) return;
     }
   } else {
@@ -173,8 +173,8 @@
   peer.wire = id;
   peer.pause = 0;
   // The greeting answers a probe that was waiting for a wire.
-  for (std::map<std::uint64_t, Probe>::iterator it = probes.begin(); it != probes.end();)
-    it = it->second.peer == name ? probes.erase(it) : std::next(it);
+  for (std::map<std::uint64_t, Probe>::iterator it = probes_.begin(); it != probes_.end();)
+    it = it->second.peer == name ? probes_.erase(it) : std::next(it);
   ledger.meet(name);
   owe_entries(name, hello);
   tell_met(id, name, hello, out);
--- a/src/mesh/mesh_frames.cc
+++ b/src/mesh/mesh_frames.cc
@@ -7,8 +7,8 @@
 namespace pipit {
 
 std::string Mesh::frame(WireId id, wire::FrameT& frame, Micros now, Sends& out) {
-  std::map<WireId, Connection>::iterator const spot = connections.find(id);
-  if (spot == connections.end()) return "";
+  std::map<WireId, Connection>::iterator const spot = connections_.find(id);
+  if (spot == connections_.end()) return "";
   ++frames_in;
   spot->second.heard = now;
   if (wire::HelloT const* const hello = frame.body.AsHello()) {
@@ -34,7 +34,7 @@
       pong.serial = members.self.serial;
       pong.ready = members.self.ready;
       // §3.6: whoever knows something else is told everything, and answers with what it knows besides.
-      pong.whole = !wide() || table_repair.due(pong.digest, ping.digest, now);
+      pong.whole = !wide() || table_repair_.due(pong.digest, ping.digest, now);
       pong.table = !wide() ? table_for(id, false) : pong.whole ? members.table() : rumours();
       repair_ledger(name, ping.ledger, now, out);
       out.sends.push_back({id, encode_body(std::move(pong))});
@@ -51,15 +51,15 @@
       }
       repair_ledger(name, pong.ledger, now, out);
       probe_done(pong.seq, now);
-      std::map<std::uint64_t, Relay>::iterator const relay = relays.find(pong.seq);
-      if (relay != relays.end()) {
+      std::map<std::uint64_t, Relay>::iterator const relay = relays_.find(pong.seq);
+      if (relay != relays_.end()) {
         wire::PingResT res;
         res.seq = relay->second.seq;
         res.target = name;
         res.ok = true;
-        if (connections.count(relay->second.asker))
+        if (connections_.count(relay->second.asker))
           out.sends.push_back({relay->second.asker, encode_body(std::move(res))});
-        relays.erase(relay);
+        relays_.erase(relay);
       }
       return "";
     }
@@ -67,7 +67,7 @@
       wire::PingReqT const& req = *frame.body.AsPingReq();
       std::map<std::string, Peer>::const_iterator const target = members.peers.find(req.target);
       if (target == members.peers.end() || target->second.wire == 0) return "";
-      std::uint64_t const seq = ++next_seq;
+      std::uint64_t const seq = ++next_seq_;
       wire::PingT ping;
       ping.seq = seq;
       ping.table = wide() ? rumours() : table_for(target->second.wire, false);
@@ -76,7 +76,7 @@
       ping.revision = members.self.revision;
       ping.serial = members.self.serial;
       ping.ready = members.self.ready;
-      if (post(req.target, std::move(ping), out)) relays[seq] = Relay{id, req.seq, now + plan.probe};
+      if (post(req.target, std::move(ping), out)) relays_[seq] = Relay{id, req.seq, now + plan_.probe};
       return "";
     }
     case wire::Body::PingRes: {
--- a/src/mesh/mesh_probes.cc
+++ b/src/mesh/mesh_probes.cc
@@ -12,14 +12,14 @@
 
 // Every pair's silence looked into by turns, not all pairs each second.
 Micros Mesh::quiet_span() const {
-  return wide() ? std::max(plan.quiet, static_cast<Micros>(members.peers.size()) * millis(200)) : plan.quiet;
+  return wide() ? std::max(plan_.quiet, static_cast<Micros>(members.peers.size()) * millis(200)) : plan_.quiet;
 }
 
 void Mesh::probe(Peer& peer, Micros now, Sends& out) {
-  for (std::pair<std::uint64_t const, Probe> const& item : probes)
+  for (std::pair<std::uint64_t const, Probe> const& item : probes_)
     if (item.second.peer == peer.member.name) return;
-  std::uint64_t const seq = ++next_seq;
-  probes[seq] = Probe{peer.member.name, false, now + plan.probe};
+  std::uint64_t const seq = ++next_seq_;
+  probes_[seq] = Probe{peer.member.name, false, now + plan_.probe};
   if (peer.wire == 0) {
     dial(peer, now, out);
     return;
@@ -36,11 +36,11 @@
 }
 
 void Mesh::probe_done(std::uint64_t seq, Micros now) {
-  std::map<std::uint64_t, Probe>::iterator const spot = probes.find(seq);
-  if (spot == probes.end()) return;
+  std::map<std::uint64_t, Probe>::iterator const spot = probes_.find(seq);
+  if (spot == probes_.end()) return;
   std::map<std::string, Peer>::iterator const who = members.peers.find(spot->second.peer);
   if (who != members.peers.end()) who->second.refuse(false, now);
-  probes.erase(spot);
+  probes_.erase(spot);
 }
 
 void Mesh::probe_failed(std::string const& name, Micros now, Sends& out) {
@@ -66,7 +66,7 @@
       helpers.push_back(item.first);
   int asked = 0;
   while (!helpers.empty() && asked < indirect_probes) {
-    std::size_t const pick = random.below(helpers.size());
+    std::size_t const pick = random_.below(helpers.size());
     wire::PingReqT req;
     req.seq = seq;
     req.target = name;
@@ -79,7 +79,7 @@
 
 // Probes that were not answered in time: a direct one is repeated through others, an indirect one has failed.
 void Mesh::end_overdue_probes(Micros now, Sends& out) {
-  for (std::map<std::uint64_t, Probe>::iterator it = probes.begin(); it != probes.end();) {
+  for (std::map<std::uint64_t, Probe>::iterator it = probes_.begin(); it != probes_.end();) {
     if (now < it->second.due) {
       ++it;
       continue;
@@ -87,41 +87,42 @@
     std::string const name = it->second.peer;
     if (!it->second.indirect) {
       it->second.indirect = true;
-      it->second.due = now + plan.probe;
+      it->second.due = now + plan_.probe;
       // §3.4: a wire that stayed silent through a direct probe is given up and dialled anew, while others ask too.
       std::map<std::string, Peer>::const_iterator const who = members.peers.find(name);
-      if (who != members.peers.end() && who->second.wire != 0 && now - connections[who->second.wire].heard > plan.quiet)
+      if (who != members.peers.end() && who->second.wire != 0 &&
+          now - connections_[who->second.wire].heard > plan_.quiet)
         drop(who->second.wire, now, out);
       if (probe_through_others(name, it->first, out)) {
         ++it;
         continue;
       }
     }
-    it = probes.erase(it);
+    it = probes_.erase(it);
     probe_failed(name, now, out);
   }
-  for (std::map<std::uint64_t, Relay>::iterator it = relays.begin(); it != relays.end();)
-    it = now >= it->second.due ? relays.erase(it) : std::next(it);
+  for (std::map<std::uint64_t, Relay>::iterator it = relays_.begin(); it != relays_.end();)
+    it = now >= it->second.due ? relays_.erase(it) : std::next(it);
 }
 
 // One round: a probe of one member by chance and of each suspected one, entries sent again, and old things forgotten.
 void Mesh::run_round(Micros now, Sends& out) {
-  next_round = now + plan.round;
+  next_round_ = now + plan_.round;
   std::vector<Peer*> alive;
   for (std::pair<std::string const, Peer>& item : members.peers) {
     State const state = item.second.state();
     if (state == State::alive) alive.push_back(&item.second);
     if (state == State::suspected) probe(item.second, now, out);
   }
-  if (!alive.empty()) probe(*alive[random.below(alive.size())], now, out);
+  if (!alive.empty()) probe(*alive[random_.below(alive.size())], now, out);
   // What was not acked within a round goes again; where many are told, after three.
-  if (!wide() || ++rounds % 3 == 0) flush_entries(out, true);
-  members.forget(now, plan.forget);
-  ledger.forget(now, plan.forget);
+  if (!wide() || ++rounds_ % 3 == 0) flush_entries(out, true);
+  members.forget(now, plan_.forget);
+  ledger.forget(now, plan_.forget);
   std::vector<WireId> stale;
-  for (std::pair<WireId const, Connection> const& item : connections) {
+  for (std::pair<WireId const, Connection> const& item : connections_) {
     bool const mute = item.second.peer.empty() && now - item.second.opened > seconds(5);
-    if (mute || now - item.second.heard > plan.idle) stale.push_back(item.first);
+    if (mute || now - item.second.heard > plan_.idle) stale.push_back(item.first);
   }
   for (WireId const id : stale) drop(id, now, out);
 }
@@ -131,9 +132,9 @@
   Micros const quiet = quiet_span();
   for (std::pair<std::string const, Peer>& item : members.peers)
     if (item.second.wire != 0 && item.second.state() == State::alive &&
-        now - connections[item.second.wire].heard > quiet)
+        now - connections_[item.second.wire].heard > quiet)
       probe(item.second, now, out);
-  if (now >= next_round) run_round(now, out);
+  if (now >= next_round_) run_round(now, out);
   dials(now, out);
 }
 
--- a/src/runtime/disk/disk_task.cc
+++ b/src/runtime/disk/disk_task.cc
@@ -39,12 +39,12 @@
 
 bool PosixDisk::exists(std::string const& name) {
   struct stat info;
-  return ::stat((folder + "/" + name).c_str(), &info) == 0;
+  return ::stat((folder_ + "/" + name).c_str(), &info) == 0;
 }
 
 Result<void> PosixDisk::lock() {
   // Held for the life of the process: two keepers never share a folder.
-  int const fd = ::open((folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
+  int const fd = ::open((folder_ + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
   if (fd < 0) return fail(Kind::bad_disk, why("cannot open", "lock"));
   if (::flock(fd, LOCK_EX | LOCK_NB) != 0) {
     ::close(fd);
@@ -54,7 +54,7 @@
 }
 
 Result<std::string> PosixDisk::read(std::string const& name) {
-  Handle const file{::open((folder + "/" + name).c_str(), O_RDONLY | O_CLOEXEC)};
+  Handle const file{::open((folder_ + "/" + name).c_str(), O_RDONLY | O_CLOEXEC)};
   if (file.fd < 0) return fail(Kind::bad_disk, why("cannot open", name));
   struct stat info;
   if (::fstat(file.fd, &info) != 0) return fail(Kind::bad_disk, why("cannot look at", name));
@@ -72,7 +72,7 @@
 Result<void> PosixDisk::write(std::string const& name, std::string const& bytes) {
   if (fires(Point::end_before_sync)) ::_exit(41);
   if (fires(Point::disk_slow)) g_usleep(static_cast<gulong>(std::stoll("0" + fault_arg(Point::disk_slow)) * 1000));
-  Handle const file{::open((folder + "/" + name).c_str(), O_WRONLY | O_CLOEXEC)};
+  Handle const file{::open((folder_ + "/" + name).c_str(), O_WRONLY | O_CLOEXEC)};
   if (file.fd < 0) return fail(Kind::bad_disk, why("cannot open", name));
   if (fires(Point::disk_full)) {
     errno = ENOSPC;
@@ -94,13 +94,13 @@
 }
 
 Result<void> PosixDisk::sync_folder() {
-  Handle const dir{::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)};
-  if (dir.fd < 0 || ::fsync(dir.fd) != 0) return fail(Kind::bad_disk, why("cannot sync", folder));
+  Handle const dir{::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)};
+  if (dir.fd < 0 || ::fsync(dir.fd) != 0) return fail(Kind::bad_disk, why("cannot sync", folder_));
   return boost::outcome_v2::success();
 }
 
 Result<void> PosixDisk::allocate(std::string const& name, std::size_t size) {
-  Handle const file{::open((folder + "/" + name).c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0644)};
+  Handle const file{::open((folder_ + "/" + name).c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0644)};
   if (file.fd < 0) return fail(Kind::bad_disk, why("cannot make", name));
   // Small files are written out: what is written is there, on any disk. Large ones are reserved where the disk can, for
   // writing them takes a busy disk seconds.
@@ -116,38 +116,38 @@
   return sync_folder();
 }
 
-DiskTask::DiskTask(std::unique_ptr<PosixDisk> disk_, std::unique_ptr<RecordStore> store_,
-                   std::function<void(bool, std::string)> done_, bool patient_)
-    : disk(std::move(disk_)),
-      store(std::move(store_)),
-      done(std::move(done_)),
-      patient(patient_),
-      backlog(g_async_queue_new()),
-      thread([this] { run(); }) {}
+DiskTask::DiskTask(std::unique_ptr<PosixDisk> disk, std::unique_ptr<RecordStore> store,
+                   std::function<void(bool, std::string)> done, bool patient)
+    : disk_(std::move(disk)),
+      store_(std::move(store)),
+      done_(std::move(done)),
+      patient_(patient),
+      backlog_(g_async_queue_new()),
+      thread_([this] { run(); }) {}
 
 DiskTask::~DiskTask() {
   // NOLINTNEXTLINE(bugprone-unhandled-exception-at-new): without memory the process ends either way.
-  g_async_queue_push(backlog, new Job{{}, true});
-  thread.join();
-  g_async_queue_unref(backlog);
+  g_async_queue_push(backlog_, new Job{{}, true});
+  thread_.join();
+  g_async_queue_unref(backlog_);
 }
 
-void DiskTask::save(wire::RecordT record) { g_async_queue_push(backlog, new Job{std::move(record), false}); }
+void DiskTask::save(wire::RecordT record) { g_async_queue_push(backlog_, new Job{std::move(record), false}); }
 
 void DiskTask::run() {
   while (true) {
-    std::unique_ptr<Job> const job(static_cast<Job*>(g_async_queue_pop(backlog)));
+    std::unique_ptr<Job> const job(static_cast<Job*>(g_async_queue_pop(backlog_)));
     if (job->last) return;
-    Result<void> saved = store->save(job->record);
+    Result<void> saved = store_->save(job->record);
     // §5.6: nobody was answered for it yet, and a record is always written whole to files that hold no newer one, so
     // trying again is as safe as the first try. Told once, not each time.
-    for (int tries = 0; !saved && patient; ++tries) {
+    for (int tries = 0; !saved && patient_; ++tries) {
       if (tries == 0) log_event(Event::disk_waits, saved.error().why);
       g_usleep(100000);
-      saved = store->save(job->record);
+      saved = store_->save(job->record);
     }
     if (saved && fires(Point::end_after_sync)) ::_exit(43);
-    Done* const word = new Done{done, static_cast<bool>(saved), saved ? "" : saved.error().why};
+    Done* const word = new Done{done_, static_cast<bool>(saved), saved ? "" : saved.error().why};
     g_idle_add_full(
         G_PRIORITY_HIGH,
         [](gpointer data) -> gboolean {
--- a/src/runtime/disk/disk_task.h
+++ b/src/runtime/disk/disk_task.h
@@ -13,7 +13,7 @@
 
 class PosixDisk : public Disk {
  public:
-  explicit PosixDisk(std::string folder_) : folder(std::move(folder_)) {}
+  explicit PosixDisk(std::string folder) : folder_(std::move(folder)) {}
   bool exists(std::string const& name) override;
   Result<std::string> read(std::string const& name) override;
   Result<void> write(std::string const& name, std::string const& bytes) override;
@@ -22,24 +22,24 @@
 
  private:
   Result<void> sync_folder();
-  std::string const folder;
+  std::string const folder_;
 };
 
 class DiskTask {
  public:
-  DiskTask(std::unique_ptr<PosixDisk> disk_, std::unique_ptr<RecordStore> store_,
-           std::function<void(bool, std::string)> done_, bool patient_ = false);
+  DiskTask(std::unique_ptr<PosixDisk> disk, std::unique_ptr<RecordStore> store,
+           std::function<void(bool, std::string)> done, bool patient = false);
   ~DiskTask();
   void save(wire::RecordT record);
 
  private:
   void run();
-  std::unique_ptr<PosixDisk> disk;
-  std::unique_ptr<RecordStore> store;
-  std::function<void(bool, std::string)> done;
-  bool const patient;  // a record that the disk refused is written again, whole and to the next files, until it holds
-  GAsyncQueue* backlog;
-  std::thread thread;
+  std::unique_ptr<PosixDisk> disk_;
+  std::unique_ptr<RecordStore> store_;
+  std::function<void(bool, std::string)> done_;
+  bool const patient_;  // a record that the disk refused is written again, whole and to the next files, until it holds
+  GAsyncQueue* backlog_;
+  std::thread thread_;
 };
 
 }  // namespace pipit
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -19,138 +19,138 @@
 constexpr guint tick_ms = 25;
 }  // namespace
 
-Host::Host(Settings settings_, Role role_, std::optional<wire::RecordT> recovered, std::unique_ptr<PosixDisk> disk_,
+Host::Host(Settings settings, Role role, std::optional<wire::RecordT> recovered, std::unique_ptr<PosixDisk> disk,
            std::unique_ptr<RecordStore> store)
-    : settings(std::move(settings_)), role(role_), loop(g_main_loop_new(nullptr, FALSE)) {
+    : settings_(std::move(settings)), role_(role), loop_(g_main_loop_new(nullptr, FALSE)) {
   NodePlan plan;
-  plan.cluster = settings.cluster;
-  plan.name = settings.name;
-  plan.zone = settings.zone;
-  plan.address = settings.mesh;
-  plan.http = settings.http;
-  plan.role = role;
-  plan.seeds = settings.seeds;
-  plan.models = settings.models;
-  plan.founders = settings.founders;
+  plan.cluster = settings_.cluster;
+  plan.name = settings_.name;
+  plan.zone = settings_.zone;
+  plan.address = settings_.mesh;
+  plan.http = settings_.http;
+  plan.role = role_;
+  plan.seeds = settings_.seeds;
+  plan.models = settings_.models;
+  plan.founders = settings_.founders;
   plan.incarnation = static_cast<std::uint64_t>(g_get_real_time());
   plan.chance = random_seed();
-  node = std::make_unique<Node>(plan, now(), std::move(recovered));
+  node_ = std::make_unique<Node>(plan, now(), std::move(recovered));
 
   Connections::Callbacks we;
   we.opened = [this](WireId id, bool outbound, std::string const& address) {
     NodeOut out;
-    node->opened(id, outbound, address, now(), out);
+    node_->opened(id, outbound, address, now(), out);
     act(out);
   };
   we.shut = [this](WireId id) {
     NodeOut out;
-    connection_names.erase(id);
-    node->shut(id, now(), out);
+    connection_names_.erase(id);
+    node_->shut(id, now(), out);
     act(out);
   };
   we.failed = [this](std::string const& address, bool refused) {
     NodeOut out;
-    node->dial_failed(address, refused, now(), out);
+    node_->dial_failed(address, refused, now(), out);
     act(out);
   };
   we.frame = [this](WireId id, std::string_view frame) {
-    wire_bytes += frame.size();
-    if (settings.faults && dropped_in(id, frame)) return true;
+    wire_bytes_ += frame.size();
+    if (settings_.faults && dropped_in(id, frame)) return true;
     NodeOut out;
-    bool const good = node->bytes(id, frame, now(), out);
+    bool const good = node_->bytes(id, frame, now(), out);
     act(out);
     return good;
   };
-  connections = std::make_unique<Connections>(std::move(we));
+  connections_ = std::make_unique<Connections>(std::move(we));
 
   Legs::Callbacks le;
-  le.sent = [this](std::uint64_t id) { node->leg_sent(id); };
+  le.sent = [this](std::uint64_t id) { node_->leg_sent(id); };
   le.piece = [this](std::uint64_t id, std::string const& event) {
-    std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
-    if (spot == callers.end()) return;
+    std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(id);
+    if (spot == callers_.end()) return;
     if (!spot->second.begun) {
       spot->second.begun = true;
-      node->leg_began(id);
+      node_->leg_began(id);
     }
-    legs_with[spot->second.worker_zone] += event.size() + 2;
-    front->piece(id, event + "\n\n", {{"X-Request-Id", spot->second.id}});
+    legs_with_[spot->second.worker_zone] += event.size() + 2;
+    front_->piece(id, event + "\n\n", {{"X-Request-Id", spot->second.id}});
   };
   le.whole = [this](std::uint64_t id, std::string const& body) {
-    std::map<std::uint64_t, Caller>::iterator const spot = callers.find(id);
-    if (spot == callers.end()) return;
-    legs_with[spot->second.worker_zone] += body.size();
-    front->answer(id, 200, "application/json", body, {{"X-Request-Id", spot->second.id}});
+    std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(id);
+    if (spot == callers_.end()) return;
+    legs_with_[spot->second.worker_zone] += body.size();
+    front_->answer(id, 200, "application/json", body, {{"X-Request-Id", spot->second.id}});
   };
   le.ended = [this](std::uint64_t id, LegEnd end, std::string const& why, Micros back) {
-    if (end == LegEnd::done && callers.count(id)) {
-      if (callers[id].stream) {
-        front->piece(id, "data: [DONE]\n\n");
-        front->end(id);
+    if (end == LegEnd::done && callers_.count(id)) {
+      if (callers_[id].stream) {
+        front_->piece(id, "data: [DONE]\n\n");
+        front_->end(id);
       }
-      callers.erase(id);
+      callers_.erase(id);
     }
     NodeOut out;
-    node->leg_ended(id, end, why, back, now(), out);
+    node_->leg_ended(id, end, why, back, now(), out);
     act(out);
   };
-  legs = std::make_unique<Legs>(std::move(le));
+  legs_ = std::make_unique<Legs>(std::move(le));
 
   Front::Callbacks fe;
   fe.call = [this](Front::Call const& call) { on_call(call); };
   fe.gone = [this](std::uint64_t id) {
-    asked.erase(id);
-    if (callers.erase(id) == 0) return;
+    asked_.erase(id);
+    if (callers_.erase(id) == 0) return;
     NodeOut out;
-    node->hung_up(id, now(), out);
+    node_->hung_up(id, now(), out);
     act(out);
   };
-  front = std::make_unique<Front>(std::move(fe), std::max(settings.body, description_limit + 4096));
+  front_ = std::make_unique<Front>(std::move(fe), std::max(settings_.body, description_limit + 4096));
 
   if (store)
-    disk = std::make_unique<DiskTask>(std::move(disk_), std::move(store), [this](bool good, std::string const& why) {
+    disk_ = std::make_unique<DiskTask>(std::move(disk), std::move(store), [this](bool good, std::string const& why) {
       if (!good) {
         // §5.6: after a failed sync nothing is known of what the disk holds; the keeper must not speak again.
         log_event(Event::disk_failed, why);
-        code = 3;
-        g_main_loop_quit(loop);
+        code_ = 3;
+        g_main_loop_quit(loop_);
         return;
       }
       NodeOut out;
-      node->disk_done(now(), out);
+      node_->disk_done(now(), out);
       act(out);
     });
 }
 
 Host::~Host() {
-  if (ticker != 0) g_source_remove(ticker);
-  front.reset();
-  legs.reset();
-  connections.reset();
-  disk.reset();
-  g_main_loop_unref(loop);
+  if (ticker_ != 0) g_source_remove(ticker_);
+  front_.reset();
+  legs_.reset();
+  connections_.reset();
+  disk_.reset();
+  g_main_loop_unref(loop_);
 }
 
 Result<void> Host::listen() {
-  Result<void> done = connections->listen(settings.mesh);
+  Result<void> done = connections_->listen(settings_.mesh);
   if (!done) return done;
-  return front->listen(settings.http);
+  return front_->listen(settings_.http);
 }
 
 bool Host::dropped_in(WireId id, std::string_view frame) {
-  std::string name = connection_names.count(id) ? connection_names[id] : "";
+  std::string name = connection_names_.count(id) ? connection_names_[id] : "";
   if (name.empty()) {
     Result<std::unique_ptr<wire::FrameT>> seen = decode(frame);
     if (seen && seen.value()->body.type == wire::Body::Hello && seen.value()->body.AsHello()->self) {
       name = seen.value()->body.AsHello()->self->name;
-      connection_names[id] = name;
+      connection_names_[id] = name;
     }
   }
   return fires_for(Point::cut_in, name);
 }
 
 bool Host::dropped_out(WireId id, std::string const& frame) {
-  std::map<WireId, std::string>::const_iterator const spot = connection_names.find(id);
-  if (spot != connection_names.end() && fires_for(Point::cut_out, spot->second)) return true;
+  std::map<WireId, std::string>::const_iterator const spot = connection_names_.find(id);
+  if (spot != connection_names_.end() && fires_for(Point::cut_out, spot->second)) return true;
   wire::Frame const* const seen = flatbuffers::GetSizePrefixedRoot<wire::Frame>(frame.data());
   switch (seen->body_type()) {
     case wire::Body::Chosen:
@@ -174,39 +174,39 @@
 
 // The executor: obeys what the core decided.
 void Host::act(NodeOut& out) {
-  if (out.save) disk->save(std::move(*out.save));
-  for (std::string const& address : out.mesh.dials) connections->dial(address);
+  if (out.save) disk_->save(std::move(*out.save));
+  for (std::string const& address : out.mesh.dials) connections_->dial(address);
   for (Sends::Send& send : out.mesh.sends) {
-    if (settings.faults && dropped_out(send.wire, send.bytes)) continue;
-    wire_bytes += send.bytes.size();
-    mesh_to[node->mesh.zone_of(send.wire)] += send.bytes.size();
-    frame_bytes[flatbuffers::GetSizePrefixedRoot<wire::Frame>(send.bytes.data())->body_type()] += send.bytes.size();
-    if (settings.faults && fires(Point::wire_garbage))
+    if (settings_.faults && dropped_out(send.wire, send.bytes)) continue;
+    wire_bytes_ += send.bytes.size();
+    mesh_to_[node_->mesh.zone_of(send.wire)] += send.bytes.size();
+    frame_bytes_[flatbuffers::GetSizePrefixedRoot<wire::Frame>(send.bytes.data())->body_type()] += send.bytes.size();
+    if (settings_.faults && fires(Point::wire_garbage))
       for (std::size_t i = 4; i < send.bytes.size(); ++i) send.bytes[i] = static_cast<char>(send.bytes[i] ^ 0x5a);
-    connections->send(send.wire, send.bytes);
+    connections_->send(send.wire, send.bytes);
   }
   for (WireId const id : out.mesh.shuts) {
-    connection_names.erase(id);
-    connections->shut(id);
+    connection_names_.erase(id);
+    connections_->shut(id);
   }
   for (Start const& start : out.desk.starts) {
-    std::map<std::uint64_t, Caller>::iterator const spot = callers.find(start.errand);
-    if (spot == callers.end()) continue;
-    Worker const* const worker = node->fleet.find(start.worker);
+    std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(start.errand);
+    if (spot == callers_.end()) continue;
+    Worker const* const worker = node_->fleet.find(start.worker);
     spot->second.worker_zone = worker == nullptr ? "" : worker->row.zone;
-    legs_with[spot->second.worker_zone] += spot->second.body.size();
-    legs->start(start, spot->second.id, spot->second.path, spot->second.body, spot->second.stream);
+    legs_with_[spot->second.worker_zone] += spot->second.body.size();
+    legs_->start(start, spot->second.id, spot->second.path, spot->second.body, spot->second.stream);
   }
   for (Verdict const& verdict : out.desk.ends) finish(verdict);
-  for (std::uint64_t const id : out.desk.drops) legs->cut(id);
+  for (std::uint64_t const id : out.desk.drops) legs_->cut(id);
   for (Reply const& item : out.replies) reply(item);
   if (out.read_list) {
     if (fires(Point::list_fail)) {
       NodeOut more;
-      node->list(std::nullopt, true, now(), more);
+      node_->list(std::nullopt, true, now(), more);
       act(more);
     } else {
-      legs->get(settings.platform, "/workers", seconds(1), [this](bool good, bool refused, std::string const& body) {
+      legs_->get(settings_.platform, "/workers", seconds(1), [this](bool good, bool refused, std::string const& body) {
         std::optional<std::vector<ListRow>> rows;
         if (good) {
           Result<std::vector<ListRow>> read =
@@ -214,7 +214,7 @@
           if (read) rows = std::move(read.value());
         }
         NodeOut more;
-        node->list(rows, refused || !body.empty(), now(), more);
+        node_->list(rows, refused || !body.empty(), now(), more);
         act(more);
       });
     }
@@ -222,112 +222,112 @@
   for (Check const& check : out.checks) {
     if (fires_for(Point::cut_workers, check.worker) || fires(Point::vitals_fail)) {
       NodeOut more;
-      node->health_report(check, std::nullopt, false, now(), more);
+      node_->health_report(check, std::nullopt, false, now(), more);
       act(more);
       continue;
     }
-    legs->get(check.address, "/vitals", millis(1000), [this, check](bool good, bool refused, std::string const& body) {
+    legs_->get(check.address, "/vitals", millis(1000), [this, check](bool good, bool refused, std::string const& body) {
       std::optional<HealthReport> report;
       if (good) {
         Result<HealthReport> read = read_health_report(body);
         if (read) report = read.value();
       }
       NodeOut more;
-      node->health_report(check, report, refused, now(), more);
+      node_->health_report(check, report, refused, now(), more);
       act(more);
     });
   }
 }
 
 void Host::refuse(std::uint64_t id, Fault const& fault) {
-  ++kinds[kind_row(fault.kind).name];
-  front->answer(id, answer_for(fault));
+  ++kinds_[kind_row(fault.kind).name];
+  front_->answer(id, answer_for(fault));
 }
 
 void Host::finish(Verdict const& verdict) {
-  ++kinds[kind_row(verdict.fault.kind).name];
+  ++kinds_[kind_row(verdict.fault.kind).name];
   Answer const out = answer_for(verdict.fault, verdict.ran, verdict.wait);
-  std::map<std::uint64_t, Caller>::iterator const spot = callers.find(verdict.errand);
-  if (spot == callers.end()) return;
+  std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(verdict.errand);
+  if (spot == callers_.end()) return;
   bool const begun = spot->second.begun;
-  callers.erase(spot);
+  callers_.erase(spot);
   if (begun) {
     log_event(Event::stream_broke, kind_row(verdict.fault.kind).name);
-    front->break_off(verdict.errand, "event: error\ndata: " + out.body + "\n\n");
+    front_->break_off(verdict.errand, "event: error\ndata: " + out.body + "\n\n");
   } else {
-    front->answer(verdict.errand, out);
+    front_->answer(verdict.errand, out);
   }
 }
 
 // §8.4: first only /ready says no, and answers close their wires; whoever follows either is elsewhere when the grace
 // ends.
 void Host::begin_drain() {
-  if (grace_until >= 0) {
-    g_main_loop_quit(loop);  // asked twice: at once
+  if (grace_until_ >= 0) {
+    g_main_loop_quit(loop_);  // asked twice: at once
     return;
   }
-  grace_until = now() + settings.grace;
-  front->closing();
+  grace_until_ = now() + settings_.grace;
+  front_->closing();
   log_event(Event::grace_began, "");
 }
 
 void Host::look_drain() {
-  if (grace_until < 0) return;
-  if (drain_until < 0) {
-    if (now() < grace_until) return;
-    drain_until = now() + settings.drain;
-    front->stop_listening();
+  if (grace_until_ < 0) return;
+  if (drain_until_ < 0) {
+    if (now() < grace_until_) return;
+    drain_until_ = now() + settings_.drain;
+    front_->stop_listening();
     NodeOut out;
-    node->drain(now(), out);
+    node_->drain(now(), out);
     act(out);
   }
-  if ((node->under_way() == 0 && front->open() == 0) || now() >= drain_until) g_main_loop_quit(loop);
+  if ((node_->under_way() == 0 && front_->open() == 0) || now() >= drain_until_) g_main_loop_quit(loop_);
 }
 
 void Host::reload() {
-  std::string const flag = "--settings=" + settings.file;
+  std::string const flag = "--settings=" + settings_.file;
   char const* const argv[] = {"reload", flag.c_str()};
-  if (settings.file.empty()) {
+  if (settings_.file.empty()) {
     log_event(Event::settings_refused, "there is no settings file");
     return;
   }
-  Result<Settings> fresh = read_settings(2, argv, role == Role::accord);
+  Result<Settings> fresh = read_settings(2, argv, role_ == Role::accord);
   std::string why;
   if (!fresh) {
     why = fresh.error().why;
   } else {
     Settings const& s = fresh.value();
     // What a process is cannot change while it lives; what it allows can.
-    if (s.name != settings.name || s.cluster != settings.cluster || s.zone != settings.zone ||
-        s.mesh != settings.mesh || s.http != settings.http || s.data != settings.data ||
-        s.founders != settings.founders || s.models != settings.models || s.seeds != settings.seeds ||
-        s.faults != settings.faults || s.log != settings.log)
+    if (s.name != settings_.name || s.cluster != settings_.cluster || s.zone != settings_.zone ||
+        s.mesh != settings_.mesh || s.http != settings_.http || s.data != settings_.data ||
+        s.founders != settings_.founders || s.models != settings_.models || s.seeds != settings_.seeds ||
+        s.faults != settings_.faults || s.log != settings_.log)
       why = "only platform, grace, drain and body can change without a restart";
   }
   if (!why.empty()) {
     log_event(Event::settings_refused, why);
     return;
   }
-  settings.grace = fresh.value().grace;
-  settings.drain = fresh.value().drain;
-  settings.body = fresh.value().body;
-  settings.platform = fresh.value().platform;
-  log_event(Event::settings_taken, settings.file);
+  settings_.grace = fresh.value().grace;
+  settings_.drain = fresh.value().drain;
+  settings_.body = fresh.value().body;
+  settings_.platform = fresh.value().platform;
+  log_event(Event::settings_taken, settings_.file);
 }
 
 int Host::run() {
-  ticker = g_timeout_add(
+  ticker_ = g_timeout_add(
       tick_ms,
       [](gpointer data) -> gboolean {
         Host& host = *static_cast<Host*>(data);
         NodeOut out;
         // How late a tick comes tells the longest turn of the loop; a node that stood still is counted elsewhere.
-        Micros const gap = now() - host.ticked;
-        if (host.ticked > 0 && gap < seconds(1))
-          host.longest_turn =
-              std::max(host.longest_turn, static_cast<std::uint64_t>(std::max<Micros>(0, gap - millis(tick_ms))));
-        host.ticked = now();
-        host.node->tick(now(), out);
+        Micros const gap = now() - host.ticked_;
+        if (host.ticked_ > 0 && gap < seconds(1))
+          host.longest_turn_ =
+              std::max(host.longest_turn_, static_cast<std::uint64_t>(std::max<Micros>(0, gap - millis(tick_ms))));
+        host.ticked_ = now();
+        host.node_->tick(now(), out);
         host.act(out);
         host.look_drain();
         return G_SOURCE_CONTINUE;
@@ -354,13 +354,13 @@
         return G_SOURCE_CONTINUE;
       },
       this);
-  log_event(Event::started, settings.http + " mesh " + settings.mesh);
-  g_main_loop_run(loop);
+  log_event(Event::started, settings_.http + " mesh " + settings_.mesh);
+  g_main_loop_run(loop_);
   g_source_remove(term);
   g_source_remove(interrupt);
   g_source_remove(hup);
   log_event(Event::stopped, "");
-  return code;
+  return code_;
 }
 
 int run_node(int argc, char** argv, Role role) {
--- a/src/runtime/host.h
+++ b/src/runtime/host.h
@@ -15,7 +15,7 @@
 
 class Host {
  public:
-  Host(Settings settings_, Role role, std::optional<wire::RecordT> recovered, std::unique_ptr<PosixDisk> disk,
+  Host(Settings settings, Role role, std::optional<wire::RecordT> recovered, std::unique_ptr<PosixDisk> disk,
        std::unique_ptr<RecordStore> store);
   ~Host();
   Result<void> listen();
@@ -48,28 +48,28 @@
   bool dropped_in(WireId id, std::string_view frame);
   bool dropped_out(WireId id, std::string const& frame);
 
-  Settings settings;
-  Role const role;
-  GMainLoop* loop;
-  std::unique_ptr<Node> node;
-  std::unique_ptr<Connections> connections;
-  std::unique_ptr<Legs> legs;
-  std::unique_ptr<Front> front;
-  std::unique_ptr<DiskTask> disk;
-  std::map<std::uint64_t, Caller> callers;
-  std::map<WireId, std::string> connection_names;
-  std::map<std::uint64_t, std::pair<Change::Type, std::string>> asked;  // operators' calls under way
-  std::map<std::string, std::uint64_t> kinds;                           // refusals by kind
-  Micros ticked = 0;
-  std::uint64_t longest_turn = 0;
-  std::uint64_t wire_bytes = 0;
-  std::map<std::string, std::uint64_t> mesh_to;     // bytes sent to nodes, by their zone
-  std::map<wire::Body, std::uint64_t> frame_bytes;  // bytes sent to nodes, by the kind of frame
-  std::map<std::string, std::uint64_t> legs_with;   // bytes of requests and answers, by the worker's zone
-  Micros grace_until = -1;
-  Micros drain_until = -1;
-  int code = 0;
-  guint ticker = 0;
+  Settings settings_;
+  Role const role_;
+  GMainLoop* loop_;
+  std::unique_ptr<Node> node_;
+  std::unique_ptr<Connections> connections_;
+  std::unique_ptr<Legs> legs_;
+  std::unique_ptr<Front> front_;
+  std::unique_ptr<DiskTask> disk_;
+  std::map<std::uint64_t, Caller> callers_;
+  std::map<WireId, std::string> connection_names_;
+  std::map<std::uint64_t, std::pair<Change::Type, std::string>> asked_;  // operators' calls under way
+  std::map<std::string, std::uint64_t> kinds_;                           // refusals by kind
+  Micros ticked_ = 0;
+  std::uint64_t longest_turn_ = 0;
+  std::uint64_t wire_bytes_ = 0;
+  std::map<std::string, std::uint64_t> mesh_to_;     // bytes sent to nodes, by their zone
+  std::map<wire::Body, std::uint64_t> frame_bytes_;  // bytes sent to nodes, by the kind of frame
+  std::map<std::string, std::uint64_t> legs_with_;   // bytes of requests and answers, by the worker's zone
+  Micros grace_until_ = -1;
+  Micros drain_until_ = -1;
+  int code_ = 0;
+  guint ticker_ = 0;
 };
 
 // What both programs share: settings, log, the data folder, the loop.
--- a/src/runtime/http/front.cc
+++ b/src/runtime/http/front.cc
@@ -43,7 +43,7 @@
   }
 };
 
-Front::Front(Callbacks callbacks_, std::size_t body_most_) : callbacks(std::move(callbacks_)), body_most(body_most_) {}
+Front::Front(Callbacks callbacks, std::size_t body_most) : callbacks_(std::move(callbacks)), body_most_(body_most) {}
 
 std::string Front::Call::header(char const* name) const {
   char const* const value = soup_message_headers_get_one(head, name);
@@ -51,10 +51,10 @@
 }
 
 Front::~Front() {
-  calls.clear();
-  if (server != nullptr) {
-    soup_server_disconnect(server);
-    g_object_unref(server);
+  calls_.clear();
+  if (server_ != nullptr) {
+    soup_server_disconnect(server_);
+    g_object_unref(server_);
   }
 }
 
@@ -62,13 +62,13 @@
   std::string host;
   std::uint16_t port = 0;
   split_address(address, host, port);
-  server = soup_server_new("server-header", "pipitspool", nullptr);
-  g_signal_connect(server, "request-started", G_CALLBACK(on_started), this);
-  soup_server_add_early_handler(server, nullptr, on_headers, this, nullptr);
-  soup_server_add_handler(server, nullptr, on_call, this, nullptr);
+  server_ = soup_server_new("server-header", "pipitspool", nullptr);
+  g_signal_connect(server_, "request-started", G_CALLBACK(on_started), this);
+  soup_server_add_early_handler(server_, nullptr, on_headers, this, nullptr);
+  soup_server_add_handler(server_, nullptr, on_call, this, nullptr);
   GSocketAddress* const spot = g_inet_socket_address_new_from_string(host.c_str(), port);
   GError* error = nullptr;
-  bool const good = soup_server_listen(server, spot, static_cast<SoupServerListenOptions>(0), &error);
+  bool const good = soup_server_listen(server_, spot, static_cast<SoupServerListenOptions>(0), &error);
   g_object_unref(spot);
   if (!good) {
     std::string const why = error->message;
@@ -82,13 +82,13 @@
   Front& host = *static_cast<Front*>(self);
   std::unique_ptr<Held> held = std::make_unique<Held>();
   held->host = &host;
-  held->id = ++host.next;
+  held->id = ++host.next_;
   held->message = SOUP_SERVER_MESSAGE(g_object_ref(message));
   g_object_set_data(G_OBJECT(message), "pipit", held.get());
   soup_server_message_get_remote_address(
       message);  // kept by libsoup, which else asks a socket that may be shut by then
   g_signal_connect(message, "finished", G_CALLBACK(on_finished), held.get());
-  host.calls.emplace(held->id, std::move(held));
+  host.calls_.emplace(held->id, std::move(held));
 }
 
 void Front::on_headers(SoupServer*, SoupServerMessage* message, char const*, GHashTable*, gpointer self) {
@@ -98,11 +98,11 @@
   held->timer = g_timeout_add(body_ms, on_slow, held);
   SoupMessageHeaders* const head = soup_server_message_get_request_headers(message);
   if (soup_message_headers_get_encoding(head) == SOUP_ENCODING_CONTENT_LENGTH &&
-      soup_message_headers_get_content_length(head) > static_cast<goffset>(host.body_most)) {
+      soup_message_headers_get_content_length(head) > static_cast<goffset>(host.body_most_)) {
     ++host.broken;
     held->called = true;
     Answer const out =
-        answer_for(Fault{Kind::too_large, "a body has at most " + std::to_string(host.body_most) + " bytes", ""});
+        answer_for(Fault{Kind::too_large, "a body has at most " + std::to_string(host.body_most_) + " bytes", ""});
     soup_message_headers_replace(soup_server_message_get_response_headers(message), "Connection", "close");
     host.answer(held->id, out);
     return;
@@ -111,7 +111,7 @@
   g_signal_connect(message, "got-chunk", G_CALLBACK(+[](SoupServerMessage*, GBytes* chunk, gpointer data) {
                      Held* const item = static_cast<Held*>(data);
                      item->put += g_bytes_get_size(chunk);
-                     if (item->put > item->host->body_most && !item->called) {
+                     if (item->put > item->host->body_most_ && !item->called) {
                        ++item->host->broken;
                        item->host->abort(*item);
                      }
@@ -165,7 +165,7 @@
     while (g_hash_table_iter_next(&it, &key, &value))
       call.query[static_cast<char const*>(key)] = value == nullptr ? "" : static_cast<char const*>(value);
   }
-  host.callbacks.call(call);
+  host.callbacks_.call(call);
 }
 
 gboolean Front::on_peer(GSocket* socket, GIOCondition condition, gpointer data) {
@@ -194,11 +194,11 @@
   std::uint64_t const id = held.id;
   bool const log_event = gone && held.called && !held.answered;
   g_object_set_data(G_OBJECT(held.message), "pipit", nullptr);
-  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const spot = calls.find(id);
-  if (spot == calls.end()) return;
+  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const spot = calls_.find(id);
+  if (spot == calls_.end()) return;
   std::unique_ptr<Held> const last = std::move(spot->second);
-  calls.erase(spot);
-  if (log_event) callbacks.gone(id);
+  calls_.erase(spot);
+  if (log_event) callbacks_.gone(id);
 }
 
 // Ends the connection where it stands: the caller sees a body that was broken off.
@@ -219,15 +219,15 @@
 
 void Front::answer(std::uint64_t id, unsigned status, std::string const& type, std::string const& body,
                    std::map<std::string, std::string> const& more) {
-  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const spot = calls.find(id);
-  if (spot == calls.end()) return;
+  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const spot = calls_.find(id);
+  if (spot == calls_.end()) return;
   Held& held = *spot->second;
   held.answered = true;
   held.unwatch();
   SoupMessageHeaders* const head = soup_server_message_get_response_headers(held.message);
   for (std::pair<std::string const, std::string> const& item : more)
     soup_message_headers_replace(head, item.first.c_str(), item.second.c_str());
-  if (last_calls) soup_message_headers_replace(head, "Connection", "close");
+  if (last_calls_) soup_message_headers_replace(head, "Connection", "close");
   soup_server_message_set_status(held.message, status, nullptr);
   soup_server_message_set_response(held.message, type.c_str(), SOUP_MEMORY_COPY, body.data(), body.size());
   soup_server_message_unpause(held.message);
@@ -240,13 +240,13 @@
 }
 
 bool Front::streaming(std::uint64_t id) const {
-  std::map<std::uint64_t, std::unique_ptr<Held>>::const_iterator const spot = calls.find(id);
-  return spot != calls.end() && spot->second->stream;
+  std::map<std::uint64_t, std::unique_ptr<Held>>::const_iterator const spot = calls_.find(id);
+  return spot != calls_.end() && spot->second->stream;
 }
 
 void Front::piece(std::uint64_t id, std::string const& bytes, std::map<std::string, std::string> const& more) {
-  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const spot = calls.find(id);
-  if (spot == calls.end()) return;
+  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const spot = calls_.find(id);
+  if (spot == calls_.end()) return;
   Held& held = *spot->second;
   SoupMessageBody* const body = soup_server_message_get_response_body(held.message);
   if (!held.stream) {
@@ -256,7 +256,7 @@
     soup_message_headers_set_encoding(head, SOUP_ENCODING_CHUNKED);
     soup_message_headers_replace(head, "Content-Type", "text/event-stream");
     soup_message_headers_replace(head, "Cache-Control", "no-cache");
-    if (last_calls) soup_message_headers_replace(head, "Connection", "close");
+    if (last_calls_) soup_message_headers_replace(head, "Connection", "close");
     for (std::pair<std::string const, std::string> const& item : more)
       soup_message_headers_replace(head, item.first.c_str(), item.second.c_str());
     soup_message_body_set_accumulate(body, FALSE);
@@ -290,8 +290,8 @@
 }
 
 void Front::end(std::uint64_t id) {
-  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const spot = calls.find(id);
-  if (spot == calls.end()) return;
+  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const spot = calls_.find(id);
+  if (spot == calls_.end()) return;
   spot->second->answered = true;
   spot->second->unwatch();
   soup_message_body_complete(soup_server_message_get_response_body(spot->second->message));
@@ -299,17 +299,17 @@
 }
 
 void Front::break_off(std::uint64_t id, std::string const& last) {
-  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const spot = calls.find(id);
-  if (spot == calls.end()) return;
+  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const spot = calls_.find(id);
+  if (spot == calls_.end()) return;
   spot->second->breaking = true;
   spot->second->answered = true;
   piece(id, last);
 }
 
-void Front::closing() { last_calls = true; }
+void Front::closing() { last_calls_ = true; }
 
 void Front::stop_listening() {
-  GSList* const list = soup_server_get_listeners(server);
+  GSList* const list = soup_server_get_listeners(server_);
   for (GSList* item = list; item != nullptr; item = item->next) g_socket_close(G_SOCKET(item->data), nullptr);
   g_slist_free(list);
 }
--- a/src/runtime/http/front.h
+++ b/src/runtime/http/front.h
@@ -27,7 +27,7 @@
     std::function<void(Call const&)> call;
     std::function<void(std::uint64_t id)> gone;  // the caller hung up before the answer ended
   };
-  Front(Callbacks callbacks_, std::size_t body_most_);
+  Front(Callbacks callbacks, std::size_t body_most);
   ~Front();
 
   Result<void> listen(std::string const& address);
@@ -39,7 +39,7 @@
   void end(std::uint64_t id);
   void break_off(std::uint64_t id, std::string const& last);
   bool streaming(std::uint64_t id) const;
-  std::size_t open() const { return calls.size(); }
+  std::size_t open() const { return calls_.size(); }
   // From now on every answer closes its connection, and no new connection is taken.
   void closing();
   void stop_listening();
@@ -58,12 +58,12 @@
   void drop(Held& held, bool gone);
   void abort(Held& held);
 
-  Callbacks callbacks;
-  std::size_t const body_most;
-  SoupServer* server = nullptr;
-  std::uint64_t next = 0;
-  bool last_calls = false;
-  std::map<std::uint64_t, std::unique_ptr<Held>> calls;
+  Callbacks callbacks_;
+  std::size_t const body_most_;
+  SoupServer* server_ = nullptr;
+  std::uint64_t next_ = 0;
+  bool last_calls_ = false;
+  std::map<std::uint64_t, std::unique_ptr<Held>> calls_;
 };
 
 }  // namespace pipit
--- a/src/runtime/http/legs.cc
+++ b/src/runtime/http/legs.cc
@@ -46,19 +46,19 @@
   }
 };
 
-Legs::Legs(Callbacks callbacks_)
-    : callbacks(std::move(callbacks_)), session(make_session(4096)), small(make_session(256)) {}
+Legs::Legs(Callbacks callbacks)
+    : callbacks_(std::move(callbacks)), session_(make_session(4096)), small_(make_session(256)) {}
 
 Legs::~Legs() {
-  for (std::pair<std::uint64_t const, std::shared_ptr<Leg>>& item : legs) {
+  for (std::pair<std::uint64_t const, std::shared_ptr<Leg>>& item : legs_) {
     item.second->over = true;
     g_cancellable_cancel(item.second->stop);
   }
-  legs.clear();
-  soup_session_abort(session);
-  soup_session_abort(small);
-  g_object_unref(session);
-  g_object_unref(small);
+  legs_.clear();
+  soup_session_abort(session_);
+  soup_session_abort(small_);
+  g_object_unref(session_);
+  g_object_unref(small_);
 }
 
 void Legs::arm(Leg& leg, Micros within) {
@@ -84,7 +84,7 @@
   leg->stream = stream;
   leg->stop = g_cancellable_new();
   leg->message = soup_message_new("POST", ("http://" + start.address + path).c_str());
-  legs[start.errand] = leg;
+  legs_[start.errand] = leg;
   if (leg->message == nullptr || fires(Point::leg_unreached) || fires_for(Point::cut_workers, start.worker)) {
     std::shared_ptr<Leg>* const held = new std::shared_ptr<Leg>(leg);
     g_idle_add(
@@ -107,7 +107,8 @@
   g_bytes_unref(bytes);
   g_signal_connect(leg->message, "starting", G_CALLBACK(on_starting), leg.get());
   arm(*leg, reach);
-  soup_session_send_async(session, leg->message, G_PRIORITY_DEFAULT, leg->stop, on_head, new std::shared_ptr<Leg>(leg));
+  soup_session_send_async(session_, leg->message, G_PRIORITY_DEFAULT, leg->stop, on_head,
+                          new std::shared_ptr<Leg>(leg));
 }
 
 void Legs::on_starting(SoupMessage*, gpointer data) {
@@ -115,7 +116,7 @@
   if (leg.sent) return;
   leg.sent = true;
   if (leg.over) return;
-  leg.host->callbacks.sent(leg.start.errand);
+  leg.host->callbacks_.sent(leg.start.errand);
   leg.host->arm(leg, leg.start.answer);
   if (fires(Point::leg_break_sent)) g_cancellable_cancel(leg.stop);
 }
@@ -127,8 +128,8 @@
   leg.timer = 0;
   g_cancellable_cancel(leg.stop);
   std::uint64_t const errand = leg.start.errand;
-  legs.erase(errand);  // whoever called this holds the leg
-  callbacks.ended(errand, end, why, back);
+  legs_.erase(errand);  // whoever called this holds the leg
+  callbacks_.ended(errand, end, why, back);
 }
 
 void Legs::on_head(GObject* source, GAsyncResult* result, gpointer data) {
@@ -165,8 +166,8 @@
 }
 
 void Legs::read_more(Leg& leg) {
-  std::map<std::uint64_t, std::shared_ptr<Leg>>::iterator const spot = legs.find(leg.start.errand);
-  if (spot == legs.end() || spot->second.get() != &leg) return;
+  std::map<std::uint64_t, std::shared_ptr<Leg>>::iterator const spot = legs_.find(leg.start.errand);
+  if (spot == legs_.end() || spot->second.get() != &leg) return;
   g_input_stream_read_async(leg.body, leg.room, sizeof leg.room, G_PRIORITY_DEFAULT, leg.stop, on_body,
                             new std::shared_ptr<Leg>(spot->second));
 }
@@ -214,7 +215,7 @@
     if (!answers_to(piece.id, leg.id))
       return finish(leg, leg.events == 0 ? LegEnd::wrong : LegEnd::torn, "a piece of another request: " + piece.id);
     ++leg.events;
-    callbacks.piece(leg.start.errand, event);
+    callbacks_.piece(leg.start.errand, event);
     arm(leg, leg.start.stall);
     if (fires(Point::leg_break_begun)) return finish(leg, LegEnd::torn, "fault point 9");
   }
@@ -227,7 +228,7 @@
     if (!piece.json) return finish(leg, LegEnd::torn, "the answer is not whole JSON");
     if (piece.error) return finish(leg, LegEnd::wrong, "the worker reports an error");
     if (!answers_to(piece.id, leg.id)) return finish(leg, LegEnd::wrong, "the answer to another request: " + piece.id);
-    callbacks.whole(leg.start.errand, std::move(leg.whole));
+    callbacks_.whole(leg.start.errand, std::move(leg.whole));
     return finish(leg, LegEnd::done, "");
   }
   if (!leg.closed || leg.pieces.rest())
@@ -236,13 +237,13 @@
 }
 
 void Legs::cut(std::uint64_t errand) {
-  std::map<std::uint64_t, std::shared_ptr<Leg>>::iterator const spot = legs.find(errand);
-  if (spot == legs.end()) return;
+  std::map<std::uint64_t, std::shared_ptr<Leg>>::iterator const spot = legs_.find(errand);
+  if (spot == legs_.end()) return;
   std::shared_ptr<Leg> const leg = spot->second;
   leg->over = true;
   if (leg->timer != 0) g_source_remove(leg->timer);
   leg->timer = 0;
-  legs.erase(spot);
+  legs_.erase(spot);
   g_cancellable_cancel(leg->stop);
 }
 
@@ -267,7 +268,7 @@
         return G_SOURCE_REMOVE;
       },
       fetch);
-  soup_session_send_and_read_async(small, fetch->message, G_PRIORITY_DEFAULT, fetch->stop, on_fetched, fetch);
+  soup_session_send_and_read_async(small_, fetch->message, G_PRIORITY_DEFAULT, fetch->stop, on_fetched, fetch);
 }
 
 void Legs::on_fetched(GObject* source, GAsyncResult* result, gpointer data) {
--- a/src/runtime/http/legs.h
+++ b/src/runtime/http/legs.h
@@ -20,13 +20,13 @@
     std::function<void(std::uint64_t errand, std::string body)> whole;          // a whole answer that is no stream
     std::function<void(std::uint64_t errand, LegEnd end, std::string const& why, Micros back)> ended;
   };
-  explicit Legs(Callbacks callbacks_);
+  explicit Legs(Callbacks callbacks);
   ~Legs();
 
   // 'id' is what the worker is told and must answer with.
   void start(Start const& start, std::string const& id, std::string const& path, std::string const& body, bool stream);
   void cut(std::uint64_t errand);
-  std::size_t open() const { return legs.size(); }
+  std::size_t open() const { return legs_.size(); }
 
   // One small GET, for lists and health reports; the answer is nullopt when it failed.
   void get(std::string const& address, std::string const& path, Micros within,
@@ -46,10 +46,10 @@
   void took(Leg& leg, std::string_view bytes);
   void eof(Leg& leg);
 
-  Callbacks callbacks;
-  SoupSession* session;
-  SoupSession* small;
-  std::map<std::uint64_t, std::shared_ptr<Leg>> legs;  // by errand: one leg at a time
+  Callbacks callbacks_;
+  SoupSession* session_;
+  SoupSession* small_;
+  std::map<std::uint64_t, std::shared_ptr<Leg>> legs_;  // by errand: one leg at a time
 };
 
 }  // namespace pipit
--- a/src/runtime/mesh/connections.cc
+++ b/src/runtime/mesh/connections.cc
@@ -11,15 +11,15 @@
 }  // namespace
 
 Connections::~Connections() {
-  for (std::pair<WireId const, std::shared_ptr<Connection>>& item : connections) item.second->link->close();
+  for (std::pair<WireId const, std::shared_ptr<Connection>>& item : connections_) item.second->link->close();
 }
 
 Result<void> Connections::listen(std::string const& address) {
   std::uint16_t port = 0;
-  split_address(address, own_host, port);
-  Result<void> const open = door.open(address, [this](std::shared_ptr<Link> link) {
+  split_address(address, own_host_, port);
+  Result<void> const open = door_.open(address, [this](std::shared_ptr<Link> link) {
     std::shared_ptr<Connection> const made = std::make_shared<Connection>();
-    made->id = ++next;
+    made->id = ++next_;
     made->link = std::move(link);
     adopt(made, false);
   });
@@ -29,18 +29,18 @@
 
 void Connections::dial(std::string const& address) {
   std::shared_ptr<Connection> const made = std::make_shared<Connection>();
-  made->id = ++next;
+  made->id = ++next_;
   made->address = address;
   // From the node's own number, so that peers and cuts see one number for one node.
-  made->link = Link::dial(address, own_host, dial_most);
+  made->link = Link::dial(address, own_host_, dial_most);
   if (!made->link->open()) {
-    callbacks.failed(address, made->link->refused());
+    callbacks_.failed(address, made->link->refused());
     return;
   }
-  connections[made->id] = made;
+  connections_[made->id] = made;
   made->link->listen({[this, id = made->id] {
-                        std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections.find(id);
-                        if (spot == connections.end()) return;
+                        std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections_.find(id);
+                        if (spot == connections_.end()) return;
                         std::shared_ptr<Connection> const keep = spot->second;
                         adopt(keep, true);
                       },
@@ -51,16 +51,17 @@
   WireId const id = connection->id;
   std::string const address = std::move(connection->address);
   connection->address.clear();
-  connections[id] = connection;
+  connections_[id] = connection;
   connection->link->listen({nullptr,
                             [this, id](std::string_view bytes) {
-                              std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections.find(id);
-                              if (spot == connections.end()) return;
+                              std::map<WireId, std::shared_ptr<Connection>>::iterator const spot =
+                                  connections_.find(id);
+                              if (spot == connections_.end()) return;
                               std::shared_ptr<Connection> const keep = spot->second;
                               fed(*keep, bytes);
                             },
                             [this, id](Link::End how) { lost(id, how); }, nullptr});
-  callbacks.opened(id, outbound, address);
+  callbacks_.opened(id, outbound, address);
 }
 
 void Connections::fed(Connection& connection, std::string_view bytes) {
@@ -75,8 +76,8 @@
     std::size_t const need = announced(rest);
     if (need == 0) return lost(id, Link::End::closed);
     if (rest.size() < need + 4) break;
-    bool const good = callbacks.frame(id, rest.substr(0, need + 4));
-    if (!connections.count(id)) return;
+    bool const good = callbacks_.frame(id, rest.substr(0, need + 4));
+    if (!connections_.count(id)) return;
     if (!good) return lost(id, Link::End::closed);
     at += need + 4;
   }
@@ -87,35 +88,35 @@
 }
 
 void Connections::send(WireId id, std::string const& bytes) {
-  std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections.find(id);
-  if (spot == connections.end() || !spot->second->link->connected()) return;
+  std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections_.find(id);
+  if (spot == connections_.end() || !spot->second->link->connected()) return;
   spot->second->link->write(bytes);
   // The peer does not read; it is dialled again.
   if (spot->second->link->waiting() > backlog_most) lost(id, Link::End::reset);
 }
 
 void Connections::shut(WireId id) {
-  std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections.find(id);
-  if (spot == connections.end()) return;
+  std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections_.find(id);
+  if (spot == connections_.end()) return;
   std::shared_ptr<Connection> const keep = spot->second;
-  connections.erase(spot);
+  connections_.erase(spot);
   keep->link->listen({});
   // What was written before, a farewell perhaps, still goes.
   keep->link->finish();
 }
 
 void Connections::lost(WireId id, Link::End how) {
-  std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections.find(id);
-  if (spot == connections.end()) return;
+  std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections_.find(id);
+  if (spot == connections_.end()) return;
   std::shared_ptr<Connection> const keep = spot->second;
-  connections.erase(spot);
+  connections_.erase(spot);
   keep->link->listen({});
   bool const refused = keep->link->refused();
   keep->link->close();
   if (how == Link::End::unreached)
-    callbacks.failed(keep->address, refused);
+    callbacks_.failed(keep->address, refused);
   else
-    callbacks.shut(id);
+    callbacks_.shut(id);
 }
 
 }  // namespace pipit
--- a/src/runtime/mesh/connections.h
+++ b/src/runtime/mesh/connections.h
@@ -19,7 +19,7 @@
     std::function<void(std::string const& address, bool refused)> failed;
     std::function<bool(WireId, std::string_view frame)> frame;
   };
-  explicit Connections(Callbacks callbacks_) : callbacks(std::move(callbacks_)) {}
+  explicit Connections(Callbacks callbacks) : callbacks_(std::move(callbacks)) {}
   ~Connections();
 
   Result<void> listen(std::string const& address);
@@ -38,11 +38,11 @@
   void fed(Connection& connection, std::string_view bytes);
   void lost(WireId id, Link::End how);
 
-  Callbacks callbacks;
-  Door door;
-  std::string own_host;
-  WireId next = 0;
-  std::map<WireId, std::shared_ptr<Connection>> connections;
+  Callbacks callbacks_;
+  Door door_;
+  std::string own_host_;
+  WireId next_ = 0;
+  std::map<WireId, std::shared_ptr<Connection>> connections_;
 };
 
 }  // namespace pipit
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -16,18 +16,18 @@
 
 void Host::on_call(Front::Call const& call) {
   bool const get = call.method == "GET";
-  if (call.path == "/health" && get) return front->answer(call.id, 200, "application/json", "{\"ok\":true}");
+  if (call.path == "/health" && get) return front_->answer(call.id, 200, "application/json", "{\"ok\":true}");
   if (call.path == "/ready" && get) {
-    if (grace_until >= 0) return refuse(call.id, Fault{Kind::draining, "", ""});
-    if (!node->ready()) return refuse(call.id, Fault{Kind::not_ready, "", ""});
-    return front->answer(call.id, 200, "application/json", "{\"ready\":true}");
+    if (grace_until_ >= 0) return refuse(call.id, Fault{Kind::draining, "", ""});
+    if (!node_->ready()) return refuse(call.id, Fault{Kind::not_ready, "", ""});
+    return front_->answer(call.id, 200, "application/json", "{\"ready\":true}");
   }
-  if (call.path == "/metrics" && get) return front->answer(call.id, 200, "text/plain; version=0.0.4", metrics());
-  if (call.path == "/v1/status" && get) return front->answer(call.id, 200, "application/json", status());
-  if (call.path == "/faults" && settings.faults) return on_fault(call);
+  if (call.path == "/metrics" && get) return front_->answer(call.id, 200, "text/plain; version=0.0.4", metrics());
+  if (call.path == "/v1/status" && get) return front_->answer(call.id, 200, "application/json", status());
+  if (call.path == "/faults" && settings_.faults) return on_fault(call);
   bool const chat = call.path == "/v1/chat/completions";
   if (chat || call.path == "/v1/completions") {
-    if (role != Role::passage) return refuse(call.id, Fault{Kind::not_found, "a keeper serves no requests", ""});
+    if (role_ != Role::passage) return refuse(call.id, Fault{Kind::not_found, "a keeper serves no requests", ""});
     if (call.method != "POST") return refuse(call.id, Fault{Kind::bad_method, "", ""});
     return on_errand(call, chat);
   }
@@ -35,9 +35,9 @@
 }
 
 void Host::on_errand(Front::Call const& call, bool chat) {
-  if (call.body.size() > settings.body)
+  if (call.body.size() > settings_.body)
     return refuse(call.id,
-                  Fault{Kind::too_large, "a body has at most " + std::to_string(settings.body) + " bytes", ""});
+                  Fault{Kind::too_large, "a body has at most " + std::to_string(settings_.body) + " bytes", ""});
   Result<Ask> ask = parse_ask(call.body, chat ? Form::chat : Form::completion);
   if (!ask) return refuse(call.id, ask.error());
   ask.value().lane = call.header("X-Pipit-Lane");
@@ -46,14 +46,14 @@
     return refuse(call.id, Fault{Kind::bad_request, "X-Pipit-Repeat takes safe or never", ""});
   ask.value().safe = repeat == "safe";
   Caller caller;
-  caller.id = settings.name + "-" + std::to_string(node->plan.incarnation) + "-" + std::to_string(call.id);
+  caller.id = settings_.name + "-" + std::to_string(node_->plan.incarnation) + "-" + std::to_string(call.id);
   caller.path = call.path;
   caller.body = call.body;
   caller.stream = ask.value().facts.stream;
   caller.came = now();
-  callers.emplace(call.id, std::move(caller));
+  callers_.emplace(call.id, std::move(caller));
   NodeOut out;
-  node->errand(call.id, std::move(ask.value()), now(), out);
+  node_->errand(call.id, std::move(ask.value()), now(), out);
   act(out);
 }
 
@@ -89,7 +89,7 @@
     else
       return refuse(call.id, Fault{Kind::not_found, "", ""});
     if (call.method != "POST") return refuse(call.id, Fault{Kind::bad_method, "", ""});
-    if (!node->zone_known(change.text))
+    if (!node_->zone_known(change.text))
       return refuse(call.id, Fault{Kind::unknown_zone, "nothing is known of the zone '" + change.text + "'", ""});
   } else if (call.path.rfind("/v1/nodes/", 0) == 0) {
     std::string const rest = call.path.substr(10);
@@ -98,46 +98,46 @@
       return refuse(call.id, Fault{Kind::not_found, "", ""});
     if (call.method != "POST") return refuse(call.id, Fault{Kind::bad_method, "", ""});
     std::string const name = rest.substr(0, cut);
-    if (std::optional<Fault> const why = node->keeps(name)) return refuse(call.id, *why);
+    if (std::optional<Fault> const why = node_->keeps(name)) return refuse(call.id, *why);
     change.type = Change::Type::strike;
-    change.seat = *seat_of(*node->learner.value, name);
+    change.seat = *seat_of(*node_->learner.value, name);
   } else if (call.path.rfind("/v1/changes/", 0) == 0 && call.method == "GET") {
     change.type = Change::Type::read;
-    asked[call.id] = {change.type, call.path.substr(12)};
+    asked_[call.id] = {change.type, call.path.substr(12)};
     NodeOut out;
-    node->operate(call.id, std::move(change), now(), out);
+    node_->operate(call.id, std::move(change), now(), out);
     return act(out);
   } else {
     return refuse(call.id, Fault{Kind::not_found, "", ""});
   }
-  asked[call.id] = {change.type, ""};
+  asked_[call.id] = {change.type, ""};
   NodeOut out;
-  node->operate(call.id, std::move(change), now(), out);
+  node_->operate(call.id, std::move(change), now(), out);
   act(out);
 }
 
 void Host::reply(Reply const& item) {
-  std::map<std::uint64_t, std::pair<Change::Type, std::string>>::iterator const spot = asked.find(item.id);
-  if (spot == asked.end()) return;
+  std::map<std::uint64_t, std::pair<Change::Type, std::string>>::iterator const spot = asked_.find(item.id);
+  if (spot == asked_.end()) return;
   std::pair<Change::Type, std::string> const what = spot->second;
-  asked.erase(spot);
+  asked_.erase(spot);
   Outcome const& outcome = item.outcome;
   if (outcome.type == Outcome::Type::refused || outcome.type == Outcome::Type::unknown) {
-    ++kinds[kind_row(outcome.fault.kind).name];
+    ++kinds_[kind_row(outcome.fault.kind).name];
     KindRow const& row = kind_row(outcome.fault.kind);
     Answer const out = answer_for(outcome.fault);
     std::map<std::string, std::string> more = {{"X-Pipit-Change", item.change}};
     if (row.wait > 0) more["Retry-After"] = std::to_string((row.wait + seconds(1) - 1) / seconds(1));
-    return front->answer(item.id, out.status, "application/json", out.body, more);
+    return front_->answer(item.id, out.status, "application/json", out.body, more);
   }
   wire::ValueT const& value = outcome.value;
   if (what.first == Change::Type::read && what.second.empty()) {
     std::string emptied;
     for (std::string const& zone : value.emptied) emptied += (emptied.empty() ? "" : ",") + zone;
-    return front->answer(item.id, 200, "application/json", value.text,
-                         {{"X-Pipit-Serial", std::to_string(value.serial)},
-                          {"X-Pipit-Emptied", emptied},
-                          {"ETag", std::to_string(value.serial)}});
+    return front_->answer(item.id, 200, "application/json", value.text,
+                          {{"X-Pipit-Serial", std::to_string(value.serial)},
+                           {"X-Pipit-Emptied", emptied},
+                           {"ETag", std::to_string(value.serial)}});
   }
   if (what.first == Change::Type::read) {
     std::uint64_t const serial = Proposer::serial_of(value, what.second);
@@ -149,7 +149,7 @@
         .key("serial")
         .number(static_cast<std::int64_t>(serial))
         .end_object();
-    return front->answer(item.id, 200, "application/json", json.take());
+    return front_->answer(item.id, 200, "application/json", json.take());
   }
   JsonWriter json;
   json.begin_object()
@@ -164,7 +164,7 @@
     json.end_list();
   }
   json.end_object();
-  front->answer(item.id, item.missing.empty() ? 200 : 202, "application/json", json.take());
+  front_->answer(item.id, item.missing.empty() ? 200 : 202, "application/json", json.take());
 }
 
 void Host::on_fault(Front::Call const& call) {
@@ -180,11 +180,11 @@
         .key("fired")
         .number(static_cast<std::int64_t>(fault_count(static_cast<Point>(number))))
         .end_object();
-    return front->answer(call.id, 200, "application/json", json.take());
+    return front_->answer(call.id, 200, "application/json", json.take());
   }
   bool const good = call.method == "DELETE" ? disarm_fault(number) : arm_fault(number, arg, times);
   if (!good) return refuse(call.id, Fault{Kind::not_found, "there is no fault point " + std::to_string(number), ""});
-  front->answer(call.id, 200, "application/json", "{\"ok\":true}");
+  front_->answer(call.id, 200, "application/json", "{\"ok\":true}");
 }
 
 }  // namespace pipit
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -7,16 +7,16 @@
 
 std::string Host::status() const {
   JsonWriter json;
-  json.begin_object().key("name").text(settings.name).key("role").text(role == Role::passage ? "passage" : "accord");
-  json.key("zone").text(settings.zone).key("ready").boolean(node->ready()).key("draining").boolean(grace_until >= 0);
-  json.key("serial").number(static_cast<std::int64_t>(node->learner.serial()));
+  json.begin_object().key("name").text(settings_.name).key("role").text(role_ == Role::passage ? "passage" : "accord");
+  json.key("zone").text(settings_.zone).key("ready").boolean(node_->ready()).key("draining").boolean(grace_until_ >= 0);
+  json.key("serial").number(static_cast<std::int64_t>(node_->learner.serial()));
   json.key("emptied").begin_list();
-  for (std::string const& zone : node->desk.emptied()) json.text(zone);
+  for (std::string const& zone : node_->desk.emptied()) json.text(zone);
   json.end_list().key("keepers").begin_list();
-  for (wire::KeeperT const& keeper : node->learner.membership().keepers) json.text(keeper.name);
-  json.end_list().key("epoch").number(static_cast<std::int64_t>(node->learner.membership().epoch));
+  for (wire::KeeperT const& keeper : node_->learner.membership().keepers) json.text(keeper.name);
+  json.end_list().key("epoch").number(static_cast<std::int64_t>(node_->learner.membership().epoch));
   json.key("peers").begin_list();
-  for (std::pair<std::string const, Peer> const& item : node->mesh.members.peers) {
+  for (std::pair<std::string const, Peer> const& item : node_->mesh.members.peers) {
     Peer const& peer = item.second;
     json.begin_object()
         .key("name")
@@ -34,19 +34,19 @@
         .end_object();
   }
   json.end_list().key("workers").begin_list();
-  for (std::pair<std::string const, Worker> const& item : node->fleet.workers) {
+  for (std::pair<std::string const, Worker> const& item : node_->fleet.workers) {
     Worker const& worker = item.second;
     static char const* const words[] = {"serving", "leaving", "gone"};
     json.begin_object().key("id").text(item.first).key("zone").text(worker.row.zone).key("pool").text(worker.row.pool);
     json.key("standing").text(words[static_cast<std::size_t>(worker.standing)]).key("dark").boolean(worker.dark);
     json.key("incarnation").number(static_cast<std::int64_t>(worker.row.incarnation));
-    Pool const* const pool = node->desk.description()->pool(worker.row.pool);
+    Pool const* const pool = node_->desk.description()->pool(worker.row.pool);
     std::int64_t const slots = pool != nullptr ? worker.room(*pool) : worker.row.slots;
     json.key("slots").number(slots).key("sent").number(static_cast<std::int64_t>(worker.sent));
     json.key("demand").number(worker.guess()).end_object();
   }
-  json.end_list().key("backlog").number(static_cast<std::int64_t>(node->desk.waiting()));
-  json.key("under_way").number(static_cast<std::int64_t>(node->under_way())).end_object();
+  json.end_list().key("backlog").number(static_cast<std::int64_t>(node_->desk.waiting()));
+  json.key("under_way").number(static_cast<std::int64_t>(node_->under_way())).end_object();
   return json.take();
 }
 
@@ -60,7 +60,7 @@
 }  // namespace
 
 std::string Host::metrics() const {
-  Tally const& t = node->desk.tally;
+  Tally const& t = node_->desk.tally;
   MetricsText text;
   text.counter("pipit_asked_total", t.asked);
   text.counter("pipit_first_sends_total", t.first_sends);
@@ -73,22 +73,22 @@
   text.counter("pipit_blocks_asked_total", t.blocks_asked);
   text.counter("pipit_blocks_hit_total", t.blocks_hit);
   text.counter("pipit_far_sends_total", t.far_sends);
-  text.counter("pipit_wire_bytes_total", wire_bytes);
-  text.counter("pipit_frames_in_total", node->mesh.frames_in);
-  text.counter("pipit_deltas_dropped_total", node->index_sync.dropped);
-  text.counter("pipit_tree_pulls_total", node->index_sync.pulls);
-  text.counter("pipit_tree_stalls_total", node->index_sync.stalls);
-  text.counter("pipit_clock_jumps_total", node->jumps);
-  text.gauge("pipit_longest_turn_us", static_cast<std::uint64_t>(longest_turn));
-  text.gauge("pipit_serial", node->learner.serial());
-  text.gauge("pipit_ready", node->ready() ? 1u : 0u);
-  text.gauge("pipit_backlog", node->desk.waiting());
-  text.gauge("pipit_under_way", node->under_way());
-  text.gauge("pipit_wires", node->mesh.wires_open());
-  text.counters("pipit_mesh_bytes_total", "zone", mesh_to);
-  text.counters("pipit_frame_bytes_total", "frame", by_frame(frame_bytes));
-  text.counters("pipit_leg_bytes_total", "zone", legs_with);
-  text.counters("pipit_answers_total", "kind", kinds);
+  text.counter("pipit_wire_bytes_total", wire_bytes_);
+  text.counter("pipit_frames_in_total", node_->mesh.frames_in);
+  text.counter("pipit_deltas_dropped_total", node_->index_sync.dropped);
+  text.counter("pipit_tree_pulls_total", node_->index_sync.pulls);
+  text.counter("pipit_tree_stalls_total", node_->index_sync.stalls);
+  text.counter("pipit_clock_jumps_total", node_->jumps);
+  text.gauge("pipit_longest_turn_us", static_cast<std::uint64_t>(longest_turn_));
+  text.gauge("pipit_serial", node_->learner.serial());
+  text.gauge("pipit_ready", node_->ready() ? 1u : 0u);
+  text.gauge("pipit_backlog", node_->desk.waiting());
+  text.gauge("pipit_under_way", node_->under_way());
+  text.gauge("pipit_wires", node_->mesh.wires_open());
+  text.counters("pipit_mesh_bytes_total", "zone", mesh_to_);
+  text.counters("pipit_frame_bytes_total", "frame", by_frame(frame_bytes_));
+  text.counters("pipit_leg_bytes_total", "zone", legs_with_);
+  text.counters("pipit_answers_total", "kind", kinds_);
   text.invariants();
   return text.take();
 }
