--- a/src/storage/record_store.cc
+++ b/src/storage/record_store.cc
@@ -56,12 +56,12 @@
 
 Result<wire::RecordT> RecordStore::format(std::uint64_t new_disk_id) {
   for (std::size_t i = 0; i < file_count; ++i) {
-    Result<void> made = disk.allocate(file_name(i), reserved);
+    Result<void> made = disk_.allocate(file_name(i), reserved_);
     if (!made) return made.as_failure();
   }
   wire::RecordT record;
-  record.cluster = cluster;
-  record.name = node;
+  record.cluster = cluster_;
+  record.name = node_;
   record.disk = new_disk_id;
   record.format = record_format;
   // Once for each pair of files, so that none is left empty.
@@ -69,7 +69,7 @@
     Result<void> saved = save(record);
     if (!saved) return saved.as_failure();
   }
-  Result<void> made = disk.allocate(formatted_mark, mark_size);
+  Result<void> made = disk_.allocate(formatted_mark, mark_size);
   if (!made) return made.as_failure();
   return record;
 }
@@ -77,13 +77,13 @@
 Result<RecordStore::Files> RecordStore::read_files() {
   std::size_t there = 0;
   for (std::size_t i = 0; i < file_count; ++i)
-    if (disk.exists(file_name(i))) ++there;
+    if (disk_.exists(file_name(i))) ++there;
   if (there != file_count)
     return fail(Kind::bad_disk,
                 "the record store has " + std::to_string(there) + " of its " + std::to_string(file_count) + " files");
   Files files;
   for (std::size_t i = 0; i < file_count; ++i) {
-    Result<std::string> bytes = disk.read(file_name(i));
+    Result<std::string> bytes = disk_.read(file_name(i));
     if (!bytes) return bytes.as_failure();
     files[i] = inspect(bytes.value());
   }
@@ -96,7 +96,7 @@
   if (!check.VerifyBuffer<wire::Record>(nullptr)) return fail(Kind::bad_disk, "the record does not verify");
   wire::RecordT record;
   flatbuffers::GetRoot<wire::Record>(body.data())->UnPackTo(&record);
-  if (record.cluster != cluster || record.name != node)
+  if (record.cluster != cluster_ || record.name != node_)
     return fail(Kind::bad_disk, "the data folder belongs to " + record.name + " of cluster " + record.cluster);
   if (record.format > record_format)
     return fail(Kind::bad_disk, "the record has format " + std::to_string(record.format) +
@@ -107,8 +107,8 @@
 
 bool RecordStore::holds_vote() {
   for (std::size_t i = 0; i < file_count; ++i) {
-    if (!disk.exists(file_name(i))) continue;
-    Result<std::string> const bytes = disk.read(file_name(i));
+    if (!disk_.exists(file_name(i))) continue;
+    Result<std::string> const bytes = disk_.read(file_name(i));
     if (!bytes) continue;
     File const file = inspect(bytes.value());
     if (!file.intact) continue;
@@ -119,11 +119,11 @@
 }
 
 Result<wire::RecordT> RecordStore::open(std::uint64_t new_disk_id, bool& blank) {
-  bool const marked = disk.exists(formatted_mark);
+  bool const marked = disk_.exists(formatted_mark);
   blank = !marked && !holds_vote();
   if (blank) return format(new_disk_id);
   // The mark's name was made and never synced. Without it the votes decide, so that a refusal does no harm.
-  if (!marked) static_cast<void>(disk.allocate(formatted_mark, mark_size));
+  if (!marked) static_cast<void>(disk_.allocate(formatted_mark, mark_size));
   Result<Files> const read = read_files();
   if (!read) return read.as_failure();
   Files const& files = read.value();
@@ -139,15 +139,15 @@
   }
   Result<wire::RecordT> record = unpack(last->body);
   if (!record) return record;
-  sequence = last->sequence;
-  for (std::size_t i = 0; i < file_count; ++i) corrupt[i] = !files[i].intact;
+  sequence_ = last->sequence;
+  for (std::size_t i = 0; i < file_count; ++i) corrupt_[i] = !files[i].intact;
   return record;
 }
 
 Result<void> RecordStore::write_file(std::size_t index, std::string const& bytes) {
-  corrupt[index] = true;
-  Result<void> done = disk.write(file_name(index), bytes);
-  if (done) corrupt[index] = false;
+  corrupt_[index] = true;
+  Result<void> done = disk_.write(file_name(index), bytes);
+  if (done) corrupt_[index] = false;
   return done;
 }
 
@@ -157,16 +157,16 @@
   std::string_view const body(reinterpret_cast<char const*>(builder.GetBufferPointer()), builder.GetSize());
   Header header;
   std::memcpy(header.magic, magic, sizeof magic);
-  header.sequence = ++sequence;
+  header.sequence = ++sequence_;
   header.size = body.size();
-  header.checksum = checksum_of(sequence, body);
+  header.checksum = checksum_of(sequence_, body);
   if (sizeof header + body.size() > largest_file) return fail(Kind::bad_disk, "the record is larger than its file");
   std::string bytes(reinterpret_cast<char const*>(&header), sizeof header);
   bytes += body;
-  std::size_t const first = (sequence % (file_count / copies)) * copies;
+  std::size_t const first = (sequence_ % (file_count / copies)) * copies;
   std::size_t const second = first + 1;
   // Else a second interruption could tear the copy that the first one left intact.
-  bool const second_before = corrupt[second] && !corrupt[first];
+  bool const second_before = corrupt_[second] && !corrupt_[first];
   Result<void> done = write_file(second_before ? second : first, bytes);
   if (done) done = write_file(second_before ? first : second, bytes);
   return done;
--- a/src/storage/record_store.h
+++ b/src/storage/record_store.h
@@ -32,8 +32,8 @@
 
   // Each file is given `reserved` bytes at the first start; a larger record makes its file grow, up to largest_file.
   // `disk` must outlive the store.
-  RecordStore(Disk& disk_, std::string cluster_, std::string node_, std::size_t reserved_ = largest_file)
-      : disk(disk_), cluster(std::move(cluster_)), node(std::move(node_)), reserved(reserved_) {}
+  RecordStore(Disk& disk, std::string cluster, std::string node, std::size_t reserved = largest_file)
+      : disk_(disk), cluster_(std::move(cluster)), node_(std::move(node)), reserved_(reserved) {}
 
   // Recovers the last synced record. A folder that was never used is formatted, with `new_disk_id` in its first record;
   // `blank` says which. Refused: missing files, a record of another node or cluster, and both copies corrupt. A folder
@@ -64,12 +64,12 @@
   bool holds_vote();
   Result<void> write_file(std::size_t index, std::string const& bytes);
 
-  Disk& disk;
-  std::string const cluster;
-  std::string const node;
-  std::size_t const reserved;
-  std::uint64_t sequence = 0;                 // of the newest record
-  std::array<bool, file_count> corrupt = {};  // files that may hold a torn record
+  Disk& disk_;
+  std::string const cluster_;
+  std::string const node_;
+  std::size_t const reserved_;
+  std::uint64_t sequence_ = 0;                 // of the newest record
+  std::array<bool, file_count> corrupt_ = {};  // files that may hold a torn record
 };
 
 }  // namespace pipit
