--- a/proof/augury/judge.cc
+++ b/proof/augury/judge.cc
@@ -56,7 +56,7 @@
   if (first_sends > 0) end.margins.resend = static_cast<double>(resends) / static_cast<double>(first_sends);
   if (static_cast<double>(resends) > 0.2 * static_cast<double>(first_sends) + 3.0 * static_cast<double>(lives))
     fault("N10 " + std::to_string(resends) + " re-sends for " + std::to_string(first_sends) + " sends");
-  // After a quiet while everything is whole again: one serial, every node ready, the keeper set full.
+  // After a quiet while everything is whole again: one serial, every node ready, the replica set full.
   std::set<std::uint64_t> serials;
   for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
     if (item.second->up() && item.second->role == Role::passage) ++end.routers;
@@ -83,7 +83,7 @@
   for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
     if (item.second->up()) {
       if (item.second->node->learner.value) end.seats = item.second->node->learner.value->seats.size();
-      if (item.second->node->learner.membership().keepers.size() != static_cast<std::size_t>(plan.shape->keepers))
+      if (item.second->node->learner.membership().replicas.size() != static_cast<std::size_t>(plan.shape->replicas))
         fault("repair: the set of keepers is not whole after a quiet while");
       break;
     }
--- a/proof/augury/machines.cc
+++ b/proof/augury/machines.cc
@@ -42,7 +42,7 @@
   p.zone = box.zone;
   p.address = box.address;
   p.role = box.role;
-  // A machine is set up with the addresses that the first three keepers have by then, and keeps them.
+  // A machine is set up with the addresses that the first three replicas have by then, and keeps them.
   if (box.seeds.empty() || box.seeded_at != box.address) {
     box.seeds.clear();
     box.seeded_at = box.address;
@@ -53,7 +53,7 @@
   }
   p.seeds = box.seeds;
   if (box.role == Role::accord)
-    for (int i = 1; i <= plan.shape->keepers; ++i) p.founders.push_back("k" + std::to_string(i));
+    for (int i = 1; i <= plan.shape->replicas; ++i) p.founders.push_back("k" + std::to_string(i));
   p.incarnation = 1000 + lives;
   p.chance = hash_bits(plan.seed * 31 + lives);
   std::optional<wire::RecordT> recovered;
--- a/proof/augury/trouble.cc
+++ b/proof/augury/trouble.cc
@@ -94,19 +94,19 @@
   } else if (type == "blank") {
     // One lost disk at a time: the next only once the set has taken the last one in.
     std::size_t whole = 0;
-    Box* keeper = pick([](Box const& b) { return b.role == Role::accord; });
-    if (keeper != nullptr && cuts.empty()) {
-      Membership const& members = keeper->node->learner.membership();
+    Box* replica = pick([](Box const& b) { return b.role == Role::accord; });
+    if (replica != nullptr && cuts.empty()) {
+      Membership const& members = replica->node->learner.membership();
       for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
         if (item.second->role == Role::accord && item.second->up() && item.second->disk &&
             members.holds(item.first, item.second->disk->disk))
           ++whole;
-      if (whole == static_cast<std::size_t>(plan.shape->keepers) && members.keepers.size() == whole) {
-        halt(*keeper, random.chance(0.5));
-        keeper->disk.reset();
-        keeper->writing.reset();
-        keeper->address = "10.0.5." + std::to_string(++moved) + ":7000";
-        std::string const name = keeper->name;
+      if (whole == static_cast<std::size_t>(plan.shape->replicas) && members.replicas.size() == whole) {
+        halt(*replica, random.chance(0.5));
+        replica->disk.reset();
+        replica->writing.reset();
+        replica->address = "10.0.5." + std::to_string(++moved) + ":7000";
+        std::string const name = replica->name;
         after(span, [this, name] { boot(*boxes[name]); });
       }
     }
@@ -125,12 +125,12 @@
       boot(add(name, address, zone, Role::passage));
     }
   } else if (type == "slow") {
-    Box* const keeper = pick([](Box const& b) { return b.role == Role::accord; });
-    if (keeper != nullptr) {
+    Box* const replica = pick([](Box const& b) { return b.role == Role::accord; });
+    if (replica != nullptr) {
       bool const stall = random.chance(0.3);
-      keeper->disk_low = stall ? seconds(4) : millis(100);
-      keeper->disk_high = stall ? seconds(8) : millis(700);
-      std::string const name = keeper->name;
+      replica->disk_low = stall ? seconds(4) : millis(100);
+      replica->disk_high = stall ? seconds(8) : millis(700);
+      std::string const name = replica->name;
       after(span, [this, name] {
         boxes[name]->disk_low = 500;
         boxes[name]->disk_high = 6000;
@@ -241,7 +241,7 @@
       after(seconds(14), [this] { heal(); });
     }
   } else if (type == "amnesia") {
-    // A change is chosen while one keeper is cut off; then one that took it loses its disk, another its power, and the
+    // A change is chosen while one replica is cut off; then one that took it loses its disk, another its power, and the
     // one that was cut off is back: whoever counted the blank one would go on from the older value.
     Membership const& members = box->node->learner.membership();
     std::vector<std::string> whole;
@@ -249,7 +249,7 @@
       if (item.second->role == Role::accord && item.second->up() && item.second->disk &&
           members.holds(item.first, item.second->disk->disk))
         whole.push_back(item.first);
-    if (cuts.empty() && box->role == Role::passage && whole.size() == static_cast<std::size_t>(plan.shape->keepers)) {
+    if (cuts.empty() && box->role == Role::passage && whole.size() == static_cast<std::size_t>(plan.shape->replicas)) {
       for (std::string const& name : names)
         if (name != whole[2]) set_cut(name, whole[2], true), set_cut(whole[2], name, true);
       operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *box);
@@ -277,16 +277,16 @@
       boot(*boxes[name]);
     });
   } else if (type == "closing") {
-    // Right after a yes: the node that said it loses its power, and one keeper with it.
+    // Right after a yes: the node that said it loses its power, and one replica with it.
     closing = random.chance(0.6);
     operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *box);
     std::string const name = box->name;
     if (!closing)
       after(lag(millis(10), millis(60)), [this, name] {
         halt(*boxes[name], true);
-        if (Box* const keeper = pick([](Box const& b) { return b.role == Role::accord; })) {
-          std::string const other = keeper->name;
-          halt(*keeper, true);
+        if (Box* const replica = pick([](Box const& b) { return b.role == Role::accord; })) {
+          std::string const other = replica->name;
+          halt(*replica, true);
           after(lag(millis(500), seconds(3)), [this, other] { boot(*boxes[other]); });
         }
         after(lag(millis(500), seconds(3)), [this, name] { boot(*boxes[name]); });
--- a/proof/augury/world.cc
+++ b/proof/augury/world.cc
@@ -31,7 +31,7 @@
 
 WorldEnd World::run() {
   int i = 0;
-  for (int n = 1; n <= plan.shape->keepers; ++n) {
+  for (int n = 1; n <= plan.shape->replicas; ++n) {
     std::string const& zone = plan.shape->zones[static_cast<std::size_t>(n - 1) % plan.shape->zones.size()];
     boot(add("k" + std::to_string(n), "10.0.2." + std::to_string(n) + ":7000", zone, Role::accord));
   }
--- a/proof/augury/world.h
+++ b/proof/augury/world.h
@@ -132,7 +132,7 @@
   bool list_down = false;
   bool list_silent = false;
   std::vector<std::string> silent;  // router nodes that were exchanged and answer no dial
-  bool closing = false;             // the next yes is followed by a power cut of every keeper
+  bool closing = false;             // the next yes is followed by a power cut of every replica
   Micros list_down_from = 0;
   std::uint64_t lives = 0;
   std::uint64_t wish_count = 0;
--- a/proof/checker/print.cc
+++ b/proof/checker/print.cc
@@ -4,16 +4,16 @@
 
 namespace pipit::checker {
 
-std::string keeper_name(std::size_t index) { return "k" + std::to_string(index + 1); }
+std::string replica_name(std::size_t index) { return "k" + std::to_string(index + 1); }
 
-int keeper_index(std::string const& name) {
+int replica_index(std::string const& name) {
   if (name.size() != 2 || name[0] != 'k' || name[1] < '1' || name[1] > '9') return -1;
   return name[1] - '1';
 }
 
-Symmetry::Symmetry(std::size_t keepers, std::vector<std::size_t> free) {
-  std::vector<std::size_t> same(keepers);
-  for (std::size_t i = 0; i < keepers; ++i) same[i] = i;
+Symmetry::Symmetry(std::size_t replicas, std::vector<std::size_t> free) {
+  std::vector<std::size_t> same(replicas);
+  for (std::size_t i = 0; i < replicas; ++i) same[i] = i;
   if (free.size() > 4) free.resize(4);
   std::sort(free.begin(), free.end());
   std::vector<std::size_t> order = free;
@@ -25,15 +25,15 @@
 }
 
 std::uint64_t Symmetry::name(std::size_t way, std::string const& text) const {
-  int const index = keeper_index(text);
+  int const index = replica_index(text);
   if (index < 0 || static_cast<std::size_t>(index) >= ways[way].size()) return hash_text(text);
   return ways[way][static_cast<std::size_t>(index)] + 1;
 }
 
 std::uint64_t Symmetry::disk(std::size_t way, std::uint64_t id) const {
-  std::uint64_t const keeper = id / disks_per_keeper;
-  if (keeper == 0 || keeper > ways[way].size()) return id;
-  return (ways[way][keeper - 1] + 1) * disks_per_keeper + id % disks_per_keeper;
+  std::uint64_t const replica = id / disks_per_replica;
+  if (replica == 0 || replica > ways[way].size()) return id;
+  return (ways[way][replica - 1] + 1) * disks_per_replica + id % disks_per_replica;
 }
 
 std::uint64_t Print::least() const { return *std::min_element(lanes.begin(), lanes.begin() + static_cast<long>(ways)); }
--- a/proof/checker/print.h
+++ b/proof/checker/print.h
@@ -1,5 +1,5 @@
-// Hashes of parts of a world, one for each way of exchanging its keepers, so that worlds that differ only in which
-// keeper is called what fold into one state.
+// Hashes of parts of a world, one for each way of exchanging its replicas, so that worlds that differ only in which
+// replica is called what fold into one state.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -10,23 +10,23 @@
 
 namespace pipit::checker {
 
-// Keepers are named k1, k2, ...; a disk's id is a thousand times the keeper's number and the number of wipes.
-constexpr std::uint64_t disks_per_keeper = 1000;
-std::string keeper_name(std::size_t index);
-// The index of a keeper's name, or -1 when it names something else.
-int keeper_index(std::string const& name);
+// Replicas are named k1, k2, ...; a disk's id is a thousand times the replica's number and the number of wipes.
+constexpr std::uint64_t disks_per_replica = 1000;
+std::string replica_name(std::size_t index);
+// The index of a replica's name, or -1 when it names something else.
+int replica_index(std::string const& name);
 
-// The permutations of keepers under which a world looks the same.
+// The permutations of replicas under which a world looks the same.
 class Symmetry {
  public:
   static constexpr std::size_t most = 24;
-  // All permutations of the keepers in 'free'; the others keep their places.
-  Symmetry(std::size_t keepers, std::vector<std::size_t> free);
+  // All permutations of the replicas in 'free'; the others keep their places.
+  Symmetry(std::size_t replicas, std::vector<std::size_t> free);
   Symmetry() : Symmetry(0, {}) {}
   std::size_t size() const { return ways.size(); }
   std::uint64_t name(std::size_t way, std::string const& text) const;
   std::uint64_t disk(std::size_t way, std::uint64_t id) const;
-  std::size_t place(std::size_t way, std::size_t keeper) const { return ways[way][keeper]; }
+  std::size_t place(std::size_t way, std::size_t replica) const { return ways[way][replica]; }
 
  private:
   std::vector<std::vector<std::size_t>> ways;
@@ -55,8 +55,8 @@
   void member(Print const& other) {
     for (std::size_t i = 0; i < ways; ++i) lanes[i] += hash_bits(other.lanes[i] ^ 0x9e3779b97f4a7c15ull);
   }
-  // The same, in the place that the permutation gives a keeper.
-  void keeper(Symmetry const& symmetry, std::size_t index, Print const& other) {
+  // The same, in the place that the permutation gives a replica.
+  void replica(Symmetry const& symmetry, std::size_t index, Print const& other) {
     for (std::size_t i = 0; i < ways; ++i) lanes[i] += hash_bits(step(symmetry.place(i, index) + 1, other.lanes[i]));
   }
   std::uint64_t least() const;
--- a/proof/checker/register_view.cc
+++ b/proof/checker/register_view.cc
@@ -22,23 +22,23 @@
 static_assert(sizeof(Acceptor) == acceptor_size, "a member of Acceptor changed: see print_of");
 #endif
 
-using Keepers = std::vector<std::unique_ptr<wire::KeeperT>>;
+using Replicas = std::vector<std::unique_ptr<wire::ReplicaT>>;
 
 void add(Print& out, wire::Ballot const& ballot) {
   out.number(ballot.n());
   out.number(ballot.who());
 }
 
-Print print_of(wire::KeeperT const& keeper, Symmetry const& symmetry) {
+Print print_of(wire::ReplicaT const& replica, Symmetry const& symmetry) {
   Print out(symmetry);
-  out.name(symmetry, keeper.name);
-  out.disk(symmetry, keeper.disk);
+  out.name(symmetry, replica.name);
+  out.disk(symmetry, replica.disk);
   return out;
 }
 
-void add(Print& out, Keepers const& keepers, Symmetry const& symmetry) {
+void add(Print& out, Replicas const& replicas, Symmetry const& symmetry) {
   Print set(symmetry);
-  for (std::unique_ptr<wire::KeeperT> const& item : keepers) set.member(print_of(*item, symmetry));
+  for (std::unique_ptr<wire::ReplicaT> const& item : replicas) set.member(print_of(*item, symmetry));
   out.part(set);
 }
 
@@ -52,9 +52,9 @@
 
 void add(Print& out, wire::ValueT const& value, Symmetry const& symmetry) {
   wire::ValueT rest = value;
-  add(out, rest.keepers, symmetry);
+  add(out, rest.replicas, symmetry);
   add(out, rest.former, symmetry);
-  rest.keepers.clear();
+  rest.replicas.clear();
   rest.former.clear();
   out.number(hash_of_table(rest));
 }
@@ -74,15 +74,15 @@
   add_optional(out, record.value, symmetry);
 }
 
-void add(Print& out, std::vector<wire::KeeperT> const& keepers, Symmetry const& symmetry) {
+void add(Print& out, std::vector<wire::ReplicaT> const& replicas, Symmetry const& symmetry) {
   Print set(symmetry);
-  for (wire::KeeperT const& item : keepers) set.member(print_of(item, symmetry));
+  for (wire::ReplicaT const& item : replicas) set.member(print_of(item, symmetry));
   out.part(set);
 }
 
 void add(Print& out, Membership const& members, Symmetry const& symmetry) {
   out.number(members.epoch);
-  add(out, members.keepers, symmetry);
+  add(out, members.replicas, symmetry);
   add(out, members.former, symmetry);
 }
 
@@ -133,9 +133,9 @@
     wire::PeekedT rest = *ans;
     add_optional(out, rest.value, symmetry);
     rest.value.reset();
-    add(out, rest.keepers, symmetry);
+    add(out, rest.replicas, symmetry);
     add(out, rest.former, symmetry);
-    rest.keepers.clear();
+    rest.replicas.clear();
     rest.former.clear();
     out.disk(symmetry, rest.disk);
     rest.disk = 0;
@@ -267,15 +267,16 @@
 
 std::uint64_t content_of(wire::ValueT const& value) {
   wire::ValueT rest = value;
-  rest.keepers.clear();
+  rest.replicas.clear();
   rest.former.clear();
   return hash_bits(hash_of_table(rest) + members_of(value));
 }
 
 std::uint64_t members_of(wire::ValueT const& value) {
   std::uint64_t out = 0;
-  for (std::unique_ptr<wire::KeeperT> const& item : value.keepers) out += hash_bits(hash_text(item->name) ^ item->disk);
-  for (std::unique_ptr<wire::KeeperT> const& item : value.former) out += hash_bits(hash_text(item->name) + item->disk);
+  for (std::unique_ptr<wire::ReplicaT> const& item : value.replicas)
+    out += hash_bits(hash_text(item->name) ^ item->disk);
+  for (std::unique_ptr<wire::ReplicaT> const& item : value.former) out += hash_bits(hash_text(item->name) + item->disk);
   return out;
 }
 
@@ -286,16 +287,16 @@
 std::uint64_t revision_of(wire::ValueT const& value) { return value.revision; }
 
 namespace {
-bool is_majority(Keepers const& keepers, std::vector<std::uint64_t> const& disks) {
+bool is_majority(Replicas const& replicas, std::vector<std::uint64_t> const& disks) {
   std::size_t here = 0;
-  for (std::unique_ptr<wire::KeeperT> const& item : keepers)
-    if (disks[static_cast<std::size_t>(keeper_index(item->name))] == item->disk) ++here;
-  return here >= keepers.size() / 2 + 1;
+  for (std::unique_ptr<wire::ReplicaT> const& item : replicas)
+    if (disks[static_cast<std::size_t>(replica_index(item->name))] == item->disk) ++here;
+  return here >= replicas.size() / 2 + 1;
 }
 }  // namespace
 
 bool is_quorum(wire::ValueT const& value, std::vector<std::uint64_t> const& disks) {
-  return is_majority(value.keepers, disks) && (value.former.empty() || is_majority(value.former, disks));
+  return is_majority(value.replicas, disks) && (value.former.empty() || is_majority(value.former, disks));
 }
 
 wire::ValueT first_value(std::vector<std::size_t> const& members) {
@@ -306,10 +307,10 @@
   out.change = "first";
   out.text = "first";
   for (std::size_t const index : members) {
-    std::unique_ptr<wire::KeeperT> keeper = std::make_unique<wire::KeeperT>();
-    keeper->name = keeper_name(index);
-    keeper->disk = (index + 1) * disks_per_keeper;
-    out.keepers.push_back(std::move(keeper));
+    std::unique_ptr<wire::ReplicaT> replica = std::make_unique<wire::ReplicaT>();
+    replica->name = replica_name(index);
+    replica->disk = (index + 1) * disks_per_replica;
+    out.replicas.push_back(std::move(replica));
   }
   remember_order(out, out.change);
   return out;
@@ -327,9 +328,9 @@
 std::string words_of(wire::ValueT const& value) {
   std::string out = "serial " + std::to_string(value.serial) + " '" + value.text + "' revision " +
                     std::to_string(value.revision) + " epoch " + std::to_string(value.epoch) + " of";
-  for (std::unique_ptr<wire::KeeperT> const& item : value.keepers) out += " " + item->name;
+  for (std::unique_ptr<wire::ReplicaT> const& item : value.replicas) out += " " + item->name;
   if (!value.former.empty()) out += " after";
-  for (std::unique_ptr<wire::KeeperT> const& item : value.former) out += " " + item->name;
+  for (std::unique_ptr<wire::ReplicaT> const& item : value.former) out += " " + item->name;
   return out;
 }
 
--- a/proof/checker/register_view.h
+++ b/proof/checker/register_view.h
@@ -38,7 +38,7 @@
 std::uint64_t serial_of_change(wire::ValueT const& value, std::string const& id);
 // The order of values: each is written over one of a lower revision.
 std::uint64_t revision_of(wire::ValueT const& value);
-// Whether the disks that are there now, by keeper, hold a quorum of the value's set.
+// Whether the disks that are there now, by replica, hold a quorum of the value's set.
 bool is_quorum(wire::ValueT const& value, std::vector<std::uint64_t> const& disks);
 // What the proposer writes in round two.
 wire::ValueT const& draft_of(Proposer const& proposer);
--- a/proof/checker/scenarios.cc
+++ b/proof/checker/scenarios.cc
@@ -15,16 +15,16 @@
 Order read(std::string const& id, std::string const& node, int after = -1) {
   return {id, node, Type::read, 0, "", after, ""};
 }
-Order admit(std::string const& keeper, std::string const& node, std::uint64_t epoch = first_epoch, int after = -1) {
-  return {"admit-" + keeper + "-" + node, node, Type::admit, epoch, keeper, after, ""};
+Order admit(std::string const& replica, std::string const& node, std::uint64_t epoch = first_epoch, int after = -1) {
+  return {"admit-" + replica + "-" + node, node, Type::admit, epoch, replica, after, ""};
 }
-Order dismiss(std::string const& keeper, std::string const& node, std::uint64_t epoch = first_epoch, int after = -1) {
-  return {"dismiss-" + keeper + "-" + node, node, Type::dismiss, epoch, keeper, after, ""};
+Order dismiss(std::string const& replica, std::string const& node, std::uint64_t epoch = first_epoch, int after = -1) {
+  return {"dismiss-" + replica + "-" + node, node, Type::dismiss, epoch, replica, after, ""};
 }
 
-Order replace(std::string const& leaving, std::string const& keeper, std::string const& node,
+Order replace(std::string const& leaving, std::string const& replica, std::string const& node,
               std::uint64_t epoch = first_epoch, int after = -1) {
-  return {"replace-" + leaving + "-" + keeper + "-" + node, node, Type::replace, epoch, keeper, after, leaving};
+  return {"replace-" + leaving + "-" + replica + "-" + node, node, Type::replace, epoch, replica, after, leaving};
 }
 
 Scenario of(std::string const& name, std::string const& about, std::vector<Order> orders, Bounds const& bounds) {
@@ -44,37 +44,37 @@
     for (int i = 0; i < times; ++i) lines.push_back(line);
     return *this;
   }
-  Script& prepare(std::string const& node, std::uint64_t round, Names const& keepers) {
-    for (std::string const& keeper : keepers)
-      say("deliver prepare " + node + ">" + keeper + " in round " + std::to_string(round));
-    for (std::string const& keeper : keepers) say("deliver promise " + keeper + ">" + node);
+  Script& prepare(std::string const& node, std::uint64_t round, Names const& replicas) {
+    for (std::string const& replica : replicas)
+      say("deliver prepare " + node + ">" + replica + " in round " + std::to_string(round));
+    for (std::string const& replica : replicas) say("deliver promise " + replica + ">" + node);
     return *this;
   }
-  Script& accept(std::string const& node, std::uint64_t round, Names const& keepers) {
-    for (std::string const& keeper : keepers)
-      say("deliver accept " + node + ">" + keeper + " in round " + std::to_string(round));
+  Script& accept(std::string const& node, std::uint64_t round, Names const& replicas) {
+    for (std::string const& replica : replicas)
+      say("deliver accept " + node + ">" + replica + " in round " + std::to_string(round));
     return *this;
   }
-  Script& accepted(std::string const& node, Names const& keepers) {
-    for (std::string const& keeper : keepers) say("deliver accepted " + keeper + ">" + node);
+  Script& accepted(std::string const& node, Names const& replicas) {
+    for (std::string const& replica : replicas) say("deliver accepted " + replica + ">" + node);
     return *this;
   }
-  Script& round(std::string const& node, std::uint64_t number, Names const& keepers) {
-    return prepare(node, number, keepers).accept(node, number, keepers).accepted(node, keepers);
+  Script& round(std::string const& node, std::uint64_t number, Names const& replicas) {
+    return prepare(node, number, replicas).accept(node, number, replicas).accepted(node, replicas);
   }
 };
 
 // A change of members leaves the operators' serial alone.
 constexpr std::uint64_t split_serial = 1;
 
-// Two changes of members are begun from one set of four, and each is accepted by one keeper only; then one proposer
+// Two changes of members are begun from one set of four, and each is accepted by one replica only; then one proposer
 // sees the one, another the other. The proposers that follow must not work at sets whose majorities miss each other.
 Scenario split(std::string const& name, Order const& one, Order const& other, Names const& first_majority,
                Names const& second_majority) {
   Scenario out;
   out.name = name;
   out.about = "two changes of members that were never chosen are seen by two proposers";
-  out.keepers = 6;
+  out.replicas = 6;
   out.members = {0, 1, 2, 3};
   out.nodes = {"p1", "p2", "p3", "p4"};
   out.orders = {one, other, apply("a", "p3", 2), apply("b", "p4", 2)};
@@ -96,12 +96,13 @@
   return out;
 }
 
-// The same with two replacements in a set of three, where the sets that follow have majorities without a common keeper.
+// The same with two replacements in a set of three, where the sets that follow have majorities without a common
+// replica.
 Scenario split_replace() {
   Scenario out;
   out.name = "split-replace";
   out.about = "two replacements that were never chosen are seen by two proposers";
-  out.keepers = 5;
+  out.replicas = 5;
   out.nodes = {"p1", "p2", "p3", "p4"};
   out.orders = {replace("k1", "k4", "p1"), replace("k2", "k5", "p2"), apply("a", "p3", 1), apply("b", "p4", 1)};
   Script script;
@@ -118,12 +119,12 @@
   return out;
 }
 
-// The settled set is held by the leaving keeper alone; who comes after must still be able to read.
+// The settled set is held by the leaving replica alone; who comes after must still be able to read.
 Scenario leaving_holds() {
   Scenario out;
   out.name = "leaving-holds";
   out.about = "only the keeper that leaves holds the set without it";
-  out.keepers = 4;
+  out.replicas = 4;
   out.nodes = {"p1"};
   out.orders = {replace("k1", "k4", "p1")};
   Script script;
@@ -185,7 +186,7 @@
   out.push_back(poll);
 
   Scenario second = of("second", "a set of one grows to two while a description is ordered", {}, {});
-  second.keepers = 2;
+  second.replicas = 2;
   second.members = {0};
   second.orders = {admit("k2", "p1"), apply("a", "p2", 1)};
   second.bounds.retries = 2;
@@ -198,7 +199,7 @@
   out.push_back(third);
 
   Scenario swap = of("swap", "two nodes each dismiss the other's keeper", {}, {});
-  swap.keepers = 2;
+  swap.replicas = 2;
   swap.members = {0, 1};
   swap.orders = {dismiss("k2", "p1"), dismiss("k1", "p2")};
   swap.bounds.retries = 1;
@@ -214,8 +215,8 @@
   same.same_chance = true;
   Script script;
   script.say("ask 1 a at p1");
-  for (char const* const keeper : {"k1", "k2", "k3"})
-    script.say(std::string("deliver prepare p1>") + keeper + " in round 2");
+  for (char const* const replica : {"k1", "k2", "k3"})
+    script.say(std::string("deliver prepare p1>") + replica + " in round 2");
   script.say("repeat promise k1>p1").say("deliver promise k2>p1").say("restart p1");
   same.prefix = script.lines;
   return {same};
@@ -228,18 +229,18 @@
   out.push_back(of("rivals-1", "two orders on one serial", {apply("a", "p1", 1), apply("b", "p2", 1)}, one_retry));
   out.push_back(of("resend-1", "an order is sent again", {apply("a", "p1", 1), apply("a", "p2", 1)}, one_retry));
   Scenario four = of("admit", "three keepers become four while a description is ordered", {}, one_retry);
-  four.keepers = 4;
+  four.replicas = 4;
   four.orders = {admit("k4", "p1"), apply("a", "p2", 1)};
   out.push_back(four);
   Scenario less = of("dismiss", "three keepers become two while a description is ordered", {}, one_retry);
   less.orders = {dismiss("k3", "p1"), apply("a", "p2", 1)};
   out.push_back(less);
   Scenario other = of("replace", "a keeper takes another's place while a description is ordered", {}, one_retry);
-  other.keepers = 4;
+  other.replicas = 4;
   other.orders = {replace("k3", "k4", "p1"), apply("a", "p2", 1)};
   out.push_back(other);
   Scenario both = of("pair", "two nodes each dismiss the other's keeper, and a description is ordered", {}, one_retry);
-  both.keepers = 2;
+  both.replicas = 2;
   both.members = {0, 1};
   both.bounds.retries = 3;
   both.orders = {dismiss("k2", "p1"), dismiss("k1", "p2"), apply("a", "p1", 1)};
@@ -262,7 +263,7 @@
   many.crashes = 2;
   many.polls = 6;
   Scenario orders = of("walk-orders", "three nodes order, read and send again at five keepers", {}, many);
-  orders.keepers = 5;
+  orders.replicas = 5;
   orders.members = {0, 1, 2, 3, 4};
   orders.nodes = {"p1", "p2", "p3"};
   orders.slow_disks = true;
@@ -273,7 +274,7 @@
   out.push_back(orders);
 
   Scenario members = of("walk-members", "four nodes change the set of four while descriptions are ordered", {}, many);
-  members.keepers = 6;
+  members.replicas = 6;
   members.members = {0, 1, 2, 3};
   members.nodes = {"p1", "p2", "p3", "p4"};
   members.push = true;
@@ -283,7 +284,7 @@
   out.push_back(members);
 
   Scenario growth = of("walk-growth", "a set of one grows to five, is changed and shrinks again", {}, many);
-  growth.keepers = 5;
+  growth.replicas = 5;
   growth.members = {0};
   growth.nodes = {"p1", "p2", "p3"};
   growth.orders = {admit("k2", "p1"),      admit("k3", "p2"),    apply("a", "p3", 1),
@@ -293,7 +294,7 @@
   out.push_back(growth);
 
   Scenario places = of("walk-replace", "keepers of three are replaced at two nodes, and disks are lost", {}, many);
-  places.keepers = 5;
+  places.replicas = 5;
   places.nodes = {"p1", "p2", "p3"};
   places.slow_disks = true;
   places.bounds.wipes = 1;
--- a/proof/checker/search.cc
+++ b/proof/checker/search.cc
@@ -13,18 +13,18 @@
 using Clock = std::chrono::steady_clock;
 double since(Clock::time_point start) { return std::chrono::duration<double>(Clock::now() - start).count(); }
 
-// Keepers that no order names are alike, members and spares each among themselves; only members are exchanged.
+// Replicas that no order names are alike, members and spares each among themselves; only members are exchanged.
 Symmetry symmetry_of(Scenario const& scenario) {
   std::set<std::string> named;
   for (Order const& order : scenario.orders) {
-    named.insert(order.keeper);
+    named.insert(order.replica);
     named.insert(order.leaving);
   }
   std::vector<std::size_t> free;
   if (scenario.prefix.empty())
     for (std::size_t const index : scenario.members)
-      if (named.count(keeper_name(index)) == 0) free.push_back(index);
-  return Symmetry(scenario.keepers, free);
+      if (named.count(replica_name(index)) == 0) free.push_back(index);
+  return Symmetry(scenario.replicas, free);
 }
 
 World begin(Scenario const& scenario, Symmetry const& symmetry) {
--- a/proof/checker/world.cc
+++ b/proof/checker/world.cc
@@ -31,10 +31,10 @@
 
 std::string type_name_of(wire::BodyUnion const& body) { return small(wire::EnumNameBody(body.type)); }
 
-wire::KeeperT keeper_of(std::string const& name) {
-  wire::KeeperT out;
+wire::ReplicaT replica_of(std::string const& name) {
+  wire::ReplicaT out;
   out.name = name;
-  if (!name.empty()) out.disk = static_cast<std::uint64_t>(keeper_index(name) + 1) * disks_per_keeper;
+  if (!name.empty()) out.disk = static_cast<std::uint64_t>(replica_index(name) + 1) * disks_per_replica;
   return out;
 }
 
@@ -45,8 +45,8 @@
   out.expected = order.expected;
   if (order.type == Change::Type::apply) out.text = "text of " + order.id;
   if (order.type == Change::Type::empty || order.type == Change::Type::refill) out.text = "zone";
-  out.keeper = keeper_of(order.keeper);
-  out.leaving = keeper_of(order.leaving);
+  out.replica = replica_of(order.replica);
+  out.leaving = replica_of(order.leaving);
   return out;
 }
 
@@ -55,19 +55,19 @@
 World::World(Scenario const& scenario_, Symmetry const& symmetry_)
     : scenario(std::make_shared<Scenario const>(scenario_)), symmetry(&symmetry_), left(scenario_.bounds) {
   wire::ValueT const first = first_value(scenario->members);
-  keepers.resize(scenario->keepers);
-  for (std::size_t i = 0; i < keepers.size(); ++i) {
-    keepers[i].disk_id = (i + 1) * disks_per_keeper;
+  replicas.resize(scenario->replicas);
+  for (std::size_t i = 0; i < replicas.size(); ++i) {
+    replicas[i].disk_id = (i + 1) * disks_per_replica;
     wire::RecordT record;
-    record.name = keeper_name(i);
-    record.disk = keepers[i].disk_id;
+    record.name = replica_name(i);
+    record.disk = replicas[i].disk_id;
     if (std::find(scenario->members.begin(), scenario->members.end(), i) != scenario->members.end()) {
       record.formed = true;
       record.promised = wire::Ballot(1, 0);
       record.accepted = wire::Ballot(1, 0);
       record.value = std::make_unique<wire::ValueT>(first);
     }
-    start_keeper(i, std::move(record));
+    start_replica(i, std::move(record));
   }
   nodes.resize(scenario->nodes.size());
   for (std::size_t i = 0; i < nodes.size(); ++i) start_node(i);
@@ -100,9 +100,9 @@
     out.push_back({Step::Type::deliver, i});
     if (left.repeats > 0) out.push_back({Step::Type::repeat, i});
   }
-  for (std::size_t i = 0; i < keepers.size(); ++i) {
-    if (keepers[i].saving) out.push_back({Step::Type::sync, i});
-    if (left.crashes > 0 && keepers[i].saving) out.push_back({Step::Type::crash, i});
+  for (std::size_t i = 0; i < replicas.size(); ++i) {
+    if (replicas[i].saving) out.push_back({Step::Type::sync, i});
+    if (left.crashes > 0 && replicas[i].saving) out.push_back({Step::Type::crash, i});
     if (left.wipes > 0) out.push_back({Step::Type::wipe, i});
   }
   for (std::size_t i = 0; i < nodes.size(); ++i) {
@@ -138,7 +138,7 @@
     case Step::Type::sync:
     case Step::Type::crash:
     case Step::Type::wipe:
-      return out + " " + keeper_name(step.index);
+      return out + " " + replica_name(step.index);
     default:
       return out + " " + scenario->nodes[step.index];
   }
@@ -197,50 +197,50 @@
   drop_late();
 }
 
-// --- keepers
+// --- replicas
 
-void World::start_keeper(std::size_t index, wire::RecordT record) {
-  Keeper& keeper = keepers[index];
-  keeper.saving.reset();
-  keeper.disk = std::make_shared<wire::RecordT const>(record);
-  keeper.acceptor = std::make_shared<Acceptor const>(std::move(record));
-  keeper.print = print_of(*keeper.acceptor, *symmetry);
+void World::start_replica(std::size_t index, wire::RecordT record) {
+  Replica& replica = replicas[index];
+  replica.saving.reset();
+  replica.disk = std::make_shared<wire::RecordT const>(record);
+  replica.acceptor = std::make_shared<Acceptor const>(std::move(record));
+  replica.print = print_of(*replica.acceptor, *symmetry);
 }
 
 void World::after_acceptor(std::size_t index, Acceptor next, std::vector<OutgoingMessage>& out,
                            std::optional<wire::RecordT> save) {
-  Keeper& keeper = keepers[index];
+  Replica& replica = replicas[index];
   while (save) {
-    keeper.saving = std::make_shared<wire::RecordT const>(std::move(*save));
+    replica.saving = std::make_shared<wire::RecordT const>(std::move(*save));
     save.reset();
     if (scenario->slow_disks) break;
-    keeper.disk = std::move(keeper.saving);
-    keeper.saving.reset();
+    replica.disk = std::move(replica.saving);
+    replica.saving.reset();
     next.synced(out);
     save = next.step(out);
   }
-  keeper.acceptor = std::make_shared<Acceptor const>(std::move(next));
-  keeper.print = print_of(*keeper.acceptor, *symmetry);
-  send(keeper_name(index), out);
+  replica.acceptor = std::make_shared<Acceptor const>(std::move(next));
+  replica.print = print_of(*replica.acceptor, *symmetry);
+  send(replica_name(index), out);
 }
 
-void World::deliver_to_keeper(std::size_t index, Message const& message) {
+void World::deliver_to_replica(std::size_t index, Message const& message) {
   std::vector<OutgoingMessage> out;
   if (wire::PeekT const* const ask = message.body.AsPeek()) {
-    out.push_back(message_to(message.from, peeked(keepers[index].acceptor->held(), *ask)));
-    return send(keeper_name(index), out);
+    out.push_back(message_to(message.from, peeked(replicas[index].acceptor->held(), *ask)));
+    return send(replica_name(index), out);
   }
-  Acceptor next = *keepers[index].acceptor;
+  Acceptor next = *replicas[index].acceptor;
   next.take(message.from, message.body);
   std::optional<wire::RecordT> save = next.step(out);
   after_acceptor(index, std::move(next), out, std::move(save));
 }
 
 void World::sync(std::size_t index) {
-  Keeper& keeper = keepers[index];
-  keeper.disk = std::move(keeper.saving);
-  keeper.saving.reset();
-  Acceptor next = *keeper.acceptor;
+  Replica& replica = replicas[index];
+  replica.disk = std::move(replica.saving);
+  replica.saving.reset();
+  Acceptor next = *replica.acceptor;
   std::vector<OutgoingMessage> out;
   next.synced(out);
   std::optional<wire::RecordT> save = next.step(out);
@@ -248,20 +248,20 @@
 }
 
 void World::crash(std::size_t index) {
-  note("starts from " + (keepers[index].disk->value ? words_of(*keepers[index].disk->value) : "a blank disk"));
-  start_keeper(index, *keepers[index].disk);
+  note("starts from " + (replicas[index].disk->value ? words_of(*replicas[index].disk->value) : "a blank disk"));
+  start_replica(index, *replicas[index].disk);
 }
 
 void World::wipe(std::size_t index) {
   wire::RecordT blank;
-  blank.name = keeper_name(index);
-  blank.disk = ++keepers[index].disk_id;
-  start_keeper(index, std::move(blank));
+  blank.name = replica_name(index);
+  blank.disk = ++replicas[index].disk_id;
+  start_replica(index, std::move(blank));
 }
 
 std::vector<std::uint64_t> World::disk_ids() const {
   std::vector<std::uint64_t> out;
-  for (Keeper const& keeper : keepers) out.push_back(keeper.disk_id);
+  for (Replica const& replica : replicas) out.push_back(replica.disk_id);
   return out;
 }
 
@@ -384,7 +384,7 @@
   Node& node = nodes[index];
   Learner next = *node.learner;
   std::vector<std::string> names;
-  for (std::size_t i = 0; i < keepers.size(); ++i) names.push_back(keeper_name(i));
+  for (std::size_t i = 0; i < replicas.size(); ++i) names.push_back(replica_name(i));
   std::vector<OutgoingMessage> out;
   next.poll(node.now, names, -1, out);
   std::vector<Ending> none;
@@ -415,8 +415,8 @@
 void World::deliver(std::size_t index, bool keep) {
   std::shared_ptr<Message const> const message = messages[index];
   if (!keep) messages.erase(messages.begin() + static_cast<std::ptrdiff_t>(index));
-  if (int const keeper = keeper_index(message->to); keeper >= 0)
-    deliver_to_keeper(static_cast<std::size_t>(keeper), *message);
+  if (int const replica = replica_index(message->to); replica >= 0)
+    deliver_to_replica(static_cast<std::size_t>(replica), *message);
   else
     deliver_to_node(static_cast<std::size_t>(node_index(message->to)), *message);
 }
@@ -572,11 +572,11 @@
 
 std::uint64_t World::print() const {
   Print out(*symmetry);
-  for (std::size_t i = 0; i < keepers.size(); ++i) {
-    Print one = keepers[i].print;
-    one.number(keepers[i].saving ? 1 : 0);
-    one.disk(*symmetry, keepers[i].disk_id);
-    out.keeper(*symmetry, i, one);
+  for (std::size_t i = 0; i < replicas.size(); ++i) {
+    Print one = replicas[i].print;
+    one.number(replicas[i].saving ? 1 : 0);
+    one.disk(*symmetry, replicas[i].disk_id);
+    out.replica(*symmetry, i, one);
   }
   for (Node const& node : nodes) {
     out.part(node.print);
@@ -607,12 +607,12 @@
 void World::drain(int turns) {
   lift_bounds(true);
   for (int turn = 0; turn < turns && wrong.empty(); ++turn) {
-    for (std::size_t i = 0; i < keepers.size(); ++i)
-      while (keepers[i].saving) take({Step::Type::sync, i});
+    for (std::size_t i = 0; i < replicas.size(); ++i)
+      while (replicas[i].saving) take({Step::Type::sync, i});
     while (!messages.empty() && wrong.empty()) {
       take({Step::Type::deliver, 0});
-      for (std::size_t i = 0; i < keepers.size(); ++i)
-        while (keepers[i].saving) take({Step::Type::sync, i});
+      for (std::size_t i = 0; i < replicas.size(); ++i)
+        while (replicas[i].saving) take({Step::Type::sync, i});
     }
     bool busy = false;
     for (std::size_t i = 0; i < nodes.size() && wrong.empty(); ++i)
@@ -631,8 +631,8 @@
   std::vector<std::uint64_t> const disks = disk_ids();
   for (std::shared_ptr<Settled const> const& item : settled)
     if (item->revision == newest_told() && !is_quorum(*item->value, disks)) return "";
-  for (Keeper const& keeper : keepers)
-    if (keeper.acceptor->held().value && !is_quorum(*keeper.acceptor->held().value, disks)) return "";
+  for (Replica const& replica : replicas)
+    if (replica.acceptor->held().value && !is_quorum(*replica.acceptor->held().value, disks)) return "";
   World later = *this;
   Scenario changed = *scenario;
   changed.orders.push_back({"recovery", "reader", Change::Type::read, 0, "", -1, ""});
@@ -642,8 +642,8 @@
   later.scenario = std::make_shared<Scenario const>(changed);
   later.narrated = false;
   later.messages.clear();
-  for (std::size_t i = 0; i < keepers.size(); ++i)
-    later.start_keeper(i, keepers[i].disk ? *keepers[i].disk : wire::RecordT());
+  for (std::size_t i = 0; i < replicas.size(); ++i)
+    later.start_replica(i, replicas[i].disk ? *replicas[i].disk : wire::RecordT());
   later.nodes.emplace_back();
   later.start_node(later.nodes.size() - 1);
   later.states.emplace_back();
--- a/proof/checker/world.h
+++ b/proof/checker/world.h
@@ -16,7 +16,7 @@
   std::string node;
   Change::Type type = Change::Type::read;
   std::uint64_t expected = 0;
-  std::string keeper;   // admitted or dismissed
+  std::string replica;  // admitted or dismissed
   int after = -1;       // asked only once that order has its answer
   std::string leaving;  // whose place the admitted one takes
 };
@@ -27,16 +27,16 @@
   int retries = 0;   // a timer ends: a round is given up and begun again
   int give_ups = 0;  // a change is given up for good
   int restarts = 0;  // a node ends and starts anew
-  int crashes = 0;   // a keeper ends and starts from its last synced record
-  int wipes = 0;     // a keeper comes back with a blank disk
-  int polls = 0;     // a learner polls the keepers
+  int crashes = 0;   // a replica ends and starts from its last synced record
+  int wipes = 0;     // a replica comes back with a blank disk
+  int polls = 0;     // a learner polls the replicas
   int steps = 0;     // the longest path; 0 for no bound
 };
 
 struct Scenario {
   std::string name;
   std::string about;
-  std::size_t keepers = 3;
+  std::size_t replicas = 3;
   std::vector<std::size_t> members = {0, 1, 2};
   std::vector<std::string> nodes = {"p1", "p2"};
   std::vector<Order> orders;
@@ -51,7 +51,7 @@
 struct Step {
   enum class Type : std::uint8_t { ask, deliver, repeat, sync, retry, give_up, restart, crash, wipe, poll };
   Type type = Type::ask;
-  std::size_t index = 0;  // of the order, message, keeper or node
+  std::size_t index = 0;  // of the order, message, replica or node
 };
 
 struct Message {
@@ -113,7 +113,7 @@
   std::vector<Order> const& asked() const { return scenario->orders; }
 
  private:
-  struct Keeper {
+  struct Replica {
     std::shared_ptr<Acceptor const> acceptor;
     std::shared_ptr<wire::RecordT const> disk;    // the last synced record
     std::shared_ptr<wire::RecordT const> saving;  // the one being synced
@@ -138,17 +138,17 @@
 
   void ask(std::size_t order);
   void deliver(std::size_t message, bool keep);
-  void deliver_to_keeper(std::size_t keeper, Message const& message);
+  void deliver_to_replica(std::size_t replica, Message const& message);
   void deliver_to_node(std::size_t node, Message const& message);
-  void sync(std::size_t keeper);
+  void sync(std::size_t replica);
   void retry(std::size_t node, Micros by);
   void restart(std::size_t node);
-  void crash(std::size_t keeper);
-  void wipe(std::size_t keeper);
+  void crash(std::size_t replica);
+  void wipe(std::size_t replica);
   void poll(std::size_t node);
 
   void start_node(std::size_t index);
-  void start_keeper(std::size_t index, wire::RecordT record);
+  void start_replica(std::size_t index, wire::RecordT record);
   void after_acceptor(std::size_t index, Acceptor next, std::vector<OutgoingMessage>& out,
                       std::optional<wire::RecordT> save);
   void after_node(std::size_t index, Proposer const& proposer, Learner const& learner,
@@ -168,7 +168,7 @@
 
   std::shared_ptr<Scenario const> scenario;
   Symmetry const* symmetry;
-  std::vector<Keeper> keepers;
+  std::vector<Replica> replicas;
   std::vector<Node> nodes;
   std::vector<std::shared_ptr<Message const>> messages;
   std::vector<OrderState> states;
--- a/proof/common/shapes.h
+++ b/proof/common/shapes.h
@@ -21,7 +21,7 @@
 struct Shape {
   std::string name;
   std::vector<std::string> zones;
-  int keepers = 3;
+  int replicas = 3;
   int passages = 8;
   int workers = 18;
   int cold = 8;
--- a/proof/control_plane/fleet.cc
+++ b/proof/control_plane/fleet.cc
@@ -29,9 +29,9 @@
   world.run_until(seconds(14));
 }
 
-std::vector<MachineId> Fleet::keepers() {
+std::vector<MachineId> Fleet::replicas() {
   std::vector<MachineId> out;
-  for (MachineId const id : world.keepers())
+  for (MachineId const id : world.replicas())
     if (world.machine(id).up()) out.push_back(id);
   std::sort(out.begin(), out.end(), [this](MachineId a, MachineId b) {
     return std::make_pair(!member(a), world.machine(a).name) < std::make_pair(!member(b), world.machine(b).name);
@@ -39,14 +39,14 @@
   return out;
 }
 
-std::vector<MachineId> Fleet::shuffled_keepers() {
-  std::vector<MachineId> out = keepers();
+std::vector<MachineId> Fleet::shuffled_replicas() {
+  std::vector<MachineId> out = replicas();
   for (std::size_t i = out.size(); i > 1; --i) std::swap(out[i - 1], out[random.below(i)]);
   return out;
 }
 
 bool Fleet::member(MachineId id) {
-  std::vector<std::string> const names = keepers_known_to(*newest_view());
+  std::vector<std::string> const names = replicas_known_to(*newest_view());
   return std::count(names.begin(), names.end(), world.machine(id).name) > 0;
 }
 
--- a/proof/control_plane/fleet.h
+++ b/proof/control_plane/fleet.h
@@ -17,11 +17,11 @@
   struct Unstarted {};
   Fleet(ScenarioPlan const& plan, Unstarted, JudgePlan const& judged);
 
-  // Keepers that are here, the one that proposes for all (the first name of the set) at the front.
-  std::vector<MachineId> keepers();
-  // Keepers that are here, in an order by chance.
-  std::vector<MachineId> shuffled_keepers();
-  // Whether a machine is in the set of keepers, by the newest epoch that any node knows.
+  // Replicas that are here, the one that proposes for all (the first name of the set) at the front.
+  std::vector<MachineId> replicas();
+  // Replicas that are here, in an order by chance.
+  std::vector<MachineId> shuffled_replicas();
+  // Whether a machine is in the set of replicas, by the newest epoch that any node knows.
   bool member(MachineId id);
   Node* newest_view();
   std::uint64_t epoch() { return epoch_known_to(*newest_view()); }
--- a/proof/control_plane/member_scenarios.cc
+++ b/proof/control_plane/member_scenarios.cc
@@ -30,13 +30,13 @@
   bool const newest_copy = variant >= 3;
   fleet.judge.expect_progress(true);
   fleet.operators.steady(world.now() + seconds(60));
-  std::vector<MachineId> keepers = fleet.keepers();
+  std::vector<MachineId> replicas = fleet.replicas();
   std::size_t const together = world.plan.tolerated;
   // Those that go first, those that go later, each by chance.
-  for (std::size_t i = keepers.size(); i > 1; --i) std::swap(keepers[i - 1], keepers[fleet.random.below(i)]);
-  std::vector<MachineId> const first(keepers.begin(), keepers.begin() + static_cast<std::ptrdiff_t>(together));
-  std::vector<MachineId> const later(keepers.begin() + static_cast<std::ptrdiff_t>(together),
-                                     keepers.begin() + static_cast<std::ptrdiff_t>(2 * together));
+  for (std::size_t i = replicas.size(); i > 1; --i) std::swap(replicas[i - 1], replicas[fleet.random.below(i)]);
+  std::vector<MachineId> const first(replicas.begin(), replicas.begin() + static_cast<std::ptrdiff_t>(together));
+  std::vector<MachineId> const later(replicas.begin() + static_cast<std::ptrdiff_t>(together),
+                                     replicas.begin() + static_cast<std::ptrdiff_t>(2 * together));
   std::string setting = std::string(words[kind]) + (newest_copy ? " of the newest copy" : "");
   std::vector<MachineId> successors;
   if (kind == planned) {
@@ -46,7 +46,7 @@
   }
   if (newest_copy) {
     // Others miss what is confirmed meanwhile, and have just had their time to catch up.
-    std::vector<MachineId> rest(keepers.begin() + static_cast<std::ptrdiff_t>(2 * together), keepers.end());
+    std::vector<MachineId> rest(replicas.begin() + static_cast<std::ptrdiff_t>(2 * together), replicas.end());
     rest.resize(std::min(rest.size(), together));
     world.isolate(rest, CutKind::silent, CutWay::both);
     world.run(seconds(3));
@@ -100,8 +100,8 @@
   fleet.judge.expect_progress(true);
   fleet.operators.storm(seconds(45), 12);
   world.run(seconds(15));
-  std::vector<MachineId> const keepers = fleet.keepers();
-  MachineId target = keepers[fleet.random.chance(0.5) ? 0 : fleet.random.below(keepers.size())];
+  std::vector<MachineId> const replicas = fleet.replicas();
+  MachineId target = replicas[fleet.random.chance(0.5) ? 0 : fleet.random.below(replicas.size())];
   if (how == plain) target = world.plan.disks;
   Micros const away = fleet.some(millis(100), seconds(5));
   if (how == restarted || how == plain) world.kill(target);
@@ -122,7 +122,7 @@
   Fleet fleet(plan);
   World& world = fleet.world;
   MachineId const beside = world.plan.disks;
-  MachineId const target = fleet.random.chance(0.5) ? world.plan.disks + 1 : fleet.keepers().front();
+  MachineId const target = fleet.random.chance(0.5) ? world.plan.disks + 1 : fleet.replicas().front();
   fleet.judge.expect_progress(true);
   fleet.operators.steady(world.now() + seconds(24));
   world.run(seconds(2));
@@ -135,8 +135,8 @@
   world.heal();
   world.run(seconds(8));
   fleet.judge.expect_progress(false);
-  return fleet.finish(world.machine(target).keeper ? "a keeper beside a plain machine"
-                                                   : "a plain machine beside another");
+  return fleet.finish(world.machine(target).replica ? "a keeper beside a plain machine"
+                                                    : "a plain machine beside another");
 }
 
 // All machines that count are killed or dark at once, soon after an order was sent or acknowledged.
@@ -147,13 +147,13 @@
   fleet.operators.storm(seconds(30), 12);
   for (int turn = 0; turn < 3; ++turn) {
     world.run(fleet.some(seconds(2), seconds(4)));
-    for (MachineId const id : world.keepers())
+    for (MachineId const id : world.replicas())
       if (dark)
         world.power_off(id);
       else
         world.kill(id);
     world.run(fleet.some(millis(100), seconds(2)));
-    for (MachineId const id : world.keepers()) world.boot(id);
+    for (MachineId const id : world.replicas()) world.boot(id);
     world.run(seconds(4));
   }
   fleet.judge.expect_progress(true);
@@ -169,14 +169,14 @@
 constexpr char const* loss_words[] = {"all killed", "all dark", "plain machines dark too", "wiped",
                                       "wiped, the rest dark"};
 
-// Keepers are replaced one after another while another one is cut off one way or frozen.
+// Replicas are replaced one after another while another one is cut off one way or frozen.
 std::string replace_a_few(Fleet& fleet, std::uint64_t count) {
   World& world = fleet.world;
   std::string setting = std::to_string(count) + " replacements";
   for (std::uint64_t turn = 0; turn < count; ++turn) {
-    std::vector<MachineId> const keepers = fleet.shuffled_keepers();
-    MachineId const leaving = keepers.front();
-    MachineId const other = keepers.back();
+    std::vector<MachineId> const replicas = fleet.shuffled_replicas();
+    MachineId const leaving = replicas.front();
+    MachineId const other = replicas.back();
     bool const planned = fleet.random.chance(0.4);
     MachineId const successor = world.add_successor(leaving);
     if (planned) {
@@ -219,7 +219,7 @@
   for (MachineId id = 0; id < world.size(); ++id) {
     if (!world.machine(id).up()) continue;
     bool const victim = std::count(victims.begin(), victims.end(), id) > 0;
-    bool const goes = world.machine(id).keeper || loss == Loss::everything_dark;
+    bool const goes = world.machine(id).replica || loss == Loss::everything_dark;
     if (!goes || (loss == Loss::wiped && !victim)) continue;
     if (loss == Loss::killed)
       world.kill(id);
@@ -241,7 +241,7 @@
   fleet.operators.storm(seconds(120), rates[fleet.random.below(3)]);
   std::string setting = replace_a_few(fleet, fleet.random.below(4));
   world.run(fleet.some(0, seconds(2)));
-  std::vector<MachineId> const order = fleet.random.chance(0.5) ? fleet.keepers() : fleet.shuffled_keepers();
+  std::vector<MachineId> const order = fleet.random.chance(0.5) ? fleet.replicas() : fleet.shuffled_replicas();
   std::size_t const lost_disks = std::min(world.plan.tolerated, order.size());
   std::vector<MachineId> const victims(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(lost_disks));
   std::uint64_t const confirmed = fleet.judge.confirmations;
@@ -266,14 +266,14 @@
   return fleet.finish(setting);
 }
 
-// Every machine loses power in a storm and the keeper that proposes for all, or another one, comes back blank. Nobody
+// Every machine loses power in a storm and the replica that proposes for all, or another one, comes back blank. Nobody
 // asks anything after it: the nodes alone must find the newest copy and get ready.
 Report full_stop_with_a_wipe(ScenarioPlan const& plan) {
   Fleet fleet(plan);
   World& world = fleet.world;
   fleet.operators.storm(seconds(60), 25);
   world.run(fleet.some(seconds(1), seconds(3)));
-  std::vector<MachineId> const order = fleet.pick(plan.variant, 2) == 0 ? fleet.keepers() : fleet.shuffled_keepers();
+  std::vector<MachineId> const order = fleet.pick(plan.variant, 2) == 0 ? fleet.replicas() : fleet.shuffled_replicas();
   std::vector<MachineId> const victims(order.begin(),
                                        order.begin() + static_cast<std::ptrdiff_t>(world.plan.tolerated));
   // One of the others misses the last changes.
@@ -299,12 +299,12 @@
   fleet.judge.expect_progress(true);
   fleet.operators.storm(seconds(90), 12);
   for (int turn = 0; turn < 3; ++turn) {
-    std::vector<MachineId> const keepers = fleet.shuffled_keepers();
+    std::vector<MachineId> const replicas = fleet.shuffled_replicas();
     std::size_t const together = world.plan.tolerated;
     std::vector<MachineId> later;
     for (std::size_t n = 0; n < together; ++n) {
-      world.freeze(keepers[n], fleet.some(seconds(2), seconds(6)));
-      later.push_back(keepers[together + n]);
+      world.freeze(replicas[n], fleet.some(seconds(2), seconds(6)));
+      later.push_back(replicas[together + n]);
     }
     world.run(seconds(7));
     for (Micros waited = 0; world.lost() > 0 && waited < seconds(10); waited += millis(20)) world.run(millis(20));
@@ -330,11 +330,11 @@
   int const how = fleet.pick(plan.variant, 6);
   fleet.judge.expect_progress(true);
   fleet.operators.steady(world.now() + seconds(70), millis(40));
-  std::vector<MachineId> const keepers = fleet.shuffled_keepers();
+  std::vector<MachineId> const replicas = fleet.shuffled_replicas();
   std::size_t const together = world.plan.tolerated;
   std::vector<MachineId> successors;
   std::vector<MachineId> later;
-  for (std::size_t n = 0; n < together; ++n) successors.push_back(world.add_successor(keepers[n]));
+  for (std::size_t n = 0; n < together; ++n) successors.push_back(world.add_successor(replicas[n]));
   Micros const span = fleet.some(millis(200), seconds(7));
   for (MachineId const id : successors) {
     if (how == 4) world.fill_disk(id, span);
@@ -342,10 +342,10 @@
     world.boot(id);
   }
   world.run(how >= 4 ? fleet.some(0, world.plan.catch_up) : world.plan.catch_up);
-  for (std::size_t n = 0; n < together; ++n) world.stop(keepers[n]);
+  for (std::size_t n = 0; n < together; ++n) world.stop(replicas[n]);
   world.run(fleet.some(0, fleet.random.chance(0.5) ? millis(700) : seconds(3)));
   for (std::size_t n = 0; n < together; ++n) {
-    MachineId const id = keepers[n];
+    MachineId const id = replicas[n];
     if (!world.machine(id).up()) continue;
     if (how == 0) world.kill(id);
     if (how == 1) world.power_off(id);
@@ -357,13 +357,13 @@
   if (how <= 1) world.run(world.plan.catch_up);
   for (Micros waited = 0; waited < seconds(20); waited += millis(10)) {
     bool gone = true;
-    for (std::size_t n = 0; n < together; ++n) gone = gone && world.machine(keepers[n]).removed;
+    for (std::size_t n = 0; n < together; ++n) gone = gone && world.machine(replicas[n]).removed;
     if (gone && world.lost() == 0) break;
     world.run(millis(10));
   }
   world.heal();
   world.run(fleet.some(0, millis(600)));
-  for (std::size_t n = together; n < 2 * together && world.lost() == 0; ++n) later.push_back(keepers[n]);
+  for (std::size_t n = together; n < 2 * together && world.lost() == 0; ++n) later.push_back(replicas[n]);
   for (MachineId const id : later) {
     world.remove(id);
     MachineId const successor = world.add_successor(id);
@@ -412,7 +412,7 @@
                       std::to_string(span / 1000) + " ms");
 }
 
-// Up to 25 changes a second; keepers restart, are wiped or replaced all the time, at times with a full or slow disk.
+// Up to 25 changes a second; replicas restart, are wiped or replaced all the time, at times with a full or slow disk.
 Report restarts_in_storm(ScenarioPlan const& plan) {
   Fleet fleet(plan);
   World& world = fleet.world;
@@ -421,9 +421,9 @@
   fleet.operators.storm(seconds(70), rates[fleet.random.below(2)]);
   Micros const end = world.now() + seconds(60);
   while (world.now() < end) {
-    std::vector<MachineId> const keepers = fleet.shuffled_keepers();
+    std::vector<MachineId> const replicas = fleet.shuffled_replicas();
     for (std::size_t n = 0; n < world.plan.tolerated; ++n) {
-      MachineId id = keepers[n];
+      MachineId id = replicas[n];
       Micros const away = fleet.some(millis(50), millis(1500));
       std::uint64_t const how = fleet.random.below(6);
       if (how == 0) world.kill(id);
--- a/proof/control_plane/node_view.cc
+++ b/proof/control_plane/node_view.cc
@@ -12,9 +12,9 @@
 
 std::uint64_t serial_at(Node const& node) { return node.learner.serial(); }
 
-std::vector<std::string> keepers_known_to(Node const& node) {
+std::vector<std::string> replicas_known_to(Node const& node) {
   std::vector<std::string> out;
-  for (wire::KeeperT const& keeper : node.learner.membership().keepers) out.push_back(keeper.name);
+  for (wire::ReplicaT const& replica : node.learner.membership().replicas) out.push_back(replica.name);
   return out;
 }
 
--- a/proof/control_plane/node_view.h
+++ b/proof/control_plane/node_view.h
@@ -20,8 +20,8 @@
 // What is in force on a node; label 0 before the first.
 Configuration in_force_at(Node const& node);
 std::uint64_t serial_at(Node const& node);
-// The keepers of the set that a node knows, and the set's epoch.
-std::vector<std::string> keepers_known_to(Node const& node);
+// The replicas of the set that a node knows, and the set's epoch.
+std::vector<std::string> replicas_known_to(Node const& node);
 std::uint64_t epoch_known_to(Node const& node);
 
 // Whether a node that announced its departure may end its process, as the shell asks the core.
--- a/proof/control_plane/overlap_scenarios.cc
+++ b/proof/control_plane/overlap_scenarios.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Power goes from any number of keepers, for longer than a lost one keeps its place, and comes back. At the end, right
+// Power goes from any number of replicas, for longer than a lost one keeps its place, and comes back. At the end, right
 // after an acknowledgement, all machines lose power at once, also those that do not count, and as many disks are lost
 // as are allowed.
 Report overlapping(ScenarioPlan const& plan) {
@@ -17,10 +17,10 @@
   fleet.operators.steady(world.now() + seconds(90), millis(100));
   std::size_t const turns = 1 + fleet.random.below(4);
   for (std::size_t turn = 0; turn < turns; ++turn) {
-    std::vector<MachineId> const keepers = fleet.shuffled_keepers();
-    std::size_t const many = keepers.empty() ? 0 : 1 + fleet.random.below(keepers.size());
+    std::vector<MachineId> const replicas = fleet.shuffled_replicas();
+    std::size_t const many = replicas.empty() ? 0 : 1 + fleet.random.below(replicas.size());
     for (std::size_t n = 0; n < many; ++n) {
-      MachineId const id = keepers[n];
+      MachineId const id = replicas[n];
       Micros const when = fleet.some(0, seconds(6));
       // Some stay away until the very end, which is then their return as well.
       bool const back = fleet.random.chance(0.4);
@@ -35,7 +35,7 @@
   std::uint64_t const confirmed = fleet.judge.confirmations;
   for (int step = 0; step < 600 && fleet.judge.confirmations == confirmed; ++step) world.run(millis(1));
   fleet.operators.halt();
-  std::vector<MachineId> order = fleet.pick(plan.variant, 2) == 0 ? fleet.keepers() : fleet.shuffled_keepers();
+  std::vector<MachineId> order = fleet.pick(plan.variant, 2) == 0 ? fleet.replicas() : fleet.shuffled_replicas();
   std::size_t const disks = std::min(world.plan.tolerated, order.size());
   for (MachineId id = 0; id < world.size(); ++id)
     if (world.machine(id).up()) world.power_off(id);
@@ -49,17 +49,17 @@
                       std::to_string(disks) + " wiped");
 }
 
-// The keepers are cut into two halves that both reach all other machines; orders and readings go to any machine, and a
-// keeper of either half may lose power beside it.
+// The replicas are cut into two halves that both reach all other machines; orders and readings go to any machine, and a
+// replica of either half may lose power beside it.
 Report halves(ScenarioPlan const& plan) {
   Fleet fleet(plan);
   World& world = fleet.world;
   fleet.operators.storm(seconds(60), fleet.random.chance(0.5) ? 4 : 20);
   for (int turn = 0; turn < 3; ++turn) {
-    std::vector<MachineId> const keepers = fleet.shuffled_keepers();
-    std::ptrdiff_t const half = static_cast<std::ptrdiff_t>(keepers.size() / 2);
-    world.part({keepers.begin(), keepers.begin() + half}, {keepers.begin() + half, keepers.end()});
-    MachineId const lost = keepers[fleet.random.below(keepers.size())];
+    std::vector<MachineId> const replicas = fleet.shuffled_replicas();
+    std::ptrdiff_t const half = static_cast<std::ptrdiff_t>(replicas.size() / 2);
+    world.part({replicas.begin(), replicas.begin() + half}, {replicas.begin() + half, replicas.end()});
+    MachineId const lost = replicas[fleet.random.below(replicas.size())];
     bool const beside = fleet.pick(plan.variant, 2) == 1;
     if (beside) {
       world.run(fleet.some(0, seconds(2)));
--- a/proof/control_plane/scenarios.cc
+++ b/proof/control_plane/scenarios.cc
@@ -27,9 +27,9 @@
   std::size_t const kind = fleet.random.below(3);
   std::size_t const way = fleet.random.below(3);
   int const role = fleet.pick(plan.variant, 3);
-  std::vector<MachineId> const keepers = fleet.keepers();
-  MachineId target = keepers.front();
-  if (role == 1) target = keepers[1 + fleet.random.below(keepers.size() - 1)];
+  std::vector<MachineId> const replicas = fleet.replicas();
+  MachineId target = replicas.front();
+  if (role == 1) target = replicas[1 + fleet.random.below(replicas.size() - 1)];
   if (role == 2) target = fleet.world.plan.disks + fleet.random.below(fleet.world.plan.plain);
   OrderId const known = fleet.operators.replace(fleet.operators.newest_told(), fleet.operators.next_label());
   fleet.operators.drive(known);
@@ -53,9 +53,9 @@
   Fleet fleet(plan);
   World& world = fleet.world;
   int const role = fleet.pick(plan.variant, 3);
-  std::vector<MachineId> const keepers = fleet.keepers();
-  MachineId target = keepers.front();
-  if (role == 1) target = keepers[1 + fleet.random.below(keepers.size() - 1)];
+  std::vector<MachineId> const replicas = fleet.replicas();
+  MachineId target = replicas.front();
+  if (role == 1) target = replicas[1 + fleet.random.below(replicas.size() - 1)];
   if (role == 2) target = world.plan.disks + fleet.random.below(world.plan.plain);
   OrderId const known = fleet.operators.replace(fleet.operators.newest_told(), fleet.operators.next_label());
   fleet.operators.drive(known);
@@ -91,8 +91,8 @@
     fleet.world.run(fleet.some(seconds(1), seconds(2)));
     std::size_t const kind = fleet.random.below(3);
     std::size_t const way = fleet.random.below(3);
-    std::vector<MachineId> const keepers = fleet.keepers();
-    MachineId const target = keepers[fleet.random.chance(0.5) ? 0 : fleet.random.below(keepers.size())];
+    std::vector<MachineId> const replicas = fleet.replicas();
+    MachineId const target = replicas[fleet.random.chance(0.5) ? 0 : fleet.random.below(replicas.size())];
     std::vector<MachineId> group{target};
     if (fleet.random.chance(0.5)) group.push_back(fleet.world.plan.disks);  // with a plain machine
     fleet.world.isolate(group, cut_kinds[kind], cut_ways[way]);
@@ -107,10 +107,10 @@
 
 // ---- point 2
 
-// A keeper, most often the proposing one, is lost in one of several ways, or not at all, and comes back.
+// A replica, most often the proposing one, is lost in one of several ways, or not at all, and comes back.
 void lose_one_for_a_while(Fleet& fleet) {
-  std::vector<MachineId> const keepers = fleet.keepers();
-  MachineId const target = keepers[fleet.random.chance(0.6) ? 0 : fleet.random.below(keepers.size())];
+  std::vector<MachineId> const replicas = fleet.replicas();
+  MachineId const target = replicas[fleet.random.chance(0.6) ? 0 : fleet.random.below(replicas.size())];
   fleet.world.run(fleet.some(millis(3), millis(60)));
   switch (fleet.random.below(5)) {
     case 0:
@@ -179,10 +179,10 @@
   fleet.operators.plan.doubled = 0.2;
   fleet.operators.mixed(world.now() + seconds(36), 8);
   for (int turn = 0; turn < 12; ++turn) {
-    std::vector<MachineId> const keepers = fleet.keepers();
-    MachineId target = keepers[fleet.random.chance(0.6) ? 0 : fleet.random.below(keepers.size())];
+    std::vector<MachineId> const replicas = fleet.replicas();
+    MachineId target = replicas[fleet.random.chance(0.6) ? 0 : fleet.random.below(replicas.size())];
     if (fleet.random.chance(0.4)) target = world.plan.disks + fleet.random.below(world.plan.plain);
-    for (MachineId const id : keepers)
+    for (MachineId const id : replicas)
       if (id != target && fleet.random.chance(0.6)) world.stall_disk(id, fleet.some(millis(20), seconds(1)));
     world.run(fleet.some(0, millis(50)));
     world.kill(target);
@@ -232,7 +232,7 @@
   std::string setting = "the proposing keeper";
   for (int turn = 0; turn < 4; ++turn) {
     fleet.world.run(fleet.some(seconds(1), millis(1500)));
-    MachineId const target = fleet.keepers().front();
+    MachineId const target = fleet.replicas().front();
     Micros const span = fleet.some(millis(300), seconds(2));
     std::uint64_t const how = fleet.random.below(5);
     static char const* const words[] = {" killed", " dark", " frozen", " cut off", " slow at its disk"};
@@ -263,11 +263,11 @@
   world.after(millis(500), [&world, id] { leave_when_replaced(world, id); });
 }
 
-void trouble_keeper(Fleet& fleet) {
+void trouble_replica(Fleet& fleet) {
   World& world = fleet.world;
-  std::vector<MachineId> const keepers = fleet.keepers();
-  if (keepers.empty()) return;
-  MachineId const id = keepers[fleet.random.chance(0.4) ? 0 : fleet.random.below(keepers.size())];
+  std::vector<MachineId> const replicas = fleet.replicas();
+  if (replicas.empty()) return;
+  MachineId const id = replicas[fleet.random.chance(0.4) ? 0 : fleet.random.below(replicas.size())];
   Micros const span = fleet.some(millis(100), seconds(3));
   switch (fleet.random.below(11)) {
     case 0:
@@ -341,9 +341,9 @@
 void trouble_links(Fleet& fleet) {
   World& world = fleet.world;
   std::vector<MachineId> group;
-  std::vector<MachineId> const keepers = fleet.keepers();
-  for (std::size_t n = 0; n + world.lost() < world.plan.tolerated && n < keepers.size(); ++n)
-    if (fleet.random.chance(0.7)) group.push_back(keepers[fleet.random.chance(0.5) ? n : keepers.size() - 1 - n]);
+  std::vector<MachineId> const replicas = fleet.replicas();
+  for (std::size_t n = 0; n + world.lost() < world.plan.tolerated && n < replicas.size(); ++n)
+    if (fleet.random.chance(0.7)) group.push_back(replicas[fleet.random.chance(0.5) ? n : replicas.size() - 1 - n]);
   for (std::size_t n = 0; n < world.plan.plain; ++n)
     if (fleet.random.chance(0.2)) group.push_back(world.plan.disks + n);
   std::sort(group.begin(), group.end());
@@ -370,7 +370,7 @@
     if (fleet.random.chance(0.3)) trouble_plain(fleet);
     if (all && fleet.random.chance(0.02)) {
       bool const dark = fleet.random.chance(0.5);
-      for (MachineId const id : fleet.keepers()) {
+      for (MachineId const id : fleet.replicas()) {
         if (dark) world.power_off(id);
         if (!dark) world.kill(id);
         world.after(seconds(1), [&world, id] { world.boot(id); });
@@ -381,7 +381,7 @@
       trouble_links(fleet);
       next_links = world.now() + fleet.some(seconds(5), seconds(24));
     } else if (world.lost() < world.plan.tolerated && fleet.random.chance(0.6)) {
-      trouble_keeper(fleet);
+      trouble_replica(fleet);
     }
   }
   fleet.judge.expect_progress(false);
--- a/proof/control_plane/world.cc
+++ b/proof/control_plane/world.cc
@@ -45,7 +45,7 @@
 
 // ---- machines
 
-MachineId World::add(bool keeper) {
+MachineId World::add(bool replica) {
   std::unique_ptr<Machine> made = std::make_unique<Machine>();
   made->id = machines.size();
   // Names sort in another order than the machines were made in.
@@ -53,7 +53,7 @@
                std::to_string(machines.size());
   made->address = "10.0.0." + std::to_string(machines.size() + 1) + ":7000";
   made->zone = "z" + std::to_string(machines.size() % 3);
-  made->keeper = keeper;
+  made->replica = replica;
   made->clock_rate = 1.0 + (static_cast<double>(random.below(2001)) - 1000.0) * 1e-5;
   made->clock_offset = static_cast<Micros>(random.below(1000000000));
   made->calm_since = time;
@@ -65,10 +65,10 @@
   return machine.clock_offset + static_cast<Micros>(static_cast<double>(time) * machine.clock_rate);
 }
 
-std::vector<MachineId> World::keepers() const {
+std::vector<MachineId> World::replicas() const {
   std::vector<MachineId> out;
   for (std::unique_ptr<Machine> const& item : machines)
-    if (item->keeper && !item->removed) out.push_back(item->id);
+    if (item->replica && !item->removed) out.push_back(item->id);
   return out;
 }
 
@@ -85,9 +85,9 @@
 std::size_t World::count_lost(bool catching_up) {
   std::size_t out = 0;
   for (std::unique_ptr<Machine> const& item : machines)
-    if (item->keeper && caught_up(*item)) item->established = true;
+    if (item->replica && caught_up(*item)) item->established = true;
   for (std::unique_ptr<Machine> const& item : machines) {
-    if (!item->keeper || !item->established) continue;
+    if (!item->replica || !item->established) continue;
     if (item->removed) {
       out += item->successor && machines[*item->successor]->established ? 0 : 1;
       continue;
@@ -136,7 +136,7 @@
   made.seeds = seeds_now(id);
   made.registered = true;
   made.first_start = first_start;
-  made.keeper = machine.keeper;
+  made.replica = machine.replica;
   made.tolerated = plan.tolerated;
   machine.life = ++lives;
   made.incarnation = static_cast<std::uint64_t>(seconds(1000000) + time + machine.wall_offset + 1);
@@ -155,7 +155,7 @@
   machine.calm_since = time;
   // What a former life without power left half open is reset at the next word.
   machine.wires.clear();
-  if (!machine.keeper) return begin_life(machine, made, std::nullopt);
+  if (!machine.replica) return begin_life(machine, made, std::nullopt);
   if (!machine.disk) machine.disk = std::make_unique<SimulatedDisk>();
   machine.store = std::make_unique<RecordStore>(*machine.disk, made.cluster, made.name, file_reserved);
   machine.opening = machine.life;
--- a/proof/control_plane/world.h
+++ b/proof/control_plane/world.h
@@ -53,7 +53,7 @@
   std::string name;
   std::string address;
   std::string zone;
-  bool keeper = false;
+  bool replica = false;
   bool powered = true;
   bool removed = false;
   std::unique_ptr<Node> node;
@@ -103,7 +103,7 @@
   void after(Micros wait, std::function<void()> act) { at(time + wait, std::move(act)); }
 
   // Machines.
-  MachineId add(bool keeper);
+  MachineId add(bool replica);
   void boot(MachineId id, bool first_start = false);
   void boot_all(bool first_start);
   void kill(MachineId id);
@@ -118,7 +118,7 @@
   void fill_disk(MachineId id, Micros span);
   void step_clock(MachineId id, Micros by) { machines[id]->wall_offset += by; }
 
-  // Cuts a group of machines off from all others; 'minority' when it holds less than a majority of keepers.
+  // Cuts a group of machines off from all others; 'minority' when it holds less than a majority of replicas.
   void isolate(std::vector<MachineId> const& group, CutKind kind, CutWay way, bool minority = true);
   // Cuts two groups off from each other; all others reach both. Every member is in trouble meanwhile.
   void part(std::vector<MachineId> const& one, std::vector<MachineId> const& other);
@@ -131,7 +131,7 @@
   Machine& machine(MachineId id) { return *machines[id]; }
   Machine const& machine(MachineId id) const { return *machines[id]; }
   std::size_t size() const { return machines.size(); }
-  std::vector<MachineId> keepers() const;
+  std::vector<MachineId> replicas() const;
   std::optional<MachineId> find(std::string const& name) const;
   // A new machine with a disk in the place of another.
   MachineId add_successor(MachineId of);
--- a/proof/hollow/main.cc
+++ b/proof/hollow/main.cc
@@ -71,7 +71,7 @@
                   {"routes", 1, 20000, true, "3", {}},        {"rate", 0, 10000, false, "2", {}}};
   double span = 8, limit = 300;
   std::uint64_t seed = 1;
-  int keepers = 3;
+  int replicas = 3;
   std::string file, phases = "change,restart,cut,region", far = "12,93,1400";
   options::options_description keys("hollow: what fleets of the product's cores cost under virtual time, by size");
   keys.add_options()("nodes", options::value(&flags[0].text),
@@ -82,7 +82,7 @@
       "routes", options::value(&flags[4].text), "lanes in the description")("rate", options::value(&flags[5].text),
                                                                             "requests a second for each router node")(
       "seconds", options::value(&span), "of virtual time in each phase")("seed", options::value(&seed), "")(
-      "keepers", options::value(&keepers), "of the nodes")(
+      "keepers", options::value(&replicas), "of the nodes")(
       "phases", options::value(&phases), "what comes after the calm: change, restart, cut, region; calm for no more")(
       "limit", options::value(&limit), "seconds of processor time for each size")(
       "at", options::value(&far), "where the lines through the list are read off")("plot", options::value(&file),
@@ -105,8 +105,8 @@
   }
   Flag* swept = &flags[0];
   int lists = 0;
-  if (keepers < 1 || keepers > 21) return std::fprintf(stderr, "hollow: keepers must be 1 to 21\n"), 2;
-  flags[0].least = keepers + 2;
+  if (replicas < 1 || replicas > 21) return std::fprintf(stderr, "hollow: keepers must be 1 to 21\n"), 2;
+  flags[0].least = replicas + 2;
   for (Flag& flag : flags) {
     if (!read(flag)) return 2;
     if (flag.values.size() > 1) swept = &flag, ++lists;
@@ -119,7 +119,7 @@
   for (std::string const& name : plan.phases)
     if (std::find(known.begin(), known.end(), name) == known.end())
       return std::fprintf(stderr, "hollow: there is no phase '%s'\n", name.c_str()), 2;
-  plan.keepers = keepers;
+  plan.replicas = replicas;
   plan.span = static_cast<Micros>(span * 1e6);
   plan.seed = seed;
   plan.limit = static_cast<Micros>(limit * 1e6);
@@ -154,7 +154,7 @@
     std::printf(
         "hollow: nodes %d (keepers %d), workers %d, prefixes %d, sessions %d, routes %d, rate %g, seed %llu, "
         "phases of %g s\n",
-        item.nodes, item.keepers, item.workers, item.prefixes, item.sessions, item.routes, item.rate,
+        item.nodes, item.replicas, item.workers, item.prefixes, item.sessions, item.routes, item.rate,
         static_cast<unsigned long long>(seed), span);
     Scale scale(item);
     Figures figures = scale.run();
--- a/proof/hollow/report.cc
+++ b/proof/hollow/report.cc
@@ -36,7 +36,7 @@
   double const span = static_cast<double>(item.to - item.from) / 1e6;
   static char const* const steps[] = {"tick", "list", "vitals", "errand", "wire", "operate"};
   for (Role const role : {Role::passage, Role::accord}) {
-    int const n = role == Role::accord ? plan.keepers : plan.nodes - plan.keepers;
+    int const n = role == Role::accord ? plan.replicas : plan.nodes - plan.replicas;
     double const per = span * n;
     if (per <= 0) continue;
     std::string const head = name + "." + (role == Role::accord ? "keeper" : "router") + ".";
--- a/proof/hollow/scale.cc
+++ b/proof/hollow/scale.cc
@@ -38,11 +38,11 @@
   double const lasts = 60 + static_cast<double>(plan.span) / 1e6 * static_cast<double>(1 + plan.phases.size());
   double const any = 400e3 + 4e3 * n + 2000 * w + 1200 * plan.routes;
   double const router = 200 * (blocks + plan.rate * n * lasts);
-  return 1.5 * (n * any + (n - plan.keepers) * router);
+  return 1.5 * (n * any + (n - plan.replicas) * router);
 }
 
 int nodes_within(ScalePlan plan, double bytes) {
-  int const least = plan.keepers + 2;
+  int const least = plan.replicas + 2;
   int best = 0;
   for (plan.nodes = least; plan.nodes <= 100000 && bytes_for(plan) <= bytes; ++plan.nodes) best = plan.nodes;
   return best;
@@ -52,8 +52,8 @@
   for (int i = 0; i < zone_count; ++i) zones.push_back("r" + std::to_string(i % regions) + "z" + std::to_string(i));
   for (int i = 0; i < plan.nodes; ++i) {
     std::unique_ptr<Machine> made = std::make_unique<Machine>();
-    made->role = i < plan.keepers ? Role::accord : Role::passage;
-    made->name = made->role == Role::accord ? numbered("k", i + 1) : numbered("p", i + 1 - plan.keepers);
+    made->role = i < plan.replicas ? Role::accord : Role::passage;
+    made->name = made->role == Role::accord ? numbered("k", i + 1) : numbered("p", i + 1 - plan.replicas);
     made->address = "10.1." + std::to_string(i / 250) + "." + std::to_string(1 + i % 250) + ":7000";
     made->region = i % zone_count % regions;
     made->zone = zones[static_cast<std::size_t>(i % zone_count)];
@@ -140,7 +140,7 @@
   p.address = m.address;
   p.http = m.address.substr(0, m.address.find(':')) + ":7080";
   p.role = m.role;
-  for (int i = 0; i < plan.keepers; ++i) {
+  for (int i = 0; i < plan.replicas; ++i) {
     if (i < 3) p.seeds.push_back(machines[static_cast<std::size_t>(i)]->address);
     if (m.role == Role::accord) p.founders.push_back(machines[static_cast<std::size_t>(i)]->name);
   }
@@ -455,7 +455,7 @@
 
 void Scale::change() {
   std::vector<int> field;
-  for (int i = plan.keepers; i < plan.nodes; ++i)
+  for (int i = plan.replicas; i < plan.nodes; ++i)
     if (machines[static_cast<std::size_t>(i)]->up()) field.push_back(i);
   if (field.empty()) return;
   int const who = field[random.below(field.size())];
--- a/proof/hollow/scale.h
+++ b/proof/hollow/scale.h
@@ -17,8 +17,8 @@
 namespace pipit {
 
 struct ScalePlan {
-  int nodes = 12;  // keepers among them
-  int keepers = 3;
+  int nodes = 12;  // replicas among them
+  int replicas = 3;
   int workers = 18;
   int prefixes = 100;        // openings that every index holds from the start
   int sessions = 0;          // paths that go on from an opening, held as well
--- a/proof/hollow/scale_phases.cc
+++ b/proof/hollow/scale_phases.cc
@@ -138,10 +138,10 @@
 bool Scale::run_restart(Figures& out) {
   begin("restart");
   Micros const from = now;
-  int const routers = plan.nodes - plan.keepers;
+  int const routers = plan.nodes - plan.replicas;
   int const count = std::max(2, std::min(12, routers / 4));
   for (int i = 0; i < count; ++i) {
-    int const who = plan.keepers + (i * routers / count) % routers;
+    int const who = plan.replicas + (i * routers / count) % routers;
     at(from + plan.span * i / count, [this, who, i] { restart(who, i % 2 == 1); });
   }
   bool const more = go_until(from + plan.span + seconds(12));
@@ -166,7 +166,7 @@
   begin("region");
   Micros const from = now;
   std::vector<int> lost;
-  for (int i = plan.keepers; i < plan.nodes; ++i)
+  for (int i = plan.replicas; i < plan.nodes; ++i)
     if (machines[static_cast<std::size_t>(i)]->region == 3) lost.push_back(i);
   for (int const who : lost) halt(who, true);
   bool more = go_until(from + plan.span);
--- a/proof/scene/fleet.cc
+++ b/proof/scene/fleet.cc
@@ -20,7 +20,7 @@
   std::string seeds;
   for (int i = 1; i <= 3; ++i) seeds += (i > 1 ? "," : "") + number(2, i) + ":7000";
   std::string founders;
-  for (std::string const& name : cast.keepers) founders += (founders.empty() ? "" : ",") + name;
+  for (std::string const& name : cast.replicas) founders += (founders.empty() ? "" : ",") + name;
   platform = number(4, 1) + ":9100";
   Actor list;
   list.name = "list";
@@ -39,7 +39,7 @@
     worker_args(actors[name]);
   }
   i = 0;
-  for (std::string const& name : cast.keepers) {
+  for (std::string const& name : cast.replicas) {
     ++i;
     node(name, number(2, i), shape.zones[static_cast<std::size_t>(i - 1) % shape.zones.size()], seeds,
          {"--data", plan.folder + "/" + name, "--founders", founders});
--- a/proof/scene/scene.cc
+++ b/proof/scene/scene.cc
@@ -20,7 +20,7 @@
     std::filesystem::remove(item.path());
   for (std::filesystem::directory_entry const& item : std::filesystem::directory_iterator(plan.folder + "/logs"))
     std::filesystem::remove(item.path());
-  for (std::string const& name : cast.keepers) std::filesystem::remove_all(plan.folder + "/" + name);
+  for (std::string const& name : cast.replicas) std::filesystem::remove_all(plan.folder + "/" + name);
   build();
   if (plan.lies) return lies();
   for (std::pair<std::string const, Actor>& item : actors) start(item.second);
--- a/proof/scene/steps.cc
+++ b/proof/scene/steps.cc
@@ -59,7 +59,7 @@
 
 Cast cast_of(Shape const& shape) {
   Cast out;
-  for (int i = 1; i <= shape.keepers; ++i) out.keepers.push_back("k" + std::to_string(i));
+  for (int i = 1; i <= shape.replicas; ++i) out.replicas.push_back("k" + std::to_string(i));
   for (int i = 1; i <= shape.passages; ++i) out.passages.push_back("p" + std::to_string(i));
   for (int i = 1; i <= shape.workers; ++i) out.workers.push_back("w" + std::to_string(i));
   out.zones = shape.zones;
@@ -94,13 +94,13 @@
       std::stringstream names(step.args[i]);
       std::string name;
       while (std::getline(names, name, ',')) {
-        bool const keeper = among(cast.keepers, name);
+        bool const replica = among(cast.replicas, name);
         bool const passage = among(cast.passages, name);
         bool const worker = among(cast.workers, name);
         bool good = false;
-        if (type == 'N') good = keeper || passage || worker;
-        if (type == 'n') good = keeper || passage;
-        if (type == 'k') good = keeper;
+        if (type == 'N') good = replica || passage || worker;
+        if (type == 'n') good = replica || passage;
+        if (type == 'k') good = replica;
         if (type == 'p') good = passage;
         if (type == 'w') good = worker;
         if (type == 'z') good = among(cast.zones, name);
--- a/proof/stage/shapes.cc
+++ b/proof/stage/shapes.cc
@@ -95,7 +95,7 @@
   return out;
 }
 
-// As small as the tiny one, with a keeper more and machines without a disk in two zones: what is lost of it leaves
+// As small as the tiny one, with a replica more and machines without a disk in two zones: what is lost of it leaves
 // enough.
 Shape soak() {
   Shape out = tiny();
--- a/proof/tenants/load.cc
+++ b/proof/tenants/load.cc
@@ -128,7 +128,7 @@
 
 std::vector<MachineId> Load::owners() {
   std::vector<MachineId> out;
-  for (MachineId const id : world.keepers())
+  for (MachineId const id : world.replicas())
     if (world.machine(id).up() && world.machine(id).calm()) out.push_back(id);
   return out;
 }
--- a/proof/tenants/scenarios.cc
+++ b/proof/tenants/scenarios.cc
@@ -46,7 +46,7 @@
   if (everybody)
     load.world.isolate(cut, CutKind::silent, CutWay::both, false);
   else
-    load.world.part(cut, load.world.keepers());
+    load.world.part(cut, load.world.replicas());
   load.crowd(cut[0]);
   load.run(millis(300));
   load.revoke(random.below(4));
@@ -58,7 +58,7 @@
 
 void split_owners(Load& load, RandomSource& random) {
   load.heat(0, 8);
-  std::vector<MachineId> const owners = load.world.keepers();
+  std::vector<MachineId> const owners = load.world.replicas();
   std::size_t const cut = 1 + random.below(2);
   std::vector<MachineId> const one(owners.begin(), owners.begin() + static_cast<std::ptrdiff_t>(cut));
   std::vector<MachineId> const other(owners.begin() + static_cast<std::ptrdiff_t>(cut), owners.end());
@@ -108,7 +108,7 @@
   load.run(seconds(6));
   load.revoke(0);
   load.run(seconds(3));
-  std::vector<MachineId> const owners = load.world.keepers();
+  std::vector<MachineId> const owners = load.world.replicas();
   std::size_t const first = random.below(owners.size());
   for (MachineId id = 0; id < load.world.size(); ++id) load.world.power_off(id);
   load.world.wipe(owners[first]);
--- a/src/base/events.h
+++ b/src/base/events.h
@@ -37,13 +37,13 @@
   EVENT(303, not_in_force, ERROR, "a chosen description did not compile here")              \
   EVENT(304, change_refused, INFO, "a change was refused")                                  \
   EVENT(305, change_lost, WARNING, "the outcome of a change is not known")                  \
-  EVENT(306, keeper_blank, INFO, "the data folder was new and is formatted")                \
-  EVENT(307, keeper_back, INFO, "the last synced state was recovered")                      \
+  EVENT(306, replica_formatted, INFO, "the data folder was new and is formatted")           \
+  EVENT(307, replica_recovered, INFO, "the last synced state was recovered")                \
   EVENT(308, disk_failed, ERROR, "a sync failed; the keeper stops")                         \
-  EVENT(309, keeper_swapped, INFO, "the set of keepers changed by one member")              \
+  EVENT(309, replica_set_changed, INFO, "the set of keepers changed by one member")         \
   EVENT(310, lease_held, INFO, "this node holds a duty")                                    \
   EVENT(311, lease_ended, INFO, "this node gave a duty back")                               \
-  EVENT(312, copies_repaired, INFO, "old copies of the register were rewritten")            \
+  EVENT(312, replicas_repaired, INFO, "old copies of the register were rewritten")          \
   EVENT(313, seat_taken, INFO, "this life of the router node has its seat")                 \
   EVENT(314, seat_struck, INFO, "a router node that is gone is struck from the register")   \
   EVENT(315, disk_waits, WARNING, "the disk refused a record; it is written again")         \
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -37,7 +37,7 @@
 }
 }  // namespace
 
-Result<Settings> read_settings(int argc, char const* const* argv, bool keeper) {
+Result<Settings> read_settings(int argc, char const* const* argv, bool replica) {
   Settings out;
   std::string seeds;
   std::string models;
@@ -45,7 +45,7 @@
   std::int64_t grace = 2;
   std::int64_t drain = 10;
   std::int64_t body = 4096;
-  options::options_description keys(keeper
+  options::options_description keys(replica
                                         ? "accord: a keeper of the description. Keys, as flags or in the settings file"
                                         : "passage: a router node. Keys, as flags or in the settings file");
   keys.add_options()("name", options::value(&out.name), "the node's name, unique in the cluster")(
@@ -60,7 +60,7 @@
       "drain", options::value(&drain)->default_value(10), "seconds that a planned stop gives work in flight")(
       "body", options::value(&body)->default_value(4096), "the largest body of a request, in KiB")(
       "faults", options::value(&out.faults)->default_value(false), "allow fault points to be armed (tests only)");
-  if (keeper) {
+  if (replica) {
     keys.add_options()("data", options::value(&out.data), "the data folder")(
         "founders", options::value(&founders), "names of the first keepers, with commas between");
   } else {
@@ -105,7 +105,7 @@
     bool needed;
   };
   for (Row const& row :
-       {Row{"mesh", out.mesh, true}, Row{"http", out.http, true}, Row{"platform", out.platform, !keeper}}) {
+       {Row{"mesh", out.mesh, true}, Row{"http", out.http, true}, Row{"platform", out.platform, !replica}}) {
     if (row.value.empty() && !row.needed) continue;
     if (!good_address(row.value))
       return fail(Kind::bad_settings,
@@ -121,7 +121,7 @@
   out.grace = seconds(grace);
   out.drain = seconds(drain);
   out.body = static_cast<std::size_t>(body) << 10;
-  if (keeper) {
+  if (replica) {
     struct stat info;
     if (out.data.empty()) return fail(Kind::bad_settings, "data: the data folder is needed");
     if (::stat(out.data.c_str(), &info) != 0 && ::mkdir(out.data.c_str(), 0755) != 0)
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -29,7 +29,7 @@
   std::string help_text;
 };
 
-// 'keeper' says which program asks: each takes only its own keys.
-Result<Settings> read_settings(int argc, char const* const* argv, bool keeper);
+// 'replica' says which program asks: each takes only its own keys.
+Result<Settings> read_settings(int argc, char const* const* argv, bool replica);
 
 }  // namespace pipit
--- a/src/consensus/lease/lease.h
+++ b/src/consensus/lease/lease.h
@@ -1,4 +1,4 @@
-// Leases on duties that one node does: a majority of keepers gives them for a term; the holder stops early (§5.7).
+// Leases on duties that one node does: a majority of replicas gives them for a term; the holder stops early (§5.7).
 #pragma once
 #include <map>
 #include <string>
@@ -7,10 +7,11 @@
 
 namespace pipit {
 
-// Shorter than the time after which a keeper counts as lost, so that the loss of whoever holds the duty delays nothing.
+// Shorter than the time after which a replica counts as lost, so that the loss of whoever holds the duty delays
+// nothing.
 constexpr Micros lease_term = millis(2400);
 
-// On a keeper: who holds what, in memory only. A keeper that just began gives no lease for a whole term,
+// On a replica: who holds what, in memory only. A replica that just began gives no lease for a whole term,
 // since it may have given one just before it ended.
 class LeaseGrantor {
  public:
--- a/src/consensus/register/acceptor.cc
+++ b/src/consensus/register/acceptor.cc
@@ -46,10 +46,10 @@
     out.revision = state.value->revision;
     out.members = membership_of(*state.value).fingerprint();
     if (out.members != ask.members) {
-      for (std::unique_ptr<wire::KeeperT> const& item : state.value->keepers)
-        out.keepers.push_back(std::make_unique<wire::KeeperT>(*item));
-      for (std::unique_ptr<wire::KeeperT> const& item : state.value->former)
-        out.former.push_back(std::make_unique<wire::KeeperT>(*item));
+      for (std::unique_ptr<wire::ReplicaT> const& item : state.value->replicas)
+        out.replicas.push_back(std::make_unique<wire::ReplicaT>(*item));
+      for (std::unique_ptr<wire::ReplicaT> const& item : state.value->former)
+        out.former.push_back(std::make_unique<wire::ReplicaT>(*item));
     }
     if (ask.full) out.value = std::make_unique<wire::ValueT>(*state.value);
   }
@@ -143,7 +143,7 @@
   if (state_.formed) return false;
   Membership first;
   first.epoch = 1;
-  for (std::unique_ptr<wire::KeeperT> const& keeper : ask.keepers) first.keepers.push_back(*keeper);
+  for (std::unique_ptr<wire::ReplicaT> const& replica : ask.replicas) first.replicas.push_back(*replica);
   if (!first.holds(state_.name, state_.disk)) return false;
   state_.formed = true;
   // Two first sets, should there ever be two, have ballots of their own.
--- a/src/consensus/register/acceptor.h
+++ b/src/consensus/register/acceptor.h
@@ -41,7 +41,7 @@
   // Notes the seeds of the first start on a blank disk, so that a later life may still take part in founding; step()
   // has it synced.
   void await_founding(std::vector<std::string> const& seeds);
-  // Notes the set of keepers by which limits are handed out here; step() has it synced.
+  // Notes the set of replicas by which limits are handed out here; step() has it synced.
   void note_quota_members(std::uint64_t fingerprint);
   // The record that step() returned is synced.
   void synced(std::vector<OutgoingMessage>& out);
@@ -67,7 +67,7 @@
   std::vector<OutgoingMessage> held_back_;
 };
 
-// What a keeper tells of its value. The set of keepers goes along only when it is not the one that the asker knows.
+// What a replica tells of its value. The set of replicas goes along only when it is not the one that the asker knows.
 wire::PeekedT peeked(wire::RecordT const& state, wire::PeekT const& ask);
 
 }  // namespace pipit
--- a/src/consensus/register/learner.cc
+++ b/src/consensus/register/learner.cc
@@ -41,7 +41,8 @@
   if (floor_at_ >= 0 && value->revision >= floor_revision_) sure = std::max(sure, floor_at_);
 }
 
-void Learner::poll(Micros now, std::vector<std::string> const& keepers, Micros age, std::vector<OutgoingMessage>& out) {
+void Learner::poll(Micros now, std::vector<std::string> const& replicas, Micros age,
+                   std::vector<OutgoingMessage>& out) {
   look_split();
   ++req_;
   asked_ = now;
@@ -49,7 +50,7 @@
   offered_.clear();
   if (!set_.empty()) offered_[set_.fingerprint()] = set_;
   wanted_.reset();
-  for (std::string const& name : keepers) {
+  for (std::string const& name : replicas) {
     wire::PeekT ask;
     ask.req = req_;
     ask.age = age;
@@ -59,7 +60,7 @@
   }
 }
 
-// Copies that differ are repaired (§5.8). A keeper that is away hides nothing: a quorum is enough to see it.
+// Copies that differ are repaired (§5.8). A replica that is away hides nothing: a quorum is enough to see it.
 void Learner::look_split() {
   Voters voters;
   bool differ = false;
@@ -74,8 +75,8 @@
 void Learner::remember_members(wire::PeekedT const& ans) {
   Membership members;
   members.epoch = ans.epoch;
-  for (std::unique_ptr<wire::KeeperT> const& keeper : ans.keepers) members.keepers.push_back(*keeper);
-  for (std::unique_ptr<wire::KeeperT> const& keeper : ans.former) members.former.push_back(*keeper);
+  for (std::unique_ptr<wire::ReplicaT> const& replica : ans.replicas) members.replicas.push_back(*replica);
+  for (std::unique_ptr<wire::ReplicaT> const& replica : ans.former) members.former.push_back(*replica);
   if (members.empty()) return;
   if (members.epoch == 1 && first_set_.empty()) first_set_ = members;
   offered_[members.fingerprint()] = std::move(members);
@@ -127,7 +128,7 @@
   }
   if (ans.req != req_) return std::nullopt;
   remember_members(ans);
-  // A keeper that has accepted nothing yet says so: no value was chosen with its help. It counts where a set names it
+  // A replica that has accepted nothing yet says so: no value was chosen with its help. It counts where a set names it
   // with its disk, as a member that was dark when it got its place.
   Vote const vote{ans.ballot, ans.revision, ans.disk, ans.members};
   votes_[from] = vote;
--- a/src/consensus/register/learner.h
+++ b/src/consensus/register/learner.h
@@ -18,8 +18,8 @@
   bool adopt(wire::ValueT const& value, Micros now);
   // Takes a patch of a chosen value; false when it has another base than what is held here.
   bool adopt(wire::ValuePatchT const& patch, Micros now);
-  // Polls: one majority read without repair, of marks only. 'keepers' are all nodes that may keep.
-  void poll(Micros now, std::vector<std::string> const& keepers, Micros age, std::vector<OutgoingMessage>& out);
+  // Polls: one majority read without repair, of marks only. 'replicas' are all nodes that may keep.
+  void poll(Micros now, std::vector<std::string> const& replicas, Micros age, std::vector<OutgoingMessage>& out);
   // Returns a chosen value when the read brings a newer one.
   std::optional<wire::ValueT> take(std::string const& from, wire::PeekedT const& ans, Micros now,
                                    std::vector<OutgoingMessage>& out);
@@ -28,7 +28,7 @@
   Membership const& membership() const { return set_; }
   // The set of the newest value that the last poll showed, chosen or not; a proposer may begin with it.
   Membership const& seen() const { return seen_set_; }
-  // A first set that some keeper holds, though nobody knows yet whether it is chosen; empty when none was seen.
+  // A first set that some replica holds, though nobody knows yet whether it is chosen; empty when none was seen.
   Membership const& founding() const { return first_set_; }
   // When the last poll was sent that a quorum answered; -1 for never.
   Micros contact() const { return floor_at_; }
@@ -39,7 +39,7 @@
   // When the last poll was sent whose quorum knew nothing newer than what is held here; -1 for never.
   Micros sure = -1;
   Micros changed_at = -1;  // when the value held here last changed
-  bool split = false;      // the last poll that reached a quorum saw keepers that hold different ballots
+  bool split = false;      // the last poll that reached a quorum saw replicas that hold different ballots
   struct Observation {
     std::uint64_t disk = 0;
     bool formed = false;
@@ -49,7 +49,7 @@
     bool retiring = false;         // it is about to end for good, or for a while
     bool awaits_founding = false;  // blank since the first start of all
   };
-  std::map<std::string, Observation> observations;  // what each keeper last answered
+  std::map<std::string, Observation> observations;  // what each replica last answered
 
  private:
   struct Vote {
@@ -61,7 +61,7 @@
   void remember_members(wire::PeekedT const& ans);
   void check_same(wire::ValueT const& fresh) const;
   void replace(wire::ValueT next, Micros now);
-  // The keepers of the present poll that hold this ballot.
+  // The replicas of the present poll that hold this ballot.
   Voters holders(wire::Ballot const& ballot) const;
   Membership const* members_of(Vote const& vote) const;
   void look_floor();
--- a/src/consensus/register/membership.cc
+++ b/src/consensus/register/membership.cc
@@ -9,75 +9,75 @@
 namespace pipit {
 
 namespace {
-using KeeperList = std::vector<std::unique_ptr<wire::KeeperT>>;
+using ReplicaList = std::vector<std::unique_ptr<wire::ReplicaT>>;
 
-bool has(std::vector<wire::KeeperT> const& keepers, std::string const& name, std::uint64_t disk) {
-  for (wire::KeeperT const& keeper : keepers)
-    if (keeper.name == name && (keeper.disk == disk || !guard(Guard::disk_id))) return true;
+bool has(std::vector<wire::ReplicaT> const& replicas, std::string const& name, std::uint64_t disk) {
+  for (wire::ReplicaT const& replica : replicas)
+    if (replica.name == name && (replica.disk == disk || !guard(Guard::disk_id))) return true;
   return false;
 }
 
-bool majority_of(std::vector<wire::KeeperT> const& keepers, Voters const& voters) {
+bool majority_of(std::vector<wire::ReplicaT> const& replicas, Voters const& voters) {
   std::size_t count = 0;
   for (std::pair<std::string const, std::uint64_t> const& voter : voters)
-    if (has(keepers, voter.first, voter.second)) ++count;
-  return count >= keepers.size() / 2 + 1;
+    if (has(replicas, voter.first, voter.second)) ++count;
+  return count >= replicas.size() / 2 + 1;
 }
 
-std::vector<wire::KeeperT> unpacked(KeeperList const& list) {
-  std::vector<wire::KeeperT> out;
-  for (std::unique_ptr<wire::KeeperT> const& keeper : list) out.push_back(*keeper);
+std::vector<wire::ReplicaT> unpacked(ReplicaList const& list) {
+  std::vector<wire::ReplicaT> out;
+  for (std::unique_ptr<wire::ReplicaT> const& replica : list) out.push_back(*replica);
   return out;
 }
 
-KeeperList packed(std::vector<wire::KeeperT> const& keepers) {
-  KeeperList out;
-  for (wire::KeeperT const& keeper : keepers) out.push_back(std::make_unique<wire::KeeperT>(keeper));
+ReplicaList packed(std::vector<wire::ReplicaT> const& replicas) {
+  ReplicaList out;
+  for (wire::ReplicaT const& replica : replicas) out.push_back(std::make_unique<wire::ReplicaT>(replica));
   return out;
 }
 
-std::string sorted_text(std::vector<wire::KeeperT> const& keepers) {
+std::string sorted_text(std::vector<wire::ReplicaT> const& replicas) {
   std::set<std::string> rows;
-  for (wire::KeeperT const& keeper : keepers) rows.insert(keeper.name + '\n' + std::to_string(keeper.disk) + '\n');
+  for (wire::ReplicaT const& replica : replicas) rows.insert(replica.name + '\n' + std::to_string(replica.disk) + '\n');
   std::string out;
   for (std::string const& row : rows) out += row;
   return out;
 }
 }  // namespace
 
-bool Membership::holds(std::string const& name, std::uint64_t disk) const { return has(keepers, name, disk); }
+bool Membership::holds(std::string const& name, std::uint64_t disk) const { return has(replicas, name, disk); }
 
 bool Membership::concerns(std::string const& name, std::uint64_t disk) const {
-  return has(keepers, name, disk) || has(former, name, disk);
+  return has(replicas, name, disk) || has(former, name, disk);
 }
 
 bool Membership::quorum(Voters const& voters) const {
-  if (!majority_of(keepers, voters)) return false;
+  if (!majority_of(replicas, voters)) return false;
   return !joint() || !guard(Guard::joint) || majority_of(former, voters);
 }
 
 std::vector<std::string> Membership::names() const {
   std::set<std::string> out;
-  for (wire::KeeperT const& keeper : keepers) out.insert(keeper.name);
-  for (wire::KeeperT const& keeper : former) out.insert(keeper.name);
+  for (wire::ReplicaT const& replica : replicas) out.insert(replica.name);
+  for (wire::ReplicaT const& replica : former) out.insert(replica.name);
   return std::vector<std::string>(out.begin(), out.end());
 }
 
 std::uint64_t Membership::fingerprint() const {
-  return digest_of(std::to_string(epoch) + '\n' + sorted_text(keepers) + "former\n" + sorted_text(former)).low;
+  return digest_of(std::to_string(epoch) + '\n' + sorted_text(replicas) + "former\n" + sorted_text(former)).low;
 }
 
 Membership membership_of(wire::ValueT const& value) {
   Membership out;
   out.epoch = value.epoch;
-  out.keepers = unpacked(value.keepers);
+  out.replicas = unpacked(value.replicas);
   out.former = unpacked(value.former);
   return out;
 }
 
 void put_membership(Membership const& members, wire::ValueT& value) {
   value.epoch = members.epoch;
-  value.keepers = packed(members.keepers);
+  value.replicas = packed(members.replicas);
   value.former = packed(members.former);
 }
 
--- a/src/consensus/register/membership.h
+++ b/src/consensus/register/membership.h
@@ -1,6 +1,7 @@
-// The set of keepers that hold the register, and what counts as a quorum of it (docs/control.md, "Changes of members").
+// The set of replicas that hold the register, and what counts as a quorum of it (docs/control.md, "Changes of
+// members").
 //
-// A set is settled, or it is joint: on its way from `former` to `keepers`. A quorum of a joint set is a majority of
+// A set is settled, or it is joint: on its way from `former` to `replicas`. A quorum of a joint set is a majority of
 // either part, so that proposers that saw different next sets still meet in the former one.
 #pragma once
 #include <cstddef>
@@ -13,25 +14,25 @@
 
 namespace pipit {
 
-// Keepers that answered, by name, with the id of the disk that they answered from.
+// Replicas that answered, by name, with the id of the disk that they answered from.
 using Voters = std::map<std::string, std::uint64_t>;
 
 struct Membership {
   std::uint64_t epoch = 0;
-  std::vector<wire::KeeperT> keepers;
-  std::vector<wire::KeeperT> former;  // the set that this one follows, until this one is settled
+  std::vector<wire::ReplicaT> replicas;
+  std::vector<wire::ReplicaT> former;  // the set that this one follows, until this one is settled
 
-  bool empty() const { return keepers.empty(); }
+  bool empty() const { return replicas.empty(); }
   bool joint() const { return !former.empty(); }
-  // The number of keepers that make a majority of the set itself.
-  std::size_t majority() const { return keepers.size() / 2 + 1; }
-  // Whether a keeper belongs to the set, on this disk.
+  // The number of replicas that make a majority of the set itself.
+  std::size_t majority() const { return replicas.size() / 2 + 1; }
+  // Whether a replica belongs to the set, on this disk.
   bool holds(std::string const& name, std::uint64_t disk) const;
-  // Whether a keeper belongs to the set or to the one that it follows.
+  // Whether a replica belongs to the set or to the one that it follows.
   bool concerns(std::string const& name, std::uint64_t disk) const;
   // Whether those that answered are a majority of the set, and of the former one while it is joint.
   bool quorum(Voters const& voters) const;
-  // Every keeper that takes part, once each.
+  // Every replica that takes part, once each.
   std::vector<std::string> names() const;
   // A hash of the members of both parts and of the epoch; equal sets have equal ones in every process.
   std::uint64_t fingerprint() const;
--- a/src/consensus/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -90,7 +90,7 @@
   ++req_;
   promises_.clear();
   accepts_.clear();
-  // What this proposer saw at a ballot stays seen, also where no keeper of the set holds it: else it could go to and
+  // What this proposer saw at a ballot stays seen, also where no replica of the set holds it: else it could go to and
   // fro between two sets for ever.
   best_ = held_ballot_;
   found_ = held_;
@@ -186,7 +186,7 @@
 bool Proposer::make_draft() {
   Job& job = jobs_.front();
   draft_ = found_ ? *found_ : wire::ValueT();
-  if (!found_) put_membership(set_, draft_);  // the first set, which no keeper has written yet
+  if (!found_) put_membership(set_, draft_);  // the first set, which no replica has written yet
   order_taken_ = false;
   step_ = Step::change;
   if (set_.joint()) {
@@ -285,20 +285,21 @@
 
 // Writes the joint set of a change of members; false when it does not fit the present set.
 bool Proposer::change_members(Change const& change) {
-  if (draft_.epoch != change.expected || draft_.keepers.empty()) return false;
+  if (draft_.epoch != change.expected || draft_.replicas.empty()) return false;
   Membership next = membership_of(draft_);
   bool const adds = change.type != Change::Type::dismiss;
-  if (adds && next.holds(change.keeper.name, change.keeper.disk)) return false;
-  next.former = next.keepers;
+  if (adds && next.holds(change.replica.name, change.replica.disk)) return false;
+  next.former = next.replicas;
   if (change.type != Change::Type::admit) {
-    wire::KeeperT const& leaving = adds ? change.leaving : change.keeper;
-    std::vector<wire::KeeperT>::iterator const spot = std::find_if(
-        next.keepers.begin(), next.keepers.end(),
-        [&leaving](wire::KeeperT const& keeper) { return keeper.name == leaving.name && keeper.disk == leaving.disk; });
-    if (spot == next.keepers.end() || (!adds && next.keepers.size() == 1)) return false;
-    next.keepers.erase(spot);
+    wire::ReplicaT const& leaving = adds ? change.leaving : change.replica;
+    std::vector<wire::ReplicaT>::iterator const spot =
+        std::find_if(next.replicas.begin(), next.replicas.end(), [&leaving](wire::ReplicaT const& replica) {
+          return replica.name == leaving.name && replica.disk == leaving.disk;
+        });
+    if (spot == next.replicas.end() || (!adds && next.replicas.size() == 1)) return false;
+    next.replicas.erase(spot);
   }
-  if (adds) next.keepers.push_back(change.keeper);
+  if (adds) next.replicas.push_back(change.replica);
   ++next.epoch;
   put_membership(next, draft_);
   jobs_.front().joint_written = next.fingerprint();
--- a/src/consensus/register/proposer.h
+++ b/src/consensus/register/proposer.h
@@ -1,4 +1,4 @@
-// Any node changes the register in two rounds at a quorum of its keepers (§5.3). One change at a time for a node.
+// Any node changes the register in two rounds at a quorum of its replicas (§5.3). One change at a time for a node.
 //
 // Round one counts when a quorum of the set in the value that it found has promised; a value is chosen when a quorum of
 // its own set has accepted it. A change of members is written as a joint set first, and the settled set only after the
@@ -30,9 +30,9 @@
   std::uint64_t label = 0;
   // Another node was asked to propose it and may have done so: without a quorum's word its outcome is unknown.
   bool proposed_elsewhere = false;
-  wire::KeeperT keeper;   // who is admitted or dismissed
-  wire::KeeperT leaving;  // whose place the admitted one takes, in a 'replace'
-  wire::SeatT seat;       // a router node that takes its place, or is struck
+  wire::ReplicaT replica;  // who is admitted or dismissed
+  wire::ReplicaT leaving;  // whose place the admitted one takes, in a 'replace'
+  wire::SeatT seat;        // a router node that takes its place, or is struck
 };
 
 struct Outcome {
@@ -86,7 +86,7 @@
     std::uint64_t sent_serial = 0;
     std::uint64_t joint_written = 0;  // the fingerprint of the joint set that this change wrote
     int tries = 0;
-    int refusals = 0;  // by keepers that had promised a higher ballot
+    int refusals = 0;  // by replicas that had promised a higher ballot
   };
   struct Promised {
     std::uint64_t disk = 0;
@@ -132,7 +132,7 @@
   std::optional<wire::ValueT> found_;
   wire::ValueT draft_;        // of round two
   bool order_taken_ = false;  // the draft takes the job's order
-  // The value that this proposer last found or wrote, and at which ballot: keepers that hold it need not send it.
+  // The value that this proposer last found or wrote, and at which ballot: replicas that hold it need not send it.
   wire::Ballot held_ballot_;
   std::optional<wire::ValueT> held_;
   std::optional<Fault> verdict_;  // a refusal that is given once round two has settled the present value
--- a/src/core/changes.cc
+++ b/src/core/changes.cc
@@ -28,12 +28,12 @@
   bool const lately = learner.contact() >= 0 && now - learner.contact() <= 2 * poll_span() + contact_slack;
   if (!lately) return false;
   Voters connected;
-  for (wire::KeeperT const& keeper : learner.membership().keepers) {
-    std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(keeper.name);
-    bool const here = keeper.name == plan.name || (peer != mesh.members.peers.end() && peer->second.wire != 0);
-    if (here) connected[keeper.name] = keeper.disk;
+  for (wire::ReplicaT const& replica : learner.membership().replicas) {
+    std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(replica.name);
+    bool const here = replica.name == plan.name || (peer != mesh.members.peers.end() && peer->second.wire != 0);
+    if (here) connected[replica.name] = replica.disk;
   }
-  return learner.membership().keepers.empty() || connected.size() >= learner.membership().majority();
+  return learner.membership().replicas.empty() || connected.size() >= learner.membership().majority();
 }
 
 void Node::refuse_now(std::uint64_t id, Change const& change, Kind kind, NodeOut& out) {
--- a/src/core/checks.cc
+++ b/src/core/checks.cc
@@ -55,7 +55,7 @@
   if (learner.membership().joint()) return;
   // With so many members the set outlives the loss of as many disks as are allowed, whatever else is without power.
   std::size_t const least = 2 * plan.tolerated + 1;
-  std::size_t const size = learner.membership().keepers.size();
+  std::size_t const size = learner.membership().replicas.size();
   check_invariant(size >= settled_size_ || size >= least, Invariant::quorum_possible, [&] {
     return std::to_string(size) + " keepers after " + std::to_string(settled_size_) + " in epoch " +
            std::to_string(value.epoch) + ", " + std::to_string(plan.tolerated) + " may lose their disks";
@@ -74,7 +74,7 @@
   if (learner.sure < from)
     return "no majority of keepers has answered since " + std::to_string((now - from) / 1000) + " ms, " +
            std::to_string(mesh.wires_open()) + " connections to peers, " +
-           std::to_string(learner.membership().keepers.size()) + " keepers known";
+           std::to_string(learner.membership().replicas.size()) + " keepers known";
   if (!seated()) return "it has no seat in the register";
   if (learner.serial() == 0) return "there is no configuration yet";
   return "no worker is known, or it is new and others may not know of it";
--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -1,4 +1,4 @@
-// What one keeper does for all: the first set, the replacement of keepers, the sweep (§5.4, §5.8).
+// What one replica does for all: the first set, the replacement of replicas, the sweep (§5.4, §5.8).
 #include <algorithm>
 
 #include "base/events.h"
@@ -8,13 +8,13 @@
 
 namespace {
 constexpr Micros repair_gap = seconds(3);
-constexpr Micros keeper_lost = seconds(3);
+constexpr Micros replica_lost = seconds(3);
 constexpr Micros repair_calm = seconds(1);    // without a change, before copies that differ are mended
 constexpr Micros answer_slack = millis(300);  // beyond a poll, for an answer on its way
-constexpr Micros spare_seen = seconds(2);     // how lately a keeper must have answered to be given a place
+constexpr Micros spare_seen = seconds(2);     // how lately a replica must have answered to be given a place
 constexpr Micros founder_turn = seconds(1);   // how long each founder waits for the one before it
-constexpr std::size_t least_keepers = 3;      // a set of more than these may shrink
-constexpr std::size_t most_keepers = 7;
+constexpr std::size_t least_replicas = 3;     // a set of more than these may shrink
+constexpr std::size_t most_replicas = 7;
 constexpr std::size_t seeds_most = 3;  // that a node is given
 constexpr Micros lost_seed_after = seconds(5);
 constexpr Micros unsure_for = seconds(1);  // how long a majority may show no newest value before copies are mended
@@ -24,7 +24,7 @@
 std::optional<Membership> Node::first_set(Micros now) const {
   std::uint64_t const disk = acceptor->held().disk;
   if (learner.founding().holds(plan.name, disk)) return learner.founding();
-  std::vector<std::string> founders = plan.registered ? first_keepers(now) : plan.founders;
+  std::vector<std::string> founders = plan.registered ? first_replicas(now) : plan.founders;
   std::sort(founders.begin(), founders.end());
   std::vector<std::string>::const_iterator const own = std::find(founders.begin(), founders.end(), plan.name);
   if (own == founders.end()) return std::nullopt;
@@ -41,13 +41,13 @@
     // After a restart a blank disk may also be a wiped one: only the marks of the first start tell them apart. A set
     // that was chosen has left a majority of the founders without them (docs/control.md, "Point 3").
     if (founds_again && !observation->second.awaits_founding) return std::nullopt;
-    wire::KeeperT keeper;
-    keeper.name = name;
-    keeper.disk = observation->second.disk;
-    keeper.address = name == plan.name ? plan.address : address_of(name);
-    first.keepers.push_back(std::move(keeper));
+    wire::ReplicaT replica;
+    replica.name = name;
+    replica.disk = observation->second.disk;
+    replica.address = name == plan.name ? plan.address : address_of(name);
+    first.replicas.push_back(std::move(replica));
   }
-  log_event(Event::founded, std::to_string(first.keepers.size()) + " keepers");
+  log_event(Event::founded, std::to_string(first.replicas.size()) + " keepers");
   return first;
 }
 
@@ -55,9 +55,10 @@
   if (!acceptor || acceptor->held().formed) return;
   std::optional<Membership> const first = first_set(now);
   if (!first) return;
-  for (wire::KeeperT const& to : first->keepers) {
+  for (wire::ReplicaT const& to : first->replicas) {
     wire::FoundT news;
-    for (wire::KeeperT const& keeper : first->keepers) news.keepers.push_back(std::make_unique<wire::KeeperT>(keeper));
+    for (wire::ReplicaT const& replica : first->replicas)
+      news.replicas.push_back(std::make_unique<wire::ReplicaT>(replica));
     outgoing.push_back(message_to(to.name, std::move(news)));
   }
 }
@@ -72,7 +73,7 @@
 //
 // A seed that is lost before the first set was written may never come back. After a while it is left out, as long as
 // two of three seeds keep and are heard: the quorums of any two such sets meet, so no more than one of them is chosen.
-std::vector<std::string> Node::first_keepers(Micros now) const {
+std::vector<std::string> Node::first_replicas(Micros now) const {
   std::vector<std::string> out;
   if (plan.founding_seeds.empty() || !acceptor) return out;
   bool all_heard = true;
@@ -85,7 +86,7 @@
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       if (item.second.wire == 0 || item.second.member.address != address) continue;
       heard = true;
-      if (item.second.member.keeper) out.push_back(item.first);
+      if (item.second.member.replica) out.push_back(item.first);
     }
     all_heard = all_heard && heard;
   }
@@ -94,34 +95,34 @@
     return enough && now - born_ > lost_seed_after ? out : std::vector<std::string>();
   }
   if (out.empty()) {
-    out = keepers();
+    out = replicas();
     if (out.size() > 3) out.resize(3);
   }
   return out;
 }
 
 // §5.8, §12.3: an odd number of all that keep, so that no disk more makes the set no stronger; seven at most.
-std::size_t Node::keepers_wanted() const {
+std::size_t Node::replicas_wanted() const {
   if (!plan.registered) return std::max<std::size_t>(1, plan.founders.size());
-  std::size_t all = plan.keeper && !keeper_leaves(plan.name) ? 1 : 0;
+  std::size_t all = plan.replica && !replica_leaves(plan.name) ? 1 : 0;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     State const state = item.second.state();
-    bool const stays = (state == State::alive || state == State::suspected) && !keeper_leaves(item.first);
-    if (item.second.member.keeper && stays) ++all;
+    bool const stays = (state == State::alive || state == State::suspected) && !replica_leaves(item.first);
+    if (item.second.member.replica && stays) ++all;
   }
-  std::size_t const most = std::min(most_keepers, all);
+  std::size_t const most = std::min(most_replicas, all);
   return std::max<std::size_t>(1, most % 2 == 0 ? most - 1 : most);
 }
 
-// A keeper that is here, and on which disk: what it last answered, if that was lately.
+// A replica that is here, and on which disk: what it last answered, if that was lately.
 std::optional<std::uint64_t> Node::disk_here(std::string const& name, Micros within, Micros now) const {
   std::map<std::string, Learner::Observation>::const_iterator const observation = learner.observations.find(name);
   if (observation == learner.observations.end() || now - observation->second.at >= within) return std::nullopt;
   return observation->second.disk;
 }
 
-// A keeper that said goodbye, or that it is about to, though its process may still answer.
-bool Node::keeper_leaves(std::string const& name) const {
+// A replica that said goodbye, or that it is about to, though its process may still answer.
+bool Node::replica_leaves(std::string const& name) const {
   if (name == plan.name) return leaving_ || retiring_;
   std::map<std::string, Learner::Observation>::const_iterator const observation = learner.observations.find(name);
   if (observation != learner.observations.end() && observation->second.retiring) return true;
@@ -130,11 +131,11 @@
 }
 
 // One that is here and not in the set.
-std::optional<wire::KeeperT> Node::spare_keeper(Micros now) const {
-  std::optional<wire::KeeperT> out;
+std::optional<wire::ReplicaT> Node::spare_replica(Micros now) const {
+  std::optional<wire::ReplicaT> out;
   for (std::pair<std::string const, Learner::Observation> const& item : learner.observations) {
     bool const here = now - item.second.at < spare_seen;
-    if (!here || keeper_leaves(item.first) || learner.membership().holds(item.first, item.second.disk)) continue;
+    if (!here || replica_leaves(item.first) || learner.membership().holds(item.first, item.second.disk)) continue;
     out.emplace();
     out->name = item.first;
     out->disk = item.second.disk;
@@ -145,67 +146,67 @@
 
 // One of the set that is lost: it said goodbye, came back on another disk, or is away for long. Who can't come back as
 // what it was goes first.
-std::optional<wire::KeeperT> Node::lost_keeper(Micros now) const {
-  std::optional<wire::KeeperT> away;
-  for (wire::KeeperT const& keeper : learner.membership().keepers) {
-    std::optional<std::uint64_t> const disk = disk_here(keeper.name, keeper_lost, now);
-    if (disk && *disk != keeper.disk) return keeper;
-    if (keeper_leaves(keeper.name)) return keeper;
-    if (!disk && !away && now - born_ > keeper_lost) away = keeper;
+std::optional<wire::ReplicaT> Node::lost_replica(Micros now) const {
+  std::optional<wire::ReplicaT> away;
+  for (wire::ReplicaT const& replica : learner.membership().replicas) {
+    std::optional<std::uint64_t> const disk = disk_here(replica.name, replica_lost, now);
+    if (disk && *disk != replica.disk) return replica;
+    if (replica_leaves(replica.name)) return replica;
+    if (!disk && !away && now - born_ > replica_lost) away = replica;
   }
   return away;
 }
 
 // Whether a set has its majority here and now: else the last vote would be given away with no way back.
-bool Node::majority_here(std::vector<wire::KeeperT> const& keepers, Micros now) const {
+bool Node::majority_here(std::vector<wire::ReplicaT> const& replicas, Micros now) const {
   std::size_t here = 0;
-  for (wire::KeeperT const& keeper : keepers) {
-    std::optional<std::uint64_t> const disk = disk_here(keeper.name, spare_seen, now);
-    if (disk && *disk == keeper.disk) ++here;
+  for (wire::ReplicaT const& replica : replicas) {
+    std::optional<std::uint64_t> const disk = disk_here(replica.name, spare_seen, now);
+    if (disk && *disk == replica.disk) ++here;
   }
-  return here >= keepers.size() / 2 + 1;
+  return here >= replicas.size() / 2 + 1;
 }
 
 // So many members that a majority is left when as many disks are lost as are allowed: whoever is merely without power
 // comes back with what was acknowledged, so that nothing smaller may ever hold it alone.
-std::size_t Node::keepers_needed() const { return std::clamp(2 * plan.tolerated + 1, least_keepers, most_keepers); }
+std::size_t Node::replicas_needed() const { return std::clamp(2 * plan.tolerated + 1, least_replicas, most_replicas); }
 
 // Whether the set has more members than are wanted: then one that is lost need not be replaced.
 bool Node::set_may_shrink() const {
-  return learner.membership().keepers.size() > std::max(keepers_needed(), keepers_wanted());
+  return learner.membership().replicas.size() > std::max(replicas_needed(), replicas_wanted());
 }
 
 // Whether every member answered the last poll. A set does not grow while one of them may be lost: with a dead member a
 // set of four needs all the others, and the one that should take the dead one's place would only add to them.
 bool Node::members_answer(Micros now) const {
-  std::vector<wire::KeeperT> const& keepers = learner.membership().keepers;
-  return std::all_of(keepers.begin(), keepers.end(), [this, now](wire::KeeperT const& keeper) {
-    std::optional<std::uint64_t> const disk = disk_here(keeper.name, poll_span() + answer_slack, now);
-    return disk && *disk == keeper.disk;
+  std::vector<wire::ReplicaT> const& replicas = learner.membership().replicas;
+  return std::all_of(replicas.begin(), replicas.end(), [this, now](wire::ReplicaT const& replica) {
+    std::optional<std::uint64_t> const disk = disk_here(replica.name, poll_span() + answer_slack, now);
+    return disk && *disk == replica.disk;
   });
 }
 
-// §5.8: a keeper that is lost gives its place to one that is here, in one change; the set grows to the wanted size.
+// §5.8: a replica that is lost gives its place to one that is here, in one change; the set grows to the wanted size.
 std::optional<Change> Node::member_change(Micros now) const {
   Membership const& members = learner.membership();
-  std::optional<wire::KeeperT> const spare = spare_keeper(now);
-  std::optional<wire::KeeperT> const lost = lost_keeper(now);
+  std::optional<wire::ReplicaT> const spare = spare_replica(now);
+  std::optional<wire::ReplicaT> const lost = lost_replica(now);
   // A set that grew for successors shrinks again when those that they succeed are gone.
   bool const shrinks = lost && !spare && set_may_shrink();
   if (!spare && !shrinks) return std::nullopt;
   Change change;
   change.expected = members.epoch;
-  if (spare) change.keeper = *spare;
-  std::vector<wire::KeeperT> next = members.keepers;
+  if (spare) change.replica = *spare;
+  std::vector<wire::ReplicaT> next = members.replicas;
   if (lost) {
     change.type = shrinks ? Change::Type::dismiss : Change::Type::replace;
-    (shrinks ? change.keeper : change.leaving) = *lost;
+    (shrinks ? change.replica : change.leaving) = *lost;
     next.erase(std::remove_if(next.begin(), next.end(),
-                              [&lost](wire::KeeperT const& keeper) {
-                                return keeper.name == lost->name && keeper.disk == lost->disk;
+                              [&lost](wire::ReplicaT const& replica) {
+                                return replica.name == lost->name && replica.disk == lost->disk;
                               }),
                next.end());
-  } else if (members.keepers.size() < keepers_wanted() && members_answer(now)) {
+  } else if (members.replicas.size() < replicas_wanted() && members_answer(now)) {
     change.type = Change::Type::admit;
   } else {
     return std::nullopt;
@@ -217,20 +218,20 @@
 
 namespace {
 std::string words_of(Change const& members) {
-  if (members.type == Change::Type::admit) return "admit " + members.keeper.name;
-  if (members.type == Change::Type::dismiss) return "dismiss " + members.keeper.name;
-  return "replace " + members.leaving.name + " by " + members.keeper.name;
+  if (members.type == Change::Type::admit) return "admit " + members.replica.name;
+  if (members.type == Change::Type::dismiss) return "dismiss " + members.replica.name;
+  return "replace " + members.leaving.name + " by " + members.replica.name;
 }
 }  // namespace
 
-// What this keeper, which holds the duty, has to do next; nothing when all is well.
+// What this replica, which holds the duty, has to do next; nothing when all is well.
 std::optional<Change> Node::duty_due(Micros now) {
   Change change;
   change.type = Change::Type::read;
   // A joint set that was left behind is completed by any change (docs/control.md).
   if (learner.membership().joint()) return change;
   if (std::optional<Change> members = member_change(now)) {
-    log_event(Event::keeper_swapped, words_of(*members) + " epoch " + std::to_string(members->expected));
+    log_event(Event::replica_set_changed, words_of(*members) + " epoch " + std::to_string(members->expected));
     return members;
   }
   if (strike_due(now, change)) {
@@ -242,7 +243,7 @@
   bool const calm = learner.changed_at < 0 || now - learner.changed_at > repair_calm;
   if (!learner.split || !calm || now - repaired_at_ <= repair_gap) return std::nullopt;
   repaired_at_ = now;
-  log_event(Event::copies_repaired, "epoch " + std::to_string(learner.membership().epoch));
+  log_event(Event::replicas_repaired, "epoch " + std::to_string(learner.membership().epoch));
   return change;
 }
 
@@ -266,12 +267,12 @@
 }
 
 // Copies that differ after a loss leave no ballot that a majority shows; then nobody gets ready by polls alone. The
-// keeper that proposes for all reads the register, which repairs them, and needs no lease for it.
+// replica that proposes for all reads the register, which repairs them, and needs no lease for it.
 std::optional<Change> Node::catch_up_read(Micros now) {
   bool const behind = now - std::max(born_, learner.sure) > unsure_for + poll_span();
-  if (!behind || now - repaired_at_ <= repair_gap || leaving_ || proposing_keeper() != plan.name) return std::nullopt;
+  if (!behind || now - repaired_at_ <= repair_gap || leaving_ || proposing_replica() != plan.name) return std::nullopt;
   repaired_at_ = now;
-  log_event(Event::copies_repaired, "no majority shows one ballot");
+  log_event(Event::replicas_repaired, "no majority shows one ballot");
   Change read;
   read.type = Change::Type::read;
   return read;
--- a/src/core/handed.cc
+++ b/src/core/handed.cc
@@ -1,4 +1,4 @@
-// Changes that one keeper proposes for all (§12.8). Any node may still propose: a change that is not answered in time
+// Changes that one replica proposes for all (§12.8). Any node may still propose: a change that is not answered in time
 // is proposed here under the same id, and the register takes it once.
 #include "base/events.h"
 #include "consensus/register/text_patch.h"
@@ -23,20 +23,20 @@
 }
 }  // namespace
 
-bool Node::keeper_reached(wire::KeeperT const& keeper) const {
-  if (keeper.name == plan.name) return acceptor && acceptor->held().disk == keeper.disk && !leaving_;
+bool Node::replica_reached(wire::ReplicaT const& replica) const {
+  if (replica.name == plan.name) return acceptor && acceptor->held().disk == replica.disk && !leaving_;
   std::map<std::string, Learner::Observation>::const_iterator const observation =
-      learner.observations.find(keeper.name);
-  if (observation != learner.observations.end() && observation->second.disk != keeper.disk) return false;
-  std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(keeper.name);
+      learner.observations.find(replica.name);
+  if (observation != learner.observations.end() && observation->second.disk != replica.disk) return false;
+  std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(replica.name);
   return peer != mesh.members.peers.end() && peer->second.wire != 0 && peer->second.state() == State::alive;
 }
 
-std::string Node::proposing_keeper() const {
+std::string Node::proposing_replica() const {
   std::string best;
   Membership const& members = learner.membership().empty() ? learner.seen() : learner.membership();
-  for (wire::KeeperT const& keeper : members.keepers)
-    if (keeper_reached(keeper) && (best.empty() || keeper.name < best)) best = keeper.name;
+  for (wire::ReplicaT const& replica : members.replicas)
+    if (replica_reached(replica) && (best.empty() || replica.name < best)) best = replica.name;
   return best;
 }
 
@@ -45,7 +45,7 @@
   std::vector<std::string> peers;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     bool const here = item.second.wire != 0 && item.second.state() == State::alive;
-    if (here && !item.second.member.keeper) peers.push_back(item.first);
+    if (here && !item.second.member.replica) peers.push_back(item.first);
   }
   if (peers.empty()) return "";
   return peers[relay_turn_++ % peers.size()];
@@ -54,17 +54,17 @@
 bool Node::hand_over(std::uint64_t id, Change const& change, Micros now, NodeOut& out) {
   if (!plan.registered || id == 0 || (id & handed_mark) != 0) return false;
   if (change.type != Change::Type::apply && change.type != Change::Type::read) return false;
-  std::string const keeper = quorum_heard(now) ? proposing_keeper() : relaying_peer();
-  if (keeper.empty() || keeper == plan.name) return false;
+  std::string const replica = quorum_heard(now) ? proposing_replica() : relaying_peer();
+  if (replica.empty() || replica == plan.name) return false;
   std::uint64_t const req = ++next_req_;
   wire::ProposeT ask = proposal(req, change, learner.revision());
   put_text(change.text, ask);
-  if (!mesh.post(keeper, std::move(ask), out.mesh)) return false;
-  handed_[req] = Handed{id, keeper, change, now + answer_within};
+  if (!mesh.post(replica, std::move(ask), out.mesh)) return false;
+  handed_[req] = Handed{id, replica, change, now + answer_within};
   return true;
 }
 
-// A text goes as a patch of what this node holds, which the keeper most likely holds as well.
+// A text goes as a patch of what this node holds, which the replica most likely holds as well.
 void Node::put_text(std::string const& text, wire::ProposeT& ask) const {
   if (learner.value && !text.empty())
     ask.patch = text_patch(learner.value->text, text);
@@ -105,7 +105,7 @@
   propose(id, std::move(change), now, out);
 }
 
-// The keeper took nothing of an order whose text it could not make out: it is sent again, whole.
+// The replica took nothing of an order whose text it could not make out: it is sent again, whole.
 void Node::send_text(std::string const& to, std::uint64_t req, Change const& change, NodeOut& out) {
   wire::ProposeT ask = proposal(req, change, learner.revision());
   ask.text = change.text;
@@ -119,7 +119,7 @@
   if (ans.need_text) return send_text(from, ans.req, spot->second.change, out);
   Handed item = std::move(spot->second);
   handed_.erase(spot);
-  // A keeper that is cut off proposed nothing; this node may still hear a quorum.
+  // A replica that is cut off proposed nothing; this node may still hear a quorum.
   if (static_cast<Kind>(ans.kind) == Kind::no_majority && quorum_heard(now))
     return propose(item.id, std::move(item.change), now, out);
   Reply reply;
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -21,7 +21,7 @@
   return hash_bits(hash_bits(life) ^ plan.chance);
 }
 
-// By which set of keepers limits are handed out is never older than this.
+// By which set of replicas limits are handed out is never older than this.
 constexpr Micros owner_span = millis(4700);
 Micros owner_span_of(NodePlan const& plan) { return plan.revocation > 0 ? plan.revocation : owner_span; }
 
@@ -34,7 +34,7 @@
   out.zone = plan.zone;
   out.incarnation = plan.incarnation;
   out.models = plan.models;
-  out.keeper = plan.keeper;
+  out.replica = plan.replica;
   return out;
 }
 MeshPlan mesh_of(NodePlan const& plan) {
@@ -99,10 +99,10 @@
   last_tick_ = now;
 }
 
-std::vector<std::string> Node::keepers() const {
+std::vector<std::string> Node::replicas() const {
   std::set<std::string> out;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-    if ((item.second.role() == Role::accord || item.second.member.keeper) && item.second.wire != 0)
+    if ((item.second.role() == Role::accord || item.second.member.replica) && item.second.wire != 0)
       out.insert(item.first);
   if (acceptor) out.insert(plan.name);
   return std::vector<std::string>(out.begin(), out.end());
@@ -322,16 +322,16 @@
     news.origin = plan.name;
     news.hops = 1;
     std::string const far = encode_body(wire::ChosenT(news));
-    std::set<std::string> reached{plan.keeper ? plan.zone : std::string()};
+    std::set<std::string> reached{plan.replica ? plan.zone : std::string()};
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
-      if (item.second.wire == 0 || !item.second.member.keeper) continue;
+      if (item.second.wire == 0 || !item.second.member.replica) continue;
       reached.insert(item.second.member.zone);
       out.mesh.sends.push_back({item.second.wire, far});
     }
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
       if (item.second.wire != 0 && !reached.count(item.second.member.zone))
         out.mesh.sends.push_back({item.second.wire, far});
-    if (plan.keeper) forward(news, out);
+    if (plan.replica) forward(news, out);
     return;
   }
   std::string const bytes = encode_body(std::move(news));
@@ -445,7 +445,7 @@
   // What must be known: a majority's word on the register, and the list; both after the last jump.
   Micros const from = stale_from_ >= 0 ? stale_from_ : born_;
   bool const word = learner.sure >= from;  // of a majority
-  // Where keepers are many enough for the losses that are allowed, nothing else will do (docs/control.md).
+  // Where replicas are many enough for the losses that are allowed, nothing else will do (docs/control.md).
   if (plan.registered && !word && !able_) return;
   bool sure = word;
   if (word && plan.role == Role::passage && !seated()) {
@@ -490,7 +490,7 @@
   std::vector<OutgoingMessage> outgoing;
   if (now >= next_poll_ && (guard(Guard::spread) || learner.sure < 0 || plan.role == Role::accord)) {
     next_poll_ = now + poll_span();
-    learner.poll(now, keepers(), news_age(now), outgoing);
+    learner.poll(now, replicas(), news_age(now), outgoing);
     found(now, outgoing);
   }
   if (acceptor)
@@ -519,9 +519,9 @@
 bool Node::may_end(Micros now) const {
   if (!acceptor || !acceptor->held().formed) return true;
   if (!learner.membership().concerns(plan.name, acceptor->held().disk)) return true;
-  // Who hears no quorum cannot know whether a keeper is here to take its place: it waits for the end of its grace.
+  // Who hears no quorum cannot know whether a replica is here to take its place: it waits for the end of its grace.
   // Nor does one end that the set can do without: it is taken out first.
-  return quorum_heard(now) && !spare_keeper(now) && !set_may_shrink();
+  return quorum_heard(now) && !spare_replica(now) && !set_may_shrink();
 }
 
 void Node::drain(Micros now, NodeOut& out) {
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -30,20 +30,20 @@
   Role role = Role::passage;
   std::vector<std::string> seeds;
   std::vector<std::string> models;    // those that a passage serves; none means all
-  std::vector<std::string> founders;  // names of the first keepers
+  std::vector<std::string> founders;  // names of the first replicas
   std::uint64_t incarnation = 1;
   std::uint64_t chance = 1;
   // Where workers register themselves (§12): no list is read and no health reports are asked, seats are not needed
-  // since no zone is ever emptied there, and the first keepers are those at the seeds.
+  // since no zone is ever emptied there, and the first replicas are those at the seeds.
   bool registered = false;
-  bool keeper = false;       // a router node that keeps as well
+  bool replica = false;      // a router node that keeps as well
   bool first_start = false;  // the fleet starts for the first time
-  // Whose keepers are the first set; none where this node may not found. The node fills it in.
+  // Whose replicas are the first set; none where this node may not found. The node fills it in.
   std::vector<std::string> founding_seeds;
   Micros beat_gap = millis(1200);
   double resend_ratio = 0.15;
   double resend_store = 30;   // of all nodes together
-  std::size_t tolerated = 1;  // keepers that may be lost at once with their disks
+  std::size_t tolerated = 1;  // replicas that may be lost at once with their disks
   // What makes a description of the register's text.
   DescriptionReader read = read_description;
   // Within which a key that was taken away must let nothing run any more, also at a node that is cut off; 0: only nodes
@@ -128,7 +128,7 @@
   void leg_ended(std::uint64_t id, LegEnd end, std::string const& why, Micros back, Micros now, NodeOut& out);
   void hung_up(std::uint64_t id, Micros now, NodeOut& out);
 
-  // A planned stop is near: a keeper asks to be replaced while it still holds its copy.
+  // A planned stop is near: a replica asks to be replaced while it still holds its copy.
   void retire() { retiring_ = true; }
   // Whether nothing is lost when this node ends now: it keeps no more, or nobody is here to take its place.
   bool may_end(Micros now) const;
@@ -193,18 +193,18 @@
   std::optional<Membership> first_set(Micros now) const;
   std::string address_of(std::string const& name) const;
   std::optional<std::uint64_t> disk_here(std::string const& name, Micros within, Micros now) const;
-  bool keeper_leaves(std::string const& name) const;
-  std::optional<wire::KeeperT> spare_keeper(Micros now) const;
-  std::optional<wire::KeeperT> lost_keeper(Micros now) const;
-  bool majority_here(std::vector<wire::KeeperT> const& keepers, Micros now) const;
+  bool replica_leaves(std::string const& name) const;
+  std::optional<wire::ReplicaT> spare_replica(Micros now) const;
+  std::optional<wire::ReplicaT> lost_replica(Micros now) const;
+  bool majority_here(std::vector<wire::ReplicaT> const& replicas, Micros now) const;
   bool members_answer(Micros now) const;
-  std::size_t keepers_needed() const;
+  std::size_t replicas_needed() const;
   bool set_may_shrink() const;
   std::optional<Change> member_change(Micros now) const;
   std::optional<Change> duty_due(Micros now);
   std::optional<Change> catch_up_read(Micros now);
-  std::vector<std::string> first_keepers(Micros now) const;
-  std::size_t keepers_wanted() const;
+  std::vector<std::string> first_replicas(Micros now) const;
+  std::size_t replicas_wanted() const;
   // Keys and limits of tenants (core/tenancy.cc).
   void renew_lease(Micros now, std::vector<OutgoingMessage>& outgoing);
   void confirm_configuration(Micros now);
@@ -228,10 +228,10 @@
   Paths paths() const;
   std::string hub_of(std::string const& zone) const;
   void forward(wire::ChosenT const& news, NodeOut& out);
-  // Changes go to one keeper, so that proposers do not outbid each other (§12.8).
-  std::string proposing_keeper() const;
-  // Whether a keeper of the set is reached, and was last seen on the disk that belongs to the set.
-  bool keeper_reached(wire::KeeperT const& keeper) const;
+  // Changes go to one replica, so that proposers do not outbid each other (§12.8).
+  std::string proposing_replica() const;
+  // Whether a replica of the set is reached, and was last seen on the disk that belongs to the set.
+  bool replica_reached(wire::ReplicaT const& replica) const;
   std::string relaying_peer();
   bool hand_over(std::uint64_t id, Change const& change, Micros now, NodeOut& out);
   void take_handed(std::string const& from, wire::ProposeT const& ask, Micros now, NodeOut& out);
@@ -246,7 +246,7 @@
   bool hears_others(Micros now) const;
   void check_end(std::string const& worker) const;
   void propose(std::uint64_t id, Change change, Micros now, NodeOut& out);
-  // Whether this node still hears a quorum of the keepers; without one it refuses operators at once (docs/control.md).
+  // Whether this node still hears a quorum of the replicas; without one it refuses operators at once (docs/control.md).
   bool quorum_heard(Micros now) const;
   void refuse_now(std::uint64_t id, Change const& change, Kind kind, NodeOut& out);
   Micros poll_span() const;
@@ -268,7 +268,7 @@
   void tell_loads(Micros now, std::vector<OutgoingMessage>& outgoing);
   void check_now(std::string const& id, Micros now, NodeOut& out);
   void check_asked(Micros now, NodeOut& out);
-  std::vector<std::string> keepers() const;
+  std::vector<std::string> replicas() const;
   std::vector<std::string> index_peers() const;
   std::set<std::string> passages(bool all) const;
   Index::Bounds bounds(std::string const& model) const;
@@ -332,7 +332,7 @@
     std::uint64_t revision = 0;  // that was known here when it was asked
   };
   std::map<std::uint64_t, OpenCall> open_calls_;
-  std::size_t settled_size_ = 0;  // of the last settled set of keepers that was in force here
+  std::size_t settled_size_ = 0;  // of the last settled set of replicas that was in force here
   Micros next_waiting_ = 0;
   struct Ended {
     std::uint64_t id;
--- a/src/core/registered.cc
+++ b/src/core/registered.cc
@@ -51,22 +51,22 @@
   settle_quota(now, out);
 }
 
-// §12.7: the node of a zone that passes words on: the first of its keepers that is reached, else the first of all.
+// §12.7: the node of a zone that passes words on: the first of its replicas that is reached, else the first of all.
 std::string Node::hub_of(std::string const& zone) const {
   std::string best;
   bool keeps = false;
   if (zone == plan.zone) {
     best = plan.name;
-    keeps = plan.keeper;
+    keeps = plan.replica;
   }
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     Peer const& peer = item.second;
     if (peer.wire == 0 || peer.state() != State::alive || peer.member.zone != zone) continue;
     bool const better =
-        best.empty() || (peer.member.keeper && !keeps) || (peer.member.keeper == keeps && item.first < best);
+        best.empty() || (peer.member.replica && !keeps) || (peer.member.replica == keeps && item.first < best);
     if (!better) continue;
     best = item.first;
-    keeps = peer.member.keeper;
+    keeps = peer.member.replica;
   }
   return best;
 }
@@ -103,12 +103,12 @@
   dispatch(outgoing, now, out);
 }
 
-// §12.7: a keeper brings a chosen value to its part of its zone's other nodes.
+// §12.7: a replica brings a chosen value to its part of its zone's other nodes.
 void Node::forward(wire::ChosenT const& news, NodeOut& out) {
-  if (!plan.keeper) return;
+  if (!plan.replica) return;
   std::vector<std::string> hands{plan.name};
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-    if (item.second.member.keeper && item.second.member.zone == plan.zone && item.second.wire != 0 &&
+    if (item.second.member.replica && item.second.member.zone == plan.zone && item.second.wire != 0 &&
         item.second.state() == State::alive)
       hands.push_back(item.first);
   std::sort(hands.begin(), hands.end());
@@ -120,7 +120,7 @@
   std::string const bytes = encode_body(std::move(copy));
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     Peer const& peer = item.second;
-    if (peer.wire == 0 || peer.member.keeper || item.first == news.origin) continue;
+    if (peer.wire == 0 || peer.member.replica || item.first == news.origin) continue;
     if (peer.member.zone == plan.zone &&
         rendezvous(item.first, std::set<std::string>(hands.begin(), hands.end())) == plan.name)
       out.mesh.sends.push_back({peer.wire, bytes});
--- a/src/core/seats.cc
+++ b/src/core/seats.cc
@@ -63,7 +63,7 @@
 }
 
 // §5.5: a peer announces a newer revision than is held here, and no push or poll has brought it: the peer itself is
-// asked, so that a chosen value gets round though its proposer and the keepers are gone.
+// asked, so that a chosen value gets round though its proposer and the replicas are gone.
 void Node::ask_newer(Micros now, std::vector<OutgoingMessage>& outgoing) {
   std::string from;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
--- a/src/core/tenancy.cc
+++ b/src/core/tenancy.cc
@@ -17,7 +17,7 @@
   return peer != mesh.members.peers.end() && peer->second.wire != 0 && peer->second.state() == State::alive;
 }
 
-// Both leases rest on the same facts: what polls of keepers confirmed, and what peers told of theirs.
+// Both leases rest on the same facts: what polls of replicas confirmed, and what peers told of theirs.
 void Node::confirm_configuration(Micros now) {
   if (learner.sure >= 0) {
     lease.confirm(learner.sure);
@@ -30,8 +30,8 @@
   }
 }
 
-// A third of the lease before its end would be late: it is renewed from its first third on, by one keeper at a time,
-// and from its half on by any peer besides, since a cut may part this node from the keepers alone.
+// A third of the lease before its end would be late: it is renewed from its first third on, by one replica at a time,
+// and from its half on by any peer besides, since a cut may part this node from the replicas alone.
 void Node::renew_lease(Micros now, std::vector<OutgoingMessage>& outgoing) {
   confirm_configuration(now);
   if (!dispatcher.description()->keys_required || !owner_lease_.ageing(now) || now < next_newest_ask_) return;
@@ -39,16 +39,16 @@
   std::erase_if(newest_asks_, [now](std::pair<std::uint64_t const, Micros> const& item) {
     return now - item.second > newest_within;
   });
-  std::vector<std::string> keepers_here;
+  std::vector<std::string> replicas_here;
   std::vector<std::string> others;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     if (!reached(item.first)) continue;
-    (item.second.member.keeper ? keepers_here : others).push_back(item.first);
+    (item.second.member.replica ? replicas_here : others).push_back(item.first);
   }
   std::vector<std::string> targets;
   ++newest_turn_;
-  if (!keepers_here.empty()) targets.push_back(keepers_here[newest_turn_ % keepers_here.size()]);
-  if (!others.empty() && (keepers_here.empty() || owner_lease_.urgent(now)))
+  if (!replicas_here.empty()) targets.push_back(replicas_here[newest_turn_ % replicas_here.size()]);
+  if (!others.empty() && (replicas_here.empty() || owner_lease_.urgent(now)))
     targets.push_back(others[newest_turn_ % others.size()]);
   for (std::string const& target : targets) {
     wire::NewestAskT ask;
@@ -93,7 +93,7 @@
     if (name == plan.name || reached(name)) out.owners.push_back(name);
   if (!out.owners.empty()) return out;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-    if (reached(item.first) && !item.second.member.keeper) out.others.push_back(item.first);
+    if (reached(item.first) && !item.second.member.replica) out.others.push_back(item.first);
   return out;
 }
 
--- a/src/core/worker_ends.cc
+++ b/src/core/worker_ends.cc
@@ -11,7 +11,7 @@
 constexpr Micros told_within = millis(600);  // a worker waits a second for its answer
 }  // namespace
 
-// Whether this node reaches a quorum of the keepers, or at least half of the nodes that may be there.
+// Whether this node reaches a quorum of the replicas, or at least half of the nodes that may be there.
 bool Node::hears_others(Micros now) const {
   if (quorum_heard(now)) return true;
   std::size_t all = 1;
@@ -33,7 +33,7 @@
                      });
 }
 
-// Whether so many have the entry that it reaches every node which others reach: a quorum of the keepers, who pass it
+// Whether so many have the entry that it reaches every node which others reach: a quorum of the replicas, who pass it
 // on; where no set is known yet, more than half of all nodes.
 bool Node::told_enough(std::string const& worker) const {
   Membership const& members = learner.membership();
@@ -48,9 +48,9 @@
     return told * 2 > all;
   }
   Voters told;
-  for (std::vector<wire::KeeperT> const* const part : {&members.keepers, &members.former})
-    for (wire::KeeperT const& keeper : *part)
-      if (keeper.name == plan.name || mesh.ledger.told(keeper.name, worker)) told[keeper.name] = keeper.disk;
+  for (std::vector<wire::ReplicaT> const* const part : {&members.replicas, &members.former})
+    for (wire::ReplicaT const& replica : *part)
+      if (replica.name == plan.name || mesh.ledger.told(replica.name, worker)) told[replica.name] = replica.disk;
   return members.quorum(told);
 }
 
--- a/src/flow/tenants/quota_shares.cc
+++ b/src/flow/tenants/quota_shares.cc
@@ -6,9 +6,9 @@
 
 namespace pipit {
 
-double QuotaShares::part_in(std::vector<wire::KeeperT> const& keepers) const {
-  for (wire::KeeperT const& keeper : keepers)
-    if (keeper.name == self_) return 1.0 / static_cast<double>(keepers.size());
+double QuotaShares::part_in(std::vector<wire::ReplicaT> const& replicas) const {
+  for (wire::ReplicaT const& replica : replicas)
+    if (replica.name == self_) return 1.0 / static_cast<double>(replicas.size());
   return 0;
 }
 
@@ -21,10 +21,10 @@
   if (!known_ && members.fingerprint() != settled_before_) parts_.push_back(Part{0, until});
   known_ = true;
   fingerprint_ = members.fingerprint();
-  parts_.push_back(Part{part_in(members.keepers), -1});
+  parts_.push_back(Part{part_in(members.replicas), -1});
   if (members.joint()) parts_.push_back(Part{part_in(members.former), -1});
   names_.clear();
-  for (wire::KeeperT const& keeper : members.keepers) names_.push_back(keeper.name);
+  for (wire::ReplicaT const& replica : members.replicas) names_.push_back(replica.name);
 }
 
 double QuotaShares::share(Micros now) {
--- a/src/flow/tenants/quota_shares.h
+++ b/src/flow/tenants/quota_shares.h
@@ -1,4 +1,4 @@
-// Which nodes hand out tenants' limits, and which part each: the members of the register's set of keepers, in equal
+// Which nodes hand out tenants' limits, and which part each: the members of the register's set of replicas, in equal
 // parts. A set that was left behind still counts for a while, since a member that was cut off may go by it for as long
 // as its lease on the configuration lasts: until then a node hands out the smallest of the parts that it had.
 #pragma once
@@ -33,7 +33,7 @@
     double share = 0;
     Micros until = -1;  // -1: it is one of the set that is in force
   };
-  double part_in(std::vector<wire::KeeperT> const& keepers) const;
+  double part_in(std::vector<wire::ReplicaT> const& replicas) const;
 
   std::string const self_;
   Micros const fence_;
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -39,7 +39,7 @@
     ring = std::make_unique<RecordStore>(*posix, plan_.node.cluster, plan_.node.name, 256u << 10);
     bool blank = false;
     std::uint64_t const fresh = random_seed();
-    // A disk that is full or hangs when the process starts is waited for: without it the node is no keeper.
+    // A disk that is full or hangs when the process starts is waited for: without it the node is no replica.
     Result<wire::RecordT> opened = ring->open(fresh, blank);
     for (int tries = 0; !opened && opened.error().kind == Kind::bad_disk && tries < 50; ++tries) {
       if (tries == 0) log_event(Event::disk_waits, opened.error().why);
@@ -48,7 +48,7 @@
     }
     if (!opened) return opened.as_failure();
     recovered = std::move(opened.value());
-    log_event(blank ? Event::keeper_blank : Event::keeper_back,
+    log_event(blank ? Event::replica_formatted : Event::replica_recovered,
               "serial " + std::to_string(recovered->value ? recovered->value->serial : 0));
   }
   node_ = std::make_unique<Node>(plan_.node, now(), std::move(recovered));
@@ -244,7 +244,7 @@
   }
   if (!doors_shut_) return;
   relay_->server.close_idle();
-  // What a slow caller has not taken yet would end with the process too. A keeper stays until another one has its
+  // What a slow caller has not taken yet would end with the process too. A replica stays until another one has its
   // place, where one is here to take it.
   bool const finished = relay_->server.calls() == 0 && relay_->server.finishing() == 0;
   bool const idle = finished && asked_.empty() && ends_asked_.empty() && node_->may_end(at);
--- a/src/gate/station/status.cc
+++ b/src/gate/station/status.cc
@@ -49,7 +49,7 @@
   JsonWriter json;
   json.begin_object().key("name").text(plan_.node.name).key("role").text("passage").key("zone").text(plan_.node.zone);
   json.key("keeper")
-      .boolean(plan_.node.keeper)
+      .boolean(plan_.node.replica)
       .key("ready")
       .boolean(node_->ready())
       .key("draining")
@@ -57,7 +57,7 @@
   json.key("serial").number(static_cast<std::int64_t>(node_->learner.serial()));
   json.key("label").number(static_cast<std::int64_t>(label()));
   json.key("emptied").begin_list().end_list().key("keepers").begin_list();
-  for (wire::KeeperT const& keeper : node_->learner.membership().keepers) json.text(keeper.name);
+  for (wire::ReplicaT const& replica : node_->learner.membership().replicas) json.text(replica.name);
   json.end_list()
       .key("epoch")
       .number(static_cast<std::int64_t>(node_->learner.membership().epoch))
@@ -67,7 +67,7 @@
     Peer const& peer = item.second;
     json.begin_object().key("name").text(item.first).key("state").text(state_word(peer.state()));
     json.key("wire").boolean(peer.wire != 0).key("role").text("passage").key("zone").text(peer.member.zone);
-    json.key("http").text(peer.member.http).key("keeper").boolean(peer.member.keeper);
+    json.key("http").text(peer.member.http).key("keeper").boolean(peer.member.replica);
     json.key("serial")
         .number(static_cast<std::int64_t>(peer.member.serial))
         .key("ready")
@@ -149,7 +149,7 @@
   text.gauge("pipit_serial", node_->learner.serial());
   text.gauge("pipit_revision", node_->learner.revision());
   text.gauge("pipit_label", label());
-  text.gauge("pipit_keepers", node_->learner.membership().keepers.size());
+  text.gauge("pipit_keepers", node_->learner.membership().replicas.size());
   text.gauge("pipit_keepers_epoch", node_->learner.membership().epoch);
   text.gauge("pipit_quorum_heard_ms_ago", age_ms(node_->learner.contact(), now()));
   text.gauge("pipit_ready", node_->ready() ? 1u : 0u);
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -109,7 +109,7 @@
   if (store)
     disk_ = std::make_unique<DiskTask>(std::move(disk), std::move(store), [this](bool good, std::string const& why) {
       if (!good) {
-        // §5.6: after a failed sync nothing is known of what the disk holds; the keeper must not speak again.
+        // §5.6: after a failed sync nothing is known of what the disk holds; the replica must not speak again.
         log_event(Event::disk_failed, why);
         code_ = 3;
         g_main_loop_quit(loop_);
@@ -364,10 +364,10 @@
 }
 
 int run_node(int argc, char** argv, Role role) {
-  bool const keeper = role == Role::accord;
-  Result<Settings> settings = read_settings(argc, argv, keeper);
+  bool const replica = role == Role::accord;
+  Result<Settings> settings = read_settings(argc, argv, replica);
   if (!settings) {
-    std::fprintf(stderr, "%s: %s\n", keeper ? "accord" : "passage", settings.error().why.c_str());
+    std::fprintf(stderr, "%s: %s\n", replica ? "accord" : "passage", settings.error().why.c_str());
     return 2;
   }
   if (settings.value().help) {
@@ -378,7 +378,7 @@
   std::optional<wire::RecordT> recovered;
   std::unique_ptr<PosixDisk> disk;
   std::unique_ptr<RecordStore> store;
-  if (keeper) {
+  if (replica) {
     disk = std::make_unique<PosixDisk>(settings.value().data);
     store = std::make_unique<RecordStore>(*disk, settings.value().cluster, settings.value().name);
     Result<void> const locked = disk->lock();
@@ -390,13 +390,13 @@
       return 2;
     }
     recovered = std::move(opened.value());
-    log_event(blank ? Event::keeper_blank : Event::keeper_back,
+    log_event(blank ? Event::replica_formatted : Event::replica_recovered,
               "serial " + std::to_string(recovered->value ? recovered->value->serial : 0));
   }
   Host host(std::move(settings.value()), role, std::move(recovered), std::move(disk), std::move(store));
   Result<void> const listening = host.listen();
   if (!listening) {
-    std::fprintf(stderr, "%s: %s\n", keeper ? "accord" : "passage", listening.error().why.c_str());
+    std::fprintf(stderr, "%s: %s\n", replica ? "accord" : "passage", listening.error().why.c_str());
     return 2;
   }
   return host.run();
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -13,7 +13,7 @@
   json.key("emptied").begin_list();
   for (std::string const& zone : node_->desk.emptied()) json.text(zone);
   json.end_list().key("keepers").begin_list();
-  for (wire::KeeperT const& keeper : node_->learner.membership().keepers) json.text(keeper.name);
+  for (wire::ReplicaT const& replica : node_->learner.membership().replicas) json.text(replica.name);
   json.end_list().key("epoch").number(static_cast<std::int64_t>(node_->learner.membership().epoch));
   json.key("peers").begin_list();
   for (std::pair<std::string const, Peer> const& item : node_->mesh.members.peers) {
--- a/src/storage/record_store.cc
+++ b/src/storage/record_store.cc
@@ -130,7 +130,7 @@
   File const* const last = newest(files);
   if (last == nullptr) return fail(Kind::bad_disk, "no record of the store is intact");
   // A power cut tears the one file that was being written. Both copies corrupt is decay of the disk, and what was in
-  // them may have been answered for: then the keeper must not go on with something older.
+  // them may have been answered for: then the replica must not go on with something older.
   for (std::size_t first = 0; first < file_count; first += copies) {
     File const& one = files[first];
     File const& other = files[first + 1];
--- a/src/storage/record_store.h
+++ b/src/storage/record_store.h
@@ -1,4 +1,4 @@
-// The record store: a keeper's state as one record in preallocated, checksummed files written alternately (§5.6).
+// The record store: a replica's state as one record in preallocated, checksummed files written alternately (§5.6).
 #pragma once
 #include <array>
 #include <cstdint>
--- a/tests/change_traffic.cc
+++ b/tests/change_traffic.cc
@@ -138,14 +138,14 @@
   }
 };
 
-MachineId proposing_keeper(World const& world) {
-  std::vector<MachineId> const keepers = world.keepers();
-  return *std::min_element(keepers.begin(), keepers.end(), [&world](MachineId a, MachineId b) {
+MachineId proposing_replica(World const& world) {
+  std::vector<MachineId> const replicas = world.replicas();
+  return *std::min_element(replicas.begin(), replicas.end(), [&world](MachineId a, MachineId b) {
     return world.machine(a).name < world.machine(b).name;
   });
 }
 
-// 'cut': from the hundredth order on, the keeper that proposes for all is cut off one way.
+// 'cut': from the hundredth order on, the replica that proposes for all is cut off one way.
 struct StormPlan {
   std::size_t routes = 10;
   std::size_t orders = 400;
@@ -167,7 +167,7 @@
   world.between_zones.clear();
   for (std::size_t n = 0; n < storm_plan.orders; ++n) {
     if (storm_plan.cut && n == 100)
-      world.isolate({proposing_keeper(world)}, control_plane::CutKind::silent, storm_plan.way);
+      world.isolate({proposing_replica(world)}, control_plane::CutKind::silent, storm_plan.way);
     storm.order();
     world.run(storm_plan.gap);
   }
@@ -185,7 +185,7 @@
 }
 }  // namespace
 
-// 25 changes a second of ten routes on 12 nodes in three zones, three of them keepers. With patches of one stretch it
+// 25 changes a second of ten routes on 12 nodes in three zones, three of them replicas. With patches of one stretch it
 // was 59,687 bytes a change.
 TEST(ChangeTraffic, a_storm_moves_what_differs_between_zones) {
   StormCost const cost = storm_cost(StormPlan());
@@ -193,9 +193,9 @@
   EXPECT_LT(cost.each(), 12000) << cost.table();
 }
 
-// The same when the keeper that proposes for all is cut off one way, and others propose for themselves: 49,187 and
+// The same when the replica that proposes for all is cut off one way, and others propose for themselves: 49,187 and
 // 50,895 bytes a change with patches of one stretch.
-TEST(ChangeTraffic, a_storm_without_the_proposing_keeper_moves_what_differs) {
+TEST(ChangeTraffic, a_storm_without_the_proposing_replica_moves_what_differs) {
   for (control_plane::CutWay const way : {control_plane::CutWay::inbound, control_plane::CutWay::outbound}) {
     StormPlan plan;
     plan.orders = 1200;
--- a/tests/control_plane.cc
+++ b/tests/control_plane.cc
@@ -29,8 +29,8 @@
 }  // namespace
 
 // Point 1: neither confirmed nor refused nor read without a majority, and current again soon after.
-TEST(ControlPlane, a_proposing_keeper_cut_off_for_twenty_seconds) { expect_clean("cut_off", 0, 0, 1, 4); }
-TEST(ControlPlane, a_keeper_cut_off_for_twenty_seconds) { expect_clean("cut_off", 0, 1, 1, 4); }
+TEST(ControlPlane, a_proposing_replica_cut_off_for_twenty_seconds) { expect_clean("cut_off", 0, 0, 1, 4); }
+TEST(ControlPlane, a_replica_cut_off_for_twenty_seconds) { expect_clean("cut_off", 0, 1, 1, 4); }
 TEST(ControlPlane, a_plain_machine_cut_off_for_twenty_seconds) { expect_clean("cut_off", 0, 2, 1, 4); }
 TEST(ControlPlane, cuts_in_a_storm_of_changes) {
   expect_clean("cut_in_storm", 0, -1, 1, 2);
@@ -51,7 +51,7 @@
 TEST(ControlPlane, an_order_sent_again_after_sixty_five_others) { expect_clean("sent_again", 0, 4, 1, 2); }
 TEST(ControlPlane, an_order_sent_again_after_two_hundred_others) { expect_clean("sent_again", 0, 6, 1, 1); }
 TEST(ControlPlane, an_order_sent_again_after_five_hundred_others) { expect_clean("sent_again", 0, 7, 1, 1); }
-TEST(ControlPlane, the_proposing_keeper_lost_in_a_storm) { expect_clean("proposer_lost", 0, -1, 1, 3); }
+TEST(ControlPlane, the_proposing_replica_lost_in_a_storm) { expect_clean("proposer_lost", 0, -1, 1, 3); }
 
 // Point 3: one further allowed loss at any moment leaves a majority with the newest.
 TEST(ControlPlane, a_loss_after_a_planned_replacement_of_three) { expect_clean("second_loss", 3, 0, 1, 8); }
@@ -79,7 +79,7 @@
 TEST(ControlPlane, a_planned_replacement_is_interrupted) {
   for (int variant = 0; variant < 6; ++variant) expect_clean("planned_interrupted", 0, variant, 1, 1);
 }
-// A leaving member that was cut off heard of no keeper to take its place, and ended two seconds later in its place.
+// A leaving member that was cut off heard of no replica to take its place, and ended two seconds later in its place.
 TEST(ControlPlane, a_leaving_member_that_is_cut_off_stays_for_its_grace) {
   for (std::uint64_t const seed : {5016, 5216, 5269}) expect_clean("planned_interrupted", 0, -1, seed, 1);
 }
@@ -91,26 +91,26 @@
   for (std::uint64_t const seed : {23, 87}) expect_clean("founding", 0, -1, seed, 1);
 }
 
-// All keepers lose power before the first set was written, since one of them was cut off; then all start again, also on
-// disks that were wiped meanwhile.
+// All replicas lose power before the first set was written, since one of them was cut off; then all start again, also
+// on disks that were wiped meanwhile.
 void expect_founding_after_power_loss(bool wiped) {
   mute_log(true);
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     World world(WorldPlan{.seed = seed});
     world.boot_all(true);
-    MachineId const apart = world.keepers().back();
+    MachineId const apart = world.replicas().back();
     world.isolate({apart}, CutKind::silent, CutWay::both);
     world.run(seconds(2));
-    for (MachineId const id : world.keepers()) {
+    for (MachineId const id : world.replicas()) {
       EXPECT_FALSE(world.machine(id).node->acceptor->held().formed) << "not every founder was heard";
       world.power_off(id);
       if (wiped && id != apart) world.wipe(id);
     }
     world.heal();
     world.run(millis(500));
-    for (MachineId const id : world.keepers()) world.boot(id);
+    for (MachineId const id : world.replicas()) world.boot(id);
     world.run(seconds(8));
-    for (MachineId const id : world.keepers())
+    for (MachineId const id : world.replicas())
       EXPECT_EQ(world.machine(id).node->acceptor->held().formed, !wiped) << "seed " << seed << ", machine " << id;
   }
 }
@@ -134,7 +134,7 @@
   for (int const variant : {0, 1}) expect_clean("all_at_once", 0, variant, 1, 2);
 }
 
-TEST(ControlPlane, keepers_restarted_in_a_storm_of_changes) { expect_clean("restarts_in_storm", 0, -1, 1, 2); }
+TEST(ControlPlane, replicas_restarted_in_a_storm_of_changes) { expect_clean("restarts_in_storm", 0, -1, 1, 2); }
 
 TEST(ControlPlane, all_dark_with_a_wiped_disk_and_no_operator) {
   for (int const variant : {0, 1}) expect_clean("full_stop_with_a_wipe", 0, variant, 1, 2);
@@ -143,7 +143,7 @@
 // All of it in one day.
 TEST(ControlPlane, days_with_everything) { expect_clean("day", 0, -1, 1, 6); }
 
-// The one that replaces a lost keeper was outbid for a second by the orders of a storm, and the next loss came.
+// The one that replaces a lost replica was outbid for a second by the orders of a storm, and the next loss came.
 TEST(ControlPlane, a_replacement_is_not_held_up_by_a_storm_of_orders) { expect_clean("day", 0, -1, 1227, 1); }
 
 // Two of a set that had grown to five left at once, for nobody was to take their places, beside a member that was lost.
@@ -178,7 +178,7 @@
 TEST(ControlPlane, a_member_that_holds_nothing_reads_the_register_for_all) {
   expect_clean("overlapping", 8, -1, 382, 1);
 }
-TEST(ControlPlane, keepers_in_two_halves) {
+TEST(ControlPlane, replicas_in_two_halves) {
   for (std::size_t const disks : {3u, 4u, 8u}) expect_clean("halves", disks, -1, 1, 3);
 }
 
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -176,10 +176,10 @@
 TEST(Leases, rivals_step_aside_until_one_holds) {
   Membership members;
   for (char const* const name : {"k1", "k2", "k3"}) {
-    wire::KeeperT keeper;
-    keeper.name = name;
-    keeper.disk = 1;
-    members.keepers.push_back(keeper);
+    wire::ReplicaT replica;
+    replica.name = name;
+    replica.disk = 1;
+    members.replicas.push_back(replica);
   }
   std::map<std::string, LeaseGrantor> grantors;
   std::map<std::string, LeaseHolder> holders;
--- a/tests/operators.cc
+++ b/tests/operators.cc
@@ -62,10 +62,10 @@
   Node node(plan, 0, std::nullopt);
   Membership members;
   members.epoch = 1;
-  wire::KeeperT keeper;
-  keeper.name = "k";
-  keeper.disk = 1;
-  members.keepers.push_back(keeper);
+  wire::ReplicaT replica;
+  replica.name = "k";
+  replica.disk = 1;
+  members.replicas.push_back(replica);
   node.proposer.know(members);
   EXPECT_TRUE(node.proposer.ask(
       read_change(), [](Outcome const&) {}, 0));
@@ -87,7 +87,7 @@
   EXPECT_NE(one.req, other_life.req);
 }
 
-// The keeper took the order, its answer was lost, and then the node lost the quorum.
+// The replica took the order, its answer was lost, and then the node lost the quorum.
 TEST_F(OrdersAtNodes, a_handed_order_without_an_answer_ends_as_unclear) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     start(seed);
@@ -108,7 +108,7 @@
     start(seed);
     restart(plain_machine);
     world->run(seconds(6));
-    for (MachineId const keeper : world->keepers()) world->stall_disk(keeper, millis(1500));
+    for (MachineId const replica : world->replicas()) world->stall_disk(replica, millis(1500));
     send(2, plain_machine, replace_change(1, 2, text_of("of the former life")));
     world->run(millis(20));
     restart(plain_machine);
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -89,9 +89,9 @@
   EXPECT_EQ(plan.value().node.beat_gap, millis(700));
   EXPECT_LE(plan.value().node.resend_ratio, 0.4);
   EXPECT_LE(plan.value().node.resend_store, 10);
-  EXPECT_FALSE(plan.value().node.keeper);
+  EXPECT_FALSE(plan.value().node.replica);
   fields["data_directory"] = "/anywhere";
-  EXPECT_TRUE(plan_from(fields).value().node.keeper);
+  EXPECT_TRUE(plan_from(fields).value().node.replica);
 }
 
 TEST(Settings, keys_and_limits_have_the_deployments_bounds) {
@@ -391,30 +391,30 @@
 }
 
 namespace {
-// A register of three keepers whose disks sync at once, and one proposer.
+// A register of three replicas whose disks sync at once, and one proposer.
 class Versions : public testing::Test {
  protected:
   Versions() : proposer("n1", 7) {
     Membership members;
     members.epoch = 1;
     for (std::uint64_t i = 1; i <= 3; ++i) {
-      wire::KeeperT keeper;
-      keeper.name = "k" + std::to_string(i);
-      keeper.disk = i;
-      members.keepers.push_back(keeper);
+      wire::ReplicaT replica;
+      replica.name = "k" + std::to_string(i);
+      replica.disk = i;
+      members.replicas.push_back(replica);
     }
     for (std::uint64_t i = 0; i < 3; ++i) {
       wire::RecordT recovered;
       recovered.cluster = "c";
-      recovered.name = members.keepers[i].name;
-      recovered.disk = members.keepers[i].disk;
+      recovered.name = members.replicas[i].name;
+      recovered.disk = members.replicas[i].disk;
       recovered.formed = true;
       recovered.accepted = wire::Ballot(1, 0);
       recovered.value = std::make_unique<wire::ValueT>();
       recovered.value->epoch = 1;
-      for (wire::KeeperT const& keeper : members.keepers)
-        recovered.value->keepers.push_back(std::make_unique<wire::KeeperT>(keeper));
-      keepers.emplace(recovered.name, Acceptor(recovered));
+      for (wire::ReplicaT const& replica : members.replicas)
+        recovered.value->replicas.push_back(std::make_unique<wire::ReplicaT>(replica));
+      replicas.emplace(recovered.name, Acceptor(recovered));
     }
     proposer.know(members);
   }
@@ -437,10 +437,10 @@
         std::vector<OutgoingMessage> more;
         for (OutgoingMessage& item : asks) {
           std::string const to = item.to;
-          Acceptor& keeper = keepers.at(to);
-          keeper.take("n1", std::move(item.body));
+          Acceptor& replica = replicas.at(to);
+          replica.take("n1", std::move(item.body));
           std::vector<OutgoingMessage> replies;
-          if (keeper.step(replies)) keeper.synced(replies);
+          if (replica.step(replies)) replica.synced(replies);
           for (OutgoingMessage& reply : replies) proposer.take(to, reply.body, now, more);
         }
         asks = std::move(more);
@@ -451,7 +451,7 @@
   }
 
   Proposer proposer;
-  std::map<std::string, Acceptor> keepers;
+  std::map<std::string, Acceptor> replicas;
   Micros now = 0;
 };
 }  // namespace
--- a/tests/record_store.cc
+++ b/tests/record_store.cc
@@ -1,4 +1,4 @@
-// The record store on disk: torn, corrupt, missing, foreign; what is synced comes back or the keeper says why not.
+// The record store on disk: torn, corrupt, missing, foreign; what is synced comes back or the replica says why not.
 #include <gtest/gtest.h>
 
 #include <map>
--- a/tests/register.cc
+++ b/tests/register.cc
@@ -16,8 +16,8 @@
 namespace pipit {
 
 namespace {
-wire::KeeperT keeper_named(std::string const& name, std::uint64_t disk) {
-  wire::KeeperT out;
+wire::ReplicaT replica_named(std::string const& name, std::uint64_t disk) {
+  wire::ReplicaT out;
   out.name = name;
   out.disk = disk;
   return out;
@@ -26,15 +26,15 @@
 Membership members_of(std::uint64_t epoch, std::vector<std::string> const& names) {
   Membership out;
   out.epoch = epoch;
-  for (std::string const& name : names) out.keepers.push_back(keeper_named(name, std::stoull(name.substr(1))));
+  for (std::string const& name : names) out.replicas.push_back(replica_named(name, std::stoull(name.substr(1))));
   return out;
 }
 
-// Keepers whose disks sync at once; messages go only where the test lets them.
+// Replicas whose disks sync at once; messages go only where the test lets them.
 class Cluster {
  public:
   explicit Cluster(Membership const& members, std::vector<std::string> const& blank = {}) : first(members) {
-    for (wire::KeeperT const& keeper : members.keepers) add(keeper.name, true);
+    for (wire::ReplicaT const& replica : members.replicas) add(replica.name, true);
     for (std::string const& name : blank) add(name, false);
   }
 
@@ -46,7 +46,7 @@
     return *proposers.at(name);
   }
 
-  // Asks for a change and lets the proposer's messages reach these keepers only. 'accepted_by', when given, narrows
+  // Asks for a change and lets the proposer's messages reach these replicas only. 'accepted_by', when given, narrows
   // whom its accepts reach.
   void ask(std::string const& who, Change change, std::vector<std::string> const& reach,
            std::vector<std::string> const& accepted_by = {}) {
@@ -104,7 +104,7 @@
     Change change;
     change.type = Change::Type::admit;
     change.id = "admit-" + name;
-    change.keeper = keeper_named(name, std::stoull(name.substr(1)));
+    change.replica = replica_named(name, std::stoull(name.substr(1)));
     change.expected = epoch;
     return change;
   }
@@ -147,7 +147,7 @@
 }
 }  // namespace
 
-// Two next sets that were written to one keeper each, and a proposer that saw one of them on either side: with a
+// Two next sets that were written to one replica each, and a proposer that saw one of them on either side: with a
 // majority of the seen sets alone they would not meet, and both would confirm their change on the same label.
 TEST(Members, two_sets_that_were_merely_seen_do_not_split_the_register) {
   Cluster cluster(members_of(2, {"k1", "k2", "k3", "k4"}), {"k5", "k6"});
@@ -164,18 +164,18 @@
   cluster.ask("p2", cluster.apply("A", 0, 7), {"k1", "k2", "k3", "k4"});
   ASSERT_EQ(cluster.last("p2").type, Outcome::Type::chosen);
   Membership const members = membership_of(cluster.last("p2").value);
-  EXPECT_EQ(members.keepers.size(), 4u);
+  EXPECT_EQ(members.replicas.size(), 4u);
   EXPECT_FALSE(members.joint());
   EXPECT_EQ(cluster.last("p2").value.label, 7u);
 }
 
-// A keeper gives its place to another in one change: at no moment does one more loss end the majority.
+// A replica gives its place to another in one change: at no moment does one more loss end the majority.
 TEST(Members, a_replacement_leaves_a_majority_after_one_more_loss) {
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}), {"k4"});
   cluster.ask("p1", cluster.apply("A", 0, 7), {"k1", "k2", "k3"}, {"k1", "k2"});  // k1, which leaves, is a newest copy
   Change change = cluster.admit("k4", 2);
   change.type = Change::Type::replace;
-  change.leaving = keeper_named("k1", 1);
+  change.leaving = replica_named("k1", 1);
   cluster.ask("p1", change, {"k2", "k3", "k4"});
   ASSERT_EQ(cluster.last("p1").type, Outcome::Type::chosen);
   EXPECT_EQ(membership_of(cluster.last("p1").value).names(), (std::vector<std::string>{"k2", "k3", "k4"}));
@@ -203,7 +203,7 @@
   bool over = false;
   Change replace = cluster.admit("k4", 1);
   replace.type = Change::Type::replace;
-  replace.leaving = keeper_named("k3", 3);
+  replace.leaving = replica_named("k3", 3);
   ASSERT_TRUE(cluster.proposer("p2").ask(
       std::move(replace), [&over](Outcome const& out) { over = out.type == Outcome::Type::chosen; }, cluster.now));
   for (int turn = 0; turn < 12 && !over; ++turn) {
@@ -248,7 +248,7 @@
   EXPECT_FALSE(same(ballots[0], ballots[1]));
 }
 
-// A keeper's answer to a former life of the same node, should the request numbers ever be the same.
+// A replica's answer to a former life of the same node, should the request numbers ever be the same.
 TEST(Ballots, a_promise_of_another_ballot_does_not_count) {
   Proposer proposer("n", 1);
   proposer.know(members_of(2, {"k1", "k2", "k3"}));
@@ -390,7 +390,7 @@
   EXPECT_TRUE(patch->rest->text.empty());
   EXPECT_LT(patch->text->fresh.size(), 8u);
   EXPECT_EQ(patch->rest->orders.size(), 1u);
-  EXPECT_TRUE(patch->rest->keepers.empty());
+  EXPECT_TRUE(patch->rest->replicas.empty());
   std::optional<wire::ValueT> const made = patched(base, *patch);
   ASSERT_TRUE(made);
   EXPECT_EQ(made->text, next.text);
@@ -402,9 +402,9 @@
   EXPECT_FALSE(patched(next, *patch)) << "another base";
 }
 
-// A keeper that missed a value has no base for the patch: it asks for the whole one, and the change is chosen all the
+// A replica that missed a value has no base for the patch: it asks for the whole one, and the change is chosen all the
 // same.
-TEST(Patches, a_keeper_without_the_base_is_sent_the_whole_value) {
+TEST(Patches, a_replica_without_the_base_is_sent_the_whole_value) {
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}));
   cluster.ask("p1", cluster.apply("A", 0, 1), {"k1", "k2"});
   cluster.ask("p1", cluster.apply("B", 1, 2), {"k2", "k3"});
@@ -417,7 +417,7 @@
 wire::PeekedT answer_of(Acceptor const& acceptor, wire::PeekT const& ask) { return peeked(acceptor.held(), ask); }
 }  // namespace
 
-// A set that one keeper holds and that was never chosen is no reason to count a majority of it.
+// A set that one replica holds and that was never chosen is no reason to count a majority of it.
 TEST(Learning, only_the_set_of_a_chosen_value_is_taken) {
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}), {"k4"});
   cluster.ask("p1", cluster.read(), {"k1", "k2", "k3"});
@@ -431,7 +431,7 @@
   EXPECT_EQ(learner.sure, -1);
 }
 
-// While changes go on no two keepers may show one ballot. Who holds as much as a quorum knew is as new as the poll.
+// While changes go on no two replicas may show one ballot. Who holds as much as a quorum knew is as new as the poll.
 TEST(Learning, a_storm_of_changes_does_not_keep_a_node_from_knowing_that_it_is_new) {
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}));
   cluster.ask("p1", cluster.apply("A", 0, 1), {"k1", "k2", "k3"});
@@ -464,7 +464,7 @@
   EXPECT_EQ(learner.contact(), seconds(5)) << "three of four members answered";
 }
 
-// All lost their memory, and no two keepers show one ballot: a proposer begins with the newest set that was seen.
+// All lost their memory, and no two replicas show one ballot: a proposer begins with the newest set that was seen.
 TEST(Members, copies_that_differ_after_a_full_stop_are_read_without_a_known_set) {
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}));
   cluster.ask("p1", cluster.apply("A", 0, 1), {"k1", "k2", "k3"});
--- a/tests/tenants.cc
+++ b/tests/tenants.cc
@@ -51,9 +51,9 @@
   out.epoch = epoch;
   std::uint64_t disk = 1;
   for (std::string const& name : names) {
-    out.keepers.emplace_back();
-    out.keepers.back().name = name;
-    out.keepers.back().disk = disk++;
+    out.replicas.emplace_back();
+    out.replicas.back().name = name;
+    out.replicas.back().disk = disk++;
   }
   for (std::string const& name : former) {
     out.former.emplace_back();
@@ -271,7 +271,7 @@
   EXPECT_EQ(nodes.at("e").share(seconds(60)), 0);
 }
 
-// A full stop of all keepers costs no wait: who goes by the set that it went by before knows that nobody goes by an
+// A full stop of all replicas costs no wait: who goes by the set that it went by before knows that nobody goes by an
 // older one.
 TEST(QuotaShares, are_back_at_once_after_a_restart_with_the_same_set) {
   QuotaShares former("a", seconds(5));
--- a/tests/wide.cc
+++ b/tests/wide.cc
@@ -14,7 +14,7 @@
 
 class Field {
  public:
-  Field(std::size_t count, std::size_t zones, std::size_t keepers) {
+  Field(std::size_t count, std::size_t zones, std::size_t replicas) {
     mute_log(true);
     for (std::size_t i = 0; i < count; ++i) {
       NodePlan plan;
@@ -24,11 +24,11 @@
       for (std::size_t s = 0; s < 3; ++s) plan.seeds.push_back("10.0.0." + std::to_string(s + 1) + ":7000");
       plan.registered = true;
       plan.first_start = true;
-      plan.keeper = i < keepers;
+      plan.replica = i < replicas;
       plan.chance = i + 1;
       plan.incarnation = 1000 + i;
       std::optional<wire::RecordT> recovered;
-      if (plan.keeper) {
+      if (plan.replica) {
         recovered.emplace();
         recovered->cluster = plan.cluster;
         recovered->name = plan.name;
@@ -256,10 +256,10 @@
   }
 }
 
-TEST(Wide, the_first_keepers_are_the_seeds_and_a_change_reaches_all) {
+TEST(Wide, the_first_replicas_are_the_seeds_and_a_change_reaches_all) {
   Field field(40, 4, 8);
   field.run(seconds(20));
-  EXPECT_EQ(field.nodes[0]->learner.membership().keepers.size(), 7u) << "an odd number of all that keep";
+  EXPECT_EQ(field.nodes[0]->learner.membership().replicas.size(), 7u) << "an odd number of all that keep";
   Change change;
   change.type = Change::Type::apply;
   change.text = R"({"format":1,"pools":[{"name":"p","model":"m"}],"lanes":[],)"
@@ -279,9 +279,9 @@
   }
 }
 
-// Rival proposers at small nodes outbid each other for seconds; one keeper proposes for all, and without its answer the
-// node does so itself.
-TEST(Wide, rivals_are_answered_at_once_and_a_silent_keeper_is_not_waited_for) {
+// Rival proposers at small nodes outbid each other for seconds; one replica proposes for all, and without its answer
+// the node does so itself.
+TEST(Wide, rivals_are_answered_at_once_and_a_silent_replica_is_not_waited_for) {
   Field field(40, 4, 8);
   field.run(seconds(20));
   std::size_t chosen = 0;
@@ -301,7 +301,7 @@
     if (field.replies[9 + n][0].outcome.type == Outcome::Type::chosen) ++chosen;
   }
   EXPECT_EQ(chosen, 1u) << "all were made on the same label";
-  field.mute = 0;  // the keeper that proposes says nothing more, though its connections stand
+  field.mute = 0;  // the replica that proposes says nothing more, though its connections stand
   Change change;
   change.type = Change::Type::apply;
   change.text = R"({"format":1,"pools":[],"lanes":[]})";
@@ -316,7 +316,7 @@
   EXPECT_EQ(field.replies[20][0].outcome.type, Outcome::Type::chosen);
 }
 
-// An order is handed over as a patch of what its node holds. Where the keeper holds something else it asks for the
+// An order is handed over as a patch of what its node holds. Where the replica holds something else it asks for the
 // whole.
 TEST(Wide, an_order_whose_patch_has_another_base_is_sent_again_whole) {
   Field field(30, 3, 3);
