--- a/proof/augury/judge.cc
+++ b/proof/augury/judge.cc
@@ -82,7 +82,7 @@
   if (end.done == 0) fault("no traffic was seen");
   for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
     if (item.second->up()) {
-      if (item.second->node->learner.value) end.seats = item.second->node->learner.value->seats.size();
+      if (item.second->node->learner.value) end.registrations = item.second->node->learner.value->registrations.size();
       if (item.second->node->learner.membership().replicas.size() != static_cast<std::size_t>(plan.shape->replicas))
         fault("repair: the set of keepers is not whole after a quiet while");
       break;
--- a/proof/augury/operators.cc
+++ b/proof/augury/operators.cc
@@ -31,9 +31,9 @@
       if (zone.to < 0) zone.to = now;
   enter(box, box.life, [this, id, type, text, expected](Box& b, Micros t, NodeOut& out) {
     Change change;
-    if (type == Change::Type::strike) {
+    if (type == Change::Type::evict_router) {
       if (b.node->keeps(text)) return;
-      change.seat = *seat_of(*b.node->learner.value, text);
+      change.registration = *registration_of(*b.node->learner.value, text);
     }
     change.type = type;
     change.text = text;
--- a/proof/augury/world.cc
+++ b/proof/augury/world.cc
@@ -80,7 +80,7 @@
   if (plan.finale) {
     at(end_trouble + seconds(24), [this] {
       for (std::string const& name : silent)
-        if (Box* const box = pick_up()) operate(Change::Type::strike, name, 0, *box);
+        if (Box* const box = pick_up()) operate(Change::Type::evict_router, name, 0, *box);
     });
     at(end_trouble + seconds(30), [this] {
       if (Box* const box = pick_up()) operate(Change::Type::empty, plan.shape->zones[0], 0, *box);
--- a/proof/augury/world.h
+++ b/proof/augury/world.h
@@ -35,9 +35,10 @@
 
 struct WorldEnd {
   std::uint64_t hash = 0;
-  std::uint64_t exchanges = 0, seats = 0, routers = 0;  // seats in the register, and router nodes that live, at the end
-  std::vector<std::string> unconfirmed;                 // whom the last 'empty' named, with a finale
-  bool emptied = false;                                 // the finale's 'empty' was chosen
+  std::uint64_t exchanges = 0, registrations = 0,
+                routers = 0;             // registrations in the register, and router nodes that live, at the end
+  std::vector<std::string> unconfirmed;  // whom the last 'empty' named, with a finale
+  bool emptied = false;                  // the finale's 'empty' was chosen
   std::uint64_t done = 0, runs = 0, refused = 0, lost = 0, accepted = 0, reads = 0, troubles = 0, frames = 0;
   std::map<std::string, int> kinds;  // of trouble that came about
   std::vector<std::string> faults;   // "N1 ...", empty when all held
--- a/src/consensus/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -10,41 +10,42 @@
 
 namespace pipit {
 
-wire::SeatT const* seat_of(wire::ValueT const& value, std::string const& name) {
-  for (std::unique_ptr<wire::SeatT> const& item : value.seats)
+wire::RouterRegistrationT const* registration_of(wire::ValueT const& value, std::string const& name) {
+  for (std::unique_ptr<wire::RouterRegistrationT> const& item : value.registrations)
     if (item->name == name) return item.get();
   return nullptr;
 }
 
 namespace {
-constexpr std::size_t struck_most = 256;
+constexpr std::size_t evicted_limit = 256;
 constexpr std::uint64_t ballot_leap = 4;
 constexpr int refusals_without_leap = 8;
 constexpr int leaps_most = 16;
 
-void unseat(std::vector<std::unique_ptr<wire::SeatT>>& list, std::string const& name) {
-  list.erase(std::remove_if(list.begin(), list.end(),
-                            [&name](std::unique_ptr<wire::SeatT> const& item) { return item->name == name; }),
-             list.end());
+void unseat(std::vector<std::unique_ptr<wire::RouterRegistrationT>>& list, std::string const& name) {
+  list.erase(
+      std::remove_if(list.begin(), list.end(),
+                     [&name](std::unique_ptr<wire::RouterRegistrationT> const& item) { return item->name == name; }),
+      list.end());
 }
 
-bool take_seat(wire::ValueT& value, wire::SeatT const& seat) {
-  wire::SeatT const* const old = seat_of(value, seat.name);
-  if (old != nullptr && old->incarnation >= seat.incarnation) return false;
-  unseat(value.seats, seat.name);
-  unseat(value.struck, seat.name);
-  value.seats.push_back(std::make_unique<wire::SeatT>(seat));
+bool register_router(wire::ValueT& value, wire::RouterRegistrationT const& registration) {
+  wire::RouterRegistrationT const* const old = registration_of(value, registration.name);
+  if (old != nullptr && old->incarnation >= registration.incarnation) return false;
+  unseat(value.registrations, registration.name);
+  unseat(value.evicted, registration.name);
+  value.registrations.push_back(std::make_unique<wire::RouterRegistrationT>(registration));
   return true;
 }
 
-bool strike_seat(wire::ValueT& value, wire::SeatT const& seat) {
-  wire::SeatT const* const old = seat_of(value, seat.name);
-  if (old == nullptr || old->incarnation > seat.incarnation) return false;
-  wire::SeatT const gone = *old;
-  unseat(value.seats, seat.name);
-  unseat(value.struck, seat.name);
-  value.struck.push_back(std::make_unique<wire::SeatT>(gone));
-  if (value.struck.size() > struck_most) value.struck.erase(value.struck.begin());
+bool evict_router(wire::ValueT& value, wire::RouterRegistrationT const& registration) {
+  wire::RouterRegistrationT const* const old = registration_of(value, registration.name);
+  if (old == nullptr || old->incarnation > registration.incarnation) return false;
+  wire::RouterRegistrationT const gone = *old;
+  unseat(value.registrations, registration.name);
+  unseat(value.evicted, registration.name);
+  value.evicted.push_back(std::make_unique<wire::RouterRegistrationT>(gone));
+  if (value.evicted.size() > evicted_limit) value.evicted.erase(value.evicted.begin());
   return true;
 }
 }  // namespace
@@ -235,12 +236,12 @@
     case Change::Type::replace:
       turned = change_members(change);
       break;
-    // §5.9: seats are no business of the operators' serial. Asking twice changes nothing more.
-    case Change::Type::seat:
-      turned = take_seat(draft_, change.seat);
+    // §5.9: registrations are no business of the operators' serial. Asking twice changes nothing more.
+    case Change::Type::register_router:
+      turned = register_router(draft_, change.registration);
       break;
-    case Change::Type::strike:
-      turned = strike_seat(draft_, change.seat);
+    case Change::Type::evict_router:
+      turned = evict_router(draft_, change.registration);
       break;
   }
   Job& job = jobs_.front();
--- a/src/consensus/register/proposer.h
+++ b/src/consensus/register/proposer.h
@@ -20,7 +20,7 @@
 
 // What a change makes of the present value: nothing (the value stays), a new value, or a refusal.
 struct Change {
-  enum class Type : std::uint8_t { read, apply, empty, refill, admit, dismiss, seat, strike, replace };
+  enum class Type : std::uint8_t { read, apply, empty, refill, admit, dismiss, register_router, evict_router, replace };
   Type type = Type::read;
   std::string id;
   std::string text;  // the description, or the zone's name
@@ -30,9 +30,9 @@
   std::uint64_t label = 0;
   // Another node was asked to propose it and may have done so: without a quorum's word its outcome is unknown.
   bool proposed_elsewhere = false;
-  wire::ReplicaT replica;  // who is admitted or dismissed
-  wire::ReplicaT leaving;  // whose place the admitted one takes, in a 'replace'
-  wire::SeatT seat;        // a router node that takes its place, or is struck
+  wire::ReplicaT replica;                  // who is admitted or dismissed
+  wire::ReplicaT leaving;                  // whose place the admitted one takes, in a 'replace'
+  wire::RouterRegistrationT registration;  // a router node that takes its place, or is evicted
 };
 
 struct Outcome {
@@ -49,8 +49,8 @@
   std::size_t backlog = 32;
 };
 
-// The seat of a router node in the value, or nullptr (§5.9).
-wire::SeatT const* seat_of(wire::ValueT const& value, std::string const& name);
+// The registration of a router node in the value, or nullptr (§5.9).
+wire::RouterRegistrationT const* registration_of(wire::ValueT const& value, std::string const& name);
 
 class Proposer {
  public:
--- a/src/consensus/register/value_patch.cc
+++ b/src/consensus/register/value_patch.cc
@@ -38,12 +38,12 @@
   out += text;
 }
 
-void add(std::string& out, std::vector<std::unique_ptr<wire::SeatT>> const& seats) {
-  add(out, seats.size());
-  for (std::unique_ptr<wire::SeatT> const& seat : seats) {
-    add(out, seat->name);
-    add(out, seat->address);
-    add(out, seat->incarnation);
+void add(std::string& out, std::vector<std::unique_ptr<wire::RouterRegistrationT>> const& registrations) {
+  add(out, registrations.size());
+  for (std::unique_ptr<wire::RouterRegistrationT> const& registration : registrations) {
+    add(out, registration->name);
+    add(out, registration->address);
+    add(out, registration->incarnation);
   }
 }
 
@@ -58,8 +58,8 @@
   add(out, value.change);
   add(out, value.emptied.size());
   for (std::string const& zone : value.emptied) add(out, zone);
-  add(out, value.seats);
-  add(out, value.struck);
+  add(out, value.registrations);
+  add(out, value.evicted);
   for (wire::Order const& order : value.orders) {
     add(out, order.id_high());
     add(out, order.id_low());
@@ -87,10 +87,10 @@
   rest.forgotten_serial = next.forgotten_serial;
   rest.forgotten_label = next.forgotten_label;
   rest.orders.assign(next.orders.begin() + static_cast<std::ptrdiff_t>(kept), next.orders.end());
-  for (std::unique_ptr<wire::SeatT> const& seat : next.seats)
-    rest.seats.push_back(std::make_unique<wire::SeatT>(*seat));
-  for (std::unique_ptr<wire::SeatT> const& seat : next.struck)
-    rest.struck.push_back(std::make_unique<wire::SeatT>(*seat));
+  for (std::unique_ptr<wire::RouterRegistrationT> const& registration : next.registrations)
+    rest.registrations.push_back(std::make_unique<wire::RouterRegistrationT>(*registration));
+  for (std::unique_ptr<wire::RouterRegistrationT> const& registration : next.evicted)
+    rest.evicted.push_back(std::make_unique<wire::RouterRegistrationT>(*registration));
   if (!out->same_members) put_membership(membership_of(next), rest);
   Digest const digest = value_digest(next);
   out->digest_high = digest.high;
--- a/src/core/changes.cc
+++ b/src/core/changes.cc
@@ -92,18 +92,18 @@
     if (outcome.value.serial > 0 && learner.adopt(outcome.value, now)) after_value(now, out);
   }
   if (id == 0) {
-    (change.type == Change::Type::seat ? seat_busy_ : duty_busy_) = false;
+    (change.type == Change::Type::register_router ? registration_pending_ : duty_busy_) = false;
     return;
   }
   if (change.type == Change::Type::empty && holds) {
     Waiting wait;
     wait.serial = outcome.serial > 0 ? outcome.serial : outcome.value.serial;
     wait.due = now + confirm_bound;
-    // Whoever may serve: router nodes that are heard of, and every one that has a seat (§5.9).
+    // Whoever may serve: router nodes that are heard of, and every one that has a registration (§5.9).
     for (std::string const& name : passages(true))
       if (guard(Guard::confirm_all)) wait.owe.insert(name);
-    for (std::unique_ptr<wire::SeatT> const& seat : outcome.value.seats)
-      if (guard(Guard::seats) && guard(Guard::confirm_all)) wait.owe.insert(seat->name);
+    for (std::unique_ptr<wire::RouterRegistrationT> const& registration : outcome.value.registrations)
+      if (guard(Guard::registrations) && guard(Guard::confirm_all)) wait.owe.insert(registration->name);
     wait.owe.erase(plan.name);
     wait.reply = std::move(reply);
     waiting_.emplace(req, std::move(wait));
--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -234,8 +234,8 @@
     log_event(Event::replica_set_changed, words_of(*members) + " epoch " + std::to_string(members->expected));
     return members;
   }
-  if (strike_due(now, change)) {
-    log_event(Event::seat_struck, change.seat.name);
+  if (eviction_due(now, change)) {
+    log_event(Event::router_evicted, change.registration.name);
     return change;
   }
   // Not oftener: each round outbids what others have under way, and a slow disk never catches up with a storm. Nor
--- a/src/core/listed.cc
+++ b/src/core/listed.cc
@@ -45,9 +45,10 @@
   // raises the sum.
   std::set<std::string> names = passages(true);
   if (learner.value)
-    for (std::unique_ptr<wire::SeatT> const& seat : learner.value->seats) names.insert(seat->name);
+    for (std::unique_ptr<wire::RouterRegistrationT> const& registration : learner.value->registrations)
+      names.insert(registration->name);
   desk.nodes(std::move(names), newcomer(now));
-  look_seat(now, out);
+  update_registration(now, out);
   tell_loads(now, outgoing);
   std::set<std::string> senders = passages(false);
   senders.erase(plan.name);
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -293,9 +293,9 @@
   wire::ConfirmT ok;
   ok.req = news.req;
   ok.serial = learner.serial();
-  // Router nodes that hold no seat may serve by this node's word alone (§6.7): who asks must hear of them.
+  // Router nodes that hold no registration may serve by this node's word alone (§6.7): who asks must hear of them.
   for (std::string const& name : plan.registered ? std::set<std::string>() : passages(true))
-    if (!learner.value || seat_of(*learner.value, name) == nullptr) ok.routers.push_back(name);
+    if (!learner.value || registration_of(*learner.value, name) == nullptr) ok.routers.push_back(name);
   if (news.req != 0) outgoing.push_back(message_to(news.origin.empty() ? from : news.origin, std::move(ok)));
   look_ready(now, out);
 }
@@ -343,7 +343,7 @@
 void Node::after_value(Micros now, NodeOut& out) {
   wire::ValueT const& value = *learner.value;
   check_value(value);
-  // A seat raises the revision alone; what the description says was compiled when its serial came.
+  // A registration raises the revision alone; what the description says was compiled when its serial came.
   if (value.serial != mesh.members.self.serial) {
     std::shared_ptr<Description const> description = std::make_shared<Description>();
     if (!value.text.empty()) {
@@ -362,7 +362,7 @@
   mesh.members.self.serial = value.serial;
   mesh.members.self.revision = value.revision;
   confirm_configuration(now);
-  look_seat(now, out);
+  update_registration(now, out);
   // Among nodes whose workers register, pings carry revisions; a bump of the record is not needed for them (§3.6).
   if (!plan.registered) mesh.announce_self(out.mesh);
 }
@@ -448,9 +448,10 @@
   // Where replicas are many enough for the losses that are allowed, nothing else will do (docs/control.md).
   if (plan.registered && !word && !able_) return;
   bool sure = word;
-  if (word && plan.role == Role::passage && !seated()) {
-    // §5.9: nothing is placed before this life of the node has its seat; while a majority answers, by nobody's word.
-    ask_seat(now, out);
+  if (word && plan.role == Role::passage && !is_registered()) {
+    // §5.9: nothing is placed before this life of the node has its registration; while a majority answers, by nobody's
+    // word.
+    request_registration(now, out);
     if (!able_) return;
   }
   // Where workers register: a description, and the word of workers, or time enough for any to have called.
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -33,8 +33,8 @@
   std::vector<std::string> founders;  // names of the first replicas
   std::uint64_t incarnation = 1;
   std::uint64_t chance = 1;
-  // Where workers register themselves (§12): no list is read and no health reports are asked, seats are not needed
-  // since no zone is ever emptied there, and the first replicas are those at the seeds.
+  // Where workers register themselves (§12): no list is read and no health reports are asked, registrations are not
+  // needed since no zone is ever emptied there, and the first replicas are those at the seeds.
   bool registered = false;
   bool replica = false;      // a router node that keeps as well
   bool first_start = false;  // the fleet starts for the first time
@@ -251,15 +251,15 @@
   void refuse_now(std::uint64_t id, Change const& change, Kind kind, NodeOut& out);
   Micros poll_span() const;
   bool half_has(std::uint64_t revision) const;
-  bool seated() const;
+  bool is_registered() const;
   void ask_newer(Micros now, std::vector<OutgoingMessage>& outgoing);
   void look_hold();
   bool newcomer(Micros now) const;
-  bool struck_self() const;
-  void ask_seat(Micros now, NodeOut& out);
-  void look_seat(Micros now, NodeOut& out);
+  bool self_evicted() const;
+  void request_registration(Micros now, NodeOut& out);
+  void update_registration(Micros now, NodeOut& out);
   bool owes(Waiting const& item, std::string const& name) const;
-  bool strike_due(Micros now, Change& change) const;
+  bool eviction_due(Micros now, Change& change) const;
   // Knowledge of the list that a peer passed on, as old as it said (§4.3).
   void hear(Micros age, Micros now);
   bool is_up_to_date(Micros now);
@@ -305,12 +305,12 @@
   Micros up_to_date_at_ = -1;  // until when no mark can have been missed
   Micros half_since_ = -1;     // since when at least half of all members are heard
   Micros list_said_at_ = -1;   // when the list's own address last refused, or answered oddly
-  bool seat_busy_ = false;
-  bool seat_had_ = false;
-  bool seat_known_ = false;  // a former life had one: nobody's share changes with this one
+  bool registration_pending_ = false;
+  bool was_registered_ = false;
+  bool registered_before_ = false;  // a former life had one: nobody's share changes with this one
   Micros behind_since_ = -1;
-  Micros seat_next_ = 0;
-  Micros seat_at_ = -1;
+  Micros next_registration_ = 0;
+  Micros registered_at_ = -1;
   bool leaving_ = false;
   bool retiring_ = false;
   Micros stale_from_ = -1;  // since when a jump of the clock waits for fresh knowledge
--- a/src/core/seats.cc
+++ b/src/core/seats.cc
@@ -1,4 +1,4 @@
-// Seats of router nodes in the register (§5.9), and how old a node's knowledge of the list is (§4.3).
+// Registrations of router nodes in the register (§5.9), and how old a node's knowledge of the list is (§4.3).
 #include "base/events.h"
 #include "base/guards.h"
 #include "core/node.h"
@@ -6,58 +6,60 @@
 namespace pipit {
 
 namespace {
-constexpr Micros seat_gap = millis(150);
+constexpr Micros registration_interval = millis(150);
 constexpr Micros newcomer_span = seconds(2);
 constexpr Micros behind_gap = millis(300);
 constexpr Micros alone_after = millis(1700);
 constexpr Micros catch_up = millis(1500);
-constexpr Micros strike_after = seconds(20);
+constexpr Micros evict_after = seconds(20);
 }  // namespace
 
-bool Node::seated() const {
-  if (!guard(Guard::seats) || plan.registered) return true;
+bool Node::is_registered() const {
+  if (!guard(Guard::registrations) || plan.registered) return true;
   if (!learner.value) return false;
-  wire::SeatT const* const seat = seat_of(*learner.value, plan.name);
-  return seat != nullptr && seat->incarnation == mesh.members.self.incarnation;
+  wire::RouterRegistrationT const* const registration = registration_of(*learner.value, plan.name);
+  return registration != nullptr && registration->incarnation == mesh.members.self.incarnation;
 }
 
-void Node::ask_seat(Micros now, NodeOut& out) {
-  if (seat_busy_ || leaving_ || now < seat_next_) return;
-  seat_busy_ = true;
-  seat_next_ = now + seat_gap;
+void Node::request_registration(Micros now, NodeOut& out) {
+  if (registration_pending_ || leaving_ || now < next_registration_) return;
+  registration_pending_ = true;
+  next_registration_ = now + registration_interval;
   Change change;
-  change.type = Change::Type::seat;
-  change.seat.name = plan.name;
-  change.seat.address = plan.address;
-  change.seat.incarnation = mesh.members.self.incarnation;
+  change.type = Change::Type::register_router;
+  change.registration.name = plan.name;
+  change.registration.address = plan.address;
+  change.registration.incarnation = mesh.members.self.incarnation;
   operate(0, std::move(change), now, out);
 }
 
-// What the register says of seats, this node's own among them.
-void Node::look_seat(Micros now, NodeOut& out) {
+// What the register says of registrations, this node's own among them.
+void Node::update_registration(Micros now, NodeOut& out) {
   if (!learner.value) return;
-  for (std::unique_ptr<wire::SeatT> const& seat : learner.value->seats) mesh.members.seat(*seat, now);
-  mesh.members.strike(learner.value->struck);
+  for (std::unique_ptr<wire::RouterRegistrationT> const& registration : learner.value->registrations)
+    mesh.members.register_router(*registration, now);
+  mesh.members.evict(learner.value->evicted);
   if (plan.role != Role::passage) return;
-  wire::SeatT const* const own = seat_of(*learner.value, plan.name);
+  wire::RouterRegistrationT const* const own = registration_of(*learner.value, plan.name);
   if (own != nullptr && own->incarnation > mesh.members.self.incarnation) {
     // A former life had a later clock.
     mesh.members.self.incarnation = own->incarnation + 1;
     mesh.announce_self(out.mesh);
   }
-  if (own != nullptr && own->incarnation != mesh.members.self.incarnation) seat_known_ = true;
-  if (seated()) {
-    if (seat_at_ < 0) log_event(Event::seat_taken, std::to_string(mesh.members.self.incarnation));
-    if (seat_at_ < 0) seat_at_ = now;
-    if (!seat_had_) {
-      seat_had_ = true;
+  if (own != nullptr && own->incarnation != mesh.members.self.incarnation) registered_before_ = true;
+  if (is_registered()) {
+    if (registered_at_ < 0) log_event(Event::router_registered, std::to_string(mesh.members.self.incarnation));
+    if (registered_at_ < 0) registered_at_ = now;
+    if (!was_registered_) {
+      was_registered_ = true;
       look_hold();
     }
-  } else if (seat_had_) {
-    // It was struck, though it lives: it places nothing until it has a seat again, and then begins as a newcomer.
-    seat_had_ = false;
-    seat_known_ = false;
-    seat_at_ = -1;
+  } else if (was_registered_) {
+    // It was evicted, though it lives: it places nothing until it has a registration again, and then begins as a
+    // newcomer.
+    was_registered_ = false;
+    registered_before_ = false;
+    registered_at_ = -1;
     look_hold();
   }
 }
@@ -84,18 +86,19 @@
 // Its start changes everybody's share of a cold worker's bound; where workers register there are no such shares.
 bool Node::newcomer(Micros now) const {
   if (plan.registered) return false;
-  return plan.role == Role::passage && !seat_known_ && seat_at_ >= 0 && now - seat_at_ < newcomer_span;
+  return plan.role == Role::passage && !registered_before_ && registered_at_ >= 0 &&
+         now - registered_at_ < newcomer_span;
 }
 
 void Node::look_hold() {
   if (plan.role != Role::passage) return;
   dispatcher.hold(stale_from_ >= 0);
-  bool const lost = guard(Guard::seats) && able_ && seat_at_ < 0 && learner.value && struck_self();
+  bool const lost = guard(Guard::registrations) && able_ && registered_at_ < 0 && learner.value && self_evicted();
   desk.hold(stale_from_ >= 0 || lost);
 }
 
-bool Node::struck_self() const {
-  for (std::unique_ptr<wire::SeatT> const& item : learner.value->struck)
+bool Node::self_evicted() const {
+  for (std::unique_ptr<wire::RouterRegistrationT> const& item : learner.value->evicted)
     if (item->name == plan.name && item->incarnation >= mesh.members.self.incarnation) return true;
   return false;
 }
@@ -103,16 +106,16 @@
 // Whether an 'empty' still waits for this node's word.
 bool Node::owes(Waiting const& item, std::string const& name) const {
   if (item.sure.count(name)) return false;
-  wire::SeatT const* const seat = learner.value ? seat_of(*learner.value, name) : nullptr;
+  wire::RouterRegistrationT const* const registration = learner.value ? registration_of(*learner.value, name) : nullptr;
   std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
   bool const known = peer != mesh.members.peers.end();
   // That it left, or refuses a dial, says nothing of a later life.
-  if (seat != nullptr && (!known || peer->second.member.incarnation < seat->incarnation)) return true;
+  if (registration != nullptr && (!known || peer->second.member.incarnation < registration->incarnation)) return true;
   return !mesh.gone(name);
 }
 
 std::optional<Fault> Node::keeps(std::string const& name) const {
-  bool const known = learner.value && seat_of(*learner.value, name) != nullptr;
+  bool const known = learner.value && registration_of(*learner.value, name) != nullptr;
   std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
   bool const here = name == plan.name || (peer != mesh.members.peers.end() && peer->second.wire != 0);
   if (here) return Fault{Kind::node_alive, "the node '" + name + "' is alive", ""};
@@ -120,18 +123,18 @@
   return std::nullopt;
 }
 
-// A router node that said goodbye, or whose address has refused for long, is struck by whoever holds the duty.
-bool Node::strike_due(Micros now, Change& change) const {
+// A router node that said goodbye, or whose address has refused for long, is evicted by whoever holds the duty.
+bool Node::eviction_due(Micros now, Change& change) const {
   if (!learner.value) return false;
-  for (std::unique_ptr<wire::SeatT> const& seat : learner.value->seats) {
-    std::map<std::string, Peer>::const_iterator const spot = mesh.members.peers.find(seat->name);
-    if (spot == mesh.members.peers.end() || spot->second.member.incarnation > seat->incarnation) continue;
+  for (std::unique_ptr<wire::RouterRegistrationT> const& registration : learner.value->registrations) {
+    std::map<std::string, Peer>::const_iterator const spot = mesh.members.peers.find(registration->name);
+    if (spot == mesh.members.peers.end() || spot->second.member.incarnation > registration->incarnation) continue;
     Peer const& peer = spot->second;
-    bool const left = peer.state() == State::leaving && now - std::max(peer.since, peer.bare_since) > strike_after;
-    bool const dead = peer.refused && now - peer.refused_at > strike_after;
+    bool const left = peer.state() == State::leaving && now - std::max(peer.since, peer.bare_since) > evict_after;
+    bool const dead = peer.refused && now - peer.refused_at > evict_after;
     if (peer.wire != 0 || (!left && !dead)) continue;
-    change.type = Change::Type::strike;
-    change.seat = *seat;
+    change.type = Change::Type::evict_router;
+    change.registration = *registration;
     return true;
   }
   return false;
--- a/src/mesh/members/member_table.cc
+++ b/src/mesh/members/member_table.cc
@@ -49,8 +49,8 @@
     log_event(Event::self_refuted, "incarnation " + std::to_string(self.incarnation));
     return News::refuted;
   }
-  std::map<std::string, std::uint64_t>::const_iterator const gone = struck.find(item.name);
-  if (gone != struck.end() && item.incarnation <= gone->second) return News::none;
+  std::map<std::string, std::uint64_t>::const_iterator const gone = evicted.find(item.name);
+  if (gone != evicted.end() && item.incarnation <= gone->second) return News::none;
   std::map<std::string, Peer>::iterator const spot = peers.find(item.name);
   if (spot == peers.end()) {
     Peer peer;
@@ -90,7 +90,7 @@
   announce(peer.member.name, state);
 }
 
-void MemberTable::seat(wire::SeatT const& item, Micros now) {
+void MemberTable::register_router(wire::RouterRegistrationT const& item, Micros now) {
   if (item.name == self.name) return;
   std::map<std::string, Peer>::iterator const spot = peers.find(item.name);
   if (spot != peers.end() && spot->second.member.incarnation >= item.incarnation) return;
@@ -117,14 +117,14 @@
   }
 }
 
-void MemberTable::strike(std::vector<std::unique_ptr<wire::SeatT>> const& list) {
-  struck.clear();
-  for (std::unique_ptr<wire::SeatT> const& item : list) {
+void MemberTable::evict(std::vector<std::unique_ptr<wire::RouterRegistrationT>> const& list) {
+  evicted.clear();
+  for (std::unique_ptr<wire::RouterRegistrationT> const& item : list) {
     std::map<std::string, Peer>::iterator const spot = peers.find(item->name);
     if (spot != peers.end() && (spot->second.wire != 0 || spot->second.member.incarnation > item->incarnation))
       continue;
     if (spot != peers.end()) peers.erase(spot);
-    struck[item->name] = item->incarnation;
+    evicted[item->name] = item->incarnation;
   }
 }
 
--- a/src/mesh/members/member_table.h
+++ b/src/mesh/members/member_table.h
@@ -46,16 +46,16 @@
   // One number for all that is known of members: equal where two nodes know the same (§3.6).
   std::uint64_t digest() const;
   void forget(Micros now, Micros age);
-  // What the register says of router nodes: their seats, and those that were struck (§5.9).
-  void seat(wire::SeatT const& item, Micros now);
-  void strike(std::vector<std::unique_ptr<wire::SeatT>> const& list);
-  // It speaks for itself: whatever was struck is here after all.
-  void unstrike(std::string const& name) { struck.erase(name); }
+  // What the register says of router nodes: their registrations, and those that were evicted (§5.9).
+  void register_router(wire::RouterRegistrationT const& item, Micros now);
+  void evict(std::vector<std::unique_ptr<wire::RouterRegistrationT>> const& list);
+  // It speaks for itself: whatever was evicted is here after all.
+  void readmit(std::string const& name) { evicted.erase(name); }
 
   wire::MemberT self;
   std::uint64_t version = 0;  // counts those changes
   std::map<std::string, Peer> peers;
-  std::map<std::string, std::uint64_t> struck;  // names, with the incarnation that was struck
+  std::map<std::string, std::uint64_t> evicted;  // names, with the incarnation that was evicted
 
   // How many nodes of a role are known, this one with them, whatever their state.
   std::size_t known(Role role) const;
--- a/src/mesh/mesh_connections.cc
+++ b/src/mesh/mesh_connections.cc
@@ -139,7 +139,7 @@
   std::string const& name = hello.self->name;
   connections_[id].peer = name;
   connections_[id].life = hello.self->incarnation;
-  members.unstrike(name);
+  members.readmit(name);
   if (members.merge(*hello.self, now) == MemberTable::News::fresh) find_member(*hello.self, out);
   Peer& peer = members.peers.at(name);
   peer.refuse(false, now);
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -99,8 +99,8 @@
     if (call.method != "POST") return refuse(call.id, Fault{Kind::bad_method, "", ""});
     std::string const name = rest.substr(0, cut);
     if (std::optional<Fault> const why = node_->keeps(name)) return refuse(call.id, *why);
-    change.type = Change::Type::strike;
-    change.seat = *seat_of(*node_->learner.value, name);
+    change.type = Change::Type::evict_router;
+    change.registration = *registration_of(*node_->learner.value, name);
   } else if (call.path.rfind("/v1/changes/", 0) == 0 && call.method == "GET") {
     change.type = Change::Type::read;
     asked_[call.id] = {change.type, call.path.substr(12)};
--- a/tests/world.cc
+++ b/tests/world.cc
@@ -18,7 +18,7 @@
 }
 }  // namespace
 
-// Entry machines are exchanged one after another: those that refuse a dial are struck by the duty, those that say
+// Entry machines are exchanged one after another: those that refuse a dial are evicted by the duty, those that say
 // nothing by an operator's word; then nobody is waited for, and no share is kept for the gone (§5.9).
 TEST(Exchanges, twenty_exchanges_leave_nothing_behind) {
   mute_log(true);
@@ -31,7 +31,7 @@
   WorldEnd const end = World(plan).run();
   for (std::string const& fault : end.faults) ADD_FAILURE() << fault;
   EXPECT_GE(end.exchanges, 20u);
-  EXPECT_EQ(end.seats, end.routers);
+  EXPECT_EQ(end.registrations, end.routers);
   EXPECT_TRUE(end.emptied);
   EXPECT_TRUE(end.unconfirmed.empty()) << end.unconfirmed.front();
 }
@@ -109,7 +109,7 @@
     {Guard::fresh_start, "N5", "utility", 1, 20, {"freeze", "leave"}},
     {Guard::zone_veto, "N6", "coop", 1, 12, {}},
     {Guard::spread, "N7", "coop", 1, 4, {"crowd"}},
-    {Guard::seats, "N6", "utility", 1, 30, {"stray"}},
+    {Guard::registrations, "N6", "utility", 1, 30, {"stray"}},
     {Guard::confirm_all, "N6", "coop", 1, 12, {"stray"}},
     {Guard::isolation, "N5", "utility", 3, 12, {"group", "leave"}},
     {Guard::tombstone, "N5", "utility", 245, 60, {"leave", "group"}},
