--- a/proof/requests/world.cc
+++ b/proof/requests/world.cc
@@ -131,7 +131,7 @@
     workers.push_back(std::make_unique<Worker>());
     workers.back()->address = "10.0.0." + std::to_string(n + 1) + ":80";
     revive(*workers.back(), false);
-    beat(*workers.back(), false);
+    heartbeat(*workers.back(), false);
   }
 }
 
@@ -315,16 +315,16 @@
   return Link::dial("nowhere", "", millis(1));
 }
 
-void RequestWorld::beat(Worker const& worker, bool leaving) {
-  Beat word;
+void RequestWorld::heartbeat(Worker const& worker, bool leaving) {
+  Heartbeat word;
   word.id = worker.id;
   word.address = worker.address;
   word.zone = "a";
   word.pool = "p";
   word.slots = 8;
-  word.order = ++beats;
+  word.order = ++heartbeats;
   word.leaving = leaving;
-  registry.beat(word, loop_time());
+  registry.heartbeat(word, loop_time());
 }
 
 void RequestWorld::crash(Worker& worker) {
@@ -583,17 +583,17 @@
       return crash(worker);
     case 5:
       note(worker.id + " is replaced at its address");
-      if (choose(2) == 0) registry.leave(worker.id, ++beats, loop_time());
+      if (choose(2) == 0) registry.leave(worker.id, ++heartbeats, loop_time());
       relay->forget(worker.id);
       revive(worker, false);
-      return beat(worker, false);
+      return heartbeat(worker, false);
     case 6:
       note(worker.id + " gives its address to another service");
       return revive(worker, true);
     case 7:
       if (worker.elsewhere) return;
       note(worker.id + " drains");
-      return beat(worker, true);
+      return heartbeat(worker, true);
     case 8:
       description = 1 - description;
       note("configuration " + std::to_string(description));
@@ -606,7 +606,7 @@
       if (worker.elsewhere || !worker.up) return;
       note(worker.id + " says farewell and serves on");
       ++seen["farewell"];
-      registry.leave(worker.id, ++beats, loop_time());
+      registry.leave(worker.id, ++heartbeats, loop_time());
       return;
     default:
       if (stopping) return;
--- a/proof/requests/world.h
+++ b/proof/requests/world.h
@@ -72,7 +72,7 @@
   void shut(WorkerSide& side);
   void crash(Worker& worker);
   void revive(Worker& worker, bool elsewhere);
-  void beat(Worker const& worker, bool leaving);
+  void heartbeat(Worker const& worker, bool leaving);
   void tick(Micros span);
   void fault(std::string const& text);
   void note(std::string const& text);
@@ -91,7 +91,7 @@
   std::vector<std::string> order;  // of the tries
   std::vector<std::unique_ptr<CallerSide>> callers;
   std::vector<std::unique_ptr<Worker>> workers;
-  std::uint64_t beats = 0;
+  std::uint64_t heartbeats = 0;
   std::size_t description = 0;
   bool held = false;
   bool stopping = false;
--- a/proof/scene/scene.cc
+++ b/proof/scene/scene.cc
@@ -51,15 +51,15 @@
   Micros const end = now() + most;
   while (!holds()) {
     if (now() > end) return false;
-    bool beat = false;
+    bool heartbeat = false;
     guint const timer = g_timeout_add(
         10,
         [](gpointer data) -> gboolean {
           *static_cast<bool*>(data) = true;
           return G_SOURCE_REMOVE;
         },
-        &beat);
-    while (!beat) g_main_context_iteration(nullptr, TRUE);
+        &heartbeat);
+    while (!heartbeat) g_main_context_iteration(nullptr, TRUE);
     (void)timer;
   }
   return true;
--- a/proof/stage/worker_beats.cc
+++ b/proof/stage/worker_beats.cc
@@ -1,4 +1,4 @@
-// The stand-in workers: beats to the nodes, draining, and the end of a worker.
+// The stand-in workers: heartbeats to the nodes, draining, and the end of a worker.
 #include <simdjson.h>
 #include <unistd.h>
 
@@ -29,11 +29,11 @@
                    std::move(callbacks), millis(1000));
 }
 
-void Workers::beat(Worker& worker, int moves) {
+void Workers::heartbeat(Worker& worker, int moves) {
   // After its farewell it says nothing more.
   bool const said_farewell = worker.state == State::draining && worker.drain_said < 0;
   if (over || worker.state == State::ended || worker.is_dark || said_farewell) return;
-  std::string const address = !worker.beat_at.empty() ? worker.beat_at : any_node(worker);
+  std::string const address = !worker.heartbeat_at.empty() ? worker.heartbeat_at : any_node(worker);
   bool const leaving = worker.state == State::draining;
   JsonWriter json;
   json.begin_object()
@@ -58,16 +58,16 @@
   call(worker, address, "/Instances.Beat/" + worker.id, json.take(),
        [this, at, address, leaving, moves](bool good, std::string const& body) {
          if (!good) {
-           at->beat_at.clear();
+           at->heartbeat_at.clear();
            ++at->next_node;
-           if (moves < 4) after(millis(100) << moves, [this, at, moves] { beat(*at, moves + 1); });
+           if (moves < 4) after(millis(100) << moves, [this, at, moves] { heartbeat(*at, moves + 1); });
            return;
          }
          simdjson::dom::parser parser;
          simdjson::dom::element root;
          std::string_view later;
          if (!parser.parse(simdjson::padded_string(body)).get(root) && !root["beat_address"].get_string().get(later))
-           at->beat_at = nodes.public_address(std::string(later));
+           at->heartbeat_at = nodes.public_address(std::string(later));
          if (!leaving || at->drain_heard >= 0) return;
          at->drain_heard = now();
          at->drain_heard_by = address;
@@ -79,7 +79,7 @@
   if (worker.state != State::up) return;
   worker.state = State::draining;
   worker.drain_said = now();
-  beat(worker, 0);
+  heartbeat(worker, 0);
   Worker* const at = &worker;
   after(unheard_end, [this, at] {
     if (at->drain_heard >= 0 || at->state == State::ended) return;
@@ -91,12 +91,12 @@
 // Says farewell at once, and serves on as long as after a word that it drains.
 void Workers::say_farewell(Worker& worker, int moves) {
   if (worker.state != State::up) return;
-  std::string const address = !worker.beat_at.empty() ? worker.beat_at : any_node(worker);
+  std::string const address = !worker.heartbeat_at.empty() ? worker.heartbeat_at : any_node(worker);
   Worker* const at = &worker;
   call(worker, address, "/Instances.Leave/" + worker.id, "{\"call_sequence\":" + std::to_string(++worker.order) + "}",
        [this, at, moves, address](bool good, std::string const&) {
          if (!good) {
-           at->beat_at.clear();
+           at->heartbeat_at.clear();
            ++at->next_node;
            if (moves < 6) return say_farewell(*at, moves + 1);
            ++count.leaves_unacknowledged;
@@ -116,12 +116,12 @@
 
 void Workers::leave(Worker& worker, int moves) {
   if (worker.state == State::ended) return;
-  std::string const address = !worker.beat_at.empty() ? worker.beat_at : any_node(worker);
+  std::string const address = !worker.heartbeat_at.empty() ? worker.heartbeat_at : any_node(worker);
   Worker* const at = &worker;
   call(worker, address, "/Instances.Leave/" + worker.id, "{\"call_sequence\":" + std::to_string(++worker.order) + "}",
        [this, at, moves](bool good, std::string const&) {
          if (!good && moves < 2) {
-           at->beat_at.clear();
+           at->heartbeat_at.clear();
            ++at->next_node;
            return leave(*at, moves + 1);
          }
--- a/proof/stage/worker_parts.h
+++ b/proof/stage/worker_parts.h
@@ -46,7 +46,7 @@
   std::map<Conn*, std::shared_ptr<Conn>> conns;
   std::map<std::uint64_t, Job> jobs;
   std::uint64_t order = 0;
-  std::string beat_at;
+  std::string heartbeat_at;
   std::size_t next_node = 0;
   std::shared_ptr<Line> line;
   Micros drain_said = -1;   // since when it says that it leaves
--- a/proof/stage/workers.cc
+++ b/proof/stage/workers.cc
@@ -18,7 +18,7 @@
 
 namespace {
 constexpr Micros tick = millis(2);
-constexpr Micros beat_gap = millis(1200);
+constexpr Micros heartbeat_interval = millis(1200);
 constexpr Micros idle_most = seconds(5);
 constexpr int relayed_part = 100;
 }  // namespace
@@ -64,11 +64,11 @@
   nodes.zone_of[worker.ip] = zone;
   listen(worker);
   Worker* const at = &worker;
-  after(static_cast<Micros>(random.below(300000)), [this, at] { beat(*at, 0); });
-  // Beats drift a little, so that they do not come in step.
-  every(beat_gap + static_cast<Micros>(random.below(40000)) - 20000, [this, at] {
+  after(static_cast<Micros>(random.below(300000)), [this, at] { heartbeat(*at, 0); });
+  // Heartbeats drift a little, so that they do not come in step.
+  every(heartbeat_interval + static_cast<Micros>(random.below(40000)) - 20000, [this, at] {
     if (over || at->state == State::ended) return false;
-    beat(*at, 0);
+    heartbeat(*at, 0);
     return true;
   });
   return worker;
--- a/proof/stage/workers.h
+++ b/proof/stage/workers.h
@@ -1,4 +1,4 @@
-// The stand-in model workers: many in one loop, each with an engine, an address and beats of its own.
+// The stand-in model workers: many in one loop, each with an engine, an address and heartbeats of its own.
 #pragma once
 #include <deque>
 #include <map>
@@ -47,7 +47,7 @@
   void dark(Trouble const& trouble);
   void release(Trouble const& trouble);
   void lie(Trouble const& trouble);
-  void quiet() { over = true; }  // the experiment ends: no more beats
+  void quiet() { over = true; }  // the experiment ends: no more heartbeats
   WorkersTally tally() const;
 
  private:
@@ -72,7 +72,7 @@
   void happened(Worker& worker, Happening const& item);
   void send(Conn& conn, std::string_view bytes);
   void advance();
-  void beat(Worker& worker, int moves);
+  void heartbeat(Worker& worker, int moves);
   void call(Worker& worker, std::string const& address, std::string const& target, std::string const& body,
             std::function<void(bool good, std::string const& body)> done);
   void drain(Worker& worker);
--- a/proof/tenants/load.cc
+++ b/proof/tenants/load.cc
@@ -16,7 +16,7 @@
 constexpr double overshoot = 0.1;
 constexpr double slack = 140000;
 constexpr Micros settle = seconds(14);  // until callers begin
-constexpr Micros beat_gap = millis(500);
+constexpr Micros heartbeat_interval = millis(500);
 constexpr Micros lowered_after = seconds(8) + millis(2500);  // a lower limit binds then
 
 std::string key_of(std::size_t tenant, bool second) {
@@ -135,28 +135,28 @@
 
 MachineId Load::some_plain() { return plan.disks + random.below(plan.plain); }
 
-void Load::beat() {
-  ++beat_order;
+void Load::heartbeat() {
+  ++heartbeat_order;
   for (MachineId id = 0; id < world.size(); ++id) {
     Machine& machine = world.machine(id);
     if (!machine.up()) continue;
-    Beat word;
+    Heartbeat word;
     word.id = "w" + std::to_string(id);
     word.address = "10.9.0." + std::to_string(id + 1) + ":80";
     word.zone = machine.zone;
     word.pool = "p";
     word.slots = 100000;
-    word.order = beat_order;
-    world.enter(id, machine.life, [word](Node& node, Micros now, NodeOut& out) { node.beat(word, now, out); });
+    word.order = heartbeat_order;
+    world.enter(id, machine.life, [word](Node& node, Micros now, NodeOut& out) { node.heartbeat(word, now, out); });
   }
-  world.after(beat_gap, [this] { beat(); });
+  world.after(heartbeat_interval, [this] { heartbeat(); });
 }
 
 void Load::begin() {
   world.boot_all(true);
   world.run(seconds(4));
   change([] {});
-  beat();
+  heartbeat();
   world.run(settle);
   began = world.now();
   sending_now = true;
--- a/proof/tenants/load.h
+++ b/proof/tenants/load.h
@@ -82,7 +82,7 @@
   void change(std::function<void()> const& confirmed);
   void send(std::size_t tenant);
   void next(std::size_t tenant);
-  void beat();
+  void heartbeat();
   void took(control_plane::Machine& machine, DispatchOut& out);
   void judge_run(Sent const& sent);
   double allowed(std::size_t tenant, Micros from) const;
@@ -105,7 +105,7 @@
   std::uint64_t next_id = 0;
   std::uint64_t next_call = 1000000;
   std::uint64_t label = 0;
-  std::uint64_t beat_order = 0;
+  std::uint64_t heartbeat_order = 0;
   Micros began = 0;
   bool sending_now = false;
 };
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -81,7 +81,7 @@
   std::vector<std::string> const& seeds = plan.founding_seeds;
   bool const founder = std::find(seeds.begin(), seeds.end(), plan.address) != seeds.end();
   if (acceptor && plan.registered && founder) acceptor->await_founding(seeds);
-  registry.span(plan.beat_gap);
+  registry.span(plan.heartbeat_interval);
   if (plan.registered) dispatcher.begun(now);
   dispatcher.budget(plan.resend_ratio, plan.resend_store);
   dispatcher.lease_on(lease);
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -40,7 +40,7 @@
   bool first_start = false;  // the fleet starts for the first time
   // Whose replicas are the first set; none where this node may not found. The node fills it in.
   std::vector<std::string> founding_seeds;
-  Micros beat_gap = millis(1200);
+  Micros heartbeat_interval = millis(1200);
   double resend_ratio = 0.15;
   double resend_store = 30;   // of all nodes together
   std::size_t tolerated = 1;  // replicas that may be lost at once with their disks
@@ -116,10 +116,10 @@
   void request(std::uint64_t id, Query query, Micros now, NodeOut& out);
   void attempt_ended(std::uint64_t id, AttemptEnd end, bool elsewhere, Micros now, NodeOut& out);
   // False when this node cannot tell the others: the worker is to call another node, though its word counts here.
-  bool beat(Beat const& word, Micros now, NodeOut& out);
+  bool heartbeat(Heartbeat const& word, Micros now, NodeOut& out);
   // Answers 'id' once it is settled whether the others know of the worker's end (docs/control.md, "Ends of workers").
   void await_end(std::uint64_t id, std::string const& worker, Micros now, NodeOut& out);
-  void beat_end(std::string const& id, std::uint64_t order, Micros now, NodeOut& out);
+  void worker_left(std::string const& id, std::uint64_t order, Micros now, NodeOut& out);
 
   // Errands.
   void errand(std::uint64_t id, Ask ask, Micros now, NodeOut& out);
--- a/src/core/registered.cc
+++ b/src/core/registered.cc
@@ -19,19 +19,19 @@
   if (mesh.ledger.put(std::move(entry), now)) mesh.flush_entries(out.mesh);
 }
 
-bool Node::beat(Beat const& word, Micros now, NodeOut& out) {
+bool Node::heartbeat(Heartbeat const& word, Micros now, NodeOut& out) {
   watch_clock(now);
   bool const heard = hears_others(now);
   // The others know the worker by another node, which goes on hearing it: nothing of that is taken over here, where
   // nobody would hear of it.
   if (!heard && !word.leaving && registry.hear(word, now)) return false;
-  if (std::optional<wire::EntryT> entry = registry.beat(word, now)) put_entry(std::move(*entry), now, out);
+  if (std::optional<wire::EntryT> entry = registry.heartbeat(word, now)) put_entry(std::move(*entry), now, out);
   take_fresh(now);
   look_ready(now, out);
   return heard;
 }
 
-void Node::beat_end(std::string const& id, std::uint64_t order, Micros now, NodeOut& out) {
+void Node::worker_left(std::string const& id, std::uint64_t order, Micros now, NodeOut& out) {
   watch_clock(now);
   if (std::optional<wire::EntryT> entry = registry.leave(id, order, now)) put_entry(std::move(*entry), now, out);
   take_fresh(now);
@@ -148,7 +148,7 @@
     bool const met = owner != mesh.members.peers.end();
     // A node that is new has not met everybody yet.
     Micros const gone_for = met ? now - owner->second.since : now - std::max(born_, at.known) - strange_owner;
-    if (gone_for < plan.beat_gap * 2) continue;
+    if (gone_for < plan.heartbeat_interval * 2) continue;
     if (rendezvous(item.first, here) != plan.name) continue;
     put_entry(registry.adopt(item.first, now), now, out);
   }
--- a/src/core/worker_ends.cc
+++ b/src/core/worker_ends.cc
@@ -1,4 +1,4 @@
-// Words of workers that bind all nodes: when their end may be acknowledged, and whether a beat may be
+// Words of workers that bind all nodes: when their end may be acknowledged, and whether a heartbeat may be
 // (docs/control.md, "Ends of workers").
 #include <algorithm>
 
--- a/src/flow/dispatch/dispatcher.cc
+++ b/src/flow/dispatch/dispatcher.cc
@@ -360,7 +360,7 @@
                                      : std::max<Micros>(request.route->aim * 2, request.guess * 4);
     bool const dark =
         quiet > quiet_least && others > quiet_least && at != nullptr && at->running > 1 && quiet > request.guess * 3;
-    // A worker that said farewell may serve on for long; one whose beats are late still sends what it has.
+    // A worker that said farewell may serve on for long; one whose heartbeats are late still sends what it has.
     bool const gone = at == nullptr || (at->standing == Standing::gone && !at->said_farewell() && still);
     if (!(quiet > most || dark || (gone && quiet > quiet_least / 2))) continue;
     if (request.sends >= request.route->attempts || !can_pay(*request.pool)) continue;
--- a/src/flow/registry/registry.cc
+++ b/src/flow/registry/registry.cc
@@ -49,7 +49,7 @@
   }
 }
 
-std::optional<wire::EntryT> Registry::beat(Beat const& word, Micros now) {
+std::optional<wire::EntryT> Registry::heartbeat(Heartbeat const& word, Micros now) {
   Instance& item = all[word.id];
   bool const first = item.id.empty();
   if (!first && word.order < item.order) return std::nullopt;  // a late call
@@ -81,7 +81,7 @@
   return entry_of(item);
 }
 
-bool Registry::hear(Beat const& word, Micros now) {
+bool Registry::hear(Heartbeat const& word, Micros now) {
   Instance* const item = find(word.id);
   if (item == nullptr || item->owner == self_) return false;
   if (word.order >= item->order) item->last_byte = now;
@@ -117,7 +117,7 @@
   } else if ((entry.incarnation < item.order || item.standing == Standing::leaving) &&
              item.standing != Standing::serving && said == Standing::serving && guard(Guard::local_veto)) {
     // It knows less than this node: said again, with a later stamp, so that the others hear it too (§12.3). An end that
-    // the worker announced is not taken back, whoever took its last beat.
+    // the worker announced is not taken back, whoever took its last heartbeat.
     item.order = std::max(item.order, entry.incarnation);
     return entry_of(item);
   }
@@ -138,7 +138,7 @@
   std::size_t const doubted = static_cast<std::size_t>(
       std::count_if(all.begin(), all.end(), [&](std::pair<std::string const, Instance> const& item) {
         Instance const& at = item.second;
-        return at.doubted >= 0 && now - at.doubted < beat_gap_ * 3 && at.standing != Standing::gone;
+        return at.doubted >= 0 && now - at.doubted < heartbeat_interval_ * 3 && at.standing != Standing::gone;
       }));
   return doubted >= std::max(many_doubts_least, all.size() / 4);
 }
@@ -148,10 +148,12 @@
   bool const doubt_counts = !doubts_many(now);
   for (std::map<std::string, Instance>::iterator it = all.begin(); it != all.end();) {
     Instance& item = it->second;
-    // Two beats may be lost on the way to the next node; one and a half are enough when a connection broke as well.
+    // Two heartbeats may be lost on the way to the next node; one and a half are enough when a connection broke as
+    // well.
     bool const doubted = item.doubted >= 0 && doubt_counts;
-    Micros const most = doubted ? beat_gap_ * 7 / 4 : beat_gap_ * 3;
-    // Beats may also come late by seconds: while nothing speaks against a worker, what its answers bring counts too.
+    Micros const most = doubted ? heartbeat_interval_ * 7 / 4 : heartbeat_interval_ * 3;
+    // Heartbeats may also come late by seconds: while nothing speaks against a worker, what its answers bring counts
+    // too.
     Micros const heard = doubted ? item.heard : std::max(item.heard, item.last_byte);
     if (item.owner == self_ && item.heard >= 0 && item.standing != Standing::gone && now - heard > most) {
       stand(item, Standing::gone, now);
--- a/src/flow/registry/registry.h
+++ b/src/flow/registry/registry.h
@@ -12,7 +12,7 @@
 namespace pipit {
 
 // What a worker says of itself. Each start of a worker has an id of its own.
-struct Beat {
+struct Heartbeat {
   std::string id;
   std::string address;
   std::string zone;
@@ -35,7 +35,7 @@
   Standing standing = Standing::serving;
   std::uint64_t order = 0;
   std::string owner;      // the node that took its last word that said something new
-  Micros heard = -1;      // when this node took a beat; -1 for never
+  Micros heard = -1;      // when this node took a heartbeat; -1 for never
   Micros known = 0;       // since when it stands here, or is gone
   Micros doubted = -1;    // since when a broken or silent connection speaks against it
   Micros shunned = -1;    // until when it gets nothing while others are there
@@ -66,18 +66,18 @@
 class Registry {
  public:
   explicit Registry(std::string self) : self_(std::move(self)) {}
-  void span(Micros beat_gap) { beat_gap_ = beat_gap; }
+  void span(Micros heartbeat_interval) { heartbeat_interval_ = heartbeat_interval; }
 
   // A worker called here. The entry to be written, when its word says something new.
-  std::optional<wire::EntryT> beat(Beat const& word, Micros now);
+  std::optional<wire::EntryT> heartbeat(Heartbeat const& word, Micros now);
   // A word that a worker is to say elsewhere too: a known one is there, and nothing else changes. False for others.
-  bool hear(Beat const& word, Micros now);
+  bool hear(Heartbeat const& word, Micros now);
   std::optional<wire::EntryT> leave(std::string const& id, std::uint64_t order, Micros now);
   // A known worker whose owner is gone is this node's from now on: it has a span to say something. The entry to write.
   wire::EntryT adopt(std::string const& id, Micros now);
   // An entry that the ledger took from a peer. What this node must say against it, when it knows better.
   std::optional<wire::EntryT> take_entry(wire::EntryT const& entry, Micros now);
-  // Workers of this node whose beats have stopped; entries to be written of them.
+  // Workers of this node whose heartbeats have stopped; entries to be written of them.
   std::vector<wire::EntryT> silent(Micros now);
   // This node stood still: that it heard nothing says nothing.
   void stood_still(Micros now);
@@ -99,7 +99,7 @@
   void stand(Instance& instance, Standing standing, Micros now);
 
   std::string const self_;
-  Micros beat_gap_ = millis(1200);
+  Micros heartbeat_interval_ = millis(1200);
 };
 
 }  // namespace pipit
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -149,9 +149,9 @@
   }
 }
 
-bool Station::beat(Beat const& word) {
+bool Station::heartbeat(Heartbeat const& word) {
   NodeOut out;
-  bool const heard = node_->beat(word, now(), out);
+  bool const heard = node_->heartbeat(word, now(), out);
   act(out);
   return heard;
 }
@@ -164,10 +164,10 @@
   act(out);
 }
 
-bool Station::beat_end(std::string const& id, std::uint64_t order) {
+bool Station::worker_left(std::string const& id, std::uint64_t order) {
   if (node_->registry.find(id) == nullptr) return false;
   NodeOut out;
-  node_->beat_end(id, order, now(), out);
+  node_->worker_left(id, order, now(), out);
   relay_->forget(id);
   act(out);
   return true;
--- a/src/gate/station/station.h
+++ b/src/gate/station/station.h
@@ -51,11 +51,11 @@
 
   using EndDone = std::function<void(bool known)>;
   // False when this node cannot tell the others of the worker.
-  bool beat(Beat const& word);
-  // Says whether the end of a worker, of which beat() or beat_end() was told, is known to the others.
+  bool heartbeat(Heartbeat const& word);
+  // Says whether the end of a worker, of which heartbeat() or worker_left() was told, is known to the others.
   void await_end(std::string const& worker, EndDone done);
   // False when no worker of that name is known here.
-  bool beat_end(std::string const& id, std::uint64_t order);
+  bool worker_left(std::string const& id, std::uint64_t order);
   void operate(Change change, Done done);
   void reseed(std::vector<std::string> const& addresses) { node_->mesh.reseed(addresses); }
   // The description in force here, with the operators' own number for it.
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -43,8 +43,8 @@
   return out;
 }
 
-Beat beat_of(std::string const& id, std::uint64_t order, std::string const& pool = "p") {
-  Beat out;
+Heartbeat heartbeat_of(std::string const& id, std::uint64_t order, std::string const& pool = "p") {
+  Heartbeat out;
   out.id = id;
   out.address = "127.0.0.1:9000";
   out.zone = "a";
@@ -60,7 +60,9 @@
     dispatcher.in_force(usual());
     dispatcher.budget(0.2, 10);
   }
-  void worker(std::string const& id, std::string const& pool = "p") { registry.beat(beat_of(id, ++order, pool), now); }
+  void worker(std::string const& id, std::string const& pool = "p") {
+    registry.heartbeat(heartbeat_of(id, ++order, pool), now);
+  }
   // A request that was placed at once; its worker, or nothing.
   std::string place(std::uint64_t id, std::string const& route) { return place(id, query_of(route)); }
   std::string place(std::uint64_t id, Query query) {
@@ -197,8 +199,8 @@
       dispatcher.in_force(compiled_description(
           route_text("even", "", "{\"pool\":\"p\",\"weight\":1},{\"pool\":\"q\",\"weight\":1}") + "," +
           route_text("tenth", "", "{\"pool\":\"p\",\"weight\":90},{\"pool\":\"q\",\"weight\":10}")));
-      registry.beat(beat_of("v", 1, "p"), 0);
-      registry.beat(beat_of("w", 1, "q"), 0);
+      registry.heartbeat(heartbeat_of("v", 1, "p"), 0);
+      registry.heartbeat(heartbeat_of("w", 1, "q"), 0);
     }
     IndexSync index_sync{1};
     Registry registry;
@@ -228,9 +230,9 @@
 TEST_F(Desks, only_workers_of_the_pool_that_take_requests_are_chosen) {
   worker("other", "q");
   worker("ending");
-  registry.beat(
+  registry.heartbeat(
       [this] {
-        Beat word = beat_of("ending", ++order);
+        Heartbeat word = heartbeat_of("ending", ++order);
         word.leaving = true;
         return word;
       }(),
@@ -509,7 +511,7 @@
     now += millis(20);
     if (told_by_a_peer) {
       Registry peer("n2");
-      peer.beat(beat_of("w", order), now);
+      peer.heartbeat(heartbeat_of("w", order), now);
       std::optional<wire::EntryT> const said = peer.leave("w", ++order, now);
       ASSERT_TRUE(said);
       registry.take_entry(*said, now);
@@ -530,13 +532,13 @@
   }
 }
 
-// Beats may come seconds late: a worker from which bytes come is there.
-TEST_F(Desks, what_a_worker_has_is_not_moved_for_late_beats_while_it_is_heard) {
+// Heartbeats may come seconds late: a worker from which bytes come is there.
+TEST_F(Desks, what_a_worker_has_is_not_moved_for_late_heartbeats_while_it_is_heard) {
   worker("w");
   ASSERT_EQ(place(1, "safe"), "w");
   dispatcher.left(1, now);
   now += millis(100);
-  wire::EntryT gone;  // its owner has missed its beats
+  wire::EntryT gone;  // its owner has missed its heartbeats
   gone.key = "w";
   gone.owner = "n2";
   gone.incarnation = order;
@@ -653,7 +655,7 @@
   // Another node that knows nothing of it yet chooses the same one.
   IndexSync other_index_sync(2);
   Registry other_registry("n2");
-  for (char const* const id : {"w1", "w2", "w3", "w4"}) other_registry.beat(beat_of(id, 1), now);
+  for (char const* const id : {"w1", "w2", "w3", "w4"}) other_registry.heartbeat(heartbeat_of(id, 1), now);
   Exchange other_exchange("n2");
   Dispatcher other("n2", "a", other_index_sync, other_registry, other_exchange);
   other.in_force(usual());
@@ -665,9 +667,9 @@
 
 TEST_F(Desks, near_workers_come_first_and_the_load_is_spread) {
   worker("near");
-  Beat far = beat_of("far", 1);
+  Heartbeat far = heartbeat_of("far", 1);
   far.zone = "b";
-  registry.beat(far, now);
+  registry.heartbeat(far, now);
   EXPECT_EQ(place(1, "once"), "near");
   int at_far = 0;
   for (std::uint64_t id = 2; id < 40; ++id) at_far += place(id, "once") == "far" ? 1 : 0;
@@ -713,7 +715,7 @@
       nodes[i]->dispatcher->in_force(usual());
       nodes[i]->dispatcher->budget(ratio, store);
       nodes[i]->dispatcher->nodes(count);
-      for (char const* const id : {"w1", "w2", "w3", "w4"}) nodes[i]->registry->beat(beat_of(id, 1), 0);
+      for (char const* const id : {"w1", "w2", "w3", "w4"}) nodes[i]->registry->heartbeat(heartbeat_of(id, 1), 0);
     }
     RandomSource random(count);
     Micros now = 0;
@@ -861,9 +863,9 @@
     } else if (what < 24) {
       dispatcher.tick(now, out);
     } else if (what < 30) {
-      Beat word = beat_of("w" + std::to_string(random.below(6)) + "-" + std::to_string(turn / 2000), ++order);
+      Heartbeat word = heartbeat_of("w" + std::to_string(random.below(6)) + "-" + std::to_string(turn / 2000), ++order);
       word.leaving = random.chance(0.01);
-      registry.beat(word, now);
+      registry.heartbeat(word, now);
     } else if (what < 31) {
       if (random.chance(0.05))
         registry.leave("w" + std::to_string(random.below(6)) + "-" + std::to_string(turn / 2000), ++order, now);
--- a/tests/fleet_traffic.cc
+++ b/tests/fleet_traffic.cc
@@ -19,7 +19,7 @@
 using control_plane::WorldPlan;
 
 constexpr std::size_t workers_each = 10;
-constexpr Micros beat_gap = millis(1200);
+constexpr Micros heartbeat_interval = millis(1200);
 constexpr Micros request_gap = millis(220);   // of a node
 constexpr std::size_t path_blocks = 3;        // of a prompt's prefix
 constexpr std::uint64_t prompt_work = 60000;  // microseconds of reading that a request brings
@@ -50,7 +50,8 @@
     world.run_until(seconds(8));
     change();
     world.run(seconds(4));
-    for (std::size_t n = 0; n < workers.size(); ++n) world.after(spread(beat_gap), [this, n] { beat(n); });
+    for (std::size_t n = 0; n < workers.size(); ++n)
+      world.after(spread(heartbeat_interval), [this, n] { heartbeat(n); });
     if (plan.requests)
       for (MachineId id = 0; id < plan.nodes; ++id) world.after(spread(request_gap), [this, id] { request(id); });
     world.run(seconds(12));
@@ -108,7 +109,7 @@
     std::string const id = worker.id;
     std::uint64_t const order = ++worker.order;
     world.enter(worker.home, world.machine(worker.home).life,
-                [id, order](Node& node, Micros now, NodeOut& out) { node.beat_end(id, order, now, out); });
+                [id, order](Node& node, Micros now, NodeOut& out) { node.worker_left(id, order, now, out); });
     worker.ended = true;
   }
 
@@ -138,12 +139,12 @@
     return out;
   }
 
-  void beat(std::size_t number) {
+  void heartbeat(std::size_t number) {
     Worker& worker = workers[number];
     if (worker.ended) return;
     Machine& machine = world.machine(worker.home);
     if (!machine.up()) worker.home = (worker.home + 1) % plan.nodes;
-    Beat word;
+    Heartbeat word;
     word.id = worker.id;
     word.address = "10.9." + std::to_string(number / 200) + "." + std::to_string(number % 200) + ":8080";
     word.zone = machine.zone;
@@ -151,8 +152,8 @@
     word.slots = 48;
     word.order = ++worker.order;
     world.enter(worker.home, world.machine(worker.home).life,
-                [word](Node& node, Micros now, NodeOut& out) { node.beat(word, now, out); });
-    world.after(beat_gap, [this, number] { beat(number); });
+                [word](Node& node, Micros now, NodeOut& out) { node.heartbeat(word, now, out); });
+    world.after(heartbeat_interval, [this, number] { heartbeat(number); });
   }
 
   void request(MachineId id) {
@@ -179,7 +180,7 @@
     std::string const id = worker.id;
     std::uint64_t const order = ++worker.order;
     world.enter(worker.home, world.machine(worker.home).life,
-                [id, order](Node& node, Micros now, NodeOut& out) { node.beat_end(id, order, now, out); });
+                [id, order](Node& node, Micros now, NodeOut& out) { node.worker_left(id, order, now, out); });
     worker.id = name_of(static_cast<std::size_t>(&worker - workers.data()), ++worker.life);
     worker.order = 0;
     world.after(seconds(1) / static_cast<Micros>(plan.worker_restarts), [this] { restart_worker(); });
--- a/tests/passing.h
+++ b/tests/passing.h
@@ -77,14 +77,14 @@
       return at->door.open(
           address, [at](std::shared_ptr<Link> link) { at->wires.push_back(std::make_unique<Wire>(std::move(link))); });
     });
-    Beat word;
+    Heartbeat word;
     word.id = id;
     word.address = at->address;
     word.zone = "a";
     word.pool = "p";
     word.slots = 8;
     word.order = 1;
-    registry.beat(word, g_get_monotonic_time());
+    registry.heartbeat(word, g_get_monotonic_time());
   }
   void ask(std::string const& method, std::string const& path, std::string const& fields = "") {
     if (!caller || caller->shut) caller = std::make_unique<Wire>(address);
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -86,7 +86,7 @@
   EXPECT_EQ(plan.value().control, "127.0.0.1:7003");
   EXPECT_EQ(plan.value().node.seeds, (std::vector<std::string>{"127.0.0.2:7100", "127.0.0.3:7100"}));
   EXPECT_EQ(plan.value().grace, millis(2500));
-  EXPECT_EQ(plan.value().node.beat_gap, millis(700));
+  EXPECT_EQ(plan.value().node.heartbeat_interval, millis(700));
   EXPECT_LE(plan.value().node.resend_ratio, 0.4);
   EXPECT_LE(plan.value().node.resend_store, 10);
   EXPECT_FALSE(plan.value().node.replica);
--- a/tests/registry.cc
+++ b/tests/registry.cc
@@ -1,4 +1,4 @@
-// Workers that register themselves: beats, silence, farewells, doubts, and what peers say of them (§12.3).
+// Workers that register themselves: heartbeats, silence, farewells, doubts, and what peers say of them (§12.3).
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 namespace {
 constexpr Micros gap = millis(1000);
 
-Beat beat_of(std::string const& id, std::uint64_t order, bool leaving = false) {
-  Beat out;
+Heartbeat heartbeat_of(std::string const& id, std::uint64_t order, bool leaving = false) {
+  Heartbeat out;
   out.id = id;
   out.address = "127.0.0.1:9000";
   out.zone = "a";
@@ -47,29 +47,29 @@
 };
 }  // namespace
 
-TEST_F(Workers, a_beat_is_written_down_only_when_it_says_something_new) {
-  std::optional<wire::EntryT> const first = registry.beat(beat_of("w", 1), 0);
+TEST_F(Workers, a_heartbeat_is_written_down_only_when_it_says_something_new) {
+  std::optional<wire::EntryT> const first = registry.heartbeat(heartbeat_of("w", 1), 0);
   ASSERT_TRUE(first);
   EXPECT_EQ(first->key, "w");
   EXPECT_EQ(first->state, static_cast<std::uint8_t>(Standing::serving));
   EXPECT_EQ(first->slots, 8u);
-  EXPECT_FALSE(registry.beat(beat_of("w", 2), gap));
-  Beat moved = beat_of("w", 3);
+  EXPECT_FALSE(registry.heartbeat(heartbeat_of("w", 2), gap));
+  Heartbeat moved = heartbeat_of("w", 3);
   moved.address = "127.0.0.1:9001";
-  std::optional<wire::EntryT> const second = registry.beat(moved, 2 * gap);
+  std::optional<wire::EntryT> const second = registry.heartbeat(moved, 2 * gap);
   ASSERT_TRUE(second);
   EXPECT_EQ(second->address, moved.address);
-  Beat wider = moved;
+  Heartbeat wider = moved;
   wider.order = 4;
   wider.slots = 9;
-  EXPECT_TRUE(registry.beat(wider, 3 * gap));
+  EXPECT_TRUE(registry.heartbeat(wider, 3 * gap));
 }
 
-TEST_F(Workers, a_late_beat_changes_nothing) {
-  registry.beat(beat_of("w", 5), 0);
-  Beat late = beat_of("w", 4, true);
+TEST_F(Workers, a_late_heartbeat_changes_nothing) {
+  registry.heartbeat(heartbeat_of("w", 5), 0);
+  Heartbeat late = heartbeat_of("w", 4, true);
   late.address = "127.0.0.1:1";
-  EXPECT_FALSE(registry.beat(late, 10));
+  EXPECT_FALSE(registry.heartbeat(late, 10));
   EXPECT_EQ(registry.find("w")->address, "127.0.0.1:9000");
   EXPECT_EQ(registry.find("w")->standing, Standing::serving);
   EXPECT_EQ(registry.find("w")->order, 5u);
@@ -77,17 +77,17 @@
 }
 
 TEST_F(Workers, leaving_is_not_taken_back) {
-  registry.beat(beat_of("w", 1), 0);
-  EXPECT_TRUE(registry.beat(beat_of("w", 2, true), 10));
+  registry.heartbeat(heartbeat_of("w", 1), 0);
+  EXPECT_TRUE(registry.heartbeat(heartbeat_of("w", 2, true), 10));
   EXPECT_EQ(standing_of(registry, "w"), Standing::leaving);
   EXPECT_FALSE(registry.find("w")->takes());
-  registry.beat(beat_of("w", 3), 20);
+  registry.heartbeat(heartbeat_of("w", 3), 20);
   EXPECT_EQ(standing_of(registry, "w"), Standing::leaving);
 }
 
 TEST_F(Workers, leaving_is_not_taken_back_by_a_peer_that_missed_it) {
-  registry.beat(beat_of("w", 2, true), 0);
-  // The peer took a later beat and had not heard that the worker is leaving.
+  registry.heartbeat(heartbeat_of("w", 2, true), 0);
+  // The peer took a later heartbeat and had not heard that the worker is leaving.
   std::optional<wire::EntryT> const said = registry.take_entry(entry_of("w", 3, Standing::serving, "n2"), 10);
   EXPECT_EQ(standing_of(registry, "w"), Standing::leaving);
   ASSERT_TRUE(said);
@@ -95,50 +95,50 @@
 }
 
 TEST_F(Workers, after_its_farewell_nothing_that_it_said_counts) {
-  registry.beat(beat_of("w", 1), 0);
+  registry.heartbeat(heartbeat_of("w", 1), 0);
   std::optional<wire::EntryT> const bye = registry.leave("w", 2, 10);
   ASSERT_TRUE(bye);
   EXPECT_EQ(bye->state, static_cast<std::uint8_t>(Standing::gone));
   EXPECT_EQ(std::count(registry.ended.begin(), registry.ended.end(), "w"), 1);
-  EXPECT_FALSE(registry.beat(beat_of("w", 3), 20));
+  EXPECT_FALSE(registry.heartbeat(heartbeat_of("w", 3), 20));
   EXPECT_EQ(standing_of(registry, "w"), Standing::gone);
   EXPECT_FALSE(registry.leave("nobody", 1, 20));
   // Nor at a peer that has the farewell, whichever came first there.
   Registry peer("n2");
-  peer.beat(beat_of("w", 1), 0);
+  peer.heartbeat(heartbeat_of("w", 1), 0);
   EXPECT_FALSE(peer.take_entry(*bye, 30));
-  EXPECT_FALSE(peer.beat(beat_of("w", 3), 40));
+  EXPECT_FALSE(peer.heartbeat(heartbeat_of("w", 3), 40));
   EXPECT_EQ(standing_of(peer, "w"), Standing::gone);
 }
 
 TEST_F(Workers, a_farewell_is_remembered_for_a_while_wherever_it_was_heard) {
-  // Known here for long, but its beats went to another node.
+  // Known here for long, but its heartbeats went to another node.
   registry.take_entry(entry_of("w", 5, Standing::serving, "n2"), 0);
   Micros const now = seconds(600);
   registry.take_entry(entry_of("w", 1000009, Standing::gone, "n2"), now);
   registry.silent(now + millis(50));
-  EXPECT_FALSE(registry.beat(beat_of("w", 8), now + millis(100)));
+  EXPECT_FALSE(registry.heartbeat(heartbeat_of("w", 8), now + millis(100)));
   EXPECT_EQ(standing_of(registry, "w"), Standing::gone);
   registry.silent(now + seconds(120));
   EXPECT_EQ(registry.find("w"), nullptr);
 }
 
-TEST_F(Workers, silence_ends_a_worker_and_its_next_beat_brings_it_back) {
-  registry.beat(beat_of("w", 1), 0);
+TEST_F(Workers, silence_ends_a_worker_and_its_next_heartbeat_brings_it_back) {
+  registry.heartbeat(heartbeat_of("w", 1), 0);
   EXPECT_TRUE(registry.silent(2 * gap).empty());
   std::vector<wire::EntryT> const gone = registry.silent(3 * gap + 1);
   ASSERT_EQ(gone.size(), 1u);
   EXPECT_EQ(gone[0].key, "w");
   EXPECT_EQ(gone[0].state, static_cast<std::uint8_t>(Standing::gone));
   EXPECT_TRUE(registry.silent(4 * gap).empty()) << "it is said once";
-  EXPECT_TRUE(registry.beat(beat_of("w", 2), 5 * gap));
+  EXPECT_TRUE(registry.heartbeat(heartbeat_of("w", 2), 5 * gap));
   EXPECT_EQ(standing_of(registry, "w"), Standing::serving);
 }
 
-// Beats may come seconds late: what its answers bring speaks for a worker as well.
+// Heartbeats may come seconds late: what its answers bring speaks for a worker as well.
 TEST_F(Workers, a_worker_whose_answers_come_is_not_silent) {
-  registry.beat(beat_of("w", 1), 0);
-  registry.beat(beat_of("v", 1), 0);
+  registry.heartbeat(heartbeat_of("w", 1), 0);
+  registry.heartbeat(heartbeat_of("v", 1), 0);
   registry.well(*registry.find("w"), 2 * gap);
   std::vector<wire::EntryT> const gone = registry.silent(4 * gap);
   ASSERT_EQ(gone.size(), 1u);
@@ -148,15 +148,15 @@
 }
 
 TEST_F(Workers, only_the_node_that_took_the_last_word_judges_silence) {
-  registry.beat(beat_of("w", 1), 0);
+  registry.heartbeat(heartbeat_of("w", 1), 0);
   registry.take_entry(entry_of("w", 2, Standing::serving, "n2"), 10);
   EXPECT_TRUE(registry.silent(seconds(20)).empty());
   EXPECT_EQ(standing_of(registry, "w"), Standing::serving);
 }
 
 TEST_F(Workers, a_doubted_worker_falls_silent_sooner) {
-  registry.beat(beat_of("w", 1), 0);
-  registry.beat(beat_of("v", 1), 0);
+  registry.heartbeat(heartbeat_of("w", 1), 0);
+  registry.heartbeat(heartbeat_of("v", 1), 0);
   EXPECT_TRUE(registry.doubt("w", millis(100)));
   std::vector<wire::EntryT> const gone = registry.silent(2 * gap);
   ASSERT_EQ(gone.size(), 1u);
@@ -168,7 +168,7 @@
 TEST_F(Workers, doubts_of_many_workers_at_once_make_none_fall_silent_sooner) {
   for (std::size_t const broken : {std::size_t(2), std::size_t(5)}) {
     registry.all.clear();
-    for (int n = 0; n < 12; ++n) registry.beat(beat_of("w" + std::to_string(n), 1), 0);
+    for (int n = 0; n < 12; ++n) registry.heartbeat(heartbeat_of("w" + std::to_string(n), 1), 0);
     for (std::size_t n = 0; n < broken; ++n) registry.doubt("w" + std::to_string(n), millis(100));
     EXPECT_EQ(registry.silent(2 * gap).size(), broken < 3 ? broken : 0u);
     EXPECT_TRUE(registry.silent(3 * gap - 1).empty());
@@ -178,13 +178,13 @@
   registry.all.clear();
   for (int n = 0; n < 12; ++n) registry.take_entry(entry_of("v" + std::to_string(n), 1, Standing::serving, "n2"), 0);
   for (int n = 0; n < 12; ++n) registry.doubt("v" + std::to_string(n), 0);
-  registry.beat(beat_of("w", 1), 10 * gap);
+  registry.heartbeat(heartbeat_of("w", 1), 10 * gap);
   registry.doubt("w", 10 * gap);
   EXPECT_EQ(registry.silent(12 * gap).size(), 1u);
 }
 
 TEST_F(Workers, a_node_that_stood_still_blames_nobody) {
-  registry.beat(beat_of("w", 1), 0);
+  registry.heartbeat(heartbeat_of("w", 1), 0);
   Micros const now = seconds(30);
   registry.stood_still(now);
   EXPECT_TRUE(registry.silent(now).empty());
@@ -193,7 +193,7 @@
 }
 
 TEST_F(Workers, doubts_shun_longer_each_time_and_a_good_word_ends_them) {
-  registry.beat(beat_of("w", 1), 0);
+  registry.heartbeat(heartbeat_of("w", 1), 0);
   Instance& item = *registry.find("w");
   EXPECT_FALSE(registry.doubt("nobody", 0));
   Micros now = 0;
@@ -216,16 +216,16 @@
   EXPECT_LT(item.shunned - now, last) << "it counts from the beginning again";
 }
 
-TEST_F(Workers, a_beat_after_one_doubt_answers_it) {
-  registry.beat(beat_of("w", 1), 0);
+TEST_F(Workers, a_heartbeat_after_one_doubt_answers_it) {
+  registry.heartbeat(heartbeat_of("w", 1), 0);
   registry.doubt("w", 10);
-  registry.beat(beat_of("w", 2), 20);
+  registry.heartbeat(heartbeat_of("w", 2), 20);
   EXPECT_LT(registry.find("w")->doubted, 0);
   EXPECT_LE(registry.find("w")->shunned, 20);
 }
 
 TEST_F(Workers, a_peer_that_knows_less_is_told_so) {
-  registry.beat(beat_of("w", 7), 0);
+  registry.heartbeat(heartbeat_of("w", 7), 0);
   registry.leave("w", 8, 10);
   std::optional<wire::EntryT> const said = registry.take_entry(entry_of("w", 7, Standing::serving, "n2"), 20);
   ASSERT_TRUE(said);
@@ -233,7 +233,7 @@
   EXPECT_EQ(standing_of(registry, "w"), Standing::gone);
   // What it is told settles the matter there too.
   Registry peer("n2");
-  peer.beat(beat_of("w", 7), 0);
+  peer.heartbeat(heartbeat_of("w", 7), 0);
   EXPECT_FALSE(peer.take_entry(*said, 30));
   EXPECT_EQ(standing_of(peer, "w"), Standing::gone);
 }
@@ -253,7 +253,7 @@
 }
 
 TEST_F(Workers, what_peers_tell_of_loads_is_taken_in) {
-  registry.beat(beat_of("w", 1), 0);
+  registry.heartbeat(heartbeat_of("w", 1), 0);
   Instance& item = *registry.find("w");
   for (std::int64_t n = 1; n <= 2; ++n) {
     wire::LoadsT loads;
@@ -277,7 +277,7 @@
 }
 
 TEST_F(Workers, old_loads_count_no_more) {
-  registry.beat(beat_of("w", 1), 0);
+  registry.heartbeat(heartbeat_of("w", 1), 0);
   wire::LoadsT loads;
   loads.list.push_back(std::make_unique<wire::LoadT>());
   loads.list[0]->worker = "w";
@@ -288,7 +288,7 @@
 }
 
 TEST_F(Workers, a_peers_doubt_shuns_the_worker_here) {
-  registry.beat(beat_of("w", 1), 0);
+  registry.heartbeat(heartbeat_of("w", 1), 0);
   wire::LoadsT loads;
   loads.list.push_back(std::make_unique<wire::LoadT>());
   loads.list[0]->worker = "w";
--- a/tests/station.cc
+++ b/tests/station.cc
@@ -34,7 +34,7 @@
     EXPECT_TRUE(until([&wire] { return wire.shut || wire.got.find("\r\n\r\n") != std::string::npos; }));
     return wire.got.substr(0, 12);
   }
-  static std::string beat(std::uint64_t sequence) {
+  static std::string heartbeat(std::uint64_t sequence) {
     return R"({"service":"s","address":"127.0.0.1:9","zone":"a","slots":4,"state":"available","call_sequence":)" +
            std::to_string(sequence) + "}";
   }
@@ -50,10 +50,10 @@
 TEST_F(ControlAddress, acknowledges_a_farewell_only_of_a_worker_that_it_knows) {
   std::string const bye = R"({"call_sequence":9})";
   EXPECT_EQ(post("/Instances.Leave/i-1", bye), "HTTP/1.1 503");
-  EXPECT_EQ(post("/Instances.Beat/i-1", beat(8)), "HTTP/1.1 200");
+  EXPECT_EQ(post("/Instances.Beat/i-1", heartbeat(8)), "HTTP/1.1 200");
   EXPECT_EQ(post("/Instances.Leave/i-1", bye), "HTTP/1.1 200");
   EXPECT_EQ(post("/Instances.Leave/i-1", bye), "HTTP/1.1 200") << "its answer may have been lost";
-  EXPECT_EQ(post("/Instances.Beat/i-1", beat(10)), "HTTP/1.1 200");
+  EXPECT_EQ(post("/Instances.Beat/i-1", heartbeat(10)), "HTTP/1.1 200");
   EXPECT_EQ(post("/Instances.Leave/i-2", bye), "HTTP/1.1 503");
 }
 
--- a/tests/wide.cc
+++ b/tests/wide.cc
@@ -84,9 +84,9 @@
     }
   }
 
-  void beat(std::size_t node, Beat const& word) {
+  void heartbeat(std::size_t node, Heartbeat const& word) {
     NodeOut out;
-    nodes[node]->beat(word, now, out);
+    nodes[node]->heartbeat(word, now, out);
     act(node, out);
   }
 
@@ -171,8 +171,8 @@
   WireId wires = 0;
 };
 
-Beat word_of(std::string const& id, std::uint64_t order) {
-  Beat out;
+Heartbeat word_of(std::string const& id, std::uint64_t order) {
+  Heartbeat out;
   out.id = id;
   out.address = "10.9.0.1:80";
   out.zone = "z0";
@@ -187,13 +187,13 @@
 TEST(Wide, every_node_hears_of_workers_and_of_their_leaving) {
   Field field(40, 4, 8);
   field.run(seconds(8));
-  for (std::uint64_t w = 0; w < 12; ++w) field.beat((w * 7) % 40, word_of("w" + std::to_string(w), 1));
+  for (std::uint64_t w = 0; w < 12; ++w) field.heartbeat((w * 7) % 40, word_of("w" + std::to_string(w), 1));
   field.run(millis(300));
   for (std::unique_ptr<Node> const& node : field.nodes) ASSERT_EQ(node->registry.all.size(), 12u) << node->plan.name;
   for (std::uint64_t w = 0; w < 12; ++w) {
-    Beat word = word_of("w" + std::to_string(w), 2);
+    Heartbeat word = word_of("w" + std::to_string(w), 2);
     word.leaving = true;
-    field.beat((w * 7 + 3) % 40, word);
+    field.heartbeat((w * 7 + 3) % 40, word);
   }
   field.run(millis(300));
   for (std::unique_ptr<Node> const& node : field.nodes)
@@ -228,11 +228,11 @@
 TEST(Wide, repairs_stay_rare_while_changes_are_on_their_way) {
   Field field(40, 4, 8);
   field.run(seconds(10));
-  for (std::uint64_t w = 0; w < 100; ++w) field.beat(w % 40, word_of("w" + std::to_string(w), 1));
+  for (std::uint64_t w = 0; w < 100; ++w) field.heartbeat(w % 40, word_of("w" + std::to_string(w), 1));
   field.run(seconds(3));
   field.bytes = 0;
   for (std::uint64_t w = 100; w < 160; ++w) {
-    field.beat(w % 40, word_of("w" + std::to_string(w), 1));
+    field.heartbeat(w % 40, word_of("w" + std::to_string(w), 1));
     field.run(millis(100));
   }
   double const load = static_cast<double>(field.bytes) / 40 / 6;
@@ -242,7 +242,7 @@
 TEST(Wide, work_is_heard_by_all_and_counted_once) {
   Field field(40, 4, 8);
   field.run(seconds(8));
-  field.beat(0, word_of("w", 1));
+  field.heartbeat(0, word_of("w", 1));
   field.run(millis(300));
   for (std::size_t const who : {std::size_t(0), std::size_t(5), std::size_t(39)}) {  // a hub and two others
     field.nodes[who]->exchange.work("w", seconds(100));
@@ -345,42 +345,42 @@
 }
 
 // Its workers would be gone for all others, who hear of them from their owners alone.
-TEST(Beats, a_node_that_hears_nobody_takes_no_worker_over) {
+TEST(Heartbeats, a_node_that_hears_nobody_takes_no_worker_over) {
   Field field(6, 3, 3);
   field.run(seconds(5));
   field.configure(1);
   field.run(seconds(3));
-  field.beat(1, word_of("w", 1));
+  field.heartbeat(1, word_of("w", 1));
   field.run(millis(300));
   ASSERT_EQ(field.nodes[5]->registry.find("w")->owner, field.nodes[1]->plan.name);
   field.mute = 5;
   for (std::uint64_t order = 2; order < 6; ++order) {
     field.run(seconds(1));
-    field.beat(1, word_of("w", order));
+    field.heartbeat(1, word_of("w", order));
   }
   NodeOut out;
-  EXPECT_FALSE(field.nodes[5]->beat(word_of("w", 6), field.now, out)) << "the worker is to call the next node";
+  EXPECT_FALSE(field.nodes[5]->heartbeat(word_of("w", 6), field.now, out)) << "the worker is to call the next node";
   EXPECT_EQ(field.nodes[5]->registry.find("w")->owner, field.nodes[1]->plan.name);
   EXPECT_EQ(field.nodes[5]->registry.find("w")->standing, Standing::serving) << "its own callers are served on";
   NodeOut other;
-  EXPECT_TRUE(field.nodes[2]->beat(word_of("w", 7), field.now, other));
+  EXPECT_TRUE(field.nodes[2]->heartbeat(word_of("w", 7), field.now, other));
 }
 
-// A worker and the node that heard it are lost together: nobody else counts its beats, and requests went there for
+// A worker and the node that heard it are lost together: nobody else counts its heartbeats, and requests went there for
 // good.
-TEST(Beats, a_worker_whose_owner_is_gone_for_good_falls_silent_for_all) {
+TEST(Heartbeats, a_worker_whose_owner_is_gone_for_good_falls_silent_for_all) {
   for (std::size_t const count : {6u, 30u}) {
     Field field(count, 3, 3);
     field.run(seconds(6));
     field.configure(1);
     field.run(seconds(3));
-    field.beat(4, word_of("lost", 1));
-    field.beat(4, word_of("here", 1));
+    field.heartbeat(4, word_of("lost", 1));
+    field.heartbeat(4, word_of("here", 1));
     field.run(millis(300));
     field.remove(4);
     for (std::uint64_t order = 2; order < 26; ++order) {
       field.run(seconds(1));
-      field.beat(1, word_of("here", order));
+      field.heartbeat(1, word_of("here", order));
     }
     for (std::size_t n = 0; n < count; ++n) {
       if (n == 4) continue;
@@ -395,7 +395,7 @@
 TEST(Readiness, comes_back_within_a_second_of_a_restart) {
   Field field(9, 3, 3);
   field.run(seconds(6));
-  field.beat(4, word_of("w", 1));
+  field.heartbeat(4, word_of("w", 1));
   field.configure(1);
   field.run(seconds(3));
   field.remove(8);
--- a/tests/worker_ends.cc
+++ b/tests/worker_ends.cc
@@ -107,7 +107,7 @@
     EXPECT_TRUE(until([&wire] { return wire.shut || wire.got.find("\r\n\r\n") != std::string::npos; }));
     return wire.got.substr(0, 12);
   }
-  std::string beat(char const* state) {
+  std::string heartbeat(char const* state) {
     return post("/Instances.Beat/i-1", R"({"service":"s","address":"127.0.0.1:9","zone":"a","slots":4,"state":")" +
                                            std::string(state) + R"(","call_sequence":)" + std::to_string(++sequence) +
                                            "}");
@@ -126,22 +126,22 @@
 }  // namespace
 
 TEST_F(WorkerEnds, what_is_acknowledged_is_known_to_the_others_by_then) {
-  EXPECT_EQ(beat(available), "HTTP/1.1 200");
-  EXPECT_EQ(beat(draining), "HTTP/1.1 200");
+  EXPECT_EQ(heartbeat(available), "HTTP/1.1 200");
+  EXPECT_EQ(heartbeat(draining), "HTTP/1.1 200");
   EXPECT_TRUE(peer->knows_end("i-1")) << "its requests would go on";
 }
 
 TEST_F(WorkerEnds, a_node_whose_peers_hear_nothing_acknowledges_no_draining) {
-  EXPECT_EQ(beat(available), "HTTP/1.1 200");
+  EXPECT_EQ(heartbeat(available), "HTTP/1.1 200");
   peer->deaf = true;
-  EXPECT_EQ(beat(draining), "HTTP/1.1 503") << "the worker is to tell the next node";
+  EXPECT_EQ(heartbeat(draining), "HTTP/1.1 503") << "the worker is to tell the next node";
   peer->deaf = false;
-  EXPECT_EQ(beat(draining), "HTTP/1.1 200");
+  EXPECT_EQ(heartbeat(draining), "HTTP/1.1 200");
   EXPECT_TRUE(peer->knows_end("i-1"));
 }
 
 TEST_F(WorkerEnds, a_node_whose_peers_hear_nothing_acknowledges_no_farewell) {
-  EXPECT_EQ(beat(available), "HTTP/1.1 200");
+  EXPECT_EQ(heartbeat(available), "HTTP/1.1 200");
   peer->deaf = true;
   EXPECT_EQ(leave(), "HTTP/1.1 503");
   peer->deaf = false;
