--- a/proof/checker/register_view.h
+++ b/proof/checker/register_view.h
@@ -20,7 +20,7 @@
 
 // Whether the proposer waits for the end of a round or of a pause.
 bool has_timer(Proposer const& proposer);
-// Whether an answer can never again count in this life of the proposer: it belongs to a round that is over.
+// Whether an answer can never again count in this incarnation of the proposer: it belongs to a round that is over.
 bool is_late(Proposer const& proposer, wire::BodyUnion const& body);
 // Whether an answer belongs to a poll that is over.
 bool is_late(Learner const& learner, wire::BodyUnion const& body);
--- a/proof/checker/world.cc
+++ b/proof/checker/world.cc
@@ -278,10 +278,10 @@
   ProposerPlan plan;
   plan.phase = round_time;
   plan.whole = whole_time;
-  std::uint64_t const chance = first_chance + (scenario->same_chance ? 0 : node.life);
+  std::uint64_t const chance = first_chance + (scenario->same_chance ? 0 : node.incarnation);
   Proposer proposer(scenario->nodes[index], chance, plan);
   Learner learner;
-  // A later life reads the set from its peers; the first one is what every node knew.
+  // A later incarnation reads the set from its peers; the first one is what every node knew.
   start_with(proposer, learner, first_value(scenario->members));
   node.proposer = std::make_shared<Proposer const>(proposer);
   node.learner = std::make_shared<Learner const>(learner);
@@ -376,7 +376,7 @@
   for (std::size_t i = 0; i < states.size(); ++i)
     if (states[i].stage == OrderState::Stage::asked && scenario->orders[i].node == scenario->nodes[index])
       states[i].stage = OrderState::Stage::unknown;
-  ++nodes[index].life;
+  ++nodes[index].incarnation;
   start_node(index);
 }
 
@@ -423,7 +423,7 @@
 
 // A message that can never again change anything is taken off, which is the same as its loss.
 void World::drop_late() {
-  // An answer to one life may pass for one to the next that draws the same chance.
+  // An answer to one incarnation may pass for one to the next that draws the same chance.
   bool const lives_repeat = scenario->same_chance;
   messages.erase(std::remove_if(messages.begin(), messages.end(),
                                 [this, lives_repeat](std::shared_ptr<Message const> const& item) {
@@ -580,7 +580,7 @@
   }
   for (Node const& node : nodes) {
     out.part(node.print);
-    out.number(node.life);
+    out.number(node.incarnation);
   }
   Print bag(*symmetry);
   for (std::shared_ptr<Message const> const& item : messages) bag.member(item->print);
--- a/proof/checker/world.h
+++ b/proof/checker/world.h
@@ -44,7 +44,7 @@
   std::vector<std::string> prefix;  // steps that are taken first, beyond the bounds
   bool slow_disks = false;          // the end of each sync is a step of its own
   bool push = false;                // a settled value is sent to the other nodes
-  bool same_chance = false;         // a node's next life draws the same chance as the one before
+  bool same_chance = false;         // a node's next incarnation draws the same chance as the one before
 };
 
 // Steps of a world.
@@ -123,7 +123,7 @@
   struct Node {
     std::shared_ptr<Proposer const> proposer;
     std::shared_ptr<Learner const> learner;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     Micros now = 0;
     Print print;
   };
--- a/proof/tenants/load.cc
+++ b/proof/tenants/load.cc
@@ -99,7 +99,7 @@
   change.text = text();
   Machine& machine = world.machine(target);
   if (machine.up()) change.expected = machine.node->learner.serial();
-  world.enter(target, machine.life,
+  world.enter(target, machine.incarnation,
               [call, change](Node& node, Micros now, NodeOut& out) { node.operate(call, change, now, out); });
   world.after(seconds(3), [this, call] {
     std::map<std::uint64_t, std::function<void()>>::iterator const spot = waiting.find(call);
@@ -147,7 +147,8 @@
     word.pool = "p";
     word.slots = 100000;
     word.order = heartbeat_order;
-    world.enter(id, machine.life, [word](Node& node, Micros now, NodeOut& out) { node.heartbeat(word, now, out); });
+    world.enter(id, machine.incarnation,
+                [word](Node& node, Micros now, NodeOut& out) { node.heartbeat(word, now, out); });
   }
   world.after(heartbeat_interval, [this] { heartbeat(); });
 }
@@ -210,7 +211,7 @@
   query.tokens_in = sent.count;
   query.key = key_digest_of(key_of(tenant, !sent.revoked_key && key_gone[tenant]));
   query.left = seconds(3);
-  world.enter(at, machine.life,
+  world.enter(at, machine.incarnation,
               [id, query](Node& node, Micros now, NodeOut& out) { node.request(id, query, now, out); });
 }
 
@@ -222,9 +223,9 @@
     under_way.erase(spot);
     std::uint64_t const id = start.request;
     MachineId const at = machine.id;
-    std::uint64_t const life = machine.life;
-    world.after(millis(5), [this, id, at, life] {
-      world.enter(at, life, [id](Node& node, Micros now, NodeOut& done) {
+    std::uint64_t const incarnation = machine.incarnation;
+    world.after(millis(5), [this, id, at, incarnation] {
+      world.enter(at, incarnation, [id](Node& node, Micros now, NodeOut& done) {
         node.dispatcher.left(id, now);
         node.attempt_ended(id, AttemptEnd::whole, false, now, done);
       });
--- a/src/base/random_seed.h
+++ b/src/base/random_seed.h
@@ -1,4 +1,4 @@
-// Random numbers from the system, for what must differ between nodes and between lives of one node.
+// Random numbers from the system, for what must differ between nodes and between incarnations of one node.
 #pragma once
 #include <cstdint>
 
--- a/src/consensus/register/acceptor.h
+++ b/src/consensus/register/acceptor.h
@@ -38,8 +38,8 @@
   void take(std::string from, wire::BodyUnion body);
   // Fills what to send; returns a record to sync when one is due.
   std::optional<wire::RecordT> step(std::vector<OutgoingMessage>& out);
-  // Notes the seeds of the first start on a blank disk, so that a later life may still take part in founding; step()
-  // has it synced.
+  // Notes the seeds of the first start on a blank disk, so that a later incarnation may still take part in founding;
+  // step() has it synced.
   void await_founding(std::vector<std::string> const& seeds);
   // Notes the set of replicas by which limits are handed out here; step() has it synced.
   void note_quota_members(std::uint64_t fingerprint);
--- a/src/consensus/register/learner.h
+++ b/src/consensus/register/learner.h
@@ -12,7 +12,8 @@
 
 class Learner {
  public:
-  // Polls are numbered from here on; another number in each life, so that no answer to a former life counts.
+  // Polls are numbered from here on; another number in each incarnation, so that no answer to a former incarnation
+  // counts.
   explicit Learner(std::uint64_t first_request = 0) : req_(first_request) {}
   // Takes a value that is known to be chosen; true when it is newer than what is held.
   bool adopt(wire::ValueT const& value, Micros now);
--- a/src/consensus/register/proposer.h
+++ b/src/consensus/register/proposer.h
@@ -114,7 +114,7 @@
   std::string const self_;
   ProposerPlan const plan_;
   RandomSource random_;
-  std::uint64_t const owner_;       // of ballots; a new one in each life, so that no ballot is ever used twice
+  std::uint64_t const owner_;       // of ballots; a new one in each incarnation, so that no ballot is ever used twice
   Membership known_;                // the newest set that is known to be chosen
   Membership suggested_;            // where to begin without one
   Membership set_;                  // the one that this round works with; it may be one that was only found
--- a/src/core/listed.cc
+++ b/src/core/listed.cc
@@ -92,7 +92,7 @@
                          NodeOut& out) {
   watch_clock(now);
   checking_.erase(check.worker);
-  fleet.health_report(check.worker, check.life, check.asked, report, refused, now);
+  fleet.health_report(check.worker, check.incarnation, check.asked, report, refused, now);
   take_fresh(now);
   desk.work(now, out.desk);
   check_asked(now, out);
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -13,12 +13,14 @@
 constexpr Micros fresh_bound = seconds(3);
 constexpr int spare_number_bits = 8;  // request numbers begin below this share of their range, and only rise
 
-// Seeds for one life of one node. A shell may have made 'chance' of the incarnation and the name, so none of them is
-// merely combined with another: they could cancel out, and all nodes and lives would draw the same numbers.
+// Seeds for one incarnation of one node. A shell may have made 'chance' of the incarnation and the name, so none of
+// them is merely combined with another: they could cancel out, and all nodes and incarnations would draw the same
+// numbers.
 enum class SeedUse : std::uint64_t { ballots = 1, polls, requests, lease, quota };
-std::uint64_t life_seed(NodePlan const& plan, SeedUse use) {
-  std::uint64_t const life = hash_bits(plan.incarnation + static_cast<std::uint64_t>(use)) + hash_text(plan.name);
-  return hash_bits(hash_bits(life) ^ plan.chance);
+std::uint64_t incarnation_seed(NodePlan const& plan, SeedUse use) {
+  std::uint64_t const incarnation =
+      hash_bits(plan.incarnation + static_cast<std::uint64_t>(use)) + hash_text(plan.name);
+  return hash_bits(hash_bits(incarnation) ^ plan.chance);
 }
 
 // By which set of replicas limits are handed out is never older than this.
@@ -45,8 +47,8 @@
   if (!plan.registered) out.wide = SIZE_MAX;
   return out;
 }
-// A founder whose life ended before the first set was written goes on waiting for it, with the seeds of the first
-// start.
+// A founder whose incarnation ended before the first set was written goes on waiting for it, with the seeds of the
+// first start.
 NodePlan with_founding(NodePlan plan, std::optional<wire::RecordT> const& recovered) {
   if (recovered && !recovered->founding_seeds.empty())
     plan.founding_seeds = recovered->founding_seeds;
@@ -59,8 +61,8 @@
 Node::Node(NodePlan initial_plan, Micros now, std::optional<wire::RecordT> recovered)
     : plan(with_founding(std::move(initial_plan), recovered)),
       mesh(mesh_of(plan), self_of(plan), plan.chance),
-      proposer(plan.name, life_seed(plan, SeedUse::ballots)),
-      learner(life_seed(plan, SeedUse::polls) >> spare_number_bits),
+      proposer(plan.name, incarnation_seed(plan, SeedUse::ballots)),
+      learner(incarnation_seed(plan, SeedUse::polls) >> spare_number_bits),
       index_sync(plan.chance + 1),
       desk(plan.name, plan.zone, index_sync, fleet),
       registry(plan.name),
@@ -68,14 +70,14 @@
       dispatcher(plan.name, plan.zone, index_sync, registry, exchange),
       lease(plan.revocation, plan.in_force),
       quota_owner(plan.quota),
-      quota_client(plan.name, life_seed(plan, SeedUse::quota) >> spare_number_bits),
+      quota_client(plan.name, incarnation_seed(plan, SeedUse::quota) >> spare_number_bits),
       owner_lease_(owner_span_of(plan)),
       quota_shares_(plan.name, owner_span_of(plan), recovered ? recovered->quota_members : 0),
       lease_grantor_(now),
-      repair_lease_("mend", life_seed(plan, SeedUse::lease)),
+      repair_lease_("mend", incarnation_seed(plan, SeedUse::lease)),
       born_(now),
       last_tick_(now),
-      next_req_(life_seed(plan, SeedUse::requests) >> spare_number_bits) {
+      next_req_(incarnation_seed(plan, SeedUse::requests) >> spare_number_bits) {
   if (recovered) acceptor.emplace(std::move(*recovered));
   founds_again = acceptor && !acceptor->held().founding_seeds.empty();
   std::vector<std::string> const& seeds = plan.founding_seeds;
@@ -449,8 +451,8 @@
   if (plan.registered && !word && !able_) return;
   bool sure = word;
   if (word && plan.role == Role::passage && !is_registered()) {
-    // §5.9: nothing is placed before this life of the node has its registration; while a majority answers, by nobody's
-    // word.
+    // §5.9: nothing is placed before this incarnation of the node has its registration; while a majority answers, by
+    // nobody's word.
     request_registration(now, out);
     if (!able_) return;
   }
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -65,7 +65,7 @@
 struct Check {
   std::string worker;
   std::string address;
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   Micros asked = 0;
 };
 
@@ -146,7 +146,7 @@
   Proposer proposer;
   Learner learner;
   std::optional<Acceptor> acceptor;
-  bool founds_again = false;  // an earlier life of this founder ended before the first set was written
+  bool founds_again = false;  // an earlier incarnation of this founder ended before the first set was written
   IndexSync index_sync;
   Fleet fleet;
   Desk desk;
@@ -307,7 +307,7 @@
   Micros list_said_at_ = -1;   // when the list's own address last refused, or answered oddly
   bool registration_pending_ = false;
   bool was_registered_ = false;
-  bool registered_before_ = false;  // a former life had one: nobody's share changes with this one
+  bool registered_before_ = false;  // a former incarnation had one: nobody's share changes with this one
   Micros behind_since_ = -1;
   Micros next_registration_ = 0;
   Micros registered_at_ = -1;
@@ -316,7 +316,8 @@
   Micros stale_from_ = -1;  // since when a jump of the clock waits for fresh knowledge
   std::uint64_t change_count_ = 0;
   std::uint64_t relay_turn_ = 0;  // which peer is next to be asked for a quorum's sake
-  std::uint64_t next_req_;        // begins at another number in each life: an answer to a former life finds no request
+  std::uint64_t
+      next_req_;  // begins at another number in each incarnation: an answer to a former incarnation finds no request
   std::map<std::uint64_t, Waiting> waiting_;
   bool duty_busy_ = false;
   bool had_duty_ = false;
--- a/src/core/seats.cc
+++ b/src/core/seats.cc
@@ -42,7 +42,7 @@
   if (plan.role != Role::passage) return;
   wire::RouterRegistrationT const* const own = registration_of(*learner.value, plan.name);
   if (own != nullptr && own->incarnation > mesh.members.self.incarnation) {
-    // A former life had a later clock.
+    // A former incarnation had a later clock.
     mesh.members.self.incarnation = own->incarnation + 1;
     mesh.announce_self(out.mesh);
   }
@@ -55,7 +55,7 @@
       look_hold();
     }
   } else if (was_registered_) {
-    // It was evicted, though it lives: it places nothing until it has a registration again, and then begins as a
+    // It was evicted, though it incarnations: it places nothing until it has a registration again, and then begins as a
     // newcomer.
     was_registered_ = false;
     registered_before_ = false;
@@ -109,7 +109,7 @@
   wire::RouterRegistrationT const* const registration = learner.value ? registration_of(*learner.value, name) : nullptr;
   std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
   bool const known = peer != mesh.members.peers.end();
-  // That it left, or refuses a dial, says nothing of a later life.
+  // That it left, or refuses a dial, says nothing of a later incarnation.
   if (registration != nullptr && (!known || peer->second.member.incarnation < registration->incarnation)) return true;
   return !mesh.gone(name);
 }
--- a/src/flow/dispatch/dispatcher.cc
+++ b/src/flow/dispatch/dispatcher.cc
@@ -208,7 +208,7 @@
     switch (end) {
       case AttemptEnd::declined:
         registry_.well(*instance, now);
-        // It is full, or it is somebody else who lives there now.
+        // It is full, or it is somebody else who incarnations there now.
         instance->shunned = now + (elsewhere ? seconds(3) : millis(120));
         if (elsewhere) exchange_.doubt(at);
         break;
--- a/src/flow/errand/desk.cc
+++ b/src/flow/errand/desk.cc
@@ -221,7 +221,7 @@
   ++errand.legs;
   errand.left = false;
   errand.worker = worker.row.id;
-  errand.life = worker.row.incarnation;
+  errand.incarnation = worker.row.incarnation;
   errand.pool = pool.name;
   errand.leg_from = now;
   errand.tried.insert(worker.row.id);
@@ -326,8 +326,8 @@
   Worker const* const worker = fleet_.find(errand.worker);
   if (worker != nullptr &&
       (end == LegEnd::unreached || end == LegEnd::broke || end == LegEnd::silent || end == LegEnd::torn) &&
-      fleet_.doubt(errand.worker, errand.life, now))
-    out.doubts.emplace_back(errand.worker, errand.life);
+      fleet_.doubt(errand.worker, errand.incarnation, now))
+    out.doubts.emplace_back(errand.worker, errand.incarnation);
   log_event(Event::leg_failed, errand.worker + " " + kind_row(kind).name + " " + why);
   bool const may_repeat = errand.safe || !errand.left || !guard(Guard::never_repeat);
   bool const again = !errand.begun && may_repeat && !draining_ && errand.legs < errand.lane->policy.tries &&
--- a/src/flow/errand/desk.h
+++ b/src/flow/errand/desk.h
@@ -50,7 +50,7 @@
 struct DeskOut {
   std::vector<Start> starts;
   std::vector<Verdict> ends;
-  std::vector<std::pair<std::string, std::uint64_t>> doubts;  // workers, with their life, whose wires broke
+  std::vector<std::pair<std::string, std::uint64_t>> doubts;  // workers, with their incarnation, whose wires broke
   std::vector<std::string> asks;                              // workers that must answer before they are sent more
   std::vector<std::uint64_t> drops;                           // legs to cut because their caller has gone
 };
@@ -106,7 +106,7 @@
     bool left = false;  // a byte of this leg may have left
     bool begun = false;
     std::string worker;
-    std::uint64_t life = 0;  // of the worker
+    std::uint64_t incarnation = 0;  // of the worker
     std::string pool;
     Micros leg_from = 0;
     std::set<std::string> tried;
--- a/src/flow/fleet/fleet.cc
+++ b/src/flow/fleet/fleet.cc
@@ -70,7 +70,7 @@
   return spot == workers.end() ? nullptr : &spot->second;
 }
 
-void Fleet::begin_life(Worker& worker, std::uint64_t incarnation) {
+void Fleet::begin_incarnation(Worker& worker, std::uint64_t incarnation) {
   worker.row.incarnation = incarnation;
   worker.standing = Standing::serving;
   worker.absent = false;
@@ -103,7 +103,7 @@
     if (row.incarnation < worker.row.incarnation) continue;  // the list is behind what the worker said itself
     if (first || row.incarnation > worker.row.incarnation) {
       worker.row = row;
-      begin_life(worker, row.incarnation);
+      begin_incarnation(worker, row.incarnation);
     }
     std::int64_t const slots = row.slots;
     worker.listed = true;
@@ -116,7 +116,7 @@
       if (worker.standing == Standing::serving) bury(worker, Standing::leaving);
     } else if (worker.standing == Standing::gone && worker.absent && ++worker.seen_again >= revive_after) {
       // It was absent from a reading and has been listed ever since: the absence was the list's fault.
-      begin_life(worker, row.incarnation);
+      begin_incarnation(worker, row.incarnation);
       worker.buried = row.incarnation - 1;
     }
   }
@@ -150,11 +150,11 @@
     worker.row.zone = entry.zone;
     worker.row.pool = entry.pool;
     worker.row.slots = entry.slots;
-    begin_life(worker, entry.incarnation);
+    begin_incarnation(worker, entry.incarnation);
   }
   if (!guard(Guard::tombstone) && entry.incarnation == worker.row.incarnation && said == Standing::serving)
     worker.standing = said;
-  // §4.3: an entry can end a life; only this node's own list or a new incarnation can undo that.
+  // §4.3: an entry can end a incarnation; only this node's own list or a new incarnation can undo that.
   if (entry.incarnation == worker.row.incarnation && said != Standing::serving &&
       worker.standing == Standing::serving) {
     worker.absent = said == Standing::gone;
@@ -162,9 +162,9 @@
   }
 }
 
-bool Fleet::doubt(std::string const& id, std::uint64_t life, Micros now) {
+bool Fleet::doubt(std::string const& id, std::uint64_t incarnation, Micros now) {
   Worker* const worker = find(id);
-  if (worker == nullptr || worker->doubted || worker->dark || worker->row.incarnation != life) return false;
+  if (worker == nullptr || worker->doubted || worker->dark || worker->row.incarnation != incarnation) return false;
   worker->doubted = true;
   worker->doubted_at = now;
   return true;
@@ -178,10 +178,10 @@
   }
 }
 
-void Fleet::health_report(std::string const& id, std::uint64_t life, Micros asked,
+void Fleet::health_report(std::string const& id, std::uint64_t incarnation, Micros asked,
                           std::optional<HealthReport> const& report, bool refused, Micros now) {
   Worker* const worker = find(id);
-  if (worker == nullptr || life != worker->row.incarnation) return;
+  if (worker == nullptr || incarnation != worker->row.incarnation) return;
   if (!report) {
     ++worker->misses;
     worker->asked = -1;
@@ -192,8 +192,8 @@
     return;
   }
   worker->misses = 0;
-  if (report->incarnation < worker->row.incarnation) return;  // an older life still answers at this address
-  if (report->incarnation > worker->row.incarnation) begin_life(*worker, report->incarnation);
+  if (report->incarnation < worker->row.incarnation) return;  // an older incarnation still answers at this address
+  if (report->incarnation > worker->row.incarnation) begin_incarnation(*worker, report->incarnation);
   worker->demand = report->demand;
   worker->reported = now;
   worker->confirmed = std::max(worker->confirmed, asked);
--- a/src/flow/fleet/fleet.h
+++ b/src/flow/fleet/fleet.h
@@ -47,7 +47,7 @@
   Micros woke = -1;            // when it woke or came back from the dark; -1: not known, so cold
   std::multiset<Micros> legs;  // this node's running legs, by their start
   std::deque<Micros> sends;    // this node's sends within the last window
-  Micros confirmed = -1;       // when the last question was asked that this life answered
+  Micros confirmed = -1;       // when the last question was asked that this incarnation answered
   Micros asked = -1;           // since when an answer is awaited before more is sent
   std::int64_t own_since() const {
     return static_cast<std::int64_t>(std::distance(legs.lower_bound(reported), legs.end()));
@@ -70,16 +70,16 @@
 
 class Fleet {
  public:
-  // Names of workers whose life ended or began anew, whose prefixes are to be forgotten.
+  // Names of workers whose incarnation ended or began anew, whose prefixes are to be forgotten.
   std::vector<std::string> reborn;
 
   void take_list(std::vector<ListRow> const& rows, Micros now);
   void take_entry(wire::EntryT const& entry, Micros now);
-  // True when a dark worker came back or a life began.
-  void health_report(std::string const& id, std::uint64_t life, Micros asked, std::optional<HealthReport> const& report,
-                     bool refused, Micros now);
+  // True when a dark worker came back or a incarnation began.
+  void health_report(std::string const& id, std::uint64_t incarnation, Micros asked,
+                     std::optional<HealthReport> const& report, bool refused, Micros now);
   // A wire to the worker broke, here or at a peer. True when that is news.
-  bool doubt(std::string const& id, std::uint64_t life, Micros now);
+  bool doubt(std::string const& id, std::uint64_t incarnation, Micros now);
   // Restores what entries hold as serving and this table lost (§4.4).
   void reconcile(std::map<std::string, wire::EntryT> const& entries, Micros now);
 
@@ -116,7 +116,7 @@
     std::map<std::string, std::int64_t> legs;
   };
   std::map<std::string, Told> told_;
-  void begin_life(Worker& worker, std::uint64_t incarnation);
+  void begin_incarnation(Worker& worker, std::uint64_t incarnation);
   void bury(Worker& worker, Standing standing);
 };
 
--- a/src/flow/index/index.cc
+++ b/src/flow/index/index.cc
@@ -20,7 +20,7 @@
     slot->worker = worker;
     slot->incarnation = incarnation;
   }
-  if (slot->incarnation > incarnation) return nullptr;  // said of an older life
+  if (slot->incarnation > incarnation) return nullptr;  // said of an older incarnation
   if (slot->incarnation < incarnation) {
     clear(*slot);
     slot->incarnation = incarnation;
@@ -138,7 +138,8 @@
 }
 
 bool Index::apply(wire::DeltaT const& delta, Bounds const& bounds, Micros now) {
-  // First the shelf: a new life empties it, and what only the former one kept ends with that, the base perhaps too.
+  // First the shelf: a new incarnation empties it, and what only the former one kept ends with that, the base perhaps
+  // too.
   Shelf* const shelf = shelf_for(delta.worker, delta.incarnation);
   if (delta.base != 0 && crumbs_.find(delta.base) == crumbs_.end()) return false;
   if (shelf == nullptr) return true;
@@ -215,7 +216,8 @@
 void Index::learn(wire::CrumbT const& item, Bounds const& bounds, Micros now) {
   std::size_t const n = std::min({item.workers.size(), item.incarnations.size(), item.ages.size()});
   std::vector<Shelf*> on;
-  // All shelves before the first crumb is held: one that a new life empties may end the very crumb, or its parent.
+  // All shelves before the first crumb is held: one that a new incarnation empties may end the very crumb, or its
+  // parent.
   for (std::size_t i = 0; i < n; ++i) on.push_back(shelf_for(item.workers[i], item.incarnations[i]));
   if (item.hash == 0 || (item.parent != 0 && crumbs_.find(item.parent) == crumbs_.end())) return;
   Crumb* const made = grow(item.hash, item.parent, item.weight);
--- a/src/flow/registry/registry.cc
+++ b/src/flow/registry/registry.cc
@@ -71,7 +71,7 @@
   if (item.doubted >= 0 && item.faults <= 1) item.shunned = -1;
   item.doubted = -1;
   Standing const said = word.leaving ? Standing::leaving : Standing::serving;
-  // §4.3: an end that this life announced sticks; only silence is taken back.
+  // §4.3: an end that this incarnation announced sticks; only silence is taken back.
   bool const sticks = item.standing == Standing::leaving && said == Standing::serving && guard(Guard::tombstone);
   if (item.standing != said && !sticks) {
     stand(item, said, now);
@@ -128,7 +128,7 @@
   item.order = std::max(item.order, entry.incarnation);
   bool const mine = entry.owner == self_ && item.owner != self_;
   item.owner = entry.owner;
-  if (mine) item.heard = now;  // of a former life of this node: it has a span to say something here
+  if (mine) item.heard = now;  // of a former incarnation of this node: it has a span to say something here
   if (!first) stand(item, said, now);
   return std::nullopt;
 }
--- a/src/flow/tenants/quota_client.h
+++ b/src/flow/tenants/quota_client.h
@@ -41,7 +41,7 @@
 
 class QuotaClient {
  public:
-  // 'first_request' numbers the questions of this life of the node.
+  // 'first_request' numbers the questions of this incarnation of the node.
   QuotaClient(std::string self, std::uint64_t first_request) : self_(std::move(self)), next_(first_request) {}
 
   // 'piece_most': more is not asked of one owner at once.
--- a/src/flow/tenants/quota_owner.h
+++ b/src/flow/tenants/quota_owner.h
@@ -1,6 +1,6 @@
 // Hands out this node's part of tenants' limits. A bucket for each tenant fills at the part's rate up to the part's
 // depth; what is asked for is granted whole or not at all. A process that begins has empty buckets, so what a former
-// life granted is never granted twice.
+// incarnation granted is never granted twice.
 #pragma once
 #include <cstdint>
 #include <map>
--- a/src/flow/tenants/quota_shares.h
+++ b/src/flow/tenants/quota_shares.h
@@ -13,7 +13,7 @@
 class QuotaShares {
  public:
   // 'fence': for how long a node may go by a set after a newer one was chosen.
-  // 'settled': the fingerprint of a set that an earlier life of this node saw settled() with, 0 for none.
+  // 'settled': the fingerprint of a set that an earlier incarnation of this node saw settled() with, 0 for none.
   QuotaShares(std::string self, Micros fence, std::uint64_t settled = 0)
       : self_(std::move(self)), fence_(fence), settled_before_(settled) {}
 
--- a/src/gate/net/clock.h
+++ b/src/gate/net/clock.h
@@ -7,7 +7,7 @@
 // In microseconds; it never goes back.
 Micros loop_time();
 
-// While one of these lives in a test, time stands still but for what it is told.
+// While one of these incarnations in a test, time stands still but for what it is told.
 class ManualTime {
  public:
   explicit ManualTime(Micros start);
--- a/src/gate/net/upstream.h
+++ b/src/gate/net/upstream.h
@@ -38,7 +38,7 @@
   using Dial = std::function<std::shared_ptr<Link>(std::string const& address, std::string const& from, Micros within)>;
   void dial_by(Dial dial) { dial_ = std::move(dial); }
 
-  // Sends a request; 'peer' names who lives at the address, and kept connections belong to that name.
+  // Sends a request; 'peer' names who incarnations at the address, and kept connections belong to that name.
   void start(std::uint64_t id, std::string const& peer, std::string const& address, std::string bytes, Micros within);
   // Gives a request up: its connection is reset, so that nothing the system still holds of it arrives later.
   void cut(std::uint64_t id);
--- a/src/mesh/members/member_table.cc
+++ b/src/mesh/members/member_table.cc
@@ -40,7 +40,8 @@
 MemberTable::News MemberTable::merge(wire::MemberT const& item, Micros now) {
   if (item.name.empty() || item.state > 3) return News::none;
   if (item.name == self.name) {
-    // §3.3: news about this node itself. An older life's record only raises the incarnation; a wrong state is refuted.
+    // §3.3: news about this node itself. An older incarnation's record only raises the incarnation; a wrong state is
+    // refuted.
     bool const elder = item.incarnation > self.incarnation;
     bool const wrong = item.incarnation == self.incarnation && item.bump >= self.bump && item.state != self.state;
     if (!elder && !wrong) return News::none;
@@ -94,7 +95,7 @@
   if (item.name == self.name) return;
   std::map<std::string, Peer>::iterator const spot = peers.find(item.name);
   if (spot != peers.end() && spot->second.member.incarnation >= item.incarnation) return;
-  // A life that this node has not heard of: dialled on, and no older proof that nobody is there holds for it.
+  // A incarnation that this node has not heard of: dialled on, and no older proof that nobody is there holds for it.
   Peer& peer = peers[item.name];
   bool const fresh = peer.member.name.empty();
   if (fresh || peer.wire == 0 || peer.member.address != item.address) peer.version = ++version;
--- a/src/mesh/members/member_table.h
+++ b/src/mesh/members/member_table.h
@@ -23,7 +23,7 @@
   bool dialling = false;
   bool refused = false;       // its address refused a dial since it was last heard: no process is there
   Micros refused_at = -1;     // since when
-  std::uint64_t version = 0;  // the table's, when its life, state or address last changed here
+  std::uint64_t version = 0;  // the table's, when its incarnation, state or address last changed here
   void refuse(bool no, Micros now) {
     if (no != refused) refused_at = now;
     refused = no;
@@ -41,7 +41,8 @@
   News merge(wire::MemberT const& item, Micros now);
   // This node's own finding about a peer.
   void mark(Peer& peer, State state, Micros now);
-  // This node's own record, and those of peers whose life, state or address changed here after a version; 0 gives all.
+  // This node's own record, and those of peers whose incarnation, state or address changed here after a version; 0
+  // gives all.
   std::vector<std::unique_ptr<wire::MemberT>> table(std::uint64_t since = 0) const;
   // One number for all that is known of members: equal where two nodes know the same (§3.6).
   std::uint64_t digest() const;
--- a/src/mesh/mesh.cc
+++ b/src/mesh/mesh.cc
@@ -161,11 +161,12 @@
   for (std::unique_ptr<wire::MemberT> const& item : table) {
     MemberTable::News const news = members.merge(*item, now);
     if (news == MemberTable::News::refuted) announce_member(members.self, out);
-    // A peer that lives anew cannot have the wire of its former life.
+    // A peer that incarnations anew cannot have the wire of its former incarnation.
     if (news != MemberTable::News::fresh) continue;
     if (wide() && table.size() <= 12) rumoured_[item->name] = 6;
     std::map<std::string, Peer>::const_iterator const who = members.peers.find(item->name);
-    if (who != members.peers.end() && who->second.wire != 0 && connections_[who->second.wire].life < item->incarnation)
+    if (who != members.peers.end() && who->second.wire != 0 &&
+        connections_[who->second.wire].incarnation < item->incarnation)
       drop(who->second.wire, now, out);
   }
 }
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -80,8 +80,8 @@
     std::string address;
     Micros opened = 0;
     Micros heard = 0;
-    std::uint64_t life = 0;  // the peer's incarnation when it greeted
-    std::uint64_t told = 0;  // the member table's version that the last table on it brought
+    std::uint64_t incarnation = 0;  // the peer's incarnation when it greeted
+    std::uint64_t told = 0;         // the member table's version that the last table on it brought
   };
   struct Probe {
     std::string peer;
--- a/src/mesh/mesh_connections.cc
+++ b/src/mesh/mesh_connections.cc
@@ -138,7 +138,7 @@
   }
   std::string const& name = hello.self->name;
   connections_[id].peer = name;
-  connections_[id].life = hello.self->incarnation;
+  connections_[id].incarnation = hello.self->incarnation;
   members.readmit(name);
   if (members.merge(*hello.self, now) == MemberTable::News::fresh) find_member(*hello.self, out);
   Peer& peer = members.peers.at(name);
@@ -149,10 +149,10 @@
     bool const old_mine = connections_[peer.wire].outbound;
     bool const new_mine = connections_[id].outbound;
     bool const self_first = members.self.name < name;
-    // A peer dials only when it has no wire. So an older one is a remnant, of a former life or of a cut, unless
+    // A peer dials only when it has no wire. So an older one is a remnant, of a former incarnation or of a cut, unless
     // both sides dialled in the same moment.
-    bool const remnant =
-        connections_[peer.wire].life != hello.self->incarnation || now - connections_[peer.wire].opened > plan_.round;
+    bool const remnant = connections_[peer.wire].incarnation != hello.self->incarnation ||
+                         now - connections_[peer.wire].opened > plan_.round;
     if (remnant) {
       out.shuts.push_back(peer.wire);
       connections_.erase(peer.wire);
--- a/src/runtime/disk/disk_task.cc
+++ b/src/runtime/disk/disk_task.cc
@@ -43,7 +43,7 @@
 }
 
 Result<void> PosixDisk::lock() {
-  // Held for the life of the process: two replicas never share a folder.
+  // Held for as long as the process runs: two replicas never share a folder.
   int const fd = ::open((folder_ + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
   if (fd < 0) return fail(Kind::bad_disk, why("cannot open", "lock"));
   if (::flock(fd, LOCK_EX | LOCK_NB) != 0) {
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -297,7 +297,7 @@
     why = fresh.error().why;
   } else {
     Settings const& s = fresh.value();
-    // What a process is cannot change while it lives; what it allows can.
+    // What a process is cannot change while it incarnations; what it allows can.
     if (s.name != settings_.name || s.cluster != settings_.cluster || s.zone != settings_.zone ||
         s.mesh != settings_.mesh || s.http != settings_.http || s.data != settings_.data ||
         s.founders != settings_.founders || s.models != settings_.models || s.seeds != settings_.seeds ||
--- a/tests/fleet_traffic.cc
+++ b/tests/fleet_traffic.cc
@@ -108,7 +108,7 @@
     Worker& worker = workers[number];
     std::string const id = worker.id;
     std::uint64_t const order = ++worker.order;
-    world.enter(worker.home, world.machine(worker.home).life,
+    world.enter(worker.home, world.machine(worker.home).incarnation,
                 [id, order](Node& node, Micros now, NodeOut& out) { node.worker_left(id, order, now, out); });
     worker.ended = true;
   }
@@ -117,7 +117,7 @@
   struct Worker {
     std::string id;
     MachineId home;
-    std::uint64_t life;
+    std::uint64_t incarnation;
     std::uint64_t order;
     bool ended = false;
   };
@@ -128,8 +128,8 @@
     out.plain = plan.nodes - plan.disks;
     return out;
   }
-  static std::string name_of(std::size_t number, std::uint64_t life) {
-    return "i-" + std::to_string(100000 + number) + std::to_string(1000 + life);
+  static std::string name_of(std::size_t number, std::uint64_t incarnation) {
+    return "i-" + std::to_string(100000 + number) + std::to_string(1000 + incarnation);
   }
   Micros spread(Micros span) { return static_cast<Micros>(world.chance().below(static_cast<std::uint64_t>(span))); }
   double rate(std::uint64_t count) const { return static_cast<double>(count) * 1e6 / static_cast<double>(measured); }
@@ -151,7 +151,7 @@
     word.pool = "s-llm";
     word.slots = 48;
     word.order = ++worker.order;
-    world.enter(worker.home, world.machine(worker.home).life,
+    world.enter(worker.home, world.machine(worker.home).incarnation,
                 [word](Node& node, Micros now, NodeOut& out) { node.heartbeat(word, now, out); });
     world.after(heartbeat_interval, [this, number] { heartbeat(number); });
   }
@@ -159,7 +159,7 @@
   void request(MachineId id) {
     std::string const worker = workers[world.chance().below(workers.size())].id;
     std::uint64_t const path = world.chance().below(2000);
-    world.enter(id, world.machine(id).life, [worker, path](Node& node, Micros now, NodeOut&) {
+    world.enter(id, world.machine(id).incarnation, [worker, path](Node& node, Micros now, NodeOut&) {
       node.exchange.work(worker, prompt_work);
       if (Instance* const item = node.registry.find(worker)) item->work(prompt_work, now);
       wire::DeltaT delta;
@@ -179,9 +179,9 @@
     Worker& worker = workers[world.chance().below(workers.size())];
     std::string const id = worker.id;
     std::uint64_t const order = ++worker.order;
-    world.enter(worker.home, world.machine(worker.home).life,
+    world.enter(worker.home, world.machine(worker.home).incarnation,
                 [id, order](Node& node, Micros now, NodeOut& out) { node.worker_left(id, order, now, out); });
-    worker.id = name_of(static_cast<std::size_t>(&worker - workers.data()), ++worker.life);
+    worker.id = name_of(static_cast<std::size_t>(&worker - workers.data()), ++worker.incarnation);
     worker.order = 0;
     world.after(seconds(1) / static_cast<Micros>(plan.worker_restarts), [this] { restart_worker(); });
   }
@@ -202,7 +202,7 @@
     asked[label] = world.now();
     MachineId const id = world.chance().below(plan.nodes);
     if (!world.machine(id).up()) return;
-    world.enter(id, world.machine(id).life,
+    world.enter(id, world.machine(id).incarnation,
                 [label, made](Node& node, Micros now, NodeOut& out) { node.operate(label, made, now, out); });
   }
   void changing() {
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -136,7 +136,7 @@
   said.state = static_cast<std::uint8_t>(State::down);
   EXPECT_EQ(members.merge(said, 0), MemberTable::News::refuted);
   EXPECT_GT(members.self.bump, said.bump);
-  said.incarnation = 9;  // a former life is remembered with a later clock
+  said.incarnation = 9;  // a former incarnation is remembered with a later clock
   EXPECT_EQ(members.merge(said, 0), MemberTable::News::refuted);
   EXPECT_EQ(members.self.incarnation, 10u);
 }
--- a/tests/operators.cc
+++ b/tests/operators.cc
@@ -39,7 +39,7 @@
   }
 
   void send(std::uint64_t id, MachineId machine, Change const& change) {
-    world->enter(machine, world->machine(machine).life,
+    world->enter(machine, world->machine(machine).incarnation,
                  [id, change](Node& node, Micros now, NodeOut& out) { node.operate(id, change, now, out); });
   }
 
@@ -79,12 +79,12 @@
 TEST(Lives, no_two_nodes_and_no_two_lives_share_ballots_or_request_numbers) {
   wire::PrepareT const one = first_prepare_of("a", 1000);
   wire::PrepareT const other_node = first_prepare_of("b", 1000);
-  wire::PrepareT const other_life = first_prepare_of("a", 1001);
+  wire::PrepareT const other_incarnation = first_prepare_of("a", 1001);
   EXPECT_NE(one.ballot.who(), other_node.ballot.who());
-  EXPECT_NE(one.ballot.who(), other_life.ballot.who());
-  EXPECT_NE(other_node.ballot.who(), other_life.ballot.who());
+  EXPECT_NE(one.ballot.who(), other_incarnation.ballot.who());
+  EXPECT_NE(other_node.ballot.who(), other_incarnation.ballot.who());
   EXPECT_NE(one.req, other_node.req);
-  EXPECT_NE(one.req, other_life.req);
+  EXPECT_NE(one.req, other_incarnation.req);
 }
 
 // The replica took the order, its answer was lost, and then the node lost the quorum.
@@ -102,7 +102,8 @@
   }
 }
 
-// An order of a former life is taken late; its answer must not pass for that of the order which this life handed on.
+// An order of a former incarnation is taken late; its answer must not pass for that of the order which this incarnation
+// handed on.
 TEST_F(OrdersAtNodes, an_answer_to_a_former_life_answers_nothing) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     start(seed);
--- a/tests/record_store.cc
+++ b/tests/record_store.cc
@@ -48,8 +48,9 @@
   return out;
 }
 
-// The life of one process: opens the store and writes a few records until the process dies. What an earlier life synced
-// must be there, on the same disk id. False when the store could not be opened though the process was alive.
+// The incarnation of one process: opens the store and writes a few records until the process dies. What an earlier
+// incarnation synced must be there, on the same disk id. False when the store could not be opened though the process
+// was alive.
 bool write_records(SimulatedDisk& disk, std::uint64_t& disk_id, std::uint64_t& synced) {
   RecordStore store(disk, "c", "k1", small_file);
   bool blank = false;
--- a/tests/register.cc
+++ b/tests/register.cc
@@ -218,8 +218,8 @@
 TEST(Ballots, a_proposer_that_restarts_uses_none_of_its_former_life) {
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}));
   std::vector<wire::Ballot> ballots;
-  for (std::uint64_t life = 1; life <= 2; ++life) {
-    Proposer proposer("n", life);
+  for (std::uint64_t incarnation = 1; incarnation <= 2; ++incarnation) {
+    Proposer proposer("n", incarnation);
     proposer.know(members_of(2, {"k1", "k2", "k3"}));
     ASSERT_TRUE(proposer.ask(
         cluster.read(), [](Outcome const&) {}, 0));
@@ -248,7 +248,7 @@
   EXPECT_FALSE(same(ballots[0], ballots[1]));
 }
 
-// A replica's answer to a former life of the same node, should the request numbers ever be the same.
+// A replica's answer to a former incarnation of the same node, should the request numbers ever be the same.
 TEST(Ballots, a_promise_of_another_ballot_does_not_count) {
   Proposer proposer("n", 1);
   proposer.know(members_of(2, {"k1", "k2", "k3"}));
