--- a/proof/control_plane/operators.cc
+++ b/proof/control_plane/operators.cc
@@ -135,7 +135,7 @@
   std::string const id = change_id("amend", order.base, order.body);
   OrderStanding const standing = standing_of_order(outcome.value, id, OrderBase{order.base, true});
   if (standing == OrderStanding::taken) return answer(call, Verdict::confirmed, "", 0, "");
-  if (doubt_about_order(outcome.value, standing)) return answer(call, Verdict::unclear, "", 0, "");
+  if (unknown_outcome_of_order(outcome.value, standing)) return answer(call, Verdict::unclear, "", 0, "");
   if (standing == OrderStanding::outdated)
     return answer(call, Verdict::stale, outdated_fault(outcome.value, true).why, 0, "");
   Configuration const found = configuration_of(outcome.value);
--- a/src/base/events.h
+++ b/src/base/events.h
@@ -55,7 +55,7 @@
   EVENT(404, worker_back, INFO, "a dark worker answers again")                               \
   EVENT(405, list_failed, WARNING, "the platform's list could not be read")                  \
   EVENT(406, list_back, INFO, "the platform's list can be read again")                       \
-  EVENT(407, worker_doubted, WARNING, "a connection to a worker broke or fell silent")       \
+  EVENT(407, worker_suspected, WARNING, "a connection to a worker broke or fell silent")     \
   EVENT(408, worker_end_answered, INFO, "a worker's word of its end was answered")           \
   EVENT(500, errand_refused, INFO, "a request was refused")                                  \
   EVENT(501, leg_failed, WARNING, "a send to a worker failed")                               \
--- a/src/consensus/register/orders.cc
+++ b/src/consensus/register/orders.cc
@@ -48,7 +48,7 @@
   return base.by_label && present < base.expected ? OrderStanding::early : OrderStanding::outdated;
 }
 
-std::optional<Fault> doubt_about_order(wire::ValueT const& value, OrderStanding standing) {
+std::optional<Fault> unknown_outcome_of_order(wire::ValueT const& value, OrderStanding standing) {
   if (standing == OrderStanding::forgotten)
     return Fault{Kind::change_unknown, "it builds on a label or serial from before what is remembered", ""};
   if (standing == OrderStanding::early)
--- a/src/consensus/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -201,9 +201,9 @@
     return true;
   }
   if (serial_of_order(draft_, job.change.id) > 0) return true;
-  if (std::optional<Fault> const doubt = doubt_of(job)) {
+  if (std::optional<Fault> const unknown = unknown_outcome_of(job)) {
     Outcome lost;
-    lost.fault = *doubt;
+    lost.fault = *unknown;
     finish(lost);
     return false;
   }
@@ -212,11 +212,11 @@
 }
 
 // Why nobody can say what became, or will become, of the order that is to be tried now; nothing when that is certain.
-std::optional<Fault> Proposer::doubt_of(Job const& job) const {
+std::optional<Fault> Proposer::unknown_outcome_of(Job const& job) const {
   if (job.sent_serial > 0 && job.sent_serial <= draft_.forgotten_serial) return Fault{Kind::change_unknown, "", ""};
   if (job.change.type != Change::Type::apply) return std::nullopt;
   OrderBase const base{job.change.expected, job.change.label > 0};
-  return doubt_about_order(draft_, standing_of_order(draft_, job.change.id, base));
+  return unknown_outcome_of_order(draft_, standing_of_order(draft_, job.change.id, base));
 }
 
 void Proposer::make_change(Change const& change) {
--- a/src/consensus/register/proposer.h
+++ b/src/consensus/register/proposer.h
@@ -100,7 +100,7 @@
   void round_two(Micros now, std::vector<OutgoingMessage>& out);
   // False when the present change had to be given up, since nobody can know what became of it.
   bool make_draft();
-  std::optional<Fault> doubt_of(Job const& job) const;
+  std::optional<Fault> unknown_outcome_of(Job const& job) const;
   // What is said of a change that ends without a quorum's word.
   static Outcome outcome_without_quorum(Job const& job);
   void make_change(Change const& change);
--- a/src/core/listed.cc
+++ b/src/core/listed.cc
@@ -165,16 +165,16 @@
 void Node::leg_ended(std::uint64_t id, LegEnd end, std::string const& why, Micros back, Micros now, NodeOut& out) {
   watch_clock(now);
   desk.ended(id, end, why, back, now, out.desk);
-  for (std::pair<std::string, std::uint64_t> const& doubt : out.desk.doubts) {
-    check_now(doubt.first, now, out);
+  for (std::pair<std::string, std::uint64_t> const& suspect : out.desk.suspects) {
+    check_now(suspect.first, now, out);
     for (std::string const& name : index_peers()) {
-      wire::DoubtT word;
-      word.worker = doubt.first;
-      word.incarnation = doubt.second;
+      wire::WorkerSuspectedT word;
+      word.worker = suspect.first;
+      word.incarnation = suspect.second;
       mesh.post(name, std::move(word), out.mesh);
     }
   }
-  out.desk.doubts.clear();
+  out.desk.suspects.clear();
   desk.work(now, out.desk);
   check_asked(now, out);
 }
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -255,10 +255,10 @@
     case wire::Body::Proposed:
       take_answer(from, *body.AsProposed(), now, out);
       break;
-    case wire::Body::Doubt:
+    case wire::Body::WorkerSuspected:
       // Asked at once; a worker that is well is back in a moment.
-      if (fleet.doubt(body.AsDoubt()->worker, body.AsDoubt()->incarnation, now))
-        check_now(body.AsDoubt()->worker, now, out);
+      if (fleet.suspect(body.AsWorkerSuspected()->worker, body.AsWorkerSuspected()->incarnation, now))
+        check_now(body.AsWorkerSuspected()->worker, now, out);
       break;
     case wire::Body::Deltas:
     case wire::Body::TreeAsk:
--- a/src/flow/dispatch/dispatcher.cc
+++ b/src/flow/dispatch/dispatcher.cc
@@ -210,7 +210,7 @@
         registry_.well(*instance, now);
         // It is full, or it is somebody else who incarnations there now.
         instance->shunned = now + (elsewhere ? seconds(3) : millis(120));
-        if (elsewhere) exchange_.doubt(at);
+        if (elsewhere) exchange_.suspect(at);
         break;
       case AttemptEnd::whole:
       case AttemptEnd::failed:
@@ -219,9 +219,9 @@
       default:
         // One slow answer among others that flow is no sign of a worker in trouble.
         if (end == AttemptEnd::silent && now - instance->last_byte < quiet_least) break;
-        if (registry_.doubt(at, now)) {
-          log_event(Event::worker_doubted, at);
-          exchange_.doubt(at);
+        if (registry_.suspect(at, now)) {
+          log_event(Event::worker_suspected, at);
+          exchange_.suspect(at);
         }
         break;
     }
--- a/src/flow/errand/desk.cc
+++ b/src/flow/errand/desk.cc
@@ -326,8 +326,8 @@
   Worker const* const worker = fleet_.find(errand.worker);
   if (worker != nullptr &&
       (end == LegEnd::unreached || end == LegEnd::broke || end == LegEnd::silent || end == LegEnd::torn) &&
-      fleet_.doubt(errand.worker, errand.incarnation, now))
-    out.doubts.emplace_back(errand.worker, errand.incarnation);
+      fleet_.suspect(errand.worker, errand.incarnation, now))
+    out.suspects.emplace_back(errand.worker, errand.incarnation);
   log_event(Event::leg_failed, errand.worker + " " + kind_row(kind).name + " " + why);
   bool const may_repeat = errand.safe || !errand.left || !guard(Guard::never_repeat);
   bool const again = !errand.begun && may_repeat && !draining_ && errand.legs < errand.lane->policy.tries &&
--- a/src/flow/errand/desk.h
+++ b/src/flow/errand/desk.h
@@ -50,9 +50,9 @@
 struct DeskOut {
   std::vector<Start> starts;
   std::vector<Verdict> ends;
-  std::vector<std::pair<std::string, std::uint64_t>> doubts;  // workers, with their incarnation, whose wires broke
-  std::vector<std::string> asks;                              // workers that must answer before they are sent more
-  std::vector<std::uint64_t> drops;                           // legs to cut because their caller has gone
+  std::vector<std::pair<std::string, std::uint64_t>> suspects;  // workers, with their incarnation, whose wires broke
+  std::vector<std::string> asks;                                // workers that must answer before they are sent more
+  std::vector<std::uint64_t> drops;                             // legs to cut because their caller has gone
 };
 
 struct Tally {
--- a/src/flow/exchange/exchange.cc
+++ b/src/flow/exchange/exchange.cc
@@ -21,8 +21,8 @@
 
 void Exchange::load(std::string const& worker, std::int64_t running) { own(worker).running = running; }
 
-void Exchange::doubt(std::string const& worker) {
-  own(worker).doubt = true;
+void Exchange::suspect(std::string const& worker) {
+  own(worker).suspect = true;
   urgent_ = true;
 }
 
@@ -39,7 +39,7 @@
     Word& word = into[item->worker];
     word.work += item->reading;
     if (item->legs > 0) word.running = item->legs;
-    word.doubt = word.doubt || item->doubt;
+    word.suspected = word.suspected || item->suspected;
   }
   urgent_ = true;
 }
@@ -58,7 +58,7 @@
       Word& word = sum[item.first];
       word.work += item.second.work;
       word.running = std::max(word.running, item.second.running);
-      word.doubt = word.doubt || item.second.doubt;
+      word.suspected = word.suspected || item.second.suspected;
     }
   wire::LoadsT out;
   out.hops = hops;
@@ -67,7 +67,7 @@
     load->worker = item.first;
     load->reading = static_cast<std::uint32_t>(item.second.work);
     load->legs = static_cast<std::uint32_t>(std::max<std::int64_t>(0, item.second.running));
-    load->doubt = item.second.doubt;
+    load->suspected = item.second.suspected;
     out.list.push_back(std::move(load));
   }
   return out;
--- a/src/flow/exchange/exchange.h
+++ b/src/flow/exchange/exchange.h
@@ -28,7 +28,7 @@
   // This node's own words.
   void work(std::string const& worker, Micros span);           // it was given so much to read
   void load(std::string const& worker, std::int64_t running);  // it says that so much runs and waits there
-  void doubt(std::string const& worker);                       // a connection broke or fell silent
+  void suspect(std::string const& worker);                     // a connection broke or fell silent
   void delta(std::string const& tree, wire::DeltaT item);
   // Words of peers, already taken in; a hub passes them on.
   void pass(std::string const& from, wire::LoadsT const& words);
@@ -40,7 +40,7 @@
   struct Word {
     Micros work = 0;
     std::int64_t running = -1;
-    bool doubt = false;
+    bool suspected = false;
   };
   using Words = std::map<std::string, Word>;
   static wire::LoadsT loads_of(std::vector<Words const*> const& parts, std::uint8_t hops);
--- a/src/flow/fleet/fleet.cc
+++ b/src/flow/fleet/fleet.cc
@@ -78,7 +78,7 @@
   worker.woke = -1;
   worker.dark = true;
   worker.ever = false;
-  worker.doubted = false;
+  worker.suspected = false;
   worker.awake = 0;
   worker.misses = 0;
   worker.demand = 0;
@@ -162,11 +162,11 @@
   }
 }
 
-bool Fleet::doubt(std::string const& id, std::uint64_t incarnation, Micros now) {
+bool Fleet::suspect(std::string const& id, std::uint64_t incarnation, Micros now) {
   Worker* const worker = find(id);
-  if (worker == nullptr || worker->doubted || worker->dark || worker->row.incarnation != incarnation) return false;
-  worker->doubted = true;
-  worker->doubted_at = now;
+  if (worker == nullptr || worker->suspected || worker->dark || worker->row.incarnation != incarnation) return false;
+  worker->suspected = true;
+  worker->suspected_at = now;
   return true;
 }
 
@@ -199,7 +199,7 @@
   worker->confirmed = std::max(worker->confirmed, asked);
   worker->asked = -1;
   // Only what was asked after the doubt answers it.
-  if (asked >= worker->doubted_at) worker->doubted = false;
+  if (asked >= worker->suspected_at) worker->suspected = false;
   // A worker that says it woke later than it said before has lost what it kept, whatever its incarnation.
   if (!worker->dark && report->awake + seconds(1) < worker->awake) {
     worker->dark = true;
--- a/src/flow/fleet/fleet.h
+++ b/src/flow/fleet/fleet.h
@@ -38,8 +38,8 @@
   bool absent = false;       // buried because it was not listed, not because it was leaving
   bool dark = true;          // until it answers
   bool ever = false;         // it has answered once
-  bool doubted = false;      // a wire to it broke; it is asked before it is sent anything more
-  Micros doubted_at = 0;
+  bool suspected = false;    // a wire to it broke; it is asked before it is sent anything more
+  Micros suspected_at = 0;
   Micros awake = 0;  // as last reported
   int misses = 0;
   std::int64_t demand = 0;  // as last reported
@@ -61,7 +61,7 @@
     return exact ? told : std::max<std::int64_t>(demand + own_since(), told);
   }
   std::int64_t room(Pool const& pool) const { return row.slots > 0 ? row.slots : pool.slots; }
-  bool takes() const { return standing == Standing::serving && !dark && !doubted; }
+  bool takes() const { return standing == Standing::serving && !dark && !suspected; }
 };
 
 // Parses the platform's list. A torn or odd text is a failed reading, never a departure.
@@ -79,7 +79,7 @@
   void health_report(std::string const& id, std::uint64_t incarnation, Micros asked,
                      std::optional<HealthReport> const& report, bool refused, Micros now);
   // A wire to the worker broke, here or at a peer. True when that is news.
-  bool doubt(std::string const& id, std::uint64_t incarnation, Micros now);
+  bool suspect(std::string const& id, std::uint64_t incarnation, Micros now);
   // Restores what entries hold as serving and this table lost (§4.4).
   void reconcile(std::map<std::string, wire::EntryT> const& entries, Micros now);
 
--- a/src/flow/registry/registry.cc
+++ b/src/flow/registry/registry.cc
@@ -11,7 +11,7 @@
 constexpr Micros shun_first = millis(600);
 constexpr Micros shun_most = seconds(5);
 constexpr Micros gone_kept = seconds(60);
-constexpr std::size_t many_doubts_least = 3;  // doubted workers that are no accident, where few are known
+constexpr std::size_t many_suspected_least = 3;  // suspected workers that are no accident, where few are known
 }  // namespace
 
 Instance* Registry::find(std::string const& id) {
@@ -68,8 +68,8 @@
   item.owner = self_;
   item.heard = now;
   // What it says after the doubt answers the doubt; what has failed since is counted on.
-  if (item.doubted >= 0 && item.faults <= 1) item.shunned = -1;
-  item.doubted = -1;
+  if (item.suspected >= 0 && item.faults <= 1) item.shunned = -1;
+  item.suspected = -1;
   Standing const said = word.leaving ? Standing::leaving : Standing::serving;
   // §4.3: an end that this incarnation announced sticks; only silence is taken back.
   bool const sticks = item.standing == Standing::leaving && said == Standing::serving && guard(Guard::tombstone);
@@ -134,27 +134,27 @@
 }
 
 // Connections to many workers that break together speak of this node's network, not of each worker.
-bool Registry::doubts_many(Micros now) const {
-  std::size_t const doubted = static_cast<std::size_t>(
+bool Registry::many_suspected(Micros now) const {
+  std::size_t const suspected = static_cast<std::size_t>(
       std::count_if(all.begin(), all.end(), [&](std::pair<std::string const, Instance> const& item) {
         Instance const& at = item.second;
-        return at.doubted >= 0 && now - at.doubted < heartbeat_interval_ * 3 && at.standing != Standing::gone;
+        return at.suspected >= 0 && now - at.suspected < heartbeat_interval_ * 3 && at.standing != Standing::gone;
       }));
-  return doubted >= std::max(many_doubts_least, all.size() / 4);
+  return suspected >= std::max(many_suspected_least, all.size() / 4);
 }
 
 std::vector<wire::EntryT> Registry::silent(Micros now) {
   std::vector<wire::EntryT> out;
-  bool const doubt_counts = !doubts_many(now);
+  bool const suspicion_counts = !many_suspected(now);
   for (std::map<std::string, Instance>::iterator it = all.begin(); it != all.end();) {
     Instance& item = it->second;
     // Two heartbeats may be lost on the way to the next node; one and a half are enough when a connection broke as
     // well.
-    bool const doubted = item.doubted >= 0 && doubt_counts;
-    Micros const most = doubted ? heartbeat_interval_ * 7 / 4 : heartbeat_interval_ * 3;
+    bool const suspected = item.suspected >= 0 && suspicion_counts;
+    Micros const most = suspected ? heartbeat_interval_ * 7 / 4 : heartbeat_interval_ * 3;
     // Heartbeats may also come late by seconds: while nothing speaks against a worker, what its answers bring counts
     // too.
-    Micros const heard = doubted ? item.heard : std::max(item.heard, item.last_byte);
+    Micros const heard = suspected ? item.heard : std::max(item.heard, item.last_byte);
     if (item.owner == self_ && item.heard >= 0 && item.standing != Standing::gone && now - heard > most) {
       stand(item, Standing::gone, now);
       out.push_back(entry_of(item));
@@ -175,12 +175,12 @@
   }
 }
 
-bool Registry::doubt(std::string const& id, Micros now) {
+bool Registry::suspect(std::string const& id, Micros now) {
   Instance* const item = find(id);
   if (item == nullptr) return false;
-  if (item->doubted >= 0 && item->shunned > now) return false;  // shunned for being full is no doubt
+  if (item->suspected >= 0 && item->shunned > now) return false;  // shunned for being full is no doubt
   ++item->faults;
-  item->doubted = now;
+  item->suspected = now;
   item->shunned = now + std::min<Micros>(shun_most, shun_first << std::min(item->faults - 1, 4));
   return true;
 }
@@ -188,7 +188,7 @@
 void Registry::well(Instance& instance, Micros now) {
   instance.last_byte = now;
   instance.faults = 0;
-  instance.doubted = -1;
+  instance.suspected = -1;
   instance.shunned = -1;
 }
 
@@ -201,7 +201,7 @@
       item->said = load->legs;
       item->said_at = now;
     }
-    if (load->doubt) doubt(load->worker, now);
+    if (load->suspected) suspect(load->worker, now);
   }
 }
 
--- a/src/flow/registry/registry.h
+++ b/src/flow/registry/registry.h
@@ -37,7 +37,7 @@
   std::string owner;      // the node that took its last word that said something new
   Micros heard = -1;      // when this node took a heartbeat; -1 for never
   Micros known = 0;       // since when it stands here, or is gone
-  Micros doubted = -1;    // since when a broken or silent connection speaks against it
+  Micros suspected = -1;  // since when a broken or silent connection speaks against it
   Micros shunned = -1;    // until when it gets nothing while others are there
   int faults = 0;         // in a row
   Micros last_byte = -1;  // when anything last came from it
@@ -83,7 +83,7 @@
   void stood_still(Micros now);
 
   // A connection to the worker broke or stays silent, here or at a peer. True when that is news.
-  bool doubt(std::string const& id, Micros now);
+  bool suspect(std::string const& id, Micros now);
   void well(Instance& instance, Micros now);
 
   // What peers tell of workers: what they gave them to read, what these said of their load, and doubts.
@@ -95,7 +95,7 @@
 
  private:
   wire::EntryT entry_of(Instance const& instance) const;
-  bool doubts_many(Micros now) const;
+  bool many_suspected(Micros now) const;
   void stand(Instance& instance, Standing standing, Micros now);
 
   std::string const self_;
--- a/src/gate/station/status.cc
+++ b/src/gate/station/status.cc
@@ -23,7 +23,7 @@
   static char const* const words[] = {"serving", "leaving", "gone"};
   for (std::pair<std::string const, Instance> const& item : node.registry.all) {
     ++out[words[static_cast<std::size_t>(item.second.standing)]];
-    if (item.second.doubted >= 0) ++out["doubted"];
+    if (item.second.suspected >= 0) ++out["doubted"];
   }
   return out;
 }
@@ -81,7 +81,7 @@
     json.begin_object().key("id").text(at.id).key("zone").text(at.zone).key("pool").text(at.pool);
     json.key("standing").text(words[static_cast<std::size_t>(at.standing)]).key("owner").text(at.owner);
     json.key("doubted")
-        .boolean(at.doubted >= 0)
+        .boolean(at.suspected >= 0)
         .key("slots")
         .number(at.slots)
         .key("demand")
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -88,7 +88,7 @@
     }
   }
   // The workers that peers are told to doubt.
-  std::vector<std::string> doubts() {
+  std::vector<std::string> suspects() {
     Paths paths;
     paths.all = {"n2"};
     std::vector<OutgoingMessage> outgoing;
@@ -97,7 +97,7 @@
     for (OutgoingMessage const& item : outgoing)
       if (item.body.type == wire::Body::Loads)
         for (std::unique_ptr<wire::LoadT> const& row : item.body.AsLoads()->list)
-          if (row->doubt) out.push_back(row->worker);
+          if (row->suspect) out.push_back(row->worker);
     return out;
   }
   bool free_of_work() {
@@ -312,7 +312,7 @@
   std::string const second = started(1);
   EXPECT_FALSE(second.empty());
   EXPECT_NE(second, first);
-  EXPECT_EQ(doubts(), std::vector<std::string>{first});
+  EXPECT_EQ(suspects(), std::vector<std::string>{first});
 }
 
 TEST_F(Desks, attempts_are_counted_by_what_may_have_left) {
@@ -376,9 +376,9 @@
   dispatcher.left(1, now);
   dispatcher.left(2, now);
   end(1, AttemptEnd::declined);
-  EXPECT_TRUE(doubts().empty()) << "a worker that declines is well";
+  EXPECT_TRUE(suspects().empty()) << "a worker that declines is well";
   end(2, AttemptEnd::broke);
-  EXPECT_EQ(doubts(), std::vector<std::string>{"w"});
+  EXPECT_EQ(suspects(), std::vector<std::string>{"w"});
 }
 
 TEST_F(Desks, the_deadline_ends_what_is_under_way) {
--- a/tests/registry.cc
+++ b/tests/registry.cc
@@ -157,7 +157,7 @@
 TEST_F(Workers, a_doubted_worker_falls_silent_sooner) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   registry.heartbeat(heartbeat_of("v", 1), 0);
-  EXPECT_TRUE(registry.doubt("w", millis(100)));
+  EXPECT_TRUE(registry.suspect("w", millis(100)));
   std::vector<wire::EntryT> const gone = registry.silent(2 * gap);
   ASSERT_EQ(gone.size(), 1u);
   EXPECT_EQ(gone[0].key, "w");
@@ -169,7 +169,7 @@
   for (std::size_t const broken : {std::size_t(2), std::size_t(5)}) {
     registry.all.clear();
     for (int n = 0; n < 12; ++n) registry.heartbeat(heartbeat_of("w" + std::to_string(n), 1), 0);
-    for (std::size_t n = 0; n < broken; ++n) registry.doubt("w" + std::to_string(n), millis(100));
+    for (std::size_t n = 0; n < broken; ++n) registry.suspect("w" + std::to_string(n), millis(100));
     EXPECT_EQ(registry.silent(2 * gap).size(), broken < 3 ? broken : 0u);
     EXPECT_TRUE(registry.silent(3 * gap - 1).empty());
     EXPECT_EQ(registry.silent(3 * gap + 1).size(), broken < 3 ? 12 - broken : 12u) << "but silence ends them all";
@@ -177,9 +177,9 @@
   // Old doubts of workers that others hear of are no sign of trouble here.
   registry.all.clear();
   for (int n = 0; n < 12; ++n) registry.take_entry(entry_of("v" + std::to_string(n), 1, Standing::serving, "n2"), 0);
-  for (int n = 0; n < 12; ++n) registry.doubt("v" + std::to_string(n), 0);
+  for (int n = 0; n < 12; ++n) registry.suspect("v" + std::to_string(n), 0);
   registry.heartbeat(heartbeat_of("w", 1), 10 * gap);
-  registry.doubt("w", 10 * gap);
+  registry.suspect("w", 10 * gap);
   EXPECT_EQ(registry.silent(12 * gap).size(), 1u);
 }
 
@@ -195,12 +195,12 @@
 TEST_F(Workers, doubts_shun_longer_each_time_and_a_good_word_ends_them) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   Instance& item = *registry.find("w");
-  EXPECT_FALSE(registry.doubt("nobody", 0));
+  EXPECT_FALSE(registry.suspect("nobody", 0));
   Micros now = 0;
   Micros last = 0;
   for (int i = 0; i < 8; ++i) {
-    EXPECT_TRUE(registry.doubt("w", now)) << i;
-    EXPECT_FALSE(registry.doubt("w", now + 1)) << "no news while it is shunned";
+    EXPECT_TRUE(registry.suspect("w", now)) << i;
+    EXPECT_FALSE(registry.suspect("w", now + 1)) << "no news while it is shunned";
     Micros const span = item.shunned - now;
     EXPECT_GE(span, last);
     EXPECT_LE(span, seconds(5));
@@ -210,17 +210,17 @@
   EXPECT_EQ(last, seconds(5));
   registry.well(item, now);
   EXPECT_EQ(item.faults, 0);
-  EXPECT_LT(item.doubted, 0);
+  EXPECT_LT(item.suspected, 0);
   EXPECT_LE(item.shunned, now);
-  EXPECT_TRUE(registry.doubt("w", now));
+  EXPECT_TRUE(registry.suspect("w", now));
   EXPECT_LT(item.shunned - now, last) << "it counts from the beginning again";
 }
 
 TEST_F(Workers, a_heartbeat_after_one_doubt_answers_it) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
-  registry.doubt("w", 10);
+  registry.suspect("w", 10);
   registry.heartbeat(heartbeat_of("w", 2), 20);
-  EXPECT_LT(registry.find("w")->doubted, 0);
+  EXPECT_LT(registry.find("w")->suspected, 0);
   EXPECT_LE(registry.find("w")->shunned, 20);
 }
 
@@ -292,7 +292,7 @@
   wire::LoadsT loads;
   loads.list.push_back(std::make_unique<wire::LoadT>());
   loads.list[0]->worker = "w";
-  loads.list[0]->doubt = true;
+  loads.list[0]->suspect = true;
   registry.peer_loads(loads, millis(10));
   EXPECT_GT(registry.find("w")->shunned, millis(10));
 }
