--- a/src/core/listed.cc
+++ b/src/core/listed.cc
@@ -27,7 +27,7 @@
   index_sync.tick(now, index_peers(), outgoing);
   if (now >= next_reconcile_) {
     next_reconcile_ = now + seconds(30);
-    fleet.reconcile(mesh.ledger.all(), now);
+    fleet.reconcile(mesh.entry_table.all(), now);
   }
   if (list_flying_ && now - list_flew_ > seconds(3)) list_flying_ = false;
   if (now >= next_list_ && !list_flying_) {
@@ -105,18 +105,18 @@
   for (std::pair<std::string const, Worker> const& item : fleet.workers)
     if (rendezvous(item.first, names) == plan.name) mine.insert(item.first);
   bool any = false;
-  for (wire::EntryT& entry : fleet.entries_for(mine)) any = mesh.ledger.put(std::move(entry), now) || any;
+  for (wire::EntryT& entry : fleet.entries_for(mine)) any = mesh.entry_table.put(std::move(entry), now) || any;
   // §4.3: the owner may have missed a mark that this node read. Then this node says so under a key of its own.
   std::set<std::string> marked;
   for (std::pair<std::string const, Worker> const& item : fleet.workers) {
-    std::map<std::string, wire::EntryT>::const_iterator const said = mesh.ledger.all().find(item.first);
-    bool const told = said != mesh.ledger.all().end() && said->second.incarnation >= item.second.row.incarnation &&
+    std::map<std::string, wire::EntryT>::const_iterator const said = mesh.entry_table.all().find(item.first);
+    bool const told = said != mesh.entry_table.all().end() && said->second.incarnation >= item.second.row.incarnation &&
                       said->second.state != static_cast<std::uint8_t>(Standing::serving);
     if (item.second.standing != Standing::serving && !told && !mine.count(item.first)) marked.insert(item.first);
   }
   for (wire::EntryT& entry : fleet.entries_for(marked)) {
     entry.key += "!" + plan.name;
-    any = mesh.ledger.put(std::move(entry), now) || any;
+    any = mesh.entry_table.put(std::move(entry), now) || any;
   }
   if (any) mesh.flush_entries(out.mesh);
 }
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -420,12 +420,12 @@
 
 void Node::take_fresh(Micros now) {
   for (std::string const& key : mesh.fresh) {
-    std::map<std::string, wire::EntryT>::const_iterator const entry = mesh.ledger.all().find(key);
-    if (entry == mesh.ledger.all().end()) continue;
+    std::map<std::string, wire::EntryT>::const_iterator const entry = mesh.entry_table.all().find(key);
+    if (entry == mesh.entry_table.all().end()) continue;
     if (!plan.registered)
       fleet.take_entry(entry->second, now);
     else if (std::optional<wire::EntryT> word = registry.take_entry(entry->second, now))
-      mesh.ledger.put(std::move(*word), now);
+      mesh.entry_table.put(std::move(*word), now);
   }
   mesh.fresh.clear();
   for (std::string const& id : registry.ended) index_sync.forget(id);
--- a/src/core/registered.cc
+++ b/src/core/registered.cc
@@ -16,7 +16,7 @@
 }  // namespace
 
 void Node::put_entry(wire::EntryT entry, Micros now, NodeOut& out) {
-  if (mesh.ledger.put(std::move(entry), now)) mesh.flush_entries(out.mesh);
+  if (mesh.entry_table.put(std::move(entry), now)) mesh.flush_entries(out.mesh);
 }
 
 bool Node::heartbeat(Heartbeat const& word, Micros now, NodeOut& out) {
@@ -157,9 +157,9 @@
 void Node::tick_registered(Micros now, std::vector<OutgoingMessage>& outgoing, NodeOut& out) {
   Paths const ways = paths();
   // §12.7: an owner tells every peer itself; a hub tells its zone besides, for pairs that have no connection.
-  mesh.ledger.passes_on = !ways.wide;
-  mesh.ledger.pass_to.clear();
-  if (ways.hub) mesh.ledger.pass_to.insert(ways.zone.begin(), ways.zone.end());
+  mesh.entry_table.passes_on = !ways.wide;
+  mesh.entry_table.pass_to.clear();
+  if (ways.hub) mesh.entry_table.pass_to.insert(ways.zone.begin(), ways.zone.end());
   if (now >= next_round_) {
     next_round_ = now + seconds(1);
     index_sync.round(
@@ -167,9 +167,9 @@
   }
   index_sync.tick(now, index_peers(), outgoing);
   if (now >= next_reconcile_) {
-    // §4.4: what the ledger holds and the table lost.
+    // §4.4: what the entry table holds and the table lost.
     next_reconcile_ = now + seconds(30);
-    for (std::pair<std::string const, wire::EntryT> const& item : mesh.ledger.all())
+    for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.all())
       if (registry.find(item.first) == nullptr) registry.take_entry(item.second, now);
   }
   for (wire::EntryT& entry : registry.silent(now)) put_entry(std::move(entry), now, out);
--- a/src/core/worker_ends.cc
+++ b/src/core/worker_ends.cc
@@ -29,7 +29,7 @@
   return std::all_of(mesh.members.peers.begin(), mesh.members.peers.end(),
                      [&](std::pair<std::string const, Peer> const& item) {
                        bool const reached = item.second.wire != 0 && item.second.state() == State::alive;
-                       return !reached || mesh.ledger.told(item.first, worker);
+                       return !reached || mesh.entry_table.told(item.first, worker);
                      });
 }
 
@@ -43,14 +43,14 @@
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       if (mesh.gone(item.first)) continue;
       ++all;
-      if (mesh.ledger.told(item.first, worker)) ++told;
+      if (mesh.entry_table.told(item.first, worker)) ++told;
     }
     return told * 2 > all;
   }
   Voters told;
   for (std::vector<wire::ReplicaT> const* const part : {&members.replicas, &members.former})
     for (wire::ReplicaT const& replica : *part)
-      if (replica.name == plan.name || mesh.ledger.told(replica.name, worker)) told[replica.name] = replica.disk;
+      if (replica.name == plan.name || mesh.entry_table.told(replica.name, worker)) told[replica.name] = replica.disk;
   return members.quorum(told);
 }
 
@@ -80,7 +80,7 @@
   bool told = false;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     alone = alone && mesh.gone(item.first);
-    told = told || mesh.ledger.told(item.first, worker);
+    told = told || mesh.entry_table.told(item.first, worker);
   }
   check_invariant(alone || told, Invariant::end_is_known, [&] {
     return worker + ", " + std::to_string(mesh.members.peers.size()) + " peers, " + std::to_string(mesh.wires_open()) +
--- a/src/flow/registry/registry.h
+++ b/src/flow/registry/registry.h
@@ -75,7 +75,7 @@
   std::optional<wire::EntryT> leave(std::string const& id, std::uint64_t order, Micros now);
   // A known worker whose owner is gone is this node's from now on: it has a span to say something. The entry to write.
   wire::EntryT adopt(std::string const& id, Micros now);
-  // An entry that the ledger took from a peer. What this node must say against it, when it knows better.
+  // An entry that the entry table took from a peer. What this node must say against it, when it knows better.
   std::optional<wire::EntryT> take_entry(wire::EntryT const& entry, Micros now);
   // Workers of this node whose heartbeats have stopped; entries to be written of them.
   std::vector<wire::EntryT> silent(Micros now);
--- a/src/mesh/ledger/ledger.cc
+++ b/src/mesh/ledger/ledger.cc
@@ -18,12 +18,12 @@
 }
 }  // namespace
 
-void Ledger::owe(std::string const& but, std::string const& key, std::uint64_t stamp) {
+void EntryTable::owe(std::string const& but, std::string const& key, std::uint64_t stamp) {
   for (std::pair<std::string const, Debt>& item : owed_)
     if (item.first != but) item.second.keys[key] = Owed{stamp, false};
 }
 
-bool Ledger::put(wire::EntryT item, Micros now) {
+bool EntryTable::put(wire::EntryT item, Micros now) {
   std::map<std::string, wire::EntryT>::iterator const spot = items_.find(item.key);
   if (spot != items_.end() && spot->second.owner == self_ && same(spot->second, item)) return false;
   item.owner = self_;
@@ -37,7 +37,7 @@
   return true;
 }
 
-bool Ledger::merge(std::string const& from, wire::EntryT const& item, Micros now) {
+bool EntryTable::merge(std::string const& from, wire::EntryT const& item, Micros now) {
   if (item.key.empty() || item.state > 2) return false;
   clock_ = std::max(clock_, item.stamp);
   std::map<std::string, wire::EntryT>::iterator const spot = items_.find(item.key);
@@ -57,20 +57,20 @@
   return true;
 }
 
-void Ledger::owe_all(std::string const& peer) {
+void EntryTable::owe_all(std::string const& peer) {
   Debt& debt = owed_[peer];
   debt.flying.clear();
   for (std::pair<std::string const, wire::EntryT> const& item : items_)
     debt.keys[item.first] = Owed{item.second.stamp, false};
 }
 
-void Ledger::owe_own(std::string const& peer) {
+void EntryTable::owe_own(std::string const& peer) {
   Debt& debt = owed_[peer];
   for (std::pair<std::string const, wire::EntryT> const& item : items_)
     if (item.second.owner == self_) debt.keys[item.first] = Owed{item.second.stamp, false};
 }
 
-wire::EntriesT Ledger::batch(std::string const& peer, bool again) {
+wire::EntriesT EntryTable::batch(std::string const& peer, bool again) {
   wire::EntriesT out;
   std::map<std::string, Debt>::iterator const spot = owed_.find(peer);
   if (spot == owed_.end() || spot->second.keys.empty()) return out;
@@ -92,7 +92,7 @@
   return out;
 }
 
-void Ledger::acked(std::string const& peer, std::uint64_t batch) {
+void EntryTable::acked(std::string const& peer, std::uint64_t batch) {
   std::map<std::string, Debt>::iterator const spot = owed_.find(peer);
   if (spot == owed_.end()) return;
   Debt& debt = spot->second;
@@ -106,12 +106,12 @@
   debt.flying.erase(fly);
 }
 
-bool Ledger::told(std::string const& peer, std::string const& key) const {
+bool EntryTable::told(std::string const& peer, std::string const& key) const {
   std::map<std::string, Debt>::const_iterator const spot = owed_.find(peer);
   return spot != owed_.end() && items_.count(key) > 0 && spot->second.keys.count(key) == 0;
 }
 
-std::uint64_t Ledger::digest() const {
+std::uint64_t EntryTable::digest() const {
   std::uint64_t out = 0;
   for (std::pair<std::string const, wire::EntryT> const& item : items_)
     if (!gone_at_.count(item.first))
@@ -119,7 +119,7 @@
   return out;
 }
 
-void Ledger::forget(Micros now, Micros age) {
+void EntryTable::forget(Micros now, Micros age) {
   for (std::map<std::string, Micros>::iterator it = gone_at_.begin(); it != gone_at_.end();) {
     if (now - it->second > age) {
       items_.erase(it->first);
--- a/src/mesh/ledger/ledger.h
+++ b/src/mesh/ledger/ledger.h
@@ -16,9 +16,9 @@
 inline bool beside_owner(std::string const& key) { return key.find('!') != std::string::npos; }
 inline std::string worker_of(std::string const& key) { return key.substr(0, key.find('!')); }
 
-class Ledger {
+class EntryTable {
  public:
-  explicit Ledger(std::string self) : self_(std::move(self)) {}
+  explicit EntryTable(std::string self) : self_(std::move(self)) {}
 
   // Writes an entry that this node took; true when it said something new.
   bool put(wire::EntryT item, Micros now);
--- a/src/mesh/mesh.cc
+++ b/src/mesh/mesh.cc
@@ -12,7 +12,7 @@
 }  // namespace
 
 Mesh::Mesh(MeshPlan plan, wire::MemberT const& self, std::uint64_t seed)
-    : members(self), ledger(self.name), plan_(std::move(plan)), random_(seed) {
+    : members(self), entry_table(self.name), plan_(std::move(plan)), random_(seed) {
   for (std::string const& address : plan_.seeds)
     if (address != self.address) seeds_.push_back({address, 0, 0, false});
 }
@@ -95,10 +95,10 @@
   return true;
 }
 
-void Mesh::repair_ledger(std::string const& name, std::uint64_t theirs, Micros now, Sends& out) {
-  if (!wide() || !ledger_repair_.due(ledger.digest(), theirs, now)) return;
-  ledger.owe_all(name);
-  wire::EntriesT batch = ledger.batch(name, false);
+void Mesh::repair_entries(std::string const& name, std::uint64_t theirs, Micros now, Sends& out) {
+  if (!wide() || !entries_repair_.due(entry_table.digest(), theirs, now)) return;
+  entry_table.owe_all(name);
+  wire::EntriesT batch = entry_table.batch(name, false);
   if (!batch.list.empty()) post(name, std::move(batch), out);
 }
 
@@ -149,10 +149,10 @@
 void Mesh::flush_entries(Sends& out, bool again) {
   for (std::pair<std::string const, Peer> const& item : members.peers) {
     if (item.second.wire == 0) continue;
-    wire::EntriesT batch = ledger.batch(item.first, again);
+    wire::EntriesT batch = entry_table.batch(item.first, again);
     while (!batch.list.empty()) {
       post(item.first, std::move(batch), out);
-      batch = ledger.batch(item.first, false);
+      batch = entry_table.batch(item.first, false);
     }
   }
 }
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -68,7 +68,7 @@
   std::string zone_of(WireId id) const;
 
   MemberTable members;
-  Ledger ledger;
+  EntryTable entry_table;
   std::vector<std::string> fresh;  // keys of entries that peers brought since the core last looked
   std::uint64_t frames_in = 0;
   std::uint64_t wires_open() const { return connections_.size(); }
@@ -133,7 +133,7 @@
   std::map<std::uint64_t, Probe> probes_;
   std::map<std::uint64_t, Relay> relays_;
   std::vector<Seed> seeds_;
-  // A repair that compares everything, by whole tables or ledgers: rare, and not while changes are on their way.
+  // A repair that compares everything, by whole tables or entry tables: rare, and not while changes are on their way.
   struct Repair {
     std::uint64_t digest = 0;
     Micros changed = 0;
@@ -141,8 +141,8 @@
     bool due(std::uint64_t own, std::uint64_t theirs, Micros now);
   };
   Repair table_repair_;
-  Repair ledger_repair_;
-  void repair_ledger(std::string const& name, std::uint64_t theirs, Micros now, Sends& out);
+  Repair entries_repair_;
+  void repair_entries(std::string const& name, std::uint64_t theirs, Micros now, Sends& out);
   std::map<std::string, int> rumoured_;  // members of whom something is new, with how often it is still told
 };
 
--- a/src/mesh/mesh_connections.cc
+++ b/src/mesh/mesh_connections.cc
@@ -17,11 +17,11 @@
   }
   wire::HelloT hello;
   hello.digest = members.digest();
-  hello.ledger = ledger.digest();
+  hello.entry_digest = entry_table.digest();
   hello.cluster = plan_.cluster;
   hello.format = frame_format;
   hello.members = static_cast<std::uint32_t>(members.peers.size());
-  hello.entries = static_cast<std::uint32_t>(ledger.all().size());
+  hello.entries = static_cast<std::uint32_t>(entry_table.all().size());
   hello.self = std::make_unique<wire::MemberT>(members.self);
   out.sends.push_back({id, encode_body(std::move(hello))});
 }
@@ -42,7 +42,7 @@
   who->second.bare_since = now;
   who->second.next_dial = now;  // §3.4: a wire that ends is a hint; look at once
   who->second.pause = 0;
-  ledger.drop(name);
+  entry_table.drop(name);
 }
 
 void Mesh::drop(WireId id, Micros now, Sends& out) {
@@ -175,7 +175,7 @@
   // The greeting answers a probe that was waiting for a wire.
   for (std::map<std::uint64_t, Probe>::iterator it = probes_.begin(); it != probes_.end();)
     it = it->second.peer == name ? probes_.erase(it) : std::next(it);
-  ledger.meet(name);
+  entry_table.meet(name);
   owe_entries(name, hello);
   tell_met(id, name, hello, out);
   flush_entries(out);
@@ -186,9 +186,9 @@
 // pings.
 void Mesh::owe_entries(std::string const& name, wire::HelloT const& hello) {
   if (!wide() || hello.entries == 0) {
-    ledger.owe_all(name);
-  } else if (hello.ledger != ledger.digest()) {
-    ledger.owe_own(name);
+    entry_table.owe_all(name);
+  } else if (hello.entry_digest != entry_table.digest()) {
+    entry_table.owe_own(name);
   }
 }
 
--- a/src/mesh/mesh_frames.cc
+++ b/src/mesh/mesh_frames.cc
@@ -29,14 +29,14 @@
       wire::PongT pong;
       pong.seq = ping.seq;
       pong.digest = members.digest();
-      pong.ledger = ledger.digest();
+      pong.entry_digest = entry_table.digest();
       pong.revision = members.self.revision;
       pong.serial = members.self.serial;
       pong.ready = members.self.ready;
       // §3.6: whoever knows something else is told everything, and answers with what it knows besides.
       pong.whole = !wide() || table_repair_.due(pong.digest, ping.digest, now);
       pong.table = !wide() ? table_for(id, false) : pong.whole ? members.table() : rumours();
-      repair_ledger(name, ping.ledger, now, out);
+      repair_entries(name, ping.entry_digest, now, out);
       out.sends.push_back({id, encode_body(std::move(pong))});
       return "";
     }
@@ -49,7 +49,7 @@
         news.table = members.table();
         post(name, std::move(news), out);
       }
-      repair_ledger(name, pong.ledger, now, out);
+      repair_entries(name, pong.entry_digest, now, out);
       probe_done(pong.seq, now);
       std::map<std::uint64_t, Relay>::iterator const relay = relays_.find(pong.seq);
       if (relay != relays_.end()) {
@@ -72,7 +72,7 @@
       ping.seq = seq;
       ping.table = wide() ? rumours() : table_for(target->second.wire, false);
       ping.digest = members.digest();
-      ping.ledger = ledger.digest();
+      ping.entry_digest = entry_table.digest();
       ping.revision = members.self.revision;
       ping.serial = members.self.serial;
       ping.ready = members.self.ready;
@@ -90,7 +90,7 @@
     case wire::Body::Entries: {
       wire::EntriesT const& list = *frame.body.AsEntries();
       for (std::unique_ptr<wire::EntryT> const& item : list.list)
-        if (ledger.merge(name, *item, now)) fresh.push_back(item->key);
+        if (entry_table.merge(name, *item, now)) fresh.push_back(item->key);
       wire::EntriesAckT ack;
       ack.batch = list.batch;
       out.sends.push_back({id, encode_body(std::move(ack))});
@@ -98,7 +98,7 @@
       return "";
     }
     case wire::Body::EntriesAck:
-      ledger.acked(name, frame.body.AsEntriesAck()->batch);
+      entry_table.acked(name, frame.body.AsEntriesAck()->batch);
       return "";
     default:
       return name;
--- a/src/mesh/mesh_probes.cc
+++ b/src/mesh/mesh_probes.cc
@@ -28,7 +28,7 @@
   ping.seq = seq;
   ping.table = wide() ? rumours() : table_for(peer.wire, false);
   ping.digest = members.digest();
-  ping.ledger = ledger.digest();
+  ping.entry_digest = entry_table.digest();
   ping.revision = members.self.revision;
   ping.serial = members.self.serial;
   ping.ready = members.self.ready;
@@ -118,7 +118,7 @@
   // What was not acked within a round goes again; where many are told, after three.
   if (!wide() || ++rounds_ % 3 == 0) flush_entries(out, true);
   members.forget(now, plan_.forget);
-  ledger.forget(now, plan_.forget);
+  entry_table.forget(now, plan_.forget);
   std::vector<WireId> stale;
   for (std::pair<WireId const, Connection> const& item : connections_) {
     bool const mute = item.second.peer.empty() && now - item.second.opened > seconds(5);
--- a/tests/fleet_traffic.cc
+++ b/tests/fleet_traffic.cc
@@ -239,7 +239,7 @@
 // configuration: 145,390 bytes a second and node at 30 nodes of which one restarts each second.
 TEST(FleetTraffic, a_node_that_restarts_is_told_everything_once) { EXPECT_LT(restarts_cost(30), 40000); }
 
-// Entries of workers that come and go are told once to each, and whole ledgers are not compared meanwhile.
+// Entries of workers that come and go are told once to each, and whole entry tables are not compared meanwhile.
 TEST(FleetTraffic, workers_that_restart_cost_each_node_little) {
   FleetPlan plan;
   plan.requests = false;
--- a/tests/wide.cc
+++ b/tests/wide.cc
@@ -224,7 +224,7 @@
   }
 }
 
-// While workers come and go all the time, whole tables and ledgers must not be sent at every ping.
+// While workers come and go all the time, whole tables and entry tables must not be sent at every ping.
 TEST(Wide, repairs_stay_rare_while_changes_are_on_their_way) {
   Field field(40, 4, 8);
   field.run(seconds(10));
