--- a/proof/checker/register_view.cc
+++ b/proof/checker/register_view.cc
@@ -140,8 +140,8 @@
     out.disk(symmetry, rest.disk);
     rest.disk = 0;
     out.number(hash_of_table(rest));
-  } else if (wire::ChosenT const* const news = body.AsChosen()) {
-    wire::ChosenT rest = *news;
+  } else if (wire::ChosenT const* const update = body.AsChosen()) {
+    wire::ChosenT rest = *update;
     add_optional(out, rest.value, symmetry);
     rest.value.reset();
     out.number(hash_of_table(rest));
@@ -357,7 +357,7 @@
   if (wire::PeekT const* const ask = body.AsPeek()) return ask->full ? "whole" : "marks";
   if (wire::PeekedT const* const ans = body.AsPeeked())
     return words_of(ans->ballot) + " epoch " + std::to_string(ans->epoch) + (ans->value ? " with its value" : "");
-  if (wire::ChosenT const* const news = body.AsChosen()) return news->value ? words_of(*news->value) : "a patch";
+  if (wire::ChosenT const* const update = body.AsChosen()) return update->value ? words_of(*update->value) : "a patch";
   return "";
 }
 
--- a/proof/checker/world.cc
+++ b/proof/checker/world.cc
@@ -321,8 +321,8 @@
     if (std::optional<wire::ValueT> const fresh = learner.take(message.from, *ans, node.now, out))
       tell(*fresh, "the learner of " + scenario->nodes[index]);
     tell_members(proposer, learner);
-  } else if (wire::ChosenT const* const news = message.body.AsChosen()) {
-    if (news->value) learner.adopt(*news->value, node.now);
+  } else if (wire::ChosenT const* const update = message.body.AsChosen()) {
+    if (update->value) learner.adopt(*update->value, node.now);
     tell_members(proposer, learner);
   } else {
     proposer.take(message.from, message.body, node.now, out);
@@ -455,9 +455,9 @@
   if (!holds || !scenario->push) return;
   for (std::string const& name : scenario->nodes) {
     if (name == scenario->nodes[index]) continue;
-    wire::ChosenT news;
-    news.value = std::make_unique<wire::ValueT>(outcome.value);
-    out.push_back(message_to(name, std::move(news)));
+    wire::ChosenT update;
+    update.value = std::make_unique<wire::ValueT>(outcome.value);
+    out.push_back(message_to(name, std::move(update)));
   }
 }
 
--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -56,10 +56,10 @@
   std::optional<Membership> const first = first_set(now);
   if (!first) return;
   for (wire::ReplicaT const& to : first->replicas) {
-    wire::FoundT news;
+    wire::FoundT update;
     for (wire::ReplicaT const& replica : first->replicas)
-      news.replicas.push_back(std::make_unique<wire::ReplicaT>(replica));
-    outgoing.push_back(message_to(to.name, std::move(news)));
+      update.replicas.push_back(std::make_unique<wire::ReplicaT>(replica));
+    outgoing.push_back(message_to(to.name, std::move(update)));
   }
 }
 
--- a/src/core/listed.cc
+++ b/src/core/listed.cc
@@ -80,7 +80,7 @@
   // What this reading began before a jump of the clock says nothing about the time after it.
   if (stale_from_ < 0 || list_flew_ >= stale_from_) {
     listed_at_ = list_flew_;
-    news_at_ = std::max(news_at_, listed_at_);
+    list_known_at_ = std::max(list_known_at_, listed_at_);
   }
   take_fresh(now);
   own_entries(now, out);
@@ -133,7 +133,7 @@
   if (now < next_loads_) return;
   next_loads_ = now + load_gap;
   wire::LoadsT loads = fleet.own_legs();
-  loads.age = news_age(now);
+  loads.age = list_age(now);
   std::string print;
   for (std::unique_ptr<wire::LoadT> const& item : loads.list)
     print += item->worker + " " + std::to_string(item->legs) + " ";
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -182,7 +182,7 @@
       hear(body.AsPeek()->age, now);
       if (acceptor) {
         wire::PeekedT ans = peeked(acceptor->held(), *body.AsPeek());
-        ans.age = news_age(now);
+        ans.age = list_age(now);
         ans.retiring = retiring_;
         outgoing.push_back(message_to(from, std::move(ans)));
       }
@@ -275,55 +275,57 @@
   dispatch(outgoing, now, out);
 }
 
-void Node::take_chosen(std::string const& from, wire::ChosenT const& news, Micros now,
+void Node::take_chosen(std::string const& from, wire::ChosenT const& update, Micros now,
                        std::vector<OutgoingMessage>& outgoing, NodeOut& out) {
-  if (!news.value && !news.patch) return;
-  std::uint64_t const revision = news.value ? news.value->revision : news.patch->rest ? news.patch->rest->revision : 0;
-  bool const fresh = news.value ? learner.adopt(*news.value, now) : learner.adopt(*news.patch, now);
+  if (!update.value && !update.patch) return;
+  std::uint64_t const revision = update.value         ? update.value->revision
+                                 : update.patch->rest ? update.patch->rest->revision
+                                                      : 0;
+  bool const fresh = update.value ? learner.adopt(*update.value, now) : learner.adopt(*update.patch, now);
   if (fresh) after_value(now, out);
   proposer.know(learner.membership());
-  if (news.hops > 0) forward(news, out);
+  if (update.hops > 0) forward(update, out);
   if (learner.revision() < revision) {
     // The patch has another base than what is held here: the whole value is asked for, and confirmed when it comes.
     wire::BehindT ask;
     ask.revision = learner.revision();
-    ask.req = news.req;
-    ask.origin = news.origin.empty() ? from : news.origin;
+    ask.req = update.req;
+    ask.origin = update.origin.empty() ? from : update.origin;
     outgoing.push_back(message_to(from, std::move(ask)));
     return;
   }
   wire::ConfirmT ok;
-  ok.req = news.req;
+  ok.req = update.req;
   ok.serial = learner.serial();
   // Router nodes that hold no registration may serve by this node's word alone (§6.7): who asks must hear of them.
   for (std::string const& name : plan.registered ? std::set<std::string>() : passages(true))
     if (!learner.value || registration_of(*learner.value, name) == nullptr) ok.routers.push_back(name);
-  if (news.req != 0) outgoing.push_back(message_to(news.origin.empty() ? from : news.origin, std::move(ok)));
+  if (update.req != 0) outgoing.push_back(message_to(update.origin.empty() ? from : update.origin, std::move(ok)));
   look_ready(now, out);
 }
 
 void Node::send_whole(std::string const& to, wire::BehindT const& ask, std::vector<OutgoingMessage>& outgoing) const {
   if (!learner.value || learner.revision() <= ask.revision) return;
-  wire::ChosenT news;
-  news.req = ask.req;
-  news.origin = ask.origin;
-  news.value = std::make_unique<wire::ValueT>(*learner.value);
-  outgoing.push_back(message_to(to, std::move(news)));
+  wire::ChosenT update;
+  update.req = ask.req;
+  update.origin = ask.origin;
+  update.value = std::make_unique<wire::ValueT>(*learner.value);
+  outgoing.push_back(message_to(to, std::move(update)));
 }
 
 void Node::spread(wire::ValueT const& value, std::optional<wire::ValueT> const& base, std::uint64_t req, NodeOut& out) {
-  wire::ChosenT news;
-  news.req = req;
+  wire::ChosenT update;
+  update.req = req;
   if (base && base->revision < value.revision)
-    news.patch = patch_between(*base, value);
+    update.patch = patch_between(*base, value);
   else
-    news.value = std::make_unique<wire::ValueT>(value);
+    update.value = std::make_unique<wire::ValueT>(value);
   if (!guard(Guard::spread)) return;
   if (plan.registered && mesh.wide()) {
     // §12.7: to those that keep, who bring it to the rest of their zones.
-    news.origin = plan.name;
-    news.hops = 1;
-    std::string const far = encode_body(wire::ChosenT(news));
+    update.origin = plan.name;
+    update.hops = 1;
+    std::string const far = encode_body(wire::ChosenT(update));
     std::set<std::string> reached{plan.replica ? plan.zone : std::string()};
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       if (item.second.wire == 0 || !item.second.member.replica) continue;
@@ -333,10 +335,10 @@
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
       if (item.second.wire != 0 && !reached.count(item.second.member.zone))
         out.mesh.sends.push_back({item.second.wire, far});
-    if (plan.replica) forward(news, out);
+    if (plan.replica) forward(update, out);
     return;
   }
-  std::string const bytes = encode_body(std::move(news));
+  std::string const bytes = encode_body(std::move(update));
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.wire != 0) out.mesh.sends.push_back({item.second.wire, bytes});
 }
@@ -404,9 +406,9 @@
     std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(hello_name);
     if (!mesh.wide() && peer != mesh.members.peers.end() && peer->second.wire == id && learner.value &&
         peer->second.member.revision < learner.revision()) {
-      wire::ChosenT news;
-      news.value = std::make_unique<wire::ValueT>(*learner.value);
-      mesh.post(hello_name, std::move(news), out.mesh);
+      wire::ChosenT update;
+      update.value = std::make_unique<wire::ValueT>(*learner.value);
+      mesh.post(hello_name, std::move(update), out.mesh);
     }
     return true;
   }
@@ -493,7 +495,7 @@
   std::vector<OutgoingMessage> outgoing;
   if (now >= next_poll_ && (guard(Guard::spread) || learner.sure < 0 || plan.role == Role::accord)) {
     next_poll_ = now + poll_span();
-    learner.poll(now, replicas(), news_age(now), outgoing);
+    learner.poll(now, replicas(), list_age(now), outgoing);
     found(now, outgoing);
   }
   if (acceptor)
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -172,7 +172,7 @@
   void after_value(Micros now, NodeOut& out);
   // Tells all peers of a chosen value, as a patch of 'base' where that is given.
   void spread(wire::ValueT const& value, std::optional<wire::ValueT> const& base, std::uint64_t req, NodeOut& out);
-  void take_chosen(std::string const& from, wire::ChosenT const& news, Micros now,
+  void take_chosen(std::string const& from, wire::ChosenT const& update, Micros now,
                    std::vector<OutgoingMessage>& outgoing, NodeOut& out);
   void send_whole(std::string const& to, wire::BehindT const& ask, std::vector<OutgoingMessage>& outgoing) const;
   void settle(std::uint64_t id, Change const& change, Outcome const& outcome, Micros now, NodeOut& out);
@@ -227,7 +227,7 @@
   void exchange_now(Micros now, NodeOut& out);
   Paths paths() const;
   std::string hub_of(std::string const& zone) const;
-  void forward(wire::ChosenT const& news, NodeOut& out);
+  void forward(wire::ChosenT const& update, NodeOut& out);
   // Changes go to one replica, so that proposers do not outbid each other (§12.8).
   std::string proposing_replica() const;
   // Whether a replica of the set is reached, and was last seen on the disk that belongs to the set.
@@ -263,7 +263,7 @@
   // Knowledge of the list that a peer passed on, as old as it said (§4.3).
   void hear(Micros age, Micros now);
   bool is_up_to_date(Micros now);
-  Micros news_age(Micros now) const { return news_at_ < 0 ? -1 : now - news_at_; }
+  Micros list_age(Micros now) const { return list_known_at_ < 0 ? -1 : now - list_known_at_; }
   void take_fresh(Micros now);
   void tell_loads(Micros now, std::vector<OutgoingMessage>& outgoing);
   void check_now(std::string const& id, Micros now, NodeOut& out);
@@ -301,7 +301,7 @@
   std::map<std::string, Micros> check_due_;
   bool able_ = false;
   bool isolated_ = false;
-  Micros news_at_ = -1;        // when the freshest reading of the list that is known here was begun, by whomever
+  Micros list_known_at_ = -1;  // when the freshest reading of the list that is known here was begun, by whomever
   Micros up_to_date_at_ = -1;  // until when no mark can have been missed
   Micros half_since_ = -1;     // since when at least half of all members are heard
   Micros list_said_at_ = -1;   // when the list's own address last refused, or answered oddly
--- a/src/core/registered.cc
+++ b/src/core/registered.cc
@@ -104,7 +104,7 @@
 }
 
 // §12.7: a replica brings a chosen value to its part of its zone's other nodes.
-void Node::forward(wire::ChosenT const& news, NodeOut& out) {
+void Node::forward(wire::ChosenT const& update, NodeOut& out) {
   if (!plan.replica) return;
   std::vector<std::string> hands{plan.name};
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
@@ -113,14 +113,14 @@
       hands.push_back(item.first);
   std::sort(hands.begin(), hands.end());
   wire::ChosenT copy;
-  copy.req = news.req;
-  copy.origin = news.origin;
-  if (news.value) copy.value = std::make_unique<wire::ValueT>(*news.value);
-  if (news.patch) copy.patch = std::make_unique<wire::ValuePatchT>(*news.patch);
+  copy.req = update.req;
+  copy.origin = update.origin;
+  if (update.value) copy.value = std::make_unique<wire::ValueT>(*update.value);
+  if (update.patch) copy.patch = std::make_unique<wire::ValuePatchT>(*update.patch);
   std::string const bytes = encode_body(std::move(copy));
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     Peer const& peer = item.second;
-    if (peer.wire == 0 || peer.member.replica || item.first == news.origin) continue;
+    if (peer.wire == 0 || peer.member.replica || item.first == update.origin) continue;
     if (peer.member.zone == plan.zone &&
         rendezvous(item.first, std::set<std::string>(hands.begin(), hands.end())) == plan.name)
       out.mesh.sends.push_back({peer.wire, bytes});
--- a/src/core/seats.cc
+++ b/src/core/seats.cc
@@ -150,7 +150,7 @@
     half_since_ = -1;
   else if (half_since_ < 0)
     half_since_ = now;
-  up_to_date_at_ = std::max(up_to_date_at_, news_at_);
+  up_to_date_at_ = std::max(up_to_date_at_, list_known_at_);
   Micros const word = std::max(half_at, list_said_at_);
   bool const held = up_to_date_at_ >= 0 && word - up_to_date_at_ <= alone_after;
   if (held || (half && now - half_since_ > catch_up)) up_to_date_at_ = std::max(up_to_date_at_, word);
@@ -159,7 +159,7 @@
 
 void Node::hear(Micros age, Micros now) {
   // What lay in a wire while this node stood still is older than it says.
-  if (age >= 0 && stale_from_ < 0) news_at_ = std::max(news_at_, now - age);
+  if (age >= 0 && stale_from_ < 0) list_known_at_ = std::max(list_known_at_, now - age);
 }
 
 }  // namespace pipit
--- a/src/flow/registry/registry.cc
+++ b/src/flow/registry/registry.cc
@@ -53,8 +53,8 @@
   Instance& item = all[word.id];
   bool const first = item.id.empty();
   if (!first && word.order < item.order) return std::nullopt;  // a late call
-  bool news = first || item.owner != self_ || item.address != word.address || item.zone != word.zone ||
-              item.pool != word.pool || item.slots != word.slots;
+  bool update = first || item.owner != self_ || item.address != word.address || item.zone != word.zone ||
+                item.pool != word.pool || item.slots != word.slots;
   if (first) {
     item.id = word.id;
     item.known = now;
@@ -75,9 +75,9 @@
   bool const sticks = item.standing == Standing::leaving && said == Standing::serving && guard(Guard::tombstone);
   if (item.standing != said && !sticks) {
     stand(item, said, now);
-    news = true;
+    update = true;
   }
-  if (!news) return std::nullopt;
+  if (!update) return std::nullopt;
   return entry_of(item);
 }
 
--- a/src/mesh/members/member_table.cc
+++ b/src/mesh/members/member_table.cc
@@ -37,21 +37,21 @@
 }
 }  // namespace
 
-MemberTable::News MemberTable::merge(wire::MemberT const& item, Micros now) {
-  if (item.name.empty() || item.state > 3) return News::none;
+MemberTable::MergeResult MemberTable::merge(wire::MemberT const& item, Micros now) {
+  if (item.name.empty() || item.state > 3) return MergeResult::none;
   if (item.name == self.name) {
     // §3.3: news about this node itself. An older incarnation's record only raises the incarnation; a wrong state is
     // refuted.
     bool const elder = item.incarnation > self.incarnation;
     bool const wrong = item.incarnation == self.incarnation && item.bump >= self.bump && item.state != self.state;
-    if (!elder && !wrong) return News::none;
+    if (!elder && !wrong) return MergeResult::none;
     if (elder) self.incarnation = item.incarnation + 1;
     self.bump = std::max(self.bump, item.bump) + 1;
     log_event(Event::self_refuted, "incarnation " + std::to_string(self.incarnation));
-    return News::refuted;
+    return MergeResult::refuted;
   }
   std::map<std::string, std::uint64_t>::const_iterator const gone = evicted.find(item.name);
-  if (gone != evicted.end() && item.incarnation <= gone->second) return News::none;
+  if (gone != evicted.end() && item.incarnation <= gone->second) return MergeResult::none;
   std::map<std::string, Peer>::iterator const spot = peers.find(item.name);
   if (spot == peers.end()) {
     Peer peer;
@@ -61,10 +61,10 @@
     peer.version = ++version;
     peers.emplace(item.name, std::move(peer));
     announce(item.name, static_cast<State>(item.state));
-    return News::fresh;
+    return MergeResult::fresh;
   }
   Peer& peer = spot->second;
-  if (rank(item) <= rank(peer.member)) return News::none;
+  if (rank(item) <= rank(peer.member)) return MergeResult::none;
   State const old = peer.state();
   if (item.incarnation > peer.member.incarnation) peer.refuse(false, now);
   // A higher bump alone, as with each change of the register, is told by the peer itself to whom it has a wire.
@@ -80,7 +80,7 @@
     peer.since = now;
     announce(item.name, peer.state());
   }
-  return News::fresh;
+  return MergeResult::fresh;
 }
 
 void MemberTable::mark(Peer& peer, State state, Micros now) {
--- a/src/mesh/members/member_table.h
+++ b/src/mesh/members/member_table.h
@@ -36,9 +36,9 @@
  public:
   explicit MemberTable(wire::MemberT self) : self(std::move(self)) {}
 
-  enum class News { none, fresh, refuted };
+  enum class MergeResult { none, fresh, refuted };
   // Takes one record of a table; says whether it changed anything here.
-  News merge(wire::MemberT const& item, Micros now);
+  MergeResult merge(wire::MemberT const& item, Micros now);
   // This node's own finding about a peer.
   void mark(Peer& peer, State state, Micros now);
   // This node's own record, and those of peers whose incarnation, state or address changed here after a version; 0
--- a/src/mesh/mesh.cc
+++ b/src/mesh/mesh.cc
@@ -42,9 +42,9 @@
 void Mesh::announce_member(wire::MemberT const& member, Sends& out) {
   for (std::pair<std::string const, Peer> const& item : members.peers) {
     if (item.second.wire == 0) continue;
-    wire::NewsT news;
-    news.table.push_back(std::make_unique<wire::MemberT>(member));
-    post(item.first, std::move(news), out);
+    wire::MembershipUpdateT update;
+    update.table.push_back(std::make_unique<wire::MemberT>(member));
+    post(item.first, std::move(update), out);
   }
 }
 
@@ -60,9 +60,9 @@
     if (item.second.wire != 0 && item.first != member.name) hands.push_back(item.first);
   for (std::size_t n = 0; n < plan_.told && !hands.empty(); ++n) {
     std::size_t const pick = random_.below(hands.size());
-    wire::NewsT news;
-    news.table.push_back(std::make_unique<wire::MemberT>(member));
-    post(hands[pick], std::move(news), out);
+    wire::MembershipUpdateT update;
+    update.table.push_back(std::make_unique<wire::MemberT>(member));
+    post(hands[pick], std::move(update), out);
     hands[pick] = hands.back();
     hands.pop_back();
   }
@@ -159,10 +159,10 @@
 
 void Mesh::take_table(std::vector<std::unique_ptr<wire::MemberT>> const& table, Micros now, Sends& out) {
   for (std::unique_ptr<wire::MemberT> const& item : table) {
-    MemberTable::News const news = members.merge(*item, now);
-    if (news == MemberTable::News::refuted) announce_member(members.self, out);
+    MemberTable::MergeResult const update = members.merge(*item, now);
+    if (update == MemberTable::MergeResult::refuted) announce_member(members.self, out);
     // A peer that incarnations anew cannot have the wire of its former incarnation.
-    if (news != MemberTable::News::fresh) continue;
+    if (update != MemberTable::MergeResult::fresh) continue;
     if (wide() && table.size() <= 12) rumoured_[item->name] = 6;
     std::map<std::string, Peer>::const_iterator const who = members.peers.find(item->name);
     if (who != members.peers.end() && who->second.wire != 0 &&
--- a/src/mesh/mesh_connections.cc
+++ b/src/mesh/mesh_connections.cc
@@ -140,7 +140,7 @@
   connections_[id].peer = name;
   connections_[id].incarnation = hello.self->incarnation;
   members.readmit(name);
-  if (members.merge(*hello.self, now) == MemberTable::News::fresh) find_member(*hello.self, out);
+  if (members.merge(*hello.self, now) == MemberTable::MergeResult::fresh) find_member(*hello.self, out);
   Peer& peer = members.peers.at(name);
   peer.refuse(false, now);
   if (peer.wire != 0 && peer.wire != id) {
@@ -196,10 +196,10 @@
 void Mesh::tell_met(WireId id, std::string const& name, wire::HelloT const& hello, Sends& out) {
   if (wide() && hello.digest == members.digest()) return;
   bool const whole = !wide() || hello.members < members.peers.size() / 2;
-  wire::NewsT news;
-  news.table = whole ? table_for(id, true) : rumours();
-  if (!whole) news.table.push_back(std::make_unique<wire::MemberT>(members.peers.at(name).member));
-  post(name, std::move(news), out);
+  wire::MembershipUpdateT update;
+  update.table = whole ? table_for(id, true) : rumours();
+  if (!whole) update.table.push_back(std::make_unique<wire::MemberT>(members.peers.at(name).member));
+  post(name, std::move(update), out);
 }
 
 }  // namespace pipit
--- a/src/mesh/mesh_frames.cc
+++ b/src/mesh/mesh_frames.cc
@@ -45,9 +45,9 @@
       take_table(pong.table, now, out);
       heard(name, pong.revision, pong.serial, pong.ready);
       if (wide() && pong.whole && pong.digest != members.digest()) {
-        wire::NewsT news;
-        news.table = members.table();
-        post(name, std::move(news), out);
+        wire::MembershipUpdateT update;
+        update.table = members.table();
+        post(name, std::move(update), out);
       }
       repair_entries(name, pong.entry_digest, now, out);
       probe_done(pong.seq, now);
@@ -84,8 +84,8 @@
       if (res.ok) probe_done(res.seq, now);
       return "";
     }
-    case wire::Body::News:
-      take_table(frame.body.AsNews()->table, now, out);
+    case wire::Body::MembershipUpdate:
+      take_table(frame.body.AsMembershipUpdate()->table, now, out);
       return "";
     case wire::Body::Entries: {
       wire::EntriesT const& list = *frame.body.AsEntries();
--- a/tests/change_traffic.cc
+++ b/tests/change_traffic.cc
@@ -179,9 +179,9 @@
 }
 
 std::size_t size_of(wire::ValuePatchT const& patch) {
-  wire::ChosenT news;
-  news.patch = std::make_unique<wire::ValuePatchT>(patch);
-  return encode_body(std::move(news)).size();
+  wire::ChosenT update;
+  update.patch = std::make_unique<wire::ValuePatchT>(patch);
+  return encode_body(std::move(update)).size();
 }
 }  // namespace
 
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -113,20 +113,20 @@
   wire::HelloT moved = hello("pipit", "b");
   moved.self->address = "10.0.0.9:1";
   moved.self->incarnation = 6;
-  wire::NewsT news;  // another peer tells where it is now, while the dial to the old place goes on
-  news.table.push_back(std::make_unique<wire::MemberT>(*moved.self));
+  wire::MembershipUpdateT update;  // another peer tells where it is now, while the dial to the old place goes on
+  update.table.push_back(std::make_unique<wire::MemberT>(*moved.self));
   wire::HelloT third = hello("pipit", "c");
   third.self->address = "10.0.0.3:1";
   node.opened(2, false, "", millis(30), out);
   node.bytes(2, encode_body(std::move(third)), millis(30), out);
-  node.bytes(2, encode_body(std::move(news)), millis(40), out);
+  node.bytes(2, encode_body(std::move(update)), millis(40), out);
   node.dial_failed("10.0.0.2:1", false, millis(900), out);
   out = NodeOut();
   node.tick(millis(1500), out);
   EXPECT_NE(std::find(out.mesh.dials.begin(), out.mesh.dials.end(), "10.0.0.9:1"), out.mesh.dials.end());
 }
 
-TEST(MemberTable, a_node_contradicts_news_of_its_end) {
+TEST(MemberTable, a_node_contradicts_update_of_its_end) {
   mute_log(true);
   wire::MemberT self;
   self.name = "a";
@@ -134,10 +134,10 @@
   MemberTable members(self);
   wire::MemberT said = self;
   said.state = static_cast<std::uint8_t>(State::down);
-  EXPECT_EQ(members.merge(said, 0), MemberTable::News::refuted);
+  EXPECT_EQ(members.merge(said, 0), MemberTable::MergeResult::refuted);
   EXPECT_GT(members.self.bump, said.bump);
   said.incarnation = 9;  // a former incarnation is remembered with a later clock
-  EXPECT_EQ(members.merge(said, 0), MemberTable::News::refuted);
+  EXPECT_EQ(members.merge(said, 0), MemberTable::MergeResult::refuted);
   EXPECT_EQ(members.self.incarnation, 10u);
 }
 
@@ -147,19 +147,19 @@
   self.incarnation = 5;
   MemberTable members(self);
   wire::MemberT peer = *hello("c", "b").self;
-  EXPECT_EQ(members.merge(peer, 0), MemberTable::News::fresh);
+  EXPECT_EQ(members.merge(peer, 0), MemberTable::MergeResult::fresh);
   std::uint64_t const first = members.version;
   EXPECT_EQ(members.table().size(), 2u);
   EXPECT_EQ(members.table(first).size(), 1u) << "its own record alone";
   ++peer.bump;
   peer.revision = 9;
-  EXPECT_EQ(members.merge(peer, 0), MemberTable::News::fresh);
+  EXPECT_EQ(members.merge(peer, 0), MemberTable::MergeResult::fresh);
   EXPECT_EQ(members.table(first).size(), 1u) << "a newer revision is told by the peer itself";
   members.mark(members.peers.at("b"), State::suspected, 1);
   ASSERT_EQ(members.table(first).size(), 2u);
   std::uint64_t const second = members.version;
   ++peer.bump;
-  EXPECT_EQ(members.merge(peer, 2), MemberTable::News::fresh);
+  EXPECT_EQ(members.merge(peer, 2), MemberTable::MergeResult::fresh);
   EXPECT_EQ(members.table(second).size(), 2u) << "a contradicted suspicion gets round";
 }
 
