--- a/proof/augury/callers.cc
+++ b/proof/augury/callers.cc
@@ -34,69 +34,71 @@
   if (list.size() > 60) list.erase(list.begin(), list.begin() + 20);
 }
 
-// One leg: the wire opens, the request leaves, the worker runs it, the answer begins and ends.
-void World::leg(Box& box, Start const& start) {
+// One attempt: the wire opens, the request leaves, the worker runs it, the answer begins and ends.
+void World::attempt(Box& box, Start const& start) {
   std::string const name = box.name;
   std::uint64_t const life = box.life;
-  std::uint64_t const errand = start.errand;
-  int const number = start.leg;
-  std::uint64_t const wish = box.errands.count(errand) ? box.errands[errand] : 0;
-  box.legs[errand] = number;
+  std::uint64_t const chat_request = start.chat_request;
+  int const number = start.attempt;
+  std::uint64_t const wish = box.chat_requests.count(chat_request) ? box.chat_requests[chat_request] : 0;
+  box.attempts[chat_request] = number;
   Hand& hand = *hands[start.worker];
-  auto const done = [this, name, life, errand, number](LegEnd how) {
-    enter(*boxes[name], life, [errand, number, how](Box& b, Micros t, NodeOut& out) {
-      std::map<std::uint64_t, int>::const_iterator const spot = b.legs.find(errand);
-      if (spot == b.legs.end() || spot->second != number) return;
-      b.node->leg_ended(errand, how, "", 0, t, out);
+  auto const done = [this, name, life, chat_request, number](ChatAttemptEnd how) {
+    enter(*boxes[name], life, [chat_request, number, how](Box& b, Micros t, NodeOut& out) {
+      std::map<std::uint64_t, int>::const_iterator const spot = b.attempts.find(chat_request);
+      if (spot == b.attempts.end() || spot->second != number) return;
+      b.node->chat_attempt_ended(chat_request, how, "", 0, t, out);
     });
   };
-  if (hand.life == 0) return after(lag(), [done] { done(LegEnd::unreached); });
-  if (cut(name, start.worker)) return after(seconds(1), [done] { done(LegEnd::unreached); });
+  if (hand.life == 0) return after(lag(), [done] { done(ChatAttemptEnd::unreached); });
+  if (cut(name, start.worker)) return after(seconds(1), [done] { done(ChatAttemptEnd::unreached); });
   std::uint64_t const hand_life = hand.life;
   std::string const worker = start.worker;
   Micros const answer = start.answer;
   Micros const stall = start.stall;
-  after(lag(), [this, name, life, errand, number, worker, hand_life, wish, answer, stall, done] {
+  after(lag(), [this, name, life, chat_request, number, worker, hand_life, wish, answer, stall, done] {
     Box& item = *boxes[name];
-    if (!item.up() || item.life != life || !item.legs.count(errand) || item.legs[errand] != number) return;
-    if (hands[worker]->life != hand_life) return done(LegEnd::unreached);
+    if (!item.up() || item.life != life || !item.attempts.count(chat_request) || item.attempts[chat_request] != number)
+      return;
+    if (hands[worker]->life != hand_life) return done(ChatAttemptEnd::unreached);
     // The wire is open: from here a byte may have left, even if this node is stopped in the very next moment.
-    item.node->leg_sent(errand);
-    after(lag(), [this, name, life, errand, number, worker, hand_life, wish, stall] {
-      arrive(name, life, errand, number, worker, hand_life, wish, stall);
+    item.node->chat_attempt_sent(chat_request);
+    after(lag(), [this, name, life, chat_request, number, worker, hand_life, wish, stall] {
+      arrive(name, life, chat_request, number, worker, hand_life, wish, stall);
     });
-    after(answer, [this, name, life, errand, number, worker, hand_life, wish, done] {
+    after(answer, [this, name, life, chat_request, number, worker, hand_life, wish, done] {
       Box& late = *boxes[name];
-      if (late.up() && late.life == life && late.legs.count(errand) && late.legs[errand] == number &&
-          !(late.begun.count(errand) && late.begun[errand] == number)) {
+      if (late.up() && late.life == life && late.attempts.count(chat_request) &&
+          late.attempts[chat_request] == number &&
+          !(late.begun.count(chat_request) && late.begun[chat_request] == number)) {
         hands[worker]->runs.erase(wish);
-        done(LegEnd::silent);
+        done(ChatAttemptEnd::silent);
       }
     });
   });
 }
 
-void World::arrive(std::string const& name, std::uint64_t life, std::uint64_t errand, int number,
+void World::arrive(std::string const& name, std::uint64_t life, std::uint64_t chat_request, int number,
                    std::string const& worker, std::uint64_t hand_life, std::uint64_t wish, Micros stall) {
   Hand& hand = *hands[worker];
-  auto const done = [this, name, life, errand, number](LegEnd how) {
-    enter(*boxes[name], life, [errand, number, how](Box& b, Micros t, NodeOut& out) {
-      std::map<std::uint64_t, int>::const_iterator const spot = b.legs.find(errand);
-      if (spot == b.legs.end() || spot->second != number) return;
-      if (how == LegEnd::done) {
-        b.legs.erase(errand);
-        b.errands.erase(errand);
+  auto const done = [this, name, life, chat_request, number](ChatAttemptEnd how) {
+    enter(*boxes[name], life, [chat_request, number, how](Box& b, Micros t, NodeOut& out) {
+      std::map<std::uint64_t, int>::const_iterator const spot = b.attempts.find(chat_request);
+      if (spot == b.attempts.end() || spot->second != number) return;
+      if (how == ChatAttemptEnd::done) {
+        b.attempts.erase(chat_request);
+        b.chat_requests.erase(chat_request);
       }
-      b.node->leg_ended(errand, how, "", 0, t, out);
+      b.node->chat_attempt_ended(chat_request, how, "", 0, t, out);
     });
   };
-  if (hand.life != hand_life) return after(lag(), [done] { done(LegEnd::broke); });
-  if (hand.refusing) return after(lag(), [done] { done(LegEnd::refused); });
+  if (hand.life != hand_life) return after(lag(), [done] { done(ChatAttemptEnd::broke); });
+  if (hand.refusing) return after(lag(), [done] { done(ChatAttemptEnd::refused); });
   Wish& item = *wishes[wish];
   if (item.knocked < 0) item.knocked = now;
   if (hand.frozen) {  // it lies in the worker's socket until the worker wakes
-    after(millis(200), [this, name, life, errand, number, worker, hand_life, wish, stall] {
-      arrive(name, life, errand, number, worker, hand_life, wish, stall);
+    after(millis(200), [this, name, life, chat_request, number, worker, hand_life, wish, stall] {
+      arrive(name, life, chat_request, number, worker, hand_life, wish, stall);
     });
     return;
   }
@@ -139,29 +141,29 @@
   if (hand.history.size() > 400) hand.history.erase(hand.history.begin(), hand.history.begin() + 200);
   Micros const first = lag(millis(10), millis(200));
   Micros const whole = first + lag(millis(100), millis(1500));
-  after(first, [this, name, life, errand, number, worker, hand_life, wish, done] {
+  after(first, [this, name, life, chat_request, number, worker, hand_life, wish, done] {
     Hand& here = *hands[worker];
     if (here.life != hand_life || !here.runs.count(wish)) {
-      if (here.life != hand_life) done(LegEnd::broke);
+      if (here.life != hand_life) done(ChatAttemptEnd::broke);
       return;
     }
     if (here.frozen) return;  // the answer's time will run out
-    enter(*boxes[name], life, [errand, number](Box& b, Micros, NodeOut&) {
-      if (!b.legs.count(errand) || b.legs[errand] != number) return;
-      b.begun[errand] = number;
-      b.node->leg_began(errand);
+    enter(*boxes[name], life, [chat_request, number](Box& b, Micros, NodeOut&) {
+      if (!b.attempts.count(chat_request) || b.attempts[chat_request] != number) return;
+      b.begun[chat_request] = number;
+      b.node->chat_attempt_began(chat_request);
     });
   });
   after(whole, [this, worker, hand_life, wish, stall, done] {
     Hand& here = *hands[worker];
-    if (here.life != hand_life) return done(LegEnd::torn);
-    if (here.frozen) return after(stall, [done] { done(LegEnd::torn); });
+    if (here.life != hand_life) return done(ChatAttemptEnd::torn);
+    if (here.frozen) return after(stall, [done] { done(ChatAttemptEnd::torn); });
     if (!here.runs.count(wish)) return;
     here.runs.erase(wish);
     here.history.emplace_back(now, static_cast<std::int64_t>(here.runs.size()));
     ++wishes[wish]->ended;
     after(lag(), [this, wish, done] {
-      done(LegEnd::done);
+      done(ChatAttemptEnd::done);
       told(wish, "done", 0);
     });
   });
@@ -199,9 +201,11 @@
     std::uint64_t hash = hash_text(item.tag, item.opening + 1);
     for (int i = 0; i < 20; ++i) ask.path.push_back(hash = hash_bits(hash + 1));
     ask.path.push_back(hash_bits(hash ^ id));
-    std::uint64_t const errand = ++b.next_errand;
-    b.errands[errand] = id;
-    enter(b, life, [errand, ask](Box& here, Micros t, NodeOut& out) { here.node->errand(errand, ask, t, out); });
+    std::uint64_t const chat_request = ++b.next_chat_request;
+    b.chat_requests[chat_request] = id;
+    enter(b, life, [chat_request, ask](Box& here, Micros t, NodeOut& out) {
+      here.node->chat_request(chat_request, ask, t, out);
+    });
   });
 }
 
--- a/proof/augury/machines.cc
+++ b/proof/augury/machines.cc
@@ -32,8 +32,8 @@
   box.power = false;
   box.deferred.clear();
   box.wires.clear();
-  box.errands.clear();
-  box.legs.clear();
+  box.chat_requests.clear();
+  box.attempts.clear();
   box.begun.clear();
   box.serial = 0;
   box.troubled = now;
@@ -79,7 +79,7 @@
 void World::halt(Box& box, bool power) {
   if (!box.up()) return;
   box.troubled = now;
-  Tally const& t = box.node->desk.tally;
+  Tally const& t = box.node->chat_dispatcher.tally;
   first_sends += t.first_sends;
   resends += t.resends;
   box.power = power;
@@ -90,8 +90,8 @@
     if (power) continue;
     hang(item.second.first, item.second.second);
   }
-  // Its legs' wires end with it, so its workers stop; its callers know nothing.
-  for (std::pair<std::uint64_t const, std::uint64_t> const& item : box.errands) {
+  // Its attempts' wires end with it, so its workers stop; its callers know nothing.
+  for (std::pair<std::uint64_t const, std::uint64_t> const& item : box.chat_requests) {
     std::uint64_t const wish = item.second;
     after(lag(), [this, wish] { told(wish, "lost", 0); });
     for (std::pair<std::string const, std::unique_ptr<Hand>>& hand : hands) hand.second->runs.erase(wish);
@@ -305,17 +305,18 @@
     hang(item.first, item.second);
     box.wires.erase(id);
   }
-  for (Start const& start : out.desk.starts) leg(box, start);
-  for (Verdict const& verdict : out.desk.ends) {
-    std::uint64_t const wish = box.errands.count(verdict.errand) ? box.errands[verdict.errand] : 0;
-    box.errands.erase(verdict.errand);
-    box.legs.erase(verdict.errand);
+  for (Start const& start : out.chat.starts) attempt(box, start);
+  for (Verdict const& verdict : out.chat.ends) {
+    std::uint64_t const wish =
+        box.chat_requests.count(verdict.chat_request) ? box.chat_requests[verdict.chat_request] : 0;
+    box.chat_requests.erase(verdict.chat_request);
+    box.attempts.erase(verdict.chat_request);
     std::string const ran = ran_word(verdict.ran);
     Micros const back = verdict.wait;
     ++end.kinds[std::string("answer ") + kind_row(verdict.fault.kind).name];
     after(lag(), [this, wish, ran, back] { told(wish, ran, back); });
   }
-  for (std::uint64_t const id : out.desk.drops) box.legs.erase(id);
+  for (std::uint64_t const id : out.chat.drops) box.attempts.erase(id);
   for (Reply const& reply : out.replies) answered(box, reply);
   if (out.read_list) {
     bool const mute = (list_down && list_silent) || cut(name, "list");
--- a/proof/augury/operators.cc
+++ b/proof/augury/operators.cc
@@ -124,7 +124,7 @@
     for (std::pair<std::string const, std::vector<Emptied>> const& item : emptied)
       for (Emptied const& e : item.second) any_empty = any_empty || e.to < 0;
     // One zone at a time: with every zone emptied there is rightly no service.
-    std::set<std::string> const& seen = box->node->desk.emptied();
+    std::set<std::string> const& seen = box->node->chat_dispatcher.emptied();
     bool asked = false;
     for (std::pair<std::uint64_t const, std::unique_ptr<Change_>> const& item : changes)
       asked = asked || (item.second->type == Change::Type::empty && now - item.second->from < seconds(5));
--- a/proof/augury/parts.h
+++ b/proof/augury/parts.h
@@ -21,10 +21,10 @@
   Micros disk_low = 500, disk_high = 6000;
   std::map<WireId, std::pair<std::shared_ptr<Link>, int>> wires;
   WireId next_wire = 0;
-  std::map<std::uint64_t, std::uint64_t> errands;  // errand to wish
-  std::map<std::uint64_t, int> legs;               // errand to the leg that runs
-  std::map<std::uint64_t, int> begun;              // errand to the leg whose answer began
-  std::uint64_t next_errand = 0;
+  std::map<std::uint64_t, std::uint64_t> chat_requests;  // chat request to wish
+  std::map<std::uint64_t, int> attempts;                 // chat request to the attempt that runs
+  std::map<std::uint64_t, int> begun;                    // chat request to the attempt whose answer began
+  std::uint64_t next_chat_request = 0;
   std::uint64_t serial = 0;
   Micros troubled = -seconds(60);  // when it was last cut, frozen, ended or started
   Tally banked;
@@ -62,7 +62,7 @@
   Micros came = 0;
   std::string told;
   int begun = 0, ended = 0;
-  Micros knocked = -1;  // when its leg reached a worker that has not begun it yet
+  Micros knocked = -1;  // when its attempt reached a worker that has not begun it yet
   bool over = false;
 };
 
--- a/proof/augury/trouble.cc
+++ b/proof/augury/trouble.cc
@@ -235,7 +235,7 @@
       }
       after(seconds(5), [this, stray] {
         Box* const at_box = pick([&stray](Box const& b) { return b.name != stray && b.node->ready(); });
-        if (at_box != nullptr && !quiet && at_box->node->desk.emptied().empty())
+        if (at_box != nullptr && !quiet && at_box->node->chat_dispatcher.emptied().empty())
           operate(Change::Type::empty, plan.shape->zones[random.below(plan.shape->zones.size())], 0, *at_box);
       });
       after(seconds(14), [this] { heal(); });
--- a/proof/augury/world.h
+++ b/proof/augury/world.h
@@ -93,9 +93,9 @@
   void save(Box& box, wire::RecordT record);
 
   // workers and callers
-  void leg(Box& box, Start const& start);
-  void arrive(std::string const& box, std::uint64_t life, std::uint64_t errand, int leg, std::string const& worker,
-              std::uint64_t hand_life, std::uint64_t wish, Micros stall);
+  void attempt(Box& box, Start const& start);
+  void arrive(std::string const& box, std::uint64_t life, std::uint64_t chat_request, int attempt,
+              std::string const& worker, std::uint64_t hand_life, std::uint64_t wish, Micros stall);
   void hand_up(Hand& hand);
   void hand_down(Hand& hand);
   void write_list();
--- a/proof/hollow/machine.h
+++ b/proof/hollow/machine.h
@@ -15,7 +15,7 @@
   std::optional<wire::RecordT> disk;
   std::unordered_map<WireId, std::pair<std::shared_ptr<Link>, int>> wires;
   WireId next_wire = 0;
-  std::uint64_t errands = 0;
+  std::uint64_t chat_requests = 0;
   std::uint64_t serial = 0;
   Micros troubled = 0;  // when it was last started or ended
   bool up() const { return node != nullptr; }
--- a/proof/hollow/scale.cc
+++ b/proof/hollow/scale.cc
@@ -131,7 +131,7 @@
   m.life = ++lives;
   m.silent = false;
   m.wires.clear();
-  m.errands = 0;
+  m.chat_requests = 0;
   m.serial = 0;
   m.troubled = now;
   NodePlan p;
@@ -368,20 +368,21 @@
     hang(end.first, end.second);
     m.wires.erase(id);
   }
-  for (Start const& start : out.desk.starts) {
-    std::uint64_t const errand = start.errand;
-    m.node->leg_sent(errand);
-    after(millis(30), [this, who, life, errand] {
+  for (Start const& start : out.chat.starts) {
+    std::uint64_t const chat_request = start.chat_request;
+    m.node->chat_attempt_sent(chat_request);
+    after(millis(30), [this, who, life, chat_request] {
       Machine& b = *machines[static_cast<std::size_t>(who)];
-      if (b.up() && b.life == life) b.node->leg_began(errand);
+      if (b.up() && b.life == life) b.node->chat_attempt_began(chat_request);
     });
-    after(answer_span, [this, who, life, errand] {
+    after(answer_span, [this, who, life, chat_request] {
       ++answered;
-      enter(who, life, Step::errand,
-            [errand](Machine& x, Micros t, NodeOut& o) { x.node->leg_ended(errand, LegEnd::done, "", 0, t, o); });
+      enter(who, life, Step::chat_request, [chat_request](Machine& x, Micros t, NodeOut& o) {
+        x.node->chat_attempt_ended(chat_request, ChatAttemptEnd::done, "", 0, t, o);
+      });
     });
   }
-  for (Verdict const& verdict : out.desk.ends) ++refused[kind_row(verdict.fault.kind).name];
+  for (Verdict const& verdict : out.chat.ends) ++refused[kind_row(verdict.fault.kind).name];
   for (Reply const& reply : out.replies) {
     bool const holds = reply.outcome.type == Outcome::Type::chosen;
     for (std::vector<Turn>::iterator it = turns.begin(); it != turns.end();) {
@@ -448,9 +449,10 @@
   std::uint64_t const prefixes = static_cast<std::uint64_t>(std::max(1, plan.prefixes));
   ask.path = path(session > 0 ? session % prefixes : random.below(prefixes), session);
   ask.path.push_back(hash_bits(ask.path.back() ^ random.next()));
-  std::uint64_t const errand = ++m.errands;
-  enter(who, life, Step::errand,
-        [errand, &ask](Machine& x, Micros t, NodeOut& out) { x.node->errand(errand, std::move(ask), t, out); });
+  std::uint64_t const chat_request = ++m.chat_requests;
+  enter(who, life, Step::chat_request, [chat_request, &ask](Machine& x, Micros t, NodeOut& out) {
+    x.node->chat_request(chat_request, std::move(ask), t, out);
+  });
 }
 
 void Scale::change() {
--- a/src/base/events.h
+++ b/src/base/events.h
@@ -57,9 +57,9 @@
   EVENT(406, list_back, INFO, "the platform's list can be read again")                       \
   EVENT(407, worker_suspected, WARNING, "a connection to a worker broke or fell silent")     \
   EVENT(408, worker_end_answered, INFO, "a worker's word of its end was answered")           \
-  EVENT(500, errand_refused, INFO, "a request was refused")                                  \
-  EVENT(501, leg_failed, WARNING, "a send to a worker failed")                               \
-  EVENT(502, leg_resent, INFO, "a request is sent a second time")                            \
+  EVENT(500, chat_request_rejected, INFO, "a request was refused")                           \
+  EVENT(501, chat_attempt_failed, WARNING, "a send to a worker failed")                      \
+  EVENT(502, chat_request_retried, INFO, "a request is sent a second time")                  \
   EVENT(503, stream_broke, WARNING, "a stream ended before its end")                         \
   EVENT(504, attempt_failed, WARNING, "an attempt at a worker failed")                       \
   EVENT(505, request_failed, INFO, "a request ended without success")                        \
--- a/src/core/listed.cc
+++ b/src/core/listed.cc
@@ -1,5 +1,5 @@
 // A router node where the platform has a list of workers (§4): readings of the list, workers' health, entries that this
-// node owns, and requests of callers in its errands.
+// node owns, and requests of callers in its chat requests.
 #include <algorithm>
 
 #include "base/events.h"
@@ -47,7 +47,7 @@
   if (learner.value)
     for (std::unique_ptr<wire::RouterRegistrationT> const& registration : learner.value->registrations)
       names.insert(registration->name);
-  desk.nodes(std::move(names), newcomer(now));
+  chat_dispatcher.nodes(std::move(names), newcomer(now));
   update_registration(now, out);
   tell_loads(now, outgoing);
   std::set<std::string> senders = passages(false);
@@ -59,8 +59,8 @@
     isolated_ = alone;
     log_event(alone ? Event::isolated : Event::not_isolated, "");
   }
-  desk.ready(able_ && !isolated_);
-  desk.work(now, out.desk);
+  chat_dispatcher.ready(able_ && !isolated_);
+  chat_dispatcher.work(now, out.chat);
   check_asked(now, out);
 }
 
@@ -85,7 +85,7 @@
   take_fresh(now);
   own_entries(now, out);
   look_ready(now, out);
-  desk.work(now, out.desk);
+  chat_dispatcher.work(now, out.chat);
 }
 
 void Node::health_report(Check const& check, std::optional<HealthReport> const& report, bool refused, Micros now,
@@ -94,7 +94,7 @@
   checking_.erase(check.worker);
   fleet.health_report(check.worker, check.incarnation, check.asked, report, refused, now);
   take_fresh(now);
-  desk.work(now, out.desk);
+  chat_dispatcher.work(now, out.chat);
   check_asked(now, out);
 }
 
@@ -121,22 +121,22 @@
   if (any) mesh.flush_entries(out.mesh);
 }
 
-void Node::errand(std::uint64_t id, Ask ask, Micros now, NodeOut& out) {
+void Node::chat_request(std::uint64_t id, Ask ask, Micros now, NodeOut& out) {
   watch_clock(now);
   ask.facts.zone = plan.zone;
-  desk.fresh(id, std::move(ask), now, out.desk);
+  chat_dispatcher.fresh(id, std::move(ask), now, out.chat);
   check_asked(now, out);
 }
 
-// Peers hear how many legs this node has at each worker, soon when that changed, and now and then when not.
+// Peers hear how many attempts this node has at each worker, soon when that changed, and now and then when not.
 void Node::tell_loads(Micros now, std::vector<OutgoingMessage>& outgoing) {
   if (now < next_loads_) return;
   next_loads_ = now + load_gap;
-  wire::LoadsT loads = fleet.own_legs();
+  wire::LoadsT loads = fleet.own_loads();
   loads.age = list_age(now);
   std::string print;
   for (std::unique_ptr<wire::LoadT> const& item : loads.list)
-    print += item->worker + " " + std::to_string(item->legs) + " ";
+    print += item->worker + " " + std::to_string(item->attempts) + " ";
   if (print == loads_last_ && now - loads_told_ < millis(500)) return;
   loads_last_ = print;
   loads_told_ = now;
@@ -153,19 +153,20 @@
 
 // Placing waits for a worker's word: it is asked once, and again when that was lost.
 void Node::check_asked(Micros now, NodeOut& out) {
-  for (std::string const& id : out.desk.asks) {
+  for (std::string const& id : out.chat.asks) {
     Worker* const worker = fleet.find(id);
     if (worker == nullptr || worker->asked >= 0) continue;
     worker->asked = now;
     check_now(id, now, out);
   }
-  out.desk.asks.clear();
+  out.chat.asks.clear();
 }
 
-void Node::leg_ended(std::uint64_t id, LegEnd end, std::string const& why, Micros back, Micros now, NodeOut& out) {
+void Node::chat_attempt_ended(std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros back, Micros now,
+                              NodeOut& out) {
   watch_clock(now);
-  desk.ended(id, end, why, back, now, out.desk);
-  for (std::pair<std::string, std::uint64_t> const& suspect : out.desk.suspects) {
+  chat_dispatcher.ended(id, end, why, back, now, out.chat);
+  for (std::pair<std::string, std::uint64_t> const& suspect : out.chat.suspects) {
     check_now(suspect.first, now, out);
     for (std::string const& name : index_peers()) {
       wire::WorkerSuspectedT word;
@@ -174,15 +175,15 @@
       mesh.post(name, std::move(word), out.mesh);
     }
   }
-  out.desk.suspects.clear();
-  desk.work(now, out.desk);
+  out.chat.suspects.clear();
+  chat_dispatcher.work(now, out.chat);
   check_asked(now, out);
 }
 
 void Node::hung_up(std::uint64_t id, Micros now, NodeOut& out) {
   watch_clock(now);
-  desk.hung_up(id, now, out.desk);
-  desk.work(now, out.desk);
+  chat_dispatcher.hung_up(id, now, out.chat);
+  chat_dispatcher.work(now, out.chat);
 }
 
 }  // namespace pipit
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -64,7 +64,7 @@
       proposer(plan.name, incarnation_seed(plan, SeedUse::ballots)),
       learner(incarnation_seed(plan, SeedUse::polls) >> spare_number_bits),
       index_sync(plan.chance + 1),
-      desk(plan.name, plan.zone, index_sync, fleet),
+      chat_dispatcher(plan.name, plan.zone, index_sync, fleet),
       registry(plan.name),
       exchange(plan.name),
       dispatcher(plan.name, plan.zone, index_sync, registry, exchange),
@@ -131,7 +131,7 @@
 
 Index::Bounds Node::bounds(std::string const& model) const {
   Index::Bounds out;
-  for (Pool const& pool : desk.description()->pools)
+  for (Pool const& pool : chat_dispatcher.description()->pools)
     if (pool.model == model) {
       out.blocks = static_cast<std::size_t>(pool.cache_blocks);
       out.age = pool.cache_age;
@@ -234,7 +234,7 @@
         registry.peer_loads(*body.AsLoads(), now);
         exchange.pass(from, *body.AsLoads());
       } else
-        fleet.peer_legs(from, *body.AsLoads(), now);
+        fleet.take_peer_loads(from, *body.AsLoads(), now);
       break;
     case wire::Body::NewestAsk:
       outgoing.push_back(message_to(from, newest_reply(body.AsNewestAsk()->req, now)));
@@ -354,13 +354,13 @@
       Result<std::shared_ptr<Description const>> made = plan.read(value.text);
       if (!made) {
         log_event(Event::not_in_force, "serial " + std::to_string(value.serial) + " " + made.error().why);
-        description = desk.description();
+        description = chat_dispatcher.description();
       } else {
         description = made.value();
       }
     }
     dispatcher.in_force(description);
-    desk.in_force(description, std::set<std::string>(value.emptied.begin(), value.emptied.end()));
+    chat_dispatcher.in_force(description, std::set<std::string>(value.emptied.begin(), value.emptied.end()));
     log_event(Event::in_force, "serial " + std::to_string(value.serial));
   }
   mesh.members.self.serial = value.serial;
@@ -475,14 +475,14 @@
   if (stale_from_ >= 0) {
     stale_from_ = -1;
     look_hold();
-    desk.work(now, out.desk);
+    chat_dispatcher.work(now, out.chat);
   }
   if (!able_ && newcomer(now)) return;
   if (!able_) {
     able_ = true;
     log_event(Event::ready, "revision " + std::to_string(learner.revision()) + ", " +
                                 std::to_string((now - born_) / 1000) + " ms after its start");
-    desk.ready(true);
+    chat_dispatcher.ready(true);
     mesh.members.self.ready = true;
     mesh.announce_self(out.mesh);
   }
@@ -535,7 +535,7 @@
   std::vector<OutgoingMessage> outgoing;
   repair_lease_.give_back(learner.membership(), outgoing);
   dispatch(outgoing, now, out);
-  desk.drain();
+  chat_dispatcher.drain();
   mesh.members.self.ready = false;
   mesh.leave(out.mesh);
   log_event(Event::drain_began, "");
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -80,7 +80,7 @@
   std::optional<wire::RecordT> save;
   std::vector<Reply> replies;
   std::vector<EndAnswer> end_answers;
-  DeskOut desk;
+  ChatEffects chat;
   DispatchOut dispatch;
   bool read_list = false;
   std::vector<Check> checks;
@@ -121,11 +121,12 @@
   void await_end(std::uint64_t id, std::string const& worker, Micros now, NodeOut& out);
   void worker_left(std::string const& id, std::uint64_t order, Micros now, NodeOut& out);
 
-  // Errands.
-  void errand(std::uint64_t id, Ask ask, Micros now, NodeOut& out);
-  void leg_sent(std::uint64_t id) { desk.sent(id); }
-  void leg_began(std::uint64_t id) { desk.began(id); }
-  void leg_ended(std::uint64_t id, LegEnd end, std::string const& why, Micros back, Micros now, NodeOut& out);
+  // Chat requests.
+  void chat_request(std::uint64_t id, Ask ask, Micros now, NodeOut& out);
+  void chat_attempt_sent(std::uint64_t id) { chat_dispatcher.sent(id); }
+  void chat_attempt_began(std::uint64_t id) { chat_dispatcher.began(id); }
+  void chat_attempt_ended(std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros back, Micros now,
+                          NodeOut& out);
   void hung_up(std::uint64_t id, Micros now, NodeOut& out);
 
   // A planned stop is near: a replica asks to be replaced while it still holds its copy.
@@ -139,7 +140,7 @@
     return able_ && (!dispatcher.description()->keys_required || lease.holds(now));
   }
   bool draining() const { return leaving_; }
-  std::size_t under_way() const { return desk.under_way(); }
+  std::size_t under_way() const { return chat_dispatcher.under_way(); }
 
   NodePlan const plan;
   Mesh mesh;
@@ -149,7 +150,7 @@
   bool founds_again = false;  // an earlier incarnation of this founder ended before the first set was written
   IndexSync index_sync;
   Fleet fleet;
-  Desk desk;
+  ChatDispatcher chat_dispatcher;
   Registry registry;
   Exchange exchange;
   Dispatcher dispatcher;
--- a/src/core/seats.cc
+++ b/src/core/seats.cc
@@ -94,7 +94,7 @@
   if (plan.role != Role::passage) return;
   dispatcher.hold(stale_from_ >= 0);
   bool const lost = guard(Guard::registrations) && able_ && registered_at_ < 0 && learner.value && self_evicted();
-  desk.hold(stale_from_ >= 0 || lost);
+  chat_dispatcher.hold(stale_from_ >= 0 || lost);
 }
 
 bool Node::self_evicted() const {
--- a/src/flow/errand/desk.h
+++ b/src/flow/errand/desk.h
@@ -1,4 +1,4 @@
-// The desk: every request in this node, from its arrival to its answer. It decides; an executor obeys (§7).
+// The chat dispatcher: every request in this node, from its arrival to its answer. It decides; an executor obeys (§7).
 #pragma once
 #include <boost/intrusive/set.hpp>
 #include <map>
@@ -14,8 +14,8 @@
 
 namespace pipit {
 
-// How a leg ended.
-enum class LegEnd : std::uint8_t {
+// How a attempt ended.
+enum class ChatAttemptEnd : std::uint8_t {
   done,       // the whole answer came
   unreached,  // no wire could be opened; nothing was sent
   refused,    // the worker said that it did not run it (429, or 503 with a time to come back)
@@ -34,25 +34,25 @@
 };
 
 struct Start {
-  std::uint64_t errand = 0;
-  int leg = 0;
+  std::uint64_t chat_request = 0;
+  int attempt = 0;
   std::string worker;
   std::string address;
   Micros answer = 0;  // how long the first byte may take
   Micros stall = 0;   // how long the next one may
 };
-struct Verdict {  // the end of an errand that is not a success
-  std::uint64_t errand = 0;
+struct Verdict {  // the end of an chat request that is not a success
+  std::uint64_t chat_request = 0;
   Fault fault;
   Ran ran = Ran::no;
   Micros wait = 0;
 };
-struct DeskOut {
+struct ChatEffects {
   std::vector<Start> starts;
   std::vector<Verdict> ends;
   std::vector<std::pair<std::string, std::uint64_t>> suspects;  // workers, with their incarnation, whose wires broke
   std::vector<std::string> asks;                                // workers that must answer before they are sent more
-  std::vector<std::uint64_t> drops;                             // legs to cut because their caller has gone
+  std::vector<std::uint64_t> drops;                             // attempts to cut because their caller has gone
 };
 
 struct Tally {
@@ -60,11 +60,11 @@
   std::uint64_t blocks_asked = 0, blocks_hit = 0, far_sends = 0, late = 0;
 };
 
-class Desk {
+class ChatDispatcher {
  public:
-  Desk(std::string self, std::string zone, IndexSync& index_sync, Fleet& fleet)
+  ChatDispatcher(std::string self, std::string zone, IndexSync& index_sync, Fleet& fleet)
       : self_(std::move(self)), zone_(std::move(zone)), index_sync_(index_sync), fleet_(fleet) {}
-  ~Desk() { backlog_.clear(); }
+  ~ChatDispatcher() { backlog_.clear(); }
 
   void in_force(std::shared_ptr<Description const> description, std::set<std::string> emptied);
   // Placing stops while the node does not know enough: at its start, and after its clock jumped.
@@ -77,21 +77,21 @@
     newcomer_ = newcomer;
   }
 
-  void fresh(std::uint64_t id, Ask ask, Micros now, DeskOut& out);
+  void fresh(std::uint64_t id, Ask ask, Micros now, ChatEffects& out);
   void sent(std::uint64_t id);   // a byte may have left
   void began(std::uint64_t id);  // a byte was forwarded to the caller
-  void ended(std::uint64_t id, LegEnd end, std::string const& why, Micros back, Micros now, DeskOut& out);
-  void hung_up(std::uint64_t id, Micros now, DeskOut& out);
-  void work(Micros now, DeskOut& out);  // looks through the backlog
+  void ended(std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros back, Micros now, ChatEffects& out);
+  void hung_up(std::uint64_t id, Micros now, ChatEffects& out);
+  void work(Micros now, ChatEffects& out);  // looks through the backlog
 
-  std::size_t under_way() const { return errands_.size(); }
+  std::size_t under_way() const { return chat_requests_.size(); }
   std::size_t waiting() const { return backlog_.size(); }
   std::shared_ptr<Description const> const& description() const { return rules_; }
   std::set<std::string> const& emptied() const { return shut_; }
   Tally tally;
 
  private:
-  struct Errand : boost::intrusive::set_base_hook<> {
+  struct ChatRequest : boost::intrusive::set_base_hook<> {
     std::uint64_t id = 0;
     Ask ask;
     std::shared_ptr<Description const> rules;  // keeps the lane alive
@@ -101,21 +101,21 @@
     Micros due = 0;    // when the lane's wait ends
     Micros guess = 0;  // how long it was predicted to wait when it came
     bool safe = false;
-    int legs = 0;
+    int attempts = 0;
     Ran ran = Ran::no;
-    bool left = false;  // a byte of this leg may have left
+    bool left = false;  // a byte of this attempt may have left
     bool begun = false;
     std::string worker;
     std::uint64_t incarnation = 0;  // of the worker
     std::string pool;
-    Micros leg_from = 0;
+    Micros attempt_from = 0;
     std::set<std::string> tried;
-    friend bool operator<(Errand const& a, Errand const& b) {
+    friend bool operator<(ChatRequest const& a, ChatRequest const& b) {
       if (a.lane->policy.urgency != b.lane->policy.urgency) return a.lane->policy.urgency > b.lane->policy.urgency;
       return a.due != b.due ? a.due < b.due : a.id < b.id;
     }
   };
-  using Backlog = boost::intrusive::set<Errand>;
+  using Backlog = boost::intrusive::set<ChatRequest>;
 
   enum class Say : std::uint8_t { go, wait, never };
   struct Choice {
@@ -126,15 +126,15 @@
     Kind kind = Kind::no_worker;
     std::string ask;  // the worker that is waited for
   };
-  Choice select(Errand const& errand, std::size_t ahead, Micros now, bool sure_only = false);
-  void go(Errand& errand, Choice const& choice, Micros now, DeskOut& out);
-  void give_up(Errand& errand, Fault fault, Micros wait, DeskOut& out);
-  void erase(Errand& errand);
-  void release(Errand& errand, Micros now, bool good);
+  Choice select(ChatRequest const& chat_request, std::size_t ahead, Micros now, bool sure_only = false);
+  void go(ChatRequest& chat_request, Choice const& choice, Micros now, ChatEffects& out);
+  void give_up(ChatRequest& chat_request, Fault fault, Micros wait, ChatEffects& out);
+  void erase(ChatRequest& chat_request);
+  void release(ChatRequest& chat_request, Micros now, bool good);
   Micros service(Pool const& pool) const;
-  void learn_wait(Errand const& errand, Micros took);
+  void learn_wait(ChatRequest const& chat_request, Micros took);
   Micros likely(Micros wait) const;
-  Micros overdue(Errand const& errand, Micros now) const;
+  Micros overdue(ChatRequest const& chat_request, Micros now) const;
 
   std::string const self_;
   std::string const zone_;
@@ -149,7 +149,7 @@
   bool draining_ = false;
   double bucket_ = 1.0;
   double longer_ = 1.0;
-  std::map<std::uint64_t, std::unique_ptr<Errand>> errands_;
+  std::map<std::uint64_t, std::unique_ptr<ChatRequest>> chat_requests_;
   Backlog backlog_;
   std::map<std::string, std::int64_t> lane_waiting_;
   std::map<std::string, double> service_seen_;
--- a/src/flow/exchange/exchange.cc
+++ b/src/flow/exchange/exchange.cc
@@ -38,7 +38,7 @@
   for (std::unique_ptr<wire::LoadT> const& item : said.list) {
     Word& word = into[item->worker];
     word.work += item->reading;
-    if (item->legs > 0) word.running = item->legs;
+    if (item->attempts > 0) word.running = item->attempts;
     word.suspected = word.suspected || item->suspected;
   }
   urgent_ = true;
@@ -66,7 +66,7 @@
     std::unique_ptr<wire::LoadT> load = std::make_unique<wire::LoadT>();
     load->worker = item.first;
     load->reading = static_cast<std::uint32_t>(item.second.work);
-    load->legs = static_cast<std::uint32_t>(std::max<std::int64_t>(0, item.second.running));
+    load->attempts = static_cast<std::uint32_t>(std::max<std::int64_t>(0, item.second.running));
     load->suspected = item.second.suspected;
     out.list.push_back(std::move(load));
   }
--- a/src/flow/fleet/fleet.cc
+++ b/src/flow/fleet/fleet.cc
@@ -237,11 +237,11 @@
   return static_cast<std::int64_t>(worker.sends.size()) < share;
 }
 
-void Fleet::peer_legs(std::string const& peer, wire::LoadsT const& loads, Micros now) {
+void Fleet::take_peer_loads(std::string const& peer, wire::LoadsT const& loads, Micros now) {
   Told& item = told_[peer];
   item.at = now;
-  item.legs.clear();
-  for (std::unique_ptr<wire::LoadT> const& load : loads.list) item.legs[load->worker] = load->legs;
+  item.attempts.clear();
+  for (std::unique_ptr<wire::LoadT> const& load : loads.list) item.attempts[load->worker] = load->attempts;
 }
 
 void Fleet::sum_others(std::set<std::string> const& senders, Micros now) {
@@ -253,7 +253,7 @@
       it = told_.erase(it);
       continue;
     }
-    for (std::pair<std::string const, std::int64_t> const& item : it->second.legs) sums[item.first] += item.second;
+    for (std::pair<std::string const, std::int64_t> const& item : it->second.attempts) sums[item.first] += item.second;
     ++it;
   }
   for (std::string const& name : senders) {
@@ -267,13 +267,13 @@
   }
 }
 
-wire::LoadsT Fleet::own_legs() const {
+wire::LoadsT Fleet::own_loads() const {
   wire::LoadsT out;
   for (std::pair<std::string const, Worker> const& item : workers) {
-    if (item.second.legs.empty()) continue;
+    if (item.second.attempts.empty()) continue;
     std::unique_ptr<wire::LoadT> load = std::make_unique<wire::LoadT>();
     load->worker = item.first;
-    load->legs = static_cast<std::uint32_t>(item.second.legs.size());
+    load->attempts = static_cast<std::uint32_t>(item.second.attempts.size());
     out.list.push_back(std::move(load));
   }
   return out;
--- a/src/flow/fleet/fleet.h
+++ b/src/flow/fleet/fleet.h
@@ -44,20 +44,20 @@
   int misses = 0;
   std::int64_t demand = 0;  // as last reported
   Micros reported = 0;
-  Micros woke = -1;            // when it woke or came back from the dark; -1: not known, so cold
-  std::multiset<Micros> legs;  // this node's running legs, by their start
-  std::deque<Micros> sends;    // this node's sends within the last window
-  Micros confirmed = -1;       // when the last question was asked that this incarnation answered
-  Micros asked = -1;           // since when an answer is awaited before more is sent
+  Micros woke = -1;                // when it woke or came back from the dark; -1: not known, so cold
+  std::multiset<Micros> attempts;  // this node's running attempts, by their start
+  std::deque<Micros> sends;        // this node's sends within the last window
+  Micros confirmed = -1;           // when the last question was asked that this incarnation answered
+  Micros asked = -1;               // since when an answer is awaited before more is sent
   std::int64_t own_since() const {
-    return static_cast<std::int64_t>(std::distance(legs.lower_bound(reported), legs.end()));
+    return static_cast<std::int64_t>(std::distance(attempts.lower_bound(reported), attempts.end()));
   }
-  std::uint64_t sent = 0;   // legs that this node ever began there
-  std::int64_t others = 0;  // legs of peers, as they told last
+  std::uint64_t sent = 0;   // attempts that this node ever began there
+  std::int64_t others = 0;  // attempts of peers, as they told last
   bool exact = false;       // every peer that may send has told lately
   // §6.4: what all nodes told counts, when all told; else the late report counts too.
   std::int64_t guess() const {
-    std::int64_t const told = others + static_cast<std::int64_t>(legs.size());
+    std::int64_t const told = others + static_cast<std::int64_t>(attempts.size());
     return exact ? told : std::max<std::int64_t>(demand + own_since(), told);
   }
   std::int64_t room(Pool const& pool) const { return row.slots > 0 ? row.slots : pool.slots; }
@@ -83,10 +83,10 @@
   // Restores what entries hold as serving and this table lost (§4.4).
   void reconcile(std::map<std::string, wire::EntryT> const& entries, Micros now);
 
-  // A peer tells how many legs it has at each worker; 'senders' are the peers that may have any.
-  void peer_legs(std::string const& peer, wire::LoadsT const& loads, Micros now);
+  // A peer tells how many attempts it has at each worker; 'senders' are the peers that may have any.
+  void take_peer_loads(std::string const& peer, wire::LoadsT const& loads, Micros now);
   void sum_others(std::set<std::string> const& senders, Micros now);
-  wire::LoadsT own_legs() const;
+  wire::LoadsT own_loads() const;
 
   // What this node writes of the workers whose entries it owns.
   std::vector<wire::EntryT> entries_for(std::set<std::string> const& owned) const;
@@ -113,7 +113,7 @@
  private:
   struct Told {
     Micros at = 0;
-    std::map<std::string, std::int64_t> legs;
+    std::map<std::string, std::int64_t> attempts;
   };
   std::map<std::string, Told> told_;
   void begin_incarnation(Worker& worker, std::uint64_t incarnation);
--- a/src/flow/registry/registry.cc
+++ b/src/flow/registry/registry.cc
@@ -197,8 +197,8 @@
     Instance* const item = find(load->worker);
     if (item == nullptr) continue;
     if (load->reading > 0) item->work(load->reading, now);
-    if (load->legs > 0) {
-      item->said = load->legs;
+    if (load->attempts > 0) {
+      item->said = load->attempts;
       item->said_at = now;
     }
     if (load->suspected) suspect(load->worker, now);
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -63,26 +63,26 @@
   };
   connections_ = std::make_unique<Connections>(std::move(we));
 
-  Legs::Callbacks le;
-  le.sent = [this](std::uint64_t id) { node_->leg_sent(id); };
+  ChatUpstream::Callbacks le;
+  le.sent = [this](std::uint64_t id) { node_->chat_attempt_sent(id); };
   le.piece = [this](std::uint64_t id, std::string const& event) {
     std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(id);
     if (spot == callers_.end()) return;
     if (!spot->second.begun) {
       spot->second.begun = true;
-      node_->leg_began(id);
+      node_->chat_attempt_began(id);
     }
-    legs_with_[spot->second.worker_zone] += event.size() + 2;
+    attempts_with_[spot->second.worker_zone] += event.size() + 2;
     front_->piece(id, event + "\n\n", {{"X-Request-Id", spot->second.id}});
   };
   le.whole = [this](std::uint64_t id, std::string const& body) {
     std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(id);
     if (spot == callers_.end()) return;
-    legs_with_[spot->second.worker_zone] += body.size();
+    attempts_with_[spot->second.worker_zone] += body.size();
     front_->answer(id, 200, "application/json", body, {{"X-Request-Id", spot->second.id}});
   };
-  le.ended = [this](std::uint64_t id, LegEnd end, std::string const& why, Micros back) {
-    if (end == LegEnd::done && callers_.count(id)) {
+  le.ended = [this](std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros back) {
+    if (end == ChatAttemptEnd::done && callers_.count(id)) {
       if (callers_[id].stream) {
         front_->piece(id, "data: [DONE]\n\n");
         front_->end(id);
@@ -90,10 +90,10 @@
       callers_.erase(id);
     }
     NodeOut out;
-    node_->leg_ended(id, end, why, back, now(), out);
+    node_->chat_attempt_ended(id, end, why, back, now(), out);
     act(out);
   };
-  legs_ = std::make_unique<Legs>(std::move(le));
+  attempts_ = std::make_unique<ChatUpstream>(std::move(le));
 
   Front::Callbacks fe;
   fe.call = [this](Front::Call const& call) { on_call(call); };
@@ -124,7 +124,7 @@
 Host::~Host() {
   if (ticker_ != 0) g_source_remove(ticker_);
   front_.reset();
-  legs_.reset();
+  attempts_.reset();
   connections_.reset();
   disk_.reset();
   g_main_loop_unref(loop_);
@@ -189,16 +189,16 @@
     connection_names_.erase(id);
     connections_->shut(id);
   }
-  for (Start const& start : out.desk.starts) {
-    std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(start.errand);
+  for (Start const& start : out.chat.starts) {
+    std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(start.chat_request);
     if (spot == callers_.end()) continue;
     Worker const* const worker = node_->fleet.find(start.worker);
     spot->second.worker_zone = worker == nullptr ? "" : worker->row.zone;
-    legs_with_[spot->second.worker_zone] += spot->second.body.size();
-    legs_->start(start, spot->second.id, spot->second.path, spot->second.body, spot->second.stream);
+    attempts_with_[spot->second.worker_zone] += spot->second.body.size();
+    attempts_->start(start, spot->second.id, spot->second.path, spot->second.body, spot->second.stream);
   }
-  for (Verdict const& verdict : out.desk.ends) finish(verdict);
-  for (std::uint64_t const id : out.desk.drops) legs_->cut(id);
+  for (Verdict const& verdict : out.chat.ends) finish(verdict);
+  for (std::uint64_t const id : out.chat.drops) attempts_->cut(id);
   for (Reply const& item : out.replies) reply(item);
   if (out.read_list) {
     if (fires(Point::list_fail)) {
@@ -206,17 +206,18 @@
       node_->list(std::nullopt, true, now(), more);
       act(more);
     } else {
-      legs_->get(settings_.platform, "/workers", seconds(1), [this](bool good, bool refused, std::string const& body) {
-        std::optional<std::vector<ListRow>> rows;
-        if (good) {
-          Result<std::vector<ListRow>> read =
-              read_list(fires(Point::list_torn) ? body.substr(0, body.size() / 2) : body);
-          if (read) rows = std::move(read.value());
-        }
-        NodeOut more;
-        node_->list(rows, refused || !body.empty(), now(), more);
-        act(more);
-      });
+      attempts_->get(settings_.platform, "/workers", seconds(1),
+                     [this](bool good, bool refused, std::string const& body) {
+                       std::optional<std::vector<ListRow>> rows;
+                       if (good) {
+                         Result<std::vector<ListRow>> read =
+                             read_list(fires(Point::list_torn) ? body.substr(0, body.size() / 2) : body);
+                         if (read) rows = std::move(read.value());
+                       }
+                       NodeOut more;
+                       node_->list(rows, refused || !body.empty(), now(), more);
+                       act(more);
+                     });
     }
   }
   for (Check const& check : out.checks) {
@@ -226,16 +227,17 @@
       act(more);
       continue;
     }
-    legs_->get(check.address, "/vitals", millis(1000), [this, check](bool good, bool refused, std::string const& body) {
-      std::optional<HealthReport> report;
-      if (good) {
-        Result<HealthReport> read = read_health_report(body);
-        if (read) report = read.value();
-      }
-      NodeOut more;
-      node_->health_report(check, report, refused, now(), more);
-      act(more);
-    });
+    attempts_->get(check.address, "/vitals", millis(1000),
+                   [this, check](bool good, bool refused, std::string const& body) {
+                     std::optional<HealthReport> report;
+                     if (good) {
+                       Result<HealthReport> read = read_health_report(body);
+                       if (read) report = read.value();
+                     }
+                     NodeOut more;
+                     node_->health_report(check, report, refused, now(), more);
+                     act(more);
+                   });
   }
 }
 
@@ -247,15 +249,15 @@
 void Host::finish(Verdict const& verdict) {
   ++kinds_[kind_row(verdict.fault.kind).name];
   Answer const out = answer_for(verdict.fault, verdict.ran, verdict.wait);
-  std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(verdict.errand);
+  std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(verdict.chat_request);
   if (spot == callers_.end()) return;
   bool const begun = spot->second.begun;
   callers_.erase(spot);
   if (begun) {
     log_event(Event::stream_broke, kind_row(verdict.fault.kind).name);
-    front_->break_off(verdict.errand, "event: error\ndata: " + out.body + "\n\n");
+    front_->break_off(verdict.chat_request, "event: error\ndata: " + out.body + "\n\n");
   } else {
-    front_->answer(verdict.errand, out);
+    front_->answer(verdict.chat_request, out);
   }
 }
 
--- a/src/runtime/host.h
+++ b/src/runtime/host.h
@@ -34,7 +34,7 @@
   };
   void act(NodeOut& out);
   void on_call(Front::Call const& call);
-  void on_errand(Front::Call const& call, bool chat);
+  void on_chat_request(Front::Call const& call, bool chat);
   void on_operator(Front::Call const& call);
   void on_fault(Front::Call const& call);
   void refuse(std::uint64_t id, Fault const& fault);
@@ -53,7 +53,7 @@
   GMainLoop* loop_;
   std::unique_ptr<Node> node_;
   std::unique_ptr<Connections> connections_;
-  std::unique_ptr<Legs> legs_;
+  std::unique_ptr<ChatUpstream> attempts_;
   std::unique_ptr<Front> front_;
   std::unique_ptr<DiskTask> disk_;
   std::map<std::uint64_t, Caller> callers_;
@@ -63,9 +63,9 @@
   Micros ticked_ = 0;
   std::uint64_t longest_turn_ = 0;
   std::uint64_t wire_bytes_ = 0;
-  std::map<std::string, std::uint64_t> mesh_to_;     // bytes sent to nodes, by their zone
-  std::map<wire::Body, std::uint64_t> frame_bytes_;  // bytes sent to nodes, by the kind of frame
-  std::map<std::string, std::uint64_t> legs_with_;   // bytes of requests and answers, by the worker's zone
+  std::map<std::string, std::uint64_t> mesh_to_;        // bytes sent to nodes, by their zone
+  std::map<wire::Body, std::uint64_t> frame_bytes_;     // bytes sent to nodes, by the kind of frame
+  std::map<std::string, std::uint64_t> attempts_with_;  // bytes of requests and answers, by the worker's zone
   Micros grace_until_ = -1;
   Micros drain_until_ = -1;
   int code_ = 0;
--- a/src/runtime/http/legs.cc
+++ b/src/runtime/http/legs.cc
@@ -19,8 +19,8 @@
 }
 }  // namespace
 
-struct Legs::Leg {
-  Legs* host = nullptr;
+struct ChatUpstream::ChatAttempt {
+  ChatUpstream* host = nullptr;
   Start start;
   std::string id;
   bool stream = false;
@@ -37,7 +37,7 @@
   Pieces pieces;
   std::size_t events = 0;
   char room[16384];
-  ~Leg() {
+  ~ChatAttempt() {
     if (timer != 0) g_source_remove(timer);
     if (message != nullptr) g_signal_handlers_disconnect_by_data(message, this);
     g_clear_object(&body);
@@ -46,216 +46,226 @@
   }
 };
 
-Legs::Legs(Callbacks callbacks)
+ChatUpstream::ChatUpstream(Callbacks callbacks)
     : callbacks_(std::move(callbacks)), session_(make_session(4096)), small_(make_session(256)) {}
 
-Legs::~Legs() {
-  for (std::pair<std::uint64_t const, std::shared_ptr<Leg>>& item : legs_) {
+ChatUpstream::~ChatUpstream() {
+  for (std::pair<std::uint64_t const, std::shared_ptr<ChatAttempt>>& item : attempts_) {
     item.second->over = true;
     g_cancellable_cancel(item.second->stop);
   }
-  legs_.clear();
+  attempts_.clear();
   soup_session_abort(session_);
   soup_session_abort(small_);
   g_object_unref(session_);
   g_object_unref(small_);
 }
 
-void Legs::arm(Leg& leg, Micros within) {
-  if (leg.timer != 0) g_source_remove(leg.timer);
-  leg.timer = g_timeout_add(static_cast<guint>(within / 1000 + 1), on_timer, &leg);
+void ChatUpstream::arm(ChatAttempt& attempt, Micros within) {
+  if (attempt.timer != 0) g_source_remove(attempt.timer);
+  attempt.timer = g_timeout_add(static_cast<guint>(within / 1000 + 1), on_timer, &attempt);
 }
 
-gboolean Legs::on_timer(gpointer data) {
-  Leg& leg = *static_cast<Leg*>(data);
-  leg.timer = 0;
-  leg.late = true;
+gboolean ChatUpstream::on_timer(gpointer data) {
+  ChatAttempt& attempt = *static_cast<ChatAttempt*>(data);
+  attempt.timer = 0;
+  attempt.late = true;
   // What became of it is told once libsoup has let go: only then is it certain whether a byte left.
-  g_cancellable_cancel(leg.stop);
+  g_cancellable_cancel(attempt.stop);
   return G_SOURCE_REMOVE;
 }
 
-void Legs::start(Start const& start, std::string const& id, std::string const& path, std::string const& body,
-                 bool stream) {
-  std::shared_ptr<Leg> const leg = std::make_shared<Leg>();
-  leg->host = this;
-  leg->start = start;
-  leg->id = id;
-  leg->stream = stream;
-  leg->stop = g_cancellable_new();
-  leg->message = soup_message_new("POST", ("http://" + start.address + path).c_str());
-  legs_[start.errand] = leg;
-  if (leg->message == nullptr || fires(Point::leg_unreached) || fires_for(Point::cut_workers, start.worker)) {
-    std::shared_ptr<Leg>* const held = new std::shared_ptr<Leg>(leg);
+void ChatUpstream::start(Start const& start, std::string const& id, std::string const& path, std::string const& body,
+                         bool stream) {
+  std::shared_ptr<ChatAttempt> const attempt = std::make_shared<ChatAttempt>();
+  attempt->host = this;
+  attempt->start = start;
+  attempt->id = id;
+  attempt->stream = stream;
+  attempt->stop = g_cancellable_new();
+  attempt->message = soup_message_new("POST", ("http://" + start.address + path).c_str());
+  attempts_[start.chat_request] = attempt;
+  if (attempt->message == nullptr || fires(Point::attempt_unreached) || fires_for(Point::cut_workers, start.worker)) {
+    std::shared_ptr<ChatAttempt>* const held = new std::shared_ptr<ChatAttempt>(attempt);
     g_idle_add(
         [](gpointer data) -> gboolean {
-          std::unique_ptr<std::shared_ptr<Leg>> const item(static_cast<std::shared_ptr<Leg>*>(data));
-          if (!(*item)->over) (*item)->host->finish(**item, LegEnd::unreached, "fault point 7");
+          std::unique_ptr<std::shared_ptr<ChatAttempt>> const item(static_cast<std::shared_ptr<ChatAttempt>*>(data));
+          if (!(*item)->over) (*item)->host->finish(**item, ChatAttemptEnd::unreached, "fault point 7");
           return G_SOURCE_REMOVE;
         },
         held);
     return;
   }
-  // A wire of its own for each leg: libsoup repeats a request by itself only on a wire that was used before.
-  soup_message_set_flags(leg->message,
+  // A wire of its own for each attempt: libsoup repeats a request by itself only on a wire that was used before.
+  soup_message_set_flags(attempt->message,
                          static_cast<SoupMessageFlags>(SOUP_MESSAGE_NO_REDIRECT | SOUP_MESSAGE_NEW_CONNECTION));
-  SoupMessageHeaders* const head = soup_message_get_request_headers(leg->message);
+  SoupMessageHeaders* const head = soup_message_get_request_headers(attempt->message);
   soup_message_headers_replace(head, "X-Request-Id", id.c_str());
   soup_message_headers_replace(head, "Connection", "close");
   GBytes* const bytes = g_bytes_new(body.data(), body.size());
-  soup_message_set_request_body_from_bytes(leg->message, "application/json", bytes);
+  soup_message_set_request_body_from_bytes(attempt->message, "application/json", bytes);
   g_bytes_unref(bytes);
-  g_signal_connect(leg->message, "starting", G_CALLBACK(on_starting), leg.get());
-  arm(*leg, reach);
-  soup_session_send_async(session_, leg->message, G_PRIORITY_DEFAULT, leg->stop, on_head,
-                          new std::shared_ptr<Leg>(leg));
+  g_signal_connect(attempt->message, "starting", G_CALLBACK(on_starting), attempt.get());
+  arm(*attempt, reach);
+  soup_session_send_async(session_, attempt->message, G_PRIORITY_DEFAULT, attempt->stop, on_head,
+                          new std::shared_ptr<ChatAttempt>(attempt));
 }
 
-void Legs::on_starting(SoupMessage*, gpointer data) {
-  Leg& leg = *static_cast<Leg*>(data);
-  if (leg.sent) return;
-  leg.sent = true;
-  if (leg.over) return;
-  leg.host->callbacks_.sent(leg.start.errand);
-  leg.host->arm(leg, leg.start.answer);
-  if (fires(Point::leg_break_sent)) g_cancellable_cancel(leg.stop);
+void ChatUpstream::on_starting(SoupMessage*, gpointer data) {
+  ChatAttempt& attempt = *static_cast<ChatAttempt*>(data);
+  if (attempt.sent) return;
+  attempt.sent = true;
+  if (attempt.over) return;
+  attempt.host->callbacks_.sent(attempt.start.chat_request);
+  attempt.host->arm(attempt, attempt.start.answer);
+  if (fires(Point::attempt_break_sent)) g_cancellable_cancel(attempt.stop);
 }
 
-void Legs::finish(Leg& leg, LegEnd end, std::string const& why, Micros back) {
-  if (leg.over) return;
-  leg.over = true;
-  if (leg.timer != 0) g_source_remove(leg.timer);
-  leg.timer = 0;
-  g_cancellable_cancel(leg.stop);
-  std::uint64_t const errand = leg.start.errand;
-  legs_.erase(errand);  // whoever called this holds the leg
-  callbacks_.ended(errand, end, why, back);
+void ChatUpstream::finish(ChatAttempt& attempt, ChatAttemptEnd end, std::string const& why, Micros back) {
+  if (attempt.over) return;
+  attempt.over = true;
+  if (attempt.timer != 0) g_source_remove(attempt.timer);
+  attempt.timer = 0;
+  g_cancellable_cancel(attempt.stop);
+  std::uint64_t const chat_request = attempt.start.chat_request;
+  attempts_.erase(chat_request);  // whoever called this holds the attempt
+  callbacks_.ended(chat_request, end, why, back);
 }
 
-void Legs::on_head(GObject* source, GAsyncResult* result, gpointer data) {
-  std::unique_ptr<std::shared_ptr<Leg>> const held(static_cast<std::shared_ptr<Leg>*>(data));
-  Leg& leg = **held;
+void ChatUpstream::on_head(GObject* source, GAsyncResult* result, gpointer data) {
+  std::unique_ptr<std::shared_ptr<ChatAttempt>> const held(static_cast<std::shared_ptr<ChatAttempt>*>(data));
+  ChatAttempt& attempt = **held;
   GError* error = nullptr;
-  leg.body = soup_session_send_finish(SOUP_SESSION(source), result, &error);
+  attempt.body = soup_session_send_finish(SOUP_SESSION(source), result, &error);
   std::string const why = error != nullptr ? error->message : "";
   g_clear_error(&error);
-  if (leg.over) return;
-  if (leg.body == nullptr) {
-    if (!leg.sent) return leg.host->finish(leg, LegEnd::unreached, leg.late ? "no wire in time" : why);
-    return leg.host->finish(leg, leg.late ? LegEnd::silent : LegEnd::broke, why);
+  if (attempt.over) return;
+  if (attempt.body == nullptr) {
+    if (!attempt.sent)
+      return attempt.host->finish(attempt, ChatAttemptEnd::unreached, attempt.late ? "no wire in time" : why);
+    return attempt.host->finish(attempt, attempt.late ? ChatAttemptEnd::silent : ChatAttemptEnd::broke, why);
   }
-  leg.head = true;
-  unsigned const status = soup_message_get_status(leg.message);
-  SoupMessageHeaders* const head = soup_message_get_response_headers(leg.message);
+  attempt.head = true;
+  unsigned const status = soup_message_get_status(attempt.message);
+  SoupMessageHeaders* const head = soup_message_get_response_headers(attempt.message);
   if (status != 200) {
     char const* const after = soup_message_headers_get_one(head, "Retry-After");
     Micros const back = after != nullptr ? seconds(std::min(3600L, std::max(0L, std::strtol(after, nullptr, 10)))) : 0;
     // §7.3: 429 is a refusal before running by its meaning; 503 is one only when it says when to come back.
     bool const refused = status == 429 || (status == 503 && after != nullptr);
-    return leg.host->finish(leg,
-                            refused         ? LegEnd::refused
-                            : status >= 500 ? LegEnd::failed
-                                            : LegEnd::wrong,
-                            "status " + std::to_string(status), back);
+    return attempt.host->finish(attempt,
+                                refused         ? ChatAttemptEnd::refused
+                                : status >= 500 ? ChatAttemptEnd::failed
+                                                : ChatAttemptEnd::wrong,
+                                "status " + std::to_string(status), back);
   }
   char const* const type = soup_message_headers_get_content_type(head, nullptr);
-  std::string const want = leg.stream ? "text/event-stream" : "application/json";
+  std::string const want = attempt.stream ? "text/event-stream" : "application/json";
   if (type == nullptr || want != type)
-    return leg.host->finish(leg, LegEnd::wrong, std::string("content type ") + (type == nullptr ? "none" : type));
-  leg.host->read_more(leg);
+    return attempt.host->finish(attempt, ChatAttemptEnd::wrong,
+                                std::string("content type ") + (type == nullptr ? "none" : type));
+  attempt.host->read_more(attempt);
 }
 
-void Legs::read_more(Leg& leg) {
-  std::map<std::uint64_t, std::shared_ptr<Leg>>::iterator const spot = legs_.find(leg.start.errand);
-  if (spot == legs_.end() || spot->second.get() != &leg) return;
-  g_input_stream_read_async(leg.body, leg.room, sizeof leg.room, G_PRIORITY_DEFAULT, leg.stop, on_body,
-                            new std::shared_ptr<Leg>(spot->second));
+void ChatUpstream::read_more(ChatAttempt& attempt) {
+  std::map<std::uint64_t, std::shared_ptr<ChatAttempt>>::iterator const spot =
+      attempts_.find(attempt.start.chat_request);
+  if (spot == attempts_.end() || spot->second.get() != &attempt) return;
+  g_input_stream_read_async(attempt.body, attempt.room, sizeof attempt.room, G_PRIORITY_DEFAULT, attempt.stop, on_body,
+                            new std::shared_ptr<ChatAttempt>(spot->second));
 }
 
-void Legs::on_body(GObject* source, GAsyncResult* result, gpointer data) {
-  std::unique_ptr<std::shared_ptr<Leg>> const held(static_cast<std::shared_ptr<Leg>*>(data));
-  Leg& leg = **held;
+void ChatUpstream::on_body(GObject* source, GAsyncResult* result, gpointer data) {
+  std::unique_ptr<std::shared_ptr<ChatAttempt>> const held(static_cast<std::shared_ptr<ChatAttempt>*>(data));
+  ChatAttempt& attempt = **held;
   GError* error = nullptr;
   gssize const size = g_input_stream_read_finish(G_INPUT_STREAM(source), result, &error);
   std::string const why = error != nullptr ? error->message : "";
   g_clear_error(&error);
-  if (leg.over) return;
-  Legs& host = *leg.host;
+  if (attempt.over) return;
+  ChatUpstream& host = *attempt.host;
   if (size < 0) {
-    bool const some = leg.events > 0 || !leg.whole.empty();
-    if (leg.late && !some) return host.finish(leg, LegEnd::silent, "no answer in time");
-    return host.finish(leg, LegEnd::torn, leg.late ? "the next piece did not come in time" : why);
+    bool const some = attempt.events > 0 || !attempt.whole.empty();
+    if (attempt.late && !some) return host.finish(attempt, ChatAttemptEnd::silent, "no answer in time");
+    return host.finish(attempt, ChatAttemptEnd::torn, attempt.late ? "the next piece did not come in time" : why);
   }
-  if (size == 0) return host.eof(leg);
-  host.took(leg, std::string_view(leg.room, static_cast<std::size_t>(size)));
-  if (!leg.over) host.read_more(leg);
+  if (size == 0) return host.eof(attempt);
+  host.took(attempt, std::string_view(attempt.room, static_cast<std::size_t>(size)));
+  if (!attempt.over) host.read_more(attempt);
 }
 
-void Legs::took(Leg& leg, std::string_view bytes) {
-  if (!leg.stream) {
-    leg.whole += bytes;
-    if (leg.whole.size() > answer_most) finish(leg, LegEnd::wrong, "the answer is larger than the limit");
+void ChatUpstream::took(ChatAttempt& attempt, std::string_view bytes) {
+  if (!attempt.stream) {
+    attempt.whole += bytes;
+    if (attempt.whole.size() > answer_most)
+      finish(attempt, ChatAttemptEnd::wrong, "the answer is larger than the limit");
     return;
   }
-  leg.pieces.feed(bytes);
+  attempt.pieces.feed(bytes);
   std::string event;
-  while (!leg.over && leg.pieces.next(event)) {
+  while (!attempt.over && attempt.pieces.next(event)) {
     std::string const text = event_data(event);
     if (text.empty()) continue;  // a comment that keeps the wire awake
-    if (leg.closed) return finish(leg, LegEnd::torn, "something came after the end");
+    if (attempt.closed) return finish(attempt, ChatAttemptEnd::torn, "something came after the end");
     if (text == "[DONE]") {
-      if (leg.events == 0) return finish(leg, LegEnd::torn, "an end without a piece");
-      leg.closed = true;
+      if (attempt.events == 0) return finish(attempt, ChatAttemptEnd::torn, "an end without a piece");
+      attempt.closed = true;
       continue;
     }
     Piece const piece = parse_piece(text);
-    if (!piece.json) return finish(leg, leg.events == 0 ? LegEnd::wrong : LegEnd::torn, "a piece is not JSON");
-    if (piece.error) return finish(leg, leg.events == 0 ? LegEnd::wrong : LegEnd::torn, "the worker reports an error");
+    if (!piece.json)
+      return finish(attempt, attempt.events == 0 ? ChatAttemptEnd::wrong : ChatAttemptEnd::torn, "a piece is not JSON");
+    if (piece.error)
+      return finish(attempt, attempt.events == 0 ? ChatAttemptEnd::wrong : ChatAttemptEnd::torn,
+                    "the worker reports an error");
     // N4: an answer to another request is never passed on.
-    if (!answers_to(piece.id, leg.id))
-      return finish(leg, leg.events == 0 ? LegEnd::wrong : LegEnd::torn, "a piece of another request: " + piece.id);
-    ++leg.events;
-    callbacks_.piece(leg.start.errand, event);
-    arm(leg, leg.start.stall);
-    if (fires(Point::leg_break_begun)) return finish(leg, LegEnd::torn, "fault point 9");
+    if (!answers_to(piece.id, attempt.id))
+      return finish(attempt, attempt.events == 0 ? ChatAttemptEnd::wrong : ChatAttemptEnd::torn,
+                    "a piece of another request: " + piece.id);
+    ++attempt.events;
+    callbacks_.piece(attempt.start.chat_request, event);
+    arm(attempt, attempt.start.stall);
+    if (fires(Point::attempt_break_begun)) return finish(attempt, ChatAttemptEnd::torn, "fault point 9");
   }
-  if (leg.pieces.size() > answer_most) finish(leg, LegEnd::wrong, "a piece is larger than the limit");
+  if (attempt.pieces.size() > answer_most) finish(attempt, ChatAttemptEnd::wrong, "a piece is larger than the limit");
 }
 
-void Legs::eof(Leg& leg) {
-  if (!leg.stream) {
-    Piece const piece = parse_piece(leg.whole);
-    if (!piece.json) return finish(leg, LegEnd::torn, "the answer is not whole JSON");
-    if (piece.error) return finish(leg, LegEnd::wrong, "the worker reports an error");
-    if (!answers_to(piece.id, leg.id)) return finish(leg, LegEnd::wrong, "the answer to another request: " + piece.id);
-    callbacks_.whole(leg.start.errand, std::move(leg.whole));
-    return finish(leg, LegEnd::done, "");
+void ChatUpstream::eof(ChatAttempt& attempt) {
+  if (!attempt.stream) {
+    Piece const piece = parse_piece(attempt.whole);
+    if (!piece.json) return finish(attempt, ChatAttemptEnd::torn, "the answer is not whole JSON");
+    if (piece.error) return finish(attempt, ChatAttemptEnd::wrong, "the worker reports an error");
+    if (!answers_to(piece.id, attempt.id))
+      return finish(attempt, ChatAttemptEnd::wrong, "the answer to another request: " + piece.id);
+    callbacks_.whole(attempt.start.chat_request, std::move(attempt.whole));
+    return finish(attempt, ChatAttemptEnd::done, "");
   }
-  if (!leg.closed || leg.pieces.rest())
-    return finish(leg, leg.events == 0 ? LegEnd::broke : LegEnd::torn, "the stream ended before its end");
-  finish(leg, LegEnd::done, "");
+  if (!attempt.closed || attempt.pieces.rest())
+    return finish(attempt, attempt.events == 0 ? ChatAttemptEnd::broke : ChatAttemptEnd::torn,
+                  "the stream ended before its end");
+  finish(attempt, ChatAttemptEnd::done, "");
 }
 
-void Legs::cut(std::uint64_t errand) {
-  std::map<std::uint64_t, std::shared_ptr<Leg>>::iterator const spot = legs_.find(errand);
-  if (spot == legs_.end()) return;
-  std::shared_ptr<Leg> const leg = spot->second;
-  leg->over = true;
-  if (leg->timer != 0) g_source_remove(leg->timer);
-  leg->timer = 0;
-  legs_.erase(spot);
-  g_cancellable_cancel(leg->stop);
+void ChatUpstream::cut(std::uint64_t chat_request) {
+  std::map<std::uint64_t, std::shared_ptr<ChatAttempt>>::iterator const spot = attempts_.find(chat_request);
+  if (spot == attempts_.end()) return;
+  std::shared_ptr<ChatAttempt> const attempt = spot->second;
+  attempt->over = true;
+  if (attempt->timer != 0) g_source_remove(attempt->timer);
+  attempt->timer = 0;
+  attempts_.erase(spot);
+  g_cancellable_cancel(attempt->stop);
 }
 
-struct Legs::Fetch {
+struct ChatUpstream::Fetch {
   SoupMessage* message;
   GCancellable* stop;
   guint timer;
   std::function<void(bool, bool, std::string const&)> done;
 };
 
-void Legs::get(std::string const& address, std::string const& path, Micros within,
-               std::function<void(bool, bool, std::string const&)> done) {
+void ChatUpstream::get(std::string const& address, std::string const& path, Micros within,
+                       std::function<void(bool, bool, std::string const&)> done) {
   Fetch* const fetch =
       new Fetch{soup_message_new("GET", ("http://" + address + path).c_str()), g_cancellable_new(), 0, std::move(done)};
   soup_message_set_flags(fetch->message, SOUP_MESSAGE_NO_REDIRECT);
@@ -271,7 +281,7 @@
   soup_session_send_and_read_async(small_, fetch->message, G_PRIORITY_DEFAULT, fetch->stop, on_fetched, fetch);
 }
 
-void Legs::on_fetched(GObject* source, GAsyncResult* result, gpointer data) {
+void ChatUpstream::on_fetched(GObject* source, GAsyncResult* result, gpointer data) {
   std::unique_ptr<Fetch> const fetch(static_cast<Fetch*>(data));
   GError* error = nullptr;
   GBytes* const bytes = soup_session_send_and_read_finish(SOUP_SESSION(source), result, &error);
--- a/src/runtime/http/legs.h
+++ b/src/runtime/http/legs.h
@@ -1,4 +1,4 @@
-// The executor of legs: sends a request to a worker and brings its answer, or what became of it (§7.3, §7.5).
+// The executor of attempts: sends a request to a worker and brings its answer, or what became of it (§7.3, §7.5).
 #pragma once
 #include <libsoup/soup.h>
 
@@ -12,44 +12,44 @@
 
 namespace pipit {
 
-class Legs {
+class ChatUpstream {
  public:
   struct Callbacks {
-    std::function<void(std::uint64_t errand)> sent;
-    std::function<void(std::uint64_t errand, std::string const& event)> piece;  // one whole event of a stream
-    std::function<void(std::uint64_t errand, std::string body)> whole;          // a whole answer that is no stream
-    std::function<void(std::uint64_t errand, LegEnd end, std::string const& why, Micros back)> ended;
+    std::function<void(std::uint64_t chat_request)> sent;
+    std::function<void(std::uint64_t chat_request, std::string const& event)> piece;  // one whole event of a stream
+    std::function<void(std::uint64_t chat_request, std::string body)> whole;  // a whole answer that is no stream
+    std::function<void(std::uint64_t chat_request, ChatAttemptEnd end, std::string const& why, Micros back)> ended;
   };
-  explicit Legs(Callbacks callbacks);
-  ~Legs();
+  explicit ChatUpstream(Callbacks callbacks);
+  ~ChatUpstream();
 
   // 'id' is what the worker is told and must answer with.
   void start(Start const& start, std::string const& id, std::string const& path, std::string const& body, bool stream);
-  void cut(std::uint64_t errand);
-  std::size_t open() const { return legs_.size(); }
+  void cut(std::uint64_t chat_request);
+  std::size_t open() const { return attempts_.size(); }
 
   // One small GET, for lists and health reports; the answer is nullopt when it failed.
   void get(std::string const& address, std::string const& path, Micros within,
            std::function<void(bool good, bool refused, std::string const& body)> done);
 
  private:
-  struct Leg;
+  struct ChatAttempt;
   struct Fetch;
   static void on_head(GObject* source, GAsyncResult* result, gpointer data);
   static void on_body(GObject* source, GAsyncResult* result, gpointer data);
   static void on_starting(SoupMessage* message, gpointer data);
   static gboolean on_timer(gpointer data);
   static void on_fetched(GObject* source, GAsyncResult* result, gpointer data);
-  void arm(Leg& leg, Micros within);
-  void read_more(Leg& leg);
-  void finish(Leg& leg, LegEnd end, std::string const& why, Micros back = 0);
-  void took(Leg& leg, std::string_view bytes);
-  void eof(Leg& leg);
+  void arm(ChatAttempt& attempt, Micros within);
+  void read_more(ChatAttempt& attempt);
+  void finish(ChatAttempt& attempt, ChatAttemptEnd end, std::string const& why, Micros back = 0);
+  void took(ChatAttempt& attempt, std::string_view bytes);
+  void eof(ChatAttempt& attempt);
 
   Callbacks callbacks_;
   SoupSession* session_;
   SoupSession* small_;
-  std::map<std::uint64_t, std::shared_ptr<Leg>> legs_;  // by errand: one leg at a time
+  std::map<std::uint64_t, std::shared_ptr<ChatAttempt>> attempts_;  // by chat request: one attempt at a time
 };
 
 }  // namespace pipit
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -29,12 +29,12 @@
   if (chat || call.path == "/v1/completions") {
     if (role_ != Role::passage) return refuse(call.id, Fault{Kind::not_found, "a keeper serves no requests", ""});
     if (call.method != "POST") return refuse(call.id, Fault{Kind::bad_method, "", ""});
-    return on_errand(call, chat);
+    return on_chat_request(call, chat);
   }
   on_operator(call);
 }
 
-void Host::on_errand(Front::Call const& call, bool chat) {
+void Host::on_chat_request(Front::Call const& call, bool chat) {
   if (call.body.size() > settings_.body)
     return refuse(call.id,
                   Fault{Kind::too_large, "a body has at most " + std::to_string(settings_.body) + " bytes", ""});
@@ -53,7 +53,7 @@
   caller.came = now();
   callers_.emplace(call.id, std::move(caller));
   NodeOut out;
-  node_->errand(call.id, std::move(ask.value()), now(), out);
+  node_->chat_request(call.id, std::move(ask.value()), now(), out);
   act(out);
 }
 
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -11,7 +11,7 @@
   json.key("zone").text(settings_.zone).key("ready").boolean(node_->ready()).key("draining").boolean(grace_until_ >= 0);
   json.key("serial").number(static_cast<std::int64_t>(node_->learner.serial()));
   json.key("emptied").begin_list();
-  for (std::string const& zone : node_->desk.emptied()) json.text(zone);
+  for (std::string const& zone : node_->chat_dispatcher.emptied()) json.text(zone);
   json.end_list().key("keepers").begin_list();
   for (wire::ReplicaT const& replica : node_->learner.membership().replicas) json.text(replica.name);
   json.end_list().key("epoch").number(static_cast<std::int64_t>(node_->learner.membership().epoch));
@@ -40,12 +40,12 @@
     json.begin_object().key("id").text(item.first).key("zone").text(worker.row.zone).key("pool").text(worker.row.pool);
     json.key("standing").text(words[static_cast<std::size_t>(worker.standing)]).key("dark").boolean(worker.dark);
     json.key("incarnation").number(static_cast<std::int64_t>(worker.row.incarnation));
-    Pool const* const pool = node_->desk.description()->pool(worker.row.pool);
+    Pool const* const pool = node_->chat_dispatcher.description()->pool(worker.row.pool);
     std::int64_t const slots = pool != nullptr ? worker.room(*pool) : worker.row.slots;
     json.key("slots").number(slots).key("sent").number(static_cast<std::int64_t>(worker.sent));
     json.key("demand").number(worker.guess()).end_object();
   }
-  json.end_list().key("backlog").number(static_cast<std::int64_t>(node_->desk.waiting()));
+  json.end_list().key("backlog").number(static_cast<std::int64_t>(node_->chat_dispatcher.waiting()));
   json.key("under_way").number(static_cast<std::int64_t>(node_->under_way())).end_object();
   return json.take();
 }
@@ -60,7 +60,7 @@
 }  // namespace
 
 std::string Host::metrics() const {
-  Tally const& t = node_->desk.tally;
+  Tally const& t = node_->chat_dispatcher.tally;
   MetricsText text;
   text.counter("pipit_asked_total", t.asked);
   text.counter("pipit_first_sends_total", t.first_sends);
@@ -82,12 +82,12 @@
   text.gauge("pipit_longest_turn_us", static_cast<std::uint64_t>(longest_turn_));
   text.gauge("pipit_serial", node_->learner.serial());
   text.gauge("pipit_ready", node_->ready() ? 1u : 0u);
-  text.gauge("pipit_backlog", node_->desk.waiting());
+  text.gauge("pipit_backlog", node_->chat_dispatcher.waiting());
   text.gauge("pipit_under_way", node_->under_way());
   text.gauge("pipit_wires", node_->mesh.wires_open());
   text.counters("pipit_mesh_bytes_total", "zone", mesh_to_);
   text.counters("pipit_frame_bytes_total", "frame", by_frame(frame_bytes_));
-  text.counters("pipit_leg_bytes_total", "zone", legs_with_);
+  text.counters("pipit_leg_bytes_total", "zone", attempts_with_);
   text.counters("pipit_answers_total", "kind", kinds_);
   text.invariants();
   return text.take();
--- a/tests/registry.cc
+++ b/tests/registry.cc
@@ -260,7 +260,7 @@
     for (char const* const id : {"w", "unknown"}) {
       std::unique_ptr<wire::LoadT> row = std::make_unique<wire::LoadT>();
       row->worker = id;
-      row->legs = static_cast<std::uint32_t>(2 * n);
+      row->attempts = static_cast<std::uint32_t>(2 * n);
       row->reading = static_cast<std::uint32_t>(millis(100) * n);
       loads.list.push_back(std::move(row));
     }
@@ -281,7 +281,7 @@
   wire::LoadsT loads;
   loads.list.push_back(std::make_unique<wire::LoadT>());
   loads.list[0]->worker = "w";
-  loads.list[0]->legs = 5;
+  loads.list[0]->attempts = 5;
   registry.peer_loads(loads, 0);
   EXPECT_EQ(registry.find("w")->load(millis(100)), 5);
   EXPECT_EQ(registry.find("w")->load(seconds(10)), 0);
