--- a/src/flow/index/index.cc
+++ b/src/flow/index/index.cc
@@ -28,22 +28,22 @@
   return slot.get();
 }
 
-Index::Crumb* Index::grow(std::uint64_t hash, std::uint64_t parent, std::uint32_t weight) {
-  tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::iterator const spot = crumbs_.find(hash);
-  if (spot != crumbs_.end()) return spot->second.get();
-  std::unique_ptr<Crumb> made = std::make_unique<Crumb>();
+Index::PrefixNode* Index::grow(std::uint64_t hash, std::uint64_t parent, std::uint32_t weight) {
+  tsl::robin_map<std::uint64_t, std::unique_ptr<PrefixNode>>::iterator const spot = prefix_nodes_.find(hash);
+  if (spot != prefix_nodes_.end()) return spot->second.get();
+  std::unique_ptr<PrefixNode> made = std::make_unique<PrefixNode>();
   made->hash = hash;
   made->parent = parent;
   made->weight = std::max<std::uint32_t>(1, weight);
-  Crumb* const out = made.get();
-  crumbs_.emplace(hash, std::move(made));
-  tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::iterator const up = crumbs_.find(parent);
-  if (up != crumbs_.end()) ++up->second->children;
+  PrefixNode* const out = made.get();
+  prefix_nodes_.emplace(hash, std::move(made));
+  tsl::robin_map<std::uint64_t, std::unique_ptr<PrefixNode>>::iterator const up = prefix_nodes_.find(parent);
+  if (up != prefix_nodes_.end()) ++up->second->children;
   return out;
 }
 
-void Index::keep(Crumb& crumb, Shelf& shelf, Micros now) {
-  for (Keep& item : crumb.keeps) {
+void Index::keep(PrefixNode& prefix_node, Shelf& shelf, Micros now) {
+  for (Keep& item : prefix_node.keeps) {
     if (item.shelf != &shelf) continue;
     shelf.keeps.erase(shelf.keeps.iterator_to(item));
     item.last = now;
@@ -51,31 +51,32 @@
     return;
   }
   Keep* const made = fresh_keep();
-  made->crumb = &crumb;
+  made->prefix_node = &prefix_node;
   made->shelf = &shelf;
   made->last = now;
-  crumb.keeps.push_back(*made);
+  prefix_node.keeps.push_back(*made);
   shelf.keeps.push_back(*made);
-  shelf.count += crumb.weight;
+  shelf.count += prefix_node.weight;
 }
 
-void Index::prune(Crumb* crumb) {
-  while (crumb != nullptr && crumb->keeps.empty() && crumb->children == 0) {
-    tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::iterator const up = crumbs_.find(crumb->parent);
-    Crumb* const parent = up == crumbs_.end() ? nullptr : up->second.get();
+void Index::prune(PrefixNode* prefix_node) {
+  while (prefix_node != nullptr && prefix_node->keeps.empty() && prefix_node->children == 0) {
+    tsl::robin_map<std::uint64_t, std::unique_ptr<PrefixNode>>::iterator const up =
+        prefix_nodes_.find(prefix_node->parent);
+    PrefixNode* const parent = up == prefix_nodes_.end() ? nullptr : up->second.get();
     if (parent != nullptr) --parent->children;
-    crumbs_.erase(crumb->hash);
-    crumb = parent;
+    prefix_nodes_.erase(prefix_node->hash);
+    prefix_node = parent;
   }
 }
 
 void Index::drop(Keep& item) {
-  Crumb* const crumb = item.crumb;
+  PrefixNode* const prefix_node = item.prefix_node;
   item.shelf->keeps.erase(item.shelf->keeps.iterator_to(item));
-  item.shelf->count -= crumb->weight;
-  crumb->keeps.erase(crumb->keeps.iterator_to(item));
+  item.shelf->count -= prefix_node->weight;
+  prefix_node->keeps.erase(prefix_node->keeps.iterator_to(item));
   spare_.push_back(&item);
-  prune(crumb);
+  prune(prefix_node);
 }
 
 void Index::clear(Shelf& shelf) {
@@ -91,8 +92,8 @@
   std::map<std::string, std::size_t> out;
   std::size_t depth = 0;
   for (std::uint64_t const hash : path) {
-    tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::const_iterator const spot = crumbs_.find(hash);
-    if (spot == crumbs_.end()) break;
+    tsl::robin_map<std::uint64_t, std::unique_ptr<PrefixNode>>::const_iterator const spot = prefix_nodes_.find(hash);
+    if (spot == prefix_nodes_.end()) break;
     bool any = false;
     for (Keep const& item : spot->second->keeps) {
       if (depth == 0) {
@@ -120,11 +121,11 @@
   Shelf* const shelf = shelf_for(worker, incarnation);
   if (shelf == nullptr) return out;
   std::uint64_t parent = 0;
-  std::vector<Crumb*> line;
+  std::vector<PrefixNode*> line;
   for (std::size_t i = 0; i < path.size(); ++i) {
     std::uint64_t const hash = path[i];
     std::uint32_t const weight = i < weights.size() ? weights[i] : 1;
-    bool const known = crumbs_.find(hash) != crumbs_.end();
+    bool const known = prefix_nodes_.find(hash) != prefix_nodes_.end();
     if (known && out.tail.empty()) out.base = hash;
     if (!known) out.tail.push_back(hash);
     if (!known && !weights.empty()) out.weights.push_back(weight);
@@ -141,12 +142,12 @@
   // First the shelf: a new incarnation empties it, and what only the former one kept ends with that, the base perhaps
   // too.
   Shelf* const shelf = shelf_for(delta.worker, delta.incarnation);
-  if (delta.base != 0 && crumbs_.find(delta.base) == crumbs_.end()) return false;
+  if (delta.base != 0 && prefix_nodes_.find(delta.base) == prefix_nodes_.end()) return false;
   if (shelf == nullptr) return true;
-  std::vector<Crumb*> line;
+  std::vector<PrefixNode*> line;
   for (std::uint64_t hash = delta.base; hash != 0;) {
-    tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::const_iterator const spot = crumbs_.find(hash);
-    if (spot == crumbs_.end() || line.size() > block_most) break;
+    tsl::robin_map<std::uint64_t, std::unique_ptr<PrefixNode>>::const_iterator const spot = prefix_nodes_.find(hash);
+    if (spot == prefix_nodes_.end() || line.size() > block_most) break;
     line.push_back(spot->second.get());
     hash = spot->second->parent;
   }
@@ -180,12 +181,12 @@
 std::vector<std::uint64_t> Index::order() const {
   // Parents before children: by depth, then by hash, so that equal trees give equal orders.
   std::vector<std::pair<std::size_t, std::uint64_t>> rows;
-  for (std::pair<std::uint64_t, std::unique_ptr<Crumb>> const& item : crumbs_) {
+  for (std::pair<std::uint64_t, std::unique_ptr<PrefixNode>> const& item : prefix_nodes_) {
     std::size_t depth = 0;
     std::uint64_t up = item.second->parent;
     while (up != 0 && depth <= block_most) {
-      tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::const_iterator const spot = crumbs_.find(up);
-      if (spot == crumbs_.end()) break;
+      tsl::robin_map<std::uint64_t, std::unique_ptr<PrefixNode>>::const_iterator const spot = prefix_nodes_.find(up);
+      if (spot == prefix_nodes_.end()) break;
       up = spot->second->parent;
       ++depth;
     }
@@ -198,10 +199,10 @@
   return out;
 }
 
-std::unique_ptr<wire::CrumbT> Index::crumb(std::uint64_t hash, Micros now) const {
-  tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>>::const_iterator const spot = crumbs_.find(hash);
-  if (spot == crumbs_.end()) return nullptr;
-  std::unique_ptr<wire::CrumbT> out = std::make_unique<wire::CrumbT>();
+std::unique_ptr<wire::PrefixNodeT> Index::prefix_node(std::uint64_t hash, Micros now) const {
+  tsl::robin_map<std::uint64_t, std::unique_ptr<PrefixNode>>::const_iterator const spot = prefix_nodes_.find(hash);
+  if (spot == prefix_nodes_.end()) return nullptr;
+  std::unique_ptr<wire::PrefixNodeT> out = std::make_unique<wire::PrefixNodeT>();
   out->hash = hash;
   out->parent = spot->second->parent;
   out->weight = spot->second->weight;
@@ -213,14 +214,14 @@
   return out;
 }
 
-void Index::learn(wire::CrumbT const& item, Bounds const& bounds, Micros now) {
+void Index::learn(wire::PrefixNodeT const& item, Bounds const& bounds, Micros now) {
   std::size_t const n = std::min({item.workers.size(), item.incarnations.size(), item.ages.size()});
   std::vector<Shelf*> on;
-  // All shelves before the first crumb is held: one that a new incarnation empties may end the very crumb, or its
-  // parent.
+  // All shelves before the first prefix node is held: one that a new incarnation empties may end the very prefix node,
+  // or its parent.
   for (std::size_t i = 0; i < n; ++i) on.push_back(shelf_for(item.workers[i], item.incarnations[i]));
-  if (item.hash == 0 || (item.parent != 0 && crumbs_.find(item.parent) == crumbs_.end())) return;
-  Crumb* const made = grow(item.hash, item.parent, item.weight);
+  if (item.hash == 0 || (item.parent != 0 && prefix_nodes_.find(item.parent) == prefix_nodes_.end())) return;
+  PrefixNode* const made = grow(item.hash, item.parent, item.weight);
   for (std::size_t i = 0; i < n; ++i) {
     Shelf* const shelf = on[i];
     if (shelf == nullptr || shelf->count >= bounds.blocks || item.ages[i] > bounds.age) continue;
@@ -233,7 +234,7 @@
 
 std::uint64_t Index::digest() const {
   std::uint64_t out = 0;
-  for (std::pair<std::uint64_t, std::unique_ptr<Crumb>> const& item : crumbs_)
+  for (std::pair<std::uint64_t, std::unique_ptr<PrefixNode>> const& item : prefix_nodes_)
     for (Keep const& k : item.second->keeps) out ^= hash_text(k.shelf->worker, item.first);
   return out;
 }
--- a/src/flow/index/index.h
+++ b/src/flow/index/index.h
@@ -38,34 +38,34 @@
 
   // Repair: the whole tree, parents before children, in pages.
   std::vector<std::uint64_t> order() const;
-  std::unique_ptr<wire::CrumbT> crumb(std::uint64_t hash, Micros now) const;
-  void learn(wire::CrumbT const& crumb, Bounds const& bounds, Micros now);
+  std::unique_ptr<wire::PrefixNodeT> prefix_node(std::uint64_t hash, Micros now) const;
+  void learn(wire::PrefixNodeT const& prefix_node, Bounds const& bounds, Micros now);
 
-  std::size_t size() const { return crumbs_.size(); }
+  std::size_t size() const { return prefix_nodes_.size(); }
   std::size_t held(std::string const& worker) const;
   std::uint64_t digest() const;
 
  private:
-  struct Crumb;
+  struct PrefixNode;
   struct Keep;
   using ByAge = boost::intrusive::list_base_hook<boost::intrusive::tag<struct AgeTag>,
                                                  boost::intrusive::link_mode<boost::intrusive::normal_link>>;
-  using ByCrumb = boost::intrusive::list_base_hook<boost::intrusive::tag<struct CrumbTag>,
-                                                   boost::intrusive::link_mode<boost::intrusive::normal_link>>;
+  using ByPrefixNode = boost::intrusive::list_base_hook<boost::intrusive::tag<struct PrefixNodeTag>,
+                                                        boost::intrusive::link_mode<boost::intrusive::normal_link>>;
   struct Shelf;
-  struct Keep : ByAge, ByCrumb {
-    Crumb* crumb = nullptr;
+  struct Keep : ByAge, ByPrefixNode {
+    PrefixNode* prefix_node = nullptr;
     Shelf* shelf = nullptr;
     Micros last = 0;
   };
   using AgeList = boost::intrusive::list<Keep, boost::intrusive::base_hook<ByAge>>;
-  using CrumbList = boost::intrusive::list<Keep, boost::intrusive::base_hook<ByCrumb>>;
-  struct Crumb {
+  using PrefixNodeList = boost::intrusive::list<Keep, boost::intrusive::base_hook<ByPrefixNode>>;
+  struct PrefixNode {
     std::uint64_t hash = 0;
     std::uint64_t parent = 0;
     std::uint32_t weight = 1;
     std::size_t children = 0;
-    CrumbList keeps;
+    PrefixNodeList keeps;
   };
   // What one worker is believed to keep, oldest first.
   struct Shelf {
@@ -76,15 +76,15 @@
   };
 
   Shelf* shelf_for(std::string const& worker, std::uint64_t incarnation);
-  Crumb* grow(std::uint64_t hash, std::uint64_t parent, std::uint32_t weight);
-  void keep(Crumb& crumb, Shelf& shelf, Micros now);
+  PrefixNode* grow(std::uint64_t hash, std::uint64_t parent, std::uint32_t weight);
+  void keep(PrefixNode& prefix_node, Shelf& shelf, Micros now);
   void drop(Keep& keep);
-  void prune(Crumb* crumb);
+  void prune(PrefixNode* prefix_node);
   void clear(Shelf& shelf);
   void trim(Shelf& shelf, Bounds const& bounds, Micros now);
   Keep* fresh_keep();
 
-  tsl::robin_map<std::uint64_t, std::unique_ptr<Crumb>> crumbs_;
+  tsl::robin_map<std::uint64_t, std::unique_ptr<PrefixNode>> prefix_nodes_;
   std::map<std::string, std::unique_ptr<Shelf>> shelves_;
   std::deque<Keep> pool_;
   std::vector<Keep*> spare_;
--- a/src/flow/index/index_sync.cc
+++ b/src/flow/index/index_sync.cc
@@ -108,11 +108,11 @@
       if (req->page == 0) shot.order = tree->second.order();
       shot.at = now;
       std::size_t at = 0;
-      // Pages hold a fixed count of crumbs, so that any page can be asked for on its own.
-      constexpr std::size_t crumbs = page_bytes / 256;
-      for (at = req->page * crumbs; at < shot.order.size() && page.list.size() < crumbs; ++at)
-        if (std::unique_ptr<wire::CrumbT> crumb = tree->second.crumb(shot.order[at], now))
-          page.list.push_back(std::move(crumb));
+      // Pages hold a fixed count of prefix nodes, so that any page can be asked for on its own.
+      constexpr std::size_t prefix_nodes = page_bytes / 256;
+      for (at = req->page * prefix_nodes; at < shot.order.size() && page.list.size() < prefix_nodes; ++at)
+        if (std::unique_ptr<wire::PrefixNodeT> prefix_node = tree->second.prefix_node(shot.order[at], now))
+          page.list.push_back(std::move(prefix_node));
       page.last = at >= shot.order.size();
       if (page.last) shots_.erase({from, req->pull});
     }
@@ -126,7 +126,7 @@
     if (!pull.live || pull.from != from || pull.number != page->pull || pull.page != page->page) return;
     Index& tree = trees_[page->model];
     Index::Bounds const bound = bounds(page->model);
-    for (std::unique_ptr<wire::CrumbT> const& crumb : page->list) tree.learn(*crumb, bound, now);
+    for (std::unique_ptr<wire::PrefixNodeT> const& prefix_node : page->list) tree.learn(*prefix_node, bound, now);
     pull.moved = now;
     if (page->last) {
       pull.live = false;
--- a/tests/index.cc
+++ b/tests/index.cc
@@ -55,11 +55,11 @@
 }
 
 TEST(Index, a_page_that_tells_of_a_new_life_ends_what_it_stands_on) {
-  // The crumb that the page names was kept by the former incarnation alone: it goes with it.
+  // The prefix node that the page names was kept by the former incarnation alone: it goes with it.
   Index index;
   Path const path = line(1, 2);
   index.touch(path, "w", 1, wide, seconds(1));
-  wire::CrumbT item;
+  wire::PrefixNodeT item;
   item.hash = path[1];
   item.parent = path[0];
   item.workers = {"w"};
