--- a/proof/requests/world.cc
+++ b/proof/requests/world.cc
@@ -111,7 +111,7 @@
   descriptions[1] = compiled_description(400, false);
   dispatcher.in_force(descriptions[0]);
   dispatcher.budget(budget_ratio, budget_store);
-  Relay::Callbacks callbacks;
+  RequestProxy::Callbacks callbacks;
   callbacks.request = [this](std::uint64_t id, Query query) {
     DispatchOut out;
     dispatcher.fresh(id, std::move(query), loop_time(), out);
@@ -123,7 +123,7 @@
     relay->act(out);
   };
   callbacks.gone = [this](std::uint64_t id) { return dispatcher.hung_up(id, loop_time()); };
-  relay = std::make_unique<Relay>(dispatcher, words(), "", std::move(callbacks));
+  relay = std::make_unique<RequestProxy>(dispatcher, words(), "", std::move(callbacks));
   relay->upstream.dial_by([this](std::string const& address, std::string const&, Micros) { return dial(address); });
   for (int n = 0; n < 2; ++n) {
     callers.push_back(std::make_unique<CallerSide>());
--- a/proof/requests/world.h
+++ b/proof/requests/world.h
@@ -86,7 +86,7 @@
   Exchange exchange{"n1"};
   Dispatcher dispatcher{"n1", "a", index_sync, registry, exchange};
   std::shared_ptr<Description const> descriptions[2];
-  std::unique_ptr<Relay> relay;
+  std::unique_ptr<RequestProxy> relay;
   std::map<std::string, Try> tries;
   std::vector<std::string> order;  // of the tries
   std::vector<std::unique_ptr<CallerSide>> callers;
--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -97,7 +97,7 @@
 }
 }  // namespace
 
-Relay::Relay(Dispatcher& dispatcher, Dialect dialect, std::string own_host, Callbacks callbacks)
+RequestProxy::RequestProxy(Dispatcher& dispatcher, Dialect dialect, std::string own_host, Callbacks callbacks)
     : server({[this](Server::Call&& call) { on_call(std::move(call)); },
               [this](std::uint64_t id) {
                 if (callers_.count(id) == 0) return;
@@ -120,7 +120,7 @@
       end_to_end_(dialect_.end_to_end()),
       callbacks_(std::move(callbacks)) {}
 
-void Relay::limits(CallLimits const& from) {
+void RequestProxy::limits(CallLimits const& from) {
   Server::Limits out;
   out.head_most = static_cast<std::size_t>(from.head_bytes);
   out.body_most = static_cast<std::size_t>(from.body_bytes);
@@ -129,12 +129,12 @@
   server.limit(out);
 }
 
-void Relay::sweep(Micros now) {
+void RequestProxy::sweep(Micros now) {
   server.sweep(now);
   upstream.sweep(now);
 }
 
-void Relay::on_call(Server::Call&& call) {
+void RequestProxy::on_call(Server::Call&& call) {
   // Its end is read next: no worker is to begin with what nobody waits for.
   if (server.given_up(call.id)) return;
   Query query;
@@ -164,25 +164,25 @@
   callbacks_.request(id, std::move(query));
 }
 
-void Relay::log_failure(FailedRequest const& failed) {
+void RequestProxy::log_failure(FailedRequest const& failed) {
   std::map<std::uint64_t, Caller>::const_iterator const spot = callers_.find(failed.request);
   if (spot == callers_.end()) return;
   failure_log_.write(failed, spot->second.attempt, spot->second.failure, now());
 }
 
-bool Relay::may_repeat(std::uint64_t id) const {
+bool RequestProxy::may_repeat(std::uint64_t id) const {
   Route const* const route = dispatcher_.route_of(id);
   return route != nullptr && (route->repeatable || (route->streams && route->resumable));
 }
 
 // The worker of the present attempt says that it did not run it.
-void Relay::decline(std::uint64_t id, Caller& caller) {
+void RequestProxy::decline(std::uint64_t id, Caller& caller) {
   ++caller.declined_count;
   caller.failure = caller.elsewhere ? "another instance lives there" : "the worker did not run it";
   callbacks_.ended(id, AttemptEnd::declined, caller.elsewhere);
 }
 
-void Relay::act(DispatchOut& out) {
+void RequestProxy::act(DispatchOut& out) {
   for (FailedRequest const& failed : out.failed) log_failure(failed);
   for (std::uint64_t const id : out.cuts) upstream.cut(id);
   for (std::uint64_t const id : out.passes) {
@@ -203,7 +203,7 @@
   for (Attempt const& attempt : starts) start(attempt);
 }
 
-void Relay::deny(Denial const& denial) {
+void RequestProxy::deny(Denial const& denial) {
   ++kinds[kind_row(denial.kind).name];
   Ran const ran = denial.wait > 0 ? Ran::no : kind_row(denial.kind).ran;
   Answer const answer = answer_for(Fault{denial.kind, "", ""}, ran, denial.wait);
@@ -230,7 +230,7 @@
   server.answer(denial.request, head, answer.body);
 }
 
-void Relay::start(Attempt const& attempt) {
+void RequestProxy::start(Attempt const& attempt) {
   std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(attempt.request);
   if (spot == callers_.end()) return;
   Caller& caller = spot->second;
@@ -258,7 +258,7 @@
   upstream.start(attempt.request, attempt.instance, attempt.address, std::move(bytes), attempt.within);
 }
 
-Upstream::Owner Relay::on_head(std::uint64_t id, Head const& head, bool first) {
+Upstream::Owner RequestProxy::on_head(std::uint64_t id, Head const& head, bool first) {
   std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(id);
   if (spot == callers_.end()) return Upstream::Owner::asker;
   Caller& caller = spot->second;
@@ -295,7 +295,7 @@
 }
 
 // Takes whole events out of what is held, and remembers the id of the last.
-std::string Relay::whole_events(std::uint64_t id, Caller& caller) {
+std::string RequestProxy::whole_events(std::uint64_t id, Caller& caller) {
   std::size_t const end = events_end(caller.held);
   std::string out = caller.held.substr(0, end);
   caller.held.erase(0, end);
@@ -329,7 +329,7 @@
 }
 
 // What begins to go to a caller is the sealed answer to its own request.
-void Relay::check_own(Caller const& caller) const {
+void RequestProxy::check_own(Caller const& caller) const {
   bool const named = caller.answer.get(dialect_.attempt) == caller.attempt;
   bool const sealed = dialect_.seal.empty() || caller.answer.find(dialect_.seal) != nullptr;
   check_invariant(named && sealed && caller.answer.status < 300, Invariant::own_answer, [&] {
@@ -338,7 +338,7 @@
   });
 }
 
-void Relay::pass_on(std::uint64_t id, Caller& caller, std::string_view bytes) {
+void RequestProxy::pass_on(std::uint64_t id, Caller& caller, std::string_view bytes) {
   if (bytes.empty()) return;
   if (!caller.begun) {
     caller.begun = true;
@@ -352,7 +352,7 @@
   server.piece(id, bytes);
 }
 
-void Relay::on_body(std::uint64_t id, std::string_view bytes) {
+void RequestProxy::on_body(std::uint64_t id, std::string_view bytes) {
   std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(id);
   if (spot == callers_.end()) return;
   Caller& caller = spot->second;
@@ -375,12 +375,12 @@
 
 // A worker may break off anywhere. Where only the connection's end tells the end of a stream, that is whole only after
 // a whole event.
-bool Relay::stops_in_event(Caller const& caller) {
+bool RequestProxy::stops_in_event(Caller const& caller) {
   return caller.streams && caller.unbounded && guard(RequestGuard::event_end) && !caller.tail.ends_with("\n\n") &&
          !caller.tail.ends_with("\r\n\r\n");
 }
 
-void Relay::on_done(std::uint64_t id) {
+void RequestProxy::on_done(std::uint64_t id) {
   std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(id);
   if (spot == callers_.end()) return;
   Caller& caller = spot->second;
@@ -402,7 +402,7 @@
   callbacks_.ended(id, AttemptEnd::whole, false);
 }
 
-void Relay::on_ended(std::uint64_t id, Upstream::End end, std::string const& why) {
+void RequestProxy::on_ended(std::uint64_t id, Upstream::End end, std::string const& why) {
   std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(id);
   if (spot == callers_.end()) return;
   spot->second.failure = why;
--- a/src/gate/relay/relay.h
+++ b/src/gate/relay/relay.h
@@ -34,14 +34,14 @@
   std::vector<std::string> end_to_end() const { return {attempt, left, model, tokens, parts, after, seal}; }
 };
 
-class Relay {
+class RequestProxy {
  public:
   struct Callbacks {
     std::function<void(std::uint64_t, Query)> request;
     std::function<void(std::uint64_t, AttemptEnd, bool elsewhere)> ended;
     std::function<std::optional<FailedRequest>(std::uint64_t)> gone;
   };
-  Relay(Dispatcher& dispatcher, Dialect dialect, std::string own_host, Callbacks callbacks);
+  RequestProxy(Dispatcher& dispatcher, Dialect dialect, std::string own_host, Callbacks callbacks);
 
   Result<void> listen(std::string const& address) { return server.listen(address); }
   void act(DispatchOut& out);
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -18,10 +18,10 @@
 constexpr Micros last_moment = millis(700);  // before the grace ends
 }  // namespace
 
-Station::Station(StationPlan plan) : plan_(std::move(plan)), loop_(g_main_loop_new(nullptr, FALSE)) {}
+NodeServer::NodeServer(NodeServerPlan plan) : plan_(std::move(plan)), loop_(g_main_loop_new(nullptr, FALSE)) {}
 
-Station::~Station() {
-  relay_.reset();
+NodeServer::~NodeServer() {
+  proxy_.reset();
   control_server_.reset();
   ready_server_.reset();
   metrics_server_.reset();
@@ -30,7 +30,7 @@
   g_main_loop_unref(loop_);
 }
 
-Result<void> Station::open() {
+Result<void> NodeServer::open() {
   std::optional<wire::RecordT> recovered;
   std::unique_ptr<PosixDisk> posix;
   std::unique_ptr<RecordStore> ring;
@@ -77,7 +77,7 @@
   };
   connections_ = std::make_unique<Connections>(std::move(we));
 
-  Relay::Callbacks re;
+  RequestProxy::Callbacks re;
   re.request = [this](std::uint64_t id, Query query) {
     NodeOut out;
     node_->request(id, std::move(query), now(), out);
@@ -89,7 +89,7 @@
     act(out);
   };
   re.gone = [this](std::uint64_t id) { return node_->dispatcher.hung_up(id, now()); };
-  relay_ = std::make_unique<Relay>(node_->dispatcher, plan_.dialect, plan_.own_host, std::move(re));
+  proxy_ = std::make_unique<RequestProxy>(node_->dispatcher, plan_.dialect, plan_.own_host, std::move(re));
   control_server_ = std::make_unique<Server>(
       Server::Callbacks{[this](Server::Call&& call) { on_call(std::move(call)); }, [](std::uint64_t) {}});
   Server::Limits wide;
@@ -116,17 +116,17 @@
   if (done && !plan_.metrics.empty())
     if (Result<void> const told = metrics_server_->listen(plan_.metrics); !told)
       log_event(Event::metrics_untold, told.error().why);
-  if (done && !plan_.front.empty()) done = relay_->listen(plan_.front);
+  if (done && !plan_.front.empty()) done = proxy_->listen(plan_.front);
   return done;
 }
 
 // The executor: obeys what the core decided.
-void Station::act(NodeOut& out) {
+void NodeServer::act(NodeOut& out) {
   if (out.save && disk_) disk_->save(std::move(*out.save));
   for (std::string const& address : out.mesh.dials) connections_->dial(address);
   for (Sends::Send& send : out.mesh.sends) connections_->send(send.wire, send.bytes);
   for (WireId const id : out.mesh.shuts) connections_->shut(id);
-  if (!out.dispatch.empty()) relay_->act(out.dispatch);
+  if (!out.dispatch.empty()) proxy_->act(out.dispatch);
   std::vector<Reply> const replies = std::move(out.replies);
   for (Reply const& item : replies) {
     std::map<std::uint64_t, Done>::iterator const spot = asked_.find(item.id);
@@ -145,18 +145,18 @@
   }
   if (limits_of_ != node_->dispatcher.description()) {
     limits_of_ = node_->dispatcher.description();
-    relay_->limits(limits_of_->limits);
+    proxy_->limits(limits_of_->limits);
   }
 }
 
-bool Station::heartbeat(Heartbeat const& word) {
+bool NodeServer::heartbeat(Heartbeat const& word) {
   NodeOut out;
   bool const heard = node_->heartbeat(word, now(), out);
   act(out);
   return heard;
 }
 
-void Station::await_end(std::string const& worker, EndDone done) {
+void NodeServer::await_end(std::string const& worker, EndDone done) {
   std::uint64_t const id = ++next_ask_;
   ends_asked_.emplace(id, std::move(done));
   NodeOut out;
@@ -164,16 +164,16 @@
   act(out);
 }
 
-bool Station::worker_left(std::string const& id, std::uint64_t order) {
+bool NodeServer::worker_left(std::string const& id, std::uint64_t order) {
   if (node_->registry.find(id) == nullptr) return false;
   NodeOut out;
   node_->worker_left(id, order, now(), out);
-  relay_->forget(id);
+  proxy_->forget(id);
   act(out);
   return true;
 }
 
-void Station::operate(Change change, Done done) {
+void NodeServer::operate(Change change, Done done) {
   std::uint64_t const id = ++next_ask_;
   asked_.emplace(id, std::move(done));
   NodeOut out;
@@ -181,8 +181,8 @@
   act(out);
 }
 
-void Station::answer(std::uint64_t call, unsigned status, std::string const& body,
-                     std::vector<std::pair<std::string, std::string>> const& fields) {
+void NodeServer::answer(std::uint64_t call, unsigned status, std::string const& body,
+                        std::vector<std::pair<std::string, std::string>> const& fields) {
   Head head;
   head.status = status;
   head.fields = fields;
@@ -190,12 +190,12 @@
   control_server_->answer(call, head, body);
 }
 
-void Station::note_order(std::string const& call, unsigned status, std::string const& why) {
+void NodeServer::note_order(std::string const& call, unsigned status, std::string const& why) {
   ++order_answers_[std::to_string(status)];
   log_event(Event::order_answered, call + " " + std::to_string(status) + (why.empty() ? "" : " " + why));
 }
 
-void Station::on_ready(Server::Call&& call) {
+void NodeServer::on_ready(Server::Call&& call) {
   bool const path = call.head.target == plan_.ready_path;
   bool const yes = node_->takes_requests(now()) && stop_from_ < 0;
   Head head;
@@ -203,7 +203,7 @@
   ready_server_->answer(call.id, head, "");
 }
 
-void Station::on_metrics(Server::Call&& call) {
+void NodeServer::on_metrics(Server::Call&& call) {
   bool const path = call.head.method == "GET" && call.head.target == "/metrics";
   Head head;
   head.status = path ? 200 : 404;
@@ -211,7 +211,7 @@
   metrics_server_->answer(call.id, head, path ? metrics() : "");
 }
 
-void Station::on_call(Server::Call&& call) {
+void NodeServer::on_call(Server::Call&& call) {
   std::uint64_t const id = call.id;
   if (control_ && control_(call)) return;
   // The product's own paths, as on its other programs (docs/api.md).
@@ -222,43 +222,43 @@
   answer(id, 404, answer_for(Fault{Kind::not_found, "", ""}).body);
 }
 
-void Station::stop() {
+void NodeServer::stop() {
   if (stop_from_ >= 0) return;
   stop_from_ = now();
-  relay_->server.closing();
+  proxy_->server.closing();
   node_->retire();
   log_event(Event::grace_began, "");
 }
 
 // §12.6: first only the word that no new callers are wanted; then the doors; then what is under way comes to its end.
-void Station::look_stop(Micros at) {
+void NodeServer::look_stop(Micros at) {
   if (stop_from_ < 0) return;
   Micros const span = at - stop_from_;
   if (!doors_shut_ && span >= std::min(heed, plan_.grace / 3)) {
     doors_shut_ = true;
-    relay_->server.stop_listening();
-    relay_->server.close_idle();
+    proxy_->server.stop_listening();
+    proxy_->server.close_idle();
     NodeOut out;
     node_->drain(at, out);
     act(out);
   }
   if (!doors_shut_) return;
-  relay_->server.close_idle();
+  proxy_->server.close_idle();
   // What a slow caller has not taken yet would end with the process too. A replica stays until another one has its
   // place, where one is here to take it.
-  bool const finished = relay_->server.calls() == 0 && relay_->server.finishing() == 0;
+  bool const finished = proxy_->server.calls() == 0 && proxy_->server.finishing() == 0;
   bool const idle = finished && asked_.empty() && ends_asked_.empty() && node_->may_end(at);
   if (idle || span >= plan_.grace - last_moment) g_main_loop_quit(loop_);
 }
 
-void Station::tick() {
+void NodeServer::tick() {
   Micros const at = now();
   NodeOut out;
   node_->tick(at, out);
   act(out);
   if (at >= next_sweep_) {
     next_sweep_ = at + millis(500);
-    relay_->sweep(at);
+    proxy_->sweep(at);
     control_server_->sweep(at);
     ready_server_->sweep(at);
     metrics_server_->sweep(at);
@@ -272,16 +272,16 @@
 
 namespace {
 gboolean on_stop(gpointer data) {
-  static_cast<Station*>(data)->stop();
+  static_cast<NodeServer*>(data)->stop();
   return G_SOURCE_CONTINUE;
 }
 }  // namespace
 
-int Station::run() {
+int NodeServer::run() {
   guint const ticker = g_timeout_add(
       tick_ms,
       [](gpointer data) -> gboolean {
-        static_cast<Station*>(data)->tick();
+        static_cast<NodeServer*>(data)->tick();
         return G_SOURCE_CONTINUE;
       },
       this);
@@ -290,7 +290,7 @@
   guint const hup = g_unix_signal_add(
       SIGHUP,
       [](gpointer data) -> gboolean {
-        Station& self = *static_cast<Station*>(data);
+        NodeServer& self = *static_cast<NodeServer*>(data);
         if (self.look_) self.look_();
         return G_SOURCE_CONTINUE;
       },
--- a/src/gate/station/station.h
+++ b/src/gate/station/station.h
@@ -15,7 +15,7 @@
 
 namespace pipit {
 
-struct StationPlan {
+struct NodeServerPlan {
   NodePlan node;
   std::string front;    // IP:port for callers; empty for none
   std::string ready;    // IP:port that tells whether new callers are wanted
@@ -31,15 +31,15 @@
   Micros grace = seconds(8);  // from the word to stop until the process is ended
 };
 
-class Station {
+class NodeServer {
  public:
   // A call at the control address. False: it is not one of the caller's own paths.
   using Control = std::function<bool(Server::Call&)>;
   using Done = std::function<void(Reply const&)>;
   using Look = std::function<void()>;
 
-  explicit Station(StationPlan plan);
-  ~Station();
+  explicit NodeServer(NodeServerPlan plan);
+  ~NodeServer();
   // Opens the disk and the addresses.
   Result<void> open();
   // Returns the exit code once the process is to end.
@@ -81,11 +81,11 @@
   std::string tenants() const;
   std::map<std::string, std::uint64_t> by_tenant(std::uint64_t TenantTally::*of) const;
 
-  StationPlan const plan_;
+  NodeServerPlan const plan_;
   GMainLoop* loop_;
   std::unique_ptr<Node> node_;
   std::unique_ptr<Connections> connections_;
-  std::unique_ptr<Relay> relay_;
+  std::unique_ptr<RequestProxy> proxy_;
   std::unique_ptr<Server> control_server_;
   std::unique_ptr<Server> ready_server_;
   std::unique_ptr<Server> metrics_server_;
--- a/src/gate/station/status.cc
+++ b/src/gate/station/status.cc
@@ -45,7 +45,7 @@
 std::uint64_t age_ms(Micros at, Micros now) { return at < 0 ? 0 : static_cast<std::uint64_t>((now - at) / 1000); }
 }  // namespace
 
-std::string Station::status() const {
+std::string NodeServer::status() const {
   JsonWriter json;
   json.begin_object().key("name").text(plan_.node.name).key("role").text("passage").key("zone").text(plan_.node.zone);
   json.key("keeper")
@@ -93,7 +93,7 @@
 }
 
 // What is known here of each tenant and its keys, which are named by their digests alone.
-std::string Station::tenants() const {
+std::string NodeServer::tenants() const {
   Description const& rules = *node_->dispatcher.description();
   JsonWriter json;
   json.begin_object().key("keys_required").boolean(rules.keys_required);
@@ -118,14 +118,14 @@
 }
 
 // A row for each of the first tenants by name, and one for the rest, however many there are.
-std::map<std::string, std::uint64_t> Station::by_tenant(std::uint64_t TenantTally::*of) const {
+std::map<std::string, std::uint64_t> NodeServer::by_tenant(std::uint64_t TenantTally::*of) const {
   std::map<std::string, std::uint64_t> out;
   for (std::pair<std::string const, TenantTally> const& item : node_->dispatcher.tenant_tallies)
     out[out.size() < tenant_rows_most ? item.first : "(others)"] += item.second.*of;
   return out;
 }
 
-std::string Station::metrics() const {
+std::string NodeServer::metrics() const {
   DispatchTally const& t = node_->dispatcher.tally;
   MetricsText text;
   text.counter("pipit_asked_total", t.asked);
@@ -140,8 +140,8 @@
   text.counter("pipit_resumes_total", t.resumes);
   text.counter("pipit_silences_total", t.silences);
   text.counter("pipit_far_sends_total", t.far_sends);
-  text.counter("pipit_connections_dialled_total", relay_->upstream.dialled);
-  text.counter("pipit_connections_reused_total", relay_->upstream.reused);
+  text.counter("pipit_connections_dialled_total", proxy_->upstream.dialled);
+  text.counter("pipit_connections_reused_total", proxy_->upstream.reused);
   text.counter("pipit_frames_in_total", node_->mesh.frames_in);
   text.counter("pipit_deltas_dropped_total", node_->index_sync.dropped);
   text.counter("pipit_tree_pulls_total", node_->index_sync.pulls);
@@ -156,7 +156,7 @@
   text.gauge("pipit_stopping", stop_from_ >= 0 ? 1u : 0u);
   text.gauge("pipit_under_way", node_->dispatcher.under_way());
   text.gauge("pipit_oldest_request_ms", static_cast<std::uint64_t>(node_->dispatcher.oldest(now()) / 1000));
-  text.gauge("pipit_callers", relay_->server.connections());
+  text.gauge("pipit_callers", proxy_->server.connections());
   text.gauge("pipit_orders_under_way", asked_.size());
   text.gauge("pipit_wires", node_->mesh.wires_open());
   text.gauges("pipit_peers", "state", peers_by_state(*node_));
@@ -169,7 +169,7 @@
   text.counters("pipit_quota_asked_total", "tenant", by_tenant(&TenantTally::asked));
   text.counters("pipit_quota_refused_total", "tenant", by_tenant(&TenantTally::refused));
   text.counters("pipit_quota_unreachable_total", "tenant", by_tenant(&TenantTally::unreachable));
-  text.counters("pipit_answers_total", "kind", relay_->kinds);
+  text.counters("pipit_answers_total", "kind", proxy_->kinds);
   text.counters("pipit_order_answers_total", "status", order_answers_);
   text.invariants();
   return text.take();
--- a/tests/passing.h
+++ b/tests/passing.h
@@ -118,7 +118,7 @@
   Registry registry{"n1"};
   Exchange exchange{"n1"};
   Dispatcher dispatcher{"n1", "a", index_sync, registry, exchange};
-  Relay relay;
+  RequestProxy relay;
   std::string address;
   std::map<std::string, std::unique_ptr<Worker>> workers;
   std::unique_ptr<Wire> caller;
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -31,7 +31,7 @@
           {"seed_addresses", "127.0.0.2:7003,127.0.0.3:7003"}};
 }
 
-Result<StationPlan> plan_from(Fields const& fields) {
+Result<NodeServerPlan> plan_from(Fields const& fields) {
   std::string text;
   for (std::pair<std::string const, std::string> const& item : fields) text += item.first + "=" + item.second + "\n";
   Result<SettingsFile> const file = SettingsFile::parse(text);
@@ -78,7 +78,7 @@
   fields["bounds.extra_retries"] = "10";
   fields["bounds.grace_s"] = "2.5";
   fields["beat_interval_ms"] = "700";
-  Result<StationPlan> const plan = plan_from(fields);
+  Result<NodeServerPlan> const plan = plan_from(fields);
   ASSERT_TRUE(plan) << plan.error().why;
   EXPECT_EQ(plan.value().node.name, "n1");
   EXPECT_EQ(plan.value().node.address, "127.0.0.1:7100");
@@ -117,7 +117,7 @@
   deploy << file.rdbuf();
   std::string const line = "metrics = \"" + std::to_string(metrics_port) + "/metrics\"";
   EXPECT_NE(deploy.str().find(line), std::string::npos) << line;
-  Result<StationPlan> const plan = plan_from(good_fields());
+  Result<NodeServerPlan> const plan = plan_from(good_fields());
   ASSERT_TRUE(plan);
   EXPECT_EQ(plan.value().metrics, "127.0.0.1:" + std::to_string(metrics_port));
 }
@@ -141,7 +141,7 @@
   for (char const* const key : {"node_name", "ip_address", "zone", "internal_port_range"}) {
     Fields fields = good_fields();
     fields.erase(key);
-    Result<StationPlan> const plan = plan_from(fields);
+    Result<NodeServerPlan> const plan = plan_from(fields);
     ASSERT_FALSE(plan) << key;
     EXPECT_NE(plan.error().why.find(key), std::string::npos) << plan.error().why;
     EXPECT_EQ(plan.error().why.find('\n'), std::string::npos);
@@ -183,7 +183,7 @@
   for (Row const& row : rows) {
     Fields fields = good_fields();
     fields[row.key] = row.value;
-    Result<StationPlan> const plan = plan_from(fields);
+    Result<NodeServerPlan> const plan = plan_from(fields);
     ASSERT_FALSE(plan) << row.key << "=" << row.value;
     std::string const group =
         std::string(row.key).substr(0, std::string(row.key).rfind("listen_addresses.") == 0 ? 16 : 64);
--- a/tests/station.cc
+++ b/tests/station.cc
@@ -10,7 +10,7 @@
 class ControlAddress : public testing::Test {
  protected:
   ControlAddress() {
-    StationPlan plan;
+    NodeServerPlan plan;
     plan.node.name = "n1";
     plan.node.zone = "a";
     plan.node.registered = true;
@@ -20,10 +20,10 @@
     plan.metrics = free_address();
     address = plan.control;
     metrics = plan.metrics;
-    station = std::make_unique<Station>(std::move(plan));
-    calls = std::make_unique<Calls>(*station, address);
-    station->on_control([this](Server::Call& call) { return calls->take(call); });
-    EXPECT_TRUE(station->open());
+    node_server = std::make_unique<NodeServer>(std::move(plan));
+    calls = std::make_unique<Calls>(*node_server, address);
+    node_server->on_control([this](Server::Call& call) { return calls->take(call); });
+    EXPECT_TRUE(node_server->open());
   }
 
   // The status with which a call is answered.
@@ -41,7 +41,7 @@
 
   std::string address;
   std::string metrics;
-  std::unique_ptr<Station> station;
+  std::unique_ptr<NodeServer> node_server;
   std::unique_ptr<Calls> calls;
 };
 }  // namespace
--- a/tests/worker_ends.cc
+++ b/tests/worker_ends.cc
@@ -75,7 +75,7 @@
  protected:
   WorkerEnds() {
     std::string const peer_address = free_address();
-    StationPlan plan;
+    NodeServerPlan plan;
     plan.node.name = "n1";
     plan.node.zone = "a";
     plan.node.registered = true;
@@ -85,14 +85,14 @@
     plan.control = free_address();
     address = plan.control;
     peer = std::make_unique<PeerNode>(peer_address, plan.node.address);
-    station = std::make_unique<Station>(std::move(plan));
-    calls = std::make_unique<Calls>(*station, address);
-    station->on_control([this](Server::Call& call) { return calls->take(call); });
-    EXPECT_TRUE(station->open());
+    node_server = std::make_unique<NodeServer>(std::move(plan));
+    calls = std::make_unique<Calls>(*node_server, address);
+    node_server->on_control([this](Server::Call& call) { return calls->take(call); });
+    EXPECT_TRUE(node_server->open());
     ticker = g_timeout_add(
         20,
         [](gpointer data) -> gboolean {
-          static_cast<WorkerEnds*>(data)->station->tick();
+          static_cast<WorkerEnds*>(data)->node_server->tick();
           return G_SOURCE_CONTINUE;
         },
         this);
@@ -118,7 +118,7 @@
 
   std::string address;
   std::unique_ptr<PeerNode> peer;
-  std::unique_ptr<Station> station;
+  std::unique_ptr<NodeServer> node_server;
   std::unique_ptr<Calls> calls;
   unsigned ticker = 0;
   std::uint64_t sequence = 0;
