--- a/proof/augury/callers.cc
+++ b/proof/augury/callers.cc
@@ -186,7 +186,7 @@
 void World::attempt(std::uint64_t id) {
   Wish& wish = *wishes[id];
   ++wish.tries;
-  Box* const box = pick([](Box const& b) { return b.role == Role::passage; });
+  Box* const box = pick([](Box const& b) { return b.role == Role::router; });
   if (box == nullptr) return after(lag(), [this, id] { told(id, "no", millis(500)); });
   std::uint64_t const life = box->life;
   std::string const name = box->name;
--- a/proof/augury/machines.cc
+++ b/proof/augury/machines.cc
@@ -52,12 +52,12 @@
     }
   }
   p.seeds = box.seeds;
-  if (box.role == Role::accord)
+  if (box.role == Role::config_store)
     for (int i = 1; i <= plan.shape->replicas; ++i) p.founders.push_back("k" + std::to_string(i));
   p.incarnation = 1000 + lives;
   p.chance = hash_bits(plan.seed * 31 + lives);
   std::optional<wire::RecordT> recovered;
-  if (box.role == Role::accord) {
+  if (box.role == Role::config_store) {
     // What was being written when the power went may be there, or not.
     if (box.writing && random.chance(0.5)) box.disk = box.writing;
     box.writing.reset();
--- a/proof/augury/parts.h
+++ b/proof/augury/parts.h
@@ -8,7 +8,7 @@
   std::string name, address, zone;
   std::vector<std::string> seeds;
   std::string seeded_at;
-  Role role = Role::passage;
+  Role role = Role::router;
   std::unique_ptr<Node> node;
   std::uint64_t life = 0;
   bool frozen = false;
--- a/proof/augury/trouble.cc
+++ b/proof/augury/trouble.cc
@@ -24,7 +24,7 @@
       if (lost_at != from) return;
       if (back_at < 0 && !log_is_muted())
         for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
-          if (item.second->up() && item.second->role == Role::passage)
+          if (item.second->up() && item.second->role == Role::router)
             for (std::pair<std::string const, Worker> const& w : item.second->node->fleet.workers)
               std::printf("%s knows %s incarnation %llu standing %d dark %d doubted %d zone %s\n", item.first.c_str(),
                           w.first.c_str(), static_cast<unsigned long long>(w.second.row.incarnation),
@@ -94,11 +94,11 @@
   } else if (type == "blank") {
     // One lost disk at a time: the next only once the set has taken the last one in.
     std::size_t whole = 0;
-    Box* replica = pick([](Box const& b) { return b.role == Role::accord; });
+    Box* replica = pick([](Box const& b) { return b.role == Role::config_store; });
     if (replica != nullptr && cuts.empty()) {
       Membership const& members = replica->node->learner.membership();
       for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
-        if (item.second->role == Role::accord && item.second->up() && item.second->disk &&
+        if (item.second->role == Role::config_store && item.second->up() && item.second->disk &&
             members.holds(item.first, item.second->disk->disk))
           ++whole;
       if (whole == static_cast<std::size_t>(plan.shape->replicas) && members.replicas.size() == whole) {
@@ -111,7 +111,7 @@
       }
     }
   } else if (type == "exchange") {
-    Box* const old = pick([](Box const& b) { return b.role == Role::passage; });
+    Box* const old = pick([](Box const& b) { return b.role == Role::router; });
     if (old != nullptr && boxes.size() < 40) {
       std::string const zone = old->zone;
       bool const same_address = random.chance(0.3);
@@ -122,10 +122,10 @@
       if (power) silent.push_back(old->name);
       if (same_address) old->address = "10.0.7." + std::to_string(++moved) + ":7000";
       std::string const name = "px" + std::to_string(++moved);
-      boot(add(name, address, zone, Role::passage));
+      boot(add(name, address, zone, Role::router));
     }
   } else if (type == "slow") {
-    Box* const replica = pick([](Box const& b) { return b.role == Role::accord; });
+    Box* const replica = pick([](Box const& b) { return b.role == Role::config_store; });
     if (replica != nullptr) {
       bool const stall = random.chance(0.3);
       replica->disk_low = stall ? seconds(4) : millis(100);
@@ -213,7 +213,7 @@
     std::set<std::string> side;
     std::size_t const size = 2 + random.below(2);
     for (int i = 0; i < 10 && side.size() < size; ++i)
-      if (Box* const one = pick([](Box const& b) { return b.role == Role::passage; })) side.insert(one->name);
+      if (Box* const one = pick([](Box const& b) { return b.role == Role::router; })) side.insert(one->name);
     for (std::string const& a : side) {
       for (std::string const& b : names)
         if (!side.count(b)) set_cut(a, b, true), set_cut(b, a, true);
@@ -222,7 +222,7 @@
     after(lag(seconds(2), seconds(11)), [this] { heal(); });
   } else if (type == "stray") {
     // One router node is cut off and goes on serving, while all others end and return; then a zone is emptied.
-    Box* const one = pick([](Box const& b) { return b.role == Role::passage; });
+    Box* const one = pick([](Box const& b) { return b.role == Role::router; });
     if (one != nullptr && cuts.empty()) {
       std::string const stray = one->name;
       for (std::string const& name : names) {
@@ -246,10 +246,10 @@
     Membership const& members = box->node->learner.membership();
     std::vector<std::string> whole;
     for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
-      if (item.second->role == Role::accord && item.second->up() && item.second->disk &&
+      if (item.second->role == Role::config_store && item.second->up() && item.second->disk &&
           members.holds(item.first, item.second->disk->disk))
         whole.push_back(item.first);
-    if (cuts.empty() && box->role == Role::passage && whole.size() == static_cast<std::size_t>(plan.shape->replicas)) {
+    if (cuts.empty() && box->role == Role::router && whole.size() == static_cast<std::size_t>(plan.shape->replicas)) {
       for (std::string const& name : names)
         if (name != whole[2]) set_cut(name, whole[2], true), set_cut(whole[2], name, true);
       operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *box);
@@ -284,7 +284,7 @@
     if (!closing)
       after(lag(millis(10), millis(60)), [this, name] {
         halt(*boxes[name], true);
-        if (Box* const replica = pick([](Box const& b) { return b.role == Role::accord; })) {
+        if (Box* const replica = pick([](Box const& b) { return b.role == Role::config_store; })) {
           std::string const other = replica->name;
           halt(*replica, true);
           after(lag(millis(500), seconds(3)), [this, other] { boot(*boxes[other]); });
--- a/proof/common/shapes.h
+++ b/proof/common/shapes.h
@@ -22,7 +22,7 @@
   std::string name;
   std::vector<std::string> zones;
   int replicas = 3;
-  int passages = 8;
+  int routers = 8;
   int workers = 18;
   int cold = 8;
   std::vector<RequestKind> kinds;
--- a/proof/hollow/scale.cc
+++ b/proof/hollow/scale.cc
@@ -52,8 +52,8 @@
   for (int i = 0; i < zone_count; ++i) zones.push_back("r" + std::to_string(i % regions) + "z" + std::to_string(i));
   for (int i = 0; i < plan.nodes; ++i) {
     std::unique_ptr<Machine> made = std::make_unique<Machine>();
-    made->role = i < plan.replicas ? Role::accord : Role::passage;
-    made->name = made->role == Role::accord ? numbered("k", i + 1) : numbered("p", i + 1 - plan.replicas);
+    made->role = i < plan.replicas ? Role::config_store : Role::router;
+    made->name = made->role == Role::config_store ? numbered("k", i + 1) : numbered("p", i + 1 - plan.replicas);
     made->address = "10.1." + std::to_string(i / 250) + "." + std::to_string(1 + i % 250) + ":7000";
     made->region = i % zone_count % regions;
     made->zone = zones[static_cast<std::size_t>(i % zone_count)];
@@ -102,7 +102,7 @@
 }
 
 void Scale::fill(Machine& machine) {
-  if (!machine.up() || machine.role != Role::passage || plan.workers == 0 || plan.prefixes == 0) return;
+  if (!machine.up() || machine.role != Role::router || plan.workers == 0 || plan.prefixes == 0) return;
   Index& index = machine.node->index_sync.index("tribute");
   Micros const t = now + machine.offset;
   Index::Bounds const bounds{100000000, seconds(900)};
@@ -142,12 +142,12 @@
   p.role = m.role;
   for (int i = 0; i < plan.replicas; ++i) {
     if (i < 3) p.seeds.push_back(machines[static_cast<std::size_t>(i)]->address);
-    if (m.role == Role::accord) p.founders.push_back(machines[static_cast<std::size_t>(i)]->name);
+    if (m.role == Role::config_store) p.founders.push_back(machines[static_cast<std::size_t>(i)]->name);
   }
   p.incarnation = 1000 + lives;
   p.chance = hash_bits(plan.seed * 31 + lives);
   std::optional<wire::RecordT> recovered;
-  if (m.role == Role::accord) {
+  if (m.role == Role::config_store) {
     if (!m.disk) {
       wire::RecordT blank;
       blank.cluster = "pipit";
@@ -160,7 +160,7 @@
   m.node = std::make_unique<Node>(p, now + m.offset, recovered);
   std::uint64_t const life = m.life;
   after(between(0, tick_gap), [this, who, life] { tick(who, life); });
-  if (m.role == Role::passage && plan.rate > 0) after(seconds(2), [this, who, life] { call(who, life); });
+  if (m.role == Role::router && plan.rate > 0) after(seconds(2), [this, who, life] { call(who, life); });
 }
 
 void Scale::halt(int who, bool silent) {
--- a/proof/scene/fleet.cc
+++ b/proof/scene/fleet.cc
@@ -45,7 +45,7 @@
          {"--data", plan.folder + "/" + name, "--founders", founders});
   }
   i = 0;
-  for (std::string const& name : cast.passages) {
+  for (std::string const& name : cast.routers) {
     ++i;
     node(name, number(1, i), shape.zones[static_cast<std::size_t>(i - 1) % shape.zones.size()], seeds,
          {"--platform", platform});
--- a/proof/scene/steps.cc
+++ b/proof/scene/steps.cc
@@ -60,7 +60,7 @@
 Cast cast_of(Shape const& shape) {
   Cast out;
   for (int i = 1; i <= shape.replicas; ++i) out.replicas.push_back("k" + std::to_string(i));
-  for (int i = 1; i <= shape.passages; ++i) out.passages.push_back("p" + std::to_string(i));
+  for (int i = 1; i <= shape.routers; ++i) out.routers.push_back("p" + std::to_string(i));
   for (int i = 1; i <= shape.workers; ++i) out.workers.push_back("w" + std::to_string(i));
   out.zones = shape.zones;
   return out;
@@ -95,7 +95,7 @@
       std::string name;
       while (std::getline(names, name, ',')) {
         bool const replica = among(cast.replicas, name);
-        bool const passage = among(cast.passages, name);
+        bool const passage = among(cast.routers, name);
         bool const worker = among(cast.workers, name);
         bool good = false;
         if (type == 'N') good = replica || passage || worker;
--- a/proof/scene/steps.h
+++ b/proof/scene/steps.h
@@ -53,7 +53,7 @@
 
 struct Cast {  // the names that steps can use
   std::vector<std::string> replicas;
-  std::vector<std::string> passages;
+  std::vector<std::string> routers;
   std::vector<std::string> workers;
   std::vector<std::string> zones;
 };
--- a/proof/scene/verdict.cc
+++ b/proof/scene/verdict.cc
@@ -139,7 +139,7 @@
 }
 
 void Scene::judge_counts(Verdict const& verdict) {
-  double const resends_allowed = 0.2 * static_cast<double>(verdict.first_sends) + 3.0 * shape.passages;
+  double const resends_allowed = 0.2 * static_cast<double>(verdict.first_sends) + 3.0 * shape.routers;
   if (static_cast<double>(verdict.resends) > resends_allowed)
     fault("N10", std::to_string(verdict.resends) + " re-sends for " + std::to_string(verdict.first_sends) + " sends");
   for (std::pair<std::string const, int> const& item : wanted)
--- a/src/core/changes.cc
+++ b/src/core/changes.cc
@@ -100,7 +100,7 @@
     wait.serial = outcome.serial > 0 ? outcome.serial : outcome.value.serial;
     wait.due = now + confirm_bound;
     // Whoever may serve: router nodes that are heard of, and every one that has a registration (§5.9).
-    for (std::string const& name : passages(true))
+    for (std::string const& name : routers(true))
       if (guard(Guard::confirm_all)) wait.owe.insert(name);
     for (std::unique_ptr<wire::RouterRegistrationT> const& registration : outcome.value.registrations)
       if (guard(Guard::registrations) && guard(Guard::confirm_all)) wait.owe.insert(registration->name);
@@ -129,7 +129,7 @@
     std::set<std::string> owe;
     for (std::string const& name : item.owe)
       if (owes(item, name)) owe.insert(name);
-    bool const half = plan.registered ? (item.sure.size() + 1) * 2 >= passages(false).size() : half_has(item.half);
+    bool const half = plan.registered ? (item.sure.size() + 1) * 2 >= routers(false).size() : half_has(item.half);
     bool const more = item.half > 0 ? !half : !owe.empty();
     if (more && now < item.due) {
       ++it;
@@ -144,7 +144,7 @@
 bool Node::half_has(std::uint64_t revision) const {
   std::size_t all = 0;
   std::size_t have = 0;
-  for (std::string const& name : passages(false)) {
+  for (std::string const& name : routers(false)) {
     ++all;
     std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
     if ((peer == mesh.members.peers.end() ? learner.revision() : peer->second.member.revision) >= revision) ++have;
--- a/src/core/listed.cc
+++ b/src/core/listed.cc
@@ -43,14 +43,14 @@
   }
   // §6.6: the share of a cold worker's bound counts every node that is known, DOWN ones too, so that a cut never
   // raises the sum.
-  std::set<std::string> names = passages(true);
+  std::set<std::string> names = routers(true);
   if (learner.value)
     for (std::unique_ptr<wire::RouterRegistrationT> const& registration : learner.value->registrations)
       names.insert(registration->name);
   chat_dispatcher.nodes(std::move(names), newcomer(now));
   update_registration(now, out);
   tell_loads(now, outgoing);
-  std::set<std::string> senders = passages(false);
+  std::set<std::string> senders = routers(false);
   senders.erase(plan.name);
   fleet.sum_others(senders, now);
   look_ready(now, out);
@@ -99,8 +99,8 @@
 }
 
 void Node::own_entries(Micros now, NodeOut& out) {
-  if (plan.role != Role::passage || listed_at_ < 0 || now - listed_at_ > seconds(5) || leaving_) return;
-  std::set<std::string> const names = passages(false);
+  if (plan.role != Role::router || listed_at_ < 0 || now - listed_at_ > seconds(5) || leaving_) return;
+  std::set<std::string> const names = routers(false);
   std::set<std::string> mine;
   for (std::pair<std::string const, Worker> const& item : fleet.workers)
     if (rendezvous(item.first, names) == plan.name) mine.insert(item.first);
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -104,18 +104,18 @@
 std::vector<std::string> Node::replicas() const {
   std::set<std::string> out;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-    if ((item.second.role() == Role::accord || item.second.member.replica) && item.second.wire != 0)
+    if ((item.second.role() == Role::config_store || item.second.member.replica) && item.second.wire != 0)
       out.insert(item.first);
   if (acceptor) out.insert(plan.name);
   return std::vector<std::string>(out.begin(), out.end());
 }
 
-std::set<std::string> Node::passages(bool all) const {
+std::set<std::string> Node::routers(bool all) const {
   std::set<std::string> out;
-  if (plan.role == Role::passage) out.insert(plan.name);
+  if (plan.role == Role::router) out.insert(plan.name);
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     State const state = item.second.state();
-    if (item.second.role() == Role::passage && (all || state == State::alive || state == State::suspected))
+    if (item.second.role() == Role::router && (all || state == State::alive || state == State::suspected))
       out.insert(item.first);
   }
   return out;
@@ -124,7 +124,7 @@
 std::vector<std::string> Node::index_peers() const {
   std::vector<std::string> out;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-    if (item.second.role() == Role::passage && item.second.wire != 0 && item.second.state() == State::alive)
+    if (item.second.role() == Role::router && item.second.wire != 0 && item.second.state() == State::alive)
       out.push_back(item.first);
   return out;
 }
@@ -263,7 +263,7 @@
     case wire::Body::Deltas:
     case wire::Body::TreeAsk:
     case wire::Body::TreePage:
-      if (plan.role == Role::passage)
+      if (plan.role == Role::router)
         index_sync.take(
             from, body, now, [this](std::string const& model) { return bounds(model); },
             [this] { return index_peers(); }, outgoing);
@@ -298,7 +298,7 @@
   ok.req = update.req;
   ok.serial = learner.serial();
   // Router nodes that hold no registration may serve by this node's word alone (§6.7): who asks must hear of them.
-  for (std::string const& name : plan.registered ? std::set<std::string>() : passages(true))
+  for (std::string const& name : plan.registered ? std::set<std::string>() : routers(true))
     if (!learner.value || registration_of(*learner.value, name) == nullptr) ok.routers.push_back(name);
   if (update.req != 0) outgoing.push_back(message_to(update.origin.empty() ? from : update.origin, std::move(ok)));
   look_ready(now, out);
@@ -452,7 +452,7 @@
   // Where replicas are many enough for the losses that are allowed, nothing else will do (docs/control.md).
   if (plan.registered && !word && !able_) return;
   bool sure = word;
-  if (word && plan.role == Role::passage && !is_registered()) {
+  if (word && plan.role == Role::router && !is_registered()) {
     // §5.9: nothing is placed before this incarnation of the node has its registration; while a majority answers, by
     // nobody's word.
     request_registration(now, out);
@@ -460,13 +460,13 @@
   }
   // Where workers register: a description, and the word of workers, or time enough for any to have called.
   bool const told = plan.registered && learner.serial() > 0 && (!registry.all.empty() || now - from > seconds(2));
-  bool const listed = plan.role == Role::accord || listed_at_ >= from || told;
+  bool const listed = plan.role == Role::config_store || listed_at_ >= from || told;
   if (!word && now - from > fresh_bound) {
     // §6.7: no majority answers. A node that was serving goes on; a new one may take the word of one that serves.
     if (able_) sure = true;
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       Peer const& peer = item.second;
-      if (peer.wire != 0 && peer.state() == State::alive && peer.role() == Role::passage && peer.member.ready &&
+      if (peer.wire != 0 && peer.state() == State::alive && peer.role() == Role::router && peer.member.ready &&
           learner.value && learner.serial() >= peer.member.serial)
         sure = true;
     }
@@ -493,7 +493,7 @@
   mesh.tick(now, out.mesh);
   take_fresh(now);
   std::vector<OutgoingMessage> outgoing;
-  if (now >= next_poll_ && (guard(Guard::spread) || learner.sure < 0 || plan.role == Role::accord)) {
+  if (now >= next_poll_ && (guard(Guard::spread) || learner.sure < 0 || plan.role == Role::config_store)) {
     next_poll_ = now + poll_span();
     learner.poll(now, replicas(), list_age(now), outgoing);
     found(now, outgoing);
@@ -508,7 +508,7 @@
   settle_ended(now, out);
   if (plan.registered) {
     tick_registered(now, outgoing, out);
-  } else if (plan.role == Role::passage) {
+  } else if (plan.role == Role::router) {
     tick_listed(now, outgoing, out);
   } else {
     look_ready(now, out);
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -27,7 +27,7 @@
   std::string zone;
   std::string address;  // of the mesh
   std::string http;
-  Role role = Role::passage;
+  Role role = Role::router;
   std::vector<std::string> seeds;
   std::vector<std::string> models;    // those that a passage serves; none means all
   std::vector<std::string> founders;  // names of the first replicas
@@ -271,7 +271,7 @@
   void check_asked(Micros now, NodeOut& out);
   std::vector<std::string> replicas() const;
   std::vector<std::string> index_peers() const;
-  std::set<std::string> passages(bool all) const;
+  std::set<std::string> routers(bool all) const;
   Index::Bounds bounds(std::string const& model) const;
 
   ConfigurationLease owner_lease_;  // for handing limits out
--- a/src/core/registered.cc
+++ b/src/core/registered.cc
@@ -140,7 +140,7 @@
 void Node::adopt_workers(Micros now, NodeOut& out) {
   next_adoption_ = now + adopt_gap;
   if (leaving_ || !hears_others(now)) return;
-  std::set<std::string> const here = passages(false);
+  std::set<std::string> const here = routers(false);
   for (std::pair<std::string const, Instance> const& item : registry.all) {
     Instance const& at = item.second;
     if (at.standing == Standing::gone || here.count(at.owner) > 0) continue;
@@ -176,7 +176,7 @@
   if (now >= next_adoption_) adopt_workers(now, out);
   take_fresh(now);
   settle_ends(now, out);
-  dispatcher.nodes(passages(true).size(), mesh.wide());
+  dispatcher.nodes(routers(true).size(), mesh.wide());
   look_ready(now, out);
   renew_lease(now, outgoing);
   tick_quota(now, outgoing);
--- a/src/core/seats.cc
+++ b/src/core/seats.cc
@@ -39,7 +39,7 @@
   for (std::unique_ptr<wire::RouterRegistrationT> const& registration : learner.value->registrations)
     mesh.members.register_router(*registration, now);
   mesh.members.evict(learner.value->evicted);
-  if (plan.role != Role::passage) return;
+  if (plan.role != Role::router) return;
   wire::RouterRegistrationT const* const own = registration_of(*learner.value, plan.name);
   if (own != nullptr && own->incarnation > mesh.members.self.incarnation) {
     // A former incarnation had a later clock.
@@ -86,12 +86,12 @@
 // Its start changes everybody's share of a cold worker's bound; where workers register there are no such shares.
 bool Node::newcomer(Micros now) const {
   if (plan.registered) return false;
-  return plan.role == Role::passage && !registered_before_ && registered_at_ >= 0 &&
+  return plan.role == Role::router && !registered_before_ && registered_at_ >= 0 &&
          now - registered_at_ < newcomer_span;
 }
 
 void Node::look_hold() {
-  if (plan.role != Role::passage) return;
+  if (plan.role != Role::router) return;
   dispatcher.hold(stale_from_ >= 0);
   bool const lost = guard(Guard::registrations) && able_ && registered_at_ < 0 && learner.value && self_evicted();
   chat_dispatcher.hold(stale_from_ >= 0 || lost);
--- a/src/mesh/members/member_table.cc
+++ b/src/mesh/members/member_table.cc
@@ -101,7 +101,7 @@
   if (fresh || peer.wire == 0 || peer.member.address != item.address) peer.version = ++version;
   if (fresh) {
     peer.member.name = item.name;
-    peer.member.role = static_cast<std::uint8_t>(Role::passage);
+    peer.member.role = static_cast<std::uint8_t>(Role::router);
     peer.member.state = static_cast<std::uint8_t>(State::down);
     peer.since = peer.bare_since = now;
   }
--- a/src/mesh/members/member_table.h
+++ b/src/mesh/members/member_table.h
@@ -10,7 +10,7 @@
 namespace pipit {
 
 enum class State : std::uint8_t { alive, suspected, down, leaving };
-enum class Role : std::uint8_t { passage, accord };
+enum class Role : std::uint8_t { router, config_store };
 char const* state_word(State state);
 
 struct Peer {
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -293,7 +293,7 @@
     log_event(Event::settings_refused, "there is no settings file");
     return;
   }
-  Result<Settings> fresh = read_settings(2, argv, role_ == Role::accord);
+  Result<Settings> fresh = read_settings(2, argv, role_ == Role::config_store);
   std::string why;
   if (!fresh) {
     why = fresh.error().why;
@@ -366,7 +366,7 @@
 }
 
 int run_node(int argc, char** argv, Role role) {
-  bool const replica = role == Role::accord;
+  bool const replica = role == Role::config_store;
   Result<Settings> settings = read_settings(argc, argv, replica);
   if (!settings) {
     std::fprintf(stderr, "%s: %s\n", replica ? "accord" : "passage", settings.error().why.c_str());
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -27,7 +27,7 @@
   if (call.path == "/faults" && settings_.faults) return on_fault(call);
   bool const chat = call.path == "/v1/chat/completions";
   if (chat || call.path == "/v1/completions") {
-    if (role_ != Role::passage) return refuse(call.id, Fault{Kind::not_found, "a keeper serves no requests", ""});
+    if (role_ != Role::router) return refuse(call.id, Fault{Kind::not_found, "a keeper serves no requests", ""});
     if (call.method != "POST") return refuse(call.id, Fault{Kind::bad_method, "", ""});
     return on_chat_request(call, chat);
   }
