--- a/proof/augury/machines.cc
+++ b/proof/augury/machines.cc
@@ -53,7 +53,7 @@
   }
   p.seeds = box.seeds;
   if (box.role == Role::config_store)
-    for (int i = 1; i <= plan.shape->replicas; ++i) p.founders.push_back("k" + std::to_string(i));
+    for (int i = 1; i <= plan.shape->replicas; ++i) p.initial_members.push_back("k" + std::to_string(i));
   p.incarnation = 1000 + lives;
   p.chance = hash_bits(plan.seed * 31 + lives);
   std::optional<wire::RecordT> recovered;
--- a/proof/checker/register_view.cc
+++ b/proof/checker/register_view.cc
@@ -216,7 +216,7 @@
   Print out(symmetry);
   add(out, learner.set_, symmetry);
   add(out, learner.seen_set_, symmetry);
-  add(out, learner.first_set_, symmetry);
+  add(out, learner.initial_set_, symmetry);
   add_optional(out, learner.value, symmetry);
   out.number(learner.req_);
   Print offered(symmetry);
--- a/proof/control_plane/member_scenarios.cc
+++ b/proof/control_plane/member_scenarios.cc
@@ -376,7 +376,7 @@
 
 // The first seconds: machines start in any order, and one that counts is in trouble before, while or after the first
 // set is written.
-Report founding(ScenarioPlan const& plan) {
+Report bootstrap_set(ScenarioPlan const& plan) {
   Fleet fleet(plan, Fleet::Unstarted{}, JudgePlan{});
   World& world = fleet.world;
   static char const* const words[] = {
@@ -460,7 +460,7 @@
       {"thawed_after_replacement", 3, "members frozen until they are replaced, then others lost",
        thawed_after_replacement},
       {"planned_interrupted", 3, "a planned replacement is interrupted, then one further loss", planned_interrupted},
-      {"founding", 3, "trouble in the first seconds", founding},
+      {"founding", 3, "trouble in the first seconds", bootstrap_set},
       {"restarts_in_storm", 4, "hundreds of changes, keepers restarted, wiped and replaced", restarts_in_storm},
   };
   return all;
--- a/proof/hollow/scale.cc
+++ b/proof/hollow/scale.cc
@@ -142,7 +142,7 @@
   p.role = m.role;
   for (int i = 0; i < plan.replicas; ++i) {
     if (i < 3) p.seeds.push_back(machines[static_cast<std::size_t>(i)]->address);
-    if (m.role == Role::config_store) p.founders.push_back(machines[static_cast<std::size_t>(i)]->name);
+    if (m.role == Role::config_store) p.initial_members.push_back(machines[static_cast<std::size_t>(i)]->name);
   }
   p.incarnation = 1000 + lives;
   p.chance = hash_bits(plan.seed * 31 + lives);
--- a/proof/scene/fleet.cc
+++ b/proof/scene/fleet.cc
@@ -19,8 +19,8 @@
 void Scene::build() {
   std::string seeds;
   for (int i = 1; i <= 3; ++i) seeds += (i > 1 ? "," : "") + number(2, i) + ":7000";
-  std::string founders;
-  for (std::string const& name : cast.replicas) founders += (founders.empty() ? "" : ",") + name;
+  std::string initial_members;
+  for (std::string const& name : cast.replicas) initial_members += (initial_members.empty() ? "" : ",") + name;
   platform = number(4, 1) + ":9100";
   Actor list;
   list.name = "list";
@@ -42,7 +42,7 @@
   for (std::string const& name : cast.replicas) {
     ++i;
     node(name, number(2, i), shape.zones[static_cast<std::size_t>(i - 1) % shape.zones.size()], seeds,
-         {"--data", plan.folder + "/" + name, "--founders", founders});
+         {"--data", plan.folder + "/" + name, "--founders", initial_members});
   }
   i = 0;
   for (std::string const& name : cast.routers) {
--- a/src/base/events.h
+++ b/src/base/events.h
@@ -31,7 +31,7 @@
   EVENT(214, self_refuted, INFO, "the node contradicted news of its own end")                \
   EVENT(220, tree_pulled, INFO, "a prefix tree was pulled from a peer")                      \
   EVENT(221, tree_stalled, WARNING, "the pull of a prefix tree stalled")                     \
-  EVENT(300, founded, INFO, "the first set of keepers is written")                           \
+  EVENT(300, register_bootstrapped, INFO, "the first set of keepers is written")             \
   EVENT(301, chosen, INFO, "a value of the register was chosen")                             \
   EVENT(302, in_force, INFO, "a description is in force on this node")                       \
   EVENT(303, not_in_force, ERROR, "a chosen description did not compile here")               \
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -41,7 +41,7 @@
   Settings out;
   std::string seeds;
   std::string models;
-  std::string founders;
+  std::string initial_members;
   std::int64_t grace = 2;
   std::int64_t drain = 10;
   std::int64_t body = 4096;
@@ -62,7 +62,7 @@
       "faults", options::value(&out.faults)->default_value(false), "allow fault points to be armed (tests only)");
   if (replica) {
     keys.add_options()("data", options::value(&out.data), "the data folder")(
-        "founders", options::value(&founders), "names of the first keepers, with commas between");
+        "founders", options::value(&initial_members), "names of the first keepers, with commas between");
   } else {
     keys.add_options()("platform", options::value(&out.platform), "IP:port of the platform's list of workers")(
         "models", options::value(&models), "models that it serves, with commas between; all without it");
@@ -92,7 +92,7 @@
   }
   out.seeds = split(seeds);
   out.models = split(models);
-  out.founders = split(founders);
+  out.initial_members = split(initial_members);
   if (!good_name(out.name))
     return fail(Kind::bad_settings, "name: letters, digits, '-', '_' and '.', at most 64, are needed");
   if (!good_name(out.zone))
@@ -128,8 +128,8 @@
       return fail(Kind::bad_settings, "data: the folder " + out.data + " is not there and cannot be made");
     if (::access(out.data.c_str(), W_OK | X_OK) != 0 || ::stat(out.data.c_str(), &info) != 0 || !S_ISDIR(info.st_mode))
       return fail(Kind::bad_settings, "data: the folder " + out.data + " cannot be written");
-    std::set<std::string> const unique(out.founders.begin(), out.founders.end());
-    if (unique.size() != out.founders.size()) return fail(Kind::bad_settings, "founders: a name stands twice");
+    std::set<std::string> const unique(out.initial_members.begin(), out.initial_members.end());
+    if (unique.size() != out.initial_members.size()) return fail(Kind::bad_settings, "founders: a name stands twice");
   }
   return out;
 }
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -20,7 +20,7 @@
   std::string log;       // a file, or empty for standard output
   std::vector<std::string> seeds;
   std::vector<std::string> models;
-  std::vector<std::string> founders;
+  std::vector<std::string> initial_members;
   Micros grace = seconds(2);
   Micros drain = seconds(10);
   std::size_t body = 4u << 20;  // the largest body a caller may send
--- a/src/consensus/register/acceptor.cc
+++ b/src/consensus/register/acceptor.cc
@@ -22,9 +22,9 @@
   marked_ = true;
 }
 
-void Acceptor::await_founding(std::vector<std::string> const& seeds) {
-  if (state_.formed || !state_.founding_seeds.empty()) return;
-  state_.founding_seeds = seeds;
+void Acceptor::await_bootstrap(std::vector<std::string> const& seeds) {
+  if (state_.formed || !state_.bootstrap_seeds.empty()) return;
+  state_.bootstrap_seeds = seeds;
   marked_ = true;
 }
 
@@ -38,7 +38,7 @@
   out.req = ask.req;
   out.disk = state.disk;
   out.formed = state.formed;
-  out.awaits_founding = !state.formed && !state.founding_seeds.empty();
+  out.awaits_bootstrap = !state.formed && !state.bootstrap_seeds.empty();
   out.ballot = state.accepted;
   if (state.value) {
     out.serial = state.value->serial;
@@ -81,7 +81,7 @@
 bool Acceptor::answer(std::string const& from, wire::BodyUnion& body, std::vector<OutgoingMessage>& out) {
   if (wire::PrepareT const* const ask = body.AsPrepare()) return prepare(from, *ask, out);
   if (wire::AcceptT* const ask = body.AsAccept()) return accept(from, *ask, out);
-  if (wire::FoundT const* const ask = body.AsFound()) return found(*ask);
+  if (wire::BootstrapT const* const ask = body.AsBootstrap()) return bootstrap(*ask);
   return false;
 }
 
@@ -138,7 +138,7 @@
   return changed;
 }
 
-bool Acceptor::found(wire::FoundT const& ask) {
+bool Acceptor::bootstrap(wire::BootstrapT const& ask) {
   // §5.4: the first set, once, and only on a disk that it names.
   if (state_.formed) return false;
   Membership first;
--- a/src/consensus/register/acceptor.h
+++ b/src/consensus/register/acceptor.h
@@ -38,9 +38,9 @@
   void take(std::string from, wire::BodyUnion body);
   // Fills what to send; returns a record to sync when one is due.
   std::optional<wire::RecordT> step(std::vector<OutgoingMessage>& out);
-  // Notes the seeds of the first start on a blank disk, so that a later incarnation may still take part in founding;
+  // Notes the seeds of the first start on a blank disk, so that a later incarnation may still take part in bootstrap;
   // step() has it synced.
-  void await_founding(std::vector<std::string> const& seeds);
+  void await_bootstrap(std::vector<std::string> const& seeds);
   // Notes the set of replicas by which limits are handed out here; step() has it synced.
   void note_quota_members(std::uint64_t fingerprint);
   // The record that step() returned is synced.
@@ -55,7 +55,7 @@
   bool answer(std::string const& from, wire::BodyUnion& body, std::vector<OutgoingMessage>& out);
   bool prepare(std::string const& from, wire::PrepareT const& ask, std::vector<OutgoingMessage>& out);
   bool accept(std::string const& from, wire::AcceptT& ask, std::vector<OutgoingMessage>& out);
-  bool found(wire::FoundT const& ask);
+  bool bootstrap(wire::BootstrapT const& ask);
   // The value that an accept brings, whole or as a patch of the one that is held; nothing when its base is missing.
   std::unique_ptr<wire::ValueT> value_of(wire::AcceptT& ask) const;
 
--- a/src/consensus/register/learner.cc
+++ b/src/consensus/register/learner.cc
@@ -78,7 +78,7 @@
   for (std::unique_ptr<wire::ReplicaT> const& replica : ans.replicas) members.replicas.push_back(*replica);
   for (std::unique_ptr<wire::ReplicaT> const& replica : ans.former) members.former.push_back(*replica);
   if (members.empty()) return;
-  if (members.epoch == 1 && first_set_.empty()) first_set_ = members;
+  if (members.epoch == 1 && initial_set_.empty()) initial_set_ = members;
   offered_[members.fingerprint()] = std::move(members);
 }
 
@@ -117,7 +117,7 @@
 std::optional<wire::ValueT> Learner::take(std::string const& from, wire::PeekedT const& ans, Micros now,
                                           std::vector<OutgoingMessage>& out) {
   observations[from] =
-      Observation{ans.disk, ans.formed, ans.ballot, ans.serial, now, ans.retiring, ans.awaits_founding};
+      Observation{ans.disk, ans.formed, ans.ballot, ans.serial, now, ans.retiring, ans.awaits_bootstrap};
   if (ans.value) {
     if (!wanted_ || ans.req != req_ || !same(ans.ballot, wanted_->ballot)) return std::nullopt;
     // A quorum agreed on this ballot, so this is the value that was chosen.
--- a/src/consensus/register/learner.h
+++ b/src/consensus/register/learner.h
@@ -30,7 +30,7 @@
   // The set of the newest value that the last poll showed, chosen or not; a proposer may begin with it.
   Membership const& seen() const { return seen_set_; }
   // A first set that some replica holds, though nobody knows yet whether it is chosen; empty when none was seen.
-  Membership const& founding() const { return first_set_; }
+  Membership const& bootstrap_set() const { return initial_set_; }
   // When the last poll was sent that a quorum answered; -1 for never.
   Micros contact() const { return floor_at_; }
   std::uint64_t serial() const { return value ? value->serial : 0; }
@@ -47,8 +47,8 @@
     wire::Ballot ballot;
     std::uint64_t serial = 0;
     Micros at = -1;
-    bool retiring = false;         // it is about to end for good, or for a while
-    bool awaits_founding = false;  // blank since the first start of all
+    bool retiring = false;          // it is about to end for good, or for a while
+    bool awaits_bootstrap = false;  // blank since the first start of all
   };
   std::map<std::string, Observation> observations;  // what each replica last answered
 
@@ -70,7 +70,7 @@
 
   Membership set_;
   Membership seen_set_;
-  Membership first_set_;
+  Membership initial_set_;
   std::map<std::uint64_t, Membership> offered_;  // sets of the present poll, by fingerprint
   std::uint64_t req_;
   Micros asked_ = 0;
--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -9,11 +9,11 @@
 namespace {
 constexpr Micros repair_gap = seconds(3);
 constexpr Micros replica_lost = seconds(3);
-constexpr Micros repair_calm = seconds(1);    // without a change, before copies that differ are mended
-constexpr Micros answer_slack = millis(300);  // beyond a poll, for an answer on its way
-constexpr Micros spare_seen = seconds(2);     // how lately a replica must have answered to be given a place
-constexpr Micros founder_turn = seconds(1);   // how long each founder waits for the one before it
-constexpr std::size_t least_replicas = 3;     // a set of more than these may shrink
+constexpr Micros repair_calm = seconds(1);     // without a change, before copies that differ are mended
+constexpr Micros answer_slack = millis(300);   // beyond a poll, for an answer on its way
+constexpr Micros spare_seen = seconds(2);      // how lately a replica must have answered to be given a place
+constexpr Micros bootstrap_turn = seconds(1);  // how long each initial member waits for the one before it
+constexpr std::size_t least_replicas = 3;      // a set of more than these may shrink
 constexpr std::size_t most_replicas = 7;
 constexpr std::size_t seeds_most = 3;  // that a node is given
 constexpr Micros lost_seed_after = seconds(5);
@@ -21,42 +21,43 @@
 }  // namespace
 
 // The first set that this node saw somewhere, or that it may write itself; nothing while it may not.
-std::optional<Membership> Node::first_set(Micros now) const {
+std::optional<Membership> Node::initial_set(Micros now) const {
   std::uint64_t const disk = acceptor->held().disk;
-  if (learner.founding().holds(plan.name, disk)) return learner.founding();
-  std::vector<std::string> founders = plan.registered ? first_replicas(now) : plan.founders;
-  std::sort(founders.begin(), founders.end());
-  std::vector<std::string>::const_iterator const own = std::find(founders.begin(), founders.end(), plan.name);
-  if (own == founders.end()) return std::nullopt;
+  if (learner.bootstrap_set().holds(plan.name, disk)) return learner.bootstrap_set();
+  std::vector<std::string> initial_members = plan.registered ? initial_replicas(now) : plan.initial_members;
+  std::sort(initial_members.begin(), initial_members.end());
+  std::vector<std::string>::const_iterator const own =
+      std::find(initial_members.begin(), initial_members.end(), plan.name);
+  if (own == initial_members.end()) return std::nullopt;
   // The first by name writes it; another only when that one has had its time, for it may have lost its disk.
-  if (now - born_ < founder_turn * (own - founders.begin())) return std::nullopt;
+  if (now - born_ < bootstrap_turn * (own - initial_members.begin())) return std::nullopt;
   Membership first;
   first.epoch = 1;
-  for (std::string const& name : founders) {
-    // §5.4: the first set is written only while every founder answers and every one of them is blank.
+  for (std::string const& name : initial_members) {
+    // §5.4: the first set is written only while every initial member answers and every one of them is blank.
     std::map<std::string, Learner::Observation>::const_iterator const observation = learner.observations.find(name);
     if (observation == learner.observations.end() || observation->second.formed ||
         now - observation->second.at > seconds(2))
       return std::nullopt;
     // After a restart a blank disk may also be a wiped one: only the marks of the first start tell them apart. A set
-    // that was chosen has left a majority of the founders without them (docs/control.md, "Point 3").
-    if (founds_again && !observation->second.awaits_founding) return std::nullopt;
+    // that was chosen has left a majority of the initial members without them (docs/control.md, "Point 3").
+    if (resumes_bootstrap && !observation->second.awaits_bootstrap) return std::nullopt;
     wire::ReplicaT replica;
     replica.name = name;
     replica.disk = observation->second.disk;
     replica.address = name == plan.name ? plan.address : address_of(name);
     first.replicas.push_back(std::move(replica));
   }
-  log_event(Event::founded, std::to_string(first.replicas.size()) + " keepers");
+  log_event(Event::register_bootstrapped, std::to_string(first.replicas.size()) + " keepers");
   return first;
 }
 
-void Node::found(Micros now, std::vector<OutgoingMessage>& outgoing) {
+void Node::bootstrap(Micros now, std::vector<OutgoingMessage>& outgoing) {
   if (!acceptor || acceptor->held().formed) return;
-  std::optional<Membership> const first = first_set(now);
+  std::optional<Membership> const first = initial_set(now);
   if (!first) return;
   for (wire::ReplicaT const& to : first->replicas) {
-    wire::FoundT update;
+    wire::BootstrapT update;
     for (wire::ReplicaT const& replica : first->replicas)
       update.replicas.push_back(std::make_unique<wire::ReplicaT>(replica));
     outgoing.push_back(message_to(to.name, std::move(update)));
@@ -73,11 +74,11 @@
 //
 // A seed that is lost before the first set was written may never come back. After a while it is left out, as long as
 // two of three seeds keep and are heard: the quorums of any two such sets meet, so no more than one of them is chosen.
-std::vector<std::string> Node::first_replicas(Micros now) const {
+std::vector<std::string> Node::initial_replicas(Micros now) const {
   std::vector<std::string> out;
-  if (plan.founding_seeds.empty() || !acceptor) return out;
+  if (plan.bootstrap_seeds.empty() || !acceptor) return out;
   bool all_heard = true;
-  for (std::string const& address : plan.founding_seeds) {
+  for (std::string const& address : plan.bootstrap_seeds) {
     if (address == plan.address) {
       out.push_back(plan.name);
       continue;
@@ -91,7 +92,7 @@
     all_heard = all_heard && heard;
   }
   if (!all_heard) {
-    bool const enough = plan.founding_seeds.size() == seeds_most && out.size() > seeds_most / 2;
+    bool const enough = plan.bootstrap_seeds.size() == seeds_most && out.size() > seeds_most / 2;
     return enough && now - born_ > lost_seed_after ? out : std::vector<std::string>();
   }
   if (out.empty()) {
@@ -103,7 +104,7 @@
 
 // §5.8, §12.3: an odd number of all that keep, so that no disk more makes the set no stronger; seven at most.
 std::size_t Node::replicas_wanted() const {
-  if (!plan.registered) return std::max<std::size_t>(1, plan.founders.size());
+  if (!plan.registered) return std::max<std::size_t>(1, plan.initial_members.size());
   std::size_t all = plan.replica && !replica_leaves(plan.name) ? 1 : 0;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     State const state = item.second.state();
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -47,19 +47,19 @@
   if (!plan.registered) out.wide = SIZE_MAX;
   return out;
 }
-// A founder whose incarnation ended before the first set was written goes on waiting for it, with the seeds of the
-// first start.
-NodePlan with_founding(NodePlan plan, std::optional<wire::RecordT> const& recovered) {
-  if (recovered && !recovered->founding_seeds.empty())
-    plan.founding_seeds = recovered->founding_seeds;
+// A initial member whose incarnation ended before the first set was written goes on waiting for it, with the seeds of
+// the first start.
+NodePlan with_bootstrap(NodePlan plan, std::optional<wire::RecordT> const& recovered) {
+  if (recovered && !recovered->bootstrap_seeds.empty())
+    plan.bootstrap_seeds = recovered->bootstrap_seeds;
   else if (plan.first_start)
-    plan.founding_seeds = plan.seeds;
+    plan.bootstrap_seeds = plan.seeds;
   return plan;
 }
 }  // namespace
 
 Node::Node(NodePlan initial_plan, Micros now, std::optional<wire::RecordT> recovered)
-    : plan(with_founding(std::move(initial_plan), recovered)),
+    : plan(with_bootstrap(std::move(initial_plan), recovered)),
       mesh(mesh_of(plan), self_of(plan), plan.chance),
       proposer(plan.name, incarnation_seed(plan, SeedUse::ballots)),
       learner(incarnation_seed(plan, SeedUse::polls) >> spare_number_bits),
@@ -79,10 +79,10 @@
       last_tick_(now),
       next_req_(incarnation_seed(plan, SeedUse::requests) >> spare_number_bits) {
   if (recovered) acceptor.emplace(std::move(*recovered));
-  founds_again = acceptor && !acceptor->held().founding_seeds.empty();
-  std::vector<std::string> const& seeds = plan.founding_seeds;
-  bool const founder = std::find(seeds.begin(), seeds.end(), plan.address) != seeds.end();
-  if (acceptor && plan.registered && founder) acceptor->await_founding(seeds);
+  resumes_bootstrap = acceptor && !acceptor->held().bootstrap_seeds.empty();
+  std::vector<std::string> const& seeds = plan.bootstrap_seeds;
+  bool const initial_member = std::find(seeds.begin(), seeds.end(), plan.address) != seeds.end();
+  if (acceptor && plan.registered && initial_member) acceptor->await_bootstrap(seeds);
   registry.span(plan.heartbeat_interval);
   if (plan.registered) dispatcher.begun(now);
   dispatcher.budget(plan.resend_ratio, plan.resend_store);
@@ -172,7 +172,7 @@
   switch (body.type) {
     case wire::Body::Prepare:
     case wire::Body::Accept:
-    case wire::Body::Found:
+    case wire::Body::Bootstrap:
       if (acceptor) {
         acceptor->take(from, std::move(body));
         if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
@@ -496,7 +496,7 @@
   if (now >= next_poll_ && (guard(Guard::spread) || learner.sure < 0 || plan.role == Role::config_store)) {
     next_poll_ = now + poll_span();
     learner.poll(now, replicas(), list_age(now), outgoing);
-    found(now, outgoing);
+    bootstrap(now, outgoing);
   }
   if (acceptor)
     if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -29,8 +29,8 @@
   std::string http;
   Role role = Role::router;
   std::vector<std::string> seeds;
-  std::vector<std::string> models;    // those that a passage serves; none means all
-  std::vector<std::string> founders;  // names of the first replicas
+  std::vector<std::string> models;           // those that a passage serves; none means all
+  std::vector<std::string> initial_members;  // names of the first replicas
   std::uint64_t incarnation = 1;
   std::uint64_t chance = 1;
   // Where workers register themselves (§12): no list is read and no health reports are asked, registrations are not
@@ -39,7 +39,7 @@
   bool replica = false;      // a router node that keeps as well
   bool first_start = false;  // the fleet starts for the first time
   // Whose replicas are the first set; none where this node may not found. The node fills it in.
-  std::vector<std::string> founding_seeds;
+  std::vector<std::string> bootstrap_seeds;
   Micros heartbeat_interval = millis(1200);
   double resend_ratio = 0.15;
   double resend_store = 30;   // of all nodes together
@@ -147,7 +147,8 @@
   Proposer proposer;
   Learner learner;
   std::optional<Acceptor> acceptor;
-  bool founds_again = false;  // an earlier incarnation of this founder ended before the first set was written
+  bool resumes_bootstrap =
+      false;  // an earlier incarnation of this initial member ended before the first set was written
   IndexSync index_sync;
   Fleet fleet;
   ChatDispatcher chat_dispatcher;
@@ -190,8 +191,8 @@
   void look_ready(Micros now, NodeOut& out);
   void own_entries(Micros now, NodeOut& out);
   void duties(Micros now, NodeOut& out);
-  void found(Micros now, std::vector<OutgoingMessage>& outgoing);
-  std::optional<Membership> first_set(Micros now) const;
+  void bootstrap(Micros now, std::vector<OutgoingMessage>& outgoing);
+  std::optional<Membership> initial_set(Micros now) const;
   std::string address_of(std::string const& name) const;
   std::optional<std::uint64_t> disk_here(std::string const& name, Micros within, Micros now) const;
   bool replica_leaves(std::string const& name) const;
@@ -204,7 +205,7 @@
   std::optional<Change> member_change(Micros now) const;
   std::optional<Change> duty_due(Micros now);
   std::optional<Change> catch_up_read(Micros now);
-  std::vector<std::string> first_replicas(Micros now) const;
+  std::vector<std::string> initial_replicas(Micros now) const;
   std::size_t replicas_wanted() const;
   // Keys and limits of tenants (core/tenancy.cc).
   void renew_lease(Micros now, std::vector<OutgoingMessage>& outgoing);
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -31,7 +31,7 @@
   plan.role = role_;
   plan.seeds = settings_.seeds;
   plan.models = settings_.models;
-  plan.founders = settings_.founders;
+  plan.initial_members = settings_.initial_members;
   plan.incarnation = static_cast<std::uint64_t>(g_get_real_time());
   plan.chance = random_seed();
   node_ = std::make_unique<Node>(plan, now(), std::move(recovered));
@@ -302,7 +302,7 @@
     // What a process is cannot change while it incarnations; what it allows can.
     if (s.name != settings_.name || s.cluster != settings_.cluster || s.zone != settings_.zone ||
         s.mesh != settings_.mesh || s.http != settings_.http || s.data != settings_.data ||
-        s.founders != settings_.founders || s.models != settings_.models || s.seeds != settings_.seeds ||
+        s.initial_members != settings_.initial_members || s.models != settings_.models || s.seeds != settings_.seeds ||
         s.faults != settings_.faults || s.log != settings_.log)
       why = "only platform, grace, drain and body can change without a restart";
   }
--- a/tests/control_plane.cc
+++ b/tests/control_plane.cc
@@ -120,7 +120,7 @@
   expect_founding_after_power_loss(false);
 }
 
-// A wiped disk looks like one that was never used, but no set is founded on it.
+// A wiped disk looks like one that was never used, but no set is bootstrapped on it.
 TEST(ControlPlane, a_founder_does_not_found_again_beside_wiped_disks) { expect_founding_after_power_loss(true); }
 
 // Point 4: members that come back catch up, are not ready before, and never go back.
