--- a/programs/decree/main.cc
+++ b/programs/decree/main.cc
@@ -115,7 +115,7 @@
     Got const got = talk("GET", node, "/v1/description", nullptr, "");
     if (got.status != 200) return show(got);
     if (marks)
-      std::printf("serial %s emptied %s\n", got.serial.c_str(), got.emptied.c_str());
+      std::printf("serial %s emptied %s\n", got.serial.c_str(), got.drained_zones.c_str());
     else
       std::fwrite(got.body.data(), 1, got.body.size(), stdout);
     return 0;
--- a/programs/ordeal/main.cc
+++ b/programs/ordeal/main.cc
@@ -39,7 +39,7 @@
   bool router = false;
   bool ready = false;
   std::uint64_t serial = 0;
-  std::set<std::string> emptied;
+  std::set<std::string> drained_zones;
   std::map<std::string, Worker> workers;
   std::map<std::string, std::string> routers;  // live peers that route, by name, with their addresses
   std::string name;
@@ -56,7 +56,7 @@
   if (!root["role"].get_string().get(text)) out.router = text == "passage";
   if (root["ready"].get_bool().get(out.ready) || root["serial"].get_uint64().get(out.serial)) return out;
   for (simdjson::dom::element const& zone : root["emptied"].get_array())
-    if (!zone.get_string().get(text)) out.emptied.insert(std::string(text));
+    if (!zone.get_string().get(text)) out.drained_zones.insert(std::string(text));
   for (simdjson::dom::element const& item : root["workers"].get_array()) {
     Worker worker;
     std::string_view id;
@@ -131,7 +131,7 @@
       else
         rest += item.second.slots;
     }
-    if (!view.emptied.empty()) return "the zone " + *view.emptied.begin() + " is emptied already";
+    if (!view.drained_zones.empty()) return "the zone " + *view.drained_zones.begin() + " is emptied already";
     if (inside == 0) return "no worker serves in the zone " + zone_;
     if (rest == 0 || static_cast<double>(demand) > most_ * static_cast<double>(rest))
       return "the other zones have " + std::to_string(rest) + " slots for a demand of " + std::to_string(demand);
--- a/proof/augury/callers.cc
+++ b/proof/augury/callers.cc
@@ -118,7 +118,7 @@
     if (gap > seconds(3))
       fault("N5 " + worker + " got a request from " + name + " " + std::to_string(gap / 1000) + " ms after its mark");
   }
-  for (Emptied const& zone : emptied[hand.row.zone]) {
+  for (DrainedZones const& zone : drained_zones[hand.row.zone]) {
     if (zone.to >= 0 && came >= zone.to) continue;
     Micros const gap = came - zone.from;
     end.margins.empty = std::max(end.margins.empty, gap);
--- a/proof/augury/operators.cc
+++ b/proof/augury/operators.cc
@@ -27,7 +27,7 @@
   made->box = box.name;
   changes[id] = std::move(made);
   if (type == Change::Type::refill)
-    for (Emptied& zone : emptied[text])
+    for (DrainedZones& zone : drained_zones[text])
       if (zone.to < 0) zone.to = now;
   enter(box, box.life, [this, id, type, text, expected](Box& b, Micros t, NodeOut& out) {
     Change change;
@@ -100,7 +100,7 @@
       }
   }
   if (change.type == Change::Type::empty && quiet) {
-    end.emptied = true;
+    end.drained_zones = true;
     end.unconfirmed = reply.missing;
   }
   if (change.type == Change::Type::empty && reply.missing.empty()) {
@@ -110,7 +110,7 @@
       if (other.second->type == Change::Type::refill && other.second->text == change.text &&
           (other.second->answered < 0 || other.second->answered >= change.from))
         undone = true;
-    if (!undone) emptied[change.text].push_back(Emptied{now, -1});
+    if (!undone) drained_zones[change.text].push_back(DrainedZones{now, -1});
   }
 }
 
@@ -121,10 +121,10 @@
     std::uint64_t const r = random.below(10);
     std::string const& zone = plan.shape->zones[random.below(plan.shape->zones.size())];
     bool any_empty = false;
-    for (std::pair<std::string const, std::vector<Emptied>> const& item : emptied)
-      for (Emptied const& e : item.second) any_empty = any_empty || e.to < 0;
-    // One zone at a time: with every zone emptied there is rightly no service.
-    std::set<std::string> const& seen = box->node->chat_dispatcher.emptied();
+    for (std::pair<std::string const, std::vector<DrainedZones>> const& item : drained_zones)
+      for (DrainedZones const& e : item.second) any_empty = any_empty || e.to < 0;
+    // One zone at a time: with every zone drained there is rightly no service.
+    std::set<std::string> const& seen = box->node->chat_dispatcher.drained_zones();
     bool asked = false;
     for (std::pair<std::uint64_t const, std::unique_ptr<Change_>> const& item : changes)
       asked = asked || (item.second->type == Change::Type::empty && now - item.second->from < seconds(5));
@@ -137,7 +137,7 @@
     else if (!seen.empty())
       operate(Change::Type::refill, std::string(*seen.begin()), 0, *box);
     else
-      for (std::pair<std::string const, std::vector<Emptied>> const& item : emptied)
+      for (std::pair<std::string const, std::vector<DrainedZones>> const& item : drained_zones)
         if (!item.second.empty() && item.second.back().to < 0) {
           operate(Change::Type::refill, item.first, 0, *box);
           break;
--- a/proof/augury/trouble.cc
+++ b/proof/augury/trouble.cc
@@ -221,7 +221,7 @@
     }
     after(lag(seconds(2), seconds(11)), [this] { heal(); });
   } else if (type == "stray") {
-    // One router node is cut off and goes on serving, while all others end and return; then a zone is emptied.
+    // One router node is cut off and goes on serving, while all others end and return; then a zone is drained.
     Box* const one = pick([](Box const& b) { return b.role == Role::router; });
     if (one != nullptr && cuts.empty()) {
       std::string const stray = one->name;
@@ -235,7 +235,7 @@
       }
       after(seconds(5), [this, stray] {
         Box* const at_box = pick([&stray](Box const& b) { return b.name != stray && b.node->ready(); });
-        if (at_box != nullptr && !quiet && at_box->node->chat_dispatcher.emptied().empty())
+        if (at_box != nullptr && !quiet && at_box->node->chat_dispatcher.drained_zones().empty())
           operate(Change::Type::empty, plan.shape->zones[random.below(plan.shape->zones.size())], 0, *at_box);
       });
       after(seconds(14), [this] { heal(); });
--- a/proof/augury/world.h
+++ b/proof/augury/world.h
@@ -21,7 +21,7 @@
   Micros length = seconds(30);    // of trouble; a quiet end follows
   double rate = 25;               // requests a second
   std::vector<std::string> only;  // these kinds of trouble, or all
-  bool finale = false;            // in the quiet end: what is gone is forgotten, and a zone emptied
+  bool finale = false;            // in the quiet end: what is gone is forgotten, and a zone drained
 };
 
 struct Margins {
@@ -38,7 +38,7 @@
   std::uint64_t exchanges = 0, registrations = 0,
                 routers = 0;             // registrations in the register, and router nodes that live, at the end
   std::vector<std::string> unconfirmed;  // whom the last 'empty' named, with a finale
-  bool emptied = false;                  // the finale's 'empty' was chosen
+  bool drained_zones = false;            // the finale's 'empty' was chosen
   std::uint64_t done = 0, runs = 0, refused = 0, lost = 0, accepted = 0, reads = 0, troubles = 0, frames = 0;
   std::map<std::string, int> kinds;  // of trouble that came about
   std::vector<std::string> faults;   // "N1 ...", empty when all held
@@ -148,11 +148,11 @@
   std::map<std::uint64_t, std::pair<Micros, std::string>> yes;  // accepted applies: when, and the text
   std::set<std::string> refused_changes;
   std::map<std::uint64_t, Micros> due_force;
-  struct Emptied {
+  struct DrainedZones {
     Micros from = 0;
     Micros to = -1;
   };
-  std::map<std::string, std::vector<Emptied>> emptied;
+  std::map<std::string, std::vector<DrainedZones>> drained_zones;
   std::map<std::string, std::map<std::uint64_t, Micros>> marks;  // worker, incarnation: when
   Micros lost_at = -1;
   Micros back_at = -1;
--- a/proof/scene/actions.cc
+++ b/proof/scene/actions.cc
@@ -141,13 +141,13 @@
   } else if (verb == "empty") {
     Got const got = fetch("POST", actors[door()].address + ":7080", "/v1/zones/" + what + "/empty", "", "");
     std::printf("%6.1f empty %s answered %u %s\n", clock(), what.c_str(), got.status, got.body.c_str());
-    if (got.status == 200) emptied[what] = {now(), 0};
+    if (got.status == 200) drained_zones[what] = {now(), 0};
     if (got.status == 200 || got.status == 202)
       note_change(Got{200, got.body, "", false}, "");
     else
       resync();
   } else if (verb == "refill") {
-    if (emptied.count(what) && emptied[what].second == 0) emptied[what].second = now();
+    if (drained_zones.count(what) && drained_zones[what].second == 0) drained_zones[what].second = now();
     Got const got = fetch("POST", actors[door()].address + ":7080", "/v1/zones/" + what + "/refill", "", "");
     note_change(got, "");
   } else {
--- a/proof/scene/scene.h
+++ b/proof/scene/scene.h
@@ -214,7 +214,7 @@
   int kept_done = 0;
   guint kept_timer = 0;
   std::map<std::string, std::pair<Micros, std::int64_t>> marked;
-  std::map<std::string, std::pair<Micros, Micros>> emptied;
+  std::map<std::string, std::pair<Micros, Micros>> drained_zones;
   std::map<std::string, int> faults;
 };
 
--- a/proof/scene/verdict.cc
+++ b/proof/scene/verdict.cc
@@ -56,10 +56,10 @@
     fault("N9", "what is read is older than what was accepted");
 }
 
-// N6: a start at a worker whose zone was emptied.
+// N6: a start at a worker whose zone was drained.
 void Scene::judge_start(std::string const& worker, BookLine const& line, Verdict& verdict) {
-  std::map<std::string, std::pair<Micros, Micros>>::const_iterator const zone = emptied.find(rows[worker].zone);
-  if (zone == emptied.end()) return;
+  std::map<std::string, std::pair<Micros, Micros>>::const_iterator const zone = drained_zones.find(rows[worker].zone);
+  if (zone == drained_zones.end()) return;
   bool const refilled = zone->second.second != 0 && line.at >= zone->second.second;
   if (refilled) return;
   Micros const after = line.at - zone->second.first;
--- a/proof/stage/main.cc
+++ b/proof/stage/main.cc
@@ -77,7 +77,7 @@
   if (plan.folder.empty()) plan.folder = own_folder() + "/stage-" + std::to_string(plan.net);
   std::error_code wrong;
   plan.folder = std::filesystem::absolute(plan.folder, wrong).string();
-  // Only a folder that an earlier experiment marked as its own is emptied.
+  // Only a folder that an earlier experiment marked as its own is drained.
   std::string const mark = plan.folder + "/of-stage";
   if (std::filesystem::exists(plan.folder, wrong) && !std::filesystem::exists(mark, wrong) &&
       !std::filesystem::is_empty(plan.folder, wrong))
--- a/src/consensus/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -272,7 +272,7 @@
 }
 
 void Proposer::change_zones(Change const& change) {
-  std::vector<std::string>& zones = draft_.emptied;
+  std::vector<std::string>& zones = draft_.drained_zones;
   std::vector<std::string>::iterator const zone = std::find(zones.begin(), zones.end(), change.text);
   bool const there = zone != zones.end();
   if (change.type == Change::Type::empty && !there) {
--- a/src/consensus/register/value_patch.cc
+++ b/src/consensus/register/value_patch.cc
@@ -56,8 +56,8 @@
         value.epoch, membership_of(value).fingerprint()})
     add(out, number);
   add(out, value.change);
-  add(out, value.emptied.size());
-  for (std::string const& zone : value.emptied) add(out, zone);
+  add(out, value.drained_zones.size());
+  for (std::string const& zone : value.drained_zones) add(out, zone);
   add(out, value.registrations);
   add(out, value.evicted);
   for (wire::Order const& order : value.orders) {
@@ -81,7 +81,7 @@
   wire::ValueT& rest = *out->rest;
   rest.serial = next.serial;
   rest.change = next.change;
-  rest.emptied = next.emptied;
+  rest.drained_zones = next.drained_zones;
   rest.revision = next.revision;
   rest.label = next.label;
   rest.forgotten_serial = next.forgotten_serial;
--- a/src/core/changes.cc
+++ b/src/core/changes.cc
@@ -160,7 +160,8 @@
     if (item.second.zone == zone) return true;
   for (std::pair<std::string const, Worker> const& item : fleet.workers)
     if (item.second.row.zone == zone) return true;
-  return learner.value && std::count(learner.value->emptied.begin(), learner.value->emptied.end(), zone) > 0;
+  return learner.value &&
+         std::count(learner.value->drained_zones.begin(), learner.value->drained_zones.end(), zone) > 0;
 }
 
 }  // namespace pipit
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -360,7 +360,8 @@
       }
     }
     dispatcher.in_force(description);
-    chat_dispatcher.in_force(description, std::set<std::string>(value.emptied.begin(), value.emptied.end()));
+    chat_dispatcher.in_force(description,
+                             std::set<std::string>(value.drained_zones.begin(), value.drained_zones.end()));
     log_event(Event::in_force, "serial " + std::to_string(value.serial));
   }
   mesh.members.self.serial = value.serial;
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -34,7 +34,7 @@
   std::uint64_t incarnation = 1;
   std::uint64_t chance = 1;
   // Where workers register themselves (§12): no list is read and no health reports are asked, registrations are not
-  // needed since no zone is ever emptied there, and the first replicas are those at the seeds.
+  // needed since no zone is ever drained there, and the first replicas are those at the seeds.
   bool registered = false;
   bool replica = false;      // a router node that keeps as well
   bool first_start = false;  // the fleet starts for the first time
--- a/src/flow/errand/desk.cc
+++ b/src/flow/errand/desk.cc
@@ -15,9 +15,9 @@
 constexpr double bucket_most = 2.0;
 }  // namespace
 
-void ChatDispatcher::in_force(std::shared_ptr<Description const> description, std::set<std::string> emptied) {
+void ChatDispatcher::in_force(std::shared_ptr<Description const> description, std::set<std::string> drained_zones) {
   rules_ = std::move(description);
-  shut_ = std::move(emptied);
+  shut_ = std::move(drained_zones);
 }
 
 Micros ChatDispatcher::service(Pool const& pool) const {
--- a/src/flow/errand/desk.h
+++ b/src/flow/errand/desk.h
@@ -66,7 +66,7 @@
       : self_(std::move(self)), zone_(std::move(zone)), index_sync_(index_sync), fleet_(fleet) {}
   ~ChatDispatcher() { backlog_.clear(); }
 
-  void in_force(std::shared_ptr<Description const> description, std::set<std::string> emptied);
+  void in_force(std::shared_ptr<Description const> description, std::set<std::string> drained_zones);
   // Placing stops while the node does not know enough: at its start, and after its clock jumped.
   void hold(bool held) { held_ = held; }
   void ready(bool ready) { open_ = ready; }
@@ -87,7 +87,7 @@
   std::size_t under_way() const { return chat_requests_.size(); }
   std::size_t waiting() const { return backlog_.size(); }
   std::shared_ptr<Description const> const& description() const { return rules_; }
-  std::set<std::string> const& emptied() const { return shut_; }
+  std::set<std::string> const& drained_zones() const { return shut_; }
   Tally tally;
 
  private:
--- a/src/runtime/http/talk.cc
+++ b/src/runtime/http/talk.cc
@@ -31,8 +31,8 @@
       char const* name;
       std::string& slot;
     };
-    for (Row const& row :
-         {Row{"X-Pipit-Serial", out.serial}, Row{"X-Pipit-Emptied", out.emptied}, Row{"X-Pipit-Change", out.change}})
+    for (Row const& row : {Row{"X-Pipit-Serial", out.serial}, Row{"X-Pipit-Emptied", out.drained_zones},
+                           Row{"X-Pipit-Change", out.change}})
       if (char const* const value = soup_message_headers_get_one(head, row.name)) row.slot = value;
   } else {
     out.why = error->message;
--- a/src/runtime/http/talk.h
+++ b/src/runtime/http/talk.h
@@ -8,7 +8,7 @@
   unsigned status = 0;  // 0: not reached
   std::string body;
   std::string serial;
-  std::string emptied;
+  std::string drained_zones;
   std::string change;
   std::string why;
 };
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -132,11 +132,11 @@
   }
   wire::ValueT const& value = outcome.value;
   if (what.first == Change::Type::read && what.second.empty()) {
-    std::string emptied;
-    for (std::string const& zone : value.emptied) emptied += (emptied.empty() ? "" : ",") + zone;
+    std::string drained_zones;
+    for (std::string const& zone : value.drained_zones) drained_zones += (drained_zones.empty() ? "" : ",") + zone;
     return front_->answer(item.id, 200, "application/json", value.text,
                           {{"X-Pipit-Serial", std::to_string(value.serial)},
-                           {"X-Pipit-Emptied", emptied},
+                           {"X-Pipit-Emptied", drained_zones},
                            {"ETag", std::to_string(value.serial)}});
   }
   if (what.first == Change::Type::read) {
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -11,7 +11,7 @@
   json.key("zone").text(settings_.zone).key("ready").boolean(node_->ready()).key("draining").boolean(grace_until_ >= 0);
   json.key("serial").number(static_cast<std::int64_t>(node_->learner.serial()));
   json.key("emptied").begin_list();
-  for (std::string const& zone : node_->chat_dispatcher.emptied()) json.text(zone);
+  for (std::string const& zone : node_->chat_dispatcher.drained_zones()) json.text(zone);
   json.end_list().key("keepers").begin_list();
   for (wire::ReplicaT const& replica : node_->learner.membership().replicas) json.text(replica.name);
   json.end_list().key("epoch").number(static_cast<std::int64_t>(node_->learner.membership().epoch));
--- a/tests/world.cc
+++ b/tests/world.cc
@@ -32,7 +32,7 @@
   for (std::string const& fault : end.faults) ADD_FAILURE() << fault;
   EXPECT_GE(end.exchanges, 20u);
   EXPECT_EQ(end.registrations, end.routers);
-  EXPECT_TRUE(end.emptied);
+  EXPECT_TRUE(end.drained_zones);
   EXPECT_TRUE(end.unconfirmed.empty()) << end.unconfirmed.front();
 }
 
