--- a/proof/augury/callers.cc
+++ b/proof/augury/callers.cc
@@ -34,7 +34,7 @@
   if (list.size() > 60) list.erase(list.begin(), list.begin() + 20);
 }
 
-// One attempt: the wire opens, the request leaves, the worker runs it, the answer begins and ends.
+// One attempt: the connection opens, the request leaves, the worker runs it, the answer begins and ends.
 void World::attempt(Box& box, Start const& start) {
   std::string const name = box.name;
   std::uint64_t const life = box.life;
@@ -61,7 +61,7 @@
     if (!item.up() || item.life != life || !item.attempts.count(chat_request) || item.attempts[chat_request] != number)
       return;
     if (hands[worker]->life != hand_life) return done(ChatAttemptEnd::unreached);
-    // The wire is open: from here a byte may have left, even if this node is stopped in the very next moment.
+    // The connection is open: from here a byte may have left, even if this node is stopped in the very next moment.
     item.node->chat_attempt_sent(chat_request);
     after(lag(), [this, name, life, chat_request, number, worker, hand_life, wish, stall] {
       arrive(name, life, chat_request, number, worker, hand_life, wish, stall);
@@ -134,7 +134,7 @@
     if (n > plan.shape->cold)
       fault("N11 " + worker + " got " + std::to_string(n) + " within a second of its cold start");
   }
-  // Whoever sent it may be gone already: then its wire is shut and the worker stops at once.
+  // Whoever sent it may be gone already: then its connection is shut and the worker stops at once.
   if (!box.up() || box.life != life) return;
   hand.runs.insert(wish);
   hand.history.emplace_back(now, static_cast<std::int64_t>(hand.runs.size()));
@@ -213,7 +213,7 @@
   if (id == 0) return;
   Wish& wish = *wishes[id];
   if (wish.over) {
-    // The answer and the end of its node can cross; the first counts, as on a wire.
+    // The answer and the end of its node can cross; the first counts, as on a connection.
     return;
   }
   note(wish.tag + " told " + what);
--- a/proof/augury/judge.cc
+++ b/proof/augury/judge.cc
@@ -73,7 +73,8 @@
             std::printf("%s serial %llu knows %s at %s %s wire %llu dialling %d refused %d\n", item.first.c_str(),
                         static_cast<unsigned long long>(item.second->node->learner.serial()), peer.first.c_str(),
                         peer.second.member.address.c_str(), state_word(peer.second.state()),
-                        static_cast<unsigned long long>(peer.second.wire), peer.second.dialling, peer.second.refused);
+                        static_cast<unsigned long long>(peer.second.connection), peer.second.dialling,
+                        peer.second.refused);
   if (serials.size() != 1)
     fault("N7 nodes differ in serial after a quiet while");
   else if (*serials.begin() < yes_serial)
--- a/proof/augury/machines.cc
+++ b/proof/augury/machines.cc
@@ -1,4 +1,4 @@
-// Machines, wires and disks of a world: what carries a node's effects out (§10.4).
+// Machines, connections and disks of a world: what carries a node's effects out (§10.4).
 #include "proof/augury/parts.h"
 
 #include <algorithm>
@@ -31,7 +31,7 @@
   box.frozen = false;
   box.power = false;
   box.deferred.clear();
-  box.wires.clear();
+  box.connections.clear();
   box.chat_requests.clear();
   box.attempts.clear();
   box.begun.clear();
@@ -83,14 +83,14 @@
   first_sends += t.first_sends;
   resends += t.resends;
   box.power = power;
-  std::map<WireId, std::pair<std::shared_ptr<Link>, int>> const wires = box.wires;
-  box.wires.clear();
+  std::map<ConnectionId, std::pair<std::shared_ptr<Link>, int>> const connections = box.connections;
+  box.connections.clear();
   box.node.reset();
-  for (std::pair<WireId const, std::pair<std::shared_ptr<Link>, int>> const& item : wires) {
+  for (std::pair<ConnectionId const, std::pair<std::shared_ptr<Link>, int>> const& item : connections) {
     if (power) continue;
     hang(item.second.first, item.second.second);
   }
-  // Its attempts' wires end with it, so its workers stop; its callers know nothing.
+  // Its attempts' connections end with it, so its workers stop; its callers know nothing.
   for (std::pair<std::uint64_t const, std::uint64_t> const& item : box.chat_requests) {
     std::uint64_t const wish = item.second;
     after(lag(), [this, wish] { told(wish, "lost", 0); });
@@ -167,7 +167,7 @@
   for (std::pair<std::string, std::string> const& item : old)
     for (std::string const& name : {item.first, item.second})
       if (boxes.count(name)) boxes[name]->troubled = now;
-  // What stood still on open wires goes on, in order.
+  // What stood still on open connections goes on, in order.
   for (std::shared_ptr<Link> const& link : links)
     for (int side = 0; side < 2; ++side) {
       std::vector<std::string> const list = std::move(link->stalled[side]);
@@ -201,7 +201,7 @@
   links.push_back(link);
   Micros const there = lag();
   Micros const back = there + lag();
-  link->last[1] = now + back;  // nothing reaches the dialler before its wire is open
+  link->last[1] = now + back;  // nothing reaches the dialler before its connection is open
   for (int side = 0; side < 2; ++side)
     after(side == 1 ? there : back, [this, link, side, address] {
       Box& item = *boxes[link->name[side]];
@@ -212,9 +212,9 @@
                 [address](Box& b, Micros t, NodeOut& out) { b.node->dial_failed(address, false, t, out); });
         return;
       }
-      link->wire[side] = ++item.next_wire;
-      item.wires[link->wire[side]] = {link, side};
-      WireId const id = link->wire[side];
+      link->connection[side] = ++item.next_connection;
+      item.connections[link->connection[side]] = {link, side};
+      ConnectionId const id = link->connection[side];
       enter(item, item.life,
             [id, side, address](Box& b, Micros t, NodeOut& out) { b.node->opened(id, side == 0, address, t, out); });
     });
@@ -224,13 +224,14 @@
   if (!link->open) return;
   link->open = false;
   int const to = 1 - from;
-  if (boxes[link->name[from]]->up() && link->wire[from] != 0) boxes[link->name[from]]->wires.erase(link->wire[from]);
+  if (boxes[link->name[from]]->up() && link->connection[from] != 0)
+    boxes[link->name[from]]->connections.erase(link->connection[from]);
   if (cut(link->name[from], link->name[to])) return;  // the other side finds out by itself
   after(lag(), [this, link, to] {
     Box& item = *boxes[link->name[to]];
-    if (!item.up() || item.life != link->life[to] || link->wire[to] == 0) return;
-    item.wires.erase(link->wire[to]);
-    WireId const id = link->wire[to];
+    if (!item.up() || item.life != link->life[to] || link->connection[to] == 0) return;
+    item.connections.erase(link->connection[to]);
+    ConnectionId const id = link->connection[to];
     enter(item, item.life, [id](Box& b, Micros t, NodeOut& out) { b.node->shut(id, t, out); });
   });
 }
@@ -241,7 +242,7 @@
     if (link->stalled[side].size() < 200) link->stalled[side].push_back(std::move(bytes));
     return;
   }
-  // Wires differ in pace; on one wire the order stands.
+  // Connections differ in pace; on one connection the order stands.
   Micros const when =
       std::max(link->last[side] + 1, now + lag() + (random.chance(0.01) ? lag(millis(5), millis(80)) : 0));
   link->last[side] = when;
@@ -257,18 +258,18 @@
     }
     ++end.frames;
     enter(item, item.life, [this, link, to, bytes](Box& b, Micros t, NodeOut& out) {
-      if (!b.wires.count(link->wire[to])) return;
-      if (!b.node->bytes(link->wire[to], bytes, t, out)) fault("frame: a frame did not verify");
+      if (!b.connections.count(link->connection[to])) return;
+      if (!b.node->bytes(link->connection[to], bytes, t, out)) fault("frame: a frame did not verify");
     });
   });
 }
 
-void World::carry(Box& box, WireId id, std::string bytes) {
-  std::map<WireId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const spot = box.wires.find(id);
-  if (spot == box.wires.end()) return;
+void World::carry(Box& box, ConnectionId id, std::string bytes) {
+  std::map<ConnectionId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const spot = box.connections.find(id);
+  if (spot == box.connections.end()) return;
   if (!spot->second.first->open) {
-    // A wire whose other end is gone: writing to it finds that out.
-    box.wires.erase(id);
+    // A connection whose other end is gone: writing to it finds that out.
+    box.connections.erase(id);
     std::string const name = box.name;
     std::uint64_t const life = box.life;
     after(lag(), [this, name, life, id] {
@@ -297,13 +298,13 @@
   std::uint64_t const life = box.life;
   if (out.save) save(box, std::move(*out.save));
   for (std::string const& address : out.mesh.dials) dial(box, address);
-  for (Sends::Send& send : out.mesh.sends) carry(box, send.wire, std::move(send.bytes));
-  for (WireId const id : out.mesh.shuts) {
-    std::map<WireId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const spot = box.wires.find(id);
-    if (spot == box.wires.end()) continue;
+  for (Sends::Send& send : out.mesh.sends) carry(box, send.connection, std::move(send.bytes));
+  for (ConnectionId const id : out.mesh.shuts) {
+    std::map<ConnectionId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const spot = box.connections.find(id);
+    if (spot == box.connections.end()) continue;
     std::pair<std::shared_ptr<Link>, int> const item = spot->second;
     hang(item.first, item.second);
-    box.wires.erase(id);
+    box.connections.erase(id);
   }
   for (Start const& start : out.chat.starts) attempt(box, start);
   for (Verdict const& verdict : out.chat.ends) {
--- a/proof/augury/parts.h
+++ b/proof/augury/parts.h
@@ -12,15 +12,15 @@
   std::unique_ptr<Node> node;
   std::uint64_t life = 0;
   bool frozen = false;
-  bool power = false;  // ended without a word on the wire
+  bool power = false;  // ended without a word on the connection
   std::vector<std::function<void()>> deferred;
   double rate = 1.0;
   Micros offset = 0;
   std::optional<wire::RecordT> disk;
   std::optional<wire::RecordT> writing;
   Micros disk_low = 500, disk_high = 6000;
-  std::map<WireId, std::pair<std::shared_ptr<Link>, int>> wires;
-  WireId next_wire = 0;
+  std::map<ConnectionId, std::pair<std::shared_ptr<Link>, int>> connections;
+  ConnectionId next_connection = 0;
   std::map<std::uint64_t, std::uint64_t> chat_requests;  // chat request to wish
   std::map<std::uint64_t, int> attempts;                 // chat request to the attempt that runs
   std::map<std::uint64_t, int> begun;                    // chat request to the attempt whose answer began
@@ -35,7 +35,7 @@
   std::uint64_t id = 0;
   std::string name[2];
   std::uint64_t life[2] = {0, 0};
-  WireId wire[2] = {0, 0};
+  ConnectionId connection[2] = {0, 0};
   bool open = true;
   Micros last[2] = {0, 0};  // arrival times keep their order
   std::vector<std::string> stalled[2];
--- a/proof/augury/world.h
+++ b/proof/augury/world.h
@@ -55,7 +55,7 @@
 
  private:
   struct Box;      // a node with its machine
-  struct Link;     // a wire between two boxes
+  struct Link;     // a connection between two boxes
   struct Hand;     // a worker
   struct Wish;     // one attempt of a caller
   struct Change_;  // an operator's change
@@ -87,7 +87,7 @@
   void set_cut(std::string const& a, std::string const& b, bool on);
   void heal();
   void dial(Box& box, std::string const& address);
-  void carry(Box& box, WireId id, std::string bytes);
+  void carry(Box& box, ConnectionId id, std::string bytes);
   void pass(std::shared_ptr<Link> link, int side, std::string bytes);
   void hang(std::shared_ptr<Link> link, int from_side);
   void save(Box& box, wire::RecordT record);
--- a/proof/chorus/main.cc
+++ b/proof/chorus/main.cc
@@ -89,7 +89,7 @@
     Chorus* host = nullptr;
     std::unique_ptr<Call> call;
     std::size_t attempt = 0;
-    Caller wire;
+    Caller connection;
     Micros sent = 0;
     Pieces pieces;
     std::int64_t seen = 0;
@@ -180,20 +180,20 @@
     std::string const door = doors[random.below(doors.size())];
     item->sent = now();
     item->call = std::move(call);
-    item->wire.on_body = [item](std::string_view bytes) {
-      if (item->wire.status == 200 && item->call->request_kind->stream) {
+    item->connection.on_body = [item](std::string_view bytes) {
+      if (item->connection.status == 200 && item->call->request_kind->stream) {
         item->pieces.feed(bytes);
         item->host->stream(*item);
       } else {
         item->whole += bytes;
       }
     };
-    item->wire.on_end = [item](Caller::End end) {
-      if (end == Caller::End::unopened || item->wire.status == 0)
+    item->connection.on_end = [item](Caller::End end) {
+      if (end == Caller::End::unopened || item->connection.status == 0)
         return item->host->lost(item, end != Caller::End::unopened);
-      item->host->over(*item, end == Caller::End::whole, item->wire.status == 200);
+      item->host->over(*item, end == Caller::End::whole, item->connection.status == 200);
     };
-    item->wire.post(door, "/v1/chat/completions", body);
+    item->connection.post(door, "/v1/chat/completions", body);
   }
 
   void fault(char const* point, std::string const& what) {
@@ -291,9 +291,9 @@
     ++answers[std::string(kind)];
     if (ran == "no") {
       refusal.add(took);
-      bool const after = item.wire.head.count("retry-after") > 0;
+      bool const after = item.connection.head.count("retry-after") > 0;
       if (!after) fault("contract", note.tag + ": refused without a time to come back");
-      Micros const wait = seconds(after ? std::max(1, std::atoi(item.wire.head["retry-after"].c_str())) : 1);
+      Micros const wait = seconds(after ? std::max(1, std::atoi(item.connection.head["retry-after"].c_str())) : 1);
       if (now() + wait - item.call->came < static_cast<Micros>(plan.patience * 1e6)) return again(&item, wait);
       ++refused;
     } else {
@@ -302,7 +302,7 @@
     finish(&item);
   }
 
-  // No answer: the caller knows nothing, unless the wire could not even be opened.
+  // No answer: the caller knows nothing, unless the connection could not even be opened.
   void lost(Try* item, bool left) {
     Attempt& note = attempts[item->attempt];
     note.told = left ? "lost" : "no";
--- a/proof/control_plane/world.cc
+++ b/proof/control_plane/world.cc
@@ -154,7 +154,7 @@
     if (barrier.holds(id)) ++machine.troubles;
   machine.calm_since = time;
   // What a former life without power left half open is reset at the next word.
-  machine.wires.clear();
+  machine.connections.clear();
   if (!machine.replica) return begin_life(machine, made, std::nullopt);
   if (!machine.disk) machine.disk = std::make_unique<SimulatedDisk>();
   machine.store = std::make_unique<RecordStore>(*machine.disk, made.cluster, made.name, file_reserved);
@@ -214,13 +214,13 @@
   interrupt_save(machine);
   if (!log_is_muted())
     std::printf("%lld %s ends%s\n", static_cast<long long>(time / 1000), machine.name.c_str(), silent ? " dark" : "");
-  std::map<WireId, std::pair<std::shared_ptr<Link>, int>> const wires = std::move(machine.wires);
-  machine.wires.clear();
+  std::map<ConnectionId, std::pair<std::shared_ptr<Link>, int>> const connections = std::move(machine.connections);
+  machine.connections.clear();
   machine.node.reset();
   machine.frozen = false;
   machine.deferred.clear();
   machine.stop_from = -1;
-  for (std::pair<WireId const, std::pair<std::shared_ptr<Link>, int>> const& item : wires)
+  for (std::pair<ConnectionId const, std::pair<std::shared_ptr<Link>, int>> const& item : connections)
     hang_up(item.second.first, item.second.second, silent);
   if (on_end) on_end(machine);
 }
@@ -312,14 +312,16 @@
   if (out.save) save(machine, std::move(*out.save));
   for (std::string const& address : out.mesh.dials) dial(machine, address);
   for (Sends::Send& item : out.mesh.sends) {
-    std::map<WireId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const spot = machine.wires.find(item.wire);
-    if (spot != machine.wires.end()) send(spot->second.first, spot->second.second, std::move(item.bytes), false);
+    std::map<ConnectionId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const spot =
+        machine.connections.find(item.connection);
+    if (spot != machine.connections.end()) send(spot->second.first, spot->second.second, std::move(item.bytes), false);
   }
-  for (WireId const wire : out.mesh.shuts) {
-    std::map<WireId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const spot = machine.wires.find(wire);
-    if (spot == machine.wires.end()) continue;
+  for (ConnectionId const connection : out.mesh.shuts) {
+    std::map<ConnectionId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const spot =
+        machine.connections.find(connection);
+    if (spot == machine.connections.end()) continue;
     std::pair<std::shared_ptr<Link>, int> const item = spot->second;
-    machine.wires.erase(wire);
+    machine.connections.erase(connection);
     hang_up(item.first, item.second, false);
   }
   if (on_dispatch && !out.dispatch.empty()) on_dispatch(machine, out.dispatch);
@@ -494,11 +496,11 @@
     return;
   }
   link->opened[side] = true;
-  link->wire[side] = ++machine.next_wire;
-  machine.wires[link->wire[side]] = {link, side};
-  WireId const wire = link->wire[side];
-  enter(machine.id, machine.life, [wire, side, address](Node& node, Micros now, NodeOut& out) {
-    node.opened(wire, side == 0, side == 0 ? address : "", now, out);
+  link->connection[side] = ++machine.next_connection;
+  machine.connections[link->connection[side]] = {link, side};
+  ConnectionId const connection = link->connection[side];
+  enter(machine.id, machine.life, [connection, side, address](Node& node, Micros now, NodeOut& out) {
+    node.opened(connection, side == 0, side == 0 ? address : "", now, out);
   });
 }
 
@@ -543,12 +545,12 @@
     return;
   }
   if (frame.last) return reset_side(link, to);
-  WireId const wire = link->wire[to];
+  ConnectionId const connection = link->connection[to];
   enter(target.id, target.life,
-        [this, link, to, wire, bytes = std::move(frame.bytes)](Node& node, Micros now, NodeOut& out) {
+        [this, link, to, connection, bytes = std::move(frame.bytes)](Node& node, Micros now, NodeOut& out) {
           Machine& machine = *machines[link->end[to]];
-          if (machine.wires.count(wire) == 0) return;
-          if (!node.bytes(wire, bytes, now, out)) out.mesh.shuts.push_back(wire);
+          if (machine.connections.count(connection) == 0) return;
+          if (!node.bytes(connection, bytes, now, out)) out.mesh.shuts.push_back(connection);
         });
 }
 
@@ -565,10 +567,10 @@
   if (link->closed[side] || !link->opened[side] || !machine.up() || machine.life != link->life[side]) return;
   link->closed[side] = true;
   link->queue[side].clear();
-  WireId const wire = link->wire[side];
-  after(lag(), [this, link, side, wire] {
-    enter(link->end[side], link->life[side], [this, link, side, wire](Node& node, Micros now, NodeOut& out) {
-      if (machines[link->end[side]]->wires.erase(wire) > 0) node.shut(wire, now, out);
+  ConnectionId const connection = link->connection[side];
+  after(lag(), [this, link, side, connection] {
+    enter(link->end[side], link->life[side], [this, link, side, connection](Node& node, Micros now, NodeOut& out) {
+      if (machines[link->end[side]]->connections.erase(connection) > 0) node.shut(connection, now, out);
     });
   });
 }
--- a/proof/control_plane/world.h
+++ b/proof/control_plane/world.h
@@ -73,8 +73,8 @@
   Micros stalled_until = -1;
   bool disk_full = false;
 
-  std::map<WireId, std::pair<std::shared_ptr<Link>, int>> wires;
-  WireId next_wire = 0;
+  std::map<ConnectionId, std::pair<std::shared_ptr<Link>, int>> connections;
+  ConnectionId next_connection = 0;
 
   Micros stop_from = -1;  // since when a planned stop is under way
   bool announced = false;
@@ -223,7 +223,7 @@
   };
   MachineId end[2] = {0, 0};
   std::uint64_t life[2] = {0, 0};
-  WireId wire[2] = {0, 0};
+  ConnectionId connection[2] = {0, 0};
   bool opened[2] = {false, false};
   bool closed[2] = {false, false};
   std::deque<Frame> queue[2];  // by the side that sent
--- a/proof/hollow/machine.h
+++ b/proof/hollow/machine.h
@@ -13,8 +13,8 @@
   bool silent = false;  // without power: it answers no dial
   Micros offset = 0;
   std::optional<wire::RecordT> disk;
-  std::unordered_map<WireId, std::pair<std::shared_ptr<Link>, int>> wires;
-  WireId next_wire = 0;
+  std::unordered_map<ConnectionId, std::pair<std::shared_ptr<Link>, int>> connections;
+  ConnectionId next_connection = 0;
   std::uint64_t chat_requests = 0;
   std::uint64_t serial = 0;
   Micros troubled = 0;  // when it was last started or ended
@@ -24,7 +24,7 @@
 struct Scale::Link {
   int who[2] = {0, 0};
   std::uint64_t life[2] = {0, 0};
-  WireId wire[2] = {0, 0};
+  ConnectionId connection[2] = {0, 0};
   bool open = true;
   Micros last[2] = {0, 0};           // arrival times keep their order
   std::vector<std::string> held[2];  // what a cut holds back
--- a/proof/hollow/report.cc
+++ b/proof/hollow/report.cc
@@ -55,7 +55,7 @@
     out.add(head + "bytes_in", bytes_in / per);
     out.add(head + "bytes_out", bytes_out / per);
     for (std::size_t i = 0; i < static_cast<std::size_t>(Step::count); ++i)
-      if (i != static_cast<std::size_t>(Step::wire) && count.nanos[i] > 0)
+      if (i != static_cast<std::size_t>(Step::connection) && count.nanos[i] > 0)
         out.add(head + "cpu_us." + steps[i], static_cast<double>(count.nanos[i]) / 1000 / per);
     for (std::size_t i = 0; i < kinds; ++i) {
       if (count.frames_in[i] == 0 && count.frames_out[i] == 0) continue;
--- a/proof/hollow/scale.cc
+++ b/proof/hollow/scale.cc
@@ -1,4 +1,4 @@
-// Machines, wires and steps of a fleet whose costs are counted (§10.5).
+// Machines, connections and steps of a fleet whose costs are counted (§10.5).
 #include "proof/hollow/scale.h"
 
 #include <algorithm>
@@ -130,7 +130,7 @@
   if (m.up()) return;
   m.life = ++lives;
   m.silent = false;
-  m.wires.clear();
+  m.connections.clear();
   m.chat_requests = 0;
   m.serial = 0;
   m.troubled = now;
@@ -168,12 +168,12 @@
   if (!m.up()) return;
   m.troubled = now;
   m.silent = silent;
-  std::unordered_map<WireId, std::pair<std::shared_ptr<Link>, int>> const wires = std::move(m.wires);
-  m.wires.clear();
+  std::unordered_map<ConnectionId, std::pair<std::shared_ptr<Link>, int>> const connections = std::move(m.connections);
+  m.connections.clear();
   m.node.reset();
   for (Kill& other : kills) other.pending.erase(who);
   if (silent) return;
-  for (std::pair<WireId const, std::pair<std::shared_ptr<Link>, int>> const& item : wires)
+  for (std::pair<ConnectionId const, std::pair<std::shared_ptr<Link>, int>> const& item : connections)
     hang(item.second.first, item.second.second);
 }
 
@@ -223,7 +223,7 @@
   bool const mute = target == nullptr || target->silent || cut(m, *target);
   if (mute || !target->up()) {
     after(mute ? seconds(1) : 2 * lag(m, *target), [this, who, life, address, mute] {
-      enter(who, life, Step::wire,
+      enter(who, life, Step::connection,
             [&address, mute](Machine& b, Micros t, NodeOut& out) { b.node->dial_failed(address, !mute, t, out); });
     });
     return;
@@ -235,21 +235,21 @@
   link->life[1] = target->life;
   Micros const there = lag(m, *target);
   Micros const back = there + lag(m, *target);
-  link->last[1] = now + back;  // nothing reaches the dialler before its wire is open
+  link->last[1] = now + back;  // nothing reaches the dialler before its connection is open
   for (int side = 0; side < 2; ++side)
     after(side == 1 ? there : back, [this, link, side, address] {
       Machine& b = *machines[static_cast<std::size_t>(link->who[side])];
       if (!b.up() || b.life != link->life[side]) return;
       if (!link->open) {
         if (side == 0)
-          enter(link->who[0], b.life, Step::wire,
+          enter(link->who[0], b.life, Step::connection,
                 [&address](Machine& x, Micros t, NodeOut& out) { x.node->dial_failed(address, false, t, out); });
         return;
       }
-      WireId const id = ++b.next_wire;
-      link->wire[side] = id;
-      b.wires[id] = {link, side};
-      enter(link->who[side], b.life, Step::wire, [id, side, &address](Machine& x, Micros t, NodeOut& out) {
+      ConnectionId const id = ++b.next_connection;
+      link->connection[side] = id;
+      b.connections[id] = {link, side};
+      enter(link->who[side], b.life, Step::connection, [id, side, &address](Machine& x, Micros t, NodeOut& out) {
         x.node->opened(id, side == 0, address, t, out);
       });
     });
@@ -261,15 +261,16 @@
   int const to = 1 - from;
   Machine& near = *machines[static_cast<std::size_t>(link->who[from])];
   Machine& far = *machines[static_cast<std::size_t>(link->who[to])];
-  if (near.up() && link->wire[from] != 0) near.wires.erase(link->wire[from]);
+  if (near.up() && link->connection[from] != 0) near.connections.erase(link->connection[from]);
   if (cut(near, far)) return;  // the other side finds out by itself
   // What was sent before the end arrives before it.
   at(std::max(link->last[from] + 1, now + lag(near, far)), [this, link, to] {
     Machine& b = *machines[static_cast<std::size_t>(link->who[to])];
-    if (!b.up() || b.life != link->life[to] || link->wire[to] == 0) return;
-    b.wires.erase(link->wire[to]);
-    WireId const id = link->wire[to];
-    enter(link->who[to], b.life, Step::wire, [id](Machine& x, Micros t, NodeOut& out) { x.node->shut(id, t, out); });
+    if (!b.up() || b.life != link->life[to] || link->connection[to] == 0) return;
+    b.connections.erase(link->connection[to]);
+    ConnectionId const id = link->connection[to];
+    enter(link->who[to], b.life, Step::connection,
+          [id](Machine& x, Micros t, NodeOut& out) { x.node->shut(id, t, out); });
   });
 }
 
@@ -295,8 +296,8 @@
     link->held[side].push_back(bytes);
     return;
   }
-  WireId const id = link->wire[1 - side];
-  if (!b.wires.count(id)) return;
+  ConnectionId const id = link->connection[1 - side];
+  if (!b.connections.count(id)) return;
   std::size_t const kind = kind_of(bytes);
   if (phase != nullptr) {
     Count& count = phase->count[static_cast<std::size_t>(b.role)];
@@ -304,24 +305,25 @@
     count.bytes_in[kind] += bytes.size();
   }
   enter(
-      to, b.life, Step::wire, [id, &bytes](Machine& x, Micros t, NodeOut& out) { x.node->bytes(id, bytes, t, out); },
-      static_cast<int>(kind));
+      to, b.life, Step::connection,
+      [id, &bytes](Machine& x, Micros t, NodeOut& out) { x.node->bytes(id, bytes, t, out); }, static_cast<int>(kind));
 }
 
-void Scale::carry(int who, WireId id, std::string bytes) {
+void Scale::carry(int who, ConnectionId id, std::string bytes) {
   Machine& m = *machines[static_cast<std::size_t>(who)];
-  std::unordered_map<WireId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const spot = m.wires.find(id);
-  if (spot == m.wires.end()) return;
+  std::unordered_map<ConnectionId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const spot =
+      m.connections.find(id);
+  if (spot == m.connections.end()) return;
   std::pair<std::shared_ptr<Link>, int> const end = spot->second;
   Machine const& far = *machines[static_cast<std::size_t>(end.first->who[1 - end.second])];
   bool const reborn = far.up() && far.life != end.first->life[1 - end.second];
   if (!end.first->open || reborn) {
-    // The other end is gone, or its machine lives anew and knows nothing of this wire: writing finds that out.
+    // The other end is gone, or its machine lives anew and knows nothing of this connection: writing finds that out.
     end.first->open = false;
-    m.wires.erase(id);
+    m.connections.erase(id);
     std::uint64_t const life = m.life;
     after(2 * lag(m, far), [this, who, life, id] {
-      enter(who, life, Step::wire, [id](Machine& x, Micros t, NodeOut& out) { x.node->shut(id, t, out); });
+      enter(who, life, Step::connection, [id](Machine& x, Micros t, NodeOut& out) { x.node->shut(id, t, out); });
     });
     return;
   }
@@ -357,16 +359,17 @@
       Machine& b = *machines[static_cast<std::size_t>(who)];
       if (!b.up() || b.life != life) return;
       b.disk = record;
-      enter(who, life, Step::wire, [](Machine& x, Micros t, NodeOut& o) { x.node->disk_done(t, o); });
+      enter(who, life, Step::connection, [](Machine& x, Micros t, NodeOut& o) { x.node->disk_done(t, o); });
     });
   for (std::string const& address : out.mesh.dials) dial(who, address);
-  for (Sends::Send& send : out.mesh.sends) carry(who, send.wire, std::move(send.bytes));
-  for (WireId const id : out.mesh.shuts) {
-    std::unordered_map<WireId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const spot = m.wires.find(id);
-    if (spot == m.wires.end()) continue;
+  for (Sends::Send& send : out.mesh.sends) carry(who, send.connection, std::move(send.bytes));
+  for (ConnectionId const id : out.mesh.shuts) {
+    std::unordered_map<ConnectionId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const spot =
+        m.connections.find(id);
+    if (spot == m.connections.end()) continue;
     std::pair<std::shared_ptr<Link>, int> const end = spot->second;
     hang(end.first, end.second);
-    m.wires.erase(id);
+    m.connections.erase(id);
   }
   for (Start const& start : out.chat.starts) {
     std::uint64_t const chat_request = start.chat_request;
--- a/proof/hollow/scale.h
+++ b/proof/hollow/scale.h
@@ -63,7 +63,7 @@
     bool operator<(Event_ const& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
   static constexpr std::size_t kinds = static_cast<std::size_t>(wire::Body::MAX) + 1;
-  enum class Step : std::uint8_t { tick, list, vitals, chat_request, wire, operate, count };
+  enum class Step : std::uint8_t { tick, list, vitals, chat_request, connection, operate, count };
   struct Count {  // of all nodes of a role in one phase
     std::array<std::uint64_t, kinds> frames_in{}, bytes_in{}, frames_out{}, bytes_out{};
     std::array<std::int64_t, kinds> nanos_in{};
@@ -104,7 +104,7 @@
   void enter(int who, std::uint64_t life, Step type, F&& step, int kind = -1);
   void obey(int who, NodeOut& out);
   void dial(int who, std::string const& address);
-  void carry(int who, WireId id, std::string bytes);
+  void carry(int who, ConnectionId id, std::string bytes);
   void pass(std::shared_ptr<Link> const& link, int side, std::string bytes);
   void arrive(std::shared_ptr<Link> const& link, int side, std::string const& bytes);
   void hang(std::shared_ptr<Link> const& link, int from);
--- a/proof/hollow/scale_phases.cc
+++ b/proof/hollow/scale_phases.cc
@@ -49,7 +49,7 @@
     if (!m->up()) return false;
     if (m->node->mesh.members.peers.size() + 1 != machines.size()) return false;
     for (std::pair<std::string const, Peer> const& item : m->node->mesh.members.peers)
-      if (item.second.state() != State::alive || item.second.wire == 0) return false;
+      if (item.second.state() != State::alive || item.second.connection == 0) return false;
   }
   return true;
 }
--- a/proof/scene/scene.h
+++ b/proof/scene/scene.h
@@ -145,7 +145,7 @@
   static void rewrite(std::string const& from, std::string const& to, std::map<std::string, std::string> const& fresh);
   // More callers for two seconds, who judge their own answers; with 'hot' nine of ten ask for one opening.
   void crowd(bool hot, std::string const& rate);
-  // Every node in turn is stopped as planned and started again, with callers on kept-alive wires besides.
+  // Every node in turn is stopped as planned and started again, with callers on kept-alive connections besides.
   void roll_all();
   // One fault point: armed, made to fire, seen to have fired, and over; the judges watch all the while.
   void one_point(PointPlan const& item);
--- a/src/base/events.h
+++ b/src/base/events.h
@@ -19,10 +19,10 @@
   EVENT(110, not_ready, WARNING, "the node waits before it takes requests")                  \
   EVENT(111, metrics_untold, WARNING, "the metrics' address cannot be listened on")          \
   EVENT(112, descriptors_gone, WARNING, "no descriptor is left for new connections")         \
-  EVENT(200, wire_open, INFO, "a wire to a peer is open")                                    \
-  EVENT(201, wire_shut, INFO, "a wire to a peer has ended")                                  \
-  EVENT(202, wire_garbage, WARNING, "a wire brought what is no frame")                       \
-  EVENT(203, wire_foreign, WARNING, "a wire came from another cluster")                      \
+  EVENT(200, connection_opened, INFO, "a wire to a peer is open")                            \
+  EVENT(201, connection_closed, INFO, "a wire to a peer has ended")                          \
+  EVENT(202, malformed_frame, WARNING, "a wire brought what is no frame")                    \
+  EVENT(203, foreign_cluster, WARNING, "a wire came from another cluster")                   \
   EVENT(204, frame_large, ERROR, "a frame over the limit was not sent")                      \
   EVENT(210, peer_alive, INFO, "a peer is alive")                                            \
   EVENT(211, peer_suspected, WARNING, "a peer did not answer a probe")                       \
--- a/src/base/faults.h
+++ b/src/base/faults.h
@@ -26,7 +26,7 @@
   FAULT(17, delta_lost, "a batch of deltas is not sent")                                  \
   FAULT(18, page_lost, "a page of a tree is not sent")                                    \
   FAULT(19, entries_lost, "a batch of entries is not sent")                               \
-  FAULT(20, wire_garbage, "a frame leaves as garbage")                                    \
+  FAULT(20, frame_corrupted, "a frame leaves as garbage")                                 \
   FAULT(21, disk_full, "a write of the ring finds no space")                              \
   FAULT(22, promise_lost, "an answer of the register's first round is not sent")          \
   FAULT(23, accepted_lost, "an answer of the register's second round is not sent")
--- a/src/core/changes.cc
+++ b/src/core/changes.cc
@@ -30,7 +30,7 @@
   Voters connected;
   for (wire::ReplicaT const& replica : learner.membership().replicas) {
     std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(replica.name);
-    bool const here = replica.name == plan.name || (peer != mesh.members.peers.end() && peer->second.wire != 0);
+    bool const here = replica.name == plan.name || (peer != mesh.members.peers.end() && peer->second.connection != 0);
     if (here) connected[replica.name] = replica.disk;
   }
   return learner.membership().replicas.empty() || connected.size() >= learner.membership().majority();
--- a/src/core/checks.cc
+++ b/src/core/checks.cc
@@ -73,7 +73,7 @@
   Micros const from = stale_from_ >= 0 ? stale_from_ : born_;
   if (learner.sure < from)
     return "no majority of keepers has answered since " + std::to_string((now - from) / 1000) + " ms, " +
-           std::to_string(mesh.wires_open()) + " connections to peers, " +
+           std::to_string(mesh.open_connections()) + " connections to peers, " +
            std::to_string(learner.membership().replicas.size()) + " keepers known";
   if (!is_registered()) return "it has no seat in the register";
   if (learner.serial() == 0) return "there is no configuration yet";
--- a/src/core/duties.cc
+++ b/src/core/duties.cc
@@ -85,7 +85,7 @@
     }
     bool heard = false;
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
-      if (item.second.wire == 0 || item.second.member.address != address) continue;
+      if (item.second.connection == 0 || item.second.member.address != address) continue;
       heard = true;
       if (item.second.member.replica) out.push_back(item.first);
     }
--- a/src/core/handed.cc
+++ b/src/core/handed.cc
@@ -29,7 +29,7 @@
       learner.observations.find(replica.name);
   if (observation != learner.observations.end() && observation->second.disk != replica.disk) return false;
   std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(replica.name);
-  return peer != mesh.members.peers.end() && peer->second.wire != 0 && peer->second.state() == State::alive;
+  return peer != mesh.members.peers.end() && peer->second.connection != 0 && peer->second.state() == State::alive;
 }
 
 std::string Node::proposing_replica() const {
@@ -44,7 +44,7 @@
 std::string Node::relaying_peer() {
   std::vector<std::string> peers;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
-    bool const here = item.second.wire != 0 && item.second.state() == State::alive;
+    bool const here = item.second.connection != 0 && item.second.state() == State::alive;
     if (here && !item.second.member.replica) peers.push_back(item.first);
   }
   if (peers.empty()) return "";
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -104,7 +104,7 @@
 std::vector<std::string> Node::replicas() const {
   std::set<std::string> out;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-    if ((item.second.role() == Role::config_store || item.second.member.replica) && item.second.wire != 0)
+    if ((item.second.role() == Role::config_store || item.second.member.replica) && item.second.connection != 0)
       out.insert(item.first);
   if (acceptor) out.insert(plan.name);
   return std::vector<std::string>(out.begin(), out.end());
@@ -124,7 +124,7 @@
 std::vector<std::string> Node::index_peers() const {
   std::vector<std::string> out;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-    if (item.second.role() == Role::router && item.second.wire != 0 && item.second.state() == State::alive)
+    if (item.second.role() == Role::router && item.second.connection != 0 && item.second.state() == State::alive)
       out.push_back(item.first);
   return out;
 }
@@ -154,7 +154,7 @@
         continue;
       }
       std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(item.to);
-      if (peer == mesh.members.peers.end() || peer->second.wire == 0) continue;
+      if (peer == mesh.members.peers.end() || peer->second.connection == 0) continue;
       wire::FrameT frame;
       frame.body = std::move(item.body);
       std::string bytes = encode(frame);
@@ -162,7 +162,7 @@
         log_event(Event::frame_large, item.to + " " + std::to_string(bytes.size()));
         continue;
       }
-      out.mesh.sends.push_back({peer->second.wire, std::move(bytes)});
+      out.mesh.sends.push_back({peer->second.connection, std::move(bytes)});
     }
   }
 }
@@ -328,19 +328,19 @@
     std::string const far = encode_body(wire::ChosenT(update));
     std::set<std::string> reached{plan.replica ? plan.zone : std::string()};
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
-      if (item.second.wire == 0 || !item.second.member.replica) continue;
+      if (item.second.connection == 0 || !item.second.member.replica) continue;
       reached.insert(item.second.member.zone);
-      out.mesh.sends.push_back({item.second.wire, far});
+      out.mesh.sends.push_back({item.second.connection, far});
     }
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-      if (item.second.wire != 0 && !reached.count(item.second.member.zone))
-        out.mesh.sends.push_back({item.second.wire, far});
+      if (item.second.connection != 0 && !reached.count(item.second.member.zone))
+        out.mesh.sends.push_back({item.second.connection, far});
     if (plan.replica) forward(update, out);
     return;
   }
   std::string const bytes = encode_body(std::move(update));
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-    if (item.second.wire != 0) out.mesh.sends.push_back({item.second.wire, bytes});
+    if (item.second.connection != 0) out.mesh.sends.push_back({item.second.connection, bytes});
 }
 
 // The value held here grew newer: it comes into force.
@@ -372,12 +372,12 @@
   if (!plan.registered) mesh.announce_self(out.mesh);
 }
 
-void Node::opened(WireId id, bool outbound, std::string const& address, Micros now, NodeOut& out) {
+void Node::opened(ConnectionId id, bool outbound, std::string const& address, Micros now, NodeOut& out) {
   watch_clock(now);
   mesh.opened(id, outbound, address, now, out.mesh);
 }
 
-void Node::shut(WireId id, Micros now, NodeOut& out) {
+void Node::shut(ConnectionId id, Micros now, NodeOut& out) {
   watch_clock(now);
   mesh.shut(id, now, out.mesh);
 }
@@ -389,11 +389,11 @@
   check_replies(out);
 }
 
-bool Node::bytes(WireId id, std::string_view bytes, Micros now, NodeOut& out) {
+bool Node::bytes(ConnectionId id, std::string_view bytes, Micros now, NodeOut& out) {
   watch_clock(now);
   Result<std::unique_ptr<wire::FrameT>> frame = decode(bytes);
   if (!frame) {
-    log_event(Event::wire_garbage, frame.error().why);
+    log_event(Event::malformed_frame, frame.error().why);
     return false;
   }
   bool const greeting = frame.value()->body.type == wire::Body::Hello;
@@ -405,7 +405,7 @@
     // §5.5: a peer that comes with an older serial is told the chosen value at once. Where many would do so, it asks:
     // its polls and the turns that its peers tell bring the value from one.
     std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(hello_name);
-    if (!mesh.wide() && peer != mesh.members.peers.end() && peer->second.wire == id && learner.value &&
+    if (!mesh.wide() && peer != mesh.members.peers.end() && peer->second.connection == id && learner.value &&
         peer->second.member.revision < learner.revision()) {
       wire::ChosenT update;
       update.value = std::make_unique<wire::ValueT>(*learner.value);
@@ -467,7 +467,7 @@
     if (able_) sure = true;
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       Peer const& peer = item.second;
-      if (peer.wire != 0 && peer.state() == State::alive && peer.role() == Role::router && peer.member.ready &&
+      if (peer.connection != 0 && peer.state() == State::alive && peer.role() == Role::router && peer.member.ready &&
           learner.value && learner.serial() >= peer.member.serial)
         sure = true;
     }
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -94,11 +94,11 @@
   // A node that was stopped for a while learns it here, before anything else it does (§6.7).
   void watch_clock(Micros now);
 
-  void opened(WireId id, bool outbound, std::string const& address, Micros now, NodeOut& out);
-  void shut(WireId id, Micros now, NodeOut& out);
+  void opened(ConnectionId id, bool outbound, std::string const& address, Micros now, NodeOut& out);
+  void shut(ConnectionId id, Micros now, NodeOut& out);
   void dial_failed(std::string const& address, bool refused, Micros now, NodeOut& out);
-  // False when the frame was no frame: the shell then shuts the wire.
-  bool bytes(WireId id, std::string_view frame, Micros now, NodeOut& out);
+  // False when the frame was no frame: the shell then shuts the connection.
+  bool bytes(ConnectionId id, std::string_view frame, Micros now, NodeOut& out);
 
   void disk_done(Micros now, NodeOut& out);
   // 'answered': a failed reading whose fault is the list's own, since its address refused or answered oddly.
--- a/src/core/registered.cc
+++ b/src/core/registered.cc
@@ -61,7 +61,7 @@
   }
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     Peer const& peer = item.second;
-    if (peer.wire == 0 || peer.state() != State::alive || peer.member.zone != zone) continue;
+    if (peer.connection == 0 || peer.state() != State::alive || peer.member.zone != zone) continue;
     bool const better =
         best.empty() || (peer.member.replica && !keeps) || (peer.member.replica == keeps && item.first < best);
     if (!better) continue;
@@ -77,7 +77,7 @@
   std::set<std::string> zones;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     Peer const& peer = item.second;
-    if (peer.wire == 0 || peer.state() != State::alive) continue;
+    if (peer.connection == 0 || peer.state() != State::alive) continue;
     if (!out.wide)
       out.all.push_back(item.first);
     else if (peer.member.zone == plan.zone)
@@ -108,7 +108,7 @@
   if (!plan.replica) return;
   std::vector<std::string> hands{plan.name};
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-    if (item.second.member.replica && item.second.member.zone == plan.zone && item.second.wire != 0 &&
+    if (item.second.member.replica && item.second.member.zone == plan.zone && item.second.connection != 0 &&
         item.second.state() == State::alive)
       hands.push_back(item.first);
   std::sort(hands.begin(), hands.end());
@@ -120,10 +120,10 @@
   std::string const bytes = encode_body(std::move(copy));
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     Peer const& peer = item.second;
-    if (peer.wire == 0 || peer.member.replica || item.first == update.origin) continue;
+    if (peer.connection == 0 || peer.member.replica || item.first == update.origin) continue;
     if (peer.member.zone == plan.zone &&
         rendezvous(item.first, std::set<std::string>(hands.begin(), hands.end())) == plan.name)
-      out.mesh.sends.push_back({peer.wire, bytes});
+      out.mesh.sends.push_back({peer.connection, bytes});
   }
 }
 
--- a/src/core/seats.cc
+++ b/src/core/seats.cc
@@ -69,7 +69,7 @@
 void Node::ask_newer(Micros now, std::vector<OutgoingMessage>& outgoing) {
   std::string from;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-    if (item.second.wire != 0 && item.second.member.revision > learner.revision()) from = item.first;
+    if (item.second.connection != 0 && item.second.member.revision > learner.revision()) from = item.first;
   if (from.empty() || !guard(Guard::spread)) {
     behind_since_ = -1;
   } else if (behind_since_ < 0) {
@@ -117,7 +117,7 @@
 std::optional<Fault> Node::keeps(std::string const& name) const {
   bool const known = learner.value && registration_of(*learner.value, name) != nullptr;
   std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
-  bool const here = name == plan.name || (peer != mesh.members.peers.end() && peer->second.wire != 0);
+  bool const here = name == plan.name || (peer != mesh.members.peers.end() && peer->second.connection != 0);
   if (here) return Fault{Kind::node_alive, "the node '" + name + "' is alive", ""};
   if (!known) return Fault{Kind::unknown_node, "no router node '" + name + "' has a seat", ""};
   return std::nullopt;
@@ -132,7 +132,7 @@
     Peer const& peer = spot->second;
     bool const left = peer.state() == State::leaving && now - std::max(peer.since, peer.bare_since) > evict_after;
     bool const dead = peer.refused && now - peer.refused_at > evict_after;
-    if (peer.wire != 0 || (!left && !dead)) continue;
+    if (peer.connection != 0 || (!left && !dead)) continue;
     change.type = Change::Type::evict_router;
     change.registration = *registration;
     return true;
@@ -158,7 +158,7 @@
 }
 
 void Node::hear(Micros age, Micros now) {
-  // What lay in a wire while this node stood still is older than it says.
+  // What lay in a connection while this node stood still is older than it says.
   if (age >= 0 && stale_from_ < 0) list_known_at_ = std::max(list_known_at_, now - age);
 }
 
--- a/src/core/tenancy.cc
+++ b/src/core/tenancy.cc
@@ -14,7 +14,7 @@
 
 bool Node::reached(std::string const& name) const {
   std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
-  return peer != mesh.members.peers.end() && peer->second.wire != 0 && peer->second.state() == State::alive;
+  return peer != mesh.members.peers.end() && peer->second.connection != 0 && peer->second.state() == State::alive;
 }
 
 // Both leases rest on the same facts: what polls of replicas confirmed, and what peers told of theirs.
--- a/src/core/worker_ends.cc
+++ b/src/core/worker_ends.cc
@@ -19,7 +19,7 @@
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     if (mesh.gone(item.first)) continue;
     ++all;
-    if (item.second.wire != 0) ++reached;
+    if (item.second.connection != 0) ++reached;
   }
   return reached * 2 >= all;
 }
@@ -28,7 +28,7 @@
 bool Node::told_all_reached(std::string const& worker) const {
   return std::all_of(mesh.members.peers.begin(), mesh.members.peers.end(),
                      [&](std::pair<std::string const, Peer> const& item) {
-                       bool const reached = item.second.wire != 0 && item.second.state() == State::alive;
+                       bool const reached = item.second.connection != 0 && item.second.state() == State::alive;
                        return !reached || mesh.entry_table.told(item.first, worker);
                      });
 }
@@ -83,8 +83,8 @@
     told = told || mesh.entry_table.told(item.first, worker);
   }
   check_invariant(alone || told, Invariant::end_is_known, [&] {
-    return worker + ", " + std::to_string(mesh.members.peers.size()) + " peers, " + std::to_string(mesh.wires_open()) +
-           " connections";
+    return worker + ", " + std::to_string(mesh.members.peers.size()) + " peers, " +
+           std::to_string(mesh.open_connections()) + " connections";
   });
 }
 
--- a/src/flow/errand/desk.cc
+++ b/src/flow/errand/desk.cc
@@ -328,7 +328,7 @@
   }
   if (!guard(Guard::honest_ran) && ran == Ran::unknown) ran = Ran::no;
   chat_request.ran = std::max(chat_request.ran, ran);
-  // §6.6: a broken wire may mean that the worker ended; it is asked before it gets anything more.
+  // §6.6: a broken connection may mean that the worker ended; it is asked before it gets anything more.
   Worker const* const worker = fleet_.find(chat_request.worker);
   if (worker != nullptr &&
       (end == ChatAttemptEnd::unreached || end == ChatAttemptEnd::broke || end == ChatAttemptEnd::silent ||
--- a/src/flow/errand/desk.h
+++ b/src/flow/errand/desk.h
@@ -17,10 +17,10 @@
 // How a attempt ended.
 enum class ChatAttemptEnd : std::uint8_t {
   done,       // the whole answer came
-  unreached,  // no wire could be opened; nothing was sent
+  unreached,  // no connection could be opened; nothing was sent
   refused,    // the worker said that it did not run it (429, or 503 with a time to come back)
   failed,     // the worker answered with a failure
-  broke,      // the wire broke before the answer began
+  broke,      // the connection broke before the answer began
   silent,     // the answer did not begin in time
   wrong,      // the answer began but is not one to this request
   torn,       // the answer began and ended before its end
@@ -50,9 +50,10 @@
 struct ChatEffects {
   std::vector<Start> starts;
   std::vector<Verdict> ends;
-  std::vector<std::pair<std::string, std::uint64_t>> suspects;  // workers, with their incarnation, whose wires broke
-  std::vector<std::string> asks;                                // workers that must answer before they are sent more
-  std::vector<std::uint64_t> drops;                             // attempts to cut because their caller has gone
+  std::vector<std::pair<std::string, std::uint64_t>>
+      suspects;                      // workers, with their incarnation, whose connections broke
+  std::vector<std::string> asks;     // workers that must answer before they are sent more
+  std::vector<std::uint64_t> drops;  // attempts to cut because their caller has gone
 };
 
 struct Tally {
--- a/src/flow/fleet/fleet.h
+++ b/src/flow/fleet/fleet.h
@@ -38,7 +38,7 @@
   bool absent = false;       // buried because it was not listed, not because it was leaving
   bool dark = true;          // until it answers
   bool ever = false;         // it has answered once
-  bool suspected = false;    // a wire to it broke; it is asked before it is sent anything more
+  bool suspected = false;    // a connection to it broke; it is asked before it is sent anything more
   Micros suspected_at = 0;
   Micros awake = 0;  // as last reported
   int misses = 0;
@@ -78,7 +78,7 @@
   // True when a dark worker came back or a incarnation began.
   void health_report(std::string const& id, std::uint64_t incarnation, Micros asked,
                      std::optional<HealthReport> const& report, bool refused, Micros now);
-  // A wire to the worker broke, here or at a peer. True when that is news.
+  // A connection to the worker broke, here or at a peer. True when that is news.
   bool suspect(std::string const& id, std::uint64_t incarnation, Micros now);
   // Restores what entries hold as serving and this table lost (§4.4).
   void reconcile(std::map<std::string, wire::EntryT> const& entries, Micros now);
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -54,12 +54,12 @@
   node_ = std::make_unique<Node>(plan_.node, now(), std::move(recovered));
 
   Connections::Callbacks we;
-  we.opened = [this](WireId id, bool outbound, std::string const& address) {
+  we.opened = [this](ConnectionId id, bool outbound, std::string const& address) {
     NodeOut out;
     node_->opened(id, outbound, address, now(), out);
     act(out);
   };
-  we.shut = [this](WireId id) {
+  we.shut = [this](ConnectionId id) {
     NodeOut out;
     node_->shut(id, now(), out);
     act(out);
@@ -69,7 +69,7 @@
     node_->dial_failed(address, refused, now(), out);
     act(out);
   };
-  we.frame = [this](WireId id, std::string_view frame) {
+  we.frame = [this](ConnectionId id, std::string_view frame) {
     NodeOut out;
     bool const good = node_->bytes(id, frame, now(), out);
     act(out);
@@ -124,8 +124,8 @@
 void NodeServer::act(NodeOut& out) {
   if (out.save && disk_) disk_->save(std::move(*out.save));
   for (std::string const& address : out.mesh.dials) connections_->dial(address);
-  for (Sends::Send& send : out.mesh.sends) connections_->send(send.wire, send.bytes);
-  for (WireId const id : out.mesh.shuts) connections_->shut(id);
+  for (Sends::Send& send : out.mesh.sends) connections_->send(send.connection, send.bytes);
+  for (ConnectionId const id : out.mesh.shuts) connections_->shut(id);
   if (!out.dispatch.empty()) proxy_->act(out.dispatch);
   std::vector<Reply> const replies = std::move(out.replies);
   for (Reply const& item : replies) {
--- a/src/gate/station/status.cc
+++ b/src/gate/station/status.cc
@@ -66,7 +66,7 @@
   for (std::pair<std::string const, Peer> const& item : node_->mesh.members.peers) {
     Peer const& peer = item.second;
     json.begin_object().key("name").text(item.first).key("state").text(state_word(peer.state()));
-    json.key("wire").boolean(peer.wire != 0).key("role").text("passage").key("zone").text(peer.member.zone);
+    json.key("wire").boolean(peer.connection != 0).key("role").text("passage").key("zone").text(peer.member.zone);
     json.key("http").text(peer.member.http).key("keeper").boolean(peer.member.replica);
     json.key("serial")
         .number(static_cast<std::int64_t>(peer.member.serial))
@@ -158,7 +158,7 @@
   text.gauge("pipit_oldest_request_ms", static_cast<std::uint64_t>(node_->dispatcher.oldest(now()) / 1000));
   text.gauge("pipit_callers", proxy_->server.connections());
   text.gauge("pipit_orders_under_way", asked_.size());
-  text.gauge("pipit_wires", node_->mesh.wires_open());
+  text.gauge("pipit_wires", node_->mesh.open_connections());
   text.gauges("pipit_peers", "state", peers_by_state(*node_));
   text.gauges("pipit_workers", "standing", workers_by_standing(*node_));
   text.gauge("pipit_configuration_confirmed_ms_ago", age_ms(node_->lease.confirmed(), now()));
--- a/src/mesh/effects.h
+++ b/src/mesh/effects.h
@@ -6,16 +6,16 @@
 
 namespace pipit {
 
-using WireId = std::uint64_t;
+using ConnectionId = std::uint64_t;
 
 struct Sends {
   struct Send {
-    WireId wire;
+    ConnectionId connection;
     std::string bytes;
   };
   std::vector<std::string> dials;
   std::vector<Send> sends;
-  std::vector<WireId> shuts;
+  std::vector<ConnectionId> shuts;
 };
 
 }  // namespace pipit
--- a/src/mesh/frame.h
+++ b/src/mesh/frame.h
@@ -13,7 +13,7 @@
 // The version of the frames between processes; processes of two versions do not talk (docs/control.md).
 constexpr std::uint32_t frame_format = 4;
 
-// A frame as it crosses a wire: four bytes of length, little end first, then the FlatBuffers body.
+// A frame as it crosses a connection: four bytes of length, little end first, then the FlatBuffers body.
 std::string encode(wire::FrameT const& frame);
 template <class T>
 std::string encode_body(T&& body) {
--- a/src/mesh/ledger/ledger.h
+++ b/src/mesh/ledger/ledger.h
@@ -24,11 +24,11 @@
   bool put(wire::EntryT item, Micros now);
   // Takes a peer's entry; true when it was newer.
   bool merge(std::string const& from, wire::EntryT const& item, Micros now);
-  // A wire to the peer opened: it is owed everything.
+  // A connection to the peer opened: it is owed everything.
   void owe_all(std::string const& peer);
-  // A wire to the peer opened, and others tell it the rest: it is owed what this node said itself.
+  // A connection to the peer opened, and others tell it the rest: it is owed what this node said itself.
   void owe_own(std::string const& peer);
-  // A wire opened to a peer that holds the same already: it is owed what changes from now on.
+  // A connection opened to a peer that holds the same already: it is owed what changes from now on.
   void meet(std::string const& peer) { owed_[peer]; }
   void drop(std::string const& peer) { owed_.erase(peer); }
   // The next batch for the peer: what was never sent to it, and with 'again' also what it has not acked.
--- a/src/mesh/members/member_table.cc
+++ b/src/mesh/members/member_table.cc
@@ -67,7 +67,7 @@
   if (rank(item) <= rank(peer.member)) return MergeResult::none;
   State const old = peer.state();
   if (item.incarnation > peer.member.incarnation) peer.refuse(false, now);
-  // A higher bump alone, as with each change of the register, is told by the peer itself to whom it has a wire.
+  // A higher bump alone, as with each change of the register, is told by the peer itself to whom it has a connection.
   if (item.incarnation != peer.member.incarnation || item.state != peer.member.state ||
       item.address != peer.member.address)
     peer.version = ++version;
@@ -98,7 +98,7 @@
   // A incarnation that this node has not heard of: dialled on, and no older proof that nobody is there holds for it.
   Peer& peer = peers[item.name];
   bool const fresh = peer.member.name.empty();
-  if (fresh || peer.wire == 0 || peer.member.address != item.address) peer.version = ++version;
+  if (fresh || peer.connection == 0 || peer.member.address != item.address) peer.version = ++version;
   if (fresh) {
     peer.member.name = item.name;
     peer.member.role = static_cast<std::uint8_t>(Role::router);
@@ -110,7 +110,7 @@
     peer.next_dial = 0;
     peer.dialling = false;
   }
-  if (peer.wire == 0) {
+  if (peer.connection == 0) {
     if (peer.state() == State::leaving) mark(peer, State::down, now);
     peer.member.incarnation = item.incarnation;
     peer.member.bump = 0;
@@ -122,7 +122,7 @@
   evicted.clear();
   for (std::unique_ptr<wire::RouterRegistrationT> const& item : list) {
     std::map<std::string, Peer>::iterator const spot = peers.find(item->name);
-    if (spot != peers.end() && (spot->second.wire != 0 || spot->second.member.incarnation > item->incarnation))
+    if (spot != peers.end() && (spot->second.connection != 0 || spot->second.member.incarnation > item->incarnation))
       continue;
     if (spot != peers.end()) peers.erase(spot);
     evicted[item->name] = item->incarnation;
@@ -148,7 +148,7 @@
   for (std::map<std::string, Peer>::iterator it = peers.begin(); it != peers.end();) {
     Peer const& peer = it->second;
     bool const out = peer.state() == State::down || peer.state() == State::leaving;
-    if (out && peer.wire == 0 && now - peer.since > age)
+    if (out && peer.connection == 0 && now - peer.since > age)
       it = peers.erase(it);
     else
       ++it;
--- a/src/mesh/members/member_table.h
+++ b/src/mesh/members/member_table.h
@@ -15,9 +15,9 @@
 
 struct Peer {
   wire::MemberT member;
-  Micros since = 0;        // when its state last changed here
-  std::uint64_t wire = 0;  // the pair's wire, 0 for none
-  Micros bare_since = 0;   // since when there is none
+  Micros since = 0;              // when its state last changed here
+  std::uint64_t connection = 0;  // the pair's connection, 0 for none
+  Micros bare_since = 0;         // since when there is none
   Micros next_dial = 0;
   Micros pause = 0;
   bool dialling = false;
--- a/src/mesh/mesh.cc
+++ b/src/mesh/mesh.cc
@@ -41,7 +41,7 @@
 
 void Mesh::announce_member(wire::MemberT const& member, Sends& out) {
   for (std::pair<std::string const, Peer> const& item : members.peers) {
-    if (item.second.wire == 0) continue;
+    if (item.second.connection == 0) continue;
     wire::MembershipUpdateT update;
     update.table.push_back(std::make_unique<wire::MemberT>(member));
     post(item.first, std::move(update), out);
@@ -57,7 +57,7 @@
   rumoured_[member.name] = rounds;
   std::vector<std::string> hands;
   for (std::pair<std::string const, Peer> const& item : members.peers)
-    if (item.second.wire != 0 && item.first != member.name) hands.push_back(item.first);
+    if (item.second.connection != 0 && item.first != member.name) hands.push_back(item.first);
   for (std::size_t n = 0; n < plan_.told && !hands.empty(); ++n) {
     std::size_t const pick = random_.below(hands.size());
     wire::MembershipUpdateT update;
@@ -115,13 +115,13 @@
   std::map<std::string, Peer>::const_iterator const spot = members.peers.find(name);
   if (spot == members.peers.end()) return false;
   Peer const& peer = spot->second;
-  return peer.wire == 0 && (peer.refused || peer.state() == State::leaving);
+  return peer.connection == 0 && (peer.refused || peer.state() == State::leaving);
 }
 
-std::string Mesh::zone_of(WireId id) const {
-  std::map<WireId, Connection>::const_iterator const wire = connections_.find(id);
-  if (wire == connections_.end()) return "";
-  std::map<std::string, Peer>::const_iterator const peer = members.peers.find(wire->second.peer);
+std::string Mesh::zone_of(ConnectionId id) const {
+  std::map<ConnectionId, Connection>::const_iterator const connection = connections_.find(id);
+  if (connection == connections_.end()) return "";
+  std::map<std::string, Peer>::const_iterator const peer = members.peers.find(connection->second.peer);
   return peer == members.peers.end() ? "" : peer->second.member.zone;
 }
 
@@ -129,26 +129,26 @@
   std::vector<Micros> heard{now};
   for (std::pair<std::string const, Peer> const& item : members.peers) {
     if (gone(item.first)) continue;
-    std::map<WireId, Connection>::const_iterator const wire = connections_.find(item.second.wire);
-    heard.push_back(item.second.wire == 0 || wire == connections_.end() ? -1 : wire->second.heard);
+    std::map<ConnectionId, Connection>::const_iterator const connection = connections_.find(item.second.connection);
+    heard.push_back(item.second.connection == 0 || connection == connections_.end() ? -1 : connection->second.heard);
   }
   std::sort(heard.rbegin(), heard.rend());
   return heard[(heard.size() + 1) / 2 - 1];
 }
 
-std::vector<std::unique_ptr<wire::MemberT>> Mesh::table_for(WireId id, bool whole) {
-  // A wire keeps its order and loses nothing, so what was told on it need not be told again; the whole table once in
-  // a while repairs what a peer has dropped since (§3.3).
-  std::map<WireId, Connection>::iterator const wire = connections_.find(id);
-  if (wire == connections_.end()) return members.table();
-  std::uint64_t const since = whole || ++tables_ % whole_table == 0 ? 0 : wire->second.told;
-  wire->second.told = members.version;
+std::vector<std::unique_ptr<wire::MemberT>> Mesh::table_for(ConnectionId id, bool whole) {
+  // A connection keeps its order and loses nothing, so what was told on it need not be told again; the whole table once
+  // in a while repairs what a peer has dropped since (§3.3).
+  std::map<ConnectionId, Connection>::iterator const connection = connections_.find(id);
+  if (connection == connections_.end()) return members.table();
+  std::uint64_t const since = whole || ++tables_ % whole_table == 0 ? 0 : connection->second.told;
+  connection->second.told = members.version;
   return members.table(since);
 }
 
 void Mesh::flush_entries(Sends& out, bool again) {
   for (std::pair<std::string const, Peer> const& item : members.peers) {
-    if (item.second.wire == 0) continue;
+    if (item.second.connection == 0) continue;
     wire::EntriesT batch = entry_table.batch(item.first, again);
     while (!batch.list.empty()) {
       post(item.first, std::move(batch), out);
@@ -161,13 +161,13 @@
   for (std::unique_ptr<wire::MemberT> const& item : table) {
     MemberTable::MergeResult const update = members.merge(*item, now);
     if (update == MemberTable::MergeResult::refuted) announce_member(members.self, out);
-    // A peer that incarnations anew cannot have the wire of its former incarnation.
+    // A peer that incarnations anew cannot have the connection of its former incarnation.
     if (update != MemberTable::MergeResult::fresh) continue;
     if (wide() && table.size() <= 12) rumoured_[item->name] = 6;
     std::map<std::string, Peer>::const_iterator const who = members.peers.find(item->name);
-    if (who != members.peers.end() && who->second.wire != 0 &&
-        connections_[who->second.wire].incarnation < item->incarnation)
-      drop(who->second.wire, now, out);
+    if (who != members.peers.end() && who->second.connection != 0 &&
+        connections_[who->second.connection].incarnation < item->incarnation)
+      drop(who->second.connection, now, out);
   }
 }
 
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -1,4 +1,4 @@
-// The mesh: one wire for each pair, SWIM rounds over it, entries and news (§3).
+// The mesh: one connection for each pair, SWIM rounds over it, entries and news (§3).
 #pragma once
 #include <map>
 #include <string>
@@ -17,7 +17,7 @@
   std::vector<std::string> seeds;
   Micros round = seconds(1);
   Micros probe = millis(500);      // how long a direct, then an indirect probe may take
-  Micros quiet = millis(900);      // a wire silent for longer is asked after, whoever's turn it is
+  Micros quiet = millis(900);      // a connection silent for longer is asked after, whoever's turn it is
   Micros knock = millis(250);      // first pause between dials
   Micros knock_most = seconds(1);  // the low, capped rate for DOWN peers and seeds
   std::size_t told = 8;            // peers that are told of a finding at once; the others hear of it on pings (§3.6)
@@ -31,18 +31,18 @@
   Mesh(MeshPlan plan, wire::MemberT const& self, std::uint64_t seed);
 
   void tick(Micros now, Sends& out);
-  void opened(WireId id, bool outbound, std::string const& address, Micros now, Sends& out);
-  void shut(WireId id, Micros now, Sends& out);
+  void opened(ConnectionId id, bool outbound, std::string const& address, Micros now, Sends& out);
+  void shut(ConnectionId id, Micros now, Sends& out);
   void dial_failed(std::string const& address, bool refused, Micros now, Sends& out);
 
   // Handles the mesh's own frames. For any other it returns the sender's name, for the planes above.
-  std::string frame(WireId id, wire::FrameT& frame, Micros now, Sends& out);
+  std::string frame(ConnectionId id, wire::FrameT& frame, Micros now, Sends& out);
 
   template <class T>
   bool post(std::string const& name, T&& body, Sends& out) {
     std::map<std::string, Peer>::const_iterator const spot = members.peers.find(name);
-    if (spot == members.peers.end() || spot->second.wire == 0) return false;
-    out.sends.push_back({spot->second.wire, encode_body(std::forward<T>(body))});
+    if (spot == members.peers.end() || spot->second.connection == 0) return false;
+    out.sends.push_back({spot->second.connection, encode_body(std::forward<T>(body))});
     return true;
   }
 
@@ -61,17 +61,17 @@
   // Whether a member cannot be serving: it left, or its address refuses a dial (§5.5).
   bool gone(std::string const& name) const;
   // Since when fewer than half of all members that may live were heard: at that moment half of them, this node with
-  // them, still were (§4.3). -1 when half of them have no wire here.
+  // them, still were (§4.3). -1 when half of them have no connection here.
   Micros half_heard(Micros now) const;
 
-  // The zone of a wire's peer; empty before it greeted.
-  std::string zone_of(WireId id) const;
+  // The zone of a connection's peer; empty before it greeted.
+  std::string zone_of(ConnectionId id) const;
 
   MemberTable members;
   EntryTable entry_table;
   std::vector<std::string> fresh;  // keys of entries that peers brought since the core last looked
   std::uint64_t frames_in = 0;
-  std::uint64_t wires_open() const { return connections_.size(); }
+  std::uint64_t open_connections() const { return connections_.size(); }
 
  private:
   struct Connection {
@@ -89,7 +89,7 @@
     Micros due = 0;
   };
   struct Relay {
-    WireId asker = 0;
+    ConnectionId asker = 0;
     std::uint64_t seq = 0;
     Micros due = 0;
   };
@@ -100,11 +100,12 @@
     bool dialling = false;
   };
 
-  void greet(WireId id, wire::HelloT const& hello, Micros now, Sends& out);
+  void greet(ConnectionId id, wire::HelloT const& hello, Micros now, Sends& out);
   void owe_entries(std::string const& name, wire::HelloT const& hello);
-  void tell_met(WireId id, std::string const& name, wire::HelloT const& hello, Sends& out);
-  // The table for a ping, its answer or a greeting: what changed since the last one on that wire, now and then all.
-  std::vector<std::unique_ptr<wire::MemberT>> table_for(WireId id, bool whole);
+  void tell_met(ConnectionId id, std::string const& name, wire::HelloT const& hello, Sends& out);
+  // The table for a ping, its answer or a greeting: what changed since the last one on that connection, now and then
+  // all.
+  std::vector<std::unique_ptr<wire::MemberT>> table_for(ConnectionId id, bool whole);
   void take_table(std::vector<std::unique_ptr<wire::MemberT>> const& table, Micros now, Sends& out);
   void probe(Peer& peer, Micros now, Sends& out);
   bool probe_through_others(std::string const& name, std::uint64_t seq, Sends& out);
@@ -120,8 +121,8 @@
   Micros knock_span() const;
   void dials(Micros now, Sends& out);
   void dial(Peer& peer, Micros now, Sends& out);
-  void unbind(WireId id, Micros now);
-  void drop(WireId id, Micros now, Sends& out);
+  void unbind(ConnectionId id, Micros now);
+  void drop(ConnectionId id, Micros now, Sends& out);
 
   MeshPlan const plan_;
   RandomSource random_;
@@ -129,7 +130,7 @@
   std::uint64_t rounds_ = 0;
   std::uint64_t next_seq_ = 0;
   std::uint64_t tables_ = 0;  // that pings and their answers took along
-  std::map<WireId, Connection> connections_;
+  std::map<ConnectionId, Connection> connections_;
   std::map<std::uint64_t, Probe> probes_;
   std::map<std::uint64_t, Relay> relays_;
   std::vector<Seed> seeds_;
--- a/src/mesh/mesh_connections.cc
+++ b/src/mesh/mesh_connections.cc
@@ -7,7 +7,7 @@
 
 namespace pipit {
 
-void Mesh::opened(WireId id, bool outbound, std::string const& address, Micros now, Sends& out) {
+void Mesh::opened(ConnectionId id, bool outbound, std::string const& address, Micros now, Sends& out) {
   connections_[id] = Connection{"", outbound, address, now, now, 0};
   if (outbound) {
     for (Seed& seed : seeds_)
@@ -26,37 +26,37 @@
   out.sends.push_back({id, encode_body(std::move(hello))});
 }
 
-void Mesh::unbind(WireId id, Micros now) {
-  std::map<WireId, Connection>::iterator const spot = connections_.find(id);
+void Mesh::unbind(ConnectionId id, Micros now) {
+  std::map<ConnectionId, Connection>::iterator const spot = connections_.find(id);
   if (spot == connections_.end()) return;
   std::string const name = spot->second.peer;
   connections_.erase(spot);
   if (name.empty()) return;
-  log_event(Event::wire_shut, name);
+  log_event(Event::connection_closed, name);
   std::map<std::string, Peer>::iterator const who = members.peers.find(name);
-  if (who == members.peers.end() || who->second.wire != id) return;
-  who->second.wire = 0;
-  for (std::pair<WireId const, Connection> const& item : connections_)
-    if (item.second.peer == name) who->second.wire = item.first;
-  if (who->second.wire != 0) return;
+  if (who == members.peers.end() || who->second.connection != id) return;
+  who->second.connection = 0;
+  for (std::pair<ConnectionId const, Connection> const& item : connections_)
+    if (item.second.peer == name) who->second.connection = item.first;
+  if (who->second.connection != 0) return;
   who->second.bare_since = now;
-  who->second.next_dial = now;  // §3.4: a wire that ends is a hint; look at once
+  who->second.next_dial = now;  // §3.4: a connection that ends is a hint; look at once
   who->second.pause = 0;
   entry_table.drop(name);
 }
 
-void Mesh::drop(WireId id, Micros now, Sends& out) {
+void Mesh::drop(ConnectionId id, Micros now, Sends& out) {
   out.shuts.push_back(id);
   unbind(id, now);
 }
 
-void Mesh::shut(WireId id, Micros now, Sends& out) {
-  std::map<WireId, Connection>::const_iterator const spot = connections_.find(id);
+void Mesh::shut(ConnectionId id, Micros now, Sends& out) {
+  std::map<ConnectionId, Connection>::const_iterator const spot = connections_.find(id);
   if (spot == connections_.end()) return;
   std::string const name = spot->second.peer;
   unbind(id, now);
   std::map<std::string, Peer>::iterator const who = members.peers.find(name);
-  if (who == members.peers.end() || who->second.wire != 0) return;
+  if (who == members.peers.end() || who->second.connection != 0) return;
   State const state = who->second.state();
   if (state == State::alive || state == State::suspected) probe(who->second, now, out);
 }
@@ -68,7 +68,7 @@
     Peer& peer = item.second;
     if (peer.member.address != address) continue;
     peer.dialling = false;
-    if (peer.wire != 0) continue;
+    if (peer.connection != 0) continue;
     peer.refuse(refused, now);
     // A refusal is proof that no process is there: the probe need not run out its time.
     if (refused && (peer.state() == State::alive || peer.state() == State::suspected)) {
@@ -84,14 +84,14 @@
 }
 
 void Mesh::dial(Peer& peer, Micros now, Sends& out) {
-  if (peer.dialling || peer.wire != 0 || now < peer.next_dial) return;
+  if (peer.dialling || peer.connection != 0 || now < peer.next_dial) return;
   for (Seed const& seed : seeds_)
     if (seed.dialling && seed.address == peer.member.address) return;
   peer.pause = std::clamp(peer.pause * 2, plan_.knock, std::max(plan_.knock, knock_span()));
   peer.next_dial = now + peer.pause;
   // An entry machine was exchanged: another name answers at this address, so this one is no more (§3.3).
   for (std::pair<std::string const, Peer> const& item : members.peers)
-    if (item.second.wire != 0 && item.second.member.address == peer.member.address) {
+    if (item.second.connection != 0 && item.second.member.address == peer.member.address) {
       peer.refuse(true, now);
       return;
     }
@@ -102,9 +102,9 @@
 void Mesh::dials(Micros now, Sends& out) {
   for (std::pair<std::string const, Peer>& item : members.peers) {
     Peer& peer = item.second;
-    if (peer.wire != 0 || peer.state() == State::leaving) continue;
+    if (peer.connection != 0 || peer.state() == State::leaving) continue;
     if (peer.state() == State::down && !guard(Guard::redial)) continue;
-    // §3.2: the name that sorts first opens the pair's wire; the other steps in when none has come.
+    // §3.2: the name that sorts first opens the pair's connection; the other steps in when none has come.
     if (members.self.name < item.first || now - peer.bare_since > plan_.round) dial(peer, now, out);
   }
   for (Seed& seed : seeds_) {
@@ -112,7 +112,7 @@
     bool known = false;
     for (std::pair<std::string const, Peer> const& item : members.peers)
       if (item.second.member.address == seed.address && item.second.state() != State::leaving) known = true;
-    for (std::pair<WireId const, Connection> const& item : connections_)
+    for (std::pair<ConnectionId const, Connection> const& item : connections_)
       if (item.second.outbound && item.second.address == seed.address) known = true;
     for (std::pair<std::string const, Peer> const& item : members.peers)
       if (item.second.dialling && item.second.member.address == seed.address) known = true;
@@ -124,15 +124,15 @@
   }
 }
 
-void Mesh::greet(WireId id, wire::HelloT const& hello, Micros now, Sends& out) {
+void Mesh::greet(ConnectionId id, wire::HelloT const& hello, Micros now, Sends& out) {
   if (hello.format != frame_format) {
-    log_event(Event::wire_foreign, "frames of format " + std::to_string(hello.format));
+    log_event(Event::foreign_cluster, "frames of format " + std::to_string(hello.format));
     drop(id, now, out);
     return;
   }
   if (hello.cluster != plan_.cluster || !hello.self || hello.self->name.empty() ||
       hello.self->name == members.self.name) {
-    log_event(Event::wire_foreign, hello.cluster);
+    log_event(Event::foreign_cluster, hello.cluster);
     drop(id, now, out);
     return;
   }
@@ -143,36 +143,36 @@
   if (members.merge(*hello.self, now) == MemberTable::MergeResult::fresh) find_member(*hello.self, out);
   Peer& peer = members.peers.at(name);
   peer.refuse(false, now);
-  if (peer.wire != 0 && peer.wire != id) {
-    // §3.2: of two wires the one stays that the name sorting first opened. Of two by the same opener only the
+  if (peer.connection != 0 && peer.connection != id) {
+    // §3.2: of two connections the one stays that the name sorting first opened. Of two by the same opener only the
     // opener ends one: the two sides may have seen them in different orders.
-    bool const old_mine = connections_[peer.wire].outbound;
+    bool const old_mine = connections_[peer.connection].outbound;
     bool const new_mine = connections_[id].outbound;
     bool const self_first = members.self.name < name;
-    // A peer dials only when it has no wire. So an older one is a remnant, of a former incarnation or of a cut, unless
-    // both sides dialled in the same moment.
-    bool const remnant = connections_[peer.wire].incarnation != hello.self->incarnation ||
-                         now - connections_[peer.wire].opened > plan_.round;
+    // A peer dials only when it has no connection. So an older one is a remnant, of a former incarnation or of a cut,
+    // unless both sides dialled in the same moment.
+    bool const remnant = connections_[peer.connection].incarnation != hello.self->incarnation ||
+                         now - connections_[peer.connection].opened > plan_.round;
     if (remnant) {
-      out.shuts.push_back(peer.wire);
-      connections_.erase(peer.wire);
+      out.shuts.push_back(peer.connection);
+      connections_.erase(peer.connection);
     } else if (old_mine == new_mine) {
       if (new_mine) {
-        out.shuts.push_back(peer.wire);
-        connections_.erase(peer.wire);
+        out.shuts.push_back(peer.connection);
+        connections_.erase(peer.connection);
       }
     } else {
-      WireId const loser = old_mine == self_first ? id : peer.wire;
+      ConnectionId const loser = old_mine == self_first ? id : peer.connection;
       out.shuts.push_back(loser);
       connections_.erase(loser);
       if (loser == id) return;
     }
   } else {
-    log_event(Event::wire_open, name);
+    log_event(Event::connection_opened, name);
   }
-  peer.wire = id;
+  peer.connection = id;
   peer.pause = 0;
-  // The greeting answers a probe that was waiting for a wire.
+  // The greeting answers a probe that was waiting for a connection.
   for (std::map<std::uint64_t, Probe>::iterator it = probes_.begin(); it != probes_.end();)
     it = it->second.peer == name ? probes_.erase(it) : std::next(it);
   entry_table.meet(name);
@@ -193,7 +193,7 @@
 }
 
 // §3.3: the peer learns what is said of it, and answers with a higher bump if it is wrong.
-void Mesh::tell_met(WireId id, std::string const& name, wire::HelloT const& hello, Sends& out) {
+void Mesh::tell_met(ConnectionId id, std::string const& name, wire::HelloT const& hello, Sends& out) {
   if (wide() && hello.digest == members.digest()) return;
   bool const whole = !wide() || hello.members < members.peers.size() / 2;
   wire::MembershipUpdateT update;
--- a/src/mesh/mesh_frames.cc
+++ b/src/mesh/mesh_frames.cc
@@ -6,8 +6,8 @@
 
 namespace pipit {
 
-std::string Mesh::frame(WireId id, wire::FrameT& frame, Micros now, Sends& out) {
-  std::map<WireId, Connection>::iterator const spot = connections_.find(id);
+std::string Mesh::frame(ConnectionId id, wire::FrameT& frame, Micros now, Sends& out) {
+  std::map<ConnectionId, Connection>::iterator const spot = connections_.find(id);
   if (spot == connections_.end()) return "";
   ++frames_in;
   spot->second.heard = now;
@@ -17,7 +17,7 @@
   }
   std::string const name = spot->second.peer;
   if (name.empty()) {
-    log_event(Event::wire_garbage, "a frame before the greeting");
+    log_event(Event::malformed_frame, "a frame before the greeting");
     drop(id, now, out);
     return "";
   }
@@ -66,11 +66,11 @@
     case wire::Body::PingReq: {
       wire::PingReqT const& req = *frame.body.AsPingReq();
       std::map<std::string, Peer>::const_iterator const target = members.peers.find(req.target);
-      if (target == members.peers.end() || target->second.wire == 0) return "";
+      if (target == members.peers.end() || target->second.connection == 0) return "";
       std::uint64_t const seq = ++next_seq_;
       wire::PingT ping;
       ping.seq = seq;
-      ping.table = wide() ? rumours() : table_for(target->second.wire, false);
+      ping.table = wide() ? rumours() : table_for(target->second.connection, false);
       ping.digest = members.digest();
       ping.entry_digest = entry_table.digest();
       ping.revision = members.self.revision;
--- a/src/mesh/mesh_probes.cc
+++ b/src/mesh/mesh_probes.cc
@@ -20,13 +20,13 @@
     if (item.second.peer == peer.member.name) return;
   std::uint64_t const seq = ++next_seq_;
   probes_[seq] = Probe{peer.member.name, false, now + plan_.probe};
-  if (peer.wire == 0) {
+  if (peer.connection == 0) {
     dial(peer, now, out);
     return;
   }
   wire::PingT ping;
   ping.seq = seq;
-  ping.table = wide() ? rumours() : table_for(peer.wire, false);
+  ping.table = wide() ? rumours() : table_for(peer.connection, false);
   ping.digest = members.digest();
   ping.entry_digest = entry_table.digest();
   ping.revision = members.self.revision;
@@ -51,7 +51,7 @@
     members.mark(peer, State::suspected, now);
   } else if (peer.state() == State::suspected) {
     members.mark(peer, State::down, now);
-    if (peer.wire != 0) drop(peer.wire, now, out);
+    if (peer.connection != 0) drop(peer.connection, now, out);
   } else {
     return;
   }
@@ -62,7 +62,7 @@
 bool Mesh::probe_through_others(std::string const& name, std::uint64_t seq, Sends& out) {
   std::vector<std::string> helpers;
   for (std::pair<std::string const, Peer> const& item : members.peers)
-    if (item.first != name && item.second.wire != 0 && item.second.state() == State::alive)
+    if (item.first != name && item.second.connection != 0 && item.second.state() == State::alive)
       helpers.push_back(item.first);
   int asked = 0;
   while (!helpers.empty() && asked < indirect_probes) {
@@ -88,11 +88,12 @@
     if (!it->second.indirect) {
       it->second.indirect = true;
       it->second.due = now + plan_.probe;
-      // §3.4: a wire that stayed silent through a direct probe is given up and dialled anew, while others ask too.
+      // §3.4: a connection that stayed silent through a direct probe is given up and dialled anew, while others ask
+      // too.
       std::map<std::string, Peer>::const_iterator const who = members.peers.find(name);
-      if (who != members.peers.end() && who->second.wire != 0 &&
-          now - connections_[who->second.wire].heard > plan_.quiet)
-        drop(who->second.wire, now, out);
+      if (who != members.peers.end() && who->second.connection != 0 &&
+          now - connections_[who->second.connection].heard > plan_.quiet)
+        drop(who->second.connection, now, out);
       if (probe_through_others(name, it->first, out)) {
         ++it;
         continue;
@@ -119,20 +120,20 @@
   if (!wide() || ++rounds_ % 3 == 0) flush_entries(out, true);
   members.forget(now, plan_.forget);
   entry_table.forget(now, plan_.forget);
-  std::vector<WireId> stale;
-  for (std::pair<WireId const, Connection> const& item : connections_) {
+  std::vector<ConnectionId> stale;
+  for (std::pair<ConnectionId const, Connection> const& item : connections_) {
     bool const mute = item.second.peer.empty() && now - item.second.opened > seconds(5);
     if (mute || now - item.second.heard > plan_.idle) stale.push_back(item.first);
   }
-  for (WireId const id : stale) drop(id, now, out);
+  for (ConnectionId const id : stale) drop(id, now, out);
 }
 
 void Mesh::tick(Micros now, Sends& out) {
   end_overdue_probes(now, out);
   Micros const quiet = quiet_span();
   for (std::pair<std::string const, Peer>& item : members.peers)
-    if (item.second.wire != 0 && item.second.state() == State::alive &&
-        now - connections_[item.second.wire].heard > quiet)
+    if (item.second.connection != 0 && item.second.state() == State::alive &&
+        now - connections_[item.second.connection].heard > quiet)
       probe(item.second, now, out);
   if (now >= next_round_) run_round(now, out);
   dials(now, out);
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -37,12 +37,12 @@
   node_ = std::make_unique<Node>(plan, now(), std::move(recovered));
 
   Connections::Callbacks we;
-  we.opened = [this](WireId id, bool outbound, std::string const& address) {
+  we.opened = [this](ConnectionId id, bool outbound, std::string const& address) {
     NodeOut out;
     node_->opened(id, outbound, address, now(), out);
     act(out);
   };
-  we.shut = [this](WireId id) {
+  we.shut = [this](ConnectionId id) {
     NodeOut out;
     connection_names_.erase(id);
     node_->shut(id, now(), out);
@@ -53,8 +53,8 @@
     node_->dial_failed(address, refused, now(), out);
     act(out);
   };
-  we.frame = [this](WireId id, std::string_view frame) {
-    wire_bytes_ += frame.size();
+  we.frame = [this](ConnectionId id, std::string_view frame) {
+    connection_bytes_ += frame.size();
     if (settings_.faults && dropped_in(id, frame)) return true;
     NodeOut out;
     bool const good = node_->bytes(id, frame, now(), out);
@@ -136,7 +136,7 @@
   return front_->listen(settings_.http);
 }
 
-bool Host::dropped_in(WireId id, std::string_view frame) {
+bool Host::dropped_in(ConnectionId id, std::string_view frame) {
   std::string name = connection_names_.count(id) ? connection_names_[id] : "";
   if (name.empty()) {
     Result<std::unique_ptr<wire::FrameT>> seen = decode(frame);
@@ -148,8 +148,8 @@
   return fires_for(Point::cut_in, name);
 }
 
-bool Host::dropped_out(WireId id, std::string const& frame) {
-  std::map<WireId, std::string>::const_iterator const spot = connection_names_.find(id);
+bool Host::dropped_out(ConnectionId id, std::string const& frame) {
+  std::map<ConnectionId, std::string>::const_iterator const spot = connection_names_.find(id);
   if (spot != connection_names_.end() && fires_for(Point::cut_out, spot->second)) return true;
   wire::Frame const* const seen = flatbuffers::GetSizePrefixedRoot<wire::Frame>(frame.data());
   switch (seen->body_type()) {
@@ -177,15 +177,15 @@
   if (out.save) disk_->save(std::move(*out.save));
   for (std::string const& address : out.mesh.dials) connections_->dial(address);
   for (Sends::Send& send : out.mesh.sends) {
-    if (settings_.faults && dropped_out(send.wire, send.bytes)) continue;
-    wire_bytes_ += send.bytes.size();
-    mesh_to_[node_->mesh.zone_of(send.wire)] += send.bytes.size();
+    if (settings_.faults && dropped_out(send.connection, send.bytes)) continue;
+    connection_bytes_ += send.bytes.size();
+    mesh_to_[node_->mesh.zone_of(send.connection)] += send.bytes.size();
     frame_bytes_[flatbuffers::GetSizePrefixedRoot<wire::Frame>(send.bytes.data())->body_type()] += send.bytes.size();
-    if (settings_.faults && fires(Point::wire_garbage))
+    if (settings_.faults && fires(Point::frame_corrupted))
       for (std::size_t i = 4; i < send.bytes.size(); ++i) send.bytes[i] = static_cast<char>(send.bytes[i] ^ 0x5a);
-    connections_->send(send.wire, send.bytes);
+    connections_->send(send.connection, send.bytes);
   }
-  for (WireId const id : out.mesh.shuts) {
+  for (ConnectionId const id : out.mesh.shuts) {
     connection_names_.erase(id);
     connections_->shut(id);
   }
@@ -261,8 +261,8 @@
   }
 }
 
-// §8.4: first only /ready says no, and answers close their wires; whoever follows either is elsewhere when the grace
-// ends.
+// §8.4: first only /ready says no, and answers close their connections; whoever follows either is elsewhere when the
+// grace ends.
 void Host::begin_drain() {
   if (grace_until_ >= 0) {
     g_main_loop_quit(loop_);  // asked twice: at once
--- a/src/runtime/host.h
+++ b/src/runtime/host.h
@@ -45,8 +45,8 @@
   void begin_drain();
   void look_drain();
   void reload();
-  bool dropped_in(WireId id, std::string_view frame);
-  bool dropped_out(WireId id, std::string const& frame);
+  bool dropped_in(ConnectionId id, std::string_view frame);
+  bool dropped_out(ConnectionId id, std::string const& frame);
 
   Settings settings_;
   Role const role_;
@@ -57,12 +57,12 @@
   std::unique_ptr<Front> front_;
   std::unique_ptr<DiskTask> disk_;
   std::map<std::uint64_t, Caller> callers_;
-  std::map<WireId, std::string> connection_names_;
+  std::map<ConnectionId, std::string> connection_names_;
   std::map<std::uint64_t, std::pair<Change::Type, std::string>> asked_;  // operators' calls under way
   std::map<std::string, std::uint64_t> kinds_;                           // refusals by kind
   Micros ticked_ = 0;
   std::uint64_t longest_turn_ = 0;
-  std::uint64_t wire_bytes_ = 0;
+  std::uint64_t connection_bytes_ = 0;
   std::map<std::string, std::uint64_t> mesh_to_;        // bytes sent to nodes, by their zone
   std::map<wire::Body, std::uint64_t> frame_bytes_;     // bytes sent to nodes, by the kind of frame
   std::map<std::string, std::uint64_t> attempts_with_;  // bytes of requests and answers, by the worker's zone
--- a/src/runtime/http/legs.cc
+++ b/src/runtime/http/legs.cc
@@ -9,10 +9,10 @@
 
 namespace {
 constexpr std::size_t answer_most = 16u << 20;
-constexpr Micros reach = seconds(1);  // within which the wire to a worker must be open
+constexpr Micros reach = seconds(1);  // within which the connection to a worker must be open
 
 SoupSession* make_session(int most) {
-  // §7.3: what libsoup does by itself is switched off: proxies, cookies, cached or shared wires.
+  // §7.3: what libsoup does by itself is switched off: proxies, cookies, cached or shared connections.
   SoupSession* const out = soup_session_new_with_options("max-conns", most, "max-conns-per-host", most, "timeout", 0,
                                                          "idle-timeout", 20, "proxy-resolver", nullptr, nullptr);
   return out;
@@ -96,7 +96,8 @@
         held);
     return;
   }
-  // A wire of its own for each attempt: libsoup repeats a request by itself only on a wire that was used before.
+  // A connection of its own for each attempt: libsoup repeats a request by itself only on a connection that was used
+  // before.
   soup_message_set_flags(attempt->message,
                          static_cast<SoupMessageFlags>(SOUP_MESSAGE_NO_REDIRECT | SOUP_MESSAGE_NEW_CONNECTION));
   SoupMessageHeaders* const head = soup_message_get_request_headers(attempt->message);
@@ -205,7 +206,7 @@
   std::string event;
   while (!attempt.over && attempt.pieces.next(event)) {
     std::string const text = event_data(event);
-    if (text.empty()) continue;  // a comment that keeps the wire awake
+    if (text.empty()) continue;  // a comment that keeps the connection awake
     if (attempt.closed) return finish(attempt, ChatAttemptEnd::torn, "something came after the end");
     if (text == "[DONE]") {
       if (attempt.events == 0) return finish(attempt, ChatAttemptEnd::torn, "an end without a piece");
--- a/src/runtime/mesh/connections.cc
+++ b/src/runtime/mesh/connections.cc
@@ -11,7 +11,7 @@
 }  // namespace
 
 Connections::~Connections() {
-  for (std::pair<WireId const, std::shared_ptr<Connection>>& item : connections_) item.second->link->close();
+  for (std::pair<ConnectionId const, std::shared_ptr<Connection>>& item : connections_) item.second->link->close();
 }
 
 Result<void> Connections::listen(std::string const& address) {
@@ -39,7 +39,8 @@
   }
   connections_[made->id] = made;
   made->link->listen({[this, id = made->id] {
-                        std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections_.find(id);
+                        std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const spot =
+                            connections_.find(id);
                         if (spot == connections_.end()) return;
                         std::shared_ptr<Connection> const keep = spot->second;
                         adopt(keep, true);
@@ -48,13 +49,13 @@
 }
 
 void Connections::adopt(std::shared_ptr<Connection> const& connection, bool outbound) {
-  WireId const id = connection->id;
+  ConnectionId const id = connection->id;
   std::string const address = std::move(connection->address);
   connection->address.clear();
   connections_[id] = connection;
   connection->link->listen({nullptr,
                             [this, id](std::string_view bytes) {
-                              std::map<WireId, std::shared_ptr<Connection>>::iterator const spot =
+                              std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const spot =
                                   connections_.find(id);
                               if (spot == connections_.end()) return;
                               std::shared_ptr<Connection> const keep = spot->second;
@@ -65,7 +66,7 @@
 }
 
 void Connections::fed(Connection& connection, std::string_view bytes) {
-  WireId const id = connection.id;
+  ConnectionId const id = connection.id;
   if (!connection.in.empty()) {
     connection.in.append(bytes);
     bytes = connection.in;
@@ -87,16 +88,16 @@
     connection.in.erase(0, at);
 }
 
-void Connections::send(WireId id, std::string const& bytes) {
-  std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections_.find(id);
+void Connections::send(ConnectionId id, std::string const& bytes) {
+  std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const spot = connections_.find(id);
   if (spot == connections_.end() || !spot->second->link->connected()) return;
   spot->second->link->write(bytes);
   // The peer does not read; it is dialled again.
   if (spot->second->link->waiting() > backlog_most) lost(id, Link::End::reset);
 }
 
-void Connections::shut(WireId id) {
-  std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections_.find(id);
+void Connections::shut(ConnectionId id) {
+  std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const spot = connections_.find(id);
   if (spot == connections_.end()) return;
   std::shared_ptr<Connection> const keep = spot->second;
   connections_.erase(spot);
@@ -105,8 +106,8 @@
   keep->link->finish();
 }
 
-void Connections::lost(WireId id, Link::End how) {
-  std::map<WireId, std::shared_ptr<Connection>>::iterator const spot = connections_.find(id);
+void Connections::lost(ConnectionId id, Link::End how) {
+  std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const spot = connections_.find(id);
   if (spot == connections_.end()) return;
   std::shared_ptr<Connection> const keep = spot->second;
   connections_.erase(spot);
--- a/src/runtime/mesh/connections.h
+++ b/src/runtime/mesh/connections.h
@@ -14,35 +14,35 @@
 class Connections {
  public:
   struct Callbacks {
-    std::function<void(WireId, bool outbound, std::string const& address)> opened;
-    std::function<void(WireId)> shut;
+    std::function<void(ConnectionId, bool outbound, std::string const& address)> opened;
+    std::function<void(ConnectionId)> shut;
     std::function<void(std::string const& address, bool refused)> failed;
-    std::function<bool(WireId, std::string_view frame)> frame;
+    std::function<bool(ConnectionId, std::string_view frame)> frame;
   };
   explicit Connections(Callbacks callbacks) : callbacks_(std::move(callbacks)) {}
   ~Connections();
 
   Result<void> listen(std::string const& address);
   void dial(std::string const& address);
-  void send(WireId id, std::string const& bytes);
-  void shut(WireId id);
+  void send(ConnectionId id, std::string const& bytes);
+  void shut(ConnectionId id);
 
  private:
   struct Connection {
-    WireId id = 0;
+    ConnectionId id = 0;
     std::shared_ptr<Link> link;
     std::string address;  // that was dialled, until the link is up
     std::string in;
   };
   void adopt(std::shared_ptr<Connection> const& connection, bool outbound);
   void fed(Connection& connection, std::string_view bytes);
-  void lost(WireId id, Link::End how);
+  void lost(ConnectionId id, Link::End how);
 
   Callbacks callbacks_;
   Door door_;
   std::string own_host_;
-  WireId next_ = 0;
-  std::map<WireId, std::shared_ptr<Connection>> connections_;
+  ConnectionId next_ = 0;
+  std::map<ConnectionId, std::shared_ptr<Connection>> connections_;
 };
 
 }  // namespace pipit
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -24,7 +24,7 @@
         .key("state")
         .text(state_word(peer.state()))
         .key("wire")
-        .boolean(peer.wire != 0);
+        .boolean(peer.connection != 0);
     json.key("role").text(peer.role() == Role::router ? "passage" : "accord").key("zone").text(peer.member.zone);
     json.key("http").text(peer.member.http);
     json.key("serial")
@@ -73,7 +73,7 @@
   text.counter("pipit_blocks_asked_total", t.blocks_asked);
   text.counter("pipit_blocks_hit_total", t.blocks_hit);
   text.counter("pipit_far_sends_total", t.far_sends);
-  text.counter("pipit_wire_bytes_total", wire_bytes_);
+  text.counter("pipit_wire_bytes_total", connection_bytes_);
   text.counter("pipit_frames_in_total", node_->mesh.frames_in);
   text.counter("pipit_deltas_dropped_total", node_->index_sync.dropped);
   text.counter("pipit_tree_pulls_total", node_->index_sync.pulls);
@@ -84,7 +84,7 @@
   text.gauge("pipit_ready", node_->ready() ? 1u : 0u);
   text.gauge("pipit_backlog", node_->chat_dispatcher.waiting());
   text.gauge("pipit_under_way", node_->under_way());
-  text.gauge("pipit_wires", node_->mesh.wires_open());
+  text.gauge("pipit_wires", node_->mesh.open_connections());
   text.counters("pipit_mesh_bytes_total", "zone", mesh_to_);
   text.counters("pipit_frame_bytes_total", "frame", by_frame(frame_bytes_));
   text.counters("pipit_leg_bytes_total", "zone", attempts_with_);
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -609,40 +609,40 @@
 }  // namespace
 
 TEST_F(Serving, takes_calls_one_after_the_other_and_keeps_the_connection) {
-  Wire wire(address);
+  LoopbackStream connection(address);
   for (std::size_t n = 0; n < 3; ++n) {
-    wire.send("POST /" + std::to_string(n) + " HTTP/1.1\r\n" + host + "Content-Length: 5\r\n\r\nhello");
+    connection.send("POST /" + std::to_string(n) + " HTTP/1.1\r\n" + host + "Content-Length: 5\r\n\r\nhello");
     ASSERT_TRUE(until([&] { return calls.size() == n + 1; }));
     EXPECT_EQ(calls[n].body, "hello");
     EXPECT_EQ(calls[n].head.target, "/" + std::to_string(n));
     answer_all("yes");
-    ASSERT_TRUE(until([&] { return count_of(wire.got, "yes") == n + 1; }));
+    ASSERT_TRUE(until([&] { return count_of(connection.got, "yes") == n + 1; }));
   }
-  EXPECT_FALSE(wire.shut);
+  EXPECT_FALSE(connection.shut);
   EXPECT_EQ(server.connections(), 1u);
-  EXPECT_EQ(read_whole(false, wire.got).whole.size(), 3u);
+  EXPECT_EQ(read_whole(false, connection.got).whole.size(), 3u);
 }
 
 TEST_F(Serving, gives_calls_on_whole_wherever_they_are_split) {
   std::string const text = good_requests[2];
   for (std::size_t at = 1; at < text.size(); ++at) {
-    Wire wire(address);
-    wire.send(std::string_view(text).substr(0, at));
+    LoopbackStream connection(address);
+    connection.send(std::string_view(text).substr(0, at));
     settle();
-    wire.send(std::string_view(text).substr(at));
+    connection.send(std::string_view(text).substr(at));
     ASSERT_TRUE(until([&] { return calls.size() == at; })) << at;
     EXPECT_EQ(calls.back().body, "hello0123456789");
     answer_all("yes");
-    ASSERT_TRUE(until([&] { return count_of(wire.got, "yes") == 1; }));
+    ASSERT_TRUE(until([&] { return count_of(connection.got, "yes") == 1; }));
   }
 }
 
 TEST_F(Serving, answers_pipelined_calls_in_their_order) {
-  Wire wire(address);
+  LoopbackStream connection(address);
   std::string all;
   for (int n = 0; n < 20; ++n)
     all += "POST /" + std::to_string(n) + " HTTP/1.1\r\n" + host + "Content-Length: 1\r\n\r\nx";
-  wire.send(all);
+  connection.send(all);
   for (std::size_t n = 0; n < 20; ++n) {
     ASSERT_TRUE(until([&] { return calls.size() == n + 1; }));
     settle();
@@ -650,48 +650,49 @@
     EXPECT_EQ(calls[n].head.target, "/" + std::to_string(n));
     answer_all("answer " + std::to_string(n) + ".");
   }
-  ASSERT_TRUE(until([&] { return count_of(wire.got, "answer") == 20; }));
-  std::vector<Message> const answers = read_whole(false, wire.got).whole;
+  ASSERT_TRUE(until([&] { return count_of(connection.got, "answer") == 20; }));
+  std::vector<Message> const answers = read_whole(false, connection.got).whole;
   ASSERT_EQ(answers.size(), 20u);
   for (std::size_t n = 0; n < 20; ++n) EXPECT_EQ(answers[n].body, "answer " + std::to_string(n) + ".");
 }
 
 TEST_F(Serving, sends_heads_without_bodies_to_HEAD) {
-  Wire wire(address);
-  wire.send("HEAD /h HTTP/1.1\r\n" + host + "\r\n");
+  LoopbackStream connection(address);
+  connection.send("HEAD /h HTTP/1.1\r\n" + host + "\r\n");
   ASSERT_TRUE(until([&] { return calls.size() == 1; }));
   answer_all("twelve bytes");
-  wire.send("HEAD /i HTTP/1.1\r\n" + host + "\r\n");
+  connection.send("HEAD /i HTTP/1.1\r\n" + host + "\r\n");
   ASSERT_TRUE(until([&] { return calls.size() == 2; }));
   server.begin(calls[1].id, status(200), -1);
   server.piece(calls[1].id, "pieces");
   server.end(calls[1].id);
-  ASSERT_TRUE(until([&] { return count_of(wire.got, "HTTP/1.1 200") == 2 && wire.got.ends_with("\r\n\r\n"); }));
-  EXPECT_NE(wire.got.find("Content-Length: 12"), std::string::npos);
-  EXPECT_EQ(wire.got.find("twelve"), std::string::npos);
-  EXPECT_EQ(wire.got.find("pieces"), std::string::npos);
-  EXPECT_EQ(read_pieces(false, {wire.got}, true).whole.size(), 2u);
+  ASSERT_TRUE(
+      until([&] { return count_of(connection.got, "HTTP/1.1 200") == 2 && connection.got.ends_with("\r\n\r\n"); }));
+  EXPECT_NE(connection.got.find("Content-Length: 12"), std::string::npos);
+  EXPECT_EQ(connection.got.find("twelve"), std::string::npos);
+  EXPECT_EQ(connection.got.find("pieces"), std::string::npos);
+  EXPECT_EQ(read_pieces(false, {connection.got}, true).whole.size(), 2u);
 }
 
 TEST_F(Serving, closes_when_the_caller_asks_for_it) {
   for (std::string const& text :
        {"GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n", "GET / HTTP/1.0\r\n" + host + "\r\n"}) {
-    Wire wire(address);
-    wire.send(text);
+    LoopbackStream connection(address);
+    connection.send(text);
     ASSERT_TRUE(until([&] { return calls.size() > answered; }));
     answer_all("yes");
-    ASSERT_TRUE(until([&] { return wire.shut; }));
-    EXPECT_EQ(read_whole(false, wire.got).whole.size(), 1u);
-    EXPECT_NE(wire.got.find("Connection: close"), std::string::npos);
+    ASSERT_TRUE(until([&] { return connection.shut; }));
+    EXPECT_EQ(read_whole(false, connection.got).whole.size(), 1u);
+    EXPECT_NE(connection.got.find("Connection: close"), std::string::npos);
   }
   EXPECT_EQ(server.connections(), 0u);
 }
 
 TEST_F(Serving, a_large_last_answer_arrives_whole) {
   for (bool const pieces : {false, true}) {
-    Wire wire(address);
-    wire.link->hold(true);
-    wire.send("GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n");
+    LoopbackStream connection(address);
+    connection.link->hold(true);
+    connection.send("GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n");
     ASSERT_TRUE(until([&] { return calls.size() > answered; }));
     std::string const body(32u << 20, 'z');
     if (pieces) {
@@ -702,94 +703,95 @@
       answer_all(body);
     }
     settle();
-    wire.link->hold(false);
-    ASSERT_TRUE(until([&] { return wire.shut; }));
-    std::vector<Message> const answers = read_pieces(false, {wire.got}, false, 65536, 64u << 20).whole;
-    ASSERT_EQ(answers.size(), 1u) << wire.got.size() << " bytes came";
+    connection.link->hold(false);
+    ASSERT_TRUE(until([&] { return connection.shut; }));
+    std::vector<Message> const answers = read_pieces(false, {connection.got}, false, 65536, 64u << 20).whole;
+    ASSERT_EQ(answers.size(), 1u) << connection.got.size() << " bytes came";
     EXPECT_EQ(answers[0].body.size(), body.size());
   }
 }
 
 TEST_F(Serving, counts_connections_whose_last_answer_is_still_on_its_way) {
-  Wire wire(address);
-  wire.link->hold(true);
-  wire.send("GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n");
+  LoopbackStream connection(address);
+  connection.link->hold(true);
+  connection.send("GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n");
   ASSERT_TRUE(until([&] { return calls.size() > answered; }));
   answer_all(std::string(32u << 20, 'z'));
   settle();
   EXPECT_EQ(server.calls(), 0u);
   EXPECT_EQ(server.connections(), 1u) << "a process that ends now would cut the answer";
-  wire.link->hold(false);
-  ASSERT_TRUE(until([&] { return wire.shut; }));
+  connection.link->hold(false);
+  ASSERT_TRUE(until([&] { return connection.shut; }));
   EXPECT_EQ(server.connections(), 0u);
 }
 
 TEST_F(Serving, pieces_go_as_they_come_and_end_with_the_answer) {
-  Wire wire(address);
-  wire.send("GET / HTTP/1.1\r\n" + host + "\r\n");
+  LoopbackStream connection(address);
+  connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
   ASSERT_TRUE(until([&] { return calls.size() == 1; }));
   server.begin(calls[0].id, status(200), -1);
   for (char const* const part : {"one", "two", "three"}) {
     server.piece(calls[0].id, part);
-    ASSERT_TRUE(until([&] { return wire.got.find(part) != std::string::npos; }));
-    EXPECT_TRUE(read_whole(false, wire.got).whole.empty());
+    ASSERT_TRUE(until([&] { return connection.got.find(part) != std::string::npos; }));
+    EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
   }
   server.end(calls[0].id);
-  ASSERT_TRUE(until([&] { return read_whole(false, wire.got).whole.size() == 1; }));
-  EXPECT_EQ(read_whole(false, wire.got).whole[0].body, "onetwothree");
-  EXPECT_FALSE(wire.shut);
+  ASSERT_TRUE(until([&] { return read_whole(false, connection.got).whole.size() == 1; }));
+  EXPECT_EQ(read_whole(false, connection.got).whole[0].body, "onetwothree");
+  EXPECT_FALSE(connection.shut);
 }
 
 TEST_F(Serving, what_breaks_off_does_not_look_whole) {
   for (std::int64_t const length : {std::int64_t(-1), std::int64_t(100)}) {
-    Wire wire(address);
-    wire.send("GET / HTTP/1.1\r\n" + host + "\r\n");
+    LoopbackStream connection(address);
+    connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
     ASSERT_TRUE(until([&] { return calls.size() > answered; }));
     std::uint64_t const id = calls[answered++].id;
     server.begin(id, status(200), length);
     server.piece(id, "part");
     server.break_off(id);
-    ASSERT_TRUE(until([&] { return wire.shut; }));
-    EXPECT_NE(wire.got.find("part"), std::string::npos);
-    EXPECT_TRUE(read_whole(false, wire.got).whole.empty());
+    ASSERT_TRUE(until([&] { return connection.shut; }));
+    EXPECT_NE(connection.got.find("part"), std::string::npos);
+    EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
   }
 }
 
 TEST_F(Serving, an_answer_that_falls_short_of_its_length_does_not_look_whole) {
-  Wire wire(address);
-  wire.send("GET / HTTP/1.1\r\n" + host + "\r\n");
+  LoopbackStream connection(address);
+  connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
   ASSERT_TRUE(until([&] { return calls.size() == 1; }));
   server.begin(calls[0].id, status(200), 100);
   server.piece(calls[0].id, "part");
   server.end(calls[0].id);
-  ASSERT_TRUE(until([&] { return wire.shut; }));
-  EXPECT_TRUE(read_whole(false, wire.got).whole.empty());
+  ASSERT_TRUE(until([&] { return connection.shut; }));
+  EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
 }
 
 TEST_F(Serving, answers_that_have_no_body_end_with_their_head) {
-  Wire wire(address);
+  LoopbackStream connection(address);
   std::size_t n = 0;
   for (unsigned const code : {204u, 304u})
     for (std::int64_t const length : {std::int64_t(-1), std::int64_t(0), std::int64_t(9)}) {
-      wire.send("GET / HTTP/1.1\r\n" + host + "\r\n");
+      connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
       ASSERT_TRUE(until([&] { return calls.size() == n + 1; }));
       server.begin(calls[n].id, status(code), length);
       server.end(calls[n].id);
       ++n;
-      ASSERT_TRUE(until([&] { return count_of(wire.got, "HTTP/1.1 ") == n && wire.got.ends_with("\r\n\r\n"); }));
+      ASSERT_TRUE(
+          until([&] { return count_of(connection.got, "HTTP/1.1 ") == n && connection.got.ends_with("\r\n\r\n"); }));
       settle();
-      Reading const answers = read_whole(false, wire.got);
+      Reading const answers = read_whole(false, connection.got);
       EXPECT_EQ(answers.error, Reader::Error::none) << code << " " << length;
       EXPECT_EQ(answers.whole.size(), n) << code << " " << length;
-      EXPECT_FALSE(wire.shut);
+      EXPECT_FALSE(connection.shut);
     }
-  EXPECT_EQ(wire.got.find("Transfer-Encoding"), std::string::npos);
+  EXPECT_EQ(connection.got.find("Transfer-Encoding"), std::string::npos);
 }
 
 TEST_F(Serving, says_once_when_a_caller_leaves) {
   {
-    Wire wire(address);
-    wire.send("GET / HTTP/1.1\r\n" + host + "\r\n");
+    LoopbackStream connection(address);
+    connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
     ASSERT_TRUE(until([&] { return calls.size() == 1; }));
   }
   ASSERT_TRUE(until([&] { return gone.size() == 1; }));
@@ -806,15 +808,15 @@
 
 TEST_F(Serving, refuses_or_closes_and_never_gives_on_what_is_malformed) {
   for (Bad const& row : bad_requests()) {
-    Wire wire(address);
-    wire.send(row.text);
+    LoopbackStream connection(address);
+    connection.send(row.text);
     settle();
     // What is only incomplete is slow, in the end.
     server.sweep(far_off());
-    ASSERT_TRUE(until([&] { return wire.shut; })) << row.name;
+    ASSERT_TRUE(until([&] { return connection.shut; })) << row.name;
     EXPECT_TRUE(calls.empty()) << row.name << " was given on";
-    if (!wire.got.empty()) {
-      EXPECT_EQ(wire.got.substr(0, 10), "HTTP/1.1 4") << row.name << ": " << wire.got;
+    if (!connection.got.empty()) {
+      EXPECT_EQ(connection.got.substr(0, 10), "HTTP/1.1 4") << row.name << ": " << connection.got;
     }
     EXPECT_EQ(server.connections(), 0u) << row.name;
     calls.clear();
@@ -824,16 +826,16 @@
 TEST_F(Serving, malformed_bytes_after_a_good_call_do_not_touch_it) {
   for (Bad const& row : bad_requests()) {
     if (row.text.size() > 4000) continue;
-    Wire wire(address);
-    wire.send(good_requests[1] + row.text);
+    LoopbackStream connection(address);
+    connection.send(good_requests[1] + row.text);
     ASSERT_TRUE(until([&] { return calls.size() == 1; })) << row.name;
     EXPECT_EQ(calls[0].body, "hello");
     server.answer(calls[0].id, status(200), "yes");
     settle();
     server.sweep(far_off());
-    ASSERT_TRUE(until([&] { return wire.shut; })) << row.name;
+    ASSERT_TRUE(until([&] { return connection.shut; })) << row.name;
     EXPECT_EQ(calls.size(), 1u) << row.name;
-    EXPECT_EQ(wire.got.substr(0, 12), "HTTP/1.1 200") << row.name;
+    EXPECT_EQ(connection.got.substr(0, 12), "HTTP/1.1 200") << row.name;
     calls.clear();
   }
 }
@@ -844,18 +846,18 @@
   for (int n = 0; n < 2500; ++n) {
     std::string const text = mutated(random, seeds);
     std::vector<Message> const strict = Strict(text).whole;
-    Wire wire(address);
+    LoopbackStream connection(address);
     std::size_t const at = random.below(text.size() + 1);
-    wire.send(std::string_view(text).substr(0, at));
+    connection.send(std::string_view(text).substr(0, at));
     settle();
-    wire.send(std::string_view(text).substr(at));
+    connection.send(std::string_view(text).substr(at));
     std::size_t done = 0;
     for (int turns = 0; turns < 10; ++turns) {
       settle();
       while (done < calls.size()) server.answer(calls[done++].id, status(200), "yes");
     }
     server.sweep(far_off());
-    ASSERT_TRUE(until([&] { return wire.shut; })) << n << "\n" << text;
+    ASSERT_TRUE(until([&] { return connection.shut; })) << n << "\n" << text;
     std::vector<Message> read;
     for (Server::Call const& call : calls)
       read.push_back({call.head.method + " " + call.head.target, call.head.fields, call.body});
@@ -871,10 +873,10 @@
   limits.body_time = seconds(9);
   limits.idle = seconds(60);
   server.limit(limits);
-  Wire idle(address);
-  Wire heading(address);
-  Wire sending(address);
-  Wire busy(address);
+  LoopbackStream idle(address);
+  LoopbackStream heading(address);
+  LoopbackStream sending(address);
+  LoopbackStream busy(address);
   heading.send("GET / HT");
   sending.send("POST / HTTP/1.1\r\n" + host + "Content-Length: 5\r\n\r\nhel");
   busy.send(good_requests[0]);
@@ -903,8 +905,8 @@
 }
 
 TEST_F(Serving, a_shorter_idle_limit_holds_for_rests_that_begin_under_it) {
-  Wire wire(address);
-  wire.send("GET / HTTP/1.1\r\n" + host + "\r\n");
+  LoopbackStream connection(address);
+  connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
   ASSERT_TRUE(until([&] { return calls.size() > answered; }));
   answer_all("ok");
   settle();
@@ -914,18 +916,18 @@
   server.limit(shorter);
   server.sweep(g_get_monotonic_time() + seconds(48));
   settle();
-  EXPECT_FALSE(wire.shut);
+  EXPECT_FALSE(connection.shut);
   server.sweep(g_get_monotonic_time() + seconds(61));
-  ASSERT_TRUE(until([&] { return wire.shut; }));
-  Wire other(address);
+  ASSERT_TRUE(until([&] { return connection.shut; }));
+  LoopbackStream other(address);
   settle();
   server.sweep(g_get_monotonic_time() + seconds(6));
   ASSERT_TRUE(until([&] { return other.shut; }));
 }
 
 TEST_F(Serving, at_the_end_idle_connections_close_and_answers_are_the_last) {
-  Wire idle(address);
-  Wire busy(address);
+  LoopbackStream idle(address);
+  LoopbackStream busy(address);
   busy.send(good_requests[0]);
   ASSERT_TRUE(until([&] { return calls.size() == 1 && server.connections() == 2; }));
   server.closing();
@@ -936,41 +938,42 @@
   ASSERT_TRUE(until([&] { return busy.shut; }));
   EXPECT_NE(busy.got.find("Connection: close"), std::string::npos);
   EXPECT_NE(busy.got.find("yes"), std::string::npos);
-  Wire late(address);
+  LoopbackStream late(address);
   EXPECT_TRUE(late.shut);
   EXPECT_EQ(late.how, Link::End::unreached);
 }
 
 TEST_F(Serving, an_answer_that_began_before_the_end_takes_its_connection_along) {
-  Wire wire(address);
-  wire.send(good_requests[0]);
+  LoopbackStream connection(address);
+  connection.send(good_requests[0]);
   ASSERT_TRUE(until([&] { return calls.size() == 1; }));
   std::uint64_t const id = calls[0].id;
   Head head;
   head.status = 200;
   server.begin(id, head, -1);
   server.piece(id, "first");
-  ASSERT_TRUE(until([&] { return wire.got.find("first") != std::string::npos; }));
-  EXPECT_EQ(wire.got.find("Connection: close"), std::string::npos) << "nothing told the caller that it is the last";
+  ASSERT_TRUE(until([&] { return connection.got.find("first") != std::string::npos; }));
+  EXPECT_EQ(connection.got.find("Connection: close"), std::string::npos)
+      << "nothing told the caller that it is the last";
   server.closing();
   server.stop_listening();
   server.close_idle();
   server.end(id);
-  wire.send(good_requests[0]);
-  ASSERT_TRUE(until([&] { return wire.shut || calls.size() > 1; }));
+  connection.send(good_requests[0]);
+  ASSERT_TRUE(until([&] { return connection.shut || calls.size() > 1; }));
   EXPECT_EQ(calls.size(), 1u) << "a request taken after the doors were shut may not end inside the grace";
-  EXPECT_NE(wire.got.find("0\r\n\r\n"), std::string::npos);
+  EXPECT_NE(connection.got.find("0\r\n\r\n"), std::string::npos);
 }
 
 TEST_F(Serving, a_caller_that_sends_ahead_without_end_is_held) {
-  Wire wire(address);
-  wire.send(good_requests[0]);
+  LoopbackStream connection(address);
+  connection.send(good_requests[0]);
   ASSERT_TRUE(until([&] { return calls.size() == 1; }));
-  wire.send(std::string(64u << 20, 'x'));
+  connection.send(std::string(64u << 20, 'x'));
   settle();
-  EXPECT_GT(wire.link->waiting(), 16u << 20) << "it is not all read into memory";
+  EXPECT_GT(connection.link->waiting(), 16u << 20) << "it is not all read into memory";
   answer_all("yes");
-  ASSERT_TRUE(until([&] { return wire.shut; }));
+  ASSERT_TRUE(until([&] { return connection.shut; }));
   EXPECT_EQ(calls.size(), 1u);
 }
 
@@ -1016,26 +1019,29 @@
                   }},
                  "") {
     address = open_door([this](std::string const& at) {
-      return door.open(
-          at, [this](std::shared_ptr<Link> link) { wires.push_back(std::make_unique<Wire>(std::move(link))); });
+      return door.open(at, [this](std::shared_ptr<Link> link) {
+        connections.push_back(std::make_unique<LoopbackStream>(std::move(link)));
+      });
     });
   }
   static std::string request(std::string const& method = "POST") {
     return method + " / HTTP/1.1\r\n" + host + (method == "POST" ? "Content-Length: 2\r\n\r\nhi" : "\r\n");
   }
-  // Starts a request and waits until the worker has it; the wire that it came on.
-  Wire& start(std::uint64_t id, std::string const& method = "POST") {
+  // Starts a request and waits until the worker has it; the connection that it came on.
+  LoopbackStream& start(std::uint64_t id, std::string const& method = "POST") {
     std::size_t seen = 0;
-    for (std::unique_ptr<Wire> const& wire : wires) seen += count_of(wire->got, "HTTP/1.1\r\n");
+    for (std::unique_ptr<LoopbackStream> const& connection : connections)
+      seen += count_of(connection->got, "HTTP/1.1\r\n");
     upstream.start(id, "w", address, request(method), seconds(10));
-    Wire* found = nullptr;
+    LoopbackStream* found = nullptr;
     EXPECT_TRUE(until([&] {
       std::size_t now = 0;
-      for (std::unique_ptr<Wire> const& wire : wires) now += count_of(wire->got, "HTTP/1.1\r\n");
+      for (std::unique_ptr<LoopbackStream> const& connection : connections)
+        now += count_of(connection->got, "HTTP/1.1\r\n");
       return now > seen;
     }));
-    for (std::unique_ptr<Wire> const& wire : wires)
-      if (!wire->shut && !wire->got.empty()) found = wire.get();
+    for (std::unique_ptr<LoopbackStream> const& connection : connections)
+      if (!connection->shut && !connection->got.empty()) found = connection.get();
     if (found == nullptr) throw std::runtime_error("the request did not arrive");
     return *found;
   }
@@ -1055,7 +1061,7 @@
   std::map<std::uint64_t, std::string> bodies;
   std::vector<std::uint64_t> done;
   std::vector<End> ends;
-  std::vector<std::unique_ptr<Wire>> wires;
+  std::vector<std::unique_ptr<LoopbackStream>> connections;
   std::string address;
   Door door;
   Upstream upstream;
@@ -1066,12 +1072,12 @@
 TEST_F(Workerly, answers_arrive_wherever_they_are_split_and_the_connection_is_kept) {
   std::string const text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
   for (std::size_t at = 1; at < text.size(); ++at) {
-    Wire& wire = start(at);
+    LoopbackStream& connection = start(at);
     EXPECT_EQ(left, std::vector<std::uint64_t>{at});
-    wire.send(std::string_view(text).substr(0, at));
+    connection.send(std::string_view(text).substr(0, at));
     settle();
     EXPECT_TRUE(done.empty());
-    wire.send(std::string_view(text).substr(at));
+    connection.send(std::string_view(text).substr(at));
     ASSERT_TRUE(over());
     EXPECT_EQ(done, std::vector<std::uint64_t>{at});
     EXPECT_EQ(bodies[at], "abcde");
@@ -1083,8 +1089,8 @@
 }
 
 TEST_F(Workerly, an_answer_to_HEAD_has_no_body) {
-  Wire& wire = start(1, "HEAD");
-  wire.send("HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n");
+  LoopbackStream& connection = start(1, "HEAD");
+  connection.send("HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n");
   settle();
   ASSERT_EQ(done.size(), 1u);
   EXPECT_EQ(upstream.kept("w"), 1u);
@@ -1105,12 +1111,12 @@
 }
 
 TEST_F(Workerly, bytes_that_come_on_a_kept_connection_end_it) {
-  Wire& wire = start(1);
-  wire.send(ok);
+  LoopbackStream& connection = start(1);
+  connection.send(ok);
   ASSERT_TRUE(over());
   EXPECT_EQ(upstream.kept("w"), 1u);
-  wire.send("HTTP/1.1 200 OK\r\n");
-  ASSERT_TRUE(until([&] { return wire.shut; }));
+  connection.send("HTTP/1.1 200 OK\r\n");
+  ASSERT_TRUE(until([&] { return connection.shut; }));
   EXPECT_EQ(upstream.kept("w"), 0u);
   forget();
   start(2).send(ok);
@@ -1123,15 +1129,15 @@
   std::string const strange = "HTTP/1.1 200 OK\r\nX-Id: 77\r\nContent-Length: 6\r\n\r\nstolen";
   for (bool const together : {true, false}) {
     forget();
-    Wire& wire = start(1);
+    LoopbackStream& connection = start(1);
     std::string const mine = "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok";
     if (together) {
-      wire.send(strange + mine);
+      connection.send(strange + mine);
     } else {
-      wire.send(strange);
+      connection.send(strange);
       settle();
       EXPECT_TRUE(done.empty() && ends.empty());
-      wire.send(mine);
+      connection.send(mine);
     }
     ASSERT_TRUE(over());
     EXPECT_EQ(done, std::vector<std::uint64_t>{1});
@@ -1139,8 +1145,8 @@
   }
   forget();
   // Only so many, and none that is the last of its connection.
-  Wire& wire = start(2);
-  for (int i = 0; i < 10; ++i) wire.send(strange);
+  LoopbackStream& connection = start(2);
+  for (int i = 0; i < 10; ++i) connection.send(strange);
   ASSERT_TRUE(over());
   ASSERT_EQ(ends.size(), 1u);
   EXPECT_EQ(ends[0].how, Upstream::End::broke);
@@ -1157,9 +1163,9 @@
   upstream.start(1, "w", address,
                  "POST / HTTP/1.1\r\n" + host + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body,
                  seconds(10));
-  ASSERT_TRUE(until([&] { return !wires.empty(); }));
-  wires[0]->link->hold(true);
-  wires[0]->send(ok);
+  ASSERT_TRUE(until([&] { return !connections.empty(); }));
+  connections[0]->link->hold(true);
+  connections[0]->send(ok);
   ASSERT_TRUE(over());
   EXPECT_EQ(done, std::vector<std::uint64_t>{1});
   EXPECT_EQ(upstream.kept("w"), 0u) << "the next request would come behind the rest of this one";
@@ -1193,11 +1199,11 @@
   for (bool const reset : {false, true})
     for (Row const& row : rows) {
       forget();
-      Wire& wire = start(1);
-      wire.send(row.text);
+      LoopbackStream& connection = start(1);
+      connection.send(row.text);
       settle();
-      wire.link->close(reset);
-      wire.shut = true;
+      connection.link->close(reset);
+      connection.shut = true;
       ASSERT_TRUE(over()) << row.name;
       ASSERT_EQ(ends.size(), 1u) << row.name;
       EXPECT_EQ(ends[0].how, row.how) << row.name;
@@ -1209,11 +1215,11 @@
 TEST_F(Workerly, an_answer_without_length_ends_with_its_connection_unless_that_is_reset) {
   for (bool const reset : {false, true}) {
     forget();
-    Wire& wire = start(1);
-    wire.send("HTTP/1.1 200 OK\r\n\r\nabc");
+    LoopbackStream& connection = start(1);
+    connection.send("HTTP/1.1 200 OK\r\n\r\nabc");
     ASSERT_TRUE(until([&] { return bodies[1] == "abc"; }));
-    wire.link->close(reset);
-    wire.shut = true;
+    connection.link->close(reset);
+    connection.shut = true;
     ASSERT_TRUE(over());
     EXPECT_EQ(done.size(), reset ? 0u : 1u);
     EXPECT_EQ(ends.size(), reset ? 1u : 0u);
@@ -1240,15 +1246,15 @@
 TEST_F(Workerly, a_kept_connection_that_the_worker_closed_is_not_used_again) {
   for (bool const reset : {false, true}) {
     forget();
-    Wire& wire = start(1);
-    wire.send(ok);
+    LoopbackStream& connection = start(1);
+    connection.send(ok);
     ASSERT_TRUE(over());
     EXPECT_EQ(upstream.kept("w"), 1u);
-    wire.link->close(reset);
-    wire.shut = true;
+    connection.link->close(reset);
+    connection.shut = true;
     ASSERT_TRUE(until([&] { return upstream.kept("w") == 0; }));
     forget();
-    Wire& next = start(2);
+    LoopbackStream& next = start(2);
     next.send(ok);
     ASSERT_TRUE(over());
     EXPECT_EQ(done, std::vector<std::uint64_t>{2});
@@ -1264,21 +1270,21 @@
   // What the worker did to it has reached this machine, but the loop has not turned since.
   for (int way = 0; way < 3; ++way) {
     forget();
-    Wire& wire = start(1);
-    wire.send(ok);
+    LoopbackStream& connection = start(1);
+    connection.send(ok);
     ASSERT_TRUE(over());
     ASSERT_EQ(upstream.kept("w"), 1u);
     std::uint64_t const dialled = upstream.dialled;
     forget();
     if (way == 0) {
-      wire.link->close();
+      connection.link->close();
     } else if (way == 1) {
-      wire.link->close(true);
+      connection.link->close(true);
     } else {
-      wire.send("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
+      connection.send("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
     }
-    wire.shut = true;
-    Wire& next = start(2);
+    connection.shut = true;
+    LoopbackStream& next = start(2);
     EXPECT_EQ(upstream.dialled, dialled + 1);
     next.send(ok);
     ASSERT_TRUE(over());
@@ -1350,13 +1356,13 @@
 }
 
 TEST_F(Workerly, what_was_cut_is_heard_of_no_more) {
-  Wire& wire = start(1);
-  wire.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc");
+  LoopbackStream& connection = start(1);
+  connection.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc");
   ASSERT_TRUE(until([&] { return bodies[1] == "abc"; }));
   upstream.cut(1);
   upstream.cut(1);
-  wire.send("defghi");
-  ASSERT_TRUE(until([&] { return wire.shut; }));
+  connection.send("defghi");
+  ASSERT_TRUE(until([&] { return connection.shut; }));
   EXPECT_TRUE(done.empty());
   EXPECT_TRUE(ends.empty());
   EXPECT_EQ(bodies[1], "abc");
@@ -1365,10 +1371,10 @@
 
 // What the system still holds of a request that was cut must not reach its worker later.
 TEST_F(Workerly, a_cut_resets_the_connection) {
-  Wire& wire = start(1);
+  LoopbackStream& connection = start(1);
   upstream.cut(1);
-  ASSERT_TRUE(until([&] { return wire.shut; }));
-  EXPECT_EQ(wire.how, Link::End::reset);
+  ASSERT_TRUE(until([&] { return connection.shut; }));
+  EXPECT_EQ(connection.how, Link::End::reset);
 }
 
 // The worker may have said all that there is to say before it ended the connection with bytes unread.
@@ -1378,13 +1384,13 @@
       "POST / HTTP/1.1\r\n" + host + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   for (bool const length : {true, false}) {
     forget();
-    wires.clear();
+    connections.clear();
     upstream.start(1, "w", address, text, seconds(10));
-    ASSERT_TRUE(until([&] { return !wires.empty(); }));
-    wires[0]->link->hold(true);
-    wires[0]->send(length ? ok : "HTTP/1.1 200 OK\r\n\r\nok");
-    wires[0]->link->close();
-    wires[0]->shut = true;
+    ASSERT_TRUE(until([&] { return !connections.empty(); }));
+    connections[0]->link->hold(true);
+    connections[0]->send(length ? ok : "HTTP/1.1 200 OK\r\n\r\nok");
+    connections[0]->link->close();
+    connections[0]->shut = true;
     ASSERT_TRUE(over());
     EXPECT_EQ(done.size(), length ? 1u : 0u) << "without a length only an orderly end makes it whole";
     EXPECT_EQ(bodies[1], "ok");
@@ -1403,15 +1409,15 @@
   RandomSource random(23);
   for (std::uint64_t id = 1; id <= 1500; ++id) {
     forget();
-    Wire& wire = start(id);
+    LoopbackStream& connection = start(id);
     std::string const text = mutated(random, seeds);
     std::size_t const at = random.below(text.size() + 1);
-    wire.send(std::string_view(text).substr(0, at));
+    connection.send(std::string_view(text).substr(0, at));
     settle();
-    wire.send(std::string_view(text).substr(at));
+    connection.send(std::string_view(text).substr(at));
     settle();
-    if (!wire.shut) wire.link->close(random.chance(0.5));
-    wire.shut = true;
+    if (!connection.shut) connection.link->close(random.chance(0.5));
+    connection.shut = true;
     ASSERT_TRUE(over()) << id << "\n" << text;
     settle();
     ASSERT_EQ(done.size() + ends.size(), 1u) << id << "\n" << text;
@@ -1419,7 +1425,7 @@
     ASSERT_EQ(left.size(), 1u);
     upstream.forget("w");
     settle();
-    wires.clear();
+    connections.clear();
   }
 }
 
--- a/tests/keys.cc
+++ b/tests/keys.cc
@@ -54,7 +54,7 @@
   EXPECT_EQ(got.find("key-2"), std::string::npos) << got;
   EXPECT_EQ(got.find("somebody"), std::string::npos) << got;
   EXPECT_EQ(got.find("else"), std::string::npos) << got;
-  wire_of("w1").send(whole_answer);
+  connection_of("w1").send(whole_answer);
   EXPECT_TRUE(hears("ok"));
 }
 
@@ -82,7 +82,7 @@
   std::string const got = workers.at("w1")->got();
   EXPECT_EQ(got.find("weavers"), std::string::npos) << got;
   EXPECT_EQ(got.find("key-3"), std::string::npos) << got;
-  wire_of("w1").send(whole_answer);
+  connection_of("w1").send(whole_answer);
   EXPECT_TRUE(hears("ok"));
 }
 
@@ -95,7 +95,7 @@
   ask("POST", "/once/x", "Authorization: Basic abc\r\n");
   ASSERT_EQ(reached(), "w1");
   EXPECT_NE(workers.at("w1")->got().find("Authorization: Basic abc\r\n"), std::string::npos);
-  wire_of("w1").send(whole_answer);
+  connection_of("w1").send(whole_answer);
   EXPECT_TRUE(hears("ok"));
 }
 
@@ -128,7 +128,7 @@
   caller.reset();
   ask("POST", "/once/x", good);
   EXPECT_EQ(reached(), "w1") << "a key that is known still lets a request run";
-  wire_of("w1").send(whole_answer);
+  connection_of("w1").send(whole_answer);
   EXPECT_TRUE(hears("ok"));
   age_lease(seconds(1));
   caller.reset();
@@ -152,7 +152,7 @@
   ask("POST", "/safe/x", good);
   std::string const first = reached();
   configure("[{\"name\":\"weavers\",\"keys\":[]}]");
-  wire_of(first).link->close();
+  connection_of(first).link->close();
   EXPECT_TRUE(hears("HTTP/1.1 ")) << caller->got;
   EXPECT_EQ(workers.at(first == "w1" ? "w2" : "w1")->got(), "");
   EXPECT_EQ(caller->got.find("200"), std::string::npos);
@@ -166,7 +166,7 @@
   tick();
   ASSERT_EQ(reached(), "w1");
   EXPECT_NE(workers.at("w1")->got().find("X-Pipit-Tenant: potters\r\n"), std::string::npos);
-  wire_of("w1").send(whole_answer);
+  connection_of("w1").send(whole_answer);
   EXPECT_TRUE(hears("ok"));
 }
 
@@ -193,12 +193,12 @@
   configure("[{\"name\":\"weavers\",\"keys\":[\"key-1\"],\"rate\":10}]");
   ask("POST", "/safe/x", good);
   std::string const first = reached();
-  wire_of(first).link->close();
+  connection_of(first).link->close();
   std::string const second = reached(first);
   ASSERT_EQ(quota_needs.size(), 2u);
   EXPECT_TRUE(quota_needs[1].again);
   EXPECT_EQ(quota_needs[1].count, 1);
-  wire_of(second).send(whole_answer);
+  connection_of(second).send(whole_answer);
   EXPECT_TRUE(hears("ok"));
 }
 
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -58,7 +58,7 @@
 }
 
 // One side of a connection, as it is seen from outside.
-struct Wire {
+struct LoopbackStream {
   std::shared_ptr<Link> link;
   std::string got;
   bool up = false;
@@ -73,13 +73,13 @@
                   },
                   nullptr});
   }
-  explicit Wire(std::shared_ptr<Link> link_) : link(std::move(link_)), up(true) { hear(); }
-  explicit Wire(std::string const& address) : link(Link::dial(address, "", seconds(10))) {
+  explicit LoopbackStream(std::shared_ptr<Link> link_) : link(std::move(link_)), up(true) { hear(); }
+  explicit LoopbackStream(std::string const& address) : link(Link::dial(address, "", seconds(10))) {
     hear();
     EXPECT_TRUE(until([this] { return up || shut; }));
   }
-  ~Wire() { link->close(); }
-  Wire(Wire const&) = delete;
+  ~LoopbackStream() { link->close(); }
+  LoopbackStream(LoopbackStream const&) = delete;
   void send(std::string_view bytes) { link->write(bytes); }
 };
 
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -1,4 +1,4 @@
-// Frames and wires: garbage ends a wire and nothing else; a foreign cluster is not greeted.
+// Frames and connections: garbage ends a connection and nothing else; a foreign cluster is not greeted.
 #include <gtest/gtest.h>
 
 #include "base/events.h"
@@ -48,7 +48,7 @@
   wire::HelloT older = hello("pipit", "b");
   older.format = frame_format - 1;
   node.bytes(1, encode_body(std::move(older)), 0, out);
-  EXPECT_EQ(out.mesh.shuts, std::vector<WireId>{1});
+  EXPECT_EQ(out.mesh.shuts, std::vector<ConnectionId>{1});
   EXPECT_EQ(node.mesh.members.peers.count("b"), 0u);
 }
 
@@ -83,7 +83,7 @@
   NodeOut out;
   node.opened(1, false, "", 0, out);
   node.bytes(1, encode_body(hello("other", "b")), 0, out);
-  EXPECT_EQ(out.mesh.shuts, std::vector<WireId>{1});
+  EXPECT_EQ(out.mesh.shuts, std::vector<ConnectionId>{1});
   EXPECT_TRUE(node.mesh.members.peers.empty());
 }
 
@@ -91,14 +91,14 @@
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeOut out;
-  node.opened(1, true, "10.0.0.2:1", 0, out);  // 'a' sorts first, so its own wire would be kept
+  node.opened(1, true, "10.0.0.2:1", 0, out);  // 'a' sorts first, so its own connection would be kept
   node.bytes(1, encode_body(hello("pipit", "b")), 0, out);
   wire::HelloT next = hello("pipit", "b");
   next.self->incarnation = 6;
   node.opened(2, false, "", millis(10), out);
   node.bytes(2, encode_body(std::move(next)), millis(10), out);
-  EXPECT_EQ(node.mesh.members.peers.at("b").wire, 2u);
-  EXPECT_EQ(out.mesh.shuts, std::vector<WireId>{1});
+  EXPECT_EQ(node.mesh.members.peers.at("b").connection, 2u);
+  EXPECT_EQ(out.mesh.shuts, std::vector<ConnectionId>{1});
 }
 
 TEST(Mesh, a_peer_that_moves_while_it_is_dialled_is_dialled_anew) {
--- a/tests/passing.h
+++ b/tests/passing.h
@@ -24,10 +24,10 @@
   struct Worker {
     Door door;
     std::string address;
-    std::vector<std::unique_ptr<Wire>> wires;
+    std::vector<std::unique_ptr<LoopbackStream>> connections;
     std::string got() const {
       std::string out;
-      for (std::unique_ptr<Wire> const& wire : wires) out += wire->got;
+      for (std::unique_ptr<LoopbackStream> const& connection : connections) out += connection->got;
       return out;
     }
   };
@@ -74,8 +74,9 @@
     made = std::make_unique<Worker>();
     Worker* const at = made.get();
     at->address = open_door([at](std::string const& address) {
-      return at->door.open(
-          address, [at](std::shared_ptr<Link> link) { at->wires.push_back(std::make_unique<Wire>(std::move(link))); });
+      return at->door.open(address, [at](std::shared_ptr<Link> link) {
+        at->connections.push_back(std::make_unique<LoopbackStream>(std::move(link)));
+      });
     });
     Heartbeat word;
     word.id = id;
@@ -87,7 +88,7 @@
     registry.heartbeat(word, g_get_monotonic_time());
   }
   void ask(std::string const& method, std::string const& path, std::string const& fields = "") {
-    if (!caller || caller->shut) caller = std::make_unique<Wire>(address);
+    if (!caller || caller->shut) caller = std::make_unique<LoopbackStream>(address);
     caller->got.clear();
     caller->send(method + " " + path + " HTTP/1.1\r\nHost: h.test:80\r\nX-Pipit-Attempt: r1\r\n" + fields +
                  (method == "POST" ? "Content-Length: 2\r\n\r\nhi" : "\r\n"));
@@ -102,7 +103,7 @@
     }));
     return out;
   }
-  Wire& wire_of(std::string const& id) { return *workers.at(id)->wires.back(); }
+  LoopbackStream& connection_of(std::string const& id) { return *workers.at(id)->connections.back(); }
   bool hears(std::string const& text) {
     return until([&] { return caller->got.find(text) != std::string::npos; });
   }
@@ -121,7 +122,7 @@
   RequestProxy relay;
   std::string address;
   std::map<std::string, std::unique_ptr<Worker>> workers;
-  std::unique_ptr<Wire> caller;
+  std::unique_ptr<LoopbackStream> caller;
 };
 
 }  // namespace pipit
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -33,8 +33,8 @@
        {"X-Yours: 2", "X-Pipit-Instance: w", "X-Pipit-Left-Ms: ", "Content-Length: 2\r\n", "\r\n\r\nhi"})
     EXPECT_NE(got.find(there), std::string::npos) << there;
   EXPECT_EQ(got.find("X-Mine"), std::string::npos);
-  wire_of("w").send("HTTP/1.1 201 Made\r\n" + mine +
-                    "Keep-Alive: timeout=9\r\nX-Back: 3\r\nContent-Length: 3\r\n\r\nyes");
+  connection_of("w").send("HTTP/1.1 201 Made\r\n" + mine +
+                          "Keep-Alive: timeout=9\r\nX-Back: 3\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("yes"));
   EXPECT_EQ(caller->got.substr(0, 18), "HTTP/1.1 201 Made\r");
   EXPECT_NE(caller->got.find("X-Back: 3"), std::string::npos);
@@ -46,7 +46,7 @@
   worker("w");
   ask("HEAD", "/once/x");
   ASSERT_EQ(reached(), "w");
-  wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 5000\r\n\r\n");
+  connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 5000\r\n\r\n");
   ASSERT_TRUE(hears("\r\n\r\n"));
   EXPECT_NE(caller->got.find("Content-Length: 5000"), std::string::npos);
   EXPECT_TRUE(quiet());
@@ -66,7 +66,7 @@
   worker("v");
   ask("POST", "/once/x");
   std::string const first = reached();
-  wire_of(first).link->close();
+  connection_of(first).link->close();
   ASSERT_TRUE(hears("}"));
   EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
   EXPECT_NE(caller->got.find("\"ran\":\"unknown\""), std::string::npos) << caller->got;
@@ -82,9 +82,9 @@
     worker("v");
     ask("POST", "/once/x");
     std::string const first = reached();
-    wire_of(first).send("HTTP/1.1 " + answer + mine + "Content-Length: 0\r\n\r\n");
+    connection_of(first).send("HTTP/1.1 " + answer + mine + "Content-Length: 0\r\n\r\n");
     std::string const second = reached(first);
-    wire_of(second).send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
+    connection_of(second).send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
     ASSERT_TRUE(hears("yes"));
     EXPECT_TRUE(quiet());
     workers.clear();
@@ -97,7 +97,7 @@
   worker("w");
   ask("POST", "/once/x");
   ASSERT_EQ(reached(), "w");
-  wire_of("w").send("HTTP/1.1 500 Odd\r\n" + mine + "Content-Length: 3\r\n\r\nbad");
+  connection_of("w").send("HTTP/1.1 500 Odd\r\n" + mine + "Content-Length: 3\r\n\r\nbad");
   ASSERT_TRUE(hears("bad"));
   EXPECT_EQ(caller->got.substr(0, 16), "HTTP/1.1 500 Odd");
   EXPECT_TRUE(quiet());
@@ -108,15 +108,15 @@
   worker("v");
   ask("POST", "/flow/x");
   std::string const first = reached();
-  wire_of(first).send("HTTP/1.1 200 OK\r\n" + mine +
-                      "Transfer-Encoding: chunked\r\n\r\n1c\r\nid: 1\ndata: a\n\nid: 2\ndata: b\r\n");
+  connection_of(first).send("HTTP/1.1 200 OK\r\n" + mine +
+                            "Transfer-Encoding: chunked\r\n\r\n1c\r\nid: 1\ndata: a\n\nid: 2\ndata: b\r\n");
   ASSERT_TRUE(hears("data: a\n\n"));
   EXPECT_EQ(caller->got.find("data: b"), std::string::npos) << "not before it is whole";
-  wire_of(first).link->close(true);
+  connection_of(first).link->close(true);
   std::string const second = reached(first);
   EXPECT_NE(workers[second]->got().find("Last-Event-Id: 1\r\n"), std::string::npos);
-  wire_of(second).send("HTTP/1.1 200 OK\r\n" + mine +
-                       "Content-Length: 45\r\n\r\nid: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
+  connection_of(second).send("HTTP/1.1 200 OK\r\n" + mine +
+                             "Content-Length: 45\r\n\r\nid: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
   ASSERT_TRUE(hears("0\r\n\r\n"));
   for (char const* const part : {"data: a\n\n", "data: b\n\n", "data: c\n\n"})
     EXPECT_EQ(count_of(caller->got, part), 1u) << part;
@@ -128,9 +128,9 @@
   worker("v");
   ask("POST", "/live/x");
   std::string const first = reached();
-  wire_of(first).send("HTTP/1.1 200 OK\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
+  connection_of(first).send("HTTP/1.1 200 OK\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
   ASSERT_TRUE(hears("hello"));
-  wire_of(first).link->close();
+  connection_of(first).link->close();
   ASSERT_TRUE(until([&] { return caller->shut; }));
   EXPECT_EQ(caller->got.find("0\r\n\r\n"), std::string::npos);
   EXPECT_TRUE(quiet());
@@ -140,7 +140,7 @@
   worker("w");
   ask("POST", "/flow/x");
   ASSERT_EQ(reached(), "w");
-  wire_of("w").send("HTTP/1.1 204 None\r\n" + mine + "\r\n");
+  connection_of("w").send("HTTP/1.1 204 None\r\n" + mine + "\r\n");
   ASSERT_TRUE(hears("\r\n\r\n"));
   settle();
   EXPECT_TRUE(caller->got.ends_with("\r\n\r\n"));
@@ -153,7 +153,7 @@
   ask("POST", "/live/x");
   ASSERT_EQ(reached(), "w");
   caller->link->close();
-  ASSERT_TRUE(until([&] { return wire_of("w").shut; }));
+  ASSERT_TRUE(until([&] { return connection_of("w").shut; }));
   EXPECT_TRUE(quiet());
 }
 
@@ -161,7 +161,7 @@
   worker("w");
   ask("POST", "/once/x");
   ASSERT_EQ(reached(), "w");
-  wire_of("w").send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes");
+  connection_of("w").send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("}"));
   EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(caller->got.find("yes"), std::string::npos);
@@ -173,13 +173,13 @@
   worker("w");
   ask("POST", "/once/x");
   ASSERT_EQ(reached(), "w");
-  wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
+  connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("yes"));
   ASSERT_EQ(relay.upstream.kept("w"), 1u);
   ask("POST", "/once/x");
-  ASSERT_TRUE(until([&] { return count_of(wire_of("w").got, "POST ") == 2; }));
+  ASSERT_TRUE(until([&] { return count_of(connection_of("w").got, "POST ") == 2; }));
   // It may be a late word about the first request.
-  wire_of("w").send("HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+  connection_of("w").send("HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(hears("}"));
   EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(relay.upstream.kept("w"), 0u);
@@ -190,7 +190,7 @@
   worker("w");
   ask("POST", "/once/x");
   ASSERT_EQ(reached(), "w");
-  wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "X-Pipit-Attempt: r2\r\nContent-Length: 3\r\n\r\nyes");
+  connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "X-Pipit-Attempt: r2\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("}"));
   EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(relay.upstream.kept("w"), 0u);
@@ -202,7 +202,8 @@
     worker("v");
     ask("POST", "/once/x");
     std::string const first = reached();
-    wire_of(first).send("HTTP/1.1 " + std::string(status) + "\r\n" + mine + "X-Seal: s\r\nContent-Length: 2\r\n\r\nno");
+    connection_of(first).send("HTTP/1.1 " + std::string(status) + "\r\n" + mine +
+                              "X-Seal: s\r\nContent-Length: 2\r\n\r\nno");
     ASSERT_TRUE(hears("\r\n\r\n"));
     settle();
     EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502") << status;
@@ -221,8 +222,8 @@
   ask("POST", "/once/x");
   ASSERT_EQ(reached(), "w");
   std::string const body(3u << 20, 'z');
-  wire_of("w").send("HTTP/1.1 500 Odd\r\n" + mine + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-                    body);
+  connection_of("w").send("HTTP/1.1 500 Odd\r\n" + mine + "Content-Length: " + std::to_string(body.size()) +
+                          "\r\n\r\n" + body);
   ASSERT_TRUE(hears("\r\n\r\n"));
   EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
   EXPECT_TRUE(quiet());
@@ -235,8 +236,8 @@
   ASSERT_TRUE(until([&] { return !workers["w"]->got().empty() || !caller->got.empty(); }));
   ASSERT_EQ(caller->got, "");
   EXPECT_GT(registry.find("w")->held, 0);
-  wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine +
-                    "X-Pipit-Load: 9223372036854775807,9223372036854775807,8\r\nContent-Length: 3\r\n\r\nyes");
+  connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine +
+                          "X-Pipit-Load: 9223372036854775807,9223372036854775807,8\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("yes"));
   EXPECT_GT(registry.find("w")->said, 0);
   EXPECT_TRUE(quiet());
@@ -257,9 +258,9 @@
   worker("v");
   ask("POST", "/flow/x");
   std::string const first = reached();
-  wire_of(first).send("HTTP/1.1 200 OK\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n");
+  connection_of(first).send("HTTP/1.1 200 OK\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n");
   ASSERT_TRUE(hears("data: a\n\n"));
-  wire_of(first).link->close(true);
+  connection_of(first).link->close(true);
   ASSERT_TRUE(until([&] { return caller->shut || !workers[first == "w" ? "v" : "w"]->got().empty(); }));
   EXPECT_TRUE(caller->shut);
   EXPECT_EQ(workers[first == "w" ? "v" : "w"]->got(), "") << "from where, nobody could tell";
@@ -301,15 +302,15 @@
   worker("v");
   ask("POST", "/flow/x");
   std::string const first = reached();
-  wire_of(first).send(head + "id: 1\ndata: a\n\nid: 2\nda");
+  connection_of(first).send(head + "id: 1\ndata: a\n\nid: 2\nda");
   ASSERT_TRUE(hears("data: a\n\n"));
-  wire_of(first).link->close();
+  connection_of(first).link->close();
   std::string const second = reached(first);
   ASSERT_NE(second, "");
   EXPECT_NE(workers[second]->got().find("Last-Event-Id: 1\r\n"), std::string::npos);
-  wire_of(second).send(head + "id: 2\ndata: b\n\n");
+  connection_of(second).send(head + "id: 2\ndata: b\n\n");
   ASSERT_TRUE(hears("data: b\n\n"));
-  wire_of(second).link->close();
+  connection_of(second).link->close();
   ASSERT_TRUE(hears("0\r\n\r\n")) << "after an event it is whole";
   EXPECT_EQ(count_of(caller->got, "id: 2"), 1u);
   EXPECT_TRUE(quiet());
@@ -320,12 +321,12 @@
   for (bool const whole : {true, false}) {
     ask("POST", "/live/x");
     ASSERT_TRUE(until([&] { return count_of(workers["w"]->got(), "POST ") == (whole ? 1u : 2u); }));
-    wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "\r\nid: 1\ndata: a\n\n");
+    connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "\r\nid: 1\ndata: a\n\n");
     ASSERT_TRUE(hears("data: a\n\n"));
-    if (!whole) wire_of("w").send("id: 2\nda");
+    if (!whole) connection_of("w").send("id: 2\nda");
     ASSERT_TRUE(hears(whole ? "data: a\n\n" : "id: 2\nda"));
-    wire_of("w").link->close();
-    wire_of("w").shut = true;
+    connection_of("w").link->close();
+    connection_of("w").shut = true;
     ASSERT_TRUE(until([&] { return caller->shut || count_of(caller->got, "0\r\n\r\n") > 0; }));
     EXPECT_EQ(caller->shut, !whole);
     EXPECT_EQ(count_of(caller->got, "\r\n0\r\n\r\n"), whole ? 1u : 0u);
@@ -337,7 +338,7 @@
 TEST_F(Passing, the_time_that_a_body_takes_to_come_is_the_callers) {
   worker("w");
   ManualTime time(g_get_monotonic_time());
-  caller = std::make_unique<Wire>(address);
+  caller = std::make_unique<LoopbackStream>(address);
   caller->send(
       "POST /once/x HTTP/1.1\r\nHost: h.test\r\nX-Pipit-Attempt: r1\r\nX-Pipit-Left-Ms: 2000\r\n"
       "Content-Length: 2\r\n\r\nh");
@@ -358,11 +359,11 @@
   worker("w");
   ask("POST", "/safe/x");
   ASSERT_EQ(reached(), "w");
-  wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
+  connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("yes"));
   ASSERT_EQ(relay.upstream.kept("w"), 1u);
   for (bool const reset : {false, true}) {
-    Wire other(address);
+    LoopbackStream other(address);
     settle();
     std::size_t const there = relay.server.connections();
     other.send("POST /safe/x HTTP/1.1\r\nHost: h.test\r\nX-Pipit-Attempt: r2\r\nContent-Length: 2\r\n\r\nhi");
@@ -379,25 +380,26 @@
   worker("w");
   worker("v");
   std::string const body(4u << 20, 'z');
-  caller = std::make_unique<Wire>(address);
+  caller = std::make_unique<LoopbackStream>(address);
   caller->send("POST /once/x HTTP/1.1\r\nHost: h.test\r\nX-Pipit-Attempt: r1\r\nContent-Length: " +
                std::to_string(body.size()) + "\r\n\r\n");
   caller->send(body);
   std::string first;
   ASSERT_TRUE(until([&] {
     for (std::pair<std::string const, std::unique_ptr<Worker>> const& item : workers)
-      if (!item.second->wires.empty()) first = item.first;
+      if (!item.second->connections.empty()) first = item.first;
     return !first.empty();
   }));
-  Wire& wire = wire_of(first);
-  wire.link->hold(true);
-  wire.send("HTTP/1.1 503 Busy\r\n" + mine + "X-Pipit-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-  wire.link->close();
-  wire.shut = true;
+  LoopbackStream& connection = connection_of(first);
+  connection.link->hold(true);
+  connection.send("HTTP/1.1 503 Busy\r\n" + mine +
+                  "X-Pipit-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+  connection.link->close();
+  connection.shut = true;
   std::string const other = first == "w" ? "v" : "w";
   ASSERT_TRUE(until([&] { return !caller->got.empty() || workers[other]->got().size() > body.size(); }));
   ASSERT_EQ(caller->got, "") << "it was told not to have run";
-  wire_of(other).send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
+  connection_of(other).send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("yes"));
   EXPECT_TRUE(quiet());
 }
@@ -406,7 +408,7 @@
   worker("w");
   ask("POST", "/once/x");
   ASSERT_EQ(reached(), "w");
-  wire_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
+  connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("\r\n\r\n"));
   EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(caller->got.find("yes"), std::string::npos);
@@ -418,7 +420,7 @@
     worker("w");
     ask("POST", "/once/x");
     ASSERT_EQ(reached(), "w");
-    wire_of("w").send("HTTP/1.1 " + status + mine + "Content-Length: 3\r\n\r\nyes");
+    connection_of("w").send("HTTP/1.1 " + status + mine + "Content-Length: 3\r\n\r\nyes");
     ASSERT_TRUE(hears("yes")) << status;
   }
   EXPECT_TRUE(quiet());
--- a/tests/station.cc
+++ b/tests/station.cc
@@ -28,11 +28,12 @@
 
   // The status with which a call is answered.
   std::string post(std::string const& path, std::string const& body) {
-    Wire wire(address);
-    wire.send("POST " + path + " HTTP/1.1\r\nHost: n1\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-              body);
-    EXPECT_TRUE(until([&wire] { return wire.shut || wire.got.find("\r\n\r\n") != std::string::npos; }));
-    return wire.got.substr(0, 12);
+    LoopbackStream connection(address);
+    connection.send("POST " + path + " HTTP/1.1\r\nHost: n1\r\nContent-Length: " + std::to_string(body.size()) +
+                    "\r\n\r\n" + body);
+    EXPECT_TRUE(
+        until([&connection] { return connection.shut || connection.got.find("\r\n\r\n") != std::string::npos; }));
+    return connection.got.substr(0, 12);
   }
   static std::string heartbeat(std::uint64_t sequence) {
     return R"({"service":"s","address":"127.0.0.1:9","zone":"a","slots":4,"state":"available","call_sequence":)" +
@@ -58,21 +59,22 @@
 }
 
 TEST_F(ControlAddress, tenants_are_told_to_operators) {
-  Wire wire(address);
-  wire.send("GET /v1/tenants HTTP/1.1\r\nHost: n1\r\n\r\n");
-  EXPECT_TRUE(until([&wire] { return wire.got.find("\"tenants\":[]") != std::string::npos; })) << wire.got;
-  EXPECT_NE(wire.got.find("\"keys_required\":false"), std::string::npos) << wire.got;
+  LoopbackStream connection(address);
+  connection.send("GET /v1/tenants HTTP/1.1\r\nHost: n1\r\n\r\n");
+  EXPECT_TRUE(until([&connection] { return connection.got.find("\"tenants\":[]") != std::string::npos; }))
+      << connection.got;
+  EXPECT_NE(connection.got.find("\"keys_required\":false"), std::string::npos) << connection.got;
 }
 
 TEST_F(ControlAddress, metrics_are_told_at_an_address_of_their_own) {
-  Wire wire(metrics);
-  wire.send("GET /metrics HTTP/1.1\r\nHost: n1\r\nConnection: close\r\n\r\n");
-  EXPECT_TRUE(until([&wire] { return wire.shut; }));
-  EXPECT_EQ(wire.got.substr(0, 12), "HTTP/1.1 200");
+  LoopbackStream connection(metrics);
+  connection.send("GET /metrics HTTP/1.1\r\nHost: n1\r\nConnection: close\r\n\r\n");
+  EXPECT_TRUE(until([&connection] { return connection.shut; }));
+  EXPECT_EQ(connection.got.substr(0, 12), "HTTP/1.1 200");
   for (char const* const row :
        {"pipit_asked_total 0\n", "pipit_peers{state=\"down\"} 0\n", "pipit_quorum_heard_ms_ago 0\n",
         "pipit_invariant_violations_total{invariant=\"agreement\"} 0\n"})
-    EXPECT_NE(wire.got.find(row), std::string::npos) << row;
+    EXPECT_NE(connection.got.find(row), std::string::npos) << row;
 }
 
 }  // namespace pipit::platform
--- a/tests/wide.cc
+++ b/tests/wide.cc
@@ -1,4 +1,5 @@
-// Many nodes whose workers register themselves, as cores under virtual time with wires that lose nothing (§3.6, §12.7).
+// Many nodes whose workers register themselves, as cores under virtual time with connections that lose nothing (§3.6,
+// §12.7).
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -47,11 +48,11 @@
         Mail const item = std::move(mail.front());
         mail.pop_front();
         now = std::max(now, item.due);
-        if (!ends.count(item.wire) || item.to == mute || removed.count(item.to) > 0) continue;
+        if (!ends.count(item.connection) || item.to == mute || removed.count(item.to) > 0) continue;
         ++frames;
         bytes += item.bytes.size();
         NodeOut out;
-        if (!nodes[item.to]->bytes(item.wire, item.bytes, now, out)) shut(item.wire);
+        if (!nodes[item.to]->bytes(item.connection, item.bytes, now, out)) shut(item.connection);
         act(item.to, out);
       }
       now = next;
@@ -68,12 +69,13 @@
     if (out.save) saves.push_back(from);
     for (std::string const& address : out.mesh.dials) dial(from, address);
     for (Sends::Send& send : out.mesh.sends) {
-      std::map<WireId, std::pair<std::size_t, std::size_t>>::const_iterator const spot = ends.find(send.wire);
+      std::map<ConnectionId, std::pair<std::size_t, std::size_t>>::const_iterator const spot =
+          ends.find(send.connection);
       if (spot == ends.end()) continue;
       std::size_t const to = spot->second.first == from ? spot->second.second : spot->second.first;
-      mail.push_back({now + way, to, send.wire, std::move(send.bytes)});
+      mail.push_back({now + way, to, send.connection, std::move(send.bytes)});
     }
-    for (WireId const id : out.mesh.shuts) shut(id, from);
+    for (ConnectionId const id : out.mesh.shuts) shut(id, from);
     for (Reply& item : out.replies) replies[from].push_back(std::move(item));
     while (!saves.empty()) {
       std::size_t const who = saves.back();
@@ -93,10 +95,10 @@
   // The process of a node ends, and its address refuses.
   void remove(std::size_t node) {
     removed.insert(node);
-    std::vector<WireId> open;
-    for (std::pair<WireId const, std::pair<std::size_t, std::size_t>> const& item : ends)
+    std::vector<ConnectionId> open;
+    for (std::pair<ConnectionId const, std::pair<std::size_t, std::size_t>> const& item : ends)
       if (item.second.first == node || item.second.second == node) open.push_back(item.first);
-    for (WireId const id : open) shut(id, node);
+    for (ConnectionId const id : open) shut(id, node);
   }
 
   // A node without a disk that was removed comes back at its address.
@@ -132,7 +134,7 @@
   struct Mail {
     Micros due;
     std::size_t to;
-    WireId wire;
+    ConnectionId connection;
     std::string bytes;
   };
   void dial(std::size_t from, std::string const& address) {
@@ -142,7 +144,7 @@
       nodes[from]->dial_failed(address, true, now, out);
       return act(from, out);
     }
-    WireId const id = ++wires;
+    ConnectionId const id = ++connections;
     ends[id] = {from, to->second};
     nodes[from]->opened(id, true, address, now, out);
     act(from, out);
@@ -150,8 +152,8 @@
     nodes[to->second]->opened(id, false, "", now, other);
     act(to->second, other);
   }
-  void shut(WireId id, std::size_t but = SIZE_MAX) {
-    std::map<WireId, std::pair<std::size_t, std::size_t>>::const_iterator const spot = ends.find(id);
+  void shut(ConnectionId id, std::size_t but = SIZE_MAX) {
+    std::map<ConnectionId, std::pair<std::size_t, std::size_t>>::const_iterator const spot = ends.find(id);
     if (spot == ends.end()) return;
     std::pair<std::size_t, std::size_t> const both = spot->second;
     ends.erase(spot);
@@ -165,10 +167,10 @@
 
   std::set<std::size_t> removed;
   std::map<std::string, std::size_t> at;
-  std::map<WireId, std::pair<std::size_t, std::size_t>> ends;
+  std::map<ConnectionId, std::pair<std::size_t, std::size_t>> ends;
   std::deque<Mail> mail;
   std::vector<std::size_t> saves;
-  WireId wires = 0;
+  ConnectionId connections = 0;
 };
 
 Heartbeat word_of(std::string const& id, std::uint64_t order) {
@@ -202,7 +204,7 @@
 }
 
 // Full tables on every ping and everything told to everybody ended 72 small machines. What a calm second costs a node
-// may grow with the fleet no faster than its wires are looked after.
+// may grow with the fleet no faster than its connections are looked after.
 TEST(Wide, a_calm_second_costs_a_node_few_frames) {
   double small = 0;
   for (std::size_t const count : {std::size_t(30), std::size_t(60)}) {
--- a/tests/worker_ends.cc
+++ b/tests/worker_ends.cc
@@ -24,14 +24,16 @@
     plan.chance = 5;
     node = std::make_unique<Node>(plan, g_get_monotonic_time(), std::nullopt);
     Connections::Callbacks callbacks;
-    callbacks.opened = [this](WireId id, bool outbound, std::string const& to) {
+    callbacks.opened = [this](ConnectionId id, bool outbound, std::string const& to) {
       step([&](NodeOut& out) { node->opened(id, outbound, to, g_get_monotonic_time(), out); });
     };
-    callbacks.shut = [this](WireId id) { step([&](NodeOut& out) { node->shut(id, g_get_monotonic_time(), out); }); };
+    callbacks.shut = [this](ConnectionId id) {
+      step([&](NodeOut& out) { node->shut(id, g_get_monotonic_time(), out); });
+    };
     callbacks.failed = [this](std::string const& to, bool refused) {
       step([&](NodeOut& out) { node->dial_failed(to, refused, g_get_monotonic_time(), out); });
     };
-    callbacks.frame = [this](WireId id, std::string_view frame) {
+    callbacks.frame = [this](ConnectionId id, std::string_view frame) {
       if (!deaf) step([&](NodeOut& out) { node->bytes(id, frame, g_get_monotonic_time(), out); });
       return true;
     };
@@ -53,7 +55,7 @@
     Instance const* const at = node->registry.find(worker);
     return at != nullptr && at->standing != Standing::serving;
   }
-  bool connected() const { return node->mesh.wires_open() > 0 && !node->mesh.members.peers.empty(); }
+  bool connected() const { return node->mesh.open_connections() > 0 && !node->mesh.members.peers.empty(); }
 
   bool deaf = false;
 
@@ -62,8 +64,8 @@
     NodeOut out;
     act(out);
     for (std::string const& to : out.mesh.dials) connections->dial(to);
-    for (Sends::Send& send : out.mesh.sends) connections->send(send.wire, send.bytes);
-    for (WireId const id : out.mesh.shuts) connections->shut(id);
+    for (Sends::Send& send : out.mesh.sends) connections->send(send.connection, send.bytes);
+    for (ConnectionId const id : out.mesh.shuts) connections->shut(id);
   }
 
   std::unique_ptr<Node> node;
@@ -101,11 +103,12 @@
   ~WorkerEnds() override { g_source_remove(ticker); }
 
   std::string post(std::string const& path, std::string const& body) {
-    Wire wire(address);
-    wire.send("POST " + path + " HTTP/1.1\r\nHost: n1\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-              body);
-    EXPECT_TRUE(until([&wire] { return wire.shut || wire.got.find("\r\n\r\n") != std::string::npos; }));
-    return wire.got.substr(0, 12);
+    LoopbackStream connection(address);
+    connection.send("POST " + path + " HTTP/1.1\r\nHost: n1\r\nContent-Length: " + std::to_string(body.size()) +
+                    "\r\n\r\n" + body);
+    EXPECT_TRUE(
+        until([&connection] { return connection.shut || connection.got.find("\r\n\r\n") != std::string::npos; }));
+    return connection.got.substr(0, 12);
   }
   std::string heartbeat(char const* state) {
     return post("/Instances.Beat/i-1", R"({"service":"s","address":"127.0.0.1:9","zone":"a","slots":4,"state":")" +
