--- a/programs/decree/main.cc
+++ b/programs/decree/main.cc
@@ -91,7 +91,7 @@
     }
     Result<std::shared_ptr<Description const>> const made = read_description(text);
     if (!made) {
-      std::fprintf(stderr, "decree: %s: %s: %s\n", kind_row(made.error().kind).name, made.error().place.c_str(),
+      std::fprintf(stderr, "decree: %s: %s: %s\n", error_code_row(made.error().code).name, made.error().place.c_str(),
                    made.error().why.c_str());
       return 2;
     }
--- a/programs/ordeal/main.cc
+++ b/programs/ordeal/main.cc
@@ -138,7 +138,7 @@
     return "";
   }
 
-  void fault(std::string const& what) {
+  void error(std::string const& what) {
     if (std::find(faults_.begin(), faults_.end(), what) == faults_.end()) faults_.push_back(what);
   }
 
@@ -152,7 +152,7 @@
       pause_for(millis(500));
     } while (!stopped && now() - asked < seconds(20));
     if (got.status != 200) {
-      fault("the zone was not confirmed empty: " + got.body);
+      error("the zone was not confirmed empty: " + got.body);
       return false;
     }
     Micros const yes = now();
@@ -161,20 +161,20 @@
     simdjson::dom::element root;
     std::uint64_t serial = 0;
     if (parser.parse(simdjson::padded_string(got.body)).get(root) || root["serial"].get_uint64().get(serial))
-      fault("the answer has no serial");
+      error("the answer has no serial");
     std::map<std::string, std::uint64_t> sent;  // node and worker, as of five seconds after the yes
     while (!stopped && now() - yes < hold_) {
       for (std::pair<std::string const, std::string> const& router : routers_) {
         View const view = look(router.second);
         Micros const age = now() - yes;
         if (!view.good) {
-          fault(router.first + " was not reached");
+          error(router.first + " was not reached");
           continue;
         }
         ++looks_;
         if (age > seconds(2) && view.serial < serial)
-          fault(router.first + " has not the serial in force after two seconds");
-        if (!view.ready) fault(router.first + " was not ready");
+          error(router.first + " has not the serial in force after two seconds");
+        if (!view.ready) error(router.first + " was not ready");
         for (std::pair<std::string const, Worker> const& item : view.workers) {
           std::string const key = router.first + " " + item.first;
           std::uint64_t const before = sent.count(key) ? sent[key] : item.second.sent;
@@ -184,15 +184,15 @@
             elsewhere_ += item.second.sent - before;
           } else {
             last_inside_ = std::max(last_inside_, age);
-            if (age > seconds(5)) fault(router.first + " sent to " + item.first + " after five seconds");
+            if (age > seconds(5)) error(router.first + " sent to " + item.first + " after five seconds");
           }
         }
       }
       pause_for(millis(250));
     }
     // A drill that saw no traffic has shown nothing.
-    if (!stopped && elsewhere_ == 0) fault("no traffic was seen while the zone was empty");
-    if (!stopped && hold_ <= seconds(5)) fault("the hold was too short to see the promise kept");
+    if (!stopped && elsewhere_ == 0) error("no traffic was seen while the zone was empty");
+    if (!stopped && hold_ <= seconds(5)) error("the hold was too short to see the promise kept");
     return true;
   }
 
--- a/proof/control_plane/disk.cc
+++ b/proof/control_plane/disk.cc
@@ -3,7 +3,7 @@
 namespace pipit::control_plane {
 
 namespace {
-Fault refused(std::string const& what) { return Fault{Kind::bad_disk, what, ""}; }
+Error refused(std::string const& what) { return Error{ErrorCode::bad_disk, what, ""}; }
 }  // namespace
 
 // One step of the disk; false when the process is dead by then.
--- a/proof/control_plane/member_scenarios.cc
+++ b/proof/control_plane/member_scenarios.cc
@@ -23,10 +23,10 @@
 Report second_loss(ScenarioPlan const& plan) {
   Fleet fleet(plan);
   World& world = fleet.world;
-  enum Kind { planned, unplanned, wiped };
+  enum ErrorCode { planned, unplanned, wiped };
   static char const* const words[] = {"planned", "unplanned", "wiped"};
   int const variant = fleet.pick(plan.variant, 6);
-  Kind const kind = static_cast<Kind>(variant % 3);
+  ErrorCode const kind = static_cast<ErrorCode>(variant % 3);
   bool const newest_copy = variant >= 3;
   fleet.judge.expect_progress(true);
   fleet.operators.steady(world.now() + seconds(60));
--- a/proof/hollow/scale.cc
+++ b/proof/hollow/scale.cc
@@ -385,7 +385,7 @@
       });
     });
   }
-  for (Verdict const& verdict : out.chat.ends) ++refused[kind_row(verdict.fault.kind).name];
+  for (Verdict const& verdict : out.chat.ends) ++refused[error_code_row(verdict.error.code).name];
   for (Reply const& reply : out.replies) {
     bool const holds = reply.outcome.type == Outcome::Type::chosen;
     for (std::vector<Turn>::iterator it = turns.begin(); it != turns.end();) {
--- a/proof/scene/steps.cc
+++ b/proof/scene/steps.cc
@@ -78,17 +78,18 @@
     char* end = nullptr;
     double const seconds_at = std::strtod(when.c_str(), &end);
     if (end == when.c_str() || *end != '\0' || seconds_at < 0 || seconds_at > 900)
-      return fail(Kind::bad_request, "'" + when + "' is no time in seconds");
+      return fail(ErrorCode::bad_request, "'" + when + "' is no time in seconds");
     step.at = static_cast<Micros>(seconds_at * 1e6);
-    if (!(words >> step.verb)) return fail(Kind::bad_request, "a step has no verb");
+    if (!(words >> step.verb)) return fail(ErrorCode::bad_request, "a step has no verb");
     StepRow const* row = nullptr;
     for (StepRow const& item : rows)
       if (item.verb == step.verb) row = &item;
-    if (row == nullptr) return fail(Kind::bad_request, "there is no step '" + step.verb + "'");
+    if (row == nullptr) return fail(ErrorCode::bad_request, "there is no step '" + step.verb + "'");
     std::string arg;
     while (words >> arg) step.args.push_back(arg);
     if (step.args.size() != row->args.size())
-      return fail(Kind::bad_request, "'" + step.verb + "' takes " + std::to_string(row->args.size()) + " arguments");
+      return fail(ErrorCode::bad_request,
+                  "'" + step.verb + "' takes " + std::to_string(row->args.size()) + " arguments");
     for (std::size_t i = 0; i < step.args.size(); ++i) {
       char const type = row->args[i];
       std::stringstream names(step.args[i]);
@@ -106,7 +107,7 @@
         if (type == 'z') good = among(cast.zones, name);
         if (type == '#')
           good = !name.empty() && name.find_first_not_of("0123456789") == std::string::npos && name.size() < 6;
-        if (!good) return fail(Kind::bad_request, "'" + step.verb + "' does not take '" + name + "'");
+        if (!good) return fail(ErrorCode::bad_request, "'" + step.verb + "' does not take '" + name + "'");
       }
     }
     out.push_back(std::move(step));
--- a/proof/stage/figures.cc
+++ b/proof/stage/figures.cc
@@ -49,7 +49,7 @@
   simdjson::dom::element root;
   simdjson::dom::object figures;
   if (parser.load(path).get(root) || root["figures"].get_object().get(figures))
-    return fail(Kind::bad_settings, "'" + path + "' is no report of an experiment");
+    return fail(ErrorCode::bad_settings, "'" + path + "' is no report of an experiment");
   Figures out;
   for (simdjson::dom::key_value_pair const& field : figures) {
     double value = 0;
--- a/proof/tenants/load.cc
+++ b/proof/tenants/load.cc
@@ -236,13 +236,13 @@
     if (spot == under_way.end()) continue;
     Sent const& sent = spot->second;
     TenantFigures& of = figures[sent.tenant];
-    if (denial.kind == Kind::over_quota) {
+    if (denial.kind == ErrorCode::over_quota) {
       ++of.refused;
       if (sent.due) ++of.refused_below;
     } else {
       ++of.unserved;
     }
-    if (denial.kind == Kind::unknown_key && !sent.revoked_key) find("a key that holds is said to be unknown");
+    if (denial.kind == ErrorCode::unknown_key && !sent.revoked_key) find("a key that holds is said to be unknown");
     under_way.erase(spot);
   }
 }
--- a/src/base/faults.cc
+++ b/src/base/faults.cc
@@ -25,7 +25,7 @@
 std::map<unsigned, Armed> table;
 std::atomic<bool> any{false};
 
-bool fire(Point point, std::string const* name) {
+bool fire(FaultPoint point, std::string const* name) {
   if (!any.load(std::memory_order_relaxed)) return false;
   std::lock_guard<std::mutex> const hold(gate);
   std::map<unsigned, Armed>::iterator const spot = table.find(static_cast<unsigned>(point));
@@ -65,16 +65,16 @@
   return true;
 }
 
-bool fires(Point point) { return fire(point, nullptr); }
-bool fires_for(Point point, std::string const& name) { return fire(point, &name); }
+bool fires(FaultPoint point) { return fire(point, nullptr); }
+bool fires_for(FaultPoint point, std::string const& name) { return fire(point, &name); }
 
-std::string fault_arg(Point point) {
+std::string fault_arg(FaultPoint point) {
   std::lock_guard<std::mutex> const hold(gate);
   std::map<unsigned, Armed>::const_iterator const spot = table.find(static_cast<unsigned>(point));
   return spot == table.end() ? "" : spot->second.arg;
 }
 
-std::uint64_t fault_count(Point point) {
+std::uint64_t fault_count(FaultPoint point) {
   std::lock_guard<std::mutex> const hold(gate);
   std::map<unsigned, Armed>::const_iterator const spot = table.find(static_cast<unsigned>(point));
   return spot == table.end() ? 0 : spot->second.fired;
--- a/src/base/faults.h
+++ b/src/base/faults.h
@@ -31,7 +31,7 @@
   FAULT(22, promise_lost, "an answer of the register's first round is not sent")          \
   FAULT(23, accepted_lost, "an answer of the register's second round is not sent")
 
-enum class Point : std::uint8_t {
+enum class FaultPoint : std::uint8_t {
 #define FAULT(number, name, text) name = number,
   PIPIT_FAULTS(FAULT)
 #undef FAULT
@@ -48,10 +48,10 @@
 bool arm_fault(unsigned number, std::string const& arg, std::uint64_t times);
 bool disarm_fault(unsigned number);
 // True when the point fires now.
-bool fires(Point point);
+bool fires(FaultPoint point);
 // As fires(), for points whose argument is a list of names: true when 'name' is among them.
-bool fires_for(Point point, std::string const& name);
-std::string fault_arg(Point point);
-std::uint64_t fault_count(Point point);
+bool fires_for(FaultPoint point, std::string const& name);
+std::string fault_arg(FaultPoint point);
+std::uint64_t fault_count(FaultPoint point);
 
 }  // namespace pipit
--- a/src/base/kinds.cc
+++ b/src/base/kinds.cc
@@ -7,47 +7,47 @@
 namespace pipit {
 
 namespace {
-KindRow const rows[] = {
-#define KIND(name, status, ran, wait, text) {#name, status, Ran::ran, millis(wait), text},
-    PIPIT_KINDS(KIND)
-#undef KIND
+ErrorCodeRow const rows[] = {
+#define ERROR_CODE(name, status, execution, wait, text) {#name, status, ExecutionStatus::execution, millis(wait), text},
+    PIPIT_ERROR_CODES(ERROR_CODE)
+#undef ERROR_CODE
 };
 }  // namespace
 
-char const* ran_word(Ran ran) {
-  switch (ran) {
-    case Ran::no:
+char const* execution_status_name(ExecutionStatus execution) {
+  switch (execution) {
+    case ExecutionStatus::no:
       return "no";
-    case Ran::yes:
+    case ExecutionStatus::yes:
       return "yes";
     default:
       return "unknown";
   }
 }
 
-KindRow const& kind_row(Kind kind) { return rows[static_cast<std::size_t>(kind)]; }
-std::size_t kind_count() { return std::size(rows); }
+ErrorCodeRow const& error_code_row(ErrorCode kind) { return rows[static_cast<std::size_t>(kind)]; }
+std::size_t error_code_count() { return std::size(rows); }
 
-Answer answer_for(Fault const& fault, Ran ran, Micros wait) {
-  KindRow const& row = kind_row(fault.kind);
+Answer answer_for(Error const& error, ExecutionStatus execution, Micros wait) {
+  ErrorCodeRow const& row = error_code_row(error.code);
   Answer out;
   out.status = row.status;
   // §7.2: only what certainly did not run is offered again.
-  out.wait = ran == Ran::no ? wait : 0;
+  out.wait = execution == ExecutionStatus::no ? wait : 0;
   JsonWriter json;
   json.begin_object().key("error").begin_object();
-  json.key("kind").text(row.name).key("message").text(fault.why.empty() ? row.text : fault.why);
-  if (!fault.place.empty()) json.key("place").text(fault.place);
-  json.key("ran").text(ran_word(ran));
+  json.key("kind").text(row.name).key("message").text(error.why.empty() ? row.text : error.why);
+  if (!error.place.empty()) json.key("place").text(error.place);
+  json.key("ran").text(execution_status_name(execution));
   if (out.wait > 0) json.key("retry_after_ms").number(out.wait / 1000);
   json.end_object().end_object();
   out.body = json.take();
   return out;
 }
 
-Answer answer_for(Fault const& fault) {
-  KindRow const& row = kind_row(fault.kind);
-  return answer_for(fault, row.ran, row.wait);
+Answer answer_for(Error const& error) {
+  ErrorCodeRow const& row = error_code_row(error.code);
+  return answer_for(error, row.execution, row.wait);
 }
 
 }  // namespace pipit
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -83,22 +83,22 @@
     if (map.count("settings")) {
       std::string const path = map["settings"].as<std::string>();
       std::ifstream file(path);
-      if (!file) return fail(Kind::bad_settings, "settings: the file " + path + " cannot be read");
+      if (!file) return fail(ErrorCode::bad_settings, "settings: the file " + path + " cannot be read");
       options::store(options::parse_config_file(file, keys), map);
     }
     options::notify(map);
   } catch (options::error const& bad) {
-    return fail(Kind::bad_settings, bad.what());
+    return fail(ErrorCode::bad_settings, bad.what());
   }
   out.seeds = split(seeds);
   out.models = split(models);
   out.initial_members = split(initial_members);
   if (!good_name(out.name))
-    return fail(Kind::bad_settings, "name: letters, digits, '-', '_' and '.', at most 64, are needed");
+    return fail(ErrorCode::bad_settings, "name: letters, digits, '-', '_' and '.', at most 64, are needed");
   if (!good_name(out.zone))
-    return fail(Kind::bad_settings, "zone: letters, digits, '-', '_' and '.', at most 64, are needed");
+    return fail(ErrorCode::bad_settings, "zone: letters, digits, '-', '_' and '.', at most 64, are needed");
   if (!good_name(out.cluster))
-    return fail(Kind::bad_settings, "cluster: letters, digits, '-', '_' and '.', at most 64, are needed");
+    return fail(ErrorCode::bad_settings, "cluster: letters, digits, '-', '_' and '.', at most 64, are needed");
   struct Row {
     char const* key;
     std::string const& value;
@@ -108,28 +108,29 @@
        {Row{"mesh", out.mesh, true}, Row{"http", out.http, true}, Row{"platform", out.platform, !replica}}) {
     if (row.value.empty() && !row.needed) continue;
     if (!good_address(row.value))
-      return fail(Kind::bad_settings,
+      return fail(ErrorCode::bad_settings,
                   std::string(row.key) + ": '" + row.value + "' is not an IP number with a port from 1 to 65535");
   }
-  if (out.seeds.size() > 3) return fail(Kind::bad_settings, "seeds: at most three are taken");
+  if (out.seeds.size() > 3) return fail(ErrorCode::bad_settings, "seeds: at most three are taken");
   for (std::string const& seed : out.seeds)
     if (!good_address(seed))
-      return fail(Kind::bad_settings, "seeds: '" + seed + "' is not an IP number with a port from 1 to 65535");
-  if (grace < 0 || grace > 600) return fail(Kind::bad_settings, "grace: from 0 to 600 seconds");
-  if (drain < 0 || drain > 600) return fail(Kind::bad_settings, "drain: from 0 to 600 seconds");
-  if (body < 1 || body > 65536) return fail(Kind::bad_settings, "body: from 1 to 65536 KiB");
+      return fail(ErrorCode::bad_settings, "seeds: '" + seed + "' is not an IP number with a port from 1 to 65535");
+  if (grace < 0 || grace > 600) return fail(ErrorCode::bad_settings, "grace: from 0 to 600 seconds");
+  if (drain < 0 || drain > 600) return fail(ErrorCode::bad_settings, "drain: from 0 to 600 seconds");
+  if (body < 1 || body > 65536) return fail(ErrorCode::bad_settings, "body: from 1 to 65536 KiB");
   out.grace = seconds(grace);
   out.drain = seconds(drain);
   out.body = static_cast<std::size_t>(body) << 10;
   if (replica) {
     struct stat info;
-    if (out.data.empty()) return fail(Kind::bad_settings, "data: the data folder is needed");
+    if (out.data.empty()) return fail(ErrorCode::bad_settings, "data: the data folder is needed");
     if (::stat(out.data.c_str(), &info) != 0 && ::mkdir(out.data.c_str(), 0755) != 0)
-      return fail(Kind::bad_settings, "data: the folder " + out.data + " is not there and cannot be made");
+      return fail(ErrorCode::bad_settings, "data: the folder " + out.data + " is not there and cannot be made");
     if (::access(out.data.c_str(), W_OK | X_OK) != 0 || ::stat(out.data.c_str(), &info) != 0 || !S_ISDIR(info.st_mode))
-      return fail(Kind::bad_settings, "data: the folder " + out.data + " cannot be written");
+      return fail(ErrorCode::bad_settings, "data: the folder " + out.data + " cannot be written");
     std::set<std::string> const unique(out.initial_members.begin(), out.initial_members.end());
-    if (unique.size() != out.initial_members.size()) return fail(Kind::bad_settings, "founders: a name stands twice");
+    if (unique.size() != out.initial_members.size())
+      return fail(ErrorCode::bad_settings, "founders: a name stands twice");
   }
   return out;
 }
--- a/src/config/description/builder.cc
+++ b/src/config/description/builder.cc
@@ -18,34 +18,35 @@
 
 Result<void> DescriptionBuilder::add(Pool pool, std::string const& place) {
   if (!pool_names_.insert(pool.name).second)
-    return fail(Kind::bad_description, "the pool '" + pool.name + "' stands twice", place + ".name");
+    return fail(ErrorCode::bad_description, "the pool '" + pool.name + "' stands twice", place + ".name");
   description_->pools.push_back(std::move(pool));
   return boost::outcome_v2::success();
 }
 
 Result<void> DescriptionBuilder::add(Lane lane, std::string const& place) {
   if (!lane_names_.insert(lane.name).second)
-    return fail(Kind::bad_description, "the lane '" + lane.name + "' stands twice", place + ".name");
+    return fail(ErrorCode::bad_description, "the lane '" + lane.name + "' stands twice", place + ".name");
   description_->lanes.push_back(std::move(lane));
   return boost::outcome_v2::success();
 }
 
 Result<void> DescriptionBuilder::add(Route route, std::string const& place) {
   if (route.prefix.empty() || route.prefix.front() != '/' || route.prefix.back() != '/')
-    return fail(Kind::bad_description, "a prefix begins and ends with a slash", place + ".prefix");
+    return fail(ErrorCode::bad_description, "a prefix begins and ends with a slash", place + ".prefix");
   std::int64_t weights = 0;
   for (Route::Share const& share : route.shares) {
-    if (!has_pool(share.pool)) return fail(Kind::bad_description, "there is no pool '" + share.pool + "'", place);
+    if (!has_pool(share.pool)) return fail(ErrorCode::bad_description, "there is no pool '" + share.pool + "'", place);
     weights += share.weight;
   }
-  if (weights <= 0) return fail(Kind::bad_description, "the weights add up to 0", place + ".shares");
+  if (weights <= 0) return fail(ErrorCode::bad_description, "the weights add up to 0", place + ".shares");
   if (route.hold <= 0)
-    return fail(Kind::bad_description, "a request that may be held for no time is never served", place + ".hold_ms");
+    return fail(ErrorCode::bad_description, "a request that may be held for no time is never served",
+                place + ".hold_ms");
   if (!route_names_.insert(route.name).second)
-    return fail(Kind::bad_description, "the route '" + route.name + "' stands twice", place + ".name");
+    return fail(ErrorCode::bad_description, "the route '" + route.name + "' stands twice", place + ".name");
   std::string const host = lower_host(route.host);
   if (!route_places_.insert(host + " " + route.prefix).second)
-    return fail(Kind::bad_description, "two routes share host and prefix", place);
+    return fail(ErrorCode::bad_description, "two routes share host and prefix", place);
   description_->route_ranks.insert(route.rank);
   description_->routes_by_host[host].push_back(description_->routes.size());
   description_->routes.push_back(std::move(route));
@@ -55,16 +56,16 @@
 Result<void> DescriptionBuilder::add(Tenant tenant, std::string const& place) {
   require_keys();
   if (!good_tenant_name(tenant.name))
-    return fail(Kind::bad_description,
+    return fail(ErrorCode::bad_description,
                 "a tenant's name is 1 to " + std::to_string(tenant_name_most) + " visible ASCII characters",
                 place + ".name");
   if (!tenant_names_.insert(tenant.name).second)
-    return fail(Kind::bad_description, "the tenant '" + tenant.name + "' stands twice", place + ".name");
+    return fail(ErrorCode::bad_description, "the tenant '" + tenant.name + "' stands twice", place + ".name");
   std::size_t const index = description_->tenants.size();
   for (Digest const& key : tenant.keys) {
     std::map<Digest, std::size_t>::const_iterator const other = description_->tenants_by_key.find(key);
     if (other != description_->tenants_by_key.end() && other->second != index)
-      return fail(Kind::bad_description,
+      return fail(ErrorCode::bad_description,
                   "the key " + short_text(key) + " of tenant '" + tenant.name + "' is also one of tenant '" +
                       description_->tenants[other->second].name + "'",
                   place + ".keys");
@@ -77,15 +78,16 @@
 
 Result<std::shared_ptr<Description const>> DescriptionBuilder::finish() {
   if (description_->keys_required && !description_->lanes.empty())
-    return fail(Kind::bad_description, "lanes know no keys: a description with tenants has routes alone", "$.tenants");
+    return fail(ErrorCode::bad_description, "lanes know no keys: a description with tenants has routes alone",
+                "$.tenants");
   for (std::size_t i = 0; i < description_->lanes.size(); ++i) {
     std::string const place = "$.lanes[" + std::to_string(i) + "].binding";
     std::string model;
     for (Binding::Choice const& choice : description_->lanes[i].binding.pools) {
       Pool const* const pool = description_->pool(choice.pool);
-      if (pool == nullptr) return fail(Kind::bad_description, "there is no pool '" + choice.pool + "'", place);
+      if (pool == nullptr) return fail(ErrorCode::bad_description, "there is no pool '" + choice.pool + "'", place);
       if (!model.empty() && model != pool->model)
-        return fail(Kind::bad_description, "the lane's pools serve different models", place);
+        return fail(ErrorCode::bad_description, "the lane's pools serve different models", place);
       model = pool->model;
     }
   }
--- a/src/config/description/description.cc
+++ b/src/config/description/description.cc
@@ -69,16 +69,16 @@
 
 class Reader {
  public:
-  Fault fault;
+  Error error;
 
   bool added(Result<void> const& result) {
     if (result) return true;
-    fault = result.error();
+    error = result.error();
     return false;
   }
 
-  bool wrong(std::string const& path, std::string why, Kind kind = Kind::bad_description) {
-    fault = Fault{kind, std::move(why), path};
+  bool wrong(std::string const& path, std::string why, ErrorCode kind = ErrorCode::bad_description) {
+    error = Error{kind, std::move(why), path};
     return false;
   }
 
@@ -212,11 +212,11 @@
 
 Result<std::shared_ptr<Description const>> read_description(std::string_view text) {
   if (text.size() > description_limit)
-    return fail(Kind::too_large, "a description has at most " + std::to_string(description_limit) + " bytes");
+    return fail(ErrorCode::too_large, "a description has at most " + std::to_string(description_limit) + " bytes");
   simdjson::dom::parser parser;
   Element root;
   simdjson::error_code const code = parser.parse(simdjson::padded_string(text)).get(root);
-  if (code) return fail(Kind::bad_json, simdjson::error_message(code), broken_place(text));
+  if (code) return fail(ErrorCode::bad_json, simdjson::error_message(code), broken_place(text));
 
   DescriptionBuilder builder;
   Reader reader;
@@ -261,7 +261,7 @@
            std::string code;
            if (!reader.text(v, p, code)) return false;
            Result<Binding> made = compile_binding(code);
-           if (!made) return reader.wrong(p + ": " + made.error().place, made.error().why, Kind::bad_language);
+           if (!made) return reader.wrong(p + ": " + made.error().place, made.error().why, ErrorCode::bad_language);
            lane.binding = std::move(made.value());
            return true;
          }},
@@ -270,7 +270,7 @@
            std::string code;
            if (!reader.text(v, p, code)) return false;
            Result<Policy> made = compile_policy(code);
-           if (!made) return reader.wrong(p + ": " + made.error().place, made.error().why, Kind::bad_language);
+           if (!made) return reader.wrong(p + ": " + made.error().place, made.error().why, ErrorCode::bad_language);
            lane.policy = made.value();
            return true;
          }},
@@ -377,7 +377,7 @@
       {"pools", [&](Element const& v, std::string const& p) { return reader.list(v, p, one_pool); }},
       {"lanes", [&](Element const& v, std::string const& p) { return reader.list(v, p, one_lane); }},
   };
-  if (!reader.object(root, "$", rules, {"format", "pools", "lanes"})) return boost::outcome_v2::failure(reader.fault);
+  if (!reader.object(root, "$", rules, {"format", "pools", "lanes"})) return boost::outcome_v2::failure(reader.error);
   builder.limits(call_limits);
   builder.source(std::move(source));
   builder.locality_cost(locality_cost);
--- a/src/config/rules/compiler.cc
+++ b/src/config/rules/compiler.cc
@@ -12,7 +12,7 @@
 constexpr std::int64_t largest_backlog = 100000;
 constexpr std::int64_t most_tries = 5;
 
-Result<void> failure(Fault fault) { return boost::outcome_v2::failure(std::move(fault)); }
+Result<void> failure(Error error) { return boost::outcome_v2::failure(std::move(error)); }
 
 // The time that a number with a unit stands for, when it is more than nothing and at most an hour.
 bool read_time(Token const& token, Micros& out) {
@@ -74,8 +74,8 @@
 }
 
 Result<void> parse_match(Parser& parser, std::size_t offset, Condition& match) {
-  Fault fault;
-  if (!parser.parse_condition(match, fault)) return failure(fault);
+  Error error;
+  if (!parser.parse_condition(match, error)) return failure(error);
   if (match.reads_load()) return failure(parser.error_at(offset, "demand belongs to a pool's 'when', not to 'match'"));
   return boost::outcome_v2::success();
 }
@@ -88,8 +88,8 @@
   for (Binding::Choice const& earlier : pools)
     if (earlier.pool == choice.pool)
       return failure(parser.error_at(choice.offset, "the pool '" + choice.pool + "' stands twice"));
-  Fault fault;
-  if (parser.take_word("when") && !parser.parse_condition(choice.when, fault)) return failure(fault);
+  Error error;
+  if (parser.take_word("when") && !parser.parse_condition(choice.when, error)) return failure(error);
   pools.push_back(std::move(choice));
   return boost::outcome_v2::success();
 }
--- a/src/config/rules/lexer.cc
+++ b/src/config/rules/lexer.cc
@@ -87,7 +87,7 @@
   }
 
   Result<void> error(std::string why, Token const& token) const {
-    return fail(Kind::bad_language, std::move(why), place_of(text_, token.offset));
+    return fail(ErrorCode::bad_language, std::move(why), place_of(text_, token.offset));
   }
 
   std::string_view const text_;
--- a/src/config/rules/parser.cc
+++ b/src/config/rules/parser.cc
@@ -32,68 +32,68 @@
   return true;
 }
 
-bool Parser::parse_condition(Condition& out, Fault& fault, int depth) {
-  if (!parse_and(out, fault, depth)) return false;
+bool Parser::parse_condition(Condition& out, Error& error, int depth) {
+  if (!parse_and(out, error, depth)) return false;
   while (take_word("or")) {
-    if (!parse_and(out, fault, depth)) return false;
+    if (!parse_and(out, error, depth)) return false;
     out.instructions.push_back({Operation::logical_or, 0, 0, ""});
   }
   return true;
 }
 
-bool Parser::parse_and(Condition& out, Fault& fault, int depth) {
-  if (!parse_not(out, fault, depth)) return false;
+bool Parser::parse_and(Condition& out, Error& error, int depth) {
+  if (!parse_not(out, error, depth)) return false;
   while (take_word("and")) {
-    if (!parse_not(out, fault, depth)) return false;
+    if (!parse_not(out, error, depth)) return false;
     out.instructions.push_back({Operation::logical_and, 0, 0, ""});
   }
   return true;
 }
 
-bool Parser::parse_not(Condition& out, Fault& fault, int depth) {
+bool Parser::parse_not(Condition& out, Error& error, int depth) {
   if (depth > deepest_nesting) {
-    fault = error_here("the condition is nested too deeply");
+    error = error_here("the condition is nested too deeply");
     return false;
   }
   if (take_word("not")) {
-    if (!parse_not(out, fault, depth + 1)) return false;
+    if (!parse_not(out, error, depth + 1)) return false;
     out.instructions.push_back({Operation::logical_not, 0, 0, ""});
     return true;
   }
   if (take_symbol("(")) {
-    if (!parse_condition(out, fault, depth + 1)) return false;
+    if (!parse_condition(out, error, depth + 1)) return false;
     if (take_symbol(")")) return true;
-    fault = error_here("a ')' is missing");
+    error = error_here("a ')' is missing");
     return false;
   }
-  return parse_test(out, fault);
+  return parse_test(out, error);
 }
 
-bool Parser::parse_test(Condition& out, Fault& fault) {
+bool Parser::parse_test(Condition& out, Error& error) {
   if (take_word("always")) {
     out.instructions.push_back({Operation::always, 0, 0, ""});
     return true;
   }
   if (peek().kind != TokenKind::word) {
-    fault = error_here("a field's name is expected");
+    error = error_here("a field's name is expected");
     return false;
   }
   std::size_t field = 0;
   while (field < std::size(field_descriptions) && field_descriptions[field].name != peek().text) ++field;
   if (field == std::size(field_descriptions)) {
-    fault = error_here("there is no field '" + peek().text + "'");
+    error = error_here("there is no field '" + peek().text + "'");
     return false;
   }
   take();
   Condition::Instruction instruction{Operation::is_set, static_cast<std::uint8_t>(field), 0, ""};
   FieldType const type = field_descriptions[field].type;
-  if (type == FieldType::text && !parse_text_test(instruction, fault)) return false;
-  if (type == FieldType::number && !parse_number_test(instruction, fault)) return false;
+  if (type == FieldType::text && !parse_text_test(instruction, error)) return false;
+  if (type == FieldType::number && !parse_number_test(instruction, error)) return false;
   out.instructions.push_back(std::move(instruction));
   return true;
 }
 
-bool Parser::parse_text_test(Condition::Instruction& out, Fault& fault) {
+bool Parser::parse_text_test(Condition::Instruction& out, Error& error) {
   if (take_symbol("=")) {
     out.operation = Operation::text_equal;
   } else if (take_symbol("!=")) {
@@ -101,30 +101,30 @@
   } else if (take_word("starts")) {
     out.operation = Operation::text_starts_with;
   } else {
-    fault = error_here("'" + name_of(out) + "' takes =, != or starts");
+    error = error_here("'" + name_of(out) + "' takes =, != or starts");
     return false;
   }
   if (peek().kind != TokenKind::text) {
-    fault = error_here("a quoted text is expected");
+    error = error_here("a quoted text is expected");
     return false;
   }
   out.text = take().text;
   return true;
 }
 
-bool Parser::parse_number_test(Condition::Instruction& out, Fault& fault) {
+bool Parser::parse_number_test(Condition::Instruction& out, Error& error) {
   for (SymbolOperation const& row : number_operations) {
     if (!take_symbol(row.symbol)) continue;
     out.operation = row.operation;
-    return parse_number(out, fault);
+    return parse_number(out, error);
   }
-  fault = error_here("'" + name_of(out) + "' takes <, <=, >, >=, = or !=");
+  error = error_here("'" + name_of(out) + "' takes <, <=, >, >=, = or !=");
   return false;
 }
 
-bool Parser::parse_number(Condition::Instruction& out, Fault& fault) {
+bool Parser::parse_number(Condition::Instruction& out, Error& error) {
   if (peek().kind != TokenKind::number) {
-    fault = error_here("a number is expected");
+    error = error_here("a number is expected");
     return false;
   }
   Token const& value = take();
@@ -137,7 +137,7 @@
     out.number = value.number * 1000;
     return true;
   }
-  fault = error_at(value.offset, is_share ? "demand is given in %" : "the unit '" + value.unit + "' does not fit");
+  error = error_at(value.offset, is_share ? "demand is given in %" : "the unit '" + value.unit + "' does not fit");
   return false;
 }
 
--- a/src/config/rules/parser.h
+++ b/src/config/rules/parser.h
@@ -23,23 +23,23 @@
   bool take_word(std::string_view name) { return take_if(TokenKind::word, name); }
   bool take_symbol(std::string_view name) { return take_if(TokenKind::symbol, name); }
 
-  Fault error_here(std::string why) const { return error_at(peek().offset, std::move(why)); }
-  Fault error_at(std::size_t offset, std::string why) const {
-    return Fault{Kind::bad_language, std::move(why), place_of(text_, offset)};
+  Error error_here(std::string why) const { return error_at(peek().offset, std::move(why)); }
+  Error error_at(std::size_t offset, std::string why) const {
+    return Error{ErrorCode::bad_language, std::move(why), place_of(text_, offset)};
   }
 
   // Parses a condition and appends its instructions to `out`; `fault` is set when it returns false.
   //   CONDITION = AND {"or" AND};  AND = NOT {"and" NOT};  NOT = "not" NOT | "(" CONDITION ")" | TEST
-  bool parse_condition(Condition& out, Fault& fault, int depth = 0);
+  bool parse_condition(Condition& out, Error& error, int depth = 0);
 
  private:
   bool take_if(TokenKind kind, std::string_view name);
-  bool parse_and(Condition& out, Fault& fault, int depth);
-  bool parse_not(Condition& out, Fault& fault, int depth);
-  bool parse_test(Condition& out, Fault& fault);
-  bool parse_text_test(Condition::Instruction& out, Fault& fault);
-  bool parse_number_test(Condition::Instruction& out, Fault& fault);
-  bool parse_number(Condition::Instruction& out, Fault& fault);
+  bool parse_and(Condition& out, Error& error, int depth);
+  bool parse_not(Condition& out, Error& error, int depth);
+  bool parse_test(Condition& out, Error& error);
+  bool parse_text_test(Condition::Instruction& out, Error& error);
+  bool parse_number_test(Condition::Instruction& out, Error& error);
+  bool parse_number(Condition::Instruction& out, Error& error);
 
   std::string_view const text_;
   std::vector<Token> const tokens_;
--- a/src/consensus/register/orders.cc
+++ b/src/consensus/register/orders.cc
@@ -48,18 +48,19 @@
   return base.by_label && present < base.expected ? OrderStanding::early : OrderStanding::outdated;
 }
 
-std::optional<Fault> unknown_outcome_of_order(wire::ValueT const& value, OrderStanding standing) {
+std::optional<Error> unknown_outcome_of_order(wire::ValueT const& value, OrderStanding standing) {
   if (standing == OrderStanding::forgotten)
-    return Fault{Kind::change_unknown, "it builds on a label or serial from before what is remembered", ""};
+    return Error{ErrorCode::change_unknown, "it builds on a label or serial from before what is remembered", ""};
   if (standing == OrderStanding::early)
-    return Fault{Kind::change_unknown, "it builds on a label above the present " + std::to_string(value.label), ""};
+    return Error{ErrorCode::change_unknown, "it builds on a label above the present " + std::to_string(value.label),
+                 ""};
   return std::nullopt;
 }
 
-Fault outdated_fault(wire::ValueT const& value, bool by_label) {
+Error outdated_error(wire::ValueT const& value, bool by_label) {
   std::string const present =
       by_label ? "label is " + std::to_string(value.label) : "serial is " + std::to_string(value.serial);
-  return Fault{Kind::stale_serial, "the present " + present, ""};
+  return Error{ErrorCode::stale_serial, "the present " + present, ""};
 }
 
 void convert_old_orders(wire::ValueT& value) {
--- a/src/consensus/register/orders.h
+++ b/src/consensus/register/orders.h
@@ -34,9 +34,9 @@
 };
 OrderStanding standing_of_order(wire::ValueT const& value, std::string const& id, OrderBase const& base);
 // The unclear answer to an order of which neither "taken" nor "refused" can be said; nothing for other standings.
-std::optional<Fault> unknown_outcome_of_order(wire::ValueT const& value, OrderStanding standing);
+std::optional<Error> unknown_outcome_of_order(wire::ValueT const& value, OrderStanding standing);
 // The refusal of an outdated order.
-Fault outdated_fault(wire::ValueT const& value, bool by_label);
+Error outdated_error(wire::ValueT const& value, bool by_label);
 // Moves what a record of format 1 remembered into the present form.
 void convert_old_orders(wire::ValueT& value);
 
--- a/src/consensus/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -201,9 +201,9 @@
     return true;
   }
   if (serial_of_order(draft_, job.change.id) > 0) return true;
-  if (std::optional<Fault> const unknown = unknown_outcome_of(job)) {
+  if (std::optional<Error> const unknown = unknown_outcome_of(job)) {
     Outcome lost;
-    lost.fault = *unknown;
+    lost.error = *unknown;
     finish(lost);
     return false;
   }
@@ -212,8 +212,9 @@
 }
 
 // Why nobody can say what became, or will become, of the order that is to be tried now; nothing when that is certain.
-std::optional<Fault> Proposer::unknown_outcome_of(Job const& job) const {
-  if (job.sent_serial > 0 && job.sent_serial <= draft_.forgotten_serial) return Fault{Kind::change_unknown, "", ""};
+std::optional<Error> Proposer::unknown_outcome_of(Job const& job) const {
+  if (job.sent_serial > 0 && job.sent_serial <= draft_.forgotten_serial)
+    return Error{ErrorCode::change_unknown, "", ""};
   if (job.change.type != Change::Type::apply) return std::nullopt;
   OrderBase const base{job.change.expected, job.change.label > 0};
   return unknown_outcome_of_order(draft_, standing_of_order(draft_, job.change.id, base));
@@ -261,9 +262,9 @@
   bool const by_label = change.label > 0;
   OrderStanding const standing = standing_of_order(draft_, change.id, OrderBase{change.expected, by_label});
   if (standing != OrderStanding::fits && guard(Guard::expected)) {
-    verdict_ = outdated_fault(draft_, by_label);
+    verdict_ = outdated_error(draft_, by_label);
   } else if (by_label && change.label <= draft_.label) {
-    verdict_ = Fault{Kind::bad_description, "the label is not above " + std::to_string(draft_.label), ""};
+    verdict_ = Error{ErrorCode::bad_description, "the label is not above " + std::to_string(draft_.label), ""};
   } else {
     draft_.text = change.text;
     if (by_label) draft_.label = change.label;
@@ -337,7 +338,7 @@
   outcome.value = draft_;
   if (verdict_) {
     outcome.type = Outcome::Type::refused;
-    outcome.fault = *verdict_;
+    outcome.error = *verdict_;
   } else {
     outcome.serial = serial_of_order(draft_, jobs_.front().change.id);
     outcome.type = outcome.serial > 0 || members_changed ? Outcome::Type::chosen : Outcome::Type::kept;
@@ -370,7 +371,7 @@
   bool const maybe_taken = job.sent || job.change.proposed_elsewhere;
   Outcome outcome;
   outcome.type = maybe_taken ? Outcome::Type::unknown : Outcome::Type::refused;
-  outcome.fault.kind = maybe_taken ? Kind::change_unknown : Kind::no_majority;
+  outcome.error.code = maybe_taken ? ErrorCode::change_unknown : ErrorCode::no_majority;
   return outcome;
 }
 
--- a/src/consensus/register/proposer.h
+++ b/src/consensus/register/proposer.h
@@ -38,7 +38,7 @@
 struct Outcome {
   enum class Type : std::uint8_t { chosen, kept, refused, unknown };
   Type type = Type::unknown;
-  Fault fault;
+  Error error;
   std::uint64_t serial = 0;  // of the change itself, when it was chosen; the value may be newer
   wire::ValueT value;        // the value chosen in the end, when one was
 };
@@ -100,7 +100,7 @@
   void round_two(Micros now, std::vector<OutgoingMessage>& out);
   // False when the present change had to be given up, since nobody can know what became of it.
   bool make_draft();
-  std::optional<Fault> unknown_outcome_of(Job const& job) const;
+  std::optional<Error> unknown_outcome_of(Job const& job) const;
   // What is said of a change that ends without a quorum's word.
   static Outcome outcome_without_quorum(Job const& job);
   void make_change(Change const& change);
@@ -135,7 +135,7 @@
   // The value that this proposer last found or wrote, and at which ballot: replicas that hold it need not send it.
   wire::Ballot held_ballot_;
   std::optional<wire::ValueT> held_;
-  std::optional<Fault> verdict_;  // a refusal that is given once round two has settled the present value
+  std::optional<Error> verdict_;  // a refusal that is given once round two has settled the present value
 };
 
 }  // namespace pipit
--- a/src/core/changes.cc
+++ b/src/core/changes.cc
@@ -19,7 +19,7 @@
     change.id = plan.name + "-" + std::to_string(plan.incarnation) + "-" + std::to_string(++change_count_);
   note_call(id, change);
   if (hand_over(id, change, now, out)) return;
-  if (plan.registered && id != 0 && !quorum_heard(now)) return refuse_now(id, change, Kind::no_majority, out);
+  if (plan.registered && id != 0 && !quorum_heard(now)) return refuse_now(id, change, ErrorCode::no_majority, out);
   propose(id, std::move(change), now, out);
   check_replies(out);
 }
@@ -36,12 +36,12 @@
   return learner.membership().replicas.empty() || connected.size() >= learner.membership().majority();
 }
 
-void Node::refuse_now(std::uint64_t id, Change const& change, Kind kind, NodeOut& out) {
+void Node::refuse_now(std::uint64_t id, Change const& change, ErrorCode kind, NodeOut& out) {
   Reply reply;
   reply.id = id;
   reply.change = change.id;
   reply.outcome.type = change.proposed_elsewhere ? Outcome::Type::unknown : Outcome::Type::refused;
-  reply.outcome.fault.kind = change.proposed_elsewhere ? Kind::change_unknown : kind;
+  reply.outcome.error.code = change.proposed_elsewhere ? ErrorCode::change_unknown : kind;
   out.replies.push_back(std::move(reply));
 }
 
@@ -54,7 +54,7 @@
       },
       now);
   if (!taken) {
-    refuse_now(id, kept, Kind::too_many_changes, out);
+    refuse_now(id, kept, ErrorCode::too_many_changes, out);
     return;
   }
   std::vector<OutgoingMessage> outgoing;
@@ -88,7 +88,7 @@
     look_ready(now, out);
   } else {
     log_event(outcome.type == Outcome::Type::unknown ? Event::change_lost : Event::change_refused,
-              change.id + " " + kind_row(outcome.fault.kind).name);
+              change.id + " " + error_code_row(outcome.error.code).name);
     if (outcome.value.serial > 0 && learner.adopt(outcome.value, now)) after_value(now, out);
   }
   if (id == 0) {
--- a/src/core/checks.cc
+++ b/src/core/checks.cc
@@ -13,7 +13,7 @@
 // Refusals that say of an order that it has not been taken and never will be.
 bool refuses_for_good(Outcome const& outcome) {
   if (outcome.type != Outcome::Type::refused) return false;
-  return outcome.fault.kind == Kind::stale_serial || outcome.fault.kind == Kind::bad_description;
+  return outcome.error.code == ErrorCode::stale_serial || outcome.error.code == ErrorCode::bad_description;
 }
 }  // namespace
 
@@ -40,7 +40,7 @@
   });
   bool const taken = refuses_for_good(outcome) && learner.value && serial_of_order(*learner.value, call.change) > 0;
   check_invariant(!taken, Invariant::taken_is_not_refused, [&] {
-    return call.change + " is refused as " + kind_row(outcome.fault.kind).name + ", revision " +
+    return call.change + " is refused as " + error_code_row(outcome.error.code).name + ", revision " +
            std::to_string(learner.revision()) + " remembers it";
   });
 }
--- a/src/core/handed.cc
+++ b/src/core/handed.cc
@@ -115,19 +115,19 @@
 void Node::take_answer(std::string const& from, wire::ProposedT const& ans, Micros now, NodeOut& out) {
   std::map<std::uint64_t, Handed>::iterator const spot = handed_.find(ans.req);
   if (spot == handed_.end() || spot->second.proposer != from) return;
-  if (ans.type > static_cast<std::uint8_t>(Outcome::Type::unknown) || ans.kind >= kind_count()) return;
+  if (ans.type > static_cast<std::uint8_t>(Outcome::Type::unknown) || ans.kind >= error_code_count()) return;
   if (ans.need_text) return send_text(from, ans.req, spot->second.change, out);
   Handed item = std::move(spot->second);
   handed_.erase(spot);
   // A replica that is cut off proposed nothing; this node may still hear a quorum.
-  if (static_cast<Kind>(ans.kind) == Kind::no_majority && quorum_heard(now))
+  if (static_cast<ErrorCode>(ans.kind) == ErrorCode::no_majority && quorum_heard(now))
     return propose(item.id, std::move(item.change), now, out);
   Reply reply;
   reply.id = item.id;
   reply.change = item.change.id;
   reply.outcome.type = static_cast<Outcome::Type>(ans.type);
-  reply.outcome.fault.kind = static_cast<Kind>(ans.kind);
-  reply.outcome.fault.why = ans.why;
+  reply.outcome.error.code = static_cast<ErrorCode>(ans.kind);
+  reply.outcome.error.why = ans.why;
   reply.outcome.serial = ans.serial;
   // What a majority chose is known here too from now on.
   if (ans.value && learner.adopt(*ans.value, now)) after_value(now, out);
@@ -150,8 +150,8 @@
     wire::ProposedT ans;
     ans.req = who->second.req;
     ans.type = static_cast<std::uint8_t>(outcome.type);
-    ans.kind = static_cast<std::uint8_t>(outcome.fault.kind);
-    ans.why = outcome.fault.why;
+    ans.kind = static_cast<std::uint8_t>(outcome.error.code);
+    ans.why = outcome.error.why;
     ans.serial = outcome.serial;
     // Changes get round by themselves; a reading brings the value, unless the asker holds it already.
     bool const read = outcome.type == Outcome::Type::kept;
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -110,7 +110,7 @@
   void operate(std::uint64_t id, Change change, Micros now, NodeOut& out);
   bool zone_known(std::string const& zone) const;
   // Why a router node cannot be forgotten; nothing when it can (§5.9).
-  std::optional<Fault> keeps(std::string const& name) const;
+  std::optional<Error> keeps(std::string const& name) const;
 
   // Routed requests, and workers that register themselves (§12). An answer to a worker's word may be given at once.
   void request(std::uint64_t id, Query query, Micros now, NodeOut& out);
@@ -250,7 +250,7 @@
   void propose(std::uint64_t id, Change change, Micros now, NodeOut& out);
   // Whether this node still hears a quorum of the replicas; without one it refuses operators at once (docs/control.md).
   bool quorum_heard(Micros now) const;
-  void refuse_now(std::uint64_t id, Change const& change, Kind kind, NodeOut& out);
+  void refuse_now(std::uint64_t id, Change const& change, ErrorCode kind, NodeOut& out);
   Micros poll_span() const;
   bool half_has(std::uint64_t revision) const;
   bool is_registered() const;
--- a/src/core/seats.cc
+++ b/src/core/seats.cc
@@ -114,12 +114,12 @@
   return !mesh.gone(name);
 }
 
-std::optional<Fault> Node::keeps(std::string const& name) const {
+std::optional<Error> Node::keeps(std::string const& name) const {
   bool const known = learner.value && registration_of(*learner.value, name) != nullptr;
   std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
   bool const here = name == plan.name || (peer != mesh.members.peers.end() && peer->second.connection != 0);
-  if (here) return Fault{Kind::node_alive, "the node '" + name + "' is alive", ""};
-  if (!known) return Fault{Kind::unknown_node, "no router node '" + name + "' has a seat", ""};
+  if (here) return Error{ErrorCode::node_alive, "the node '" + name + "' is alive", ""};
+  if (!known) return Error{ErrorCode::unknown_node, "no router node '" + name + "' has a seat", ""};
   return std::nullopt;
 }
 
--- a/src/flow/dispatch/dispatcher.cc
+++ b/src/flow/dispatch/dispatcher.cc
@@ -51,7 +51,7 @@
 
 void Dispatcher::erase(std::uint64_t id) { requests_.erase(id); }
 
-void Dispatcher::deny(Request& request, Kind kind, Micros wait, Micros now, DispatchOut& out) {
+void Dispatcher::deny(Request& request, ErrorCode kind, Micros wait, Micros now, DispatchOut& out) {
   if (request.quota == QuotaState::asked) out.quota_drops.push_back(request.id);
   ++(wait > 0 ? tally.refused : tally.failed);
   out.denials.push_back({request.id, kind, wait, request.repeatable});
@@ -63,7 +63,7 @@
 void Dispatcher::break_off(Request& request, Micros now, DispatchOut& out) {
   ++tally.broken;
   out.breaks.push_back(request.id);
-  out.failed.push_back(failure_of(request, FailedEnd::broken, Kind::answer_torn, now));
+  out.failed.push_back(failure_of(request, FailedEnd::broken, ErrorCode::answer_torn, now));
   erase(request.id);
 }
 
@@ -72,14 +72,14 @@
   return words[static_cast<std::size_t>(end)];
 }
 
-FailedRequest Dispatcher::failure_of(Request const& request, FailedEnd end, Kind kind, Micros now) const {
+FailedRequest Dispatcher::failure_of(Request const& request, FailedEnd end, ErrorCode kind, Micros now) const {
   FailedRequest out;
   out.request = request.id;
   out.end = end;
   out.kind = kind;
   if (request.route != nullptr) out.route = request.route->name;
   out.worker = request.last_worker;
-  out.reach = request.reach;
+  out.progress = request.progress;
   out.held = now - request.came + request.query.read_for;
   out.left = request.due > 0 ? request.due - now : 0;
   out.sends = request.sends;
@@ -113,21 +113,22 @@
 // What the description says of it, once there is one.
 void Dispatcher::admit(Request& request, Micros now, DispatchOut& out) {
   request.rules = rules_;
-  if (rules_->routes.empty()) return deny(request, Kind::not_ready, millis(300), now, out);
+  if (rules_->routes.empty()) return deny(request, ErrorCode::not_ready, millis(300), now, out);
   request.route = rules_->route(request.query.host, request.query.path);
   if (request.route == nullptr) {
     // Where keys are needed a configuration that may be old refuses nothing for good.
     bool const sure = !rules_->keys_required || lease_->certain(now);
-    return sure ? deny(request, Kind::not_found, 0, now, out) : deny(request, Kind::unconfirmed, millis(300), now, out);
+    return sure ? deny(request, ErrorCode::not_found, 0, now, out)
+                : deny(request, ErrorCode::unconfirmed, millis(300), now, out);
   }
   request.pool = rules_->pool(share_turns_.next(*request.route).pool);
-  if (request.pool == nullptr) return deny(request, Kind::no_worker, millis(500), now, out);
+  if (request.pool == nullptr) return deny(request, ErrorCode::no_worker, millis(500), now, out);
   request.repeatable = request.route->repeatable || (request.route->streams && request.route->resumable);
   if (!authorize(request, now, out)) return;
   request.tree = request.pool->name + "/" + request.query.model;
   Micros const left = request.query.left > 0 ? request.query.left : request.route->hold;
   request.due = request.came - request.query.read_for + std::min(left, request.route->hold) - way_back;
-  if (request.due <= now) return deny(request, Kind::expired, millis(100), now, out);
+  if (request.due <= now) return deny(request, ErrorCode::expired, millis(100), now, out);
   request.give_up = request.came + std::min(request.route->aim / 5, left / 4);
   if (now - born_ < begin_span) request.give_up = request.came + std::min(begin_wait, left / 4);
   Bucket& earned = bucket(*request.pool);
@@ -157,13 +158,13 @@
     return "route " + request.route->name + " allows " + std::to_string(request.route->attempts) + ", sent " +
            std::to_string(request.sends) + " times, now to " + request.at;
   });
-  if (request.reach == Reach::none) request.reach = Reach::sent;
+  if (request.progress == AttemptProgress::none) request.progress = AttemptProgress::sent;
 }
 
 void Dispatcher::began(std::uint64_t id, Micros now) {
   std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests_.find(id);
   if (spot == requests_.end()) return;
-  spot->second->reach = Reach::answering;
+  spot->second->progress = AttemptProgress::answering;
   spot->second->begun = true;
   event(id, now);
 }
@@ -202,7 +203,7 @@
   Request& request = *spot->second;
   std::string const at = request.at;
   Instance* const instance = registry_.find(at);
-  Reach const reach = request.reach;
+  AttemptProgress const progress = request.progress;
   release(request);
   if (instance != nullptr) {
     switch (end) {
@@ -233,35 +234,35 @@
   traits.attempts = request.sends < request.route->attempts || !guard(RequestGuard::attempts);
   traits.budget = can_pay(*request.pool);
   traits.time = now + time_least < request.due && request.dials < dials_most;
-  traits.ran = request.ran;
-  Fate const fate = fate_of(traits, reach, end);
-  if (!clean && reach != Reach::none) request.ran = true;
-  if (fate == Fate::again && request.sends > 0) {
+  traits.execution = request.execution;
+  RetryDecision const decision = decide_retry(traits, progress, end);
+  if (!clean && progress != AttemptProgress::none) request.execution = true;
+  if (decision == RetryDecision::again && request.sends > 0) {
     pay(*request.pool);
     if (request.begun) ++tally.resumes;
   }
-  obey(request, fate, now, out);
+  obey(request, decision, now, out);
 }
 
-void Dispatcher::obey(Request& request, Fate fate, Micros now, DispatchOut& out) {
-  switch (fate) {
-    case Fate::done:
+void Dispatcher::obey(Request& request, RetryDecision decision, Micros now, DispatchOut& out) {
+  switch (decision) {
+    case RetryDecision::done:
       ++tally.served;
       return erase(request.id);
-    case Fate::again:
+    case RetryDecision::again:
       request.give_up = std::max(request.give_up, std::min(request.due, now + request.route->aim / 5));
       count_again(request, out);
       return try_place(request, now, out);
-    case Fate::pass:
+    case RetryDecision::pass:
       ++tally.passed;
       out.passes.push_back(request.id);
-      out.failed.push_back(failure_of(request, FailedEnd::passed, Kind::worker_failed, now));
+      out.failed.push_back(failure_of(request, FailedEnd::passed, ErrorCode::worker_failed, now));
       return erase(request.id);
-    case Fate::refuse:
-      return deny(request, Kind::worker_refused, millis(150), now, out);
-    case Fate::fail:
-      return deny(request, Kind::worker_broke, 0, now, out);
-    case Fate::cut:
+    case RetryDecision::refuse:
+      return deny(request, ErrorCode::worker_refused, millis(150), now, out);
+    case RetryDecision::fail:
+      return deny(request, ErrorCode::worker_broke, 0, now, out);
+    case RetryDecision::cut:
       return break_off(request, now, out);
   }
 }
@@ -280,7 +281,7 @@
   std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const spot = requests_.find(id);
   if (spot == requests_.end()) return std::nullopt;
   ++tally.hangups;
-  FailedRequest const out = failure_of(*spot->second, FailedEnd::left, Kind::caller_gone, now);
+  FailedRequest const out = failure_of(*spot->second, FailedEnd::left, ErrorCode::caller_gone, now);
   if (!spot->second->at.empty()) release(*spot->second);
   erase(id);
   return out;
@@ -317,34 +318,34 @@
       if (!request.at.empty()) continue;
       if (now < std::min(request.give_up, request.due)) continue;
       if (request.quota == QuotaState::asked) {
-        if (now >= request.due) deny(request, Kind::no_quota, millis(100), now, out);
+        if (now >= request.due) deny(request, ErrorCode::no_quota, millis(100), now, out);
         continue;
       }
       if (request.begun) {
         break_off(request, now, out);
-      } else if (request.ran && !request.repeatable) {
-        deny(request, Kind::worker_broke, 0, now, out);
+      } else if (request.execution && !request.repeatable) {
+        deny(request, ErrorCode::worker_broke, 0, now, out);
       } else {
-        deny(request, Kind::no_worker, millis(250), now, out);
+        deny(request, ErrorCode::no_worker, millis(250), now, out);
       }
       continue;
     }
     if (now >= request.due) {
       // The time is over: what is under way is given up, and nobody is promised anything.
       out.cuts.push_back(id);
-      bool const reached = request.reach != Reach::none || request.ran;
+      bool const reached = request.progress != AttemptProgress::none || request.execution;
       bool const begun = request.begun;
       release(request);
       if (begun) {
         break_off(request, now, out);
       } else if (reached) {
-        deny(request, Kind::worker_silent, 0, now, out);
+        deny(request, ErrorCode::worker_silent, 0, now, out);
       } else {
-        deny(request, Kind::worker_unreached, millis(100), now, out);
+        deny(request, ErrorCode::worker_unreached, millis(100), now, out);
       }
       continue;
     }
-    if (!request.repeatable || request.reach == Reach::none || held_) continue;
+    if (!request.repeatable || request.progress == AttemptProgress::none || held_) continue;
     // What has begun and cannot go on elsewhere is waited for, as is anything once another worker would come too late.
     if (request.begun && !resumable(request)) continue;
     if (now + time_least >= request.due || request.dials >= dials_most) continue;
--- a/src/flow/dispatch/dispatcher.h
+++ b/src/flow/dispatch/dispatcher.h
@@ -66,7 +66,7 @@
 
 struct Denial {
   std::uint64_t request = 0;
-  Kind kind = Kind::internal;
+  ErrorCode code = ErrorCode::internal;
   Micros wait = 0;  // after which it may be asked again; 0: nothing is promised
   bool may_repeat = false;
 };
@@ -85,13 +85,13 @@
 struct FailedRequest {
   std::uint64_t request = 0;
   FailedEnd end = FailedEnd::failed;
-  Kind kind = Kind::internal;  // of what was refused or failed
+  ErrorCode code = ErrorCode::internal;  // of what was refused or failed
   std::string route;
-  std::string worker;         // the last one it was sent to
-  Reach reach = Reach::none;  // how far that attempt came
-  Micros held = 0;            // since its first byte
-  Micros left = 0;            // of its time
-  int sends = 0;              // workers that a byte may have reached
+  std::string worker;                                // the last one it was sent to
+  AttemptProgress progress = AttemptProgress::none;  // how far that attempt came
+  Micros held = 0;                                   // since its first byte
+  Micros left = 0;                                   // of its time
+  int sends = 0;                                     // workers that a byte may have reached
   int dials = 0;
 };
 
@@ -183,12 +183,12 @@
     Micros give_up = 0;  // until when it may wait for a worker
     int sends = 0;       // workers that it may have reached
     int dials = 0;
-    bool ran = false;  // an attempt that has ended may have run
+    bool execution = false;  // an attempt that has ended may have run
     std::set<std::string> tried;
     std::string last_worker;  // that it was sent to, for the log
     // The attempt under way.
     std::string at;
-    Reach reach = Reach::none;
+    AttemptProgress progress = AttemptProgress::none;
     Micros from = 0;         // when it was begun
     Micros heard = 0;        // when its last event came
     Micros guess = 0;        // what its first event was predicted to take
@@ -212,8 +212,8 @@
   // Keys and limits (tenancy.cc). False: the request was denied and is gone.
   bool authorize(Request& request, Micros now, DispatchOut& out);
   bool still_authorized(Request& request, Micros now, DispatchOut& out);
-  std::optional<Kind> key_fault(Request const& request, Description const& by, Micros now) const;
-  void withdraw(Request& request, Kind kind, Micros now, DispatchOut& out);
+  std::optional<ErrorCode> key_error(Request const& request, Description const& by, Micros now) const;
+  void withdraw(Request& request, ErrorCode kind, Micros now, DispatchOut& out);
   void need_quota(Request& request, Micros now, DispatchOut& out);
   void count_again(Request const& request, DispatchOut& out) const;
   std::int64_t rank_of(Request const& request) const;
@@ -223,11 +223,11 @@
              Micros now, DispatchOut& out);
   bool another_takes(Request const& request) const;
   void release(Request& request);
-  void deny(Request& request, Kind kind, Micros wait, Micros now, DispatchOut& out);
+  void deny(Request& request, ErrorCode kind, Micros wait, Micros now, DispatchOut& out);
   void break_off(Request& request, Micros now, DispatchOut& out);
-  FailedRequest failure_of(Request const& request, FailedEnd end, Kind kind, Micros now) const;
+  FailedRequest failure_of(Request const& request, FailedEnd end, ErrorCode kind, Micros now) const;
   void check_requests(Micros now) const;
-  void obey(Request& request, Fate fate, Micros now, DispatchOut& out);
+  void obey(Request& request, RetryDecision decision, Micros now, DispatchOut& out);
   static bool resumable(Request const& request);
   void note_stillness(Micros now);
   void erase(std::uint64_t id);
--- a/src/flow/dispatch/fate.h
+++ b/src/flow/dispatch/fate.h
@@ -5,7 +5,7 @@
 namespace pipit {
 
 // How far the attempt had come.
-enum class Reach : std::uint8_t {
+enum class AttemptProgress : std::uint8_t {
   none,      // no byte can have left
   sent,      // a byte may have left; nothing of an answer has been passed on
   answering  // a part of an answer has been passed on
@@ -27,10 +27,10 @@
   bool attempts = false;    // another worker may be sent to
   bool budget = false;      // and what all nodes share for that is not used up
   bool time = false;        // and enough of the caller's time is left
-  bool ran = false;         // an earlier attempt may have run
+  bool execution = false;   // an earlier attempt may have run
 };
 
-enum class Fate : std::uint8_t {
+enum class RetryDecision : std::uint8_t {
   done,    // nothing more to do
   again,   // to another worker
   pass,    // the worker's own failure goes back unchanged
@@ -39,6 +39,6 @@
   cut      // what was passed on can't be completed
 };
 
-Fate fate_of(Traits const& traits, Reach reach, AttemptEnd end);
+RetryDecision decide_retry(Traits const& traits, AttemptProgress progress, AttemptEnd end);
 
 }  // namespace pipit
--- a/src/flow/dispatch/placement.cc
+++ b/src/flow/dispatch/placement.cc
@@ -136,7 +136,7 @@
                   [&] { return "request " + std::to_string(request.id) + " to " + instance.id; });
   request.at = instance.id;
   request.last_worker = instance.id;
-  request.reach = request.begun ? Reach::answering : Reach::none;
+  request.progress = request.begun ? AttemptProgress::answering : AttemptProgress::none;
   request.from = now;
   request.heard = now;
   request.guess = guess;
--- a/src/flow/dispatch/tenancy.cc
+++ b/src/flow/dispatch/tenancy.cc
@@ -15,17 +15,17 @@
 
 // Why the key of a request does not let it run; nothing when it does. A key is unknown for sure only while the
 // configuration is known to be new.
-std::optional<Kind> Dispatcher::key_fault(Request const& request, Description const& by, Micros now) const {
+std::optional<ErrorCode> Dispatcher::key_error(Request const& request, Description const& by, Micros now) const {
   if (!by.keys_required) return std::nullopt;
-  if (!lease_->holds(now)) return Kind::unconfirmed;
+  if (!lease_->holds(now)) return ErrorCode::unconfirmed;
   bool const known = request.query.key && by.tenant_of(*request.query.key) != nullptr;
   if (known || request.route->is_public) return std::nullopt;
-  return lease_->certain(now) ? Kind::unknown_key : Kind::unconfirmed;
+  return lease_->certain(now) ? ErrorCode::unknown_key : ErrorCode::unconfirmed;
 }
 
 bool Dispatcher::authorize(Request& request, Micros now, DispatchOut& out) {
-  if (std::optional<Kind> const fault = key_fault(request, *rules_, now)) {
-    withdraw(request, *fault, now, out);
+  if (std::optional<ErrorCode> const error = key_error(request, *rules_, now)) {
+    withdraw(request, *error, now, out);
     return false;
   }
   request.confirmed = lease_->confirmed();
@@ -39,8 +39,8 @@
 
 // Whatever waited is looked at again under the configuration that is in force by now.
 bool Dispatcher::still_authorized(Request& request, Micros now, DispatchOut& out) {
-  if (std::optional<Kind> const fault = key_fault(request, *rules_, now)) {
-    withdraw(request, *fault, now, out);
+  if (std::optional<ErrorCode> const error = key_error(request, *rules_, now)) {
+    withdraw(request, *error, now, out);
     return false;
   }
   request.confirmed = lease_->confirmed();
@@ -51,11 +51,11 @@
 }
 
 // It must not be sent to a worker, or not once more.
-void Dispatcher::withdraw(Request& request, Kind kind, Micros now, DispatchOut& out) {
-  ++(kind == Kind::unknown_key ? tally.unknown_keys : tally.unconfirmed);
+void Dispatcher::withdraw(Request& request, ErrorCode kind, Micros now, DispatchOut& out) {
+  ++(kind == ErrorCode::unknown_key ? tally.unknown_keys : tally.unconfirmed);
   if (request.begun) return break_off(request, now, out);
-  if (request.ran && !request.repeatable) return deny(request, Kind::worker_broke, 0, now, out);
-  deny(request, kind, kind == Kind::unconfirmed ? unconfirmed_wait : 0, now, out);
+  if (request.execution && !request.repeatable) return deny(request, ErrorCode::worker_broke, 0, now, out);
+  deny(request, kind, kind == ErrorCode::unconfirmed ? unconfirmed_wait : 0, now, out);
 }
 
 void Dispatcher::need_quota(Request& request, Micros now, DispatchOut& out) {
@@ -85,11 +85,11 @@
   TenantTally& tenant = tenant_tallies[request.tenant];
   if (result.type == QuotaResult::Type::unreachable) {
     ++tenant.unreachable;
-    return deny(request, Kind::no_quota, unreachable_wait, now, out);
+    return deny(request, ErrorCode::no_quota, unreachable_wait, now, out);
   }
   ++tenant.refused;
   ++tally.over_quota;
-  deny(request, Kind::over_quota, std::clamp(result.wait, refused_wait_least, refused_wait_most), now, out);
+  deny(request, ErrorCode::over_quota, std::clamp(result.wait, refused_wait_least, refused_wait_most), now, out);
 }
 
 std::int64_t Dispatcher::rank_of(Request const& request) const {
--- a/src/flow/errand/desk.cc
+++ b/src/flow/errand/desk.cc
@@ -25,20 +25,20 @@
   return seen == service_seen_.end() ? pool.service : static_cast<Micros>(seen->second);
 }
 
-void ChatDispatcher::give_up(ChatRequest& chat_request, Fault fault, Micros wait, ChatEffects& out) {
+void ChatDispatcher::give_up(ChatRequest& chat_request, Error error, Micros wait, ChatEffects& out) {
   ++tally.refused;
-  KindRow const& row = kind_row(fault.kind);
-  Ran const ran = chat_request.attempts == 0 ? row.ran : chat_request.ran;
+  ErrorCodeRow const& row = error_code_row(error.code);
+  ExecutionStatus const execution = chat_request.attempts == 0 ? row.execution : chat_request.execution;
   if (wait == 0) wait = row.wait;
   // A crowd that is refused must not come back in one wave: the time is spread over as much again.
-  if (fault.kind == Kind::crowded || fault.kind == Kind::backlog_full || fault.kind == Kind::expired)
+  if (error.code == ErrorCode::crowded || error.code == ErrorCode::backlog_full || error.code == ErrorCode::expired)
     wait += static_cast<Micros>(hash_bits(chat_request.id ^ hash_text(self_)) %
                                 static_cast<std::uint64_t>(std::max<Micros>(1, wait)));
-  if (ran == Ran::no && wait == 0 && row.status >= 429) wait = millis(1000);
-  log_event(Event::chat_request_rejected, std::string(row.name) + " lane " +
-                                              (chat_request.lane == nullptr ? "-" : chat_request.lane->name) + " ran " +
-                                              ran_word(ran) + " back in " + std::to_string(wait / 1000) + " ms");
-  out.ends.push_back(Verdict{chat_request.id, std::move(fault), ran, wait});
+  if (execution == ExecutionStatus::no && wait == 0 && row.status >= 429) wait = millis(1000);
+  log_event(Event::chat_request_rejected,
+            std::string(row.name) + " lane " + (chat_request.lane == nullptr ? "-" : chat_request.lane->name) +
+                " ran " + execution_status_name(execution) + " back in " + std::to_string(wait / 1000) + " ms");
+  out.ends.push_back(Verdict{chat_request.id, std::move(error), execution, wait});
   erase(chat_request);
 }
 
@@ -74,33 +74,35 @@
   chat_request.rules = rules_;
   chat_request.came = now;
   chat_requests_.emplace(id, std::move(made));
-  if (draining_) return give_up(chat_request, Fault{Kind::draining, "", ""}, 0, out);
-  if (!open_) return give_up(chat_request, Fault{Kind::not_ready, "", ""}, 0, out);
+  if (draining_) return give_up(chat_request, Error{ErrorCode::draining, "", ""}, 0, out);
+  if (!open_) return give_up(chat_request, Error{ErrorCode::not_ready, "", ""}, 0, out);
   Facts const& facts = chat_request.ask.facts;
   bool model_known = false;
   for (Pool const& pool : rules_->pools) model_known = model_known || pool.model == facts.model;
   if (!model_known)
-    return give_up(chat_request, Fault{Kind::unknown_model, "no pool serves the model '" + facts.model + "'", ""}, 0,
-                   out);
+    return give_up(chat_request, Error{ErrorCode::unknown_model, "no pool serves the model '" + facts.model + "'", ""},
+                   0, out);
   if (!chat_request.ask.lane.empty()) {
     chat_request.lane = rules_->lane(chat_request.ask.lane);
     if (chat_request.lane == nullptr)
-      return give_up(chat_request, Fault{Kind::unknown_lane, "there is no lane '" + chat_request.ask.lane + "'", ""}, 0,
-                     out);
+      return give_up(chat_request,
+                     Error{ErrorCode::unknown_lane, "there is no lane '" + chat_request.ask.lane + "'", ""}, 0, out);
     if (!chat_request.lane->binding.match.holds(facts, 0))
       return give_up(
           chat_request,
-          Fault{Kind::unknown_lane, "the lane '" + chat_request.ask.lane + "' does not take this request", ""}, 0, out);
+          Error{ErrorCode::unknown_lane, "the lane '" + chat_request.ask.lane + "' does not take this request", ""}, 0,
+          out);
   } else {
     for (Lane const& lane : rules_->lanes)
       if (chat_request.lane == nullptr && lane.binding.match.holds(facts, 0)) chat_request.lane = &lane;
     if (chat_request.lane == nullptr)
-      return give_up(chat_request, Fault{Kind::unknown_lane, "no lane takes this request", ""}, 0, out);
+      return give_up(chat_request, Error{ErrorCode::unknown_lane, "no lane takes this request", ""}, 0, out);
   }
   chat_request.model = rules_->pool(chat_request.lane->binding.pools.front().pool)->model;
   if (chat_request.model != facts.model)
     return give_up(chat_request,
-                   Fault{Kind::unknown_model, "the lane does not serve the model '" + facts.model + "'", ""}, 0, out);
+                   Error{ErrorCode::unknown_model, "the lane does not serve the model '" + facts.model + "'", ""}, 0,
+                   out);
   chat_request.safe = chat_request.lane->policy.safe || chat_request.ask.safe;
   chat_request.due = now + chat_request.lane->policy.wait;
   std::size_t ahead = 0;
@@ -108,19 +110,19 @@
     if (!(other < chat_request)) break;
     ++ahead;
   }
-  Choice choice = held_ ? Choice{Say::wait, nullptr, 0, 0, Kind::not_ready, ""} : select(chat_request, ahead, now);
+  Choice choice = held_ ? Choice{Say::wait, nullptr, 0, 0, ErrorCode::not_ready, ""} : select(chat_request, ahead, now);
   if (choice.say == Say::go && ahead == 0) return go(chat_request, choice, now, out);
   if (!choice.ask.empty()) out.asks.push_back(choice.ask);
-  if (choice.say == Say::never) return give_up(chat_request, Fault{choice.kind, "", ""}, choice.wait, out);
+  if (choice.say == Say::never) return give_up(chat_request, Error{choice.kind, "", ""}, choice.wait, out);
   // §6.5: taken in only when the prediction fits half the wait, as predictions have held of late. The mean says nothing
   // of those more urgent who come later; without this margin they turn a waiting request into a late refusal.
   chat_request.guess = choice.wait;
   if (choice.say == Say::wait && likely(choice.wait) > chat_request.lane->policy.wait / 2)
-    return give_up(chat_request, Fault{Kind::crowded, "", ""},
+    return give_up(chat_request, Error{ErrorCode::crowded, "", ""},
                    std::clamp<Micros>(choice.wait, millis(500), seconds(10)), out);
   std::int64_t& count = lane_waiting_[chat_request.lane->name];
   if (count >= chat_request.lane->policy.backlog)
-    return give_up(chat_request, Fault{Kind::backlog_full, "", ""},
+    return give_up(chat_request, Error{ErrorCode::backlog_full, "", ""},
                    std::clamp<Micros>(choice.wait, millis(500), seconds(10)), out);
   ++count;
   backlog_.insert(chat_request);
@@ -209,7 +211,7 @@
     best.wait = soonest;
     return best;
   }
-  best.kind = chat_request.tried.empty() ? Kind::no_worker : Kind::worker_unreached;
+  best.kind = chat_request.tried.empty() ? ErrorCode::no_worker : ErrorCode::worker_unreached;
   return best;
 }
 
@@ -292,42 +294,42 @@
     return;
   }
   // §7.3: what is known of whether this attempt ran.
-  Ran ran = Ran::unknown;
-  Kind kind = Kind::worker_failed;
+  ExecutionStatus execution = ExecutionStatus::unknown;
+  ErrorCode kind = ErrorCode::worker_failed;
   switch (end) {
     case ChatAttemptEnd::unreached:
-      ran = Ran::no;
-      kind = Kind::worker_unreached;
+      execution = ExecutionStatus::no;
+      kind = ErrorCode::worker_unreached;
       break;
     case ChatAttemptEnd::refused:
-      ran = Ran::no;
-      kind = Kind::worker_refused;
+      execution = ExecutionStatus::no;
+      kind = ErrorCode::worker_refused;
       break;
     case ChatAttemptEnd::failed:
-      kind = Kind::worker_failed;
+      kind = ErrorCode::worker_failed;
       break;
     case ChatAttemptEnd::broke:
-      kind = Kind::worker_broke;
+      kind = ErrorCode::worker_broke;
       break;
     case ChatAttemptEnd::silent:
-      kind = Kind::worker_silent;
+      kind = ErrorCode::worker_silent;
       break;
     case ChatAttemptEnd::wrong:
-      kind = Kind::worker_wrong;
+      kind = ErrorCode::worker_wrong;
       break;
     case ChatAttemptEnd::torn:
-      ran = Ran::yes;
-      kind = Kind::answer_torn;
+      execution = ExecutionStatus::yes;
+      kind = ErrorCode::answer_torn;
       break;
     case ChatAttemptEnd::done:
       break;
   }
   if (end == ChatAttemptEnd::unreached && chat_request.left) {  // the executor cannot be sure after all
-    ran = Ran::unknown;
-    kind = Kind::worker_broke;
+    execution = ExecutionStatus::unknown;
+    kind = ErrorCode::worker_broke;
   }
-  if (!guard(Guard::honest_ran) && ran == Ran::unknown) ran = Ran::no;
-  chat_request.ran = std::max(chat_request.ran, ran);
+  if (!guard(Guard::honest_ran) && execution == ExecutionStatus::unknown) execution = ExecutionStatus::no;
+  chat_request.execution = std::max(chat_request.execution, execution);
   // §6.6: a broken connection may mean that the worker ended; it is asked before it gets anything more.
   Worker const* const worker = fleet_.find(chat_request.worker);
   if (worker != nullptr &&
@@ -335,7 +337,7 @@
        end == ChatAttemptEnd::torn) &&
       fleet_.suspect(chat_request.worker, chat_request.incarnation, now))
     out.suspects.emplace_back(chat_request.worker, chat_request.incarnation);
-  log_event(Event::chat_attempt_failed, chat_request.worker + " " + kind_row(kind).name + " " + why);
+  log_event(Event::chat_attempt_failed, chat_request.worker + " " + error_code_row(kind).name + " " + why);
   bool const may_repeat = chat_request.safe || !chat_request.left || !guard(Guard::never_repeat);
   bool const again =
       !chat_request.begun && may_repeat && !draining_ && chat_request.attempts < chat_request.lane->policy.tries &&
@@ -345,8 +347,8 @@
     if (choice.say == Say::go) return go(chat_request, choice, now, out);
   }
   if (chat_request.begun) ++tally.broken;
-  Fault fault{kind, why, ""};
-  give_up(chat_request, std::move(fault), back, out);
+  Error error{kind, why, ""};
+  give_up(chat_request, std::move(error), back, out);
 }
 
 void ChatDispatcher::hung_up(std::uint64_t id, Micros now, ChatEffects& out) {
@@ -368,11 +370,11 @@
     ChatRequest& chat_request = *it++;
     if (now >= chat_request.due) {
       ++tally.late;
-      give_up(chat_request, Fault{held_ ? Kind::not_ready : Kind::expired, "", ""}, 0, out);
+      give_up(chat_request, Error{held_ ? ErrorCode::not_ready : ErrorCode::expired, "", ""}, 0, out);
       continue;
     }
     if (!open_) {
-      give_up(chat_request, Fault{Kind::not_ready, "", ""}, 0, out);
+      give_up(chat_request, Error{ErrorCode::not_ready, "", ""}, 0, out);
       continue;
     }
     if (held_ || idle >= 64) {
@@ -390,11 +392,11 @@
     ++ahead;
     // §6.5: what has become hopeless is answered now, not when its time is up.
     if (choice.say == Say::never)
-      give_up(chat_request, Fault{choice.kind, "", ""}, choice.wait, out);
+      give_up(chat_request, Error{choice.kind, "", ""}, choice.wait, out);
     else if (now + std::max(likely(choice.wait), overdue(chat_request, now)) > chat_request.due) {
       learn_wait(chat_request, chat_request.lane->policy.wait);
-      give_up(chat_request, Fault{Kind::crowded, "", ""}, std::clamp<Micros>(choice.wait, millis(500), seconds(10)),
-              out);
+      give_up(chat_request, Error{ErrorCode::crowded, "", ""},
+              std::clamp<Micros>(choice.wait, millis(500), seconds(10)), out);
     }
   }
 }
--- a/src/flow/errand/desk.h
+++ b/src/flow/errand/desk.h
@@ -43,8 +43,8 @@
 };
 struct Verdict {  // the end of an chat request that is not a success
   std::uint64_t chat_request = 0;
-  Fault fault;
-  Ran ran = Ran::no;
+  Error error;
+  ExecutionStatus execution = ExecutionStatus::no;
   Micros wait = 0;
 };
 struct ChatEffects {
@@ -103,7 +103,7 @@
     Micros guess = 0;  // how long it was predicted to wait when it came
     bool safe = false;
     int attempts = 0;
-    Ran ran = Ran::no;
+    ExecutionStatus execution = ExecutionStatus::no;
     bool left = false;  // a byte of this attempt may have left
     bool begun = false;
     std::string worker;
@@ -124,12 +124,12 @@
     Worker* worker = nullptr;
     std::size_t hit = 0;
     Micros wait = 0;
-    Kind kind = Kind::no_worker;
+    ErrorCode kind = ErrorCode::no_worker;
     std::string ask;  // the worker that is waited for
   };
   Choice select(ChatRequest const& chat_request, std::size_t ahead, Micros now, bool sure_only = false);
   void go(ChatRequest& chat_request, Choice const& choice, Micros now, ChatEffects& out);
-  void give_up(ChatRequest& chat_request, Fault fault, Micros wait, ChatEffects& out);
+  void give_up(ChatRequest& chat_request, Error error, Micros wait, ChatEffects& out);
   void erase(ChatRequest& chat_request);
   void release(ChatRequest& chat_request, Micros now, bool good);
   Micros service(Pool const& pool) const;
--- a/src/flow/errand/parse.cc
+++ b/src/flow/errand/parse.cc
@@ -23,20 +23,20 @@
   simdjson::dom::parser parser;
   simdjson::dom::element root;
   simdjson::error_code const code = parser.parse(simdjson::padded_string(body)).get(root);
-  if (code) return fail(Kind::bad_json, simdjson::error_message(code));
-  if (!root.is_object()) return fail(Kind::bad_request, "the body is not an object");
+  if (code) return fail(ErrorCode::bad_json, simdjson::error_message(code));
+  if (!root.is_object()) return fail(ErrorCode::bad_request, "the body is not an object");
   Ask out;
   std::string_view text;
   if (root["model"].get_string().get(text) || text.empty())
-    return fail(Kind::bad_request, "a model is needed", "$.model");
+    return fail(ErrorCode::bad_request, "a model is needed", "$.model");
   out.facts.model = text;
   simdjson::dom::element item;
   if (!root["stream"].get(item) && item.get_bool().get(out.facts.stream))
-    return fail(Kind::bad_request, "true or false is expected", "$.stream");
+    return fail(ErrorCode::bad_request, "true or false is expected", "$.stream");
   if (!root["max_tokens"].get(item) && (item.get_int64().get(out.facts.output) || out.facts.output < 0))
-    return fail(Kind::bad_request, "a whole number is expected", "$.max_tokens");
+    return fail(ErrorCode::bad_request, "a whole number is expected", "$.max_tokens");
   if (!root["user"].get(item)) {
-    if (item.get_string().get(text)) return fail(Kind::bad_request, "a text is expected", "$.user");
+    if (item.get_string().get(text)) return fail(ErrorCode::bad_request, "a text is expected", "$.user");
     out.facts.user = text;
   }
   out.facts.size = static_cast<std::int64_t>(body.size());
@@ -44,18 +44,18 @@
   if (form == Form::chat) {
     simdjson::dom::array turns;
     if (root["messages"].get_array().get(turns) || turns.size() == 0)
-      return fail(Kind::bad_request, "messages are needed", "$.messages");
+      return fail(ErrorCode::bad_request, "messages are needed", "$.messages");
     for (simdjson::dom::element const& turn : turns) {
-      if (turn["role"].get_string().get(text)) return fail(Kind::bad_request, "a role is needed", "$.messages");
+      if (turn["role"].get_string().get(text)) return fail(ErrorCode::bad_request, "a role is needed", "$.messages");
       prompt += text;
       prompt += '\n';
       simdjson::dom::element content;
       if (turn["content"].get(content) || !add_content(content, prompt))
-        return fail(Kind::bad_request, "a content is needed", "$.messages");
+        return fail(ErrorCode::bad_request, "a content is needed", "$.messages");
       prompt += '\n';
     }
   } else {
-    if (root["prompt"].get_string().get(text)) return fail(Kind::bad_request, "a prompt is needed", "$.prompt");
+    if (root["prompt"].get_string().get(text)) return fail(ErrorCode::bad_request, "a prompt is needed", "$.prompt");
     prompt = text;
   }
   out.path = path_of(prompt);
--- a/src/flow/fleet/fleet.cc
+++ b/src/flow/fleet/fleet.cc
@@ -26,8 +26,8 @@
   simdjson::dom::parser parser;
   simdjson::dom::element root;
   simdjson::dom::array items;
-  if (parser.parse(simdjson::padded_string(text)).get(root)) return fail(Kind::bad_json, "the list is not JSON");
-  if (root["workers"].get_array().get(items)) return fail(Kind::bad_request, "the list has no workers");
+  if (parser.parse(simdjson::padded_string(text)).get(root)) return fail(ErrorCode::bad_json, "the list is not JSON");
+  if (root["workers"].get_array().get(items)) return fail(ErrorCode::bad_request, "the list has no workers");
   std::vector<ListRow> out;
   std::set<std::string> seen;
   for (simdjson::dom::element const& item : items) {
@@ -36,11 +36,12 @@
     if (!text_of(item, "id", row.id) || !text_of(item, "address", row.address) || !text_of(item, "zone", row.zone) ||
         !text_of(item, "pool", row.pool) || !text_of(item, "state", state) ||
         item["incarnation"].get_uint64().get(row.incarnation))
-      return fail(Kind::bad_request, "a row of the list lacks a field");
+      return fail(ErrorCode::bad_request, "a row of the list lacks a field");
     if (state != "serving" && state != "leaving")
-      return fail(Kind::bad_request, "a row of the list has the state " + state);
-    if (!good_address(row.address)) return fail(Kind::bad_request, "a row of the list has the address " + row.address);
-    if (!seen.insert(row.id).second) return fail(Kind::bad_request, "the list names " + row.id + " twice");
+      return fail(ErrorCode::bad_request, "a row of the list has the state " + state);
+    if (!good_address(row.address))
+      return fail(ErrorCode::bad_request, "a row of the list has the address " + row.address);
+    if (!seen.insert(row.id).second) return fail(ErrorCode::bad_request, "the list names " + row.id + " twice");
     row.leaving = state == "leaving";
     std::int64_t slots = 0;
     if (!item["slots"].get_int64().get(slots)) row.slots = slots;
@@ -59,7 +60,7 @@
   if (parser.parse(simdjson::padded_string(text)).get(root) || root["incarnation"].get_uint64().get(out.incarnation) ||
       root["active"].get_int64().get(active) || root["queued"].get_int64().get(queued) ||
       root["awake_ms"].get_int64().get(awake))
-    return fail(Kind::worker_wrong, "the health report cannot be read");
+    return fail(ErrorCode::worker_wrong, "the health report cannot be read");
   out.demand = active + queued;
   out.awake = millis(awake);
   return out;
--- a/src/gate/net/link.cc
+++ b/src/gate/net/link.cc
@@ -289,14 +289,15 @@
 Result<void> Door::open(std::string const& address, Taken taken) {
   taken_ = std::move(taken);
   sockaddr_in own;
-  if (!address_of(address, own)) return fail(Kind::bad_settings, "'" + address + "' is not an IP number with a port");
+  if (!address_of(address, own))
+    return fail(ErrorCode::bad_settings, "'" + address + "' is not an IP number with a port");
   fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   int const one = 1;
   setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   if (fd_ < 0 || ::bind(fd_, reinterpret_cast<sockaddr*>(&own), sizeof own) != 0 || ::listen(fd_, 512) != 0) {
     std::string const why = std::strerror(errno);
     close();
-    return fail(Kind::bad_settings, address + " cannot be listened on: " + why);
+    return fail(ErrorCode::bad_settings, address + " cannot be listened on: " + why);
   }
   listen_on();
   return boost::outcome_v2::success();
--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -204,9 +204,9 @@
 }
 
 void RequestProxy::deny(Denial const& denial) {
-  ++kinds[kind_row(denial.kind).name];
-  Ran const ran = denial.wait > 0 ? Ran::no : kind_row(denial.kind).ran;
-  Answer const answer = answer_for(Fault{denial.kind, "", ""}, ran, denial.wait);
+  ++kinds[error_code_row(denial.kind).name];
+  ExecutionStatus const execution = denial.wait > 0 ? ExecutionStatus::no : error_code_row(denial.kind).execution;
+  Answer const answer = answer_for(Error{denial.kind, "", ""}, execution, denial.wait);
   Head head;
   // What may be asked again has not run, whatever the kind says of other cases.
   head.status = denial.wait > 0 && !promises(answer.status) ? 503 : answer.status;
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -41,7 +41,7 @@
     std::uint64_t const fresh = random_seed();
     // A disk that is full or hangs when the process starts is waited for: without it the node is no replica.
     Result<wire::RecordT> opened = ring->open(fresh, blank);
-    for (int tries = 0; !opened && opened.error().kind == Kind::bad_disk && tries < 50; ++tries) {
+    for (int tries = 0; !opened && opened.error().code == ErrorCode::bad_disk && tries < 50; ++tries) {
       if (tries == 0) log_event(Event::disk_waits, opened.error().why);
       g_usleep(100000);
       opened = ring->open(fresh, blank);
@@ -219,7 +219,7 @@
   if (call.head.method == "GET" && call.head.target == "/v1/status") return answer(id, 200, status());
   if (call.head.method == "GET" && call.head.target == "/v1/tenants") return answer(id, 200, tenants());
   if (call.head.method == "GET" && call.head.target == "/metrics") return answer(id, 200, metrics());
-  answer(id, 404, answer_for(Fault{Kind::not_found, "", ""}).body);
+  answer(id, 404, answer_for(Error{ErrorCode::not_found, "", ""}).body);
 }
 
 void NodeServer::stop() {
--- a/src/mesh/frame.cc
+++ b/src/mesh/frame.cc
@@ -19,7 +19,7 @@
 
 Result<std::unique_ptr<wire::FrameT>> decode(std::string_view bytes) {
   std::size_t const size = announced(bytes);
-  if (size == 0 || size + 4 != bytes.size()) return fail(Kind::bad_request, "the frame's length is wrong");
+  if (size == 0 || size + 4 != bytes.size()) return fail(ErrorCode::bad_request, "the frame's length is wrong");
   // A frame that came behind another lies at any address; numbers are read from their own alignment only.
   std::string aligned;
   if (reinterpret_cast<std::uintptr_t>(bytes.data()) % alignof(std::uint64_t) != 0) {
@@ -28,10 +28,10 @@
   }
   flatbuffers::Verifier check(reinterpret_cast<std::uint8_t const*>(bytes.data()), bytes.size(), 16, 2000000);
   if (!check.VerifySizePrefixedBuffer<wire::Frame>(nullptr))
-    return fail(Kind::bad_request, "the frame does not verify");
+    return fail(ErrorCode::bad_request, "the frame does not verify");
   std::unique_ptr<wire::FrameT> frame(flatbuffers::GetSizePrefixedRoot<wire::Frame>(bytes.data())->UnPack());
   if (frame->body.type == wire::Body::NONE || frame->body.value == nullptr)
-    return fail(Kind::bad_request, "the frame has no body");
+    return fail(ErrorCode::bad_request, "the frame has no body");
   return frame;
 }
 
--- a/src/runtime/disk/disk_task.cc
+++ b/src/runtime/disk/disk_task.cc
@@ -45,63 +45,64 @@
 Result<void> PosixDisk::lock() {
   // Held for as long as the process runs: two replicas never share a folder.
   int const fd = ::open((folder_ + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
-  if (fd < 0) return fail(Kind::bad_disk, why("cannot open", "lock"));
+  if (fd < 0) return fail(ErrorCode::bad_disk, why("cannot open", "lock"));
   if (::flock(fd, LOCK_EX | LOCK_NB) != 0) {
     ::close(fd);
-    return fail(Kind::bad_disk, "another process uses the data folder");
+    return fail(ErrorCode::bad_disk, "another process uses the data folder");
   }
   return boost::outcome_v2::success();
 }
 
 Result<std::string> PosixDisk::read(std::string const& name) {
   Handle const file{::open((folder_ + "/" + name).c_str(), O_RDONLY | O_CLOEXEC)};
-  if (file.fd < 0) return fail(Kind::bad_disk, why("cannot open", name));
+  if (file.fd < 0) return fail(ErrorCode::bad_disk, why("cannot open", name));
   struct stat info;
-  if (::fstat(file.fd, &info) != 0) return fail(Kind::bad_disk, why("cannot look at", name));
+  if (::fstat(file.fd, &info) != 0) return fail(ErrorCode::bad_disk, why("cannot look at", name));
   std::string out(static_cast<std::size_t>(info.st_size), '\0');
   std::size_t at = 0;
   while (at < out.size()) {
     ssize_t const n = ::pread(file.fd, out.data() + at, out.size() - at, static_cast<off_t>(at));
     if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) return fail(Kind::bad_disk, why("cannot read", name));
+    if (n <= 0) return fail(ErrorCode::bad_disk, why("cannot read", name));
     at += static_cast<std::size_t>(n);
   }
   return out;
 }
 
 Result<void> PosixDisk::write(std::string const& name, std::string const& bytes) {
-  if (fires(Point::end_before_sync)) ::_exit(41);
-  if (fires(Point::disk_slow)) g_usleep(static_cast<gulong>(std::stoll("0" + fault_arg(Point::disk_slow)) * 1000));
+  if (fires(FaultPoint::end_before_sync)) ::_exit(41);
+  if (fires(FaultPoint::disk_slow))
+    g_usleep(static_cast<gulong>(std::stoll("0" + fault_arg(FaultPoint::disk_slow)) * 1000));
   Handle const file{::open((folder_ + "/" + name).c_str(), O_WRONLY | O_CLOEXEC)};
-  if (file.fd < 0) return fail(Kind::bad_disk, why("cannot open", name));
-  if (fires(Point::disk_full)) {
+  if (file.fd < 0) return fail(ErrorCode::bad_disk, why("cannot open", name));
+  if (fires(FaultPoint::disk_full)) {
     errno = ENOSPC;
-    return fail(Kind::bad_disk, why("cannot write", name));
+    return fail(ErrorCode::bad_disk, why("cannot write", name));
   }
-  bool const torn = fires(Point::disk_torn);
+  bool const torn = fires(FaultPoint::disk_torn);
   std::size_t const size = torn ? bytes.size() / 2 : bytes.size();
   std::size_t at = 0;
   while (at < size) {
     ssize_t const n = ::pwrite(file.fd, bytes.data() + at, size - at, static_cast<off_t>(at));
     if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) return fail(Kind::bad_disk, why("cannot write", name));
+    if (n <= 0) return fail(ErrorCode::bad_disk, why("cannot write", name));
     at += static_cast<std::size_t>(n);
   }
   if (torn) ::_exit(42);
-  if (fires(Point::disk_fail)) return fail(Kind::bad_disk, "cannot sync " + name + ": fault point 10");
-  if (::fdatasync(file.fd) != 0) return fail(Kind::bad_disk, why("cannot sync", name));
+  if (fires(FaultPoint::disk_fail)) return fail(ErrorCode::bad_disk, "cannot sync " + name + ": fault point 10");
+  if (::fdatasync(file.fd) != 0) return fail(ErrorCode::bad_disk, why("cannot sync", name));
   return boost::outcome_v2::success();
 }
 
 Result<void> PosixDisk::sync_folder() {
   Handle const dir{::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)};
-  if (dir.fd < 0 || ::fsync(dir.fd) != 0) return fail(Kind::bad_disk, why("cannot sync", folder_));
+  if (dir.fd < 0 || ::fsync(dir.fd) != 0) return fail(ErrorCode::bad_disk, why("cannot sync", folder_));
   return boost::outcome_v2::success();
 }
 
 Result<void> PosixDisk::allocate(std::string const& name, std::size_t size) {
   Handle const file{::open((folder_ + "/" + name).c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0644)};
-  if (file.fd < 0) return fail(Kind::bad_disk, why("cannot make", name));
+  if (file.fd < 0) return fail(ErrorCode::bad_disk, why("cannot make", name));
   // Small files are written out: what is written is there, on any disk. Large ones are reserved where the disk can, for
   // writing them takes a busy disk seconds.
   bool const reserved = size > written_out && ::posix_fallocate(file.fd, 0, static_cast<off_t>(size)) == 0;
@@ -109,10 +110,10 @@
   for (std::size_t at = 0; at < size && !reserved;) {
     ssize_t const n = ::pwrite(file.fd, zeros.data(), std::min(zeros.size(), size - at), static_cast<off_t>(at));
     if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) return fail(Kind::bad_disk, why("cannot allocate", name));
+    if (n <= 0) return fail(ErrorCode::bad_disk, why("cannot allocate", name));
     at += static_cast<std::size_t>(n);
   }
-  if (::fsync(file.fd) != 0) return fail(Kind::bad_disk, why("cannot sync", name));
+  if (::fsync(file.fd) != 0) return fail(ErrorCode::bad_disk, why("cannot sync", name));
   return sync_folder();
 }
 
@@ -146,7 +147,7 @@
       g_usleep(100000);
       saved = store_->save(job->record);
     }
-    if (saved && fires(Point::end_after_sync)) ::_exit(43);
+    if (saved && fires(FaultPoint::end_after_sync)) ::_exit(43);
     Done* const word = new Done{done_, static_cast<bool>(saved), saved ? "" : saved.error().why};
     g_idle_add_full(
         G_PRIORITY_HIGH,
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -145,28 +145,28 @@
       connection_names_[id] = name;
     }
   }
-  return fires_for(Point::cut_in, name);
+  return fires_for(FaultPoint::cut_in, name);
 }
 
 bool Host::dropped_out(ConnectionId id, std::string const& frame) {
   std::map<ConnectionId, std::string>::const_iterator const spot = connection_names_.find(id);
-  if (spot != connection_names_.end() && fires_for(Point::cut_out, spot->second)) return true;
+  if (spot != connection_names_.end() && fires_for(FaultPoint::cut_out, spot->second)) return true;
   wire::Frame const* const seen = flatbuffers::GetSizePrefixedRoot<wire::Frame>(frame.data());
   switch (seen->body_type()) {
     case wire::Body::Chosen:
-      return fires(Point::spread_lost);
+      return fires(FaultPoint::spread_lost);
     case wire::Body::Promise:
-      return fires(Point::promise_lost);
+      return fires(FaultPoint::promise_lost);
     case wire::Body::Accepted:
-      return fires(Point::accepted_lost);
+      return fires(FaultPoint::accepted_lost);
     case wire::Body::Confirm:
-      return fires(Point::confirm_lost);
+      return fires(FaultPoint::confirm_lost);
     case wire::Body::Deltas:
-      return fires(Point::delta_lost);
+      return fires(FaultPoint::delta_lost);
     case wire::Body::TreePage:
-      return fires(Point::page_lost);
+      return fires(FaultPoint::page_lost);
     case wire::Body::Entries:
-      return fires(Point::entries_lost);
+      return fires(FaultPoint::entries_lost);
     default:
       return false;
   }
@@ -181,7 +181,7 @@
     connection_bytes_ += send.bytes.size();
     mesh_to_[node_->mesh.zone_of(send.connection)] += send.bytes.size();
     frame_bytes_[flatbuffers::GetSizePrefixedRoot<wire::Frame>(send.bytes.data())->body_type()] += send.bytes.size();
-    if (settings_.faults && fires(Point::frame_corrupted))
+    if (settings_.faults && fires(FaultPoint::frame_corrupted))
       for (std::size_t i = 4; i < send.bytes.size(); ++i) send.bytes[i] = static_cast<char>(send.bytes[i] ^ 0x5a);
     connections_->send(send.connection, send.bytes);
   }
@@ -201,7 +201,7 @@
   for (std::uint64_t const id : out.chat.drops) attempts_->cut(id);
   for (Reply const& item : out.replies) reply(item);
   if (out.read_list) {
-    if (fires(Point::list_fail)) {
+    if (fires(FaultPoint::list_fail)) {
       NodeOut more;
       node_->list(std::nullopt, true, now(), more);
       act(more);
@@ -211,7 +211,7 @@
                        std::optional<std::vector<ListRow>> rows;
                        if (good) {
                          Result<std::vector<ListRow>> read =
-                             read_list(fires(Point::list_torn) ? body.substr(0, body.size() / 2) : body);
+                             read_list(fires(FaultPoint::list_torn) ? body.substr(0, body.size() / 2) : body);
                          if (read) rows = std::move(read.value());
                        }
                        NodeOut more;
@@ -221,7 +221,7 @@
     }
   }
   for (Check const& check : out.checks) {
-    if (fires_for(Point::cut_workers, check.worker) || fires(Point::vitals_fail)) {
+    if (fires_for(FaultPoint::cut_workers, check.worker) || fires(FaultPoint::vitals_fail)) {
       NodeOut more;
       node_->health_report(check, std::nullopt, false, now(), more);
       act(more);
@@ -241,20 +241,20 @@
   }
 }
 
-void Host::refuse(std::uint64_t id, Fault const& fault) {
-  ++kinds_[kind_row(fault.kind).name];
-  front_->answer(id, answer_for(fault));
+void Host::refuse(std::uint64_t id, Error const& error) {
+  ++kinds_[error_code_row(error.code).name];
+  front_->answer(id, answer_for(error));
 }
 
 void Host::finish(Verdict const& verdict) {
-  ++kinds_[kind_row(verdict.fault.kind).name];
-  Answer const out = answer_for(verdict.fault, verdict.ran, verdict.wait);
+  ++kinds_[error_code_row(verdict.error.code).name];
+  Answer const out = answer_for(verdict.error, verdict.execution, verdict.wait);
   std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(verdict.chat_request);
   if (spot == callers_.end()) return;
   bool const begun = spot->second.begun;
   callers_.erase(spot);
   if (begun) {
-    log_event(Event::stream_broke, kind_row(verdict.fault.kind).name);
+    log_event(Event::stream_broke, error_code_row(verdict.error.code).name);
     front_->break_off(verdict.chat_request, "event: error\ndata: " + out.body + "\n\n");
   } else {
     front_->answer(verdict.chat_request, out);
--- a/src/runtime/host.h
+++ b/src/runtime/host.h
@@ -37,7 +37,7 @@
   void on_chat_request(Front::Call const& call, bool chat);
   void on_operator(Front::Call const& call);
   void on_fault(Front::Call const& call);
-  void refuse(std::uint64_t id, Fault const& fault);
+  void refuse(std::uint64_t id, Error const& error);
   void finish(Verdict const& verdict);
   void reply(Reply const& reply);
   std::string status() const;
--- a/src/runtime/http/front.cc
+++ b/src/runtime/http/front.cc
@@ -73,7 +73,7 @@
   if (!good) {
     std::string const why = error->message;
     g_error_free(error);
-    return fail(Kind::bad_settings, "http: " + address + " cannot be listened on: " + why);
+    return fail(ErrorCode::bad_settings, "http: " + address + " cannot be listened on: " + why);
   }
   return boost::outcome_v2::success();
 }
@@ -102,7 +102,7 @@
     ++host.broken;
     held->called = true;
     Answer const out =
-        answer_for(Fault{Kind::too_large, "a body has at most " + std::to_string(host.body_most_) + " bytes", ""});
+        answer_for(Error{ErrorCode::too_large, "a body has at most " + std::to_string(host.body_most_) + " bytes", ""});
     soup_message_headers_replace(soup_server_message_get_response_headers(message), "Connection", "close");
     host.answer(held->id, out);
     return;
--- a/src/runtime/http/legs.cc
+++ b/src/runtime/http/legs.cc
@@ -9,7 +9,7 @@
 
 namespace {
 constexpr std::size_t answer_most = 16u << 20;
-constexpr Micros reach = seconds(1);  // within which the connection to a worker must be open
+constexpr Micros progress = seconds(1);  // within which the connection to a worker must be open
 
 SoupSession* make_session(int most) {
   // §7.3: what libsoup does by itself is switched off: proxies, cookies, cached or shared connections.
@@ -85,7 +85,8 @@
   attempt->stop = g_cancellable_new();
   attempt->message = soup_message_new("POST", ("http://" + start.address + path).c_str());
   attempts_[start.chat_request] = attempt;
-  if (attempt->message == nullptr || fires(Point::attempt_unreached) || fires_for(Point::cut_workers, start.worker)) {
+  if (attempt->message == nullptr || fires(FaultPoint::attempt_unreached) ||
+      fires_for(FaultPoint::cut_workers, start.worker)) {
     std::shared_ptr<ChatAttempt>* const held = new std::shared_ptr<ChatAttempt>(attempt);
     g_idle_add(
         [](gpointer data) -> gboolean {
@@ -107,7 +108,7 @@
   soup_message_set_request_body_from_bytes(attempt->message, "application/json", bytes);
   g_bytes_unref(bytes);
   g_signal_connect(attempt->message, "starting", G_CALLBACK(on_starting), attempt.get());
-  arm(*attempt, reach);
+  arm(*attempt, progress);
   soup_session_send_async(session_, attempt->message, G_PRIORITY_DEFAULT, attempt->stop, on_head,
                           new std::shared_ptr<ChatAttempt>(attempt));
 }
@@ -119,7 +120,7 @@
   if (attempt.over) return;
   attempt.host->callbacks_.sent(attempt.start.chat_request);
   attempt.host->arm(attempt, attempt.start.answer);
-  if (fires(Point::attempt_break_sent)) g_cancellable_cancel(attempt.stop);
+  if (fires(FaultPoint::attempt_break_sent)) g_cancellable_cancel(attempt.stop);
 }
 
 void ChatUpstream::finish(ChatAttempt& attempt, ChatAttemptEnd end, std::string const& why, Micros back) {
@@ -226,7 +227,7 @@
     ++attempt.events;
     callbacks_.piece(attempt.start.chat_request, event);
     arm(attempt, attempt.start.stall);
-    if (fires(Point::attempt_break_begun)) return finish(attempt, ChatAttemptEnd::torn, "fault point 9");
+    if (fires(FaultPoint::attempt_break_begun)) return finish(attempt, ChatAttemptEnd::torn, "fault point 9");
   }
   if (attempt.pieces.size() > answer_most) finish(attempt, ChatAttemptEnd::wrong, "a piece is larger than the limit");
 }
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -18,8 +18,8 @@
   bool const get = call.method == "GET";
   if (call.path == "/health" && get) return front_->answer(call.id, 200, "application/json", "{\"ok\":true}");
   if (call.path == "/ready" && get) {
-    if (grace_until_ >= 0) return refuse(call.id, Fault{Kind::draining, "", ""});
-    if (!node_->ready()) return refuse(call.id, Fault{Kind::not_ready, "", ""});
+    if (grace_until_ >= 0) return refuse(call.id, Error{ErrorCode::draining, "", ""});
+    if (!node_->ready()) return refuse(call.id, Error{ErrorCode::not_ready, "", ""});
     return front_->answer(call.id, 200, "application/json", "{\"ready\":true}");
   }
   if (call.path == "/metrics" && get) return front_->answer(call.id, 200, "text/plain; version=0.0.4", metrics());
@@ -27,8 +27,8 @@
   if (call.path == "/faults" && settings_.faults) return on_fault(call);
   bool const chat = call.path == "/v1/chat/completions";
   if (chat || call.path == "/v1/completions") {
-    if (role_ != Role::router) return refuse(call.id, Fault{Kind::not_found, "a keeper serves no requests", ""});
-    if (call.method != "POST") return refuse(call.id, Fault{Kind::bad_method, "", ""});
+    if (role_ != Role::router) return refuse(call.id, Error{ErrorCode::not_found, "a keeper serves no requests", ""});
+    if (call.method != "POST") return refuse(call.id, Error{ErrorCode::bad_method, "", ""});
     return on_chat_request(call, chat);
   }
   on_operator(call);
@@ -37,13 +37,13 @@
 void Host::on_chat_request(Front::Call const& call, bool chat) {
   if (call.body.size() > settings_.body)
     return refuse(call.id,
-                  Fault{Kind::too_large, "a body has at most " + std::to_string(settings_.body) + " bytes", ""});
+                  Error{ErrorCode::too_large, "a body has at most " + std::to_string(settings_.body) + " bytes", ""});
   Result<Ask> ask = parse_ask(call.body, chat ? Form::chat : Form::completion);
   if (!ask) return refuse(call.id, ask.error());
   ask.value().lane = call.header("X-Pipit-Lane");
   std::string const repeat = call.header("X-Pipit-Repeat");
   if (!repeat.empty() && repeat != "safe" && repeat != "never")
-    return refuse(call.id, Fault{Kind::bad_request, "X-Pipit-Repeat takes safe or never", ""});
+    return refuse(call.id, Error{ErrorCode::bad_request, "X-Pipit-Repeat takes safe or never", ""});
   ask.value().safe = repeat == "safe";
   Caller caller;
   caller.id = settings_.name + "-" + std::to_string(node_->plan.incarnation) + "-" + std::to_string(call.id);
@@ -65,7 +65,7 @@
     } else if (call.method == "PUT") {
       std::string const expected = call.header("If-Match");
       if (expected.empty() || expected.size() > 18 || expected.find_first_not_of("0123456789") != std::string::npos)
-        return refuse(call.id, Fault{Kind::bad_request, "If-Match with the expected serial is needed", ""});
+        return refuse(call.id, Error{ErrorCode::bad_request, "If-Match with the expected serial is needed", ""});
       Result<std::shared_ptr<Description const>> const made = read_description(call.body);
       if (!made) {
         log_event(Event::change_refused, made.error().why);
@@ -75,7 +75,7 @@
       change.text = call.body;
       change.expected = std::stoull(expected);
     } else {
-      return refuse(call.id, Fault{Kind::bad_method, "", ""});
+      return refuse(call.id, Error{ErrorCode::bad_method, "", ""});
     }
   } else if (call.path.rfind("/v1/zones/", 0) == 0) {
     std::string const rest = call.path.substr(10);
@@ -87,18 +87,18 @@
     else if (verb == "refill")
       change.type = Change::Type::refill;
     else
-      return refuse(call.id, Fault{Kind::not_found, "", ""});
-    if (call.method != "POST") return refuse(call.id, Fault{Kind::bad_method, "", ""});
+      return refuse(call.id, Error{ErrorCode::not_found, "", ""});
+    if (call.method != "POST") return refuse(call.id, Error{ErrorCode::bad_method, "", ""});
     if (!node_->zone_known(change.text))
-      return refuse(call.id, Fault{Kind::unknown_zone, "nothing is known of the zone '" + change.text + "'", ""});
+      return refuse(call.id, Error{ErrorCode::unknown_zone, "nothing is known of the zone '" + change.text + "'", ""});
   } else if (call.path.rfind("/v1/nodes/", 0) == 0) {
     std::string const rest = call.path.substr(10);
     std::size_t const cut = rest.rfind('/');
     if (cut == std::string::npos || rest.substr(cut) != "/forget")
-      return refuse(call.id, Fault{Kind::not_found, "", ""});
-    if (call.method != "POST") return refuse(call.id, Fault{Kind::bad_method, "", ""});
+      return refuse(call.id, Error{ErrorCode::not_found, "", ""});
+    if (call.method != "POST") return refuse(call.id, Error{ErrorCode::bad_method, "", ""});
     std::string const name = rest.substr(0, cut);
-    if (std::optional<Fault> const why = node_->keeps(name)) return refuse(call.id, *why);
+    if (std::optional<Error> const why = node_->keeps(name)) return refuse(call.id, *why);
     change.type = Change::Type::evict_router;
     change.registration = *registration_of(*node_->learner.value, name);
   } else if (call.path.rfind("/v1/changes/", 0) == 0 && call.method == "GET") {
@@ -108,7 +108,7 @@
     node_->operate(call.id, std::move(change), now(), out);
     return act(out);
   } else {
-    return refuse(call.id, Fault{Kind::not_found, "", ""});
+    return refuse(call.id, Error{ErrorCode::not_found, "", ""});
   }
   asked_[call.id] = {change.type, ""};
   NodeOut out;
@@ -123,9 +123,9 @@
   asked_.erase(spot);
   Outcome const& outcome = item.outcome;
   if (outcome.type == Outcome::Type::refused || outcome.type == Outcome::Type::unknown) {
-    ++kinds_[kind_row(outcome.fault.kind).name];
-    KindRow const& row = kind_row(outcome.fault.kind);
-    Answer const out = answer_for(outcome.fault);
+    ++kinds_[error_code_row(outcome.error.code).name];
+    ErrorCodeRow const& row = error_code_row(outcome.error.code);
+    Answer const out = answer_for(outcome.error);
     std::map<std::string, std::string> more = {{"X-Pipit-Change", item.change}};
     if (row.wait > 0) more["Retry-After"] = std::to_string((row.wait + seconds(1) - 1) / seconds(1));
     return front_->answer(item.id, out.status, "application/json", out.body, more);
@@ -141,7 +141,7 @@
   }
   if (what.first == Change::Type::read) {
     std::uint64_t const serial = Proposer::serial_of(value, what.second);
-    if (serial == 0) return refuse(item.id, Fault{Kind::unknown_change, "", ""});
+    if (serial == 0) return refuse(item.id, Error{ErrorCode::unknown_change, "", ""});
     JsonWriter json;
     json.begin_object()
         .key("change")
@@ -178,12 +178,13 @@
     JsonWriter json;
     json.begin_object()
         .key("fired")
-        .number(static_cast<std::int64_t>(fault_count(static_cast<Point>(number))))
+        .number(static_cast<std::int64_t>(fault_count(static_cast<FaultPoint>(number))))
         .end_object();
     return front_->answer(call.id, 200, "application/json", json.take());
   }
   bool const good = call.method == "DELETE" ? disarm_fault(number) : arm_fault(number, arg, times);
-  if (!good) return refuse(call.id, Fault{Kind::not_found, "there is no fault point " + std::to_string(number), ""});
+  if (!good)
+    return refuse(call.id, Error{ErrorCode::not_found, "there is no fault point " + std::to_string(number), ""});
   front_->answer(call.id, 200, "application/json", "{\"ok\":true}");
 }
 
--- a/src/storage/record_store.cc
+++ b/src/storage/record_store.cc
@@ -79,7 +79,7 @@
   for (std::size_t i = 0; i < file_count; ++i)
     if (disk_.exists(file_name(i))) ++there;
   if (there != file_count)
-    return fail(Kind::bad_disk,
+    return fail(ErrorCode::bad_disk,
                 "the record store has " + std::to_string(there) + " of its " + std::to_string(file_count) + " files");
   Files files;
   for (std::size_t i = 0; i < file_count; ++i) {
@@ -93,14 +93,14 @@
 Result<wire::RecordT> RecordStore::unpack(std::string const& body) const {
   flatbuffers::Verifier check(reinterpret_cast<std::uint8_t const*>(body.data()), body.size(), deepest_table,
                               most_tables);
-  if (!check.VerifyBuffer<wire::Record>(nullptr)) return fail(Kind::bad_disk, "the record does not verify");
+  if (!check.VerifyBuffer<wire::Record>(nullptr)) return fail(ErrorCode::bad_disk, "the record does not verify");
   wire::RecordT record;
   flatbuffers::GetRoot<wire::Record>(body.data())->UnPackTo(&record);
   if (record.cluster != cluster_ || record.name != node_)
-    return fail(Kind::bad_disk, "the data folder belongs to " + record.name + " of cluster " + record.cluster);
+    return fail(ErrorCode::bad_disk, "the data folder belongs to " + record.name + " of cluster " + record.cluster);
   if (record.format > record_format)
-    return fail(Kind::bad_disk, "the record has format " + std::to_string(record.format) +
-                                    ", this program reads up to " + std::to_string(record_format));
+    return fail(ErrorCode::bad_disk, "the record has format " + std::to_string(record.format) +
+                                         ", this program reads up to " + std::to_string(record_format));
   record.format = record_format;
   return record;
 }
@@ -128,14 +128,14 @@
   if (!read) return read.as_failure();
   Files const& files = read.value();
   File const* const last = newest(files);
-  if (last == nullptr) return fail(Kind::bad_disk, "no record of the store is intact");
+  if (last == nullptr) return fail(ErrorCode::bad_disk, "no record of the store is intact");
   // A power cut tears the one file that was being written. Both copies corrupt is decay of the disk, and what was in
   // them may have been answered for: then the replica must not go on with something older.
   for (std::size_t first = 0; first < file_count; first += copies) {
     File const& one = files[first];
     File const& other = files[first + 1];
     if (!one.intact && !other.intact && !(one.empty && other.empty))
-      return fail(Kind::bad_disk, "both copies of a record are corrupt (" + file_name(first) + ")");
+      return fail(ErrorCode::bad_disk, "both copies of a record are corrupt (" + file_name(first) + ")");
   }
   Result<wire::RecordT> record = unpack(last->body);
   if (!record) return record;
@@ -160,7 +160,8 @@
   header.sequence = ++sequence_;
   header.size = body.size();
   header.checksum = checksum_of(sequence_, body);
-  if (sizeof header + body.size() > largest_file) return fail(Kind::bad_disk, "the record is larger than its file");
+  if (sizeof header + body.size() > largest_file)
+    return fail(ErrorCode::bad_disk, "the record is larger than its file");
   std::string bytes(reinterpret_cast<char const*>(&header), sizeof header);
   bytes += body;
   std::size_t const first = (sequence_ % (file_count / copies)) * copies;
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -160,7 +160,7 @@
   worker("w");
   EXPECT_EQ(place(1, "nowhere"), "");
   ASSERT_EQ(out.denials.size(), 1u);
-  EXPECT_EQ(out.denials[0].kind, Kind::not_found);
+  EXPECT_EQ(out.denials[0].kind, ErrorCode::not_found);
   EXPECT_EQ(out.denials[0].wait, 0);
   EXPECT_TRUE(free_of_work());
 }
@@ -169,7 +169,7 @@
   dispatcher.in_force(std::make_shared<Description>());
   place(1, "once");
   ASSERT_EQ(out.denials.size(), 1u);
-  EXPECT_EQ(out.denials[0].kind, Kind::not_ready);
+  EXPECT_EQ(out.denials[0].kind, ErrorCode::not_ready);
   EXPECT_GT(out.denials[0].wait, 0);
 }
 
@@ -253,7 +253,7 @@
     EXPECT_TRUE(out.empty()) << "a worker may come in the next moment";
     wait(seconds(5));
     ASSERT_EQ(out.denials.size(), 1u) << route;
-    EXPECT_EQ(out.denials[0].kind, Kind::no_worker);
+    EXPECT_EQ(out.denials[0].kind, ErrorCode::no_worker);
     EXPECT_GT(out.denials[0].wait, 0);
     EXPECT_LT(now - came, seconds(1)) << "well before the caller gives up";
     EXPECT_TRUE(free_of_work());
@@ -434,7 +434,7 @@
   ASSERT_FALSE(started(1).empty());
   wait(seconds(5));
   ASSERT_EQ(out.denials.size(), 1u);
-  EXPECT_EQ(out.denials[0].kind, Kind::worker_silent);
+  EXPECT_EQ(out.denials[0].kind, ErrorCode::worker_silent);
   EXPECT_EQ(out.denials[0].wait, 0);
 }
 
--- a/tests/operators.cc
+++ b/tests/operators.cc
@@ -98,7 +98,7 @@
     ASSERT_EQ(label_at(0), 2u) << "it was taken";
     ASSERT_TRUE(answers.count(2)) << seed;
     EXPECT_EQ(answers[2].type, Outcome::Type::unknown) << seed;
-    EXPECT_EQ(answers[2].fault.kind, Kind::change_unknown) << seed;
+    EXPECT_EQ(answers[2].error.code, ErrorCode::change_unknown) << seed;
   }
 }
 
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -188,7 +188,7 @@
     std::string const group =
         std::string(row.key).substr(0, std::string(row.key).rfind("listen_addresses.") == 0 ? 16 : 64);
     EXPECT_NE(plan.error().why.find(group), std::string::npos) << row.key << ": " << plan.error().why;
-    EXPECT_EQ(plan.error().kind, Kind::bad_settings);
+    EXPECT_EQ(plan.error().code, ErrorCode::bad_settings);
   }
 }
 
@@ -356,14 +356,14 @@
 
 namespace {
 // The answer to an Amend that builds on this label; nothing when it goes on.
-std::optional<Kind> refusal_of(wire::ValueT const& present, std::uint64_t expected, std::string const& id) {
+std::optional<ErrorCode> refusal_of(wire::ValueT const& present, std::uint64_t expected, std::string const& id) {
   Change change;
   change.type = Change::Type::apply;
   change.id = id;
   change.expected = expected;
   AmendStep const step = amend_step(present, change, "{\"version\": 900000}");
-  Fault const* const fault = std::get_if<Fault>(&step);
-  return fault == nullptr ? std::nullopt : std::optional<Kind>(fault->kind);
+  Error const* const fault = std::get_if<Error>(&step);
+  return fault == nullptr ? std::nullopt : std::optional<ErrorCode>(fault->kind);
 }
 }  // namespace
 
@@ -376,12 +376,12 @@
     remember_order(present, "order-" + std::to_string(n));
   }
   // Order 10 was based on label 27 and is forgotten; order 11, based on 30, is remembered.
-  EXPECT_EQ(refusal_of(present, 27, "order-10"), Kind::change_unknown);
-  EXPECT_EQ(refusal_of(present, 27, "never taken"), Kind::change_unknown);
+  EXPECT_EQ(refusal_of(present, 27, "order-10"), ErrorCode::change_unknown);
+  EXPECT_EQ(refusal_of(present, 27, "never taken"), ErrorCode::change_unknown);
   EXPECT_EQ(refusal_of(present, 30, "order-11"), std::nullopt);
-  EXPECT_EQ(refusal_of(present, 30, "never taken"), Kind::stale_serial);
+  EXPECT_EQ(refusal_of(present, 30, "never taken"), ErrorCode::stale_serial);
   EXPECT_EQ(refusal_of(present, present.label, "fits"), std::nullopt);
-  EXPECT_EQ(refusal_of(present, present.label + 1, "builds on one to come"), Kind::change_unknown);
+  EXPECT_EQ(refusal_of(present, present.label + 1, "builds on one to come"), ErrorCode::change_unknown);
 }
 
 TEST(Configurations, a_description_of_another_make_has_no_source) {
@@ -470,7 +470,7 @@
   for (std::uint64_t const based : {std::uint64_t(0), std::uint64_t(9)}) {
     Outcome const out = ask("c" + std::to_string(based), "two", based, 12);
     EXPECT_EQ(out.type, Outcome::Type::refused);
-    EXPECT_EQ(out.fault.kind, Kind::stale_serial) << based;
+    EXPECT_EQ(out.error.code, ErrorCode::stale_serial) << based;
     EXPECT_EQ(out.value.text, "one");
     EXPECT_EQ(out.value.label, 10u);
   }
@@ -481,7 +481,7 @@
   ask("a", "one", 0, 10);
   Outcome const out = ask("c", "three", 11, 12);
   EXPECT_EQ(out.type, Outcome::Type::unknown);
-  EXPECT_EQ(out.fault.kind, Kind::change_unknown);
+  EXPECT_EQ(out.error.code, ErrorCode::change_unknown);
   Outcome const next = ask("b", "two", 10, 11);
   EXPECT_EQ(next.value.text, "two") << "what was unclear changed nothing";
   EXPECT_EQ(ask("c", "three", 11, 12).type, Outcome::Type::chosen);
@@ -492,11 +492,11 @@
   for (std::uint64_t const label : {std::uint64_t(10), std::uint64_t(9), std::uint64_t(1)}) {
     Outcome const out = ask("c" + std::to_string(label), "two", 10, label);
     EXPECT_EQ(out.type, Outcome::Type::refused);
-    EXPECT_EQ(out.fault.kind, Kind::bad_description) << label;
+    EXPECT_EQ(out.error.code, ErrorCode::bad_description) << label;
     EXPECT_EQ(out.value.text, "one");
   }
   // What is both is stale: the operator looks again first.
-  EXPECT_EQ(ask("d", "two", 3, 4).fault.kind, Kind::stale_serial);
+  EXPECT_EQ(ask("d", "two", 3, 4).error.code, ErrorCode::stale_serial);
 }
 
 TEST_F(Versions, a_change_that_is_repeated_is_the_same_change) {
@@ -515,7 +515,7 @@
 
 TEST_F(Versions, of_serials_and_labels_each_goes_by_its_own) {
   ask("a", "one", 0, 10);
-  EXPECT_EQ(ask("b", "two", 10, 0).fault.kind, Kind::stale_serial);
+  EXPECT_EQ(ask("b", "two", 10, 0).error.code, ErrorCode::stale_serial);
   Outcome const out = ask("c", "two", 1, 0);
   EXPECT_EQ(out.type, Outcome::Type::chosen);
   EXPECT_EQ(out.value.label, 10u);
--- a/tests/record_store.cc
+++ b/tests/record_store.cc
@@ -24,7 +24,7 @@
   Result<void> write(std::string const& name, std::string const& bytes) override {
     if (writes_left == 0) {
       files[name].replace(0, bytes.size() / 2, bytes.substr(0, bytes.size() / 2));
-      return fail(Kind::bad_disk, "power");
+      return fail(ErrorCode::bad_disk, "power");
     }
     if (writes_left > 0) --writes_left;
     files[name].replace(0, bytes.size(), bytes);
--- a/tests/register.cc
+++ b/tests/register.cc
@@ -48,23 +48,24 @@
 
   // Asks for a change and lets the proposer's messages reach these replicas only. 'accepted_by', when given, narrows
   // whom its accepts reach.
-  void ask(std::string const& who, Change change, std::vector<std::string> const& reach,
+  void ask(std::string const& who, Change change, std::vector<std::string> const& progress,
            std::vector<std::string> const& accepted_by = {}) {
     Proposer& from = proposer(who);
     EXPECT_TRUE(from.ask(
         std::move(change), [this, who](Outcome const& out) { outcomes[who].push_back(out); }, now));
-    run(who, reach, accepted_by.empty() ? reach : accepted_by);
+    run(who, progress, accepted_by.empty() ? progress : accepted_by);
   }
 
-  void run(std::string const& who, std::vector<std::string> const& reach, std::vector<std::string> const& accepted_by) {
+  void run(std::string const& who, std::vector<std::string> const& progress,
+           std::vector<std::string> const& accepted_by) {
     for (int count = 0; count < 60 && proposer(who).waiting() > 0; ++count) {
-      turn(who, reach, accepted_by);
+      turn(who, progress, accepted_by);
       now += millis(100);
     }
   }
 
   // One tick of a proposer, and all that follows from it at once.
-  void turn(std::string const& who, std::vector<std::string> const& reach,
+  void turn(std::string const& who, std::vector<std::string> const& progress,
             std::vector<std::string> const& accepted_by) {
     Proposer& from = proposer(who);
     std::vector<OutgoingMessage> outgoing;
@@ -74,7 +75,7 @@
       batch.swap(outgoing);
       for (OutgoingMessage& item : batch) {
         bool const accept = item.body.AsAccept() != nullptr;
-        std::vector<std::string> const& to = accept ? accepted_by : reach;
+        std::vector<std::string> const& to = accept ? accepted_by : progress;
         if (std::find(to.begin(), to.end(), item.to) == to.end()) continue;
         for (OutgoingMessage& answer : deliver(item.to, who, std::move(item.body)))
           from.take(item.to, answer.body, now, outgoing);
@@ -198,7 +199,7 @@
 // more rarely than the first one's changes, so that a ballot just above the last refusal is outbid every time.
 TEST(Ballots, a_change_of_members_is_not_starved_by_a_storm_at_another_proposer) {
   Cluster cluster(members_of(1, {"k1", "k2", "k3"}), {"k4"});
-  std::vector<std::string> const reach{"k1", "k2", "k4"};
+  std::vector<std::string> const progress{"k1", "k2", "k4"};
   std::uint64_t label = 0;
   bool over = false;
   Change replace = cluster.admit("k4", 1);
@@ -208,8 +209,8 @@
       std::move(replace), [&over](Outcome const& out) { over = out.type == Outcome::Type::chosen; }, cluster.now));
   for (int turn = 0; turn < 12 && !over; ++turn) {
     for (int change = 0; change < 2; ++change, ++label)
-      cluster.ask("p1", cluster.apply("text-" + std::to_string(label), label, label + 1), reach);
-    cluster.turn("p2", reach, reach);
+      cluster.ask("p1", cluster.apply("text-" + std::to_string(label), label, label + 1), progress);
+    cluster.turn("p2", progress, progress);
   }
   EXPECT_TRUE(over);
   EXPECT_EQ(cluster.proposer("p2").membership().epoch, 3u);
@@ -344,7 +345,7 @@
   std::vector<std::string> const all{"k1", "k2", "k3"};
   cluster.ask("p1", cluster.apply("on two", 2, 3), all);
   EXPECT_EQ(cluster.last("p1").type, Outcome::Type::unknown);
-  EXPECT_EQ(cluster.last("p1").fault.kind, Kind::change_unknown);
+  EXPECT_EQ(cluster.last("p1").error.code, ErrorCode::change_unknown);
   cluster.ask("p2", cluster.apply("two", 0, 2), all);
   EXPECT_EQ(cluster.last("p2").type, Outcome::Type::chosen);
   cluster.ask("p2", cluster.apply("on two", 2, 3), all);
--- a/tests/rules.cc
+++ b/tests/rules.cc
@@ -55,7 +55,7 @@
     Result<Binding> const made = compile_binding(row.code);
     ASSERT_FALSE(made) << row.code;
     EXPECT_EQ(made.error().place, row.place) << row.code << ": " << made.error().why;
-    EXPECT_EQ(made.error().kind, Kind::bad_language);
+    EXPECT_EQ(made.error().code, ErrorCode::bad_language);
   }
   for (char const* const code : {"wait 2", "wait 0s", "urgency 10", "repeat maybe", "wait 1s; wait 2s", "colour red",
                                  "tries 0", "wait 1s urgency 2"})
@@ -71,32 +71,32 @@
 TEST(Description, refusals_name_their_path) {
   struct Row {
     char const* text;
-    Kind kind;
+    ErrorCode kind;
     char const* place;
   };
   Row const rows[] = {
-      {"{\"format\":1,\n \"pools\":[}", Kind::bad_json, "line 2, column 11"},
-      {"", Kind::bad_json, "line 1, column 1"},
-      {"[]", Kind::bad_description, "$"},
-      {"{\"format\":1,\"pools\":[]}", Kind::bad_description, "$"},
-      {"{\"format\":2,\"pools\":[],\"lanes\":[]}", Kind::bad_description, "$.format"},
-      {"{\"format\":1,\"format\":1,\"pools\":[],\"lanes\":[]}", Kind::bad_description, "$.format"},
-      {"{\"format\":1,\"pools\":[{\"name\":\"a\",\"model\":\"m\",\"size\":1}],\"lanes\":[]}", Kind::bad_description,
-       "$.pools[0].size"},
-      {"{\"format\":1,\"pools\":[{\"name\":\"a\",\"model\":\"m\",\"slots\":0}],\"lanes\":[]}", Kind::bad_description,
-       "$.pools[0].slots"},
+      {"{\"format\":1,\n \"pools\":[}", ErrorCode::bad_json, "line 2, column 11"},
+      {"", ErrorCode::bad_json, "line 1, column 1"},
+      {"[]", ErrorCode::bad_description, "$"},
+      {"{\"format\":1,\"pools\":[]}", ErrorCode::bad_description, "$"},
+      {"{\"format\":2,\"pools\":[],\"lanes\":[]}", ErrorCode::bad_description, "$.format"},
+      {"{\"format\":1,\"format\":1,\"pools\":[],\"lanes\":[]}", ErrorCode::bad_description, "$.format"},
+      {"{\"format\":1,\"pools\":[{\"name\":\"a\",\"model\":\"m\",\"size\":1}],\"lanes\":[]}",
+       ErrorCode::bad_description, "$.pools[0].size"},
+      {"{\"format\":1,\"pools\":[{\"name\":\"a\",\"model\":\"m\",\"slots\":0}],\"lanes\":[]}",
+       ErrorCode::bad_description, "$.pools[0].slots"},
       {"{\"format\":1,\"pools\":[],\"lanes\":[{\"name\":\"l\",\"binding\":\"match always; pool a\"}]}",
-       Kind::bad_description, "$.lanes[0].binding"},
-      {"{\"format\":1,\"pools\":[],\"lanes\":[{\"name\":\"l\",\"binding\":\"match; pool a\"}]}", Kind::bad_language,
-       "$.lanes[0].binding: line 1, column 6"},
+       ErrorCode::bad_description, "$.lanes[0].binding"},
+      {"{\"format\":1,\"pools\":[],\"lanes\":[{\"name\":\"l\",\"binding\":\"match; pool a\"}]}",
+       ErrorCode::bad_language, "$.lanes[0].binding: line 1, column 6"},
   };
   for (Row const& row : rows) {
     Result<std::shared_ptr<Description const>> const made = read_description(row.text);
     ASSERT_FALSE(made) << row.text;
-    EXPECT_EQ(made.error().kind, row.kind) << row.text;
+    EXPECT_EQ(made.error().code, row.kind) << row.text;
     EXPECT_EQ(made.error().place, row.place) << row.text << ": " << made.error().why;
   }
-  EXPECT_EQ(read_description(std::string(description_limit + 1, ' ')).error().kind, Kind::too_large);
+  EXPECT_EQ(read_description(std::string(description_limit + 1, ' ')).error().code, ErrorCode::too_large);
 }
 
 }  // namespace pipit
