--- a/src/mesh/ledger/ledger.cc
+++ b/src/mesh/ledger/ledger.cc
@@ -14,7 +14,7 @@
 }
 // What is forgotten after a while: workers that are gone, and marks that nodes set besides an owner.
 bool passing(wire::EntryT const& item) {
-  return item.state == static_cast<std::uint8_t>(Standing::gone) || beside_owner(item.key);
+  return item.state == static_cast<std::uint8_t>(WorkerState::ended) || beside_owner(item.key);
 }
 }  // namespace
 
@@ -24,8 +24,8 @@
 }
 
 bool EntryTable::put(wire::EntryT item, Micros now) {
-  std::map<std::string, wire::EntryT>::iterator const spot = items_.find(item.key);
-  if (spot != items_.end() && spot->second.owner == self_ && same(spot->second, item)) return false;
+  std::map<std::string, wire::EntryT>::iterator const position = items_.find(item.key);
+  if (position != items_.end() && position->second.owner == self_ && same(position->second, item)) return false;
   item.owner = self_;
   item.stamp = ++clock_;
   if (passing(item))
@@ -40,8 +40,9 @@
 bool EntryTable::merge(std::string const& from, wire::EntryT const& item, Micros now) {
   if (item.key.empty() || item.state > 2) return false;
   clock_ = std::max(clock_, item.stamp);
-  std::map<std::string, wire::EntryT>::iterator const spot = items_.find(item.key);
-  if (spot != items_.end() && std::tie(spot->second.stamp, spot->second.owner) >= std::tie(item.stamp, item.owner))
+  std::map<std::string, wire::EntryT>::iterator const position = items_.find(item.key);
+  if (position != items_.end() &&
+      std::tie(position->second.stamp, position->second.owner) >= std::tie(item.stamp, item.owner))
     return false;
   if (passing(item))
     gone_at_[item.key] = now;
@@ -72,10 +73,10 @@
 
 wire::EntriesT EntryTable::batch(std::string const& peer, bool again) {
   wire::EntriesT out;
-  std::map<std::string, Debt>::iterator const spot = owed_.find(peer);
-  if (spot == owed_.end() || spot->second.keys.empty()) return out;
+  std::map<std::string, Debt>::iterator const position = owed_.find(peer);
+  if (position == owed_.end() || position->second.keys.empty()) return out;
   std::vector<std::pair<std::string, std::uint64_t>> sent;
-  for (std::pair<std::string const, Owed>& key : spot->second.keys) {
+  for (std::pair<std::string const, Owed>& key : position->second.keys) {
     if (key.second.flown && !again) continue;
     std::map<std::string, wire::EntryT>::const_iterator const item = items_.find(key.first);
     if (item == items_.end()) continue;
@@ -87,15 +88,15 @@
   if (sent.empty()) return out;
   out.batch = ++next_;
   // Only the latest few batches can still be acked; older ones are resent with a number of their own.
-  while (spot->second.flying.size() >= 8) spot->second.flying.erase(spot->second.flying.begin());
-  spot->second.flying[out.batch] = std::move(sent);
+  while (position->second.flying.size() >= 8) position->second.flying.erase(position->second.flying.begin());
+  position->second.flying[out.batch] = std::move(sent);
   return out;
 }
 
 void EntryTable::acked(std::string const& peer, std::uint64_t batch) {
-  std::map<std::string, Debt>::iterator const spot = owed_.find(peer);
-  if (spot == owed_.end()) return;
-  Debt& debt = spot->second;
+  std::map<std::string, Debt>::iterator const position = owed_.find(peer);
+  if (position == owed_.end()) return;
+  Debt& debt = position->second;
   std::map<std::uint64_t, std::vector<std::pair<std::string, std::uint64_t>>>::iterator const fly =
       debt.flying.find(batch);
   if (fly == debt.flying.end()) return;
@@ -107,8 +108,8 @@
 }
 
 bool EntryTable::told(std::string const& peer, std::string const& key) const {
-  std::map<std::string, Debt>::const_iterator const spot = owed_.find(peer);
-  return spot != owed_.end() && items_.count(key) > 0 && spot->second.keys.count(key) == 0;
+  std::map<std::string, Debt>::const_iterator const position = owed_.find(peer);
+  return position != owed_.end() && items_.count(key) > 0 && position->second.keys.count(key) == 0;
 }
 
 std::uint64_t EntryTable::digest() const {
--- a/src/mesh/ledger/ledger.h
+++ b/src/mesh/ledger/ledger.h
@@ -10,7 +10,7 @@
 
 namespace pipit {
 
-enum class Standing : std::uint8_t { serving, leaving, gone };
+enum class WorkerState : std::uint8_t { serving, draining, ended };
 
 // An entry's key is its worker, or "worker!node" for what a node says besides the owner (§4.3).
 inline bool beside_owner(std::string const& key) { return key.find('!') != std::string::npos; }
--- a/src/mesh/members/member_table.cc
+++ b/src/mesh/members/member_table.cc
@@ -7,7 +7,7 @@
 
 namespace pipit {
 
-char const* state_word(State state) {
+char const* state_name(State state) {
   static char const* const words[] = {"alive", "suspected", "down", "leaving"};
   return words[static_cast<std::size_t>(state) & 3];
 }
@@ -52,8 +52,8 @@
   }
   std::map<std::string, std::uint64_t>::const_iterator const gone = evicted.find(item.name);
   if (gone != evicted.end() && item.incarnation <= gone->second) return MergeResult::none;
-  std::map<std::string, Peer>::iterator const spot = peers.find(item.name);
-  if (spot == peers.end()) {
+  std::map<std::string, Peer>::iterator const position = peers.find(item.name);
+  if (position == peers.end()) {
     Peer peer;
     peer.member = item;
     peer.since = now;
@@ -63,7 +63,7 @@
     announce(item.name, static_cast<State>(item.state));
     return MergeResult::fresh;
   }
-  Peer& peer = spot->second;
+  Peer& peer = position->second;
   if (rank(item) <= rank(peer.member)) return MergeResult::none;
   State const old = peer.state();
   if (item.incarnation > peer.member.incarnation) peer.refuse(false, now);
@@ -93,8 +93,8 @@
 
 void MemberTable::register_router(wire::RouterRegistrationT const& item, Micros now) {
   if (item.name == self.name) return;
-  std::map<std::string, Peer>::iterator const spot = peers.find(item.name);
-  if (spot != peers.end() && spot->second.member.incarnation >= item.incarnation) return;
+  std::map<std::string, Peer>::iterator const position = peers.find(item.name);
+  if (position != peers.end() && position->second.member.incarnation >= item.incarnation) return;
   // A incarnation that this node has not heard of: dialled on, and no older proof that nobody is there holds for it.
   Peer& peer = peers[item.name];
   bool const fresh = peer.member.name.empty();
@@ -121,10 +121,11 @@
 void MemberTable::evict(std::vector<std::unique_ptr<wire::RouterRegistrationT>> const& list) {
   evicted.clear();
   for (std::unique_ptr<wire::RouterRegistrationT> const& item : list) {
-    std::map<std::string, Peer>::iterator const spot = peers.find(item->name);
-    if (spot != peers.end() && (spot->second.connection != 0 || spot->second.member.incarnation > item->incarnation))
+    std::map<std::string, Peer>::iterator const position = peers.find(item->name);
+    if (position != peers.end() &&
+        (position->second.connection != 0 || position->second.member.incarnation > item->incarnation))
       continue;
-    if (spot != peers.end()) peers.erase(spot);
+    if (position != peers.end()) peers.erase(position);
     evicted[item->name] = item->incarnation;
   }
 }
--- a/src/mesh/members/member_table.h
+++ b/src/mesh/members/member_table.h
@@ -11,7 +11,7 @@
 
 enum class State : std::uint8_t { alive, suspected, down, leaving };
 enum class Role : std::uint8_t { router, config_store };
-char const* state_word(State state);
+char const* state_name(State state);
 
 struct Peer {
   wire::MemberT member;
--- a/src/mesh/mesh.cc
+++ b/src/mesh/mesh.cc
@@ -29,17 +29,17 @@
   seeds_ = std::move(fresh);
 }
 
-void Mesh::announce_self(Sends& out) {
+void Mesh::announce_self(ConnectionEffects& out) {
   ++members.self.bump;
   announce_member(members.self, out);
 }
 
-void Mesh::leave(Sends& out) {
+void Mesh::leave(ConnectionEffects& out) {
   members.self.state = static_cast<std::uint8_t>(State::leaving);
   announce_self(out);
 }
 
-void Mesh::announce_member(wire::MemberT const& member, Sends& out) {
+void Mesh::announce_member(wire::MemberT const& member, ConnectionEffects& out) {
   for (std::pair<std::string const, Peer> const& item : members.peers) {
     if (item.second.connection == 0) continue;
     wire::MembershipUpdateT update;
@@ -50,7 +50,7 @@
 
 // §3.6: what this node found out about another goes to some peers at once and to the rest on pings. All who find the
 // same at the same time would else tell everybody, each.
-void Mesh::find_member(wire::MemberT const& member, Sends& out) {
+void Mesh::find_member(wire::MemberT const& member, ConnectionEffects& out) {
   if (!wide()) return announce_member(member, out);
   int rounds = 3;
   for (std::size_t n = members.peers.size(); n > 0; n >>= 1) rounds += 3;
@@ -95,7 +95,7 @@
   return true;
 }
 
-void Mesh::repair_entries(std::string const& name, std::uint64_t theirs, Micros now, Sends& out) {
+void Mesh::repair_entries(std::string const& name, std::uint64_t theirs, Micros now, ConnectionEffects& out) {
   if (!wide() || !entries_repair_.due(entry_table.digest(), theirs, now)) return;
   entry_table.owe_all(name);
   wire::EntriesT batch = entry_table.batch(name, false);
@@ -112,9 +112,9 @@
 }
 
 bool Mesh::gone(std::string const& name) const {
-  std::map<std::string, Peer>::const_iterator const spot = members.peers.find(name);
-  if (spot == members.peers.end()) return false;
-  Peer const& peer = spot->second;
+  std::map<std::string, Peer>::const_iterator const position = members.peers.find(name);
+  if (position == members.peers.end()) return false;
+  Peer const& peer = position->second;
   return peer.connection == 0 && (peer.refused || peer.state() == State::leaving);
 }
 
@@ -146,7 +146,7 @@
   return members.table(since);
 }
 
-void Mesh::flush_entries(Sends& out, bool again) {
+void Mesh::flush_entries(ConnectionEffects& out, bool again) {
   for (std::pair<std::string const, Peer> const& item : members.peers) {
     if (item.second.connection == 0) continue;
     wire::EntriesT batch = entry_table.batch(item.first, again);
@@ -157,7 +157,7 @@
   }
 }
 
-void Mesh::take_table(std::vector<std::unique_ptr<wire::MemberT>> const& table, Micros now, Sends& out) {
+void Mesh::take_table(std::vector<std::unique_ptr<wire::MemberT>> const& table, Micros now, ConnectionEffects& out) {
   for (std::unique_ptr<wire::MemberT> const& item : table) {
     MemberTable::MergeResult const update = members.merge(*item, now);
     if (update == MemberTable::MergeResult::refuted) announce_member(members.self, out);
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -30,27 +30,27 @@
  public:
   Mesh(MeshPlan plan, wire::MemberT const& self, std::uint64_t seed);
 
-  void tick(Micros now, Sends& out);
-  void opened(ConnectionId id, bool outbound, std::string const& address, Micros now, Sends& out);
-  void shut(ConnectionId id, Micros now, Sends& out);
-  void dial_failed(std::string const& address, bool refused, Micros now, Sends& out);
+  void tick(Micros now, ConnectionEffects& out);
+  void opened(ConnectionId id, bool outbound, std::string const& address, Micros now, ConnectionEffects& out);
+  void shut(ConnectionId id, Micros now, ConnectionEffects& out);
+  void dial_failed(std::string const& address, bool refused, Micros now, ConnectionEffects& out);
 
   // Handles the mesh's own frames. For any other it returns the sender's name, for the planes above.
-  std::string frame(ConnectionId id, wire::FrameT& frame, Micros now, Sends& out);
+  std::string frame(ConnectionId id, wire::FrameT& frame, Micros now, ConnectionEffects& out);
 
   template <class T>
-  bool post(std::string const& name, T&& body, Sends& out) {
-    std::map<std::string, Peer>::const_iterator const spot = members.peers.find(name);
-    if (spot == members.peers.end() || spot->second.connection == 0) return false;
-    out.sends.push_back({spot->second.connection, encode_body(std::forward<T>(body))});
+  bool post(std::string const& name, T&& body, ConnectionEffects& out) {
+    std::map<std::string, Peer>::const_iterator const position = members.peers.find(name);
+    if (position == members.peers.end() || position->second.connection == 0) return false;
+    out.sends.push_back({position->second.connection, encode_body(std::forward<T>(body))});
     return true;
   }
 
   // This node's own record changed: a higher bump, told at once.
-  void announce_self(Sends& out);
-  void leave(Sends& out);
+  void announce_self(ConnectionEffects& out);
+  void leave(ConnectionEffects& out);
   // New entries go out without waiting for the round; the round sends again what was not acked.
-  void flush_entries(Sends& out, bool again = false);
+  void flush_entries(ConnectionEffects& out, bool again = false);
 
   // Other seeds than those that it began with; those that are known already are kept as they are.
   void reseed(std::vector<std::string> const& addresses);
@@ -100,29 +100,29 @@
     bool dialling = false;
   };
 
-  void greet(ConnectionId id, wire::HelloT const& hello, Micros now, Sends& out);
+  void greet(ConnectionId id, wire::HelloT const& hello, Micros now, ConnectionEffects& out);
   void owe_entries(std::string const& name, wire::HelloT const& hello);
-  void tell_met(ConnectionId id, std::string const& name, wire::HelloT const& hello, Sends& out);
+  void tell_met(ConnectionId id, std::string const& name, wire::HelloT const& hello, ConnectionEffects& out);
   // The table for a ping, its answer or a greeting: what changed since the last one on that connection, now and then
   // all.
   std::vector<std::unique_ptr<wire::MemberT>> table_for(ConnectionId id, bool whole);
-  void take_table(std::vector<std::unique_ptr<wire::MemberT>> const& table, Micros now, Sends& out);
-  void probe(Peer& peer, Micros now, Sends& out);
-  bool probe_through_others(std::string const& name, std::uint64_t seq, Sends& out);
-  void end_overdue_probes(Micros now, Sends& out);
-  void run_round(Micros now, Sends& out);
-  void probe_failed(std::string const& name, Micros now, Sends& out);
+  void take_table(std::vector<std::unique_ptr<wire::MemberT>> const& table, Micros now, ConnectionEffects& out);
+  void probe(Peer& peer, Micros now, ConnectionEffects& out);
+  bool probe_through_others(std::string const& name, std::uint64_t seq, ConnectionEffects& out);
+  void end_overdue_probes(Micros now, ConnectionEffects& out);
+  void run_round(Micros now, ConnectionEffects& out);
+  void probe_failed(std::string const& name, Micros now, ConnectionEffects& out);
   void probe_done(std::uint64_t seq, Micros now);
-  void announce_member(wire::MemberT const& member, Sends& out);
-  void find_member(wire::MemberT const& member, Sends& out);
+  void announce_member(wire::MemberT const& member, ConnectionEffects& out);
+  void find_member(wire::MemberT const& member, ConnectionEffects& out);
   std::vector<std::unique_ptr<wire::MemberT>> rumours();
   void heard(std::string const& name, std::uint64_t revision, std::uint64_t serial, bool ready);
   Micros quiet_span() const;
   Micros knock_span() const;
-  void dials(Micros now, Sends& out);
-  void dial(Peer& peer, Micros now, Sends& out);
+  void dials(Micros now, ConnectionEffects& out);
+  void dial(Peer& peer, Micros now, ConnectionEffects& out);
   void unbind(ConnectionId id, Micros now);
-  void drop(ConnectionId id, Micros now, Sends& out);
+  void drop(ConnectionId id, Micros now, ConnectionEffects& out);
 
   MeshPlan const plan_;
   RandomSource random_;
@@ -143,7 +143,7 @@
   };
   Repair table_repair_;
   Repair entries_repair_;
-  void repair_entries(std::string const& name, std::uint64_t theirs, Micros now, Sends& out);
+  void repair_entries(std::string const& name, std::uint64_t theirs, Micros now, ConnectionEffects& out);
   std::map<std::string, int> rumoured_;  // members of whom something is new, with how often it is still told
 };
 
--- a/src/mesh/mesh_connections.cc
+++ b/src/mesh/mesh_connections.cc
@@ -7,7 +7,7 @@
 
 namespace pipit {
 
-void Mesh::opened(ConnectionId id, bool outbound, std::string const& address, Micros now, Sends& out) {
+void Mesh::opened(ConnectionId id, bool outbound, std::string const& address, Micros now, ConnectionEffects& out) {
   connections_[id] = Connection{"", outbound, address, now, now, 0};
   if (outbound) {
     for (Seed& seed : seeds_)
@@ -27,10 +27,10 @@
 }
 
 void Mesh::unbind(ConnectionId id, Micros now) {
-  std::map<ConnectionId, Connection>::iterator const spot = connections_.find(id);
-  if (spot == connections_.end()) return;
-  std::string const name = spot->second.peer;
-  connections_.erase(spot);
+  std::map<ConnectionId, Connection>::iterator const position = connections_.find(id);
+  if (position == connections_.end()) return;
+  std::string const name = position->second.peer;
+  connections_.erase(position);
   if (name.empty()) return;
   log_event(Event::connection_closed, name);
   std::map<std::string, Peer>::iterator const who = members.peers.find(name);
@@ -45,15 +45,15 @@
   entry_table.drop(name);
 }
 
-void Mesh::drop(ConnectionId id, Micros now, Sends& out) {
+void Mesh::drop(ConnectionId id, Micros now, ConnectionEffects& out) {
   out.shuts.push_back(id);
   unbind(id, now);
 }
 
-void Mesh::shut(ConnectionId id, Micros now, Sends& out) {
-  std::map<ConnectionId, Connection>::const_iterator const spot = connections_.find(id);
-  if (spot == connections_.end()) return;
-  std::string const name = spot->second.peer;
+void Mesh::shut(ConnectionId id, Micros now, ConnectionEffects& out) {
+  std::map<ConnectionId, Connection>::const_iterator const position = connections_.find(id);
+  if (position == connections_.end()) return;
+  std::string const name = position->second.peer;
   unbind(id, now);
   std::map<std::string, Peer>::iterator const who = members.peers.find(name);
   if (who == members.peers.end() || who->second.connection != 0) return;
@@ -61,7 +61,7 @@
   if (state == State::alive || state == State::suspected) probe(who->second, now, out);
 }
 
-void Mesh::dial_failed(std::string const& address, bool refused, Micros now, Sends& out) {
+void Mesh::dial_failed(std::string const& address, bool refused, Micros now, ConnectionEffects& out) {
   for (Seed& seed : seeds_)
     if (seed.address == address) seed.dialling = false;
   for (std::pair<std::string const, Peer>& item : members.peers) {
@@ -83,7 +83,7 @@
   return wide() ? std::max(plan_.knock_most, static_cast<Micros>(members.peers.size()) * millis(50)) : plan_.knock_most;
 }
 
-void Mesh::dial(Peer& peer, Micros now, Sends& out) {
+void Mesh::dial(Peer& peer, Micros now, ConnectionEffects& out) {
   if (peer.dialling || peer.connection != 0 || now < peer.next_dial) return;
   for (Seed const& seed : seeds_)
     if (seed.dialling && seed.address == peer.member.address) return;
@@ -99,7 +99,7 @@
   out.dials.push_back(peer.member.address);
 }
 
-void Mesh::dials(Micros now, Sends& out) {
+void Mesh::dials(Micros now, ConnectionEffects& out) {
   for (std::pair<std::string const, Peer>& item : members.peers) {
     Peer& peer = item.second;
     if (peer.connection != 0 || peer.state() == State::leaving) continue;
@@ -124,7 +124,7 @@
   }
 }
 
-void Mesh::greet(ConnectionId id, wire::HelloT const& hello, Micros now, Sends& out) {
+void Mesh::greet(ConnectionId id, wire::HelloT const& hello, Micros now, ConnectionEffects& out) {
   if (hello.format != frame_format) {
     log_event(Event::foreign_cluster, "frames of format " + std::to_string(hello.format));
     drop(id, now, out);
@@ -193,7 +193,7 @@
 }
 
 // §3.3: the peer learns what is said of it, and answers with a higher bump if it is wrong.
-void Mesh::tell_met(ConnectionId id, std::string const& name, wire::HelloT const& hello, Sends& out) {
+void Mesh::tell_met(ConnectionId id, std::string const& name, wire::HelloT const& hello, ConnectionEffects& out) {
   if (wide() && hello.digest == members.digest()) return;
   bool const whole = !wide() || hello.members < members.peers.size() / 2;
   wire::MembershipUpdateT update;
--- a/src/mesh/mesh_frames.cc
+++ b/src/mesh/mesh_frames.cc
@@ -6,16 +6,16 @@
 
 namespace pipit {
 
-std::string Mesh::frame(ConnectionId id, wire::FrameT& frame, Micros now, Sends& out) {
-  std::map<ConnectionId, Connection>::iterator const spot = connections_.find(id);
-  if (spot == connections_.end()) return "";
+std::string Mesh::frame(ConnectionId id, wire::FrameT& frame, Micros now, ConnectionEffects& out) {
+  std::map<ConnectionId, Connection>::iterator const position = connections_.find(id);
+  if (position == connections_.end()) return "";
   ++frames_in;
-  spot->second.heard = now;
+  position->second.heard = now;
   if (wire::HelloT const* const hello = frame.body.AsHello()) {
-    if (spot->second.peer.empty()) greet(id, *hello, now, out);
+    if (position->second.peer.empty()) greet(id, *hello, now, out);
     return "";
   }
-  std::string const name = spot->second.peer;
+  std::string const name = position->second.peer;
   if (name.empty()) {
     log_event(Event::malformed_frame, "a frame before the greeting");
     drop(id, now, out);
@@ -53,7 +53,7 @@
       probe_done(pong.seq, now);
       std::map<std::uint64_t, Relay>::iterator const relay = relays_.find(pong.seq);
       if (relay != relays_.end()) {
-        wire::PingResT res;
+        wire::IndirectPongT res;
         res.seq = relay->second.seq;
         res.target = name;
         res.ok = true;
@@ -63,9 +63,9 @@
       }
       return "";
     }
-    case wire::Body::PingReq: {
-      wire::PingReqT const& req = *frame.body.AsPingReq();
-      std::map<std::string, Peer>::const_iterator const target = members.peers.find(req.target);
+    case wire::Body::IndirectPing: {
+      wire::IndirectPingT const& request_id = *frame.body.AsIndirectPing();
+      std::map<std::string, Peer>::const_iterator const target = members.peers.find(request_id.target);
       if (target == members.peers.end() || target->second.connection == 0) return "";
       std::uint64_t const seq = ++next_seq_;
       wire::PingT ping;
@@ -76,11 +76,11 @@
       ping.revision = members.self.revision;
       ping.serial = members.self.serial;
       ping.ready = members.self.ready;
-      if (post(req.target, std::move(ping), out)) relays_[seq] = Relay{id, req.seq, now + plan_.probe};
+      if (post(request_id.target, std::move(ping), out)) relays_[seq] = Relay{id, request_id.seq, now + plan_.probe};
       return "";
     }
-    case wire::Body::PingRes: {
-      wire::PingResT const& res = *frame.body.AsPingRes();
+    case wire::Body::IndirectPong: {
+      wire::IndirectPongT const& res = *frame.body.AsIndirectPong();
       if (res.ok) probe_done(res.seq, now);
       return "";
     }
--- a/src/mesh/mesh_probes.cc
+++ b/src/mesh/mesh_probes.cc
@@ -15,7 +15,7 @@
   return wide() ? std::max(plan_.quiet, static_cast<Micros>(members.peers.size()) * millis(200)) : plan_.quiet;
 }
 
-void Mesh::probe(Peer& peer, Micros now, Sends& out) {
+void Mesh::probe(Peer& peer, Micros now, ConnectionEffects& out) {
   for (std::pair<std::uint64_t const, Probe> const& item : probes_)
     if (item.second.peer == peer.member.name) return;
   std::uint64_t const seq = ++next_seq_;
@@ -36,14 +36,14 @@
 }
 
 void Mesh::probe_done(std::uint64_t seq, Micros now) {
-  std::map<std::uint64_t, Probe>::iterator const spot = probes_.find(seq);
-  if (spot == probes_.end()) return;
-  std::map<std::string, Peer>::iterator const who = members.peers.find(spot->second.peer);
+  std::map<std::uint64_t, Probe>::iterator const position = probes_.find(seq);
+  if (position == probes_.end()) return;
+  std::map<std::string, Peer>::iterator const who = members.peers.find(position->second.peer);
   if (who != members.peers.end()) who->second.refuse(false, now);
-  probes_.erase(spot);
+  probes_.erase(position);
 }
 
-void Mesh::probe_failed(std::string const& name, Micros now, Sends& out) {
+void Mesh::probe_failed(std::string const& name, Micros now, ConnectionEffects& out) {
   std::map<std::string, Peer>::iterator const who = members.peers.find(name);
   if (who == members.peers.end()) return;
   Peer& peer = who->second;
@@ -59,7 +59,7 @@
 }
 
 // Asks up to three other members to probe one that did not answer; false when there is nobody to ask.
-bool Mesh::probe_through_others(std::string const& name, std::uint64_t seq, Sends& out) {
+bool Mesh::probe_through_others(std::string const& name, std::uint64_t seq, ConnectionEffects& out) {
   std::vector<std::string> helpers;
   for (std::pair<std::string const, Peer> const& item : members.peers)
     if (item.first != name && item.second.connection != 0 && item.second.state() == State::alive)
@@ -67,10 +67,10 @@
   int asked = 0;
   while (!helpers.empty() && asked < indirect_probes) {
     std::size_t const pick = random_.below(helpers.size());
-    wire::PingReqT req;
-    req.seq = seq;
-    req.target = name;
-    post(helpers[pick], std::move(req), out);
+    wire::IndirectPingT request_id;
+    request_id.seq = seq;
+    request_id.target = name;
+    post(helpers[pick], std::move(request_id), out);
     helpers.erase(helpers.begin() + static_cast<std::ptrdiff_t>(pick));
     ++asked;
   }
@@ -78,7 +78,7 @@
 }
 
 // Probes that were not answered in time: a direct one is repeated through others, an indirect one has failed.
-void Mesh::end_overdue_probes(Micros now, Sends& out) {
+void Mesh::end_overdue_probes(Micros now, ConnectionEffects& out) {
   for (std::map<std::uint64_t, Probe>::iterator it = probes_.begin(); it != probes_.end();) {
     if (now < it->second.due) {
       ++it;
@@ -107,7 +107,7 @@
 }
 
 // One round: a probe of one member by chance and of each suspected one, entries sent again, and old things forgotten.
-void Mesh::run_round(Micros now, Sends& out) {
+void Mesh::run_round(Micros now, ConnectionEffects& out) {
   next_round_ = now + plan_.round;
   std::vector<Peer*> alive;
   for (std::pair<std::string const, Peer>& item : members.peers) {
@@ -128,7 +128,7 @@
   for (ConnectionId const id : stale) drop(id, now, out);
 }
 
-void Mesh::tick(Micros now, Sends& out) {
+void Mesh::tick(Micros now, ConnectionEffects& out) {
   end_overdue_probes(now, out);
   Micros const quiet = quiet_span();
   for (std::pair<std::string const, Peer>& item : members.peers)
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -38,25 +38,25 @@
 
   Connections::Callbacks we;
   we.opened = [this](ConnectionId id, bool outbound, std::string const& address) {
-    NodeOut out;
+    NodeEffects out;
     node_->opened(id, outbound, address, now(), out);
     act(out);
   };
   we.shut = [this](ConnectionId id) {
-    NodeOut out;
+    NodeEffects out;
     connection_names_.erase(id);
     node_->shut(id, now(), out);
     act(out);
   };
   we.failed = [this](std::string const& address, bool refused) {
-    NodeOut out;
+    NodeEffects out;
     node_->dial_failed(address, refused, now(), out);
     act(out);
   };
   we.frame = [this](ConnectionId id, std::string_view frame) {
     connection_bytes_ += frame.size();
     if (settings_.faults && dropped_in(id, frame)) return true;
-    NodeOut out;
+    NodeEffects out;
     bool const good = node_->bytes(id, frame, now(), out);
     act(out);
     return good;
@@ -66,20 +66,20 @@
   ChatUpstream::Callbacks le;
   le.sent = [this](std::uint64_t id) { node_->chat_attempt_sent(id); };
   le.piece = [this](std::uint64_t id, std::string const& event) {
-    std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(id);
-    if (spot == callers_.end()) return;
-    if (!spot->second.begun) {
-      spot->second.begun = true;
+    std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
+    if (position == callers_.end()) return;
+    if (!position->second.begun) {
+      position->second.begun = true;
       node_->chat_attempt_began(id);
     }
-    attempts_with_[spot->second.worker_zone] += event.size() + 2;
-    front_->piece(id, event + "\n\n", {{"X-Request-Id", spot->second.id}});
+    attempts_with_[position->second.worker_zone] += event.size() + 2;
+    front_->piece(id, event + "\n\n", {{"X-Request-Id", position->second.id}});
   };
   le.whole = [this](std::uint64_t id, std::string const& body) {
-    std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(id);
-    if (spot == callers_.end()) return;
-    attempts_with_[spot->second.worker_zone] += body.size();
-    front_->answer(id, 200, "application/json", body, {{"X-Request-Id", spot->second.id}});
+    std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
+    if (position == callers_.end()) return;
+    attempts_with_[position->second.worker_zone] += body.size();
+    front_->answer(id, 200, "application/json", body, {{"X-Request-Id", position->second.id}});
   };
   le.ended = [this](std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros back) {
     if (end == ChatAttemptEnd::done && callers_.count(id)) {
@@ -89,7 +89,7 @@
       }
       callers_.erase(id);
     }
-    NodeOut out;
+    NodeEffects out;
     node_->chat_attempt_ended(id, end, why, back, now(), out);
     act(out);
   };
@@ -100,7 +100,7 @@
   fe.gone = [this](std::uint64_t id) {
     asked_.erase(id);
     if (callers_.erase(id) == 0) return;
-    NodeOut out;
+    NodeEffects out;
     node_->hung_up(id, now(), out);
     act(out);
   };
@@ -115,7 +115,7 @@
         g_main_loop_quit(loop_);
         return;
       }
-      NodeOut out;
+      NodeEffects out;
       node_->disk_done(now(), out);
       act(out);
     });
@@ -149,8 +149,8 @@
 }
 
 bool Host::dropped_out(ConnectionId id, std::string const& frame) {
-  std::map<ConnectionId, std::string>::const_iterator const spot = connection_names_.find(id);
-  if (spot != connection_names_.end() && fires_for(FaultPoint::cut_out, spot->second)) return true;
+  std::map<ConnectionId, std::string>::const_iterator const position = connection_names_.find(id);
+  if (position != connection_names_.end() && fires_for(FaultPoint::cut_out, position->second)) return true;
   wire::Frame const* const seen = flatbuffers::GetSizePrefixedRoot<wire::Frame>(frame.data());
   switch (seen->body_type()) {
     case wire::Body::Chosen:
@@ -173,10 +173,10 @@
 }
 
 // The executor: obeys what the core decided.
-void Host::act(NodeOut& out) {
+void Host::act(NodeEffects& out) {
   if (out.save) disk_->save(std::move(*out.save));
   for (std::string const& address : out.mesh.dials) connections_->dial(address);
-  for (Sends::Send& send : out.mesh.sends) {
+  for (ConnectionEffects::Send& send : out.mesh.sends) {
     if (settings_.faults && dropped_out(send.connection, send.bytes)) continue;
     connection_bytes_ += send.bytes.size();
     mesh_to_[node_->mesh.zone_of(send.connection)] += send.bytes.size();
@@ -190,19 +190,19 @@
     connections_->shut(id);
   }
   for (Start const& start : out.chat.starts) {
-    std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(start.chat_request);
-    if (spot == callers_.end()) continue;
+    std::map<std::uint64_t, Caller>::iterator const position = callers_.find(start.chat_request);
+    if (position == callers_.end()) continue;
     Worker const* const worker = node_->fleet.find(start.worker);
-    spot->second.worker_zone = worker == nullptr ? "" : worker->row.zone;
-    attempts_with_[spot->second.worker_zone] += spot->second.body.size();
-    attempts_->start(start, spot->second.id, spot->second.path, spot->second.body, spot->second.stream);
+    position->second.worker_zone = worker == nullptr ? "" : worker->row.zone;
+    attempts_with_[position->second.worker_zone] += position->second.body.size();
+    attempts_->start(start, position->second.id, position->second.path, position->second.body, position->second.stream);
   }
   for (Verdict const& verdict : out.chat.ends) finish(verdict);
   for (std::uint64_t const id : out.chat.drops) attempts_->cut(id);
   for (Reply const& item : out.replies) reply(item);
   if (out.read_list) {
     if (fires(FaultPoint::list_fail)) {
-      NodeOut more;
+      NodeEffects more;
       node_->list(std::nullopt, true, now(), more);
       act(more);
     } else {
@@ -214,7 +214,7 @@
                              read_list(fires(FaultPoint::list_torn) ? body.substr(0, body.size() / 2) : body);
                          if (read) rows = std::move(read.value());
                        }
-                       NodeOut more;
+                       NodeEffects more;
                        node_->list(rows, refused || !body.empty(), now(), more);
                        act(more);
                      });
@@ -222,7 +222,7 @@
   }
   for (Check const& check : out.checks) {
     if (fires_for(FaultPoint::cut_workers, check.worker) || fires(FaultPoint::vitals_fail)) {
-      NodeOut more;
+      NodeEffects more;
       node_->health_report(check, std::nullopt, false, now(), more);
       act(more);
       continue;
@@ -234,7 +234,7 @@
                        Result<HealthReport> read = read_health_report(body);
                        if (read) report = read.value();
                      }
-                     NodeOut more;
+                     NodeEffects more;
                      node_->health_report(check, report, refused, now(), more);
                      act(more);
                    });
@@ -249,10 +249,10 @@
 void Host::finish(Verdict const& verdict) {
   ++kinds_[error_code_row(verdict.error.code).name];
   Answer const out = answer_for(verdict.error, verdict.execution, verdict.wait);
-  std::map<std::uint64_t, Caller>::iterator const spot = callers_.find(verdict.chat_request);
-  if (spot == callers_.end()) return;
-  bool const begun = spot->second.begun;
-  callers_.erase(spot);
+  std::map<std::uint64_t, Caller>::iterator const position = callers_.find(verdict.chat_request);
+  if (position == callers_.end()) return;
+  bool const begun = position->second.begun;
+  callers_.erase(position);
   if (begun) {
     log_event(Event::stream_broke, error_code_row(verdict.error.code).name);
     front_->break_off(verdict.chat_request, "event: error\ndata: " + out.body + "\n\n");
@@ -279,7 +279,7 @@
     if (now() < grace_until_) return;
     drain_until_ = now() + settings_.drain;
     front_->stop_listening();
-    NodeOut out;
+    NodeEffects out;
     node_->drain(now(), out);
     act(out);
   }
@@ -322,7 +322,7 @@
       tick_ms,
       [](gpointer data) -> gboolean {
         Host& host = *static_cast<Host*>(data);
-        NodeOut out;
+        NodeEffects out;
         // How late a tick comes tells the longest turn of the loop; a node that stood still is counted elsewhere.
         Micros const gap = now() - host.ticked_;
         if (host.ticked_ > 0 && gap < seconds(1))
--- a/src/runtime/host.h
+++ b/src/runtime/host.h
@@ -32,7 +32,7 @@
     std::string worker_zone;
     Micros came = 0;
   };
-  void act(NodeOut& out);
+  void act(NodeEffects& out);
   void on_call(Front::Call const& call);
   void on_chat_request(Front::Call const& call, bool chat);
   void on_operator(Front::Call const& call);
--- a/src/runtime/http/front.cc
+++ b/src/runtime/http/front.cc
@@ -66,10 +66,10 @@
   g_signal_connect(server_, "request-started", G_CALLBACK(on_started), this);
   soup_server_add_early_handler(server_, nullptr, on_headers, this, nullptr);
   soup_server_add_handler(server_, nullptr, on_call, this, nullptr);
-  GSocketAddress* const spot = g_inet_socket_address_new_from_string(host.c_str(), port);
+  GSocketAddress* const position = g_inet_socket_address_new_from_string(host.c_str(), port);
   GError* error = nullptr;
-  bool const good = soup_server_listen(server_, spot, static_cast<SoupServerListenOptions>(0), &error);
-  g_object_unref(spot);
+  bool const good = soup_server_listen(server_, position, static_cast<SoupServerListenOptions>(0), &error);
+  g_object_unref(position);
   if (!good) {
     std::string const why = error->message;
     g_error_free(error);
@@ -170,8 +170,8 @@
 
 gboolean Front::on_peer(GSocket* socket, GIOCondition condition, gpointer data) {
   Held& held = *static_cast<Held*>(data);
-  char spot = 0;
-  ssize_t const n = ::recv(g_socket_get_fd(socket), &spot, 1, MSG_PEEK | MSG_DONTWAIT);
+  char position = 0;
+  ssize_t const n = ::recv(g_socket_get_fd(socket), &position, 1, MSG_PEEK | MSG_DONTWAIT);
   if (n > 0) {
     // The next request came early; it is libsoup's to read. Hang-ups are then seen when writing.
     g_source_unref(held.watch);
@@ -194,10 +194,10 @@
   std::uint64_t const id = held.id;
   bool const log_event = gone && held.called && !held.answered;
   g_object_set_data(G_OBJECT(held.message), "pipit", nullptr);
-  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const spot = calls_.find(id);
-  if (spot == calls_.end()) return;
-  std::unique_ptr<Held> const last = std::move(spot->second);
-  calls_.erase(spot);
+  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const position = calls_.find(id);
+  if (position == calls_.end()) return;
+  std::unique_ptr<Held> const last = std::move(position->second);
+  calls_.erase(position);
   if (log_event) callbacks_.gone(id);
 }
 
@@ -219,9 +219,9 @@
 
 void Front::answer(std::uint64_t id, unsigned status, std::string const& type, std::string const& body,
                    std::map<std::string, std::string> const& more) {
-  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const spot = calls_.find(id);
-  if (spot == calls_.end()) return;
-  Held& held = *spot->second;
+  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const position = calls_.find(id);
+  if (position == calls_.end()) return;
+  Held& held = *position->second;
   held.answered = true;
   held.unwatch();
   SoupMessageHeaders* const head = soup_server_message_get_response_headers(held.message);
@@ -240,14 +240,14 @@
 }
 
 bool Front::streaming(std::uint64_t id) const {
-  std::map<std::uint64_t, std::unique_ptr<Held>>::const_iterator const spot = calls_.find(id);
-  return spot != calls_.end() && spot->second->stream;
+  std::map<std::uint64_t, std::unique_ptr<Held>>::const_iterator const position = calls_.find(id);
+  return position != calls_.end() && position->second->stream;
 }
 
 void Front::piece(std::uint64_t id, std::string const& bytes, std::map<std::string, std::string> const& more) {
-  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const spot = calls_.find(id);
-  if (spot == calls_.end()) return;
-  Held& held = *spot->second;
+  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const position = calls_.find(id);
+  if (position == calls_.end()) return;
+  Held& held = *position->second;
   SoupMessageBody* const body = soup_server_message_get_response_body(held.message);
   if (!held.stream) {
     held.stream = true;
@@ -290,19 +290,19 @@
 }
 
 void Front::end(std::uint64_t id) {
-  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const spot = calls_.find(id);
-  if (spot == calls_.end()) return;
-  spot->second->answered = true;
-  spot->second->unwatch();
-  soup_message_body_complete(soup_server_message_get_response_body(spot->second->message));
-  soup_server_message_unpause(spot->second->message);
+  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const position = calls_.find(id);
+  if (position == calls_.end()) return;
+  position->second->answered = true;
+  position->second->unwatch();
+  soup_message_body_complete(soup_server_message_get_response_body(position->second->message));
+  soup_server_message_unpause(position->second->message);
 }
 
 void Front::break_off(std::uint64_t id, std::string const& last) {
-  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const spot = calls_.find(id);
-  if (spot == calls_.end()) return;
-  spot->second->breaking = true;
-  spot->second->answered = true;
+  std::map<std::uint64_t, std::unique_ptr<Held>>::iterator const position = calls_.find(id);
+  if (position == calls_.end()) return;
+  position->second->breaking = true;
+  position->second->answered = true;
   piece(id, last);
 }
 
--- a/src/runtime/http/legs.cc
+++ b/src/runtime/http/legs.cc
@@ -170,11 +170,11 @@
 }
 
 void ChatUpstream::read_more(ChatAttempt& attempt) {
-  std::map<std::uint64_t, std::shared_ptr<ChatAttempt>>::iterator const spot =
+  std::map<std::uint64_t, std::shared_ptr<ChatAttempt>>::iterator const position =
       attempts_.find(attempt.start.chat_request);
-  if (spot == attempts_.end() || spot->second.get() != &attempt) return;
+  if (position == attempts_.end() || position->second.get() != &attempt) return;
   g_input_stream_read_async(attempt.body, attempt.room, sizeof attempt.room, G_PRIORITY_DEFAULT, attempt.stop, on_body,
-                            new std::shared_ptr<ChatAttempt>(spot->second));
+                            new std::shared_ptr<ChatAttempt>(position->second));
 }
 
 void ChatUpstream::on_body(GObject* source, GAsyncResult* result, gpointer data) {
@@ -249,13 +249,13 @@
 }
 
 void ChatUpstream::cut(std::uint64_t chat_request) {
-  std::map<std::uint64_t, std::shared_ptr<ChatAttempt>>::iterator const spot = attempts_.find(chat_request);
-  if (spot == attempts_.end()) return;
-  std::shared_ptr<ChatAttempt> const attempt = spot->second;
+  std::map<std::uint64_t, std::shared_ptr<ChatAttempt>>::iterator const position = attempts_.find(chat_request);
+  if (position == attempts_.end()) return;
+  std::shared_ptr<ChatAttempt> const attempt = position->second;
   attempt->over = true;
   if (attempt->timer != 0) g_source_remove(attempt->timer);
   attempt->timer = 0;
-  attempts_.erase(spot);
+  attempts_.erase(position);
   g_cancellable_cancel(attempt->stop);
 }
 
--- a/src/runtime/mesh/connections.cc
+++ b/src/runtime/mesh/connections.cc
@@ -39,10 +39,10 @@
   }
   connections_[made->id] = made;
   made->link->listen({[this, id = made->id] {
-                        std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const spot =
+                        std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position =
                             connections_.find(id);
-                        if (spot == connections_.end()) return;
-                        std::shared_ptr<Connection> const keep = spot->second;
+                        if (position == connections_.end()) return;
+                        std::shared_ptr<Connection> const keep = position->second;
                         adopt(keep, true);
                       },
                       nullptr, [this, id = made->id](Link::End how) { lost(id, how); }, nullptr});
@@ -55,10 +55,10 @@
   connections_[id] = connection;
   connection->link->listen({nullptr,
                             [this, id](std::string_view bytes) {
-                              std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const spot =
+                              std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position =
                                   connections_.find(id);
-                              if (spot == connections_.end()) return;
-                              std::shared_ptr<Connection> const keep = spot->second;
+                              if (position == connections_.end()) return;
+                              std::shared_ptr<Connection> const keep = position->second;
                               fed(*keep, bytes);
                             },
                             [this, id](Link::End how) { lost(id, how); }, nullptr});
@@ -89,28 +89,28 @@
 }
 
 void Connections::send(ConnectionId id, std::string const& bytes) {
-  std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const spot = connections_.find(id);
-  if (spot == connections_.end() || !spot->second->link->connected()) return;
-  spot->second->link->write(bytes);
+  std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position = connections_.find(id);
+  if (position == connections_.end() || !position->second->link->connected()) return;
+  position->second->link->write(bytes);
   // The peer does not read; it is dialled again.
-  if (spot->second->link->waiting() > backlog_most) lost(id, Link::End::reset);
+  if (position->second->link->waiting() > backlog_most) lost(id, Link::End::reset);
 }
 
 void Connections::shut(ConnectionId id) {
-  std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const spot = connections_.find(id);
-  if (spot == connections_.end()) return;
-  std::shared_ptr<Connection> const keep = spot->second;
-  connections_.erase(spot);
+  std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position = connections_.find(id);
+  if (position == connections_.end()) return;
+  std::shared_ptr<Connection> const keep = position->second;
+  connections_.erase(position);
   keep->link->listen({});
   // What was written before, a farewell perhaps, still goes.
   keep->link->finish();
 }
 
 void Connections::lost(ConnectionId id, Link::End how) {
-  std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const spot = connections_.find(id);
-  if (spot == connections_.end()) return;
-  std::shared_ptr<Connection> const keep = spot->second;
-  connections_.erase(spot);
+  std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position = connections_.find(id);
+  if (position == connections_.end()) return;
+  std::shared_ptr<Connection> const keep = position->second;
+  connections_.erase(position);
   keep->link->listen({});
   bool const refused = keep->link->refused();
   keep->link->close();
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -52,7 +52,7 @@
   caller.stream = ask.value().facts.stream;
   caller.came = now();
   callers_.emplace(call.id, std::move(caller));
-  NodeOut out;
+  NodeEffects out;
   node_->chat_request(call.id, std::move(ask.value()), now(), out);
   act(out);
 }
@@ -104,23 +104,23 @@
   } else if (call.path.rfind("/v1/changes/", 0) == 0 && call.method == "GET") {
     change.type = Change::Type::read;
     asked_[call.id] = {change.type, call.path.substr(12)};
-    NodeOut out;
+    NodeEffects out;
     node_->operate(call.id, std::move(change), now(), out);
     return act(out);
   } else {
     return refuse(call.id, Error{ErrorCode::not_found, "", ""});
   }
   asked_[call.id] = {change.type, ""};
-  NodeOut out;
+  NodeEffects out;
   node_->operate(call.id, std::move(change), now(), out);
   act(out);
 }
 
 void Host::reply(Reply const& item) {
-  std::map<std::uint64_t, std::pair<Change::Type, std::string>>::iterator const spot = asked_.find(item.id);
-  if (spot == asked_.end()) return;
-  std::pair<Change::Type, std::string> const what = spot->second;
-  asked_.erase(spot);
+  std::map<std::uint64_t, std::pair<Change::Type, std::string>>::iterator const position = asked_.find(item.id);
+  if (position == asked_.end()) return;
+  std::pair<Change::Type, std::string> const what = position->second;
+  asked_.erase(position);
   Outcome const& outcome = item.outcome;
   if (outcome.type == Outcome::Type::refused || outcome.type == Outcome::Type::unknown) {
     ++kinds_[error_code_row(outcome.error.code).name];
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -22,7 +22,7 @@
         .key("name")
         .text(item.first)
         .key("state")
-        .text(state_word(peer.state()))
+        .text(state_name(peer.state()))
         .key("wire")
         .boolean(peer.connection != 0);
     json.key("role").text(peer.role() == Role::router ? "passage" : "accord").key("zone").text(peer.member.zone);
--- a/tests/change_traffic.cc
+++ b/tests/change_traffic.cc
@@ -93,7 +93,7 @@
     std::uint64_t const id = ++calls;
     labels[id] = change.label;
     world.enter(machine, world.machine(machine).incarnation,
-                [id, change](Node& node, Micros now, NodeOut& out) { node.operate(id, change, now, out); });
+                [id, change](Node& node, Micros now, NodeEffects& out) { node.operate(id, change, now, out); });
     return id;
   }
 
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -66,7 +66,7 @@
   // A request that was placed at once; its worker, or nothing.
   std::string place(std::uint64_t id, std::string const& route) { return place(id, query_of(route)); }
   std::string place(std::uint64_t id, Query query) {
-    out = DispatchOut();
+    out = DispatchEffects();
     dispatcher.fresh(id, std::move(query), now, out);
     return started(id);
   }
@@ -76,12 +76,12 @@
     return "";
   }
   void end(std::uint64_t id, AttemptEnd how) {
-    out = DispatchOut();
+    out = DispatchEffects();
     dispatcher.ended(id, how, false, now, out);
   }
   // Ticks until something comes out, or the time is over.
   void wait(Micros most) {
-    out = DispatchOut();
+    out = DispatchEffects();
     for (Micros const stop = now + most; now < stop && out.empty();) {
       now += millis(10);
       dispatcher.tick(now, out);
@@ -112,7 +112,7 @@
   Registry registry{"n1"};
   Exchange exchange{"n1"};
   Dispatcher dispatcher{"n1", "a", index_sync, registry, exchange};
-  DispatchOut out;
+  DispatchEffects out;
 };
 }  // namespace
 
@@ -217,7 +217,7 @@
         constexpr int requests = 300;
         int second = 0;
         for (int n = 0; n < requests; ++n) {
-          DispatchOut out;
+          DispatchEffects out;
           all[random.below(nodes)]->dispatcher.fresh(++id, query_of(route.first), 1000, out);
           ASSERT_EQ(out.starts.size(), 1u);
           second += out.starts[0].instance == "w" ? 1 : 0;
@@ -397,7 +397,7 @@
     EXPECT_LE(out.starts[0].left, millis(600));
     if (row.left) dispatcher.left(1, now);
     if (row.began) dispatcher.began(1, now);
-    out = DispatchOut();
+    out = DispatchEffects();
     for (Micros const stop = now + seconds(5); now < stop && out.denials.empty() && out.breaks.empty();) {
       now += millis(10);
       dispatcher.tick(now, out);
@@ -497,7 +497,7 @@
   dispatcher.hold(true);
   for (int i = 0; i < 80; ++i) dispatcher.tick(now += millis(10), out);
   dispatcher.hold(false);
-  out = DispatchOut();
+  out = DispatchEffects();
   dispatcher.tick(now += millis(1), out);
   EXPECT_TRUE(out.empty()) << "it may still answer in time";
 }
@@ -546,12 +546,12 @@
   gone.zone = "a";
   gone.pool = "p";
   gone.slots = 8;
-  gone.state = static_cast<std::uint8_t>(Standing::gone);
+  gone.state = static_cast<std::uint8_t>(WorkerState::ended);
   registry.take_entry(gone, now);
-  ASSERT_EQ(registry.find("w")->standing, Standing::gone);
+  ASSERT_EQ(registry.find("w")->standing, WorkerState::ended);
   worker("v");
   for (int turn = 0; turn < 8; ++turn) {
-    out = DispatchOut();
+    out = DispatchEffects();
     dispatcher.tick(now += millis(100), out);
     EXPECT_TRUE(out.empty()) << "turn " << turn;
     registry.well(*registry.find("w"), now);  // something came of another request there
@@ -590,7 +590,7 @@
         ASSERT_EQ(place(1, query), "w");
         dispatcher.left(1, now);
         dispatcher.hold(held);
-        out = DispatchOut();
+        out = DispatchEffects();
         while (dispatcher.under_way() > 0 && now - came < seconds(5)) dispatcher.tick(now += millis(50), out);
         dispatcher.hold(false);
         ASSERT_EQ(out.denials.size(), 1u) << route;
@@ -659,7 +659,7 @@
   Exchange other_exchange("n2");
   Dispatcher other("n2", "a", other_index_sync, other_registry, other_exchange);
   other.in_force(usual());
-  DispatchOut first;
+  DispatchEffects first;
   other.fresh(1, query, now, first);
   ASSERT_EQ(first.starts.size(), 1u);
   EXPECT_EQ(first.starts[0].instance, home);
@@ -731,12 +731,12 @@
       now += millis(20);
       bool const bad = turn % 1000 > 800 && turn % 1000 < 900;
       Box& box = *nodes[random.below(count)];
-      DispatchOut out;
+      DispatchEffects out;
       box.dispatcher->fresh(++id, query_of("safe"), now, out);
       stretch = std::max(0.0, stretch - ratio);
       asked.add(now, 1, seconds(2));
       while (!out.starts.empty()) {
-        out = DispatchOut();
+        out = DispatchEffects();
         box.dispatcher->left(id, now);
         std::uint64_t const so_far = box.dispatcher->tally.resends;
         if (so_far > box.resends) {
@@ -775,7 +775,7 @@
   };
   std::map<std::uint64_t, Row> rows;
 
-  void take(DispatchOut const& out, Registry& registry) {
+  void take(DispatchEffects const& out, Registry& registry) {
     for (std::uint64_t const id : out.cuts) {
       ASSERT_TRUE(rows.at(id).active) << id << " has no attempt that could be cut";
       stop(rows.at(id), true);
@@ -848,7 +848,7 @@
   for (int turn = 0; turn < 40000; ++turn) {
     now += static_cast<Micros>(random.below(static_cast<std::uint64_t>(millis(6))));
     if (random.chance(0.003)) now += millis(900);  // nothing is heard of anybody for a while
-    DispatchOut out;
+    DispatchEffects out;
     std::uint64_t const what = random.below(100);
     if (what < 12 && next < 2500) {
       std::uint64_t const id = ++next;
@@ -876,8 +876,8 @@
     } else if (what < 35) {
       dispatcher.in_force(rules[random.below(2)]);
     } else if (!open.empty()) {
-      std::size_t const spot = random.below(open.size());
-      std::uint64_t const id = open[spot];
+      std::size_t const position = random.below(open.size());
+      std::uint64_t const id = open[position];
       Judge::Row& row = judge.rows.at(id);
       std::uint64_t const step = random.below(20);
       if (row.ended) {
@@ -885,7 +885,7 @@
         dispatcher.left(id, now);
         dispatcher.event(id, now);
         dispatcher.ended(id, AttemptEnd::broke, false, now, out);
-        open.erase(open.begin() + static_cast<std::ptrdiff_t>(spot));
+        open.erase(open.begin() + static_cast<std::ptrdiff_t>(position));
       } else if (step == 0) {
         dispatcher.hung_up(id, now);
         judge.stop(row, true);
@@ -935,7 +935,7 @@
   }
   dispatcher.hold(false);
   for (int i = 0; i < 500; ++i) {
-    DispatchOut out;
+    DispatchEffects out;
     dispatcher.tick(now += millis(10), out);
     judge.take(out, registry);
     if (testing::Test::HasFatalFailure()) return;
@@ -969,7 +969,7 @@
   dispatcher.left(1, now);
   dispatcher.began(1, now);
   dispatcher.tick(now += millis(50), out);
-  out = DispatchOut();
+  out = DispatchEffects();
   dispatcher.tick(now += millis(2500), out);
   EXPECT_TRUE(out.cuts.empty()) << "what came while this node stood still lies in its socket";
   EXPECT_TRUE(out.starts.empty());
--- a/tests/fleet_traffic.cc
+++ b/tests/fleet_traffic.cc
@@ -96,12 +96,12 @@
   std::size_t serving_at(MachineId id) {
     std::size_t out = 0;
     for (std::pair<std::string const, Instance> const& item : world.machine(id).node->registry.all)
-      if (item.second.standing == Standing::serving) ++out;
+      if (item.second.standing == WorkerState::serving) ++out;
     return out;
   }
   bool serves(std::size_t number, MachineId seen_by) {
     Instance const* const item = world.machine(seen_by).node->registry.find(workers[number].id);
-    return item != nullptr && item->standing == Standing::serving;
+    return item != nullptr && item->standing == WorkerState::serving;
   }
   // One worker says farewell at its node.
   void end_worker(std::size_t number) {
@@ -109,7 +109,7 @@
     std::string const id = worker.id;
     std::uint64_t const order = ++worker.order;
     world.enter(worker.home, world.machine(worker.home).incarnation,
-                [id, order](Node& node, Micros now, NodeOut& out) { node.worker_left(id, order, now, out); });
+                [id, order](Node& node, Micros now, NodeEffects& out) { node.worker_left(id, order, now, out); });
     worker.ended = true;
   }
 
@@ -152,14 +152,14 @@
     word.slots = 48;
     word.order = ++worker.order;
     world.enter(worker.home, world.machine(worker.home).incarnation,
-                [word](Node& node, Micros now, NodeOut& out) { node.heartbeat(word, now, out); });
+                [word](Node& node, Micros now, NodeEffects& out) { node.heartbeat(word, now, out); });
     world.after(heartbeat_interval, [this, number] { heartbeat(number); });
   }
 
   void request(MachineId id) {
     std::string const worker = workers[world.chance().below(workers.size())].id;
     std::uint64_t const path = world.chance().below(2000);
-    world.enter(id, world.machine(id).incarnation, [worker, path](Node& node, Micros now, NodeOut&) {
+    world.enter(id, world.machine(id).incarnation, [worker, path](Node& node, Micros now, NodeEffects&) {
       node.exchange.work(worker, prompt_work);
       if (Instance* const item = node.registry.find(worker)) item->work(prompt_work, now);
       wire::DeltaT delta;
@@ -180,7 +180,7 @@
     std::string const id = worker.id;
     std::uint64_t const order = ++worker.order;
     world.enter(worker.home, world.machine(worker.home).incarnation,
-                [id, order](Node& node, Micros now, NodeOut& out) { node.worker_left(id, order, now, out); });
+                [id, order](Node& node, Micros now, NodeEffects& out) { node.worker_left(id, order, now, out); });
     worker.id = name_of(static_cast<std::size_t>(&worker - workers.data()), ++worker.incarnation);
     worker.order = 0;
     world.after(seconds(1) / static_cast<Micros>(plan.worker_restarts), [this] { restart_worker(); });
@@ -203,7 +203,7 @@
     MachineId const id = world.chance().below(plan.nodes);
     if (!world.machine(id).up()) return;
     world.enter(id, world.machine(id).incarnation,
-                [label, made](Node& node, Micros now, NodeOut& out) { node.operate(label, made, now, out); });
+                [label, made](Node& node, Micros now, NodeEffects& out) { node.operate(label, made, now, out); });
   }
   void changing() {
     change();
--- a/tests/keys.cc
+++ b/tests/keys.cc
@@ -27,7 +27,7 @@
     dispatcher.in_force(rules.value());
   }
   void tick() {
-    DispatchOut out;
+    DispatchEffects out;
     dispatcher.tick(g_get_monotonic_time(), out);
     obey(out);
   }
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -43,7 +43,7 @@
 TEST(Frame, a_peer_of_another_format_is_not_talked_to) {
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
-  NodeOut out;
+  NodeEffects out;
   node.opened(1, false, "", 0, out);
   wire::HelloT older = hello("pipit", "b");
   older.format = frame_format - 1;
@@ -69,7 +69,7 @@
     for (std::uint64_t n = 1 + random.below(4); n > 0; --n)
       bad[4 + random.below(bad.size() - 4)] = static_cast<char>(random.next());
     Node node(plan(), 0, std::nullopt);
-    NodeOut out;
+    NodeEffects out;
     node.opened(1, false, "", 0, out);
     ASSERT_TRUE(node.bytes(1, encode_body(hello("pipit", "b")), 0, out));
     if (node.bytes(1, bad, 1, out)) ++taken;  // what still verifies is handled like any frame
@@ -80,7 +80,7 @@
 TEST(Mesh, a_foreign_cluster_is_shut_out) {
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
-  NodeOut out;
+  NodeEffects out;
   node.opened(1, false, "", 0, out);
   node.bytes(1, encode_body(hello("other", "b")), 0, out);
   EXPECT_EQ(out.mesh.shuts, std::vector<ConnectionId>{1});
@@ -90,7 +90,7 @@
 TEST(Mesh, a_newer_wire_replaces_the_remnant_of_a_former_life) {
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
-  NodeOut out;
+  NodeEffects out;
   node.opened(1, true, "10.0.0.2:1", 0, out);  // 'a' sorts first, so its own connection would be kept
   node.bytes(1, encode_body(hello("pipit", "b")), 0, out);
   wire::HelloT next = hello("pipit", "b");
@@ -104,11 +104,11 @@
 TEST(Mesh, a_peer_that_moves_while_it_is_dialled_is_dialled_anew) {
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
-  NodeOut out;
+  NodeEffects out;
   node.opened(1, false, "", 0, out);
   node.bytes(1, encode_body(hello("pipit", "b")), 0, out);
   node.shut(1, millis(10), out);
-  out = NodeOut();
+  out = NodeEffects();
   node.tick(millis(20), out);
   wire::HelloT moved = hello("pipit", "b");
   moved.self->address = "10.0.0.9:1";
@@ -121,7 +121,7 @@
   node.bytes(2, encode_body(std::move(third)), millis(30), out);
   node.bytes(2, encode_body(std::move(update)), millis(40), out);
   node.dial_failed("10.0.0.2:1", false, millis(900), out);
-  out = NodeOut();
+  out = NodeEffects();
   node.tick(millis(1500), out);
   EXPECT_NE(std::find(out.mesh.dials.begin(), out.mesh.dials.end(), "10.0.0.9:1"), out.mesh.dials.end());
 }
@@ -205,7 +205,7 @@
     for (std::pair<std::string, OutgoingMessage>& one : mail) {
       wire::LeaseRequestT const& ask = *one.second.body.AsLeaseRequest();
       wire::LeaseReplyT ans;
-      ans.req = ask.req;
+      ans.request_id = ask.request_id;
       ans.duty = ask.duty;
       ans.disk = 1;
       ans.ok = grantors.at(one.second.to).ask(one.first, ask.duty, ask.term, now);
--- a/tests/operators.cc
+++ b/tests/operators.cc
@@ -40,7 +40,7 @@
 
   void send(std::uint64_t id, MachineId machine, Change const& change) {
     world->enter(machine, world->machine(machine).incarnation,
-                 [id, change](Node& node, Micros now, NodeOut& out) { node.operate(id, change, now, out); });
+                 [id, change](Node& node, Micros now, NodeEffects& out) { node.operate(id, change, now, out); });
   }
 
   void restart(MachineId machine) {
@@ -83,8 +83,8 @@
   EXPECT_NE(one.ballot.who(), other_node.ballot.who());
   EXPECT_NE(one.ballot.who(), other_incarnation.ballot.who());
   EXPECT_NE(other_node.ballot.who(), other_incarnation.ballot.who());
-  EXPECT_NE(one.req, other_node.req);
-  EXPECT_NE(one.req, other_incarnation.req);
+  EXPECT_NE(one.request_id, other_node.request_id);
+  EXPECT_NE(one.request_id, other_incarnation.request_id);
 }
 
 // The replica took the order, its answer was lost, and then the node lost the quorum.
--- a/tests/passing.h
+++ b/tests/passing.h
@@ -35,12 +35,12 @@
   explicit Passing(Dialect const& dialect = Dialect())
       : relay(dispatcher, dialect, "",
               {[this](std::uint64_t id, Query query) {
-                 DispatchOut out;
+                 DispatchEffects out;
                  dispatcher.fresh(id, std::move(query), g_get_monotonic_time(), out);
                  obey(out);
                },
                [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
-                 DispatchOut out;
+                 DispatchEffects out;
                  dispatcher.ended(id, end, elsewhere, g_get_monotonic_time(), out);
                  obey(out);
                },
@@ -58,7 +58,7 @@
   ~Passing() override { caller.reset(); }
 
   // Parts of limits are granted or refused at once, by the test's word.
-  void obey(DispatchOut& out) {
+  void obey(DispatchEffects& out) {
     std::vector<QuotaNeed> const needs = std::move(out.quota_needs);
     out.quota_needs.clear();
     for (QuotaNeed const& need : needs) {
--- a/tests/register.cc
+++ b/tests/register.cc
@@ -265,7 +265,7 @@
   put_membership(members_of(2, {"k1", "k2", "k3"}), value);
   for (std::uint64_t disk = 1; disk <= 2; ++disk) {
     wire::PromiseT promise;
-    promise.req = asked.req;
+    promise.request_id = asked.request_id;
     promise.disk = disk;
     promise.ok = true;
     promise.promised = disk == 1 ? asked.ballot : wire::Ballot(asked.ballot.n() - 1, asked.ballot.who());
@@ -293,7 +293,7 @@
   wire::AcceptT const asked = *accepts.front().body.AsAccept();
   for (std::uint64_t disk = 1; disk <= 2; ++disk) {
     wire::AcceptedT accepted;
-    accepted.req = asked.req;
+    accepted.request_id = asked.request_id;
     accepted.disk = disk;
     accepted.ok = true;
     accepted.promised = disk == 1 ? asked.ballot : wire::Ballot(asked.ballot.n() - 1, asked.ballot.who());
--- a/tests/registry.cc
+++ b/tests/registry.cc
@@ -22,7 +22,7 @@
   return out;
 }
 
-wire::EntryT entry_of(std::string const& id, std::uint64_t order, Standing standing, std::string const& owner) {
+wire::EntryT entry_of(std::string const& id, std::uint64_t order, WorkerState standing, std::string const& owner) {
   wire::EntryT out;
   out.key = id;
   out.owner = owner;
@@ -35,9 +35,9 @@
   return out;
 }
 
-Standing standing_of(Registry& registry, std::string const& id) {
+WorkerState standing_of(Registry& registry, std::string const& id) {
   Instance const* const item = registry.find(id);
-  return item == nullptr ? Standing::gone : item->standing;
+  return item == nullptr ? WorkerState::ended : item->standing;
 }
 
 class Workers : public testing::Test {
@@ -51,7 +51,7 @@
   std::optional<wire::EntryT> const first = registry.heartbeat(heartbeat_of("w", 1), 0);
   ASSERT_TRUE(first);
   EXPECT_EQ(first->key, "w");
-  EXPECT_EQ(first->state, static_cast<std::uint8_t>(Standing::serving));
+  EXPECT_EQ(first->state, static_cast<std::uint8_t>(WorkerState::serving));
   EXPECT_EQ(first->slots, 8u);
   EXPECT_FALSE(registry.heartbeat(heartbeat_of("w", 2), gap));
   Heartbeat moved = heartbeat_of("w", 3);
@@ -71,7 +71,7 @@
   late.address = "127.0.0.1:1";
   EXPECT_FALSE(registry.heartbeat(late, 10));
   EXPECT_EQ(registry.find("w")->address, "127.0.0.1:9000");
-  EXPECT_EQ(registry.find("w")->standing, Standing::serving);
+  EXPECT_EQ(registry.find("w")->standing, WorkerState::serving);
   EXPECT_EQ(registry.find("w")->order, 5u);
   EXPECT_EQ(registry.find("w")->heard, 0);
 }
@@ -79,46 +79,46 @@
 TEST_F(Workers, leaving_is_not_taken_back) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   EXPECT_TRUE(registry.heartbeat(heartbeat_of("w", 2, true), 10));
-  EXPECT_EQ(standing_of(registry, "w"), Standing::leaving);
+  EXPECT_EQ(standing_of(registry, "w"), WorkerState::draining);
   EXPECT_FALSE(registry.find("w")->takes());
   registry.heartbeat(heartbeat_of("w", 3), 20);
-  EXPECT_EQ(standing_of(registry, "w"), Standing::leaving);
+  EXPECT_EQ(standing_of(registry, "w"), WorkerState::draining);
 }
 
 TEST_F(Workers, leaving_is_not_taken_back_by_a_peer_that_missed_it) {
   registry.heartbeat(heartbeat_of("w", 2, true), 0);
   // The peer took a later heartbeat and had not heard that the worker is leaving.
-  std::optional<wire::EntryT> const said = registry.take_entry(entry_of("w", 3, Standing::serving, "n2"), 10);
-  EXPECT_EQ(standing_of(registry, "w"), Standing::leaving);
+  std::optional<wire::EntryT> const said = registry.take_entry(entry_of("w", 3, WorkerState::serving, "n2"), 10);
+  EXPECT_EQ(standing_of(registry, "w"), WorkerState::draining);
   ASSERT_TRUE(said);
-  EXPECT_EQ(said->state, static_cast<std::uint8_t>(Standing::leaving));
+  EXPECT_EQ(said->state, static_cast<std::uint8_t>(WorkerState::draining));
 }
 
 TEST_F(Workers, after_its_farewell_nothing_that_it_said_counts) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   std::optional<wire::EntryT> const bye = registry.leave("w", 2, 10);
   ASSERT_TRUE(bye);
-  EXPECT_EQ(bye->state, static_cast<std::uint8_t>(Standing::gone));
+  EXPECT_EQ(bye->state, static_cast<std::uint8_t>(WorkerState::ended));
   EXPECT_EQ(std::count(registry.ended.begin(), registry.ended.end(), "w"), 1);
   EXPECT_FALSE(registry.heartbeat(heartbeat_of("w", 3), 20));
-  EXPECT_EQ(standing_of(registry, "w"), Standing::gone);
+  EXPECT_EQ(standing_of(registry, "w"), WorkerState::ended);
   EXPECT_FALSE(registry.leave("nobody", 1, 20));
   // Nor at a peer that has the farewell, whichever came first there.
   Registry peer("n2");
   peer.heartbeat(heartbeat_of("w", 1), 0);
   EXPECT_FALSE(peer.take_entry(*bye, 30));
   EXPECT_FALSE(peer.heartbeat(heartbeat_of("w", 3), 40));
-  EXPECT_EQ(standing_of(peer, "w"), Standing::gone);
+  EXPECT_EQ(standing_of(peer, "w"), WorkerState::ended);
 }
 
 TEST_F(Workers, a_farewell_is_remembered_for_a_while_wherever_it_was_heard) {
   // Known here for long, but its heartbeats went to another node.
-  registry.take_entry(entry_of("w", 5, Standing::serving, "n2"), 0);
+  registry.take_entry(entry_of("w", 5, WorkerState::serving, "n2"), 0);
   Micros const now = seconds(600);
-  registry.take_entry(entry_of("w", 1000009, Standing::gone, "n2"), now);
+  registry.take_entry(entry_of("w", 1000009, WorkerState::ended, "n2"), now);
   registry.silent(now + millis(50));
   EXPECT_FALSE(registry.heartbeat(heartbeat_of("w", 8), now + millis(100)));
-  EXPECT_EQ(standing_of(registry, "w"), Standing::gone);
+  EXPECT_EQ(standing_of(registry, "w"), WorkerState::ended);
   registry.silent(now + seconds(120));
   EXPECT_EQ(registry.find("w"), nullptr);
 }
@@ -129,10 +129,10 @@
   std::vector<wire::EntryT> const gone = registry.silent(3 * gap + 1);
   ASSERT_EQ(gone.size(), 1u);
   EXPECT_EQ(gone[0].key, "w");
-  EXPECT_EQ(gone[0].state, static_cast<std::uint8_t>(Standing::gone));
+  EXPECT_EQ(gone[0].state, static_cast<std::uint8_t>(WorkerState::ended));
   EXPECT_TRUE(registry.silent(4 * gap).empty()) << "it is said once";
   EXPECT_TRUE(registry.heartbeat(heartbeat_of("w", 2), 5 * gap));
-  EXPECT_EQ(standing_of(registry, "w"), Standing::serving);
+  EXPECT_EQ(standing_of(registry, "w"), WorkerState::serving);
 }
 
 // Heartbeats may come seconds late: what its answers bring speaks for a worker as well.
@@ -143,15 +143,15 @@
   std::vector<wire::EntryT> const gone = registry.silent(4 * gap);
   ASSERT_EQ(gone.size(), 1u);
   EXPECT_EQ(gone[0].key, "v");
-  EXPECT_EQ(standing_of(registry, "w"), Standing::serving);
+  EXPECT_EQ(standing_of(registry, "w"), WorkerState::serving);
   EXPECT_EQ(registry.silent(6 * gap).size(), 1u) << "but they end, too";
 }
 
 TEST_F(Workers, only_the_node_that_took_the_last_word_judges_silence) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
-  registry.take_entry(entry_of("w", 2, Standing::serving, "n2"), 10);
+  registry.take_entry(entry_of("w", 2, WorkerState::serving, "n2"), 10);
   EXPECT_TRUE(registry.silent(seconds(20)).empty());
-  EXPECT_EQ(standing_of(registry, "w"), Standing::serving);
+  EXPECT_EQ(standing_of(registry, "w"), WorkerState::serving);
 }
 
 TEST_F(Workers, a_doubted_worker_falls_silent_sooner) {
@@ -161,7 +161,7 @@
   std::vector<wire::EntryT> const gone = registry.silent(2 * gap);
   ASSERT_EQ(gone.size(), 1u);
   EXPECT_EQ(gone[0].key, "w");
-  EXPECT_EQ(standing_of(registry, "v"), Standing::serving);
+  EXPECT_EQ(standing_of(registry, "v"), WorkerState::serving);
 }
 
 // Where connections to many workers break at once, this node or its network is in trouble, not each of them.
@@ -176,7 +176,7 @@
   }
   // Old doubts of workers that others hear of are no sign of trouble here.
   registry.all.clear();
-  for (int n = 0; n < 12; ++n) registry.take_entry(entry_of("v" + std::to_string(n), 1, Standing::serving, "n2"), 0);
+  for (int n = 0; n < 12; ++n) registry.take_entry(entry_of("v" + std::to_string(n), 1, WorkerState::serving, "n2"), 0);
   for (int n = 0; n < 12; ++n) registry.suspect("v" + std::to_string(n), 0);
   registry.heartbeat(heartbeat_of("w", 1), 10 * gap);
   registry.suspect("w", 10 * gap);
@@ -201,19 +201,19 @@
   for (int i = 0; i < 8; ++i) {
     EXPECT_TRUE(registry.suspect("w", now)) << i;
     EXPECT_FALSE(registry.suspect("w", now + 1)) << "no news while it is shunned";
-    Micros const span = item.shunned - now;
+    Micros const span = item.ejected - now;
     EXPECT_GE(span, last);
     EXPECT_LE(span, seconds(5));
     last = span;
-    now = item.shunned + 1;
+    now = item.ejected + 1;
   }
   EXPECT_EQ(last, seconds(5));
   registry.well(item, now);
   EXPECT_EQ(item.faults, 0);
   EXPECT_LT(item.suspected, 0);
-  EXPECT_LE(item.shunned, now);
+  EXPECT_LE(item.ejected, now);
   EXPECT_TRUE(registry.suspect("w", now));
-  EXPECT_LT(item.shunned - now, last) << "it counts from the beginning again";
+  EXPECT_LT(item.ejected - now, last) << "it counts from the beginning again";
 }
 
 TEST_F(Workers, a_heartbeat_after_one_doubt_answers_it) {
@@ -221,33 +221,33 @@
   registry.suspect("w", 10);
   registry.heartbeat(heartbeat_of("w", 2), 20);
   EXPECT_LT(registry.find("w")->suspected, 0);
-  EXPECT_LE(registry.find("w")->shunned, 20);
+  EXPECT_LE(registry.find("w")->ejected, 20);
 }
 
 TEST_F(Workers, a_peer_that_knows_less_is_told_so) {
   registry.heartbeat(heartbeat_of("w", 7), 0);
   registry.leave("w", 8, 10);
-  std::optional<wire::EntryT> const said = registry.take_entry(entry_of("w", 7, Standing::serving, "n2"), 20);
+  std::optional<wire::EntryT> const said = registry.take_entry(entry_of("w", 7, WorkerState::serving, "n2"), 20);
   ASSERT_TRUE(said);
-  EXPECT_EQ(said->state, static_cast<std::uint8_t>(Standing::gone));
-  EXPECT_EQ(standing_of(registry, "w"), Standing::gone);
+  EXPECT_EQ(said->state, static_cast<std::uint8_t>(WorkerState::ended));
+  EXPECT_EQ(standing_of(registry, "w"), WorkerState::ended);
   // What it is told settles the matter there too.
   Registry peer("n2");
   peer.heartbeat(heartbeat_of("w", 7), 0);
   EXPECT_FALSE(peer.take_entry(*said, 30));
-  EXPECT_EQ(standing_of(peer, "w"), Standing::gone);
+  EXPECT_EQ(standing_of(peer, "w"), WorkerState::ended);
 }
 
 TEST_F(Workers, odd_entries_are_passed_over) {
-  EXPECT_FALSE(registry.take_entry(entry_of("w!n2", 1, Standing::gone, "n2"), 0));
-  wire::EntryT odd = entry_of("w", 1, Standing::serving, "n2");
+  EXPECT_FALSE(registry.take_entry(entry_of("w!n2", 1, WorkerState::ended, "n2"), 0));
+  wire::EntryT odd = entry_of("w", 1, WorkerState::serving, "n2");
   odd.state = 9;
   EXPECT_FALSE(registry.take_entry(odd, 0));
   EXPECT_TRUE(registry.all.empty());
 }
 
 TEST_F(Workers, an_entry_of_a_former_life_of_this_node_gives_the_worker_a_span_to_call) {
-  registry.take_entry(entry_of("w", 3, Standing::serving, "n1"), seconds(50));
+  registry.take_entry(entry_of("w", 3, WorkerState::serving, "n1"), seconds(50));
   EXPECT_TRUE(registry.silent(seconds(50) + 2 * gap).empty());
   EXPECT_EQ(registry.silent(seconds(50) + 4 * gap).size(), 1u);
 }
@@ -294,7 +294,7 @@
   loads.list[0]->worker = "w";
   loads.list[0]->suspect = true;
   registry.peer_loads(loads, millis(10));
-  EXPECT_GT(registry.find("w")->shunned, millis(10));
+  EXPECT_GT(registry.find("w")->ejected, millis(10));
 }
 
 }  // namespace pipit
--- a/tests/tenants.cc
+++ b/tests/tenants.cc
@@ -317,7 +317,7 @@
     std::string const from = sent.back().to;
     asked.push_back(from);
     wire::QuotaReplyT reply;
-    reply.req = ask.req;
+    reply.request_id = ask.request_id;
     reply.tenant = ask.tenant;
     reply.count = ask.count;
     reply.granted = granted;
@@ -388,7 +388,7 @@
   ASSERT_EQ(sent.size(), 2u);
   EXPECT_NE(sent.back().to, first.to);
   wire::QuotaReplyT late;
-  late.req = first.body.AsQuotaAsk()->req;
+  late.request_id = first.body.AsQuotaAsk()->request_id;
   late.tenant = "t";
   late.count = 100;
   late.granted = true;
--- a/tests/wide.cc
+++ b/tests/wide.cc
@@ -51,28 +51,28 @@
         if (!ends.count(item.connection) || item.to == mute || removed.count(item.to) > 0) continue;
         ++frames;
         bytes += item.bytes.size();
-        NodeOut out;
+        NodeEffects out;
         if (!nodes[item.to]->bytes(item.connection, item.bytes, now, out)) shut(item.connection);
         act(item.to, out);
       }
       now = next;
       for (std::size_t i = 0; i < nodes.size(); ++i) {
         if (removed.count(i) > 0) continue;
-        NodeOut out;
+        NodeEffects out;
         nodes[i]->tick(now, out);
         act(i, out);
       }
     }
   }
 
-  void act(std::size_t from, NodeOut& out) {
+  void act(std::size_t from, NodeEffects& out) {
     if (out.save) saves.push_back(from);
     for (std::string const& address : out.mesh.dials) dial(from, address);
-    for (Sends::Send& send : out.mesh.sends) {
-      std::map<ConnectionId, std::pair<std::size_t, std::size_t>>::const_iterator const spot =
+    for (ConnectionEffects::Send& send : out.mesh.sends) {
+      std::map<ConnectionId, std::pair<std::size_t, std::size_t>>::const_iterator const position =
           ends.find(send.connection);
-      if (spot == ends.end()) continue;
-      std::size_t const to = spot->second.first == from ? spot->second.second : spot->second.first;
+      if (position == ends.end()) continue;
+      std::size_t const to = position->second.first == from ? position->second.second : position->second.first;
       mail.push_back({now + way, to, send.connection, std::move(send.bytes)});
     }
     for (ConnectionId const id : out.mesh.shuts) shut(id, from);
@@ -80,14 +80,14 @@
     while (!saves.empty()) {
       std::size_t const who = saves.back();
       saves.pop_back();
-      NodeOut more;
+      NodeEffects more;
       nodes[who]->disk_done(now, more);
       act(who, more);
     }
   }
 
   void heartbeat(std::size_t node, Heartbeat const& word) {
-    NodeOut out;
+    NodeEffects out;
     nodes[node]->heartbeat(word, now, out);
     act(node, out);
   }
@@ -121,7 +121,7 @@
     change.text = R"({"format":1,"pools":[],"lanes":[]})";
     change.label = label;
     change.id = "configure-" + std::to_string(label);
-    NodeOut out;
+    NodeEffects out;
     nodes[0]->operate(label, change, now, out);
     act(0, out);
   }
@@ -139,7 +139,7 @@
   };
   void dial(std::size_t from, std::string const& address) {
     std::map<std::string, std::size_t>::const_iterator const to = at.find(address);
-    NodeOut out;
+    NodeEffects out;
     if (to == at.end() || removed.count(to->second) > 0) {
       nodes[from]->dial_failed(address, true, now, out);
       return act(from, out);
@@ -148,18 +148,18 @@
     ends[id] = {from, to->second};
     nodes[from]->opened(id, true, address, now, out);
     act(from, out);
-    NodeOut other;
+    NodeEffects other;
     nodes[to->second]->opened(id, false, "", now, other);
     act(to->second, other);
   }
   void shut(ConnectionId id, std::size_t but = SIZE_MAX) {
-    std::map<ConnectionId, std::pair<std::size_t, std::size_t>>::const_iterator const spot = ends.find(id);
-    if (spot == ends.end()) return;
-    std::pair<std::size_t, std::size_t> const both = spot->second;
-    ends.erase(spot);
+    std::map<ConnectionId, std::pair<std::size_t, std::size_t>>::const_iterator const position = ends.find(id);
+    if (position == ends.end()) return;
+    std::pair<std::size_t, std::size_t> const both = position->second;
+    ends.erase(position);
     for (std::size_t const who : {both.first, both.second}) {
       if (who == but) continue;
-      NodeOut out;
+      NodeEffects out;
       nodes[who]->shut(id, now, out);
       act(who, out);
     }
@@ -200,7 +200,7 @@
   field.run(millis(300));
   for (std::unique_ptr<Node> const& node : field.nodes)
     for (std::pair<std::string const, Instance> const& item : node->registry.all)
-      EXPECT_EQ(item.second.standing, Standing::leaving) << item.first << " at " << node->plan.name;
+      EXPECT_EQ(item.second.standing, WorkerState::draining) << item.first << " at " << node->plan.name;
 }
 
 // Full tables on every ping and everything told to everybody ended 72 small machines. What a calm second costs a node
@@ -268,7 +268,7 @@
                 R"("routes":[{"name":"r","host":"h","prefix":"/","shares":[{"pool":"p"}]}]})";
   change.expected = 0;
   change.label = 7;
-  NodeOut out;
+  NodeEffects out;
   field.nodes[31]->operate(1, change, field.now, out);
   field.act(31, out);
   field.run(millis(900));
@@ -293,7 +293,7 @@
     change.text = R"({"format":1,"pools":[],"lanes":[]})";
     change.label = 10 + n;
     change.id = "change-" + std::to_string(n);
-    NodeOut out;
+    NodeEffects out;
     field.nodes[9 + n]->operate(1, change, field.now, out);
     field.act(9 + n, out);
   }
@@ -310,7 +310,7 @@
   change.expected = field.nodes[20]->learner.value->label;
   change.label = 100;
   change.id = "later";
-  NodeOut out;
+  NodeEffects out;
   field.nodes[20]->operate(2, change, field.now, out);
   field.act(20, out);
   field.run(millis(1800));
@@ -334,7 +334,7 @@
   change.expected = 1;
   change.label = 2;
   change.id = "order";
-  NodeOut out;
+  NodeEffects out;
   node.operate(7, change, field.now, out);
   field.act(20, out);
   field.run(millis(500));  // before the node would propose it by itself
@@ -360,11 +360,11 @@
     field.run(seconds(1));
     field.heartbeat(1, word_of("w", order));
   }
-  NodeOut out;
+  NodeEffects out;
   EXPECT_FALSE(field.nodes[5]->heartbeat(word_of("w", 6), field.now, out)) << "the worker is to call the next node";
   EXPECT_EQ(field.nodes[5]->registry.find("w")->owner, field.nodes[1]->plan.name);
-  EXPECT_EQ(field.nodes[5]->registry.find("w")->standing, Standing::serving) << "its own callers are served on";
-  NodeOut other;
+  EXPECT_EQ(field.nodes[5]->registry.find("w")->standing, WorkerState::serving) << "its own callers are served on";
+  NodeEffects other;
   EXPECT_TRUE(field.nodes[2]->heartbeat(word_of("w", 7), field.now, other));
 }
 
@@ -386,8 +386,8 @@
     }
     for (std::size_t n = 0; n < count; ++n) {
       if (n == 4) continue;
-      EXPECT_EQ(field.nodes[n]->registry.find("lost")->standing, Standing::gone) << n << " of " << count;
-      EXPECT_EQ(field.nodes[n]->registry.find("here")->standing, Standing::serving) << n << " of " << count;
+      EXPECT_EQ(field.nodes[n]->registry.find("lost")->standing, WorkerState::ended) << n << " of " << count;
+      EXPECT_EQ(field.nodes[n]->registry.find("here")->standing, WorkerState::serving) << n << " of " << count;
     }
   }
 }
--- a/tests/worker_ends.cc
+++ b/tests/worker_ends.cc
@@ -25,16 +25,16 @@
     node = std::make_unique<Node>(plan, g_get_monotonic_time(), std::nullopt);
     Connections::Callbacks callbacks;
     callbacks.opened = [this](ConnectionId id, bool outbound, std::string const& to) {
-      step([&](NodeOut& out) { node->opened(id, outbound, to, g_get_monotonic_time(), out); });
+      step([&](NodeEffects& out) { node->opened(id, outbound, to, g_get_monotonic_time(), out); });
     };
     callbacks.shut = [this](ConnectionId id) {
-      step([&](NodeOut& out) { node->shut(id, g_get_monotonic_time(), out); });
+      step([&](NodeEffects& out) { node->shut(id, g_get_monotonic_time(), out); });
     };
     callbacks.failed = [this](std::string const& to, bool refused) {
-      step([&](NodeOut& out) { node->dial_failed(to, refused, g_get_monotonic_time(), out); });
+      step([&](NodeEffects& out) { node->dial_failed(to, refused, g_get_monotonic_time(), out); });
     };
     callbacks.frame = [this](ConnectionId id, std::string_view frame) {
-      if (!deaf) step([&](NodeOut& out) { node->bytes(id, frame, g_get_monotonic_time(), out); });
+      if (!deaf) step([&](NodeEffects& out) { node->bytes(id, frame, g_get_monotonic_time(), out); });
       return true;
     };
     connections = std::make_unique<Connections>(std::move(callbacks));
@@ -43,7 +43,7 @@
         20,
         [](gpointer data) -> gboolean {
           PeerNode& self = *static_cast<PeerNode*>(data);
-          if (!self.deaf) self.step([&](NodeOut& out) { self.node->tick(g_get_monotonic_time(), out); });
+          if (!self.deaf) self.step([&](NodeEffects& out) { self.node->tick(g_get_monotonic_time(), out); });
           return G_SOURCE_CONTINUE;
         },
         this);
@@ -53,18 +53,18 @@
   // Whether it knows that this worker leaves or is gone.
   bool knows_end(std::string const& worker) const {
     Instance const* const at = node->registry.find(worker);
-    return at != nullptr && at->standing != Standing::serving;
+    return at != nullptr && at->standing != WorkerState::serving;
   }
   bool connected() const { return node->mesh.open_connections() > 0 && !node->mesh.members.peers.empty(); }
 
   bool deaf = false;
 
  private:
-  void step(std::function<void(NodeOut&)> const& act) {
-    NodeOut out;
+  void step(std::function<void(NodeEffects&)> const& act) {
+    NodeEffects out;
     act(out);
     for (std::string const& to : out.mesh.dials) connections->dial(to);
-    for (Sends::Send& send : out.mesh.sends) connections->send(send.connection, send.bytes);
+    for (ConnectionEffects::Send& send : out.mesh.sends) connections->send(send.connection, send.bytes);
     for (ConnectionId const id : out.mesh.shuts) connections->shut(id);
   }
 
