--- a/proof/checker/register_view.cc
+++ b/proof/checker/register_view.cc
@@ -127,10 +127,10 @@
     out.disk(symmetry, rest.disk);
     rest.disk = 0;
     out.number(hash_of_table(rest));
-  } else if (wire::PeekT const* const ask = body.AsPeek()) {
+  } else if (wire::ReadRequestT const* const ask = body.AsReadRequest()) {
     out.number(hash_of_table(*ask));
-  } else if (wire::PeekedT const* const ans = body.AsPeeked()) {
-    wire::PeekedT rest = *ans;
+  } else if (wire::ReadReplyT const* const ans = body.AsReadReply()) {
+    wire::ReadReplyT rest = *ans;
     add_optional(out, rest.value, symmetry);
     rest.value.reset();
     add(out, rest.replicas, symmetry);
@@ -254,7 +254,7 @@
 }
 
 bool is_late(Learner const& learner, wire::BodyUnion const& body) {
-  wire::PeekedT const* const ans = body.AsPeeked();
+  wire::ReadReplyT const* const ans = body.AsReadReply();
   return ans != nullptr && ans->request_id != learner.request_id_;
 }
 
@@ -354,8 +354,8 @@
                        : ans->need_value ? "asks for the whole value"
                                          : "no") +
            ", promised " + words_of(ans->promised);
-  if (wire::PeekT const* const ask = body.AsPeek()) return ask->full ? "whole" : "marks";
-  if (wire::PeekedT const* const ans = body.AsPeeked())
+  if (wire::ReadRequestT const* const ask = body.AsReadRequest()) return ask->full ? "whole" : "marks";
+  if (wire::ReadReplyT const* const ans = body.AsReadReply())
     return words_of(ans->ballot) + " epoch " + std::to_string(ans->epoch) + (ans->value ? " with its value" : "");
   if (wire::ChosenT const* const update = body.AsChosen()) return update->value ? words_of(*update->value) : "a patch";
   return "";
--- a/proof/checker/world.cc
+++ b/proof/checker/world.cc
@@ -226,8 +226,8 @@
 
 void World::deliver_to_replica(std::size_t index, Message const& message) {
   std::vector<OutgoingMessage> out;
-  if (wire::PeekT const* const ask = message.body.AsPeek()) {
-    out.push_back(message_to(message.from, peeked(replicas[index].acceptor->held(), *ask)));
+  if (wire::ReadRequestT const* const ask = message.body.AsReadRequest()) {
+    out.push_back(message_to(message.from, read_reply(replicas[index].acceptor->held(), *ask)));
     return send(replica_name(index), out);
   }
   Acceptor next = *replicas[index].acceptor;
@@ -317,7 +317,7 @@
   std::vector<std::pair<std::size_t, Outcome>> got;
   outcomes = &got;
   std::vector<OutgoingMessage> out;
-  if (wire::PeekedT const* const ans = message.body.AsPeeked()) {
+  if (wire::ReadReplyT const* const ans = message.body.AsReadReply()) {
     if (std::optional<wire::ValueT> const fresh = learner.take(message.from, *ans, node.now, out))
       tell(*fresh, "the learner of " + scenario->nodes[index]);
     tell_members(proposer, learner);
--- a/proof/tenants/load.cc
+++ b/proof/tenants/load.cc
@@ -282,7 +282,7 @@
 std::uint64_t Load::messages() const {
   std::uint64_t out = 0;
   for (wire::Body const kind :
-       {wire::Body::QuotaAsk, wire::Body::QuotaReply, wire::Body::NewestAsk, wire::Body::NewestReply}) {
+       {wire::Body::QuotaRequest, wire::Body::QuotaReply, wire::Body::NewestRequest, wire::Body::NewestReply}) {
     std::map<wire::Body, control_plane::FrameCount>::const_iterator const position = world.sent.find(kind);
     if (position != world.sent.end()) out += position->second.frames;
   }
@@ -292,7 +292,7 @@
 std::uint64_t Load::message_bytes() const {
   std::uint64_t out = 0;
   for (wire::Body const kind :
-       {wire::Body::QuotaAsk, wire::Body::QuotaReply, wire::Body::NewestAsk, wire::Body::NewestReply}) {
+       {wire::Body::QuotaRequest, wire::Body::QuotaReply, wire::Body::NewestRequest, wire::Body::NewestReply}) {
     std::map<wire::Body, control_plane::FrameCount>::const_iterator const position = world.sent.find(kind);
     if (position != world.sent.end()) out += position->second.bytes;
   }
--- a/src/consensus/register/acceptor.cc
+++ b/src/consensus/register/acceptor.cc
@@ -33,8 +33,8 @@
   if (inbox_.size() < 512) inbox_.emplace_back(std::move(from), std::move(body));
 }
 
-wire::PeekedT peeked(wire::RecordT const& state, wire::PeekT const& ask) {
-  wire::PeekedT out;
+wire::ReadReplyT read_reply(wire::RecordT const& state, wire::ReadRequestT const& ask) {
+  wire::ReadReplyT out;
   out.request_id = ask.request_id;
   out.disk = state.disk;
   out.formed = state.formed;
--- a/src/consensus/register/acceptor.h
+++ b/src/consensus/register/acceptor.h
@@ -68,6 +68,6 @@
 };
 
 // What a replica tells of its value. The set of replicas goes along only when it is not the one that the asker knows.
-wire::PeekedT peeked(wire::RecordT const& state, wire::PeekT const& ask);
+wire::ReadReplyT read_reply(wire::RecordT const& state, wire::ReadRequestT const& ask);
 
 }  // namespace pipit
--- a/src/consensus/register/learner.cc
+++ b/src/consensus/register/learner.cc
@@ -51,7 +51,7 @@
   if (!set_.empty()) offered_[set_.fingerprint()] = set_;
   wanted_.reset();
   for (std::string const& name : replicas) {
-    wire::PeekT ask;
+    wire::ReadRequestT ask;
     ask.request_id = request_id_;
     ask.age = age;
     ask.epoch = set_.epoch;
@@ -72,7 +72,7 @@
   split = differ && !set_.empty() && set_.quorum(voters);
 }
 
-void Learner::remember_members(wire::PeekedT const& ans) {
+void Learner::remember_members(wire::ReadReplyT const& ans) {
   Membership members;
   members.epoch = ans.epoch;
   for (std::unique_ptr<wire::ReplicaT> const& replica : ans.replicas) members.replicas.push_back(*replica);
@@ -114,7 +114,7 @@
   if (value && value->revision >= floor_revision_) sure = std::max(sure, floor_at_);
 }
 
-std::optional<wire::ValueT> Learner::take(std::string const& from, wire::PeekedT const& ans, Micros now,
+std::optional<wire::ValueT> Learner::take(std::string const& from, wire::ReadReplyT const& ans, Micros now,
                                           std::vector<OutgoingMessage>& out) {
   observations[from] =
       Observation{ans.disk, ans.formed, ans.ballot, ans.serial, now, ans.retiring, ans.awaits_bootstrap};
@@ -142,7 +142,7 @@
   }
   if (!wanted_) {
     wanted_ = vote;
-    wire::PeekT ask;
+    wire::ReadRequestT ask;
     ask.request_id = request_id_;
     ask.full = true;
     out.push_back(message_to(from, std::move(ask)));
--- a/src/consensus/register/learner.h
+++ b/src/consensus/register/learner.h
@@ -22,7 +22,7 @@
   // Polls: one majority read without repair, of marks only. 'replicas' are all nodes that may keep.
   void poll(Micros now, std::vector<std::string> const& replicas, Micros age, std::vector<OutgoingMessage>& out);
   // Returns a chosen value when the read brings a newer one.
-  std::optional<wire::ValueT> take(std::string const& from, wire::PeekedT const& ans, Micros now,
+  std::optional<wire::ValueT> take(std::string const& from, wire::ReadReplyT const& ans, Micros now,
                                    std::vector<OutgoingMessage>& out);
 
   // The set of the newest chosen value; empty before one is known.
@@ -59,7 +59,7 @@
     std::uint64_t disk = 0;
     std::uint64_t members = 0;  // the fingerprint of its value's set
   };
-  void remember_members(wire::PeekedT const& ans);
+  void remember_members(wire::ReadReplyT const& ans);
   void check_same(wire::ValueT const& fresh) const;
   void replace(wire::ValueT next, Micros now);
   // The replicas of the present poll that hold this ballot.
--- a/src/consensus/register/orders.cc
+++ b/src/consensus/register/orders.cc
@@ -70,7 +70,7 @@
   }
   // The serials of format 1 follow one another without a gap; a gap would end what can be kept.
   std::uint64_t expected = value.serial - value.past.size();
-  for (std::unique_ptr<wire::MarkT> const& mark : value.past) {
+  for (std::unique_ptr<wire::RememberedChangeT> const& mark : value.past) {
     if (mark->serial != expected++) {
       value.orders.clear();
       continue;
--- a/src/core/handed.cc
+++ b/src/core/handed.cc
@@ -11,8 +11,8 @@
 constexpr std::uint64_t handed_mark = 1ull << 63;  // ids of changes proposed for others
 
 // A change as it is handed over, without its text.
-wire::ProposeT proposal(std::uint64_t request_id, Change const& change, std::uint64_t revision) {
-  wire::ProposeT out;
+wire::ForwardedChangeT proposal(std::uint64_t request_id, Change const& change, std::uint64_t revision) {
+  wire::ForwardedChangeT out;
   out.request_id = request_id;
   out.type = static_cast<std::uint8_t>(change.type);
   out.id = change.id;
@@ -57,7 +57,7 @@
   std::string const replica = quorum_heard(now) ? proposing_replica() : relaying_peer();
   if (replica.empty() || replica == plan.name) return false;
   std::uint64_t const request_id = ++next_request_id_;
-  wire::ProposeT ask = proposal(request_id, change, learner.revision());
+  wire::ForwardedChangeT ask = proposal(request_id, change, learner.revision());
   put_text(change.text, ask);
   if (!mesh.post(replica, std::move(ask), out.mesh)) return false;
   handed_[request_id] = Handed{id, replica, change, now + answer_within};
@@ -65,7 +65,7 @@
 }
 
 // A text goes as a patch of what this node holds, which the replica most likely holds as well.
-void Node::put_text(std::string const& text, wire::ProposeT& ask) const {
+void Node::put_text(std::string const& text, wire::ForwardedChangeT& ask) const {
   if (learner.value && !text.empty())
     ask.patch = text_patch(learner.value->text, text);
   else
@@ -73,7 +73,7 @@
 }
 
 // The text that an order brings; nothing when the base of its patch is neither held here nor was just before.
-std::optional<std::string> Node::handed_text(wire::ProposeT const& ask) const {
+std::optional<std::string> Node::handed_text(wire::ForwardedChangeT const& ask) const {
   if (!ask.patch) return ask.text;
   for (std::optional<wire::ValueT> const* const base : {&learner.value, &learner.before}) {
     if (!*base || (*base)->revision != ask.revision) continue;
@@ -82,13 +82,13 @@
   return std::nullopt;
 }
 
-void Node::take_handed(std::string const& from, wire::ProposeT const& ask, Micros now, NodeEffects& out) {
+void Node::take_handed(std::string const& from, wire::ForwardedChangeT const& ask, Micros now, NodeEffects& out) {
   if (ask.type != static_cast<std::uint8_t>(Change::Type::apply) &&
       ask.type != static_cast<std::uint8_t>(Change::Type::read))
     return;
   std::optional<std::string> text = handed_text(ask);
   if (!text) {
-    wire::ProposedT ans;
+    wire::ForwardedChangeReplyT ans;
     ans.request_id = ask.request_id;
     ans.need_text = true;
     mesh.post(from, std::move(ans), out.mesh);
@@ -107,12 +107,12 @@
 
 // The replica took nothing of an order whose text it could not make out: it is sent again, whole.
 void Node::send_text(std::string const& to, std::uint64_t request_id, Change const& change, NodeEffects& out) {
-  wire::ProposeT ask = proposal(request_id, change, learner.revision());
+  wire::ForwardedChangeT ask = proposal(request_id, change, learner.revision());
   ask.text = change.text;
   mesh.post(to, std::move(ask), out.mesh);
 }
 
-void Node::take_answer(std::string const& from, wire::ProposedT const& ans, Micros now, NodeEffects& out) {
+void Node::take_answer(std::string const& from, wire::ForwardedChangeReplyT const& ans, Micros now, NodeEffects& out) {
   std::map<std::uint64_t, Handed>::iterator const position = handed_.find(ans.request_id);
   if (position == handed_.end() || position->second.proposer != from) return;
   if (ans.type > static_cast<std::uint8_t>(Outcome::Type::unknown) || ans.kind >= error_code_count()) return;
@@ -147,7 +147,7 @@
       continue;
     }
     Outcome const& outcome = it->outcome;
-    wire::ProposedT ans;
+    wire::ForwardedChangeReplyT ans;
     ans.request_id = who->second.request_id;
     ans.type = static_cast<std::uint8_t>(outcome.type);
     ans.kind = static_cast<std::uint8_t>(outcome.error.code);
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -178,10 +178,10 @@
         if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
       }
       break;
-    case wire::Body::Peek:
-      hear(body.AsPeek()->age, now);
+    case wire::Body::ReadRequest:
+      hear(body.AsReadRequest()->age, now);
       if (acceptor) {
-        wire::PeekedT ans = peeked(acceptor->held(), *body.AsPeek());
+        wire::ReadReplyT ans = read_reply(acceptor->held(), *body.AsReadRequest());
         ans.age = list_age(now);
         ans.retiring = retiring_;
         outgoing.push_back(message_to(from, std::move(ans)));
@@ -192,23 +192,23 @@
       proposer.take(from, body, now, outgoing);
       settle_ended(now, out);
       break;
-    case wire::Body::Peeked:
-      hear(body.AsPeeked()->age, now);
-      if (learner.take(from, *body.AsPeeked(), now, outgoing)) after_value(now, out);
+    case wire::Body::ReadReply:
+      hear(body.AsReadReply()->age, now);
+      if (learner.take(from, *body.AsReadReply(), now, outgoing)) after_value(now, out);
       proposer.know(learner.membership());
       look_ready(now, out);
       break;
     case wire::Body::Chosen:
       take_chosen(from, *body.AsChosen(), now, outgoing, out);
       break;
-    case wire::Body::Behind:
-      send_whole(from, *body.AsBehind(), outgoing);
+    case wire::Body::CatchUpRequest:
+      send_whole(from, *body.AsCatchUpRequest(), outgoing);
       break;
-    case wire::Body::Confirm: {
-      std::map<std::uint64_t, Waiting>::iterator const position = waiting_.find(body.AsConfirm()->request_id);
-      if (position != waiting_.end() && body.AsConfirm()->serial >= position->second.serial) {
+    case wire::Body::ChosenAck: {
+      std::map<std::uint64_t, Waiting>::iterator const position = waiting_.find(body.AsChosenAck()->request_id);
+      if (position != waiting_.end() && body.AsChosenAck()->serial >= position->second.serial) {
         position->second.sure.insert(from);
-        for (std::string const& name : body.AsConfirm()->routers)
+        for (std::string const& name : body.AsChosenAck()->routers)
           if (name != plan.name && guard(Guard::confirm_all)) position->second.owe.insert(name);
       }
       settle_waiting(now, out);
@@ -236,24 +236,24 @@
       } else
         fleet.take_peer_loads(from, *body.AsLoads(), now);
       break;
-    case wire::Body::NewestAsk:
-      outgoing.push_back(message_to(from, newest_reply(body.AsNewestAsk()->request_id, now)));
+    case wire::Body::NewestRequest:
+      outgoing.push_back(message_to(from, newest_reply(body.AsNewestRequest()->request_id, now)));
       break;
     case wire::Body::NewestReply:
       take_newest(from, *body.AsNewestReply(), now, outgoing);
       break;
-    case wire::Body::QuotaAsk:
-      take_quota_ask(from, *body.AsQuotaAsk(), now, outgoing);
+    case wire::Body::QuotaRequest:
+      take_quota_ask(from, *body.AsQuotaRequest(), now, outgoing);
       break;
     case wire::Body::QuotaReply:
       take_quota_reply(from, *body.AsQuotaReply(), now, outgoing);
       settle_quota(now, out);
       break;
-    case wire::Body::Propose:
-      take_handed(from, *body.AsPropose(), now, out);
+    case wire::Body::ForwardedChange:
+      take_handed(from, *body.AsForwardedChange(), now, out);
       break;
-    case wire::Body::Proposed:
-      take_answer(from, *body.AsProposed(), now, out);
+    case wire::Body::ForwardedChangeReply:
+      take_answer(from, *body.AsForwardedChangeReply(), now, out);
       break;
     case wire::Body::WorkerSuspected:
       // Asked at once; a worker that is well is back in a moment.
@@ -261,7 +261,7 @@
         check_now(body.AsWorkerSuspected()->worker, now, out);
       break;
     case wire::Body::Deltas:
-    case wire::Body::TreeAsk:
+    case wire::Body::TreeRequest:
     case wire::Body::TreePage:
       if (plan.role == Role::router)
         index_sync.take(
@@ -287,14 +287,14 @@
   if (update.hops > 0) forward(update, out);
   if (learner.revision() < revision) {
     // The patch has another base than what is held here: the whole value is asked for, and confirmed when it comes.
-    wire::BehindT ask;
+    wire::CatchUpRequestT ask;
     ask.revision = learner.revision();
     ask.request_id = update.request_id;
     ask.origin = update.origin.empty() ? from : update.origin;
     outgoing.push_back(message_to(from, std::move(ask)));
     return;
   }
-  wire::ConfirmT ok;
+  wire::ChosenAckT ok;
   ok.request_id = update.request_id;
   ok.serial = learner.serial();
   // Router nodes that hold no registration may serve by this node's word alone (§6.7): who asks must hear of them.
@@ -305,7 +305,8 @@
   look_ready(now, out);
 }
 
-void Node::send_whole(std::string const& to, wire::BehindT const& ask, std::vector<OutgoingMessage>& outgoing) const {
+void Node::send_whole(std::string const& to, wire::CatchUpRequestT const& ask,
+                      std::vector<OutgoingMessage>& outgoing) const {
   if (!learner.value || learner.revision() <= ask.revision) return;
   wire::ChosenT update;
   update.request_id = ask.request_id;
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -177,7 +177,8 @@
               NodeEffects& out);
   void take_chosen(std::string const& from, wire::ChosenT const& update, Micros now,
                    std::vector<OutgoingMessage>& outgoing, NodeEffects& out);
-  void send_whole(std::string const& to, wire::BehindT const& ask, std::vector<OutgoingMessage>& outgoing) const;
+  void send_whole(std::string const& to, wire::CatchUpRequestT const& ask,
+                  std::vector<OutgoingMessage>& outgoing) const;
   void settle(std::uint64_t id, Change const& change, Outcome const& outcome, Micros now, NodeEffects& out);
   void settle_ended(Micros now, NodeEffects& out);
   // Invariants of what operators are told, and of the values that come into force (core/checks.cc).
@@ -216,11 +217,11 @@
                    std::vector<OutgoingMessage>& outgoing);
   void tick_quota(Micros now, std::vector<OutgoingMessage>& outgoing);
   void settle_quota(Micros now, NodeEffects& out);
-  void take_quota_ask(std::string const& from, wire::QuotaAskT const& ask, Micros now,
+  void take_quota_ask(std::string const& from, wire::QuotaRequestT const& ask, Micros now,
                       std::vector<OutgoingMessage>& outgoing);
   void take_quota_reply(std::string const& from, wire::QuotaReplyT& reply, Micros now,
                         std::vector<OutgoingMessage>& outgoing);
-  QuotaDecision decide_quota(wire::QuotaAskT const& ask, Micros now);
+  QuotaDecision decide_quota(wire::QuotaRequestT const& ask, Micros now);
   QuotaPeers quota_peers() const;
   bool reached(std::string const& name) const;
   void tick_listed(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out);
@@ -237,11 +238,11 @@
   bool replica_reached(wire::ReplicaT const& replica) const;
   std::string relaying_peer();
   bool hand_over(std::uint64_t id, Change const& change, Micros now, NodeEffects& out);
-  void take_handed(std::string const& from, wire::ProposeT const& ask, Micros now, NodeEffects& out);
-  void put_text(std::string const& text, wire::ProposeT& ask) const;
-  std::optional<std::string> handed_text(wire::ProposeT const& ask) const;
+  void take_handed(std::string const& from, wire::ForwardedChangeT const& ask, Micros now, NodeEffects& out);
+  void put_text(std::string const& text, wire::ForwardedChangeT& ask) const;
+  std::optional<std::string> handed_text(wire::ForwardedChangeT const& ask) const;
   void send_text(std::string const& to, std::uint64_t request_id, Change const& change, NodeEffects& out);
-  void take_answer(std::string const& from, wire::ProposedT const& ans, Micros now, NodeEffects& out);
+  void take_answer(std::string const& from, wire::ForwardedChangeReplyT const& ans, Micros now, NodeEffects& out);
   void settle_handed(Micros now, NodeEffects& out);
   void settle_ends(Micros now, NodeEffects& out);
   bool told_all_reached(std::string const& worker) const;
--- a/src/core/seats.cc
+++ b/src/core/seats.cc
@@ -76,7 +76,7 @@
     behind_since_ = now;
   } else if (now - behind_since_ > behind_gap) {
     behind_since_ = now;
-    wire::BehindT ask;
+    wire::CatchUpRequestT ask;
     ask.revision = learner.revision();
     outgoing.push_back(message_to(from, std::move(ask)));
   }
--- a/src/core/tenancy.cc
+++ b/src/core/tenancy.cc
@@ -51,7 +51,7 @@
   if (!others.empty() && (replicas_here.empty() || owner_lease_.urgent(now)))
     targets.push_back(others[newest_turn_ % others.size()]);
   for (std::string const& target : targets) {
-    wire::NewestAskT ask;
+    wire::NewestRequestT ask;
     ask.request_id = ++next_request_id_;
     newest_asks_[ask.request_id] = now;
     outgoing.push_back(message_to(target, std::move(ask)));
@@ -81,7 +81,7 @@
   if (newest_told_.size() > newest_told_most) newest_told_.erase(newest_told_.begin());
   if (newest_told_.empty() || !owner_lease_.urgent(now)) return;
   // What is newer has not come by itself.
-  wire::BehindT ask;
+  wire::CatchUpRequestT ask;
   ask.revision = learner.revision();
   outgoing.push_back(message_to(from, std::move(ask)));
 }
@@ -136,7 +136,7 @@
   dispatch(outgoing, now, out);
 }
 
-QuotaDecision Node::decide_quota(wire::QuotaAskT const& ask, Micros now) {
+QuotaDecision Node::decide_quota(wire::QuotaRequestT const& ask, Micros now) {
   quota_shares_.note(learner.membership(), now);
   confirm_configuration(now);
   Tenant const* const tenant = dispatcher.description()->tenant(ask.tenant);
@@ -155,7 +155,7 @@
   }
 }
 
-void Node::take_quota_ask(std::string const& from, wire::QuotaAskT const& ask, Micros now,
+void Node::take_quota_ask(std::string const& from, wire::QuotaRequestT const& ask, Micros now,
                           std::vector<OutgoingMessage>& outgoing) {
   bool const question = ask.purpose == static_cast<std::uint8_t>(QuotaPurpose::ask);
   std::vector<std::string> const& owners = quota_shares_.owners();
@@ -164,7 +164,7 @@
     // The asker reaches no owner; this node may.
     QuotaPeers const peers = quota_peers();
     if (!peers.owners.empty()) {
-      wire::QuotaAskT passed = ask;
+      wire::QuotaRequestT passed = ask;
       passed.hops = 0;
       outgoing.push_back(message_to(peers.owners[++newest_turn_ % peers.owners.size()], std::move(passed)));
       return;
--- a/src/flow/index/index_sync.cc
+++ b/src/flow/index/index_sync.cc
@@ -57,7 +57,7 @@
   pull.page = 0;
   pull.moved = now;
   ++pull.tries;
-  wire::TreeAskT request_id;
+  wire::TreeRequestT request_id;
   request_id.model = model;
   request_id.pull = pull.number;
   out.push_back(message_to(pick, std::move(request_id)));
@@ -96,7 +96,7 @@
     }
     return;
   }
-  if (wire::TreeAskT const* const request_id = body.AsTreeAsk()) {
+  if (wire::TreeRequestT const* const request_id = body.AsTreeRequest()) {
     std::map<std::string, Index>::const_iterator const tree = trees_.find(request_id->model);
     wire::TreePageT page;
     page.model = request_id->model;
@@ -134,7 +134,7 @@
       log_event(Event::tree_pulled, page->model + " from " + from);
       return;
     }
-    wire::TreeAskT request_id;
+    wire::TreeRequestT request_id;
     request_id.model = page->model;
     request_id.pull = pull.number;
     request_id.page = ++pull.page;
--- a/src/flow/tenants/quota_client.cc
+++ b/src/flow/tenants/quota_client.cc
@@ -13,9 +13,9 @@
 constexpr std::size_t dry_count_most = 20000;
 constexpr std::size_t peers_tried_most = 3;
 
-wire::QuotaAskT question(std::uint64_t request_id, std::string const& tenant, std::int64_t count,
-                         QuotaPurpose purpose) {
-  wire::QuotaAskT out;
+wire::QuotaRequestT question(std::uint64_t request_id, std::string const& tenant, std::int64_t count,
+                             QuotaPurpose purpose) {
+  wire::QuotaRequestT out;
   out.request_id = request_id;
   out.tenant = tenant;
   out.count = count;
@@ -79,7 +79,7 @@
   ask.at = *to;
   ask.tried[*to] = 1;
   ask.due = std::min(now + answer_within, ask.wanted.due);
-  wire::QuotaAskT message = question(request_id, ask.wanted.tenant, ask.piece, QuotaPurpose::ask);
+  wire::QuotaRequestT message = question(request_id, ask.wanted.tenant, ask.piece, QuotaPurpose::ask);
   if (ask.through_peer) {
     message.origin = self_;
     message.hops = 1;
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -159,7 +159,7 @@
       return fires(FaultPoint::promise_lost);
     case wire::Body::Accepted:
       return fires(FaultPoint::accepted_lost);
-    case wire::Body::Confirm:
+    case wire::Body::ChosenAck:
       return fires(FaultPoint::confirm_lost);
     case wire::Body::Deltas:
       return fires(FaultPoint::delta_lost);
--- a/tests/register.cc
+++ b/tests/register.cc
@@ -358,7 +358,7 @@
   value.change = "e";
   value.label = 9;
   for (std::uint64_t n = 3; n <= 4; ++n) {
-    std::unique_ptr<wire::MarkT> mark = std::make_unique<wire::MarkT>();
+    std::unique_ptr<wire::RememberedChangeT> mark = std::make_unique<wire::RememberedChangeT>();
     mark->serial = n;
     mark->change = n == 3 ? "c" : "d";
     value.past.push_back(std::move(mark));
@@ -415,7 +415,9 @@
 }
 
 namespace {
-wire::PeekedT answer_of(Acceptor const& acceptor, wire::PeekT const& ask) { return peeked(acceptor.held(), ask); }
+wire::ReadReplyT answer_of(Acceptor const& acceptor, wire::ReadRequestT const& ask) {
+  return read_reply(acceptor.held(), ask);
+}
 }  // namespace
 
 // A set that one replica holds and that was never chosen is no reason to count a majority of it.
@@ -427,7 +429,7 @@
   std::vector<OutgoingMessage> asks;
   learner.poll(0, {"k1"}, -1, asks);
   std::vector<OutgoingMessage> more;
-  learner.take("k1", answer_of(cluster.acceptor("k1"), *asks.front().body.AsPeek()), 0, more);
+  learner.take("k1", answer_of(cluster.acceptor("k1"), *asks.front().body.AsReadRequest()), 0, more);
   EXPECT_TRUE(learner.membership().empty());
   EXPECT_EQ(learner.sure, -1);
 }
@@ -439,7 +441,7 @@
   Learner learner;
   std::vector<OutgoingMessage> asks;
   learner.poll(seconds(5), {"k1", "k2", "k3"}, -1, asks);
-  wire::PeekT const peek = *asks.front().body.AsPeek();
+  wire::ReadRequestT const peek = *asks.front().body.AsReadRequest();
   std::vector<OutgoingMessage> more;
   learner.take("k1", answer_of(cluster.acceptor("k1"), peek), seconds(5), more);
   cluster.ask("p1", cluster.apply("B", 1, 2), {"k1", "k2"});
@@ -461,7 +463,7 @@
   std::vector<OutgoingMessage> more;
   learner.poll(seconds(5), {"k2", "k3", "k4"}, -1, asks);
   for (OutgoingMessage const& ask : asks)
-    learner.take(ask.to, answer_of(cluster.acceptor(ask.to), *ask.body.AsPeek()), seconds(5), more);
+    learner.take(ask.to, answer_of(cluster.acceptor(ask.to), *ask.body.AsReadRequest()), seconds(5), more);
   EXPECT_EQ(learner.contact(), seconds(5)) << "three of four members answered";
 }
 
@@ -476,7 +478,7 @@
   std::vector<OutgoingMessage> more;
   learner.poll(0, {"k2", "k3"}, -1, asks);
   for (OutgoingMessage const& ask : asks)
-    learner.take(ask.to, answer_of(cluster.acceptor(ask.to), *ask.body.AsPeek()), 0, more);
+    learner.take(ask.to, answer_of(cluster.acceptor(ask.to), *ask.body.AsReadRequest()), 0, more);
   EXPECT_TRUE(learner.membership().empty());
   Proposer fresh("p9", 99);
   fresh.suggest(learner.seen());
--- a/tests/tenants.cc
+++ b/tests/tenants.cc
@@ -313,7 +313,7 @@
   // Answers the one question that is under way.
   void answer(bool granted, Micros wait = 0) {
     ASSERT_FALSE(sent.empty());
-    wire::QuotaAskT const ask = *sent.back().body.AsQuotaAsk();
+    wire::QuotaRequestT const ask = *sent.back().body.AsQuotaRequest();
     std::string const from = sent.back().to;
     asked.push_back(from);
     wire::QuotaReplyT reply;
@@ -326,7 +326,7 @@
   }
   std::size_t given_back() const {
     return static_cast<std::size_t>(std::count_if(sent.begin(), sent.end(), [](OutgoingMessage const& item) {
-      return item.body.AsQuotaAsk()->purpose == static_cast<std::uint8_t>(QuotaPurpose::give_back);
+      return item.body.AsQuotaRequest()->purpose == static_cast<std::uint8_t>(QuotaPurpose::give_back);
     }));
   }
 
@@ -388,7 +388,7 @@
   ASSERT_EQ(sent.size(), 2u);
   EXPECT_NE(sent.back().to, first.to);
   wire::QuotaReplyT late;
-  late.request_id = first.body.AsQuotaAsk()->request_id;
+  late.request_id = first.body.AsQuotaRequest()->request_id;
   late.tenant = "t";
   late.count = 100;
   late.granted = true;
@@ -403,8 +403,8 @@
   begin(100, 1000);
   ASSERT_EQ(sent.size(), 1u);
   EXPECT_EQ(sent[0].to, "x");
-  EXPECT_EQ(sent[0].body.AsQuotaAsk()->origin, "n1");
-  EXPECT_EQ(sent[0].body.AsQuotaAsk()->hops, 1);
+  EXPECT_EQ(sent[0].body.AsQuotaRequest()->origin, "n1");
+  EXPECT_EQ(sent[0].body.AsQuotaRequest()->hops, 1);
   answer(true);
   EXPECT_EQ(client.results.back().type, QuotaResult::Type::granted);
   peers.others.clear();
--- a/tests/text_patch.cc
+++ b/tests/text_patch.cc
@@ -16,7 +16,7 @@
 constexpr std::size_t frame_overhead = 512;
 
 std::size_t size_of(wire::TextPatchT const& patch) {
-  wire::ProposeT ask;
+  wire::ForwardedChangeT ask;
   ask.patch = std::make_unique<wire::TextPatchT>(patch);
   return encode_body(std::move(ask)).size();
 }
