--- a/programs/ordeal/main.cc
+++ b/programs/ordeal/main.cc
@@ -61,14 +61,14 @@
     Worker worker;
     std::string_view id;
     std::string_view standing;
-    bool dark = true;
+    bool unhealthy = true;
     if (item["id"].get_string().get(id) || item["zone"].get_string().get(text) ||
-        item["standing"].get_string().get(standing) || item["dark"].get_bool().get(dark) ||
+        item["standing"].get_string().get(standing) || item["dark"].get_bool().get(unhealthy) ||
         item["slots"].get_int64().get(worker.slots) || item["demand"].get_int64().get(worker.demand) ||
         item["sent"].get_uint64().get(worker.sent))
       return out;
     worker.zone = text;
-    worker.serving = standing == "serving" && !dark;
+    worker.serving = standing == "serving" && !unhealthy;
     out.workers[std::string(id)] = worker;
   }
   for (simdjson::dom::element const& item : root["peers"].get_array()) {
--- a/proof/hollow/scale.cc
+++ b/proof/hollow/scale.cc
@@ -426,7 +426,7 @@
     if (list.empty()) continue;
     after(mute ? seconds(1) : between(millis(1), millis(15)), [this, who, life, mute, list = std::move(list)] {
       for (Check const& check : list)
-        enter(who, life, Step::vitals, [this, &check, mute](Machine& x, Micros t, NodeEffects& o) {
+        enter(who, life, Step::health, [this, &check, mute](Machine& x, Micros t, NodeEffects& o) {
           std::optional<HealthReport> report;
           if (!mute) {
             report.emplace();
--- a/proof/hollow/scale.h
+++ b/proof/hollow/scale.h
@@ -63,7 +63,7 @@
     bool operator<(Event_ const& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
   static constexpr std::size_t kinds = static_cast<std::size_t>(wire::Body::MAX) + 1;
-  enum class Step : std::uint8_t { tick, list, vitals, chat_request, connection, operate, count };
+  enum class Step : std::uint8_t { tick, list, health, chat_request, connection, operate, count };
   struct Count {  // of all nodes of a role in one phase
     std::array<std::uint64_t, kinds> frames_in{}, bytes_in{}, frames_out{}, bytes_out{};
     std::array<std::int64_t, kinds> nanos_in{};
--- a/proof/requests/world.cc
+++ b/proof/requests/world.cc
@@ -24,18 +24,18 @@
   return out;
 }
 
-std::string route_text(std::string const& name, std::string const& more, int aim) {
+std::string route_text(std::string const& name, std::string const& more, int latency_target) {
   return "{\"name\":\"" + name + "\",\"host\":\"h.test\",\"prefix\":\"/" + name +
-         "/\",\"shares\":[{\"pool\":\"p\"}],\"hold_ms\":4000,\"aim_ms\":" + std::to_string(aim) + ",\"attempts\":2" +
-         more + "}";
+         "/\",\"shares\":[{\"pool\":\"p\"}],\"hold_ms\":4000,\"aim_ms\":" + std::to_string(latency_target) +
+         ",\"attempts\":2" + more + "}";
 }
 
-std::shared_ptr<Description const> compiled_description(int aim, bool all) {
+std::shared_ptr<Description const> compiled_description(int latency_target, bool all) {
   std::string const text = "{\"format\":1,\"lanes\":[],\"pools\":[{\"name\":\"p\",\"model\":\"m\"}],\"routes\":[" +
-                           route_text("safe", ",\"repeatable\":true", aim) + "," +
-                           route_text("live", ",\"streams\":true", aim) + "," +
-                           route_text("flow", ",\"streams\":true,\"resumable\":true", aim) +
-                           (all ? "," + route_text("once", "", aim) : "") + "]}";
+                           route_text("safe", ",\"repeatable\":true", latency_target) + "," +
+                           route_text("live", ",\"streams\":true", latency_target) + "," +
+                           route_text("flow", ",\"streams\":true,\"resumable\":true", latency_target) +
+                           (all ? "," + route_text("once", "", latency_target) : "") + "]}";
   Result<std::shared_ptr<Description const>> const made = read_description(text);
   return made ? made.value() : nullptr;
 }
--- a/proof/stage/callers.cc
+++ b/proof/stage/callers.cc
@@ -334,7 +334,7 @@
   bool const promise = request.status == 408 || request.status == 421 || request.status == 429 || request.status == 503;
   if (promise) {
     judge.refused(*request.attempt, request.status);
-    if (request.tries == 1 && at - request.came < item.aim / 4 && request.attempt->runs == 0)
+    if (request.tries == 1 && at - request.came < item.latency_target / 4 && request.attempt->runs == 0)
       request.refused_early = true;
     Micros wait = millis(50 + static_cast<Micros>(jitter.below(100)));
     std::string const told = line->field("retry-after");
@@ -370,7 +370,7 @@
   for (std::pair<std::uint64_t const, std::unique_ptr<Request>> const& position : requests) {
     Request& request = *position.second;
     RequestClass const& item = shape.classes[request.of];
-    Micros const silence = std::max({seconds(2), item.aim * 4, item.gap * 8});
+    Micros const silence = std::max({seconds(2), item.latency_target * 4, item.gap * 8});
     if (at >= request.due || (!request.waiting && at - request.heard > silence)) over.push_back(&request);
     // Whoever sent into a process that stands still sees that nothing of it is read.
     else if (!request.waiting && item.resumable && request.node->frozen && !request.line->any_byte() &&
@@ -414,14 +414,14 @@
   if (served) {
     Micros const first = request.first - request.came;
     own.first.push_back(first);
-    bool const in_aim = first <= item.aim && request.widest <= item.gap;
-    if (in_aim)
-      ++own.in_aim;
+    bool const within_target = first <= item.latency_target && request.widest <= item.gap;
+    if (within_target)
+      ++own.within_target;
     else
       ++own.late;
-    earned = in_aim ? owed : item.late_worth * request.size;
-    if (!in_aim && request.refused_early && request.last > 0 && first - (request.sent - request.came) <= item.aim &&
-        request.widest <= item.gap)
+    earned = within_target ? owed : item.late_worth * request.size;
+    if (!within_target && request.refused_early && request.last > 0 &&
+        first - (request.sent - request.came) <= item.latency_target && request.widest <= item.gap)
       earned = (item.worth + item.late_worth) / 2 * request.size;
   } else {
     ++own.unserved;
--- a/proof/stage/callers.h
+++ b/proof/stage/callers.h
@@ -19,7 +19,7 @@
 
 struct ClassTally {
   std::uint64_t asked = 0;
-  std::uint64_t in_aim = 0;
+  std::uint64_t within_target = 0;
   std::uint64_t late = 0;  // served, but not in its aim
   std::uint64_t unserved = 0;
   double owed = 0;
--- a/proof/stage/operators.cc
+++ b/proof/stage/operators.cc
@@ -28,7 +28,12 @@
   JsonWriter json;
   json.begin_object().key("name").text(name).key("host").text(host).key("path_prefix").text(path);
   json.key("route_kind").text("streaming").key("timeout_ms").number(of.deadline / 1000);
-  json.key("target_latency_ms").number(of.aim / 1000).key("priority").number(of.priority).key("service").text(service);
+  json.key("target_latency_ms")
+      .number(of.latency_target / 1000)
+      .key("priority")
+      .number(of.priority)
+      .key("service")
+      .text(service);
   json.key("max_attempts").number(of.max_attempts).key("session_affinity").boolean(true);
   json.key("resume_streams").boolean(of.resumable).key("target_gap_ms").number(of.gap / 1000).end_object();
   return json.take();
--- a/proof/stage/shapes.cc
+++ b/proof/stage/shapes.cc
@@ -4,13 +4,13 @@
 
 namespace {
 
-RequestClass long_class(std::string name, Micros aim, Micros deadline, double events, std::size_t things,
+RequestClass long_class(std::string name, Micros latency_target, Micros deadline, double events, std::size_t things,
                         std::size_t openings, double late_worth, double per_second) {
   RequestClass out;
   out.name = std::move(name);
   out.host = "long.example";
   out.path_prefix = "/long/";
-  out.aim = aim;
+  out.latency_target = latency_target;
   out.deadline = deadline;
   out.gap = millis(300);
   out.worth = 2;
@@ -25,14 +25,14 @@
   return out;
 }
 
-RequestClass short_class(std::string name, Micros aim, double events, std::size_t things, std::size_t openings,
-                         double late_worth, double per_second) {
+RequestClass short_class(std::string name, Micros latency_target, double events, std::size_t things,
+                         std::size_t openings, double late_worth, double per_second) {
   RequestClass out;
   out.name = std::move(name);
   out.host = "short.example";
   out.path_prefix = "/short/";
   out.resumable = true;
-  out.aim = aim;
+  out.latency_target = latency_target;
   out.deadline = millis(3000);
   out.gap = millis(300);
   out.worth = 3;
--- a/proof/stage/shapes.h
+++ b/proof/stage/shapes.h
@@ -27,7 +27,7 @@
   std::string host;
   std::string path_prefix;
   bool resumable = false;
-  Micros aim = 0;
+  Micros latency_target = 0;
   Micros deadline = 0;
   Micros gap = 0;
   double worth = 1;
--- a/proof/stage/stage.cc
+++ b/proof/stage/stage.cc
@@ -114,7 +114,7 @@
   nodes.end_all();
   until(seconds(10), [this] { return nodes.all_gone(); });
   std::uint64_t served = 0;
-  for (ClassTally const& item : callers.tally.classes) served += item.in_aim + item.late;
+  for (ClassTally const& item : callers.tally.classes) served += item.within_target + item.late;
   if (served == 0) judge.broken(Promise::unserved, "no request was served");
   nodes.look_at_logs();
   look_at_failures();
@@ -347,7 +347,7 @@
     ClassTally& item = c.classes[of];
     std::string const name = plan.shape.classes[of].name;
     out.put(name + " requests", static_cast<double>(item.asked));
-    out.put(name + " in aim", static_cast<double>(item.in_aim));
+    out.put(name + " in aim", static_cast<double>(item.within_target));
     out.put(name + " late", static_cast<double>(item.late));
     out.put(name + " unserved", static_cast<double>(item.unserved));
     out.put(name + " worth", item.owed > 0 ? item.earned / item.owed : 0);
--- a/src/base/events.h
+++ b/src/base/events.h
@@ -51,7 +51,7 @@
   EVENT(400, worker_joined, INFO, "a worker takes requests")                                 \
   EVENT(401, worker_leaving, INFO, "a worker is marked as leaving")                          \
   EVENT(402, worker_gone, INFO, "a worker is no longer listed")                              \
-  EVENT(403, worker_dark, WARNING, "a worker does not answer")                               \
+  EVENT(403, worker_unhealthy, WARNING, "a worker does not answer")                          \
   EVENT(404, worker_back, INFO, "a dark worker answers again")                               \
   EVENT(405, list_failed, WARNING, "the platform's list could not be read")                  \
   EVENT(406, list_back, INFO, "the platform's list can be read again")                       \
--- a/src/base/faults.h
+++ b/src/base/faults.h
@@ -12,7 +12,7 @@
   FAULT(3, cut_workers, "no wire is opened to the named workers, and open ones break")    \
   FAULT(4, list_fail, "a reading of the platform's list fails")                           \
   FAULT(5, list_torn, "a reading of the platform's list is cut short")                    \
-  FAULT(6, vitals_fail, "a worker's vitals cannot be read")                               \
+  FAULT(6, health_check_fail, "a worker's vitals cannot be read")                         \
   FAULT(7, attempt_unreached, "the wire of a leg cannot be opened")                       \
   FAULT(8, attempt_break_sent, "the wire of a leg breaks once the request may have left") \
   FAULT(9, attempt_break_begun, "the wire of a leg breaks after the first piece")         \
--- a/src/config/description/description.h
+++ b/src/config/description/description.h
@@ -49,7 +49,7 @@
   bool streams = false;     // answers with a series of events
   bool resumable = false;   // a stream may go on at another worker
   Micros hold = seconds(30);
-  Micros aim = seconds(1);
+  Micros latency_target = seconds(1);
   Micros gap = 0;         // the longest pause between events that keeps an answer in time; 0: none is named
   std::int64_t rank = 0;  // 0 comes first
   std::int64_t attempts = 1;
--- a/src/consensus/register/learner.cc
+++ b/src/consensus/register/learner.cc
@@ -43,7 +43,7 @@
 
 void Learner::poll(Micros now, std::vector<std::string> const& replicas, Micros age,
                    std::vector<OutgoingMessage>& out) {
-  look_split();
+  update_split();
   ++request_id_;
   asked_ = now;
   votes_.clear();
@@ -61,7 +61,7 @@
 }
 
 // Copies that differ are repaired (§5.8). A replica that is away hides nothing: a quorum is enough to see it.
-void Learner::look_split() {
+void Learner::update_split() {
   Voters voters;
   bool differ = false;
   for (std::pair<std::string const, Vote> const& item : votes_) {
@@ -96,7 +96,7 @@
 
 // What a quorum of the newest set among the answers holds is at least as new as anything that was chosen before the
 // poll was sent: who holds as much is as new as that moment, also when changes go on and no two answers agree.
-void Learner::look_floor() {
+void Learner::update_floor() {
   Vote const* newest = nullptr;
   Voters voters;
   std::uint64_t revision = 0;
@@ -132,7 +132,7 @@
   // with its disk, as a member that was dark when it got its place.
   Vote const vote{ans.ballot, ans.revision, ans.disk, ans.members};
   votes_[from] = vote;
-  look_floor();
+  update_floor();
   if (!ans.formed) return std::nullopt;
   Membership const* const members = members_of(vote);
   if (members == nullptr || !members->quorum(holders(vote.ballot))) return std::nullopt;
--- a/src/consensus/register/learner.h
+++ b/src/consensus/register/learner.h
@@ -65,8 +65,8 @@
   // The replicas of the present poll that hold this ballot.
   Voters holders(wire::Ballot const& ballot) const;
   Membership const* members_of(Vote const& vote) const;
-  void look_floor();
-  void look_split();
+  void update_floor();
+  void update_split();
 
   Membership set_;
   Membership seen_set_;
--- a/src/core/changes.cc
+++ b/src/core/changes.cc
@@ -85,7 +85,7 @@
     // Also when a poll brought it here first: the others may hear of it from nobody else.
     if (fresh || outcome.type == Outcome::Type::chosen || change.type >= Change::Type::empty)
       spread(outcome.value, fresh ? learner.before : std::nullopt, request_id, out);
-    look_ready(now, out);
+    update_readiness(now, out);
   } else {
     log_event(outcome.type == Outcome::Type::unknown ? Event::change_lost : Event::change_refused,
               change.id + " " + error_code_row(outcome.error.code).name);
--- a/src/core/checks.cc
+++ b/src/core/checks.cc
@@ -64,7 +64,7 @@
 }
 
 void Node::tell_waiting(Micros now) {
-  if (able_ || leaving_ || now - started_at_ < waiting_first || now < next_waiting_) return;
+  if (ready_now_ || leaving_ || now - started_at_ < waiting_first || now < next_waiting_) return;
   next_waiting_ = now + waiting_gap;
   log_event(Event::not_ready, waits_for(now));
 }
--- a/src/core/listed.cc
+++ b/src/core/listed.cc
@@ -53,13 +53,13 @@
   std::set<std::string> senders = routers(false);
   senders.erase(plan.name);
   fleet.sum_others(senders, now);
-  look_ready(now, out);
+  update_readiness(now, out);
   bool const alone = guard(Guard::isolation) && !is_up_to_date(now);
-  if (able_ && alone != isolated_) {
+  if (ready_now_ && alone != isolated_) {
     isolated_ = alone;
     log_event(alone ? Event::isolated : Event::not_isolated, "");
   }
-  chat_dispatcher.ready(able_ && !isolated_);
+  chat_dispatcher.ready(ready_now_ && !isolated_);
   chat_dispatcher.work(now, out.chat);
   check_asked(now, out);
 }
@@ -84,7 +84,7 @@
   }
   take_fresh(now);
   own_entries(now, out);
-  look_ready(now, out);
+  update_readiness(now, out);
   chat_dispatcher.work(now, out.chat);
 }
 
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -93,7 +93,7 @@
   if (now - last_tick_ > jump && guard(Guard::fresh_start)) {
     ++jumps;
     stale_from_ = now;
-    look_hold();
+    update_hold();
     registry.stood_still(now);
     list_flying_ = false;
     log_event(Event::clock_jumped, std::to_string((now - last_tick_) / 1000) + " ms");
@@ -196,7 +196,7 @@
       hear(body.AsReadReply()->age, now);
       if (learner.take(from, *body.AsReadReply(), now, outgoing)) after_value(now, out);
       proposer.know(learner.membership());
-      look_ready(now, out);
+      update_readiness(now, out);
       break;
     case wire::Body::Chosen:
       take_chosen(from, *body.AsChosen(), now, outgoing, out);
@@ -302,7 +302,7 @@
     if (!learner.value || registration_of(*learner.value, name) == nullptr) ok.routers.push_back(name);
   if (update.request_id != 0)
     outgoing.push_back(message_to(update.origin.empty() ? from : update.origin, std::move(ok)));
-  look_ready(now, out);
+  update_readiness(now, out);
 }
 
 void Node::send_whole(std::string const& to, wire::CatchUpRequestT const& ask,
@@ -449,25 +449,25 @@
   check_replies(out);
 }
 
-void Node::look_ready(Micros now, NodeEffects& out) {
+void Node::update_readiness(Micros now, NodeEffects& out) {
   // What must be known: a majority's word on the register, and the list; both after the last jump.
   Micros const from = stale_from_ >= 0 ? stale_from_ : started_at_;
   bool const word = learner.sure >= from;  // of a majority
   // Where replicas are many enough for the losses that are allowed, nothing else will do (docs/control.md).
-  if (plan.registered && !word && !able_) return;
+  if (plan.registered && !word && !ready_now_) return;
   bool sure = word;
   if (word && plan.role == Role::router && !is_registered()) {
     // §5.9: nothing is placed before this incarnation of the node has its registration; while a majority answers, by
     // nobody's word.
     request_registration(now, out);
-    if (!able_) return;
+    if (!ready_now_) return;
   }
   // Where workers register: a description, and the word of workers, or time enough for any to have called.
   bool const told = plan.registered && learner.serial() > 0 && (!registry.all.empty() || now - from > seconds(2));
   bool const listed = plan.role == Role::config_store || listed_at_ >= from || told;
   if (!word && now - from > fresh_bound) {
     // §6.7: no majority answers. A node that was serving goes on; a new one may take the word of one that serves.
-    if (able_) sure = true;
+    if (ready_now_) sure = true;
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       Peer const& peer = item.second;
       if (peer.connection != 0 && peer.state() == State::alive && peer.role() == Role::router && peer.member.ready &&
@@ -475,15 +475,15 @@
         sure = true;
     }
   }
-  if (!sure || !(listed || (able_ && now - from > fresh_bound))) return;
+  if (!sure || !(listed || (ready_now_ && now - from > fresh_bound))) return;
   if (stale_from_ >= 0) {
     stale_from_ = -1;
-    look_hold();
+    update_hold();
     chat_dispatcher.work(now, out.chat);
   }
-  if (!able_ && newcomer(now)) return;
-  if (!able_) {
-    able_ = true;
+  if (!ready_now_ && newcomer(now)) return;
+  if (!ready_now_) {
+    ready_now_ = true;
     log_event(Event::ready, "revision " + std::to_string(learner.revision()) + ", " +
                                 std::to_string((now - started_at_) / 1000) + " ms after its start");
     chat_dispatcher.ready(true);
@@ -515,7 +515,7 @@
   } else if (plan.role == Role::router) {
     tick_listed(now, outgoing, out);
   } else {
-    look_ready(now, out);
+    update_readiness(now, out);
   }
   dispatch(outgoing, now, out);
   duties(now, out);
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -134,10 +134,10 @@
   // Whether nothing is lost when this node ends now: it keeps no more, or nobody is here to take its place.
   bool may_end(Micros now) const;
   void drain(Micros now, NodeEffects& out);
-  bool ready() const { return able_; }
+  bool ready() const { return ready_now_; }
   // Ready, and not without the lease that keys need.
   bool takes_requests(Micros now) const {
-    return able_ && (!dispatcher.description()->keys_required || lease.holds(now));
+    return ready_now_ && (!dispatcher.description()->keys_required || lease.holds(now));
   }
   bool draining() const { return leaving_; }
   std::size_t under_way() const { return chat_dispatcher.under_way(); }
@@ -190,7 +190,7 @@
   void tell_waiting(Micros now);
   std::string waits_for(Micros now) const;
   void settle_waiting(Micros now, NodeEffects& out);
-  void look_ready(Micros now, NodeEffects& out);
+  void update_readiness(Micros now, NodeEffects& out);
   void own_entries(Micros now, NodeEffects& out);
   void duties(Micros now, NodeEffects& out);
   void bootstrap(Micros now, std::vector<OutgoingMessage>& outgoing);
@@ -257,7 +257,7 @@
   bool half_has(std::uint64_t revision) const;
   bool is_registered() const;
   void ask_newer(Micros now, std::vector<OutgoingMessage>& outgoing);
-  void look_hold();
+  void update_hold();
   bool newcomer(Micros now) const;
   bool self_evicted() const;
   void request_registration(Micros now, NodeEffects& out);
@@ -303,7 +303,7 @@
   bool list_bad_ = false;
   std::set<std::string> checking_;
   std::map<std::string, Micros> check_due_;
-  bool able_ = false;
+  bool ready_now_ = false;
   bool isolated_ = false;
   Micros list_known_at_ = -1;  // when the freshest reading of the list that is known here was begun, by whomever
   Micros up_to_date_at_ = -1;  // until when no mark can have been missed
--- a/src/core/registered.cc
+++ b/src/core/registered.cc
@@ -27,7 +27,7 @@
   if (!heard && !word.leaving && registry.hear(word, now)) return false;
   if (std::optional<wire::EntryT> entry = registry.heartbeat(word, now)) put_entry(std::move(*entry), now, out);
   take_fresh(now);
-  look_ready(now, out);
+  update_readiness(now, out);
   return heard;
 }
 
@@ -129,7 +129,7 @@
 
 Micros Node::poll_span() const {
   if (!plan.registered || !mesh.wide()) return poll_gap;
-  if (!able_ || stale_from_ >= 0) return poll_gap;
+  if (!ready_now_ || stale_from_ >= 0) return poll_gap;
   return acceptor ? poll_wide : poll_rare;
 }
 
@@ -177,7 +177,7 @@
   take_fresh(now);
   settle_ends(now, out);
   dispatcher.nodes(routers(true).size(), mesh.wide());
-  look_ready(now, out);
+  update_readiness(now, out);
   renew_lease(now, outgoing);
   tick_quota(now, outgoing);
   dispatcher.tick(now, out.dispatch);
--- a/src/core/seats.cc
+++ b/src/core/seats.cc
@@ -52,7 +52,7 @@
     if (registered_at_ < 0) registered_at_ = now;
     if (!was_registered_) {
       was_registered_ = true;
-      look_hold();
+      update_hold();
     }
   } else if (was_registered_) {
     // It was evicted, though it incarnations: it places nothing until it has a registration again, and then begins as a
@@ -60,7 +60,7 @@
     was_registered_ = false;
     registered_before_ = false;
     registered_at_ = -1;
-    look_hold();
+    update_hold();
   }
 }
 
@@ -90,10 +90,10 @@
          now - registered_at_ < newcomer_span;
 }
 
-void Node::look_hold() {
+void Node::update_hold() {
   if (plan.role != Role::router) return;
   dispatcher.hold(stale_from_ >= 0);
-  bool const lost = guard(Guard::registrations) && able_ && registered_at_ < 0 && learner.value && self_evicted();
+  bool const lost = guard(Guard::registrations) && ready_now_ && registered_at_ < 0 && learner.value && self_evicted();
   chat_dispatcher.hold(stale_from_ >= 0 || lost);
 }
 
--- a/src/flow/dispatch/dispatcher.cc
+++ b/src/flow/dispatch/dispatcher.cc
@@ -129,7 +129,7 @@
   Micros const left = request.query.left > 0 ? request.query.left : request.route->hold;
   request.due = request.came - request.query.read_for + std::min(left, request.route->hold) - way_back;
   if (request.due <= now) return deny(request, ErrorCode::expired, millis(100), now, out);
-  request.give_up = request.came + std::min(request.route->aim / 5, left / 4);
+  request.give_up = request.came + std::min(request.route->latency_target / 5, left / 4);
   if (now - started_at_ < begin_span) request.give_up = request.came + std::min(begin_wait, left / 4);
   Bucket& earned = bucket(*request.pool);
   earned.level += resend_ratio_;
@@ -250,7 +250,7 @@
       ++tally.served;
       return erase(request.id);
     case RetryDecision::again:
-      request.give_up = std::max(request.give_up, std::min(request.due, now + request.route->aim / 5));
+      request.give_up = std::max(request.give_up, std::min(request.due, now + request.route->latency_target / 5));
       count_again(request, out);
       return try_place(request, now, out);
     case RetryDecision::pass:
@@ -357,13 +357,13 @@
     // itself. So one slow answer has to be late by far, unless nothing at all comes from its worker.
     bool const still = others > quiet_least;
     Micros const most = request.read ? std::max<Micros>(quiet_least * 2, request.route->gap * 2)
-                        : still      ? std::max<Micros>(request.route->aim * 3 / 4, request.guess * 3)
-                                     : std::max<Micros>(request.route->aim * 2, request.guess * 4);
-    bool const dark =
+                        : still      ? std::max<Micros>(request.route->latency_target * 3 / 4, request.guess * 3)
+                                     : std::max<Micros>(request.route->latency_target * 2, request.guess * 4);
+    bool const unhealthy =
         quiet > quiet_least && others > quiet_least && at != nullptr && at->running > 1 && quiet > request.guess * 3;
     // A worker that said farewell may serve on for long; one whose heartbeats are late still sends what it has.
     bool const gone = at == nullptr || (at->standing == WorkerState::ended && !at->said_farewell() && still);
-    if (!(quiet > most || dark || (gone && quiet > quiet_least / 2))) continue;
+    if (!(quiet > most || unhealthy || (gone && quiet > quiet_least / 2))) continue;
     if (request.sends >= request.route->attempts || !can_pay(*request.pool)) continue;
     if (!another_takes(request)) continue;  // what is cut would only wait, and its worker may still answer
     ++tally.silences;
--- a/src/flow/dispatch/placement.cc
+++ b/src/flow/dispatch/placement.cc
@@ -87,7 +87,7 @@
   double best_price = 0;
   Micros best_guess = 0;
   std::int64_t best_kept = 0;
-  double const aim = static_cast<double>(std::max<Micros>(millis(1), request.route->aim));
+  double const latency_target = static_cast<double>(std::max<Micros>(millis(1), request.route->latency_target));
   std::int64_t const size = prompt + request.query.tokens_out;
   for (Choice const& item : field) {
     Instance& at = *item.at;
@@ -101,8 +101,8 @@
     Micros const guess = static_cast<Micros>(at.pace * static_cast<double>(first_least + reading)) + at.busy(now);
     double const took = static_cast<double>(now - request.came + guess);
     double const blur = late_blur + 0.12 * static_cast<double>(guess);
-    double price = 1.0 / (1.0 + std::exp(std::clamp((aim - took) / blur, -30.0, 30.0)));
-    price += 0.1 * took / aim;
+    double price = 1.0 / (1.0 + std::exp(std::clamp((latency_target - took) / blur, -30.0, 30.0)));
+    price += 0.1 * took / latency_target;
     price += again_price * static_cast<double>(again);
     if (at.zone != zone_) price += far_price * static_cast<double>(size);
     if (at.id == home) price -= home_worth;
--- a/src/flow/dispatch/tenancy.cc
+++ b/src/flow/dispatch/tenancy.cc
@@ -64,7 +64,7 @@
   if (tenant == nullptr || !tenant->limited()) return;
   ++tenant_tallies[request.tenant].asked;
   request.quota = QuotaState::asked;
-  Micros const patience = std::clamp(request.route->aim / 2, asking_least, asking_most);
+  Micros const patience = std::clamp(request.route->latency_target / 2, asking_least, asking_most);
   out.quota_needs.push_back({request.id, request.tenant, request.count, std::min(now + patience, request.due), false});
 }
 
@@ -79,7 +79,7 @@
   Request& request = *position->second;
   request.quota = QuotaState::granted;
   if (result.type == QuotaResult::Type::granted) {
-    request.give_up = std::max(request.give_up, std::min(request.due, now + request.route->aim / 10));
+    request.give_up = std::max(request.give_up, std::min(request.due, now + request.route->latency_target / 10));
     return try_place(request, now, out);
   }
   TenantTally& tenant = tenant_tallies[request.tenant];
--- a/src/flow/fleet/fleet.cc
+++ b/src/flow/fleet/fleet.cc
@@ -77,7 +77,7 @@
   worker.absent = false;
   worker.seen_again = 0;
   worker.woke = -1;
-  worker.dark = true;
+  worker.unhealthy = true;
   worker.ever = false;
   worker.suspected = false;
   worker.awake = 0;
@@ -165,7 +165,8 @@
 
 bool Fleet::suspect(std::string const& id, std::uint64_t incarnation, Micros now) {
   Worker* const worker = find(id);
-  if (worker == nullptr || worker->suspected || worker->dark || worker->row.incarnation != incarnation) return false;
+  if (worker == nullptr || worker->suspected || worker->unhealthy || worker->row.incarnation != incarnation)
+    return false;
   worker->suspected = true;
   worker->suspected_at = now;
   return true;
@@ -186,9 +187,9 @@
   if (!report) {
     ++worker->misses;
     worker->asked = -1;
-    if (!worker->dark && (refused || worker->misses >= 2)) {
-      worker->dark = true;
-      log_event(Event::worker_dark, id);
+    if (!worker->unhealthy && (refused || worker->misses >= 2)) {
+      worker->unhealthy = true;
+      log_event(Event::worker_unhealthy, id);
     }
     return;
   }
@@ -202,17 +203,17 @@
   // Only what was asked after the doubt answers it.
   if (asked >= worker->suspected_at) worker->suspected = false;
   // A worker that says it woke later than it said before has lost what it kept, whatever its incarnation.
-  if (!worker->dark && report->awake + seconds(1) < worker->awake) {
-    worker->dark = true;
+  if (!worker->unhealthy && report->awake + seconds(1) < worker->awake) {
+    worker->unhealthy = true;
     worker->ever = false;
     reborn.push_back(id);
   }
   worker->awake = report->awake;
-  if (worker->dark) {
+  if (worker->unhealthy) {
     // §6.6: cold is what woke a short while ago, and what comes back from the dark. A worker that woke before this
     // machine's clock began has been warm for all of it: below 0 would say that nothing is known.
     worker->woke = worker->ever ? now : std::max<Micros>(0, now - report->awake);
-    worker->dark = false;
+    worker->unhealthy = false;
     if (worker->ever) log_event(Event::worker_back, id);
     worker->ever = true;
   }
--- a/src/flow/fleet/fleet.h
+++ b/src/flow/fleet/fleet.h
@@ -36,7 +36,7 @@
   int seen_again = 0;        // whole readings in a row that list it after it was gone
   std::uint64_t buried = 0;  // incarnations up to this one take no more requests
   bool absent = false;       // buried because it was not listed, not because it was leaving
-  bool dark = true;          // until it answers
+  bool unhealthy = true;     // until it answers
   bool ever = false;         // it has answered once
   bool suspected = false;    // a connection to it broke; it is asked before it is sent anything more
   Micros suspected_at = 0;
@@ -61,7 +61,7 @@
     return exact ? told : std::max<std::int64_t>(demand + own_since(), told);
   }
   std::int64_t room(Pool const& pool) const { return row.slots > 0 ? row.slots : pool.slots; }
-  bool takes() const { return standing == WorkerState::serving && !dark && !suspected; }
+  bool takes() const { return standing == WorkerState::serving && !unhealthy && !suspected; }
 };
 
 // Parses the platform's list. A torn or odd text is a failed reading, never a departure.
--- a/src/gate/net/server.cc
+++ b/src/gate/net/server.cc
@@ -252,7 +252,7 @@
   for (Conn* const conn : idle) let_go(*conn);
 }
 
-void Server::sweep(Micros now) {
+void Server::close_expired(Micros now) {
   std::vector<Conn*> idle;
   std::vector<Conn*> slow;
   for (std::pair<Conn* const, std::shared_ptr<Conn>> const& item : conns_) {
--- a/src/gate/net/server.h
+++ b/src/gate/net/server.h
@@ -58,7 +58,7 @@
   // Bytes that wait for a slow caller.
   std::size_t waiting(std::uint64_t id) const;
 
-  void sweep(Micros now);  // closes what is idle or slow for too long
+  void close_expired(Micros now);  // closes what is idle or slow for too long
   std::size_t calls() const { return by_id_.size(); }
   // Those that carry calls or may, and those whose last answer has not yet been taken.
   std::size_t connections() const { return conns_.size() + finishing(); }
--- a/src/gate/net/upstream.cc
+++ b/src/gate/net/upstream.cc
@@ -211,7 +211,7 @@
   }
 }
 
-void Upstream::sweep(Micros now) {
+void Upstream::close_expired(Micros now) {
   std::vector<Conn*> old;
   for (std::pair<std::string const, std::vector<Conn*>> const& item : idle_)
     for (Conn* const conn : item.second)
--- a/src/gate/net/upstream.h
+++ b/src/gate/net/upstream.h
@@ -44,7 +44,7 @@
   void cut(std::uint64_t id);
   // Nobody of that name is there any more: its kept connections are closed.
   void forget(std::string const& peer);
-  void sweep(Micros now);
+  void close_expired(Micros now);
   std::size_t open() const { return by_id_.size(); }
   std::size_t kept(std::string const& peer) const;
   std::size_t connections() const { return conns_.size(); }
--- a/src/gate/relay/relay.cc
+++ b/src/gate/relay/relay.cc
@@ -129,9 +129,9 @@
   server.limit(out);
 }
 
-void RequestProxy::sweep(Micros now) {
-  server.sweep(now);
-  upstream.sweep(now);
+void RequestProxy::close_expired(Micros now) {
+  server.close_expired(now);
+  upstream.close_expired(now);
 }
 
 void RequestProxy::on_call(Server::Call&& call) {
--- a/src/gate/relay/relay.h
+++ b/src/gate/relay/relay.h
@@ -47,7 +47,7 @@
   void act(DispatchEffects& out);
   void limits(CallLimits const& limits);
   void forget(std::string const& instance) { upstream.forget(instance); }
-  void sweep(Micros now);
+  void close_expired(Micros now);
 
   Server server;
   Upstream upstream;
--- a/src/gate/station/station.cc
+++ b/src/gate/station/station.cc
@@ -231,7 +231,7 @@
 }
 
 // §12.6: first only the word that no new callers are wanted; then the doors; then what is under way comes to its end.
-void NodeServer::look_stop(Micros at) {
+void NodeServer::check_stop(Micros at) {
   if (stop_from_ < 0) return;
   Micros const span = at - stop_from_;
   if (!doors_shut_ && span >= std::min(heed, plan_.grace / 3)) {
@@ -258,16 +258,16 @@
   act(out);
   if (at >= next_sweep_) {
     next_sweep_ = at + millis(500);
-    proxy_->sweep(at);
-    control_server_->sweep(at);
-    ready_server_->sweep(at);
-    metrics_server_->sweep(at);
+    proxy_->close_expired(at);
+    control_server_->close_expired(at);
+    ready_server_->close_expired(at);
+    metrics_server_->close_expired(at);
   }
-  if (look_ && at >= next_look_) {
-    next_look_ = at + seconds(2);
-    look_();
+  if (periodic_check_ && at >= next_check_) {
+    next_check_ = at + seconds(2);
+    periodic_check_();
   }
-  look_stop(at);
+  check_stop(at);
 }
 
 namespace {
@@ -291,7 +291,7 @@
       SIGHUP,
       [](gpointer data) -> gboolean {
         NodeServer& self = *static_cast<NodeServer*>(data);
-        if (self.look_) self.look_();
+        if (self.periodic_check_) self.periodic_check_();
         return G_SOURCE_CONTINUE;
       },
       this);
--- a/src/gate/station/station.h
+++ b/src/gate/station/station.h
@@ -36,7 +36,7 @@
   // A call at the control address. False: it is not one of the caller's own paths.
   using Control = std::function<bool(Server::Call&)>;
   using Done = std::function<void(Reply const&)>;
-  using Look = std::function<void()>;
+  using PeriodicCheck = std::function<void()>;
 
   explicit NodeServer(NodeServerPlan plan);
   ~NodeServer();
@@ -47,7 +47,7 @@
 
   void on_control(Control control) { control_ = std::move(control); }
   // Called on SIGHUP and every other second.
-  void on_look(Look look) { look_ = std::move(look); }
+  void on_periodic_check(PeriodicCheck periodic_check) { periodic_check_ = std::move(periodic_check); }
 
   using EndDone = std::function<void(bool known)>;
   // False when this node cannot tell the others of the worker.
@@ -75,7 +75,7 @@
   void on_call(Server::Call&& call);
   void on_ready(Server::Call&& call);
   void on_metrics(Server::Call&& call);
-  void look_stop(Micros now);
+  void check_stop(Micros now);
   std::string status() const;
   std::string metrics() const;
   std::string tenants() const;
@@ -91,14 +91,14 @@
   std::unique_ptr<Server> metrics_server_;
   std::unique_ptr<DiskTask> disk_;
   Control control_;
-  Look look_;
+  PeriodicCheck periodic_check_;
   std::map<std::uint64_t, Done> asked_;
   std::map<std::uint64_t, EndDone> ends_asked_;
   std::uint64_t next_ask_ = 0;
   std::map<std::string, std::uint64_t> order_answers_;  // of operators, by status
   std::shared_ptr<Description const> limits_of_;
   Micros next_sweep_ = 0;
-  Micros next_look_ = 0;
+  Micros next_check_ = 0;
   Micros stop_from_ = -1;
   bool doors_shut_ = false;
 };
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -221,7 +221,7 @@
     }
   }
   for (Check const& check : out.checks) {
-    if (fires_for(FaultPoint::cut_workers, check.worker) || fires(FaultPoint::vitals_fail)) {
+    if (fires_for(FaultPoint::cut_workers, check.worker) || fires(FaultPoint::health_check_fail)) {
       NodeEffects more;
       node_->health_report(check, std::nullopt, false, now(), more);
       act(more);
@@ -273,7 +273,7 @@
   log_event(Event::grace_began, "");
 }
 
-void Host::look_drain() {
+void Host::check_drain() {
   if (grace_until_ < 0) return;
   if (drain_until_ < 0) {
     if (now() < grace_until_) return;
@@ -331,7 +331,7 @@
         host.ticked_ = now();
         host.node_->tick(now(), out);
         host.act(out);
-        host.look_drain();
+        host.check_drain();
         return G_SOURCE_CONTINUE;
       },
       this);
--- a/src/runtime/host.h
+++ b/src/runtime/host.h
@@ -43,7 +43,7 @@
   std::string status() const;
   std::string metrics() const;
   void begin_drain();
-  void look_drain();
+  void check_drain();
   void reload();
   bool dropped_in(ConnectionId id, std::string_view frame);
   bool dropped_out(ConnectionId id, std::string const& frame);
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -38,7 +38,7 @@
     Worker const& worker = item.second;
     static char const* const words[] = {"serving", "leaving", "gone"};
     json.begin_object().key("id").text(item.first).key("zone").text(worker.row.zone).key("pool").text(worker.row.pool);
-    json.key("standing").text(words[static_cast<std::size_t>(worker.standing)]).key("dark").boolean(worker.dark);
+    json.key("standing").text(words[static_cast<std::size_t>(worker.standing)]).key("dark").boolean(worker.unhealthy);
     json.key("incarnation").number(static_cast<std::int64_t>(worker.row.incarnation));
     Pool const* const pool = node_->chat_dispatcher.description()->pool(worker.row.pool);
     std::int64_t const slots = pool != nullptr ? worker.room(*pool) : worker.row.slots;
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -812,7 +812,7 @@
     connection.send(row.text);
     settle();
     // What is only incomplete is slow, in the end.
-    server.sweep(far_off());
+    server.close_expired(far_off());
     ASSERT_TRUE(until([&] { return connection.shut; })) << row.name;
     EXPECT_TRUE(calls.empty()) << row.name << " was given on";
     if (!connection.got.empty()) {
@@ -832,7 +832,7 @@
     EXPECT_EQ(calls[0].body, "hello");
     server.answer(calls[0].id, status(200), "yes");
     settle();
-    server.sweep(far_off());
+    server.close_expired(far_off());
     ASSERT_TRUE(until([&] { return connection.shut; })) << row.name;
     EXPECT_EQ(calls.size(), 1u) << row.name;
     EXPECT_EQ(connection.got.substr(0, 12), "HTTP/1.1 200") << row.name;
@@ -856,7 +856,7 @@
       settle();
       while (done < calls.size()) server.answer(calls[done++].id, status(200), "yes");
     }
-    server.sweep(far_off());
+    server.close_expired(far_off());
     ASSERT_TRUE(until([&] { return connection.shut; })) << n << "\n" << text;
     std::vector<Message> read;
     for (Server::Call const& call : calls)
@@ -883,18 +883,18 @@
   ASSERT_TRUE(until([&] { return calls.size() == 1; }));
   settle();
   Micros const now = g_get_monotonic_time();
-  server.sweep(now);
+  server.close_expired(now);
   settle();
   EXPECT_EQ(server.connections(), 4u);
-  server.sweep(now + seconds(6));
+  server.close_expired(now + seconds(6));
   ASSERT_TRUE(until([&] { return heading.shut; }));
   EXPECT_EQ(heading.got.substr(0, 12), "HTTP/1.1 408");
   EXPECT_FALSE(sending.shut);
-  server.sweep(now + seconds(10));
+  server.close_expired(now + seconds(10));
   ASSERT_TRUE(until([&] { return sending.shut; }));
   EXPECT_EQ(sending.got.substr(0, 12), "HTTP/1.1 408");
   EXPECT_FALSE(idle.shut);
-  server.sweep(now + seconds(70));
+  server.close_expired(now + seconds(70));
   ASSERT_TRUE(until([&] { return idle.shut; }));
   EXPECT_EQ(idle.got, "");
   settle();
@@ -914,14 +914,14 @@
   Server::Limits shorter;
   shorter.idle = seconds(5);
   server.limit(shorter);
-  server.sweep(g_get_monotonic_time() + seconds(48));
+  server.close_expired(g_get_monotonic_time() + seconds(48));
   settle();
   EXPECT_FALSE(connection.shut);
-  server.sweep(g_get_monotonic_time() + seconds(61));
+  server.close_expired(g_get_monotonic_time() + seconds(61));
   ASSERT_TRUE(until([&] { return connection.shut; }));
   LoopbackStream other(address);
   settle();
-  server.sweep(g_get_monotonic_time() + seconds(6));
+  server.close_expired(g_get_monotonic_time() + seconds(6));
   ASSERT_TRUE(until([&] { return other.shut; }));
 }
 
@@ -1333,9 +1333,9 @@
     Micros const now = g_get_monotonic_time();
     EXPECT_EQ(upstream.kept("w"), row.least >= 0 ? 1u : 0u) << row.fields;
     if (row.least < 0) continue;
-    upstream.sweep(now + row.least);
+    upstream.close_expired(now + row.least);
     EXPECT_EQ(upstream.kept("w"), 1u) << row.fields;
-    upstream.sweep(now + row.most);
+    upstream.close_expired(now + row.most);
     EXPECT_EQ(upstream.kept("w"), 0u) << row.fields;
     settle();
   }
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -204,7 +204,7 @@
   EXPECT_EQ(chat.prefix, "/v1/chat/");
   EXPECT_TRUE(chat.streams && chat.resumable && !chat.repeatable);
   EXPECT_EQ(chat.hold, seconds(260));
-  EXPECT_EQ(chat.aim, millis(900));
+  EXPECT_EQ(chat.latency_target, millis(900));
   EXPECT_EQ(chat.gap, millis(200));
   EXPECT_EQ(chat.rank, 2);
   EXPECT_EQ(chat.attempts, 3);
