--- a/src/base/kinds.cc
+++ b/src/base/error.cc
@@ -1,4 +1,4 @@
-#include "base/kinds.h"
+#include "base/error.h"
 
 #include <array>
 
--- a/src/base/faults.cc
+++ b/src/base/fault_points.cc
@@ -1,4 +1,4 @@
-#include "base/faults.h"
+#include "base/fault_points.h"
 
 #include <atomic>
 #include <map>
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "base/kinds.h"
+#include "base/error.h"
 #include "base/micros.h"
 
 namespace pipit {
--- a/src/config/description/builder.h
+++ b/src/config/description/builder.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <unordered_set>
 
-#include "base/kinds.h"
+#include "base/error.h"
 #include "config/description/description.h"
 
 namespace pipit {
--- a/src/config/rules/lexer.h
+++ b/src/config/rules/lexer.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/kinds.h"
+#include "base/error.h"
 
 namespace pipit {
 
--- a/src/config/rules/rules.h
+++ b/src/config/rules/rules.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/kinds.h"
+#include "base/error.h"
 #include "base/micros.h"
 
 namespace pipit {
--- a/src/consensus/register/orders.h
+++ b/src/consensus/register/orders.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "base/kinds.h"
+#include "base/error.h"
 #include "wire_generated.h"
 
 namespace pipit {
--- a/src/consensus/register/proposer.h
+++ b/src/consensus/register/proposer.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "base/kinds.h"
+#include "base/error.h"
 #include "base/random.h"
 #include "consensus/register/acceptor.h"
 #include "consensus/register/membership.h"
--- a/src/mesh/ledger/ledger.cc
+++ b/src/mesh/entries/entry_table.cc
@@ -1,4 +1,4 @@
-#include "mesh/ledger/ledger.h"
+#include "mesh/entries/entry_table.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/mesh/frame.h
+++ b/src/mesh/frame.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <string_view>
 
-#include "base/kinds.h"
+#include "base/error.h"
 #include "wire_generated.h"
 
 namespace pipit {
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -7,7 +7,7 @@
 #include "base/random.h"
 #include "mesh/effects.h"
 #include "mesh/frame.h"
-#include "mesh/ledger/ledger.h"
+#include "mesh/entries/entry_table.h"
 #include "mesh/members/member_table.h"
 
 namespace pipit {
--- a/src/gate/net/clock.cc
+++ b/src/net/clock.cc
@@ -1,4 +1,4 @@
-#include "gate/net/clock.h"
+#include "net/clock.h"
 
 #include <glib.h>
 
--- a/src/gate/net/http.cc
+++ b/src/net/http.cc
@@ -1,4 +1,4 @@
-#include "gate/net/http.h"
+#include "net/http.h"
 
 #include <strings.h>
 
--- a/src/gate/net/http.h
+++ b/src/net/http.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "gate/net/lines.h"
+#include "net/lines.h"
 
 namespace pipit {
 
--- a/src/gate/net/lines.cc
+++ b/src/net/lines.cc
@@ -1,4 +1,4 @@
-#include "gate/net/lines.h"
+#include "net/lines.h"
 
 namespace pipit {
 
--- a/src/gate/net/link.cc
+++ b/src/net/link.cc
@@ -1,4 +1,4 @@
-#include "gate/net/link.h"
+#include "net/link.h"
 
 #include <arpa/inet.h>
 #include <cerrno>
--- a/src/gate/net/link.h
+++ b/src/net/link.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "base/kinds.h"
+#include "base/error.h"
 #include "base/micros.h"
 
 using GSource = struct _GSource;
--- a/src/gate/net/server.cc
+++ b/src/net/server.cc
@@ -1,11 +1,11 @@
-#include "gate/net/server.h"
+#include "net/server.h"
 
 #include <glib.h>
 
 #include <algorithm>
 
 #include "base/events.h"
-#include "gate/net/clock.h"
+#include "net/clock.h"
 
 namespace pipit {
 
--- a/src/gate/net/server.h
+++ b/src/net/server.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "gate/net/http.h"
-#include "gate/net/link.h"
+#include "net/http.h"
+#include "net/link.h"
 
 namespace pipit {
 
--- a/src/gate/net/upstream.cc
+++ b/src/net/upstream.cc
@@ -1,10 +1,10 @@
-#include "gate/net/upstream.h"
+#include "net/upstream.h"
 
 #include <glib.h>
 
 #include <algorithm>
 
-#include "gate/net/clock.h"
+#include "net/clock.h"
 
 namespace pipit {
 
--- a/src/core/changes.cc
+++ b/src/node/changes.cc
@@ -3,7 +3,7 @@
 
 #include "base/events.h"
 #include "base/guards.h"
-#include "core/node.h"
+#include "node/node.h"
 
 namespace pipit {
 
--- a/src/core/checks.cc
+++ b/src/node/checks.cc
@@ -2,7 +2,7 @@
 #include "base/events.h"
 #include "base/invariants.h"
 #include "consensus/register/orders.h"
-#include "core/node.h"
+#include "node/node.h"
 
 namespace pipit {
 
--- a/src/core/handed.cc
+++ b/src/node/handed.cc
@@ -2,7 +2,7 @@
 // is proposed here under the same id, and the register takes it once.
 #include "base/events.h"
 #include "consensus/register/text_patch.h"
-#include "core/node.h"
+#include "node/node.h"
 
 namespace pipit {
 
--- a/src/core/node.cc
+++ b/src/node/node.cc
@@ -1,4 +1,4 @@
-#include "core/node.h"
+#include "node/node.h"
 
 #include <algorithm>
 
--- a/src/core/node.h
+++ b/src/node/node.h
@@ -10,13 +10,13 @@
 
 #include "consensus/lease/lease.h"
 #include "consensus/register/learner.h"
-#include "flow/dispatch/dispatcher.h"
-#include "flow/errand/desk.h"
-#include "flow/registry/registry.h"
-#include "flow/tenants/configuration_lease.h"
-#include "flow/tenants/quota_client.h"
-#include "flow/tenants/quota_owner.h"
-#include "flow/tenants/quota_shares.h"
+#include "routing/dispatch/dispatcher.h"
+#include "routing/chat/chat_dispatcher.h"
+#include "routing/registry/registry.h"
+#include "routing/tenants/configuration_lease.h"
+#include "routing/tenants/quota_client.h"
+#include "routing/tenants/quota_owner.h"
+#include "routing/tenants/quota_shares.h"
 #include "mesh/mesh.h"
 
 namespace pipit {
--- a/src/core/seats.cc
+++ b/src/node/seats.cc
@@ -1,7 +1,7 @@
 // Registrations of router nodes in the register (§5.9), and how old a node's knowledge of the list is (§4.3).
 #include "base/events.h"
 #include "base/guards.h"
-#include "core/node.h"
+#include "node/node.h"
 
 namespace pipit {
 
--- a/src/core/tenancy.cc
+++ b/src/node/tenancy.cc
@@ -2,7 +2,7 @@
 // for and hands out (docs/tenants.md).
 #include <algorithm>
 
-#include "core/node.h"
+#include "node/node.h"
 
 namespace pipit {
 
--- a/src/core/worker_ends.cc
+++ b/src/node/worker_ends.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "base/invariants.h"
-#include "core/node.h"
+#include "node/node.h"
 
 namespace pipit {
 
--- a/src/flow/errand/desk.cc
+++ b/src/routing/chat/chat_dispatcher.cc
@@ -1,4 +1,4 @@
-#include "flow/errand/desk.h"
+#include "routing/chat/chat_dispatcher.h"
 
 #include <algorithm>
 
--- a/src/flow/errand/desk.h
+++ b/src/routing/chat/chat_dispatcher.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "base/kinds.h"
+#include "base/error.h"
 #include "config/description/description.h"
-#include "flow/fleet/fleet.h"
-#include "flow/index/index_sync.h"
+#include "routing/fleet/fleet.h"
+#include "routing/index/index_sync.h"
 
 namespace pipit {
 
--- a/src/flow/errand/parse.cc
+++ b/src/routing/chat/chat_request_reader.cc
@@ -1,4 +1,4 @@
-#include "flow/errand/parse.h"
+#include "routing/chat/chat_request_reader.h"
 
 #include <simdjson.h>
 
--- a/src/flow/errand/parse.h
+++ b/src/routing/chat/chat_request_reader.h
@@ -3,8 +3,8 @@
 #include <string>
 #include <string_view>
 
-#include "base/kinds.h"
-#include "flow/errand/desk.h"
+#include "base/error.h"
+#include "routing/chat/chat_dispatcher.h"
 
 namespace pipit {
 
--- a/src/flow/errand/pieces.cc
+++ b/src/routing/chat/prompt_chunks.cc
@@ -1,4 +1,4 @@
-#include "flow/errand/pieces.h"
+#include "routing/chat/prompt_chunks.h"
 
 namespace pipit {
 
--- a/src/flow/dispatch/dispatcher.cc
+++ b/src/routing/dispatch/dispatcher.cc
@@ -1,4 +1,4 @@
-#include "flow/dispatch/dispatcher.h"
+#include "routing/dispatch/dispatcher.h"
 
 #include <algorithm>
 
--- a/src/flow/dispatch/dispatcher.h
+++ b/src/routing/dispatch/dispatcher.h
@@ -8,15 +8,15 @@
 #include <string>
 #include <vector>
 
-#include "base/kinds.h"
+#include "base/error.h"
 #include "config/description/description.h"
-#include "flow/dispatch/fate.h"
-#include "flow/dispatch/share_turns.h"
-#include "flow/exchange/exchange.h"
-#include "flow/index/index_sync.h"
-#include "flow/registry/registry.h"
-#include "flow/tenants/configuration_lease.h"
-#include "flow/tenants/quota_client.h"
+#include "routing/dispatch/retry_decision.h"
+#include "routing/dispatch/share_turns.h"
+#include "routing/exchange/exchange.h"
+#include "routing/index/index_sync.h"
+#include "routing/registry/registry.h"
+#include "routing/tenants/configuration_lease.h"
+#include "routing/tenants/quota_client.h"
 
 namespace pipit {
 
--- a/src/flow/dispatch/parts.cc
+++ b/src/routing/dispatch/parts.cc
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "base/hash.h"
-#include "flow/dispatch/dispatcher.h"
+#include "routing/dispatch/dispatcher.h"
 
 namespace pipit {
 
--- a/src/flow/dispatch/placement.cc
+++ b/src/routing/dispatch/placement.cc
@@ -4,7 +4,7 @@
 
 #include "base/hash.h"
 #include "base/invariants.h"
-#include "flow/dispatch/dispatcher.h"
+#include "routing/dispatch/dispatcher.h"
 
 namespace pipit {
 
--- a/src/flow/dispatch/fate.cc
+++ b/src/routing/dispatch/retry_decision.cc
@@ -1,4 +1,4 @@
-#include "flow/dispatch/fate.h"
+#include "routing/dispatch/retry_decision.h"
 
 #include "base/guards.h"
 
--- a/src/flow/dispatch/share_turns.cc
+++ b/src/routing/dispatch/share_turns.cc
@@ -1,4 +1,4 @@
-#include "flow/dispatch/share_turns.h"
+#include "routing/dispatch/share_turns.h"
 
 #include <algorithm>
 #include <numeric>
--- a/src/flow/dispatch/tenancy.cc
+++ b/src/routing/dispatch/tenancy.cc
@@ -1,6 +1,6 @@
 // Keys and limits of tenants on the path of a request (docs/tenants.md).
 #include "base/invariants.h"
-#include "flow/dispatch/dispatcher.h"
+#include "routing/dispatch/dispatcher.h"
 
 namespace pipit {
 
--- a/src/flow/exchange/exchange.cc
+++ b/src/routing/exchange/exchange.cc
@@ -1,4 +1,4 @@
-#include "flow/exchange/exchange.h"
+#include "routing/exchange/exchange.h"
 
 #include <algorithm>
 
--- a/src/flow/exchange/exchange.h
+++ b/src/routing/exchange/exchange.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "consensus/register/acceptor.h"
-#include "flow/registry/registry.h"
+#include "routing/registry/registry.h"
 
 namespace pipit {
 
--- a/src/flow/fleet/fleet.cc
+++ b/src/routing/fleet/fleet.cc
@@ -1,4 +1,4 @@
-#include "flow/fleet/fleet.h"
+#include "routing/fleet/fleet.h"
 
 #include <simdjson.h>
 
--- a/src/flow/fleet/fleet.h
+++ b/src/routing/fleet/fleet.h
@@ -9,7 +9,7 @@
 
 #include "base/micros.h"
 #include "config/description/description.h"
-#include "mesh/ledger/ledger.h"
+#include "mesh/entries/entry_table.h"
 
 namespace pipit {
 
--- a/src/flow/index/index.cc
+++ b/src/routing/index/index.cc
@@ -1,4 +1,4 @@
-#include "flow/index/index.h"
+#include "routing/index/index.h"
 
 #include <algorithm>
 
--- a/src/flow/index/index.h
+++ b/src/routing/index/index.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "base/micros.h"
-#include "flow/index/path.h"
+#include "routing/index/path.h"
 #include "wire_generated.h"
 
 namespace pipit {
--- a/src/flow/index/index_sync.cc
+++ b/src/routing/index/index_sync.cc
@@ -1,4 +1,4 @@
-#include "flow/index/index_sync.h"
+#include "routing/index/index_sync.h"
 
 #include "base/events.h"
 
--- a/src/flow/index/index_sync.h
+++ b/src/routing/index/index_sync.h
@@ -7,7 +7,7 @@
 
 #include "base/random.h"
 #include "consensus/register/acceptor.h"
-#include "flow/index/index.h"
+#include "routing/index/index.h"
 
 namespace pipit {
 
--- a/src/flow/index/path.cc
+++ b/src/routing/index/path.cc
@@ -1,4 +1,4 @@
-#include "flow/index/path.h"
+#include "routing/index/path.h"
 
 #include "base/hash.h"
 
--- a/src/flow/registry/registry.cc
+++ b/src/routing/registry/registry.cc
@@ -1,4 +1,4 @@
-#include "flow/registry/registry.h"
+#include "routing/registry/registry.h"
 
 #include <algorithm>
 
--- a/src/flow/registry/registry.h
+++ b/src/routing/registry/registry.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/micros.h"
-#include "mesh/ledger/ledger.h"
+#include "mesh/entries/entry_table.h"
 
 namespace pipit {
 
--- a/src/flow/tenants/quota_client.cc
+++ b/src/routing/tenants/quota_client.cc
@@ -1,4 +1,4 @@
-#include "flow/tenants/quota_client.h"
+#include "routing/tenants/quota_client.h"
 
 #include <algorithm>
 
--- a/src/flow/tenants/quota_client.h
+++ b/src/routing/tenants/quota_client.h
@@ -11,7 +11,7 @@
 
 #include "base/micros.h"
 #include "consensus/register/acceptor.h"
-#include "flow/tenants/quota_budget.h"
+#include "routing/tenants/quota_budget.h"
 
 namespace pipit {
 
--- a/src/flow/tenants/quota_owner.cc
+++ b/src/routing/tenants/quota_owner.cc
@@ -1,4 +1,4 @@
-#include "flow/tenants/quota_owner.h"
+#include "routing/tenants/quota_owner.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/flow/tenants/quota_owner.h
+++ b/src/routing/tenants/quota_owner.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "flow/tenants/quota_budget.h"
+#include "routing/tenants/quota_budget.h"
 
 namespace pipit {
 
--- a/src/flow/tenants/quota_shares.cc
+++ b/src/routing/tenants/quota_shares.cc
@@ -1,4 +1,4 @@
-#include "flow/tenants/quota_shares.h"
+#include "routing/tenants/quota_shares.h"
 
 #include <algorithm>
 
--- a/src/runtime/disk/disk_task.cc
+++ b/src/runtime/disk/disk_task.cc
@@ -10,7 +10,7 @@
 #include <cstring>
 
 #include "base/events.h"
-#include "base/faults.h"
+#include "base/fault_points.h"
 
 namespace pipit {
 
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -6,11 +6,11 @@
 #include <cstdio>
 
 #include "base/events.h"
-#include "base/faults.h"
+#include "base/fault_points.h"
 #include "base/json_writer.h"
 #include "base/random_seed.h"
 #include "config/description/description.h"
-#include "flow/errand/parse.h"
+#include "routing/chat/chat_request_reader.h"
 
 namespace pipit {
 
--- a/src/runtime/host.h
+++ b/src/runtime/host.h
@@ -5,10 +5,10 @@
 #include <string>
 
 #include "base/settings.h"
-#include "core/node.h"
+#include "node/node.h"
 #include "runtime/disk/disk_task.h"
 #include "runtime/http/front.h"
-#include "runtime/http/legs.h"
+#include "runtime/http/chat_upstream.h"
 #include "runtime/mesh/connections.h"
 
 namespace pipit {
--- a/src/runtime/http/legs.cc
+++ b/src/runtime/http/chat_upstream.cc
@@ -1,9 +1,9 @@
-#include "runtime/http/legs.h"
+#include "runtime/http/chat_upstream.h"
 
 #include <cstdlib>
 
-#include "base/faults.h"
-#include "flow/errand/parse.h"
+#include "base/fault_points.h"
+#include "routing/chat/chat_request_reader.h"
 
 namespace pipit {
 
--- a/src/runtime/http/legs.h
+++ b/src/runtime/http/chat_upstream.h
@@ -7,8 +7,8 @@
 #include <memory>
 #include <string>
 
-#include "flow/errand/desk.h"
-#include "flow/errand/pieces.h"
+#include "routing/chat/chat_dispatcher.h"
+#include "routing/chat/prompt_chunks.h"
 
 namespace pipit {
 
--- a/src/runtime/http/front.h
+++ b/src/runtime/http/front.h
@@ -7,7 +7,7 @@
 #include <memory>
 #include <string>
 
-#include "base/kinds.h"
+#include "base/error.h"
 
 namespace pipit {
 
--- a/src/runtime/mesh/connections.h
+++ b/src/runtime/mesh/connections.h
@@ -5,8 +5,8 @@
 #include <memory>
 #include <string>
 
-#include "base/kinds.h"
-#include "gate/net/link.h"
+#include "base/error.h"
+#include "net/link.h"
 #include "mesh/effects.h"
 
 namespace pipit {
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -2,10 +2,10 @@
 #include <cstdlib>
 
 #include "base/events.h"
-#include "base/faults.h"
+#include "base/fault_points.h"
 #include "base/json_writer.h"
 #include "config/description/description.h"
-#include "flow/errand/parse.h"
+#include "routing/chat/chat_request_reader.h"
 #include "runtime/host.h"
 
 namespace pipit {
--- a/src/gate/relay/failure_log.cc
+++ b/src/server/failure_log.cc
@@ -1,4 +1,4 @@
-#include "gate/relay/failure_log.h"
+#include "server/failure_log.h"
 
 #include "base/events.h"
 
--- a/src/gate/relay/failure_log.h
+++ b/src/server/failure_log.h
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <string>
 
-#include "flow/dispatch/dispatcher.h"
+#include "routing/dispatch/dispatcher.h"
 
 namespace pipit {
 
--- a/src/gate/station/station.cc
+++ b/src/server/node_server.cc
@@ -1,4 +1,4 @@
-#include "gate/station/station.h"
+#include "server/node_server.h"
 
 #include <glib-unix.h>
 #include <unistd.h>
--- a/src/gate/station/station.h
+++ b/src/server/node_server.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "core/node.h"
-#include "gate/relay/relay.h"
+#include "node/node.h"
+#include "server/request_proxy.h"
 #include "runtime/disk/disk_task.h"
 #include "runtime/mesh/connections.h"
 
--- a/src/gate/station/status.cc
+++ b/src/server/node_server_status.cc
@@ -4,7 +4,7 @@
 #include "base/json_writer.h"
 #include "base/key_digest.h"
 #include "base/metrics_text.h"
-#include "gate/station/station.h"
+#include "server/node_server.h"
 
 namespace pipit {
 
--- a/src/gate/relay/relay.cc
+++ b/src/server/request_proxy.cc
@@ -1,4 +1,4 @@
-#include "gate/relay/relay.h"
+#include "server/request_proxy.h"
 
 #include <glib.h>
 
@@ -9,7 +9,7 @@
 #include "base/invariants.h"
 #include "base/key_digest.h"
 #include "base/request_guards.h"
-#include "gate/net/clock.h"
+#include "net/clock.h"
 
 namespace pipit {
 
--- a/src/gate/relay/relay.h
+++ b/src/server/request_proxy.h
@@ -5,10 +5,10 @@
 #include <optional>
 #include <string>
 
-#include "core/node.h"
-#include "gate/net/server.h"
-#include "gate/net/upstream.h"
-#include "gate/relay/failure_log.h"
+#include "node/node.h"
+#include "net/server.h"
+#include "net/upstream.h"
+#include "server/failure_log.h"
 
 namespace pipit {
 
--- a/src/storage/record_store.h
+++ b/src/storage/record_store.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string>
 
-#include "base/kinds.h"
+#include "base/error.h"
 #include "wire_generated.h"
 
 namespace pipit {
--- a/proof/control_plane/disk.cc
+++ b/testing/control_plane_simulator/disk.cc
@@ -1,4 +1,4 @@
-#include "proof/control_plane/disk.h"
+#include "testing/control_plane_simulator/disk.h"
 
 namespace pipit::control_plane {
 
--- a/proof/control_plane/fleet.cc
+++ b/testing/control_plane_simulator/fleet.cc
@@ -1,4 +1,4 @@
-#include "proof/control_plane/fleet.h"
+#include "testing/control_plane_simulator/fleet.h"
 
 #include <algorithm>
 
--- a/proof/control_plane/fleet.h
+++ b/testing/control_plane_simulator/fleet.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "proof/control_plane/node_view.h"
-#include "proof/control_plane/operators.h"
-#include "proof/control_plane/scenarios.h"
+#include "testing/control_plane_simulator/node_view.h"
+#include "testing/control_plane_simulator/operators.h"
+#include "testing/control_plane_simulator/scenarios.h"
 
 namespace pipit::control_plane {
 
--- a/proof/control_plane/judge.cc
+++ b/testing/control_plane_simulator/judge.cc
@@ -1,10 +1,10 @@
-#include "proof/control_plane/judge.h"
+#include "testing/control_plane_simulator/judge.h"
 
 #include <algorithm>
 #include <cstdio>
 
 #include "base/events.h"
-#include "proof/control_plane/node_view.h"
+#include "testing/control_plane_simulator/node_view.h"
 
 namespace pipit::control_plane {
 
--- a/proof/control_plane/main.cc
+++ b/testing/control_plane_simulator/main.cc
@@ -9,8 +9,8 @@
 #include <thread>
 
 #include "base/events.h"
-#include "proof/control_plane/scenarios.h"
-#include "proof/common/violations.h"
+#include "testing/control_plane_simulator/scenarios.h"
+#include "testing/common/violations.h"
 
 namespace pipit::control_plane {
 namespace {
--- a/proof/control_plane/member_scenarios.cc
+++ b/testing/control_plane_simulator/member_scenarios.cc
@@ -1,7 +1,7 @@
 // Points 3 and 4: members that are lost, replaced and back, and who may lead after it.
 #include <algorithm>
 
-#include "proof/control_plane/fleet.h"
+#include "testing/control_plane_simulator/fleet.h"
 
 namespace pipit::control_plane {
 
--- a/proof/control_plane/node_view.cc
+++ b/testing/control_plane_simulator/node_view.cc
@@ -1,4 +1,4 @@
-#include "proof/control_plane/node_view.h"
+#include "testing/control_plane_simulator/node_view.h"
 
 #include "base/hash.h"
 
--- a/proof/control_plane/node_view.h
+++ b/testing/control_plane_simulator/node_view.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/node.h"
+#include "node/node.h"
 
 namespace pipit::control_plane {
 
--- a/proof/control_plane/operators.cc
+++ b/testing/control_plane_simulator/operators.cc
@@ -1,10 +1,10 @@
-#include "proof/control_plane/operators.h"
+#include "testing/control_plane_simulator/operators.h"
 
 #include <algorithm>
 
 #include "base/hash.h"
 #include "consensus/register/orders.h"
-#include "proof/control_plane/node_view.h"
+#include "testing/control_plane_simulator/node_view.h"
 
 namespace pipit::control_plane {
 
--- a/proof/control_plane/operators.h
+++ b/testing/control_plane_simulator/operators.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "proof/control_plane/judge.h"
-#include "proof/control_plane/world.h"
+#include "testing/control_plane_simulator/judge.h"
+#include "testing/control_plane_simulator/world.h"
 
 namespace pipit::control_plane {
 
--- a/proof/control_plane/overlap_scenarios.cc
+++ b/testing/control_plane_simulator/overlap_scenarios.cc
@@ -2,7 +2,7 @@
 // meanwhile, but nothing that was acknowledged is lost or shown in an older state.
 #include <algorithm>
 
-#include "proof/control_plane/fleet.h"
+#include "testing/control_plane_simulator/fleet.h"
 
 namespace pipit::control_plane {
 
--- a/proof/control_plane/scenarios.cc
+++ b/testing/control_plane_simulator/scenarios.cc
@@ -1,8 +1,8 @@
-#include "proof/control_plane/scenarios.h"
+#include "testing/control_plane_simulator/scenarios.h"
 
 #include <algorithm>
 
-#include "proof/control_plane/fleet.h"
+#include "testing/control_plane_simulator/fleet.h"
 
 namespace pipit::control_plane {
 
--- a/proof/control_plane/scenarios.h
+++ b/testing/control_plane_simulator/scenarios.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "proof/control_plane/judge.h"
+#include "testing/control_plane_simulator/judge.h"
 
 namespace pipit::control_plane {
 
--- a/proof/control_plane/world.h
+++ b/testing/control_plane_simulator/world.h
@@ -12,8 +12,8 @@
 #include <vector>
 
 #include "base/random.h"
-#include "core/node.h"
-#include "proof/control_plane/disk.h"
+#include "node/node.h"
+#include "testing/control_plane_simulator/disk.h"
 
 namespace pipit::control_plane {
 
--- a/proof/hollow/fit.cc
+++ b/testing/cost_simulator/fit.cc
@@ -1,4 +1,4 @@
-#include "proof/hollow/fit.h"
+#include "testing/cost_simulator/fit.h"
 
 #include <algorithm>
 #include <cmath>
--- a/proof/hollow/machine.h
+++ b/testing/cost_simulator/machine.h
@@ -1,6 +1,6 @@
 // What a counted fleet is made of; only its own files look inside.
 #pragma once
-#include "proof/hollow/scale.h"
+#include "testing/cost_simulator/scale.h"
 
 namespace pipit {
 
--- a/proof/hollow/main.cc
+++ b/testing/cost_simulator/main.cc
@@ -9,10 +9,10 @@
 #include <iostream>
 #include <sstream>
 
-#include "proof/common/violations.h"
-#include "proof/hollow/fit.h"
-#include "proof/hollow/plot.h"
-#include "proof/hollow/scale.h"
+#include "testing/common/violations.h"
+#include "testing/cost_simulator/fit.h"
+#include "testing/cost_simulator/plot.h"
+#include "testing/cost_simulator/scale.h"
 
 namespace pipit {
 namespace {
--- a/proof/hollow/plot.cc
+++ b/testing/cost_simulator/plot.cc
@@ -1,4 +1,4 @@
-#include "proof/hollow/plot.h"
+#include "testing/cost_simulator/plot.h"
 
 #include <algorithm>
 #include <cmath>
--- a/proof/hollow/report.cc
+++ b/testing/cost_simulator/report.cc
@@ -3,8 +3,8 @@
 
 #include <algorithm>
 
-#include "proof/hollow/machine.h"
-#include "proof/hollow/scale.h"
+#include "testing/cost_simulator/machine.h"
+#include "testing/cost_simulator/scale.h"
 
 namespace pipit {
 
--- a/proof/hollow/scale.cc
+++ b/testing/cost_simulator/scale.cc
@@ -1,13 +1,13 @@
 // Machines, connections and steps of a fleet whose costs are counted (§10.5).
-#include "proof/hollow/scale.h"
+#include "testing/cost_simulator/scale.h"
 
 #include <algorithm>
 #include <cstdio>
 
 #include "base/events.h"
 #include "mesh/frame.h"
-#include "proof/hollow/machine.h"
-#include "proof/hollow/processor_time.h"
+#include "testing/cost_simulator/machine.h"
+#include "testing/cost_simulator/processor_time.h"
 
 namespace pipit {
 
--- a/proof/hollow/scale.h
+++ b/testing/cost_simulator/scale.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "base/random.h"
-#include "core/node.h"
+#include "node/node.h"
 
 namespace pipit {
 
--- a/proof/hollow/scale_phases.cc
+++ b/testing/cost_simulator/scale_phases.cc
@@ -4,9 +4,9 @@
 #include <algorithm>
 
 #include "base/events.h"
-#include "proof/hollow/machine.h"
-#include "proof/hollow/processor_time.h"
-#include "proof/hollow/scale.h"
+#include "testing/cost_simulator/machine.h"
+#include "testing/cost_simulator/processor_time.h"
+#include "testing/cost_simulator/scale.h"
 
 namespace pipit {
 
--- a/proof/mimic/main.cc
+++ b/testing/fake_backend/main.cc
@@ -17,8 +17,8 @@
 #include "base/ip.h"
 #include "base/json_writer.h"
 #include "base/micros.h"
-#include "flow/errand/parse.h"
-#include "flow/index/path.h"
+#include "routing/chat/chat_request_reader.h"
+#include "routing/index/path.h"
 
 namespace pipit {
 namespace {
--- a/proof/augury/judge.cc
+++ b/testing/fleet_simulator/judge.cc
@@ -1,11 +1,11 @@
 // Judges: the twelve points, while a world runs and at its end (§10.4).
-#include "proof/augury/parts.h"
+#include "testing/fleet_simulator/parts.h"
 
 #include <algorithm>
 #include <cstdio>
 
 #include "base/events.h"
-#include "flow/index/path.h"
+#include "routing/index/path.h"
 
 namespace pipit {
 
--- a/proof/augury/machines.cc
+++ b/testing/fleet_simulator/machines.cc
@@ -1,11 +1,11 @@
 // Machines, connections and disks of a world: what carries a node's effects out (§10.4).
-#include "proof/augury/parts.h"
+#include "testing/fleet_simulator/parts.h"
 
 #include <algorithm>
 #include <cstdio>
 
 #include "base/events.h"
-#include "flow/index/path.h"
+#include "routing/index/path.h"
 
 namespace pipit {
 
--- a/proof/augury/main.cc
+++ b/testing/fleet_simulator/main.cc
@@ -10,8 +10,8 @@
 
 #include "base/events.h"
 #include "base/flags.h"
-#include "proof/augury/world.h"
-#include "proof/common/violations.h"
+#include "testing/fleet_simulator/world.h"
+#include "testing/common/violations.h"
 
 namespace pipit {
 namespace {
--- a/proof/augury/operators.cc
+++ b/testing/fleet_simulator/operators.cc
@@ -1,11 +1,11 @@
 // Operators of a world: what they ask, and what they are told (§10.4).
-#include "proof/augury/parts.h"
+#include "testing/fleet_simulator/parts.h"
 
 #include <algorithm>
 #include <cstdio>
 
 #include "base/events.h"
-#include "flow/index/path.h"
+#include "routing/index/path.h"
 
 namespace pipit {
 
--- a/proof/augury/parts.h
+++ b/testing/fleet_simulator/parts.h
@@ -1,6 +1,6 @@
 // What a world is made of; only its own files look inside.
 #pragma once
-#include "proof/augury/world.h"
+#include "testing/fleet_simulator/world.h"
 
 namespace pipit {
 
--- a/proof/augury/world.h
+++ b/testing/fleet_simulator/world.h
@@ -10,8 +10,8 @@
 
 #include "base/guards.h"
 #include "base/random.h"
-#include "core/node.h"
-#include "proof/common/shapes.h"
+#include "node/node.h"
+#include "testing/common/shapes.h"
 
 namespace pipit {
 
--- a/proof/scene/client.cc
+++ b/testing/fleet_test/client.cc
@@ -3,7 +3,7 @@
 #include <memory>
 #include <sstream>
 
-#include "proof/scene/scene.h"
+#include "testing/fleet_test/fleet_test.h"
 
 namespace pipit {
 
--- a/proof/scene/faults.cc
+++ b/testing/fleet_test/faults.cc
@@ -1,7 +1,7 @@
 // Fault points, rolling restarts and additional load.
 #include <cstdio>
 
-#include "proof/scene/scene.h"
+#include "testing/fleet_test/fleet_test.h"
 
 namespace pipit {
 
--- a/proof/scene/fleet.cc
+++ b/testing/fleet_test/fleet.cc
@@ -8,7 +8,7 @@
 
 #include "base/json_writer.h"
 
-#include "proof/scene/scene.h"
+#include "testing/fleet_test/fleet_test.h"
 
 namespace pipit {
 
--- a/proof/scene/scene.cc
+++ b/testing/fleet_test/fleet_test.cc
@@ -6,7 +6,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "proof/scene/scene.h"
+#include "testing/fleet_test/fleet_test.h"
 
 namespace pipit {
 
--- a/proof/scene/scene.h
+++ b/testing/fleet_test/fleet_test.h
@@ -15,10 +15,10 @@
 #include <vector>
 
 #include "base/micros.h"
-#include "proof/common/books.h"
-#include "proof/common/shapes.h"
-#include "proof/scene/points.h"
-#include "proof/scene/steps.h"
+#include "testing/common/books.h"
+#include "testing/common/shapes.h"
+#include "testing/fleet_test/points.h"
+#include "testing/fleet_test/steps.h"
 
 namespace pipit {
 
--- a/proof/scene/main.cc
+++ b/testing/fleet_test/main.cc
@@ -8,7 +8,7 @@
 #include <iostream>
 
 #include "base/flags.h"
-#include "proof/scene/scene.h"
+#include "testing/fleet_test/fleet_test.h"
 
 namespace pipit {
 namespace {
--- a/proof/scene/probes.cc
+++ b/testing/fleet_test/probes.cc
@@ -4,7 +4,7 @@
 #include <fstream>
 
 #include "config/description/description.h"
-#include "proof/scene/scene.h"
+#include "testing/fleet_test/fleet_test.h"
 
 namespace pipit {
 
--- a/proof/scene/steps.cc
+++ b/testing/fleet_test/steps.cc
@@ -1,4 +1,4 @@
-#include "proof/scene/steps.h"
+#include "testing/fleet_test/steps.h"
 
 #include <algorithm>
 #include <cstdlib>
--- a/proof/scene/steps.h
+++ b/testing/fleet_test/steps.h
@@ -3,8 +3,8 @@
 #include <string>
 #include <vector>
 
-#include "base/kinds.h"
-#include "proof/common/shapes.h"
+#include "base/error.h"
+#include "testing/common/shapes.h"
 
 namespace pipit {
 
--- a/proof/scene/watch.cc
+++ b/testing/fleet_test/watch.cc
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "proof/scene/scene.h"
+#include "testing/fleet_test/fleet_test.h"
 
 namespace pipit {
 
--- a/proof/fuzz/configurations.cc
+++ b/testing/fuzz/configurations.cc
@@ -3,7 +3,7 @@
 #include "base/random.h"
 #include "config/description/description.h"
 #include "platform/description.h"
-#include "proof/fuzz/readers.h"
+#include "testing/fuzz/readers.h"
 
 namespace pipit {
 
--- a/proof/fuzz/main.cc
+++ b/testing/fuzz/main.cc
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <iostream>
 
-#include "proof/fuzz/readers.h"
+#include "testing/fuzz/readers.h"
 
 int main(int argc, char** argv) {
   namespace po = boost::program_options;
--- a/proof/fuzz/readers.cc
+++ b/testing/fuzz/readers.cc
@@ -1,11 +1,11 @@
-#include "proof/fuzz/readers.h"
+#include "testing/fuzz/readers.h"
 
 #include <algorithm>
 #include <cstdio>
 #include <vector>
 
 #include "base/random.h"
-#include "gate/net/http.h"
+#include "net/http.h"
 
 namespace pipit {
 
--- a/proof/chorus/main.cc
+++ b/testing/load_generator/main.cc
@@ -16,10 +16,10 @@
 #include "base/hash.h"
 #include "base/json_writer.h"
 #include "base/random.h"
-#include "flow/errand/pieces.h"
-#include "proof/common/books.h"
-#include "proof/common/caller.h"
-#include "proof/common/shapes.h"
+#include "routing/chat/prompt_chunks.h"
+#include "testing/common/books.h"
+#include "testing/common/caller.h"
+#include "testing/common/shapes.h"
 
 namespace pipit {
 namespace {
--- a/proof/stage/callers.cc
+++ b/testing/platform_fleet_test/callers.cc
@@ -1,11 +1,11 @@
-#include "proof/stage/callers.h"
+#include "testing/platform_fleet_test/callers.h"
 
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 #include <cstdlib>
 
-#include "proof/stage/clock.h"
+#include "testing/platform_fleet_test/clock.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/callers.h
+++ b/testing/platform_fleet_test/callers.h
@@ -9,11 +9,11 @@
 #include <vector>
 
 #include "base/random.h"
-#include "proof/stage/judge.h"
-#include "proof/stage/line.h"
-#include "proof/stage/nodes.h"
-#include "proof/stage/shapes.h"
-#include "proof/stage/troubles.h"
+#include "testing/platform_fleet_test/judge.h"
+#include "testing/platform_fleet_test/line.h"
+#include "testing/platform_fleet_test/nodes.h"
+#include "testing/platform_fleet_test/shapes.h"
+#include "testing/platform_fleet_test/troubles.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/canonical.cc
+++ b/testing/platform_fleet_test/canonical.cc
@@ -1,4 +1,4 @@
-#include "proof/stage/canonical.h"
+#include "testing/platform_fleet_test/canonical.h"
 
 #include <simdjson.h>
 
--- a/proof/stage/engine.cc
+++ b/testing/platform_fleet_test/engine.cc
@@ -1,4 +1,4 @@
-#include "proof/stage/engine.h"
+#include "testing/platform_fleet_test/engine.h"
 
 #include <algorithm>
 
--- a/proof/stage/fault_relay.cc
+++ b/testing/platform_fleet_test/fault_proxy.cc
@@ -1,4 +1,4 @@
-#include "proof/stage/fault_relay.h"
+#include "testing/platform_fleet_test/fault_proxy.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -7,7 +7,7 @@
 #include <algorithm>
 
 #include "base/ip.h"
-#include "proof/stage/clock.h"
+#include "testing/platform_fleet_test/clock.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/fault_relay.h
+++ b/testing/platform_fleet_test/fault_proxy.h
@@ -16,7 +16,7 @@
 
 #include "base/micros.h"
 #include "base/random.h"
-#include "gate/net/link.h"
+#include "net/link.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/figures.cc
+++ b/testing/platform_fleet_test/figures.cc
@@ -1,4 +1,4 @@
-#include "proof/stage/figures.h"
+#include "testing/platform_fleet_test/figures.h"
 
 #include <simdjson.h>
 
--- a/proof/stage/figures.h
+++ b/testing/platform_fleet_test/figures.h
@@ -4,7 +4,7 @@
 #include <utility>
 #include <vector>
 
-#include "base/kinds.h"
+#include "base/error.h"
 #include "base/micros.h"
 
 namespace pipit::stage {
--- a/proof/stage/judge.cc
+++ b/testing/platform_fleet_test/judge.cc
@@ -1,4 +1,4 @@
-#include "proof/stage/judge.h"
+#include "testing/platform_fleet_test/judge.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/proof/stage/line.cc
+++ b/testing/platform_fleet_test/line.cc
@@ -1,10 +1,10 @@
-#include "proof/stage/line.h"
+#include "testing/platform_fleet_test/line.h"
 
 #include <glib.h>
 
 #include <cstdlib>
 
-#include "proof/stage/clock.h"
+#include "testing/platform_fleet_test/clock.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/line.h
+++ b/testing/platform_fleet_test/line.h
@@ -8,7 +8,7 @@
 #include <string_view>
 
 #include "base/micros.h"
-#include "gate/net/link.h"
+#include "net/link.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/main.cc
+++ b/testing/platform_fleet_test/main.cc
@@ -7,8 +7,8 @@
 #include <fstream>
 #include <iostream>
 
-#include "proof/common/own_folder.h"
-#include "proof/stage/stage.h"
+#include "testing/common/own_folder.h"
+#include "testing/platform_fleet_test/platform_fleet.h"
 
 namespace pipit::stage {
 namespace {
--- a/proof/stage/nodes.cc
+++ b/testing/platform_fleet_test/nodes.cc
@@ -1,4 +1,4 @@
-#include "proof/stage/nodes.h"
+#include "testing/platform_fleet_test/nodes.h"
 
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -21,7 +21,7 @@
 #include <sstream>
 
 #include "base/hash.h"
-#include "proof/stage/clock.h"
+#include "testing/platform_fleet_test/clock.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/nodes.h
+++ b/testing/platform_fleet_test/nodes.h
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "base/random.h"
-#include "proof/stage/fault_relay.h"
-#include "proof/stage/judge.h"
-#include "proof/stage/line.h"
-#include "proof/stage/shapes.h"
+#include "testing/platform_fleet_test/fault_proxy.h"
+#include "testing/platform_fleet_test/judge.h"
+#include "testing/platform_fleet_test/line.h"
+#include "testing/platform_fleet_test/shapes.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/operators.cc
+++ b/testing/platform_fleet_test/operators.cc
@@ -1,4 +1,4 @@
-#include "proof/stage/operators.h"
+#include "testing/platform_fleet_test/operators.h"
 
 #include <simdjson.h>
 
@@ -7,8 +7,8 @@
 #include <cstdlib>
 
 #include "base/json_writer.h"
-#include "proof/stage/clock.h"
-#include "proof/stage/workers.h"
+#include "testing/platform_fleet_test/clock.h"
+#include "testing/platform_fleet_test/workers.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/stage.cc
+++ b/testing/platform_fleet_test/platform_fleet.cc
@@ -1,4 +1,4 @@
-#include "proof/stage/stage.h"
+#include "testing/platform_fleet_test/platform_fleet.h"
 
 #include <glib-unix.h>
 #include <sys/resource.h>
@@ -9,8 +9,8 @@
 #include <fstream>
 #include <sstream>
 
-#include "proof/stage/clock.h"
-#include "proof/stage/worker_parts.h"
+#include "testing/platform_fleet_test/clock.h"
+#include "testing/platform_fleet_test/worker_parts.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/stage.h
+++ b/testing/platform_fleet_test/platform_fleet.h
@@ -4,12 +4,12 @@
 #include <string>
 #include <vector>
 
-#include "proof/stage/callers.h"
-#include "proof/stage/figures.h"
-#include "proof/stage/nodes.h"
-#include "proof/stage/operators.h"
-#include "proof/stage/rude_clients.h"
-#include "proof/stage/workers.h"
+#include "testing/platform_fleet_test/callers.h"
+#include "testing/platform_fleet_test/figures.h"
+#include "testing/platform_fleet_test/nodes.h"
+#include "testing/platform_fleet_test/operators.h"
+#include "testing/platform_fleet_test/rude_clients.h"
+#include "testing/platform_fleet_test/workers.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/rude_clients.cc
+++ b/testing/platform_fleet_test/rude_clients.cc
@@ -1,6 +1,6 @@
-#include "proof/stage/rude_clients.h"
+#include "testing/platform_fleet_test/rude_clients.h"
 
-#include "proof/stage/clock.h"
+#include "testing/platform_fleet_test/clock.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/rude_clients.h
+++ b/testing/platform_fleet_test/rude_clients.h
@@ -6,8 +6,8 @@
 #include <string>
 
 #include "base/random.h"
-#include "gate/net/link.h"
-#include "proof/stage/nodes.h"
+#include "net/link.h"
+#include "testing/platform_fleet_test/nodes.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/schedule.cc
+++ b/testing/platform_fleet_test/schedule.cc
@@ -1,4 +1,4 @@
-#include "proof/stage/schedule.h"
+#include "testing/platform_fleet_test/schedule.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/proof/stage/shapes.cc
+++ b/testing/platform_fleet_test/shapes.cc
@@ -1,4 +1,4 @@
-#include "proof/stage/shapes.h"
+#include "testing/platform_fleet_test/shapes.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/shapes.h
+++ b/testing/platform_fleet_test/shapes.h
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "base/micros.h"
-#include "proof/stage/engine.h"
+#include "testing/platform_fleet_test/engine.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/troubles.cc
+++ b/testing/platform_fleet_test/troubles.cc
@@ -1,4 +1,4 @@
-#include "proof/stage/troubles.h"
+#include "testing/platform_fleet_test/troubles.h"
 
 #include <algorithm>
 #include <cstdlib>
--- a/proof/stage/worker_parts.h
+++ b/testing/platform_fleet_test/worker_parts.h
@@ -1,6 +1,6 @@
 // What the stand-in workers are made of; for their own source files only.
 #pragma once
-#include "proof/stage/workers.h"
+#include "testing/platform_fleet_test/workers.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/worker_requests.cc
+++ b/testing/platform_fleet_test/worker_requests.cc
@@ -5,8 +5,8 @@
 #include <cstring>
 
 #include "base/json_writer.h"
-#include "proof/stage/clock.h"
-#include "proof/stage/worker_parts.h"
+#include "testing/platform_fleet_test/clock.h"
+#include "testing/platform_fleet_test/worker_parts.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/worker_troubles.cc
+++ b/testing/platform_fleet_test/worker_troubles.cc
@@ -1,7 +1,7 @@
 // The stand-in workers: crashes, silence, releases, lies, and addresses that pass to others.
 #include "base/json_writer.h"
-#include "proof/stage/clock.h"
-#include "proof/stage/worker_parts.h"
+#include "testing/platform_fleet_test/clock.h"
+#include "testing/platform_fleet_test/worker_parts.h"
 
 namespace pipit::stage {
 
--- a/proof/stage/workers.cc
+++ b/testing/platform_fleet_test/workers.cc
@@ -1,4 +1,4 @@
-#include "proof/stage/worker_parts.h"
+#include "testing/platform_fleet_test/worker_parts.h"
 
 #include <arpa/inet.h>
 #include <glib-unix.h>
@@ -12,7 +12,7 @@
 #include <cstring>
 
 #include "base/json_writer.h"
-#include "proof/stage/clock.h"
+#include "testing/platform_fleet_test/clock.h"
 
 namespace pipit::stage {
 
--- a/proof/tenants/load.cc
+++ b/testing/quota_simulator/load.cc
@@ -1,4 +1,4 @@
-#include "proof/tenants/load.h"
+#include "testing/quota_simulator/load.h"
 
 #include <algorithm>
 #include <cmath>
--- a/proof/tenants/load.h
+++ b/testing/quota_simulator/load.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "proof/control_plane/world.h"
+#include "testing/control_plane_simulator/world.h"
 
 namespace pipit::tenants {
 
--- a/proof/tenants/main.cc
+++ b/testing/quota_simulator/main.cc
@@ -5,7 +5,7 @@
 
 #include "base/events.h"
 #include "base/invariants.h"
-#include "proof/tenants/load.h"
+#include "testing/quota_simulator/load.h"
 
 namespace {
 std::uint64_t number_at(int argc, char** argv, char const* flag, std::uint64_t otherwise) {
--- a/proof/tenants/scenarios.cc
+++ b/testing/quota_simulator/scenarios.cc
@@ -1,5 +1,5 @@
 // Courses of events that keys and limits must outlast.
-#include "proof/tenants/load.h"
+#include "testing/quota_simulator/load.h"
 
 namespace pipit::tenants {
 
--- a/proof/checker/main.cc
+++ b/testing/register_model_checker/main.cc
@@ -6,9 +6,9 @@
 #include <vector>
 
 #include "base/guards.h"
-#include "proof/checker/scenarios.h"
-#include "proof/checker/search.h"
-#include "proof/common/violations.h"
+#include "testing/register_model_checker/scenarios.h"
+#include "testing/register_model_checker/search.h"
+#include "testing/common/violations.h"
 
 namespace {
 
--- a/proof/checker/print.cc
+++ b/testing/register_model_checker/print.cc
@@ -1,4 +1,4 @@
-#include "proof/checker/print.h"
+#include "testing/register_model_checker/print.h"
 
 #include <algorithm>
 
--- a/proof/checker/register_view.cc
+++ b/testing/register_model_checker/register_view.cc
@@ -1,6 +1,6 @@
 // Compiled with -fno-access-control: the hash of a state has to see all of it, and the product's classes need no
 // interface that only a proof would use. The sizes are held fast so that a new member is not forgotten here.
-#include "proof/checker/register_view.h"
+#include "testing/register_model_checker/register_view.h"
 
 #include <cstdio>
 
--- a/proof/checker/register_view.h
+++ b/testing/register_model_checker/register_view.h
@@ -7,7 +7,7 @@
 
 #include "consensus/register/learner.h"
 #include "consensus/register/proposer.h"
-#include "proof/checker/print.h"
+#include "testing/register_model_checker/print.h"
 
 namespace pipit::checker {
 
--- a/proof/checker/scenarios.cc
+++ b/testing/register_model_checker/scenarios.cc
@@ -1,4 +1,4 @@
-#include "proof/checker/scenarios.h"
+#include "testing/register_model_checker/scenarios.h"
 
 namespace pipit::checker {
 
--- a/proof/checker/search.cc
+++ b/testing/register_model_checker/search.cc
@@ -1,4 +1,4 @@
-#include "proof/checker/search.h"
+#include "testing/register_model_checker/search.h"
 
 #include <algorithm>
 #include <chrono>
--- a/proof/checker/search.h
+++ b/testing/register_model_checker/search.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "proof/checker/world.h"
+#include "testing/register_model_checker/world.h"
 
 namespace pipit::checker {
 
--- a/proof/checker/world.cc
+++ b/testing/register_model_checker/world.cc
@@ -1,4 +1,4 @@
-#include "proof/checker/world.h"
+#include "testing/register_model_checker/world.h"
 
 #include <algorithm>
 #include <map>
--- a/proof/checker/world.h
+++ b/testing/register_model_checker/world.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "proof/checker/register_view.h"
+#include "testing/register_model_checker/register_view.h"
 
 namespace pipit::checker {
 
--- a/proof/requests/explore.cc
+++ b/testing/request_model_checker/explore.cc
@@ -1,7 +1,7 @@
-#include "proof/requests/explore.h"
+#include "testing/request_model_checker/explore.h"
 
 #include "base/random.h"
-#include "proof/requests/world.h"
+#include "testing/request_model_checker/world.h"
 
 namespace pipit {
 
--- a/proof/requests/main.cc
+++ b/testing/request_model_checker/main.cc
@@ -6,8 +6,8 @@
 #include "base/events.h"
 #include "base/guards.h"
 #include "base/request_guards.h"
-#include "proof/common/violations.h"
-#include "proof/requests/explore.h"
+#include "testing/common/violations.h"
+#include "testing/request_model_checker/explore.h"
 
 namespace {
 int report(pipit::Exploration const& result) {
--- a/proof/requests/world.cc
+++ b/testing/request_model_checker/world.cc
@@ -1,4 +1,4 @@
-#include "proof/requests/world.h"
+#include "testing/request_model_checker/world.h"
 
 #include <glib.h>
 #include <sys/socket.h>
--- a/proof/requests/world.h
+++ b/testing/request_model_checker/world.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "gate/net/clock.h"
-#include "gate/relay/relay.h"
+#include "net/clock.h"
+#include "server/request_proxy.h"
 
 namespace pipit {
 
--- a/proof/soak/main.cc
+++ b/testing/soak/main.cc
@@ -15,8 +15,8 @@
 #include <map>
 #include <vector>
 
-#include "proof/common/own_folder.h"
-#include "proof/stage/schedule.h"
+#include "testing/common/own_folder.h"
+#include "testing/platform_fleet_test/schedule.h"
 
 namespace pipit::stage {
 namespace {
--- a/tests/change_traffic.cc
+++ b/tests/change_traffic.cc
@@ -8,8 +8,8 @@
 #include "consensus/register/value_patch.h"
 #include "mesh/frame.h"
 #include "platform/description.h"
-#include "proof/control_plane/node_view.h"
-#include "proof/control_plane/world.h"
+#include "testing/control_plane_simulator/node_view.h"
+#include "testing/control_plane_simulator/world.h"
 
 namespace pipit {
 
--- a/tests/checker.cc
+++ b/tests/checker.cc
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "base/guards.h"
-#include "proof/checker/scenarios.h"
-#include "proof/checker/search.h"
+#include "testing/register_model_checker/scenarios.h"
+#include "testing/register_model_checker/search.h"
 
 namespace pipit::checker {
 
@@ -131,7 +131,7 @@
 // here.
 TEST(CheckerSees, a_round_counted_at_another_set_than_it_found) {
   Unguarded const off(Guard::found_set);
-  std::ifstream in(SOURCE "/proof/checker/traces/found_set.txt");
+  std::ifstream in(SOURCE "/testing/register_model_checker/traces/found_set.txt");
   std::vector<std::string> trace;
   for (std::string line; std::getline(in, line);) trace.push_back(line);
   ASSERT_FALSE(trace.empty());
--- a/tests/control_plane.cc
+++ b/tests/control_plane.cc
@@ -1,11 +1,11 @@
 // The control plane's worst days with the product's own nodes under virtual time, a few fixed seeds each; larger sweeps
-// by the program 'control_plane' (proof/control_plane). Each scenario also judges the other points.
+// by the program 'control_plane' (testing/control_plane_simulator). Each scenario also judges the other points.
 #include <gtest/gtest.h>
 
 #include <algorithm>
 
 #include "base/events.h"
-#include "proof/control_plane/scenarios.h"
+#include "testing/control_plane_simulator/scenarios.h"
 
 namespace pipit::control_plane {
 
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -5,7 +5,7 @@
 #include <deque>
 
 #include "base/random.h"
-#include "flow/dispatch/dispatcher.h"
+#include "routing/dispatch/dispatcher.h"
 
 namespace pipit {
 
--- a/tests/doors.cc
+++ b/tests/doors.cc
@@ -5,7 +5,7 @@
 
 #include <vector>
 
-#include "gate/net/link.h"
+#include "net/link.h"
 #include "tests/loopback.h"
 
 namespace pipit {
--- a/tests/engine.cc
+++ b/tests/engine.cc
@@ -1,5 +1,5 @@
 // The stand-in worker's engine under virtual time.
-#include "proof/stage/engine.h"
+#include "testing/platform_fleet_test/engine.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/fate.cc
+++ b/tests/fate.cc
@@ -4,7 +4,7 @@
 #include <functional>
 #include <string>
 
-#include "flow/dispatch/fate.h"
+#include "routing/dispatch/retry_decision.h"
 
 namespace pipit {
 
--- a/tests/fault_relay.cc
+++ b/tests/fault_relay.cc
@@ -5,7 +5,7 @@
 #include <optional>
 #include <vector>
 
-#include "proof/stage/fault_relay.h"
+#include "testing/platform_fleet_test/fault_proxy.h"
 #include "tests/loopback.h"
 
 namespace pipit::stage {
--- a/tests/fleet_traffic.cc
+++ b/tests/fleet_traffic.cc
@@ -6,8 +6,8 @@
 #include <cstdio>
 
 #include "base/events.h"
-#include "proof/control_plane/node_view.h"
-#include "proof/control_plane/world.h"
+#include "testing/control_plane_simulator/node_view.h"
+#include "testing/control_plane_simulator/world.h"
 
 namespace pipit {
 
--- a/tests/hollow.cc
+++ b/tests/hollow.cc
@@ -2,9 +2,9 @@
 // killed in part sees it (§10.5).
 #include <gtest/gtest.h>
 
-#include "proof/hollow/fit.h"
-#include "proof/hollow/plot.h"
-#include "proof/hollow/scale.h"
+#include "testing/cost_simulator/fit.h"
+#include "testing/cost_simulator/plot.h"
+#include "testing/cost_simulator/scale.h"
 
 namespace pipit {
 
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -9,8 +9,8 @@
 #include <stdexcept>
 
 #include "base/random.h"
-#include "gate/net/server.h"
-#include "gate/net/upstream.h"
+#include "net/server.h"
+#include "net/upstream.h"
 #include "tests/loopback.h"
 
 namespace pipit {
--- a/tests/index.cc
+++ b/tests/index.cc
@@ -2,9 +2,9 @@
 #include <gtest/gtest.h>
 
 #include "base/events.h"
-#include "flow/errand/parse.h"
-#include "flow/fleet/fleet.h"
-#include "flow/index/index_sync.h"
+#include "routing/chat/chat_request_reader.h"
+#include "routing/fleet/fleet.h"
+#include "routing/index/index_sync.h"
 
 namespace pipit {
 
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -12,7 +12,7 @@
 #include <memory>
 #include <string>
 
-#include "gate/net/link.h"
+#include "net/link.h"
 
 namespace pipit {
 
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "base/events.h"
-#include "core/node.h"
+#include "node/node.h"
 
 namespace pipit {
 
--- a/tests/passing.h
+++ b/tests/passing.h
@@ -8,8 +8,8 @@
 #include <memory>
 #include <string>
 
-#include "gate/net/clock.h"
-#include "gate/relay/relay.h"
+#include "net/clock.h"
+#include "server/request_proxy.h"
 #include "tests/loopback.h"
 
 namespace pipit {
--- a/tests/record_store.cc
+++ b/tests/record_store.cc
@@ -3,7 +3,7 @@
 
 #include <map>
 
-#include "proof/control_plane/disk.h"
+#include "testing/control_plane_simulator/disk.h"
 #include "storage/record_store.h"
 
 namespace pipit {
--- a/tests/registry.cc
+++ b/tests/registry.cc
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "flow/registry/registry.h"
+#include "routing/registry/registry.h"
 
 namespace pipit {
 
--- a/tests/requests.cc
+++ b/tests/requests.cc
@@ -5,7 +5,7 @@
 #include "base/events.h"
 #include "base/guards.h"
 #include "base/request_guards.h"
-#include "proof/requests/explore.h"
+#include "testing/request_model_checker/explore.h"
 
 namespace pipit {
 
--- a/tests/stage.cc
+++ b/tests/stage.cc
@@ -1,10 +1,10 @@
 // The stage's judge and its notation: what would be missed here would be missed in every experiment.
 #include <gtest/gtest.h>
 
-#include "proof/stage/figures.h"
-#include "proof/stage/judge.h"
-#include "proof/stage/operators.h"
-#include "proof/stage/troubles.h"
+#include "testing/platform_fleet_test/figures.h"
+#include "testing/platform_fleet_test/judge.h"
+#include "testing/platform_fleet_test/operators.h"
+#include "testing/platform_fleet_test/troubles.h"
 
 namespace pipit::stage {
 namespace {
--- a/tests/tables.cc
+++ b/tests/tables.cc
@@ -6,10 +6,10 @@
 #include <sstream>
 
 #include "base/events.h"
-#include "base/faults.h"
-#include "base/kinds.h"
-#include "proof/scene/points.h"
-#include "proof/scene/steps.h"
+#include "base/fault_points.h"
+#include "base/error.h"
+#include "testing/fleet_test/points.h"
+#include "testing/fleet_test/steps.h"
 
 namespace pipit {
 
--- a/tests/tenant_load.cc
+++ b/tests/tenant_load.cc
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "base/events.h"
-#include "proof/tenants/load.h"
+#include "testing/quota_simulator/load.h"
 
 namespace pipit::tenants {
 
--- a/tests/tenants.cc
+++ b/tests/tenants.cc
@@ -7,10 +7,10 @@
 #include "base/invariants.h"
 #include "base/key_digest.h"
 #include "config/description/description.h"
-#include "flow/tenants/configuration_lease.h"
-#include "flow/tenants/quota_client.h"
-#include "flow/tenants/quota_owner.h"
-#include "flow/tenants/quota_shares.h"
+#include "routing/tenants/configuration_lease.h"
+#include "routing/tenants/quota_client.h"
+#include "routing/tenants/quota_owner.h"
+#include "routing/tenants/quota_shares.h"
 #include "platform/description.h"
 
 namespace pipit {
--- a/tests/wide.cc
+++ b/tests/wide.cc
@@ -5,7 +5,7 @@
 #include <deque>
 
 #include "base/events.h"
-#include "core/node.h"
+#include "node/node.h"
 
 namespace pipit {
 
--- a/tests/world.cc
+++ b/tests/world.cc
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "base/events.h"
-#include "proof/augury/world.h"
+#include "testing/fleet_simulator/world.h"
 
 namespace pipit {
 
