--- a/programs/pipitspoolctl/main.cc
+++ b/programs/pipitspoolctl/main.cc
@@ -1,4 +1,4 @@
-// decree: the operator's command line (§8.2). Exit codes: 0 done, 1 refused, 2 bad usage or input,
+// pipitspoolctl: the operator's command line (§8.2). Exit codes: 0 done, 1 refused, 2 bad usage or input,
 // 3 the outcome is not known, 4 not reached or no majority, 5 taken but not confirmed by all.
 #include <glib.h>
 
@@ -22,10 +22,11 @@
 int show(Got const& got) {
   int const code = code_of(got);
   if (got.status == 0) {
-    std::fprintf(stderr, "decree: the node is not reached: %s\n", got.why.c_str());
+    std::fprintf(stderr, "pipitspoolctl: the node is not reached: %s\n", got.why.c_str());
   } else {
     std::fprintf(code == 0 || code == 5 ? stdout : stderr, "%s\n", got.body.c_str());
-    if (code == 3) std::fprintf(stderr, "decree: resolve it with: decree change %s\n", got.change.c_str());
+    if (code == 3)
+      std::fprintf(stderr, "pipitspoolctl: resolve it with: pipitspoolctl change %s\n", got.change.c_str());
   }
   return code;
 }
@@ -44,17 +45,18 @@
 }
 
 char const usage[] =
-    "decree: checks, applies and reads the description, and empties and refills zones\n"
-    "  decree check FILE                check a description, without any node\n"
-    "  decree apply FILE [--expect N]   apply it whole; without --expect the present serial is read first\n"
-    "  decree read [--marks]            print the accepted description as it was written\n"
-    "  decree empty ZONE                no more requests to a zone; yes once every node confirms\n"
-    "  decree refill ZONE               requests to the zone again\n"
-    "  decree forget NODE               a router node that is gone for good no longer counts\n"
-    "  decree change ID                 whether a change whose outcome was unknown was chosen\n"
-    "  decree status                    what one node knows, as JSON\n"
-    "  decree tenants                   what one node knows of tenants, their limits and keys (by digest), as JSON\n"
-    "  decree wait [--within SECONDS]   until the node is ready to serve; 20 seconds at most unless told\n"
+    "pipitspoolctl: checks, applies and reads the description, and empties and refills zones\n"
+    "  pipitspoolctl check FILE                check a description, without any node\n"
+    "  pipitspoolctl apply FILE [--expect N]   apply it whole; without --expect the present serial is read first\n"
+    "  pipitspoolctl read [--marks]            print the accepted description as it was written\n"
+    "  pipitspoolctl empty ZONE                no more requests to a zone; yes once every node confirms\n"
+    "  pipitspoolctl refill ZONE               requests to the zone again\n"
+    "  pipitspoolctl forget NODE               a router node that is gone for good no longer counts\n"
+    "  pipitspoolctl change ID                 whether a change whose outcome was unknown was chosen\n"
+    "  pipitspoolctl status                    what one node knows, as JSON\n"
+    "  pipitspoolctl tenants                   what one node knows of tenants, their limits and keys (by digest), as "
+    "JSON\n"
+    "  pipitspoolctl wait [--within SECONDS]   until the node is ready to serve; 20 seconds at most unless told\n"
     "Exit codes: 0 done; 1 refused; 2 bad usage or description; 3 outcome unknown; 4 not reached or no majority;\n"
     "            5 chosen, but not confirmed by every node yet\n";
 
@@ -75,24 +77,24 @@
   options::positional_options_description spots;
   spots.add("words", -1);
   std::function<void()> const print_help = [&] { std::cout << usage << flags; };
-  std::optional<int> const ended = read_flags("decree", argc, argv, all, print_help, &spots);
+  std::optional<int> const ended = read_flags("pipitspoolctl", argc, argv, all, print_help, &spots);
   if (ended) return *ended;
   std::string const verb = words.empty() ? "" : words[0];
   bool const two = words.size() == 2;
   if (!good_address(node)) {
-    std::fprintf(stderr, "decree: node: '%s' is not an IP number with a port\n", node.c_str());
+    std::fprintf(stderr, "pipitspoolctl: node: '%s' is not an IP number with a port\n", node.c_str());
     return 2;
   }
   if (verb == "check" && two) {
     std::string text;
     if (!slurp(words[1], text)) {
-      std::fprintf(stderr, "decree: the file %s cannot be read\n", words[1].c_str());
+      std::fprintf(stderr, "pipitspoolctl: the file %s cannot be read\n", words[1].c_str());
       return 2;
     }
     Result<std::shared_ptr<Description const>> const made = read_description(text);
     if (!made) {
-      std::fprintf(stderr, "decree: %s: %s: %s\n", error_code_row(made.error().code).name, made.error().place.c_str(),
-                   made.error().why.c_str());
+      std::fprintf(stderr, "pipitspoolctl: %s: %s: %s\n", error_code_row(made.error().code).name,
+                   made.error().place.c_str(), made.error().why.c_str());
       return 2;
     }
     std::printf("good: %zu pools, %zu lanes\n", made.value()->pools.size(), made.value()->lanes.size());
@@ -101,7 +103,7 @@
   if (verb == "apply" && two) {
     std::string text;
     if (!slurp(words[1], text)) {
-      std::fprintf(stderr, "decree: the file %s cannot be read\n", words[1].c_str());
+      std::fprintf(stderr, "pipitspoolctl: the file %s cannot be read\n", words[1].c_str());
       return 2;
     }
     if (expect.empty()) {
--- a/programs/zone_drill/main.cc
+++ b/programs/zone_drill/main.cc
@@ -114,7 +114,7 @@
 
  private:
   int refuse(std::string const& why) {
-    std::fprintf(stderr, "ordeal: refused to begin: %s\n", why.c_str());
+    std::fprintf(stderr, "pipitspool-zone-drill: refused to begin: %s\n", why.c_str());
     return 4;
   }
 
@@ -248,16 +248,17 @@
   double hold = 10;
   double most = 0.8;
   options::options_description flags(
-      "ordeal: takes a zone out of a live fleet, watches the promises, and puts it back");
+      "pipitspool-zone-drill: takes a zone out of a live fleet, watches the promises, and puts it back");
   flags.add_options()("node", options::value(&node), "IP:port of any node")("zone", options::value(&zone), "the zone")(
       "hold", options::value(&hold), "seconds without it, above 5")(
       "most", options::value(&most), "how much of the other zones' slots the demand may take")("help", "this text");
   std::function<void()> const print_help = [&] { std::cout << flags; };
-  std::optional<int> const ended = read_flags("ordeal", argc, argv, flags, print_help);
+  std::optional<int> const ended = read_flags("pipitspool-zone-drill", argc, argv, flags, print_help);
   if (ended) return *ended;
   if (!good_address(node) || zone.empty() || hold <= 5 || hold > 600 || most <= 0 || most > 1) {
     std::fprintf(stderr,
-                 "ordeal: --node IP:port, --zone, a --hold above 5 and at most 600, and --most up to 1 are needed\n");
+                 "pipitspool-zone-drill: --node IP:port, --zone, a --hold above 5 and at most 600, and --most up to 1 "
+                 "are needed\n");
     return 2;
   }
   struct sigaction act = {};
--- a/src/base/fault_points.h
+++ b/src/base/fault_points.h
@@ -6,30 +6,30 @@
 namespace pipit {
 
 // FAULT(number, name, sentence)
-#define PIPIT_FAULTS(FAULT)                                                               \
-  FAULT(1, cut_in, "frames from the named nodes are dropped")                             \
-  FAULT(2, cut_out, "frames to the named nodes are dropped")                              \
-  FAULT(3, cut_workers, "no wire is opened to the named workers, and open ones break")    \
-  FAULT(4, list_fail, "a reading of the platform's list fails")                           \
-  FAULT(5, list_torn, "a reading of the platform's list is cut short")                    \
-  FAULT(6, health_check_fail, "a worker's vitals cannot be read")                         \
-  FAULT(7, attempt_unreached, "the wire of a leg cannot be opened")                       \
-  FAULT(8, attempt_break_sent, "the wire of a leg breaks once the request may have left") \
-  FAULT(9, attempt_break_begun, "the wire of a leg breaks after the first piece")         \
-  FAULT(10, disk_fail, "a sync of the ring fails")                                        \
-  FAULT(11, disk_slow, "a sync of the ring takes this many milliseconds")                 \
-  FAULT(12, disk_torn, "a write of the ring stops half way and the process ends")         \
-  FAULT(13, end_before_sync, "the keeper ends before it syncs")                           \
-  FAULT(14, end_after_sync, "the keeper ends after the sync, before it answers")          \
-  FAULT(15, spread_lost, "a chosen value is not pushed to peers")                         \
-  FAULT(16, confirm_lost, "a confirmation is not sent")                                   \
-  FAULT(17, delta_lost, "a batch of deltas is not sent")                                  \
-  FAULT(18, page_lost, "a page of a tree is not sent")                                    \
-  FAULT(19, entries_lost, "a batch of entries is not sent")                               \
-  FAULT(20, frame_corrupted, "a frame leaves as garbage")                                 \
-  FAULT(21, disk_full, "a write of the ring finds no space")                              \
-  FAULT(22, promise_lost, "an answer of the register's first round is not sent")          \
-  FAULT(23, accepted_lost, "an answer of the register's second round is not sent")
+#define PIPIT_FAULTS(FAULT)                                                                          \
+  FAULT(1, cut_in, "frames from the named nodes are dropped")                                        \
+  FAULT(2, cut_out, "frames to the named nodes are dropped")                                         \
+  FAULT(3, cut_workers, "no connection is opened to the named workers, and open ones break")         \
+  FAULT(4, list_fail, "a reading of the platform's list fails")                                      \
+  FAULT(5, list_torn, "a reading of the platform's list is cut short")                               \
+  FAULT(6, health_check_fail, "a worker's health cannot be read")                                    \
+  FAULT(7, attempt_unreached, "the connection of an attempt cannot be opened")                       \
+  FAULT(8, attempt_break_sent, "the connection of an attempt breaks once the request may have left") \
+  FAULT(9, attempt_break_begun, "the connection of an attempt breaks after the first piece")         \
+  FAULT(10, disk_fail, "a sync of the record store fails")                                           \
+  FAULT(11, disk_slow, "a sync of the record store takes this many milliseconds")                    \
+  FAULT(12, disk_torn, "a write of the record store stops half way and the process ends")            \
+  FAULT(13, end_before_sync, "the replica ends before it syncs")                                     \
+  FAULT(14, end_after_sync, "the replica ends after the sync, before it answers")                    \
+  FAULT(15, spread_lost, "a chosen value is not pushed to peers")                                    \
+  FAULT(16, confirm_lost, "a confirmation is not sent")                                              \
+  FAULT(17, delta_lost, "a batch of deltas is not sent")                                             \
+  FAULT(18, page_lost, "a page of a tree is not sent")                                               \
+  FAULT(19, entries_lost, "a batch of entries is not sent")                                          \
+  FAULT(20, frame_corrupted, "a frame leaves as garbage")                                            \
+  FAULT(21, disk_full, "a write of the record store finds no space")                                 \
+  FAULT(22, promise_lost, "a promise of the register (phase 1) is not sent")                         \
+  FAULT(23, accepted_lost, "an accepted of the register (phase 2) is not sent")
 
 enum class FaultPoint : std::uint8_t {
 #define FAULT(number, name, text) name = number,
--- a/src/base/guards.h
+++ b/src/base/guards.h
@@ -7,29 +7,29 @@
 namespace pipit {
 
 // GUARD(name, point, sentence)
-#define PIPIT_GUARDS(GUARD)                                                                 \
-  GUARD(never_repeat, "N1", "a leg that may not repeat is not sent again")                  \
-  GUARD(honest_ran, "N2", "a leg that may have left is not said not to have run")           \
-  GUARD(local_veto, "N5", "a mark in the list stops placing here")                          \
-  GUARD(tombstone, "N5", "no entry revives a worker whose life ended")                      \
-  GUARD(zone_veto, "N6", "an emptied zone gets nothing")                                    \
-  GUARD(confirm_all, "N6", "yes to an empty waits for every node")                          \
-  GUARD(fresh_start, "N6", "a jumped clock holds placing until all is read again")          \
-  GUARD(spread, "N7", "chosen values are pushed and polled")                                \
-  GUARD(expected, "N8", "a change is made against its expected serial")                     \
-  GUARD(promise, "N9", "an acceptor refuses older ballots")                                 \
-  GUARD(sync_first, "N9", "an acceptor answers after its sync")                             \
-  GUARD(disk_id, "N9", "a keeper that lost its disk has no vote")                           \
-  GUARD(joint, "N9", "a joint set of keepers needs a majority of either part")              \
-  GUARD(found_set, "N9", "round one counts at a quorum of the set that it found")           \
-  GUARD(settle_chosen, "N9", "a joint set is settled only after it was chosen")             \
-  GUARD(bucket, "N10", "re-sends are paid from first sends")                                \
-  GUARD(cold_share, "N11", "a cold worker gets each node's share")                          \
-  GUARD(ask_first, "N11", "a worker is asked before it is sent more than a share")          \
-  GUARD(registrations, "N6", "who serves has a seat in the register, and an empty asks it") \
-  GUARD(isolation, "N5", "who knows no late reading of the list places nothing")            \
-  GUARD(redial, "N12", "DOWN peers and seeds are dialled on")                               \
-  GUARD(lease, "keys", "keys are taken only under a lease on the configuration")            \
+#define PIPIT_GUARDS(GUARD)                                                             \
+  GUARD(never_repeat, "N1", "an attempt that may not repeat is not sent again")         \
+  GUARD(honest_ran, "N2", "an attempt that may have left is not said not to have run")  \
+  GUARD(local_veto, "N5", "an end marked in the list stops placing here")               \
+  GUARD(tombstone, "N5", "no entry revives a worker whose incarnation ended")           \
+  GUARD(zone_veto, "N6", "a drained zone gets nothing")                                 \
+  GUARD(confirm_all, "N6", "an acknowledged drain of a zone waits for every node")      \
+  GUARD(fresh_start, "N6", "a jumped clock holds placing until all is read again")      \
+  GUARD(spread, "N7", "chosen values are pushed and polled")                            \
+  GUARD(expected, "N8", "a change is made against its expected serial")                 \
+  GUARD(promise, "N9", "an acceptor refuses older ballots")                             \
+  GUARD(sync_first, "N9", "an acceptor answers after its sync")                         \
+  GUARD(disk_id, "N9", "a replica that lost its disk has no vote")                      \
+  GUARD(joint, "N9", "a joint replica set needs a majority of either part")             \
+  GUARD(found_set, "N9", "round one counts at a quorum of the set that it found")       \
+  GUARD(settle_chosen, "N9", "a joint set is settled only after it was chosen")         \
+  GUARD(bucket, "N10", "re-sends are paid from first sends")                            \
+  GUARD(cold_share, "N11", "a cold worker gets each node's share")                      \
+  GUARD(ask_first, "N11", "a worker is asked before it is sent more than a share")      \
+  GUARD(registrations, "N6", "who serves is registered, and a drain of a zone asks it") \
+  GUARD(isolation, "N5", "who knows no late reading of the list places nothing")        \
+  GUARD(redial, "N12", "DOWN peers and seeds are dialled on")                           \
+  GUARD(lease, "keys", "keys are taken only under a lease on the configuration")        \
   GUARD(quota_fence, "quota", "a new owner of limits waits until the former stops")
 
 enum class Guard : std::uint8_t {
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -45,9 +45,9 @@
   std::int64_t grace = 2;
   std::int64_t drain = 10;
   std::int64_t body = 4096;
-  options::options_description keys(replica
-                                        ? "accord: a keeper of the description. Keys, as flags or in the settings file"
-                                        : "passage: a router node. Keys, as flags or in the settings file");
+  options::options_description keys(
+      replica ? "pipitspool-config-store: a keeper of the description. Keys, as flags or in the settings file"
+              : "pipitspool-router: a router node. Keys, as flags or in the settings file");
   keys.add_options()("name", options::value(&out.name), "the node's name, unique in the cluster")(
       "cluster", options::value(&out.cluster)->default_value("pipit"), "the cluster's name")(
       "zone", options::value(&out.zone), "the zone it stands in")(
--- a/src/mesh/members/member_table.cc
+++ b/src/mesh/members/member_table.cc
@@ -47,7 +47,7 @@
     if (!elder && !wrong) return MergeResult::none;
     if (elder) self.incarnation = item.incarnation + 1;
     self.bump = std::max(self.bump, item.bump) + 1;
-    log_event(Event::self_refuted, "incarnation " + std::to_string(self.incarnation));
+    log_event(Event::suspicion_refuted, "incarnation " + std::to_string(self.incarnation));
     return MergeResult::refuted;
   }
   std::map<std::string, std::uint64_t>::const_iterator const gone = evicted.find(item.name);
--- a/src/net/link.cc
+++ b/src/net/link.cc
@@ -314,7 +314,7 @@
 }
 
 void Door::rest() {
-  if (!short_of_descriptors_) log_event(Event::descriptors_gone, std::strerror(errno));
+  if (!short_of_descriptors_) log_event(Event::descriptors_exhausted, std::strerror(errno));
   short_of_descriptors_ = true;
   if (watch_ != 0) g_source_remove(watch_);
   watch_ = 0;
--- a/src/net/server.cc
+++ b/src/net/server.cc
@@ -81,7 +81,7 @@
 }
 
 void Server::refuse(Conn& conn, unsigned status) {
-  log_event(Event::call_refused, std::to_string(status) + " to " + conn.link->peer_ip());
+  log_event(Event::call_rejected, std::to_string(status) + " to " + conn.link->peer_ip());
   Head head;
   head.status = status;
   conn.link->write(answer_text(head, 0, true));
--- a/src/node/changes.cc
+++ b/src/node/changes.cc
@@ -79,7 +79,8 @@
   bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
   std::uint64_t const request_id = ++next_request_id_;
   if (holds) {
-    log_event(Event::chosen, "serial " + std::to_string(outcome.value.serial) + " change " + outcome.value.change);
+    log_event(Event::value_chosen,
+              "serial " + std::to_string(outcome.value.serial) + " change " + outcome.value.change);
     bool const fresh = learner.adopt(outcome.value, now);
     if (fresh) after_value(now, out);
     // Also when a poll brought it here first: the others may hear of it from nobody else.
@@ -87,7 +88,7 @@
       spread(outcome.value, fresh ? learner.before : std::nullopt, request_id, out);
     update_readiness(now, out);
   } else {
-    log_event(outcome.type == Outcome::Type::unknown ? Event::change_lost : Event::change_refused,
+    log_event(outcome.type == Outcome::Type::unknown ? Event::change_outcome_unknown : Event::change_rejected,
               change.id + " " + error_code_row(outcome.error.code).name);
     if (outcome.value.serial > 0 && learner.adopt(outcome.value, now)) after_value(now, out);
   }
--- a/src/node/checks.cc
+++ b/src/node/checks.cc
@@ -66,7 +66,7 @@
 void Node::tell_waiting(Micros now) {
   if (ready_now_ || leaving_ || now - started_at_ < waiting_first || now < next_waiting_) return;
   next_waiting_ = now + waiting_gap;
-  log_event(Event::not_ready, waits_for(now));
+  log_event(Event::node_not_ready, waits_for(now));
 }
 
 std::string Node::waits_for(Micros now) const {
--- a/src/node/duties.cc
+++ b/src/node/duties.cc
@@ -256,7 +256,7 @@
   if (!leaving_ && formed) repair_lease_.tick(now, learner.membership(), outgoing);
   dispatch(outgoing, now, out);
   bool const holds = repair_lease_.holds(now);
-  if (holds != had_duty_) log_event(holds ? Event::lease_held : Event::lease_ended, "mend");
+  if (holds != had_duty_) log_event(holds ? Event::lease_acquired : Event::lease_released, "mend");
   had_duty_ = holds;
   if (duty_busy_) return;
   std::optional<Change> change;
--- a/src/node/listed.cc
+++ b/src/node/listed.cc
@@ -57,7 +57,7 @@
   bool const alone = guard(Guard::isolation) && !is_up_to_date(now);
   if (ready_now_ && alone != isolated_) {
     isolated_ = alone;
-    log_event(alone ? Event::isolated : Event::not_isolated, "");
+    log_event(alone ? Event::node_isolated : Event::node_rejoined, "");
   }
   chat_dispatcher.ready(ready_now_ && !isolated_);
   chat_dispatcher.work(now, out.chat);
@@ -74,7 +74,7 @@
     list_bad_ = true;
     return;
   }
-  if (list_bad_) log_event(Event::list_back, "");
+  if (list_bad_) log_event(Event::list_recovered, "");
   list_bad_ = false;
   fleet.take_list(*rows, now);
   // What this reading began before a jump of the clock says nothing about the time after it.
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -159,7 +159,7 @@
       frame.body = std::move(item.body);
       std::string bytes = encode(frame);
       if (bytes.size() > frame_limit) {
-        log_event(Event::frame_large, item.to + " " + std::to_string(bytes.size()));
+        log_event(Event::frame_too_large, item.to + " " + std::to_string(bytes.size()));
         continue;
       }
       out.mesh.sends.push_back({peer->second.connection, std::move(bytes)});
@@ -356,7 +356,7 @@
     if (!value.text.empty()) {
       Result<std::shared_ptr<Description const>> made = plan.read(value.text);
       if (!made) {
-        log_event(Event::not_in_force, "serial " + std::to_string(value.serial) + " " + made.error().why);
+        log_event(Event::configuration_rejected, "serial " + std::to_string(value.serial) + " " + made.error().why);
         description = chat_dispatcher.description();
       } else {
         description = made.value();
@@ -365,7 +365,7 @@
     dispatcher.in_force(description);
     chat_dispatcher.in_force(description,
                              std::set<std::string>(value.drained_zones.begin(), value.drained_zones.end()));
-    log_event(Event::in_force, "serial " + std::to_string(value.serial));
+    log_event(Event::configuration_in_force, "serial " + std::to_string(value.serial));
   }
   mesh.members.self.serial = value.serial;
   mesh.members.self.revision = value.revision;
@@ -484,8 +484,8 @@
   if (!ready_now_ && newcomer(now)) return;
   if (!ready_now_) {
     ready_now_ = true;
-    log_event(Event::ready, "revision " + std::to_string(learner.revision()) + ", " +
-                                std::to_string((now - started_at_) / 1000) + " ms after its start");
+    log_event(Event::node_ready, "revision " + std::to_string(learner.revision()) + ", " +
+                                     std::to_string((now - started_at_) / 1000) + " ms after its start");
     chat_dispatcher.ready(true);
     mesh.members.self.ready = true;
     mesh.announce_self(out.mesh);
--- a/src/routing/dispatch/dispatcher.cc
+++ b/src/routing/dispatch/dispatcher.cc
@@ -234,9 +234,9 @@
   traits.attempts = request.sends < request.route->attempts || !guard(RequestGuard::attempts);
   traits.budget = can_pay(*request.pool);
   traits.time = now + time_least < request.due && request.dials < dials_most;
-  traits.execution = request.execution;
+  traits.may_have_run = request.may_have_run;
   RetryDecision const decision = decide_retry(traits, progress, end);
-  if (!clean && progress != AttemptProgress::none) request.execution = true;
+  if (!clean && progress != AttemptProgress::none) request.may_have_run = true;
   if (decision == RetryDecision::again && request.sends > 0) {
     pay(*request.pool);
     if (request.begun) ++tally.resumes;
@@ -323,7 +323,7 @@
       }
       if (request.begun) {
         break_off(request, now, out);
-      } else if (request.execution && !request.repeatable) {
+      } else if (request.may_have_run && !request.repeatable) {
         deny(request, ErrorCode::worker_broke, 0, now, out);
       } else {
         deny(request, ErrorCode::no_worker, millis(250), now, out);
@@ -333,7 +333,7 @@
     if (now >= request.due) {
       // The time is over: what is under way is given up, and nobody is promised anything.
       out.cuts.push_back(id);
-      bool const reached = request.progress != AttemptProgress::none || request.execution;
+      bool const reached = request.progress != AttemptProgress::none || request.may_have_run;
       bool const begun = request.begun;
       release(request);
       if (begun) {
--- a/src/routing/dispatch/dispatcher.h
+++ b/src/routing/dispatch/dispatcher.h
@@ -66,7 +66,7 @@
 
 struct Denial {
   std::uint64_t request = 0;
-  ErrorCode code = ErrorCode::internal;
+  ErrorCode kind = ErrorCode::internal;
   Micros wait = 0;  // after which it may be asked again; 0: nothing is promised
   bool may_repeat = false;
 };
@@ -85,7 +85,7 @@
 struct FailedRequest {
   std::uint64_t request = 0;
   FailedEnd end = FailedEnd::failed;
-  ErrorCode code = ErrorCode::internal;  // of what was refused or failed
+  ErrorCode kind = ErrorCode::internal;  // of what was refused or failed
   std::string route;
   std::string worker;                                // the last one it was sent to
   AttemptProgress progress = AttemptProgress::none;  // how far that attempt came
@@ -183,7 +183,7 @@
     Micros give_up = 0;  // until when it may wait for a worker
     int sends = 0;       // workers that it may have reached
     int dials = 0;
-    bool execution = false;  // an attempt that has ended may have run
+    bool may_have_run = false;  // an attempt that has ended may have run
     std::set<std::string> tried;
     std::string last_worker;  // that it was sent to, for the log
     // The attempt under way.
--- a/src/routing/dispatch/retry_decision.cc
+++ b/src/routing/dispatch/retry_decision.cc
@@ -10,7 +10,7 @@
   if (progress == AttemptProgress::answering)
     return t.resumable && another && end != AttemptEnd::failed ? RetryDecision::again : RetryDecision::cut;
   // Whether it may be told that it has not run: a request that may repeat loses nothing by being asked for again.
-  bool const clean = t.repeatable || !t.execution || !guard(Guard::honest_ran);
+  bool const clean = t.repeatable || !t.may_have_run || !guard(Guard::honest_ran);
   switch (end) {
     case AttemptEnd::unreached:
       // Nothing has left: another worker costs nobody anything.
--- a/src/routing/dispatch/retry_decision.h
+++ b/src/routing/dispatch/retry_decision.h
@@ -22,12 +22,12 @@
 constexpr std::uint8_t attempt_ends = 6;
 
 struct Traits {
-  bool repeatable = false;  // may run more than once
-  bool resumable = false;   // and may go on at another worker in the middle of its answer
-  bool attempts = false;    // another worker may be sent to
-  bool budget = false;      // and what all nodes share for that is not used up
-  bool time = false;        // and enough of the caller's time is left
-  bool execution = false;   // an earlier attempt may have run
+  bool repeatable = false;    // may run more than once
+  bool resumable = false;     // and may go on at another worker in the middle of its answer
+  bool attempts = false;      // another worker may be sent to
+  bool budget = false;        // and what all nodes share for that is not used up
+  bool time = false;          // and enough of the caller's time is left
+  bool may_have_run = false;  // an earlier attempt may have run
 };
 
 enum class RetryDecision : std::uint8_t {
--- a/src/routing/dispatch/tenancy.cc
+++ b/src/routing/dispatch/tenancy.cc
@@ -54,7 +54,7 @@
 void Dispatcher::withdraw(Request& request, ErrorCode kind, Micros now, DispatchEffects& out) {
   ++(kind == ErrorCode::unknown_key ? tally.unknown_keys : tally.unconfirmed);
   if (request.begun) return break_off(request, now, out);
-  if (request.execution && !request.repeatable) return deny(request, ErrorCode::worker_broke, 0, now, out);
+  if (request.may_have_run && !request.repeatable) return deny(request, ErrorCode::worker_broke, 0, now, out);
   deny(request, kind, kind == ErrorCode::unconfirmed ? unconfirmed_wait : 0, now, out);
 }
 
--- a/src/routing/exchange/exchange.cc
+++ b/src/routing/exchange/exchange.cc
@@ -22,7 +22,7 @@
 void Exchange::load(std::string const& worker, std::int64_t running) { own(worker).running = running; }
 
 void Exchange::suspect(std::string const& worker) {
-  own(worker).suspect = true;
+  own(worker).suspected = true;
   urgent_ = true;
 }
 
--- a/src/routing/fleet/fleet.cc
+++ b/src/routing/fleet/fleet.cc
@@ -91,7 +91,7 @@
   if (worker.standing == WorkerState::serving || standing == WorkerState::ended) worker.standing = standing;
   worker.buried = std::max(worker.buried, worker.row.incarnation);
   worker.seen_again = 0;
-  log_event(standing == WorkerState::ended ? Event::worker_gone : Event::worker_leaving, worker.row.id);
+  log_event(standing == WorkerState::ended ? Event::worker_removed : Event::worker_leaving, worker.row.id);
 }
 
 void Fleet::take_list(std::vector<ListRow> const& rows, Micros now) {
@@ -214,7 +214,7 @@
     // machine's clock began has been warm for all of it: below 0 would say that nothing is known.
     worker->woke = worker->ever ? now : std::max<Micros>(0, now - report->awake);
     worker->unhealthy = false;
-    if (worker->ever) log_event(Event::worker_back, id);
+    if (worker->ever) log_event(Event::worker_recovered, id);
     worker->ever = true;
   }
 }
--- a/src/routing/registry/registry.cc
+++ b/src/routing/registry/registry.cc
@@ -36,14 +36,14 @@
   instance.standing = standing;
   switch (standing) {
     case WorkerState::serving:
-      log_event(Event::worker_back, instance.id);
+      log_event(Event::worker_recovered, instance.id);
       break;
     case WorkerState::draining:
       log_event(Event::worker_leaving, instance.id);
       break;
     case WorkerState::ended:
       instance.known = now;  // its mark is kept for a while from here on
-      log_event(Event::worker_gone, instance.id);
+      log_event(Event::worker_removed, instance.id);
       ended.push_back(instance.id);
       break;
   }
--- a/src/runtime/disk/disk_task.cc
+++ b/src/runtime/disk/disk_task.cc
@@ -143,7 +143,7 @@
     // §5.6: nobody was answered for it yet, and a record is always written whole to files that hold no newer one, so
     // trying again is as safe as the first try. Told once, not each time.
     for (int tries = 0; !saved && patient_; ++tries) {
-      if (tries == 0) log_event(Event::disk_waits, saved.error().why);
+      if (tries == 0) log_event(Event::disk_write_retried, saved.error().why);
       g_usleep(100000);
       saved = store_->save(job->record);
     }
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -254,7 +254,7 @@
   bool const begun = position->second.begun;
   callers_.erase(position);
   if (begun) {
-    log_event(Event::stream_broke, error_code_row(verdict.error.code).name);
+    log_event(Event::stream_broken, error_code_row(verdict.error.code).name);
     front_->break_off(verdict.chat_request, "event: error\ndata: " + out.body + "\n\n");
   } else {
     front_->answer(verdict.chat_request, out);
@@ -290,7 +290,7 @@
   std::string const flag = "--settings=" + settings_.file;
   char const* const argv[] = {"reload", flag.c_str()};
   if (settings_.file.empty()) {
-    log_event(Event::settings_refused, "there is no settings file");
+    log_event(Event::settings_rejected, "there is no settings file");
     return;
   }
   Result<Settings> fresh = read_settings(2, argv, role_ == Role::config_store);
@@ -307,14 +307,14 @@
       why = "only platform, grace, drain and body can change without a restart";
   }
   if (!why.empty()) {
-    log_event(Event::settings_refused, why);
+    log_event(Event::settings_rejected, why);
     return;
   }
   settings_.grace = fresh.value().grace;
   settings_.drain = fresh.value().drain;
   settings_.body = fresh.value().body;
   settings_.platform = fresh.value().platform;
-  log_event(Event::settings_taken, settings_.file);
+  log_event(Event::settings_applied, settings_.file);
 }
 
 int Host::run() {
@@ -356,12 +356,12 @@
         return G_SOURCE_CONTINUE;
       },
       this);
-  log_event(Event::started, settings_.http + " mesh " + settings_.mesh);
+  log_event(Event::process_started, settings_.http + " mesh " + settings_.mesh);
   g_main_loop_run(loop_);
   g_source_remove(term);
   g_source_remove(interrupt);
   g_source_remove(hup);
-  log_event(Event::stopped, "");
+  log_event(Event::process_stopped, "");
   return code_;
 }
 
@@ -369,7 +369,8 @@
   bool const replica = role == Role::config_store;
   Result<Settings> settings = read_settings(argc, argv, replica);
   if (!settings) {
-    std::fprintf(stderr, "%s: %s\n", replica ? "accord" : "passage", settings.error().why.c_str());
+    std::fprintf(stderr, "%s: %s\n", replica ? "pipitspool-config-store" : "pipitspool-router",
+                 settings.error().why.c_str());
     return 2;
   }
   if (settings.value().help) {
@@ -388,7 +389,7 @@
     std::uint64_t const fresh = random_seed();
     Result<wire::RecordT> opened = locked ? store->open(fresh, blank) : Result<wire::RecordT>(locked.as_failure());
     if (!opened) {
-      std::fprintf(stderr, "accord: data: %s\n", opened.error().why.c_str());
+      std::fprintf(stderr, "pipitspool-config-store: data: %s\n", opened.error().why.c_str());
       return 2;
     }
     recovered = std::move(opened.value());
@@ -398,7 +399,8 @@
   Host host(std::move(settings.value()), role, std::move(recovered), std::move(disk), std::move(store));
   Result<void> const listening = host.listen();
   if (!listening) {
-    std::fprintf(stderr, "%s: %s\n", replica ? "accord" : "passage", listening.error().why.c_str());
+    std::fprintf(stderr, "%s: %s\n", replica ? "pipitspool-config-store" : "pipitspool-router",
+                 listening.error().why.c_str());
     return 2;
   }
   return host.run();
--- a/src/server/failure_log.cc
+++ b/src/server/failure_log.cc
@@ -19,7 +19,7 @@
   if (second_ < 0 || now - second_ >= seconds(1)) {
     second_ = now;
     lines_ = 0;
-    if (untold_ > 0) log_event(Event::failures_untold, std::to_string(untold_));
+    if (untold_ > 0) log_event(Event::request_failures_suppressed, std::to_string(untold_));
     untold_ = 0;
   }
   if (++lines_ <= lines_most) return true;
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -42,7 +42,7 @@
     // A disk that is full or hangs when the process starts is waited for: without it the node is no replica.
     Result<wire::RecordT> opened = ring->open(fresh, blank);
     for (int tries = 0; !opened && opened.error().code == ErrorCode::bad_disk && tries < 50; ++tries) {
-      if (tries == 0) log_event(Event::disk_waits, opened.error().why);
+      if (tries == 0) log_event(Event::disk_write_retried, opened.error().why);
       g_usleep(100000);
       opened = ring->open(fresh, blank);
     }
@@ -115,7 +115,7 @@
   // A node without its metrics still serves: somebody else may listen there.
   if (done && !plan_.metrics.empty())
     if (Result<void> const told = metrics_server_->listen(plan_.metrics); !told)
-      log_event(Event::metrics_untold, told.error().why);
+      log_event(Event::metrics_listen_failed, told.error().why);
   if (done && !plan_.front.empty()) done = proxy_->listen(plan_.front);
   return done;
 }
@@ -192,7 +192,7 @@
 
 void NodeServer::note_order(std::string const& call, unsigned status, std::string const& why) {
   ++order_answers_[std::to_string(status)];
-  log_event(Event::order_answered, call + " " + std::to_string(status) + (why.empty() ? "" : " " + why));
+  log_event(Event::operator_call_answered, call + " " + std::to_string(status) + (why.empty() ? "" : " " + why));
 }
 
 void NodeServer::on_ready(Server::Call&& call) {
@@ -295,13 +295,13 @@
         return G_SOURCE_CONTINUE;
       },
       this);
-  log_event(Event::started, plan_.front + " mesh " + plan_.node.address);
+  log_event(Event::process_started, plan_.front + " mesh " + plan_.node.address);
   g_main_loop_run(loop_);
   g_source_remove(ticker);
   g_source_remove(term);
   g_source_remove(interrupt);
   g_source_remove(hup);
-  log_event(Event::stopped, "");
+  log_event(Event::process_stopped, "");
   std::cout.flush();
   // A disk that hangs must not hold the end up: whatever it has not synced was answered to nobody.
   ::_exit(0);
--- a/src/server/request_proxy.cc
+++ b/src/server/request_proxy.cc
@@ -194,7 +194,7 @@
   }
   for (Denial const& denial : out.denials) deny(denial);
   for (std::uint64_t const id : out.breaks) {
-    log_event(Event::stream_broke, "");
+    log_event(Event::stream_broken, "");
     callers_.erase(id);
     server.break_off(id);
   }
--- a/testing/control_plane_simulator/judge.cc
+++ b/testing/control_plane_simulator/judge.cc
@@ -115,7 +115,7 @@
 void Judge::booted(Machine& machine) {
   View& view = views[machine.id];
   view = View{};
-  view.life = machine.life;
+  view.process = machine.process;
   view.floor = confirmed_label();
 }
 
--- a/testing/control_plane_simulator/judge.h
+++ b/testing/control_plane_simulator/judge.h
@@ -69,8 +69,8 @@
   Micros longest_spread = 0;  // of what was seen in force everywhere, by the periodic look
 
  private:
-  struct View {  // of one life of a machine
-    std::uint64_t life = 0;
+  struct View {  // of one process of a machine
+    std::uint64_t process = 0;
     std::uint64_t floor = 0;  // confirmed before its start
     std::uint64_t serial = 0;
     std::uint64_t label = 0;
--- a/testing/control_plane_simulator/main.cc
+++ b/testing/control_plane_simulator/main.cc
@@ -80,7 +80,8 @@
 int run(int argc, char** argv) {
   std::string name = "all";
   Sweep plan;
-  options::options_description flags("control_plane: the control plane under virtual time, by scenario and seed");
+  options::options_description flags(
+      "control_plane_simulator: the control plane under virtual time, by scenario and seed");
   flags.add_options()("scenario", options::value(&name), "one of those below, or all")(
       "from", options::value(&plan.from), "the first seed")("seeds", options::value(&plan.seeds), "how many")(
       "jobs", options::value(&plan.jobs))("disks", options::value(&plan.disks), "3, 4 or 8; 0: by the seed")(
@@ -94,7 +95,7 @@
     options::store(options::parse_command_line(argc, argv, flags), map);
     options::notify(map);
   } catch (options::error const& bad) {
-    return std::fprintf(stderr, "control_plane: %s\n", bad.what()), 2;
+    return std::fprintf(stderr, "control_plane_simulator: %s\n", bad.what()), 2;
   }
   if (map.count("help")) {
     std::cout << flags << "Scenarios:\n";
@@ -103,9 +104,9 @@
     return 0;
   }
   if (name != "all" && scenario_of(name) == nullptr)
-    return std::fprintf(stderr, "control_plane: there is no scenario '%s'\n", name.c_str()), 2;
+    return std::fprintf(stderr, "control_plane_simulator: there is no scenario '%s'\n", name.c_str()), 2;
   if (plan.seeds == 0 || plan.jobs == 0)
-    return std::fprintf(stderr, "control_plane: seeds and jobs must be above 0\n"), 2;
+    return std::fprintf(stderr, "control_plane_simulator: seeds and jobs must be above 0\n"), 2;
   bool const loud = map.count("log") > 0;
   mute_log(!loud);
   if (loud) plan.jobs = 1;
--- a/testing/control_plane_simulator/operators.cc
+++ b/testing/control_plane_simulator/operators.cc
@@ -89,7 +89,7 @@
     if (machine.powered && !machine.removed) fails(call);  // refused at once; a dark machine says nothing
     return;
   }
-  call.life = machine.life;
+  call.process = machine.process;
   call.arrived = world.now();
   start(call, call.reading || judge.order(call.order).amend
                   ? read_change()
@@ -101,14 +101,14 @@
   std::uint64_t const id = ++next_call;
   calls[id] = call;
   ++world.machine(call.machine).calls_under_way;
-  world.enter(call.machine, call.life, [id, change = std::move(change)](Node& node, Micros now, NodeEffects& out) {
+  world.enter(call.machine, call.process, [id, change = std::move(change)](Node& node, Micros now, NodeEffects& out) {
     node.operate(id, change, now, out);
   });
 }
 
 void Operators::answered(Machine& machine, Reply const& reply) {
   std::map<std::uint64_t, Call>::iterator const position = calls.find(reply.id);
-  if (position == calls.end() || position->second.life != machine.life) return;
+  if (position == calls.end() || position->second.process != machine.process) return;
   Call const call = std::move(position->second);
   calls.erase(position);
   --machine.calls_under_way;
--- a/testing/control_plane_simulator/operators.h
+++ b/testing/control_plane_simulator/operators.h
@@ -59,7 +59,7 @@
     bool reading = false;
     OrderId order = 0;
     MachineId machine = 0;
-    std::uint64_t life = 0;
+    std::uint64_t process = 0;
     Micros asked = 0;
     Micros arrived = 0;
     bool looked = false;  // an amend that has read
--- a/testing/control_plane_simulator/scenarios.cc
+++ b/testing/control_plane_simulator/scenarios.cc
@@ -170,8 +170,8 @@
   return fleet.finish("orders that build on one another");
 }
 
-// A machine ends and is back at once, again and again, while disks are slow: what was asked in one life is answered in
-// the next one.
+// A machine ends and is back at once, again and again, while disks are slow: what was asked in one process is answered
+// in the next one.
 Report restarted_at_once(ScenarioPlan const& plan) {
   Fleet fleet(plan);
   World& world = fleet.world;
--- a/testing/control_plane_simulator/world.cc
+++ b/testing/control_plane_simulator/world.cc
@@ -117,7 +117,7 @@
 // Three that are there when the machine's settings are written; at the first start the first three of all.
 std::vector<std::string> World::seeds_now(MachineId id) const {
   std::vector<std::string> out;
-  std::size_t const first = machines[id]->life == 0 && time < seconds(2) ? 0 : id + 1;
+  std::size_t const first = machines[id]->process == 0 && time < seconds(2) ? 0 : id + 1;
   for (std::size_t n = 0; n < machines.size() && out.size() < seeds_given; ++n) {
     Machine const& item = *machines[(first + n) % machines.size()];
     if (!item.removed && (time < seconds(2) || (item.up() && item.id != id))) out.push_back(item.address);
@@ -138,7 +138,7 @@
   made.first_start = first_start;
   made.replica = machine.replica;
   made.tolerated = plan.tolerated;
-  machine.life = ++lives;
+  machine.process = ++processes;
   made.incarnation = static_cast<std::uint64_t>(seconds(1000000) + time + machine.wall_offset + 1);
   made.chance = made.incarnation ^ hash_text(machine.name) ^ hash_bits(plan.seed);
   if (on_plan) on_plan(made);
@@ -153,21 +153,21 @@
   for (Barrier const& barrier : barriers)
     if (barrier.holds(id)) ++machine.troubles;
   machine.calm_since = time;
-  // What a former life without power left half open is reset at the next word.
+  // What a former process without power left half open is reset at the next word.
   machine.connections.clear();
-  if (!machine.replica) return begin_life(machine, made, std::nullopt);
+  if (!machine.replica) return begin_process(machine, made, std::nullopt);
   if (!machine.disk) machine.disk = std::make_unique<SimulatedDisk>();
   machine.store = std::make_unique<RecordStore>(*machine.disk, made.cluster, made.name, file_reserved);
-  machine.opening = machine.life;
-  open_disk(id, machine.life, made, 0);
+  machine.opening = machine.process;
+  open_disk(id, machine.process, made, 0);
 }
 
 // As the shell does it: a disk that refuses or hangs is waited for, then the process ends and is started again.
-void World::open_disk(MachineId id, std::uint64_t life, NodePlan const& made, int tries) {
+void World::open_disk(MachineId id, std::uint64_t process, NodePlan const& made, int tries) {
   Machine& machine = *machines[id];
-  if (machine.opening != life) return;
+  if (machine.opening != process) return;
   if (time < machine.stalled_until) {
-    at(machine.stalled_until, [this, id, life, made, tries] { open_disk(id, life, made, tries); });
+    at(machine.stalled_until, [this, id, process, made, tries] { open_disk(id, process, made, tries); });
     return;
   }
   machine.disk->full(machine.disk_full);
@@ -175,29 +175,30 @@
   Result<wire::RecordT> opened = machine.store->open(hash_bits(plan.seed ^ (++disks_made << 20)), blank);
   if (opened) {
     machine.opening.reset();
-    return begin_life(machine, made, std::move(opened.value()));
+    return begin_process(machine, made, std::move(opened.value()));
   }
   if (!log_is_muted() && tries == 0)
     std::printf("%lld %s waits for its disk: %s\n", static_cast<long long>(time / 1000), machine.name.c_str(),
                 opened.error().why.c_str());
   if (tries < open_tries_most) {
-    after(disk_retry, [this, id, life, made, tries] { open_disk(id, life, made, tries + 1); });
+    after(disk_retry, [this, id, process, made, tries] { open_disk(id, process, made, tries + 1); });
     return;
   }
   machine.opening.reset();
-  after(restart_pause, [this, id, life] {
-    if (machines[id]->life == life && machines[id]->powered) boot(id);
+  after(restart_pause, [this, id, process] {
+    if (machines[id]->process == process && machines[id]->powered) boot(id);
   });
 }
 
-void World::begin_life(Machine& machine, NodePlan const& made, std::optional<wire::RecordT> record) {
+void World::begin_process(Machine& machine, NodePlan const& made, std::optional<wire::RecordT> record) {
   machine.calm_since = time;
   machine.node = std::make_unique<Node>(made, clock(machine), std::move(record));
   if (!log_is_muted()) std::printf("%lld %s boots\n", static_cast<long long>(time / 1000), machine.name.c_str());
   if (on_boot) on_boot(machine);
   MachineId const id = machine.id;
-  std::uint64_t const life = machine.life;
-  after(static_cast<Micros>(random.below(static_cast<std::uint64_t>(tick_gap))), [this, id, life] { tick(id, life); });
+  std::uint64_t const process = machine.process;
+  after(static_cast<Micros>(random.below(static_cast<std::uint64_t>(tick_gap))),
+        [this, id, process] { tick(id, process); });
 }
 
 void World::boot_all(bool first_start) {
@@ -248,17 +249,17 @@
   Machine& machine = *machines[id];
   if (!machine.up() || machine.stop_from >= 0) return;
   machine.stop_from = time;
-  enter(id, machine.life, [](Node& node, Micros, NodeEffects&) { node.retire(); });
-  std::uint64_t const life = machine.life;
-  after(heed, [this, id, life] { look_stop(id, life); });
+  enter(id, machine.process, [](Node& node, Micros, NodeEffects&) { node.retire(); });
+  std::uint64_t const process = machine.process;
+  after(heed, [this, id, process] { look_stop(id, process); });
 }
 
-void World::look_stop(MachineId id, std::uint64_t life) {
+void World::look_stop(MachineId id, std::uint64_t process) {
   Machine& machine = *machines[id];
-  if (!machine.up() || machine.life != life) return;
+  if (!machine.up() || machine.process != process) return;
   if (!machine.announced) {
     machine.announced = true;
-    enter(id, life, [](Node& node, Micros now, NodeEffects& out) { node.drain(now, out); });
+    enter(id, process, [](Node& node, Micros now, NodeEffects& out) { node.drain(now, out); });
     if (!machine.up()) return;
   }
   bool const idle = machine.calls_under_way == 0 && may_end(*machine.node, clock(machine));
@@ -267,7 +268,7 @@
     machine.removed = true;
     return;
   }
-  after(tick_gap, [this, id, life] { look_stop(id, life); });
+  after(tick_gap, [this, id, process] { look_stop(id, process); });
 }
 
 void World::freeze(MachineId id, Micros span) {
@@ -275,10 +276,10 @@
   if (!machine.up() || machine.frozen) return;
   machine.frozen = true;
   begin_trouble(machine);
-  std::uint64_t const life = machine.life;
-  after(span, [this, id, life] {
+  std::uint64_t const process = machine.process;
+  after(span, [this, id, process] {
     Machine& item = *machines[id];
-    if (!item.up() || item.life != life) return;
+    if (!item.up() || item.process != process) return;
     item.frozen = false;
     end_trouble(item);
     std::vector<std::function<void()>> const list = std::move(item.deferred);
@@ -287,25 +288,25 @@
   });
 }
 
-void World::enter(MachineId id, std::uint64_t life, Step const& step) {
+void World::enter(MachineId id, std::uint64_t process, Step const& step) {
   Machine& machine = *machines[id];
-  if (!machine.up() || machine.life != life) return;
+  if (!machine.up() || machine.process != process) return;
   if (machine.frozen) {
-    machine.deferred.push_back([this, id, life, step] { enter(id, life, step); });
+    machine.deferred.push_back([this, id, process, step] { enter(id, process, step); });
     return;
   }
   if (!log_is_muted()) log_prefix() = std::to_string(time / 1000) + " " + machine.name + " ";
   NodeEffects out;
   step(*machine.node, clock(machine), out);
   obey(machine, out);
-  if (machine.up() && machine.life == life && on_step) on_step(machine);
+  if (machine.up() && machine.process == process && on_step) on_step(machine);
 }
 
-void World::tick(MachineId id, std::uint64_t life) {
+void World::tick(MachineId id, std::uint64_t process) {
   Machine& machine = *machines[id];
-  if (!machine.up() || machine.life != life) return;
-  if (!machine.frozen) enter(id, life, [](Node& node, Micros now, NodeEffects& out) { node.tick(now, out); });
-  after(tick_gap, [this, id, life] { tick(id, life); });
+  if (!machine.up() || machine.process != process) return;
+  if (!machine.frozen) enter(id, process, [](Node& node, Micros now, NodeEffects& out) { node.tick(now, out); });
+  after(tick_gap, [this, id, process] { tick(id, process); });
 }
 
 void World::obey(Machine& machine, NodeEffects& out) {
@@ -327,9 +328,9 @@
   }
   if (on_dispatch && !out.dispatch.empty()) on_dispatch(machine, out.dispatch);
   if (!on_reply) return;
-  std::uint64_t const life = machine.life;
+  std::uint64_t const process = machine.process;
   for (Reply const& reply : out.replies)
-    if (machine.up() && machine.life == life) on_reply(machine, reply);
+    if (machine.up() && machine.process == process) on_reply(machine, reply);
 }
 
 // ---- disks
@@ -348,24 +349,24 @@
   std::shared_ptr<wire::RecordT const> const kept = std::make_shared<wire::RecordT>(std::move(record));
   machine.writing = kept;
   MachineId const id = machine.id;
-  std::uint64_t const life = machine.life;
-  after(lag(plan.sync_least, plan.sync_most), [this, id, life, kept] { try_save(id, life, kept); });
+  std::uint64_t const process = machine.process;
+  after(lag(plan.sync_least, plan.sync_most), [this, id, process, kept] { try_save(id, process, kept); });
 }
 
-void World::try_save(MachineId id, std::uint64_t life, std::shared_ptr<wire::RecordT const> record) {
+void World::try_save(MachineId id, std::uint64_t process, std::shared_ptr<wire::RecordT const> record) {
   Machine& machine = *machines[id];
-  if (!machine.up() || machine.life != life) return;
+  if (!machine.up() || machine.process != process) return;
   if (time < machine.stalled_until) {
-    at(machine.stalled_until, [this, id, life, record] { try_save(id, life, record); });
+    at(machine.stalled_until, [this, id, process, record] { try_save(id, process, record); });
     return;
   }
   machine.disk->full(machine.disk_full);
   if (!machine.store->save(*record)) {
-    after(disk_retry, [this, id, life, record] { try_save(id, life, record); });
+    after(disk_retry, [this, id, process, record] { try_save(id, process, record); });
     return;
   }
   machine.writing.reset();
-  enter(id, life, [](Node& node, Micros now, NodeEffects& out) { node.disk_done(now, out); });
+  enter(id, process, [](Node& node, Micros now, NodeEffects& out) { node.disk_done(now, out); });
 }
 
 void World::stall_disk(MachineId id, Micros span) {
@@ -446,9 +447,9 @@
   }
 }
 
-void World::dial_fails(MachineId id, std::uint64_t life, std::string const& address, bool refused, Micros wait) {
-  after(wait, [this, id, life, address, refused] {
-    enter(id, life, [address, refused](Node& node, Micros now, NodeEffects& out) {
+void World::dial_fails(MachineId id, std::uint64_t process, std::string const& address, bool refused, Micros wait) {
+  after(wait, [this, id, process, address, refused] {
+    enter(id, process, [address, refused](Node& node, Micros now, NodeEffects& out) {
       node.dial_failed(address, refused, now, out);
     });
   });
@@ -458,20 +459,21 @@
   Machine* target = nullptr;
   for (std::unique_ptr<Machine> const& item : machines)
     if (item->address == address && !item->removed) target = item.get();
-  if (target == nullptr || !target->powered) return dial_fails(machine.id, machine.life, address, false, dial_timeout);
+  if (target == nullptr || !target->powered)
+    return dial_fails(machine.id, machine.process, address, false, dial_timeout);
   Barrier const* barrier = barrier_between(machine.id, target->id);
   if (barrier == nullptr) barrier = barrier_between(target->id, machine.id);
   if (barrier != nullptr) {
     bool const silent = barrier->kind == CutKind::silent;
-    return dial_fails(machine.id, machine.life, address, barrier->kind == CutKind::refused,
+    return dial_fails(machine.id, machine.process, address, barrier->kind == CutKind::refused,
                       silent ? dial_timeout : lag());
   }
-  if (!target->up()) return dial_fails(machine.id, machine.life, address, true, lag());
+  if (!target->up()) return dial_fails(machine.id, machine.process, address, true, lag());
   std::shared_ptr<Link> const link = std::make_shared<Link>();
   link->end[0] = machine.id;
   link->end[1] = target->id;
-  link->life[0] = machine.life;
-  link->life[1] = target->life;
+  link->process[0] = machine.process;
+  link->process[1] = target->process;
   links.push_back(link);
   if (links.size() > 4096)
     links.erase(
@@ -486,22 +488,22 @@
 
 void World::open_side(std::shared_ptr<Link> link, int side, std::string const& address) {
   Machine& machine = *machines[link->end[side]];
-  if (!machine.up() || machine.life != link->life[side]) return;
+  if (!machine.up() || machine.process != link->process[side]) return;
   if (side == 0 && (!link->opened[1] || link->closed[1])) {
     link->closed[0] = true;
-    return dial_fails(machine.id, machine.life, address, false, 0);
+    return dial_fails(machine.id, machine.process, address, false, 0);
   }
   if (cut(link->end[0], link->end[1]) || cut(link->end[1], link->end[0])) {
     // The handshake is lost on its way.
     link->closed[side] = true;
-    if (side == 0) dial_fails(machine.id, machine.life, address, false, dial_timeout);
+    if (side == 0) dial_fails(machine.id, machine.process, address, false, dial_timeout);
     return;
   }
   link->opened[side] = true;
   link->connection[side] = ++machine.next_connection;
   machine.connections[link->connection[side]] = {link, side};
   ConnectionId const connection = link->connection[side];
-  enter(machine.id, machine.life, [connection, side, address](Node& node, Micros now, NodeEffects& out) {
+  enter(machine.id, machine.process, [connection, side, address](Node& node, Micros now, NodeEffects& out) {
     node.opened(connection, side == 0, side == 0 ? address : "", now, out);
   });
 }
@@ -541,14 +543,14 @@
   int const to = 1 - side;
   Machine& target = *machines[link->end[to]];
   if (!target.powered) return;
-  if (link->closed[to] || !target.up() || target.life != link->life[to]) {
+  if (link->closed[to] || !target.up() || target.process != link->process[to]) {
     // Nobody has this connection any more: its other end is reset.
     if (!frame.last) reset_side(link, side);
     return;
   }
   if (frame.last) return reset_side(link, to);
   ConnectionId const connection = link->connection[to];
-  enter(target.id, target.life,
+  enter(target.id, target.process,
         [this, link, to, connection, bytes = std::move(frame.bytes)](Node& node, Micros now, NodeEffects& out) {
           Machine& machine = *machines[link->end[to]];
           if (machine.connections.count(connection) == 0) return;
@@ -566,14 +568,15 @@
 // A side learns that its connection is no more.
 void World::reset_side(std::shared_ptr<Link> const& link, int side) {
   Machine& machine = *machines[link->end[side]];
-  if (link->closed[side] || !link->opened[side] || !machine.up() || machine.life != link->life[side]) return;
+  if (link->closed[side] || !link->opened[side] || !machine.up() || machine.process != link->process[side]) return;
   link->closed[side] = true;
   link->queue[side].clear();
   ConnectionId const connection = link->connection[side];
   after(lag(), [this, link, side, connection] {
-    enter(link->end[side], link->life[side], [this, link, side, connection](Node& node, Micros now, NodeEffects& out) {
-      if (machines[link->end[side]]->connections.erase(connection) > 0) node.shut(connection, now, out);
-    });
+    enter(link->end[side], link->process[side],
+          [this, link, side, connection](Node& node, Micros now, NodeEffects& out) {
+            if (machines[link->end[side]]->connections.erase(connection) > 0) node.shut(connection, now, out);
+          });
   });
 }
 
--- a/testing/control_plane_simulator/world.h
+++ b/testing/control_plane_simulator/world.h
@@ -57,7 +57,7 @@
   bool powered = true;
   bool removed = false;
   std::unique_ptr<Node> node;
-  std::uint64_t life = 0;  // counts the starts of processes, over all machines
+  std::uint64_t process = 0;  // counts the starts of processes, over all machines
   Micros started_at = -1;
   bool frozen = false;
   std::vector<std::function<void()>> deferred;  // what came while it was frozen
@@ -69,7 +69,7 @@
   std::unique_ptr<SimulatedDisk> disk;
   std::unique_ptr<RecordStore> store;            // of the present process
   std::shared_ptr<wire::RecordT const> writing;  // what is being written
-  std::optional<std::uint64_t> opening;          // the life that waits for its disk before it has a node
+  std::optional<std::uint64_t> opening;          // the process that waits for its disk before it has a node
   Micros stalled_until = -1;
   bool disk_full = false;
 
@@ -125,8 +125,8 @@
   void heal();
   bool cut(MachineId from, MachineId to) const { return barrier_between(from, to) != nullptr; }
 
-  // Runs one step of a machine's process: later while it is frozen, never once that life has ended.
-  void enter(MachineId id, std::uint64_t life, Step const& step);
+  // Runs one step of a machine's process: later while it is frozen, never once that process has ended.
+  void enter(MachineId id, std::uint64_t process, Step const& step);
 
   Machine& machine(MachineId id) { return *machines[id]; }
   Machine const& machine(MachineId id) const { return *machines[id]; }
@@ -143,7 +143,7 @@
 
   RandomSource& chance() { return random; }
   WorldPlan const plan;
-  // Called after every step, for every answer to an operator, at the end of a life, and at the start of one.
+  // Called after every step, for every answer to an operator, at the end of a process, and at the start of one.
   std::function<void(Machine&)> on_step;
   std::function<void(Machine&, Reply const&)> on_reply;
   std::function<void(Machine&)> on_end;
@@ -179,16 +179,16 @@
   Micros lag(Micros least, Micros most) {
     return least + static_cast<Micros>(random.below(static_cast<std::uint64_t>(most - least + 1)));
   }
-  void tick(MachineId id, std::uint64_t life);
+  void tick(MachineId id, std::uint64_t process);
   void obey(Machine& machine, NodeEffects& out);
   void end(Machine& machine, bool silent);
-  void look_stop(MachineId id, std::uint64_t life);
+  void look_stop(MachineId id, std::uint64_t process);
   void begin_trouble(Machine& machine);
   void end_trouble(Machine& machine);
   std::vector<std::string> seeds_now(MachineId id) const;
 
   void dial(Machine& machine, std::string const& address);
-  void dial_fails(MachineId id, std::uint64_t life, std::string const& address, bool refused, Micros wait);
+  void dial_fails(MachineId id, std::uint64_t process, std::string const& address, bool refused, Micros wait);
   void open_side(std::shared_ptr<Link> link, int side, std::string const& address);
   void send(std::shared_ptr<Link> const& link, int side, std::string bytes, bool last);
   void count(Link const& link, std::string const& bytes);
@@ -197,11 +197,11 @@
   void hang_up(std::shared_ptr<Link> const& link, int side, bool silent);
   void reset_side(std::shared_ptr<Link> const& link, int side);
 
-  void open_disk(MachineId id, std::uint64_t life, NodePlan const& made, int tries);
-  void begin_life(Machine& machine, NodePlan const& made, std::optional<wire::RecordT> record);
+  void open_disk(MachineId id, std::uint64_t process, NodePlan const& made, int tries);
+  void begin_process(Machine& machine, NodePlan const& made, std::optional<wire::RecordT> record);
   void interrupt_save(Machine& machine);
   void save(Machine& machine, wire::RecordT record);
-  void try_save(MachineId id, std::uint64_t life, std::shared_ptr<wire::RecordT const> record);
+  void try_save(MachineId id, std::uint64_t process, std::shared_ptr<wire::RecordT const> record);
 
   RandomSource random;
   Micros time = 0;
@@ -210,7 +210,7 @@
   std::vector<std::unique_ptr<Machine>> machines;
   std::vector<Barrier> barriers;
   std::vector<std::weak_ptr<Link>> links;
-  std::uint64_t lives = 0;
+  std::uint64_t processes = 0;
   std::uint64_t disks_made = 0;
 };
 
@@ -222,7 +222,7 @@
     bool last;  // the side that sent it has hung up
   };
   MachineId end[2] = {0, 0};
-  std::uint64_t life[2] = {0, 0};
+  std::uint64_t process[2] = {0, 0};
   ConnectionId connection[2] = {0, 0};
   bool opened[2] = {false, false};
   bool closed[2] = {false, false};
--- a/testing/cost_simulator/main.cc
+++ b/testing/cost_simulator/main.cc
@@ -47,14 +47,14 @@
     }
     bool const odd = flag.whole && value != static_cast<double>(static_cast<long>(value));
     if (used == 0 || used != part.size() || odd || !(value >= flag.least) || value > flag.most) {
-      std::fprintf(stderr, "hollow: %s: '%s' is not a number of at least %g and at most %g\n", flag.name, part.c_str(),
-                   flag.least, flag.most);
+      std::fprintf(stderr, "cost_simulator: %s: '%s' is not a number of at least %g and at most %g\n", flag.name,
+                   part.c_str(), flag.least, flag.most);
       return false;
     }
     flag.values.push_back(value);
   }
   if (!flag.values.empty()) return true;
-  std::fprintf(stderr, "hollow: %s: a number is missing\n", flag.name);
+  std::fprintf(stderr, "cost_simulator: %s: a number is missing\n", flag.name);
   return false;
 }
 
@@ -73,7 +73,8 @@
   std::uint64_t seed = 1;
   int replicas = 3;
   std::string file, phases = "change,restart,cut,region", far = "12,93,1400";
-  options::options_description keys("hollow: what fleets of the product's cores cost under virtual time, by size");
+  options::options_description keys(
+      "cost_simulator: what fleets of the product's cores cost under virtual time, by size");
   keys.add_options()("nodes", options::value(&flags[0].text),
                      "nodes, keepers among them; one flag of these takes a list")(
       "workers", options::value(&flags[1].text), "workers in the platform's list")(
@@ -99,26 +100,26 @@
     all = map.count("all") > 0;
     for (std::string const& part : parts_of(far)) places.push_back(std::stod(part));
   } catch (options::error const& bad) {
-    return std::fprintf(stderr, "hollow: %s\n", bad.what()), 2;
+    return std::fprintf(stderr, "cost_simulator: %s\n", bad.what()), 2;
   } catch (std::exception const&) {
-    return std::fprintf(stderr, "hollow: at: '%s' is no list of numbers\n", far.c_str()), 2;
+    return std::fprintf(stderr, "cost_simulator: at: '%s' is no list of numbers\n", far.c_str()), 2;
   }
   Flag* swept = &flags[0];
   int lists = 0;
-  if (replicas < 1 || replicas > 21) return std::fprintf(stderr, "hollow: keepers must be 1 to 21\n"), 2;
+  if (replicas < 1 || replicas > 21) return std::fprintf(stderr, "cost_simulator: keepers must be 1 to 21\n"), 2;
   flags[0].least = replicas + 2;
   for (Flag& flag : flags) {
     if (!read(flag)) return 2;
     if (flag.values.size() > 1) swept = &flag, ++lists;
   }
-  if (lists > 1) return std::fprintf(stderr, "hollow: only one flag takes a list at a time\n"), 2;
+  if (lists > 1) return std::fprintf(stderr, "cost_simulator: only one flag takes a list at a time\n"), 2;
   if (!(span > 0 && span <= 600) || !(limit > 0 && limit <= 3600))
-    return std::fprintf(stderr, "hollow: seconds must be above 0, at most 600; limit at most 3600\n"), 2;
+    return std::fprintf(stderr, "cost_simulator: seconds must be above 0, at most 600; limit at most 3600\n"), 2;
   std::vector<std::string> const known = Scale::phase_names();
   plan.phases = parts_of(phases);
   for (std::string const& name : plan.phases)
     if (std::find(known.begin(), known.end(), name) == known.end())
-      return std::fprintf(stderr, "hollow: there is no phase '%s'\n", name.c_str()), 2;
+      return std::fprintf(stderr, "cost_simulator: there is no phase '%s'\n", name.c_str()), 2;
   plan.replicas = replicas;
   plan.span = static_cast<Micros>(span * 1e6);
   plan.seed = seed;
@@ -140,11 +141,12 @@
   double const half = memory() / 2;
   for (ScalePlan const& item : plans)
     if (bytes_for(item) > half) {
-      std::fprintf(stderr,
-                   "hollow: %d nodes with %d workers, %d prefixes, %d sessions and %d routes would need %.0f MB, more "
-                   "than half (%.0f MB) of this machine's memory; %d nodes would fit\n",
-                   item.nodes, item.workers, item.prefixes, item.sessions, item.routes, bytes_for(item) / 1e6,
-                   half / 1e6, nodes_within(item, half));
+      std::fprintf(
+          stderr,
+          "cost_simulator: %d nodes with %d workers, %d prefixes, %d sessions and %d routes would need %.0f MB, more "
+          "than half (%.0f MB) of this machine's memory; %d nodes would fit\n",
+          item.nodes, item.workers, item.prefixes, item.sessions, item.routes, bytes_for(item) / 1e6, half / 1e6,
+          nodes_within(item, half));
       return 2;
     }
   std::vector<double> x;
@@ -152,7 +154,7 @@
   bool whole = true;
   for (ScalePlan const& item : plans) {
     std::printf(
-        "hollow: nodes %d (keepers %d), workers %d, prefixes %d, sessions %d, routes %d, rate %g, seed %llu, "
+        "cost_simulator: nodes %d (keepers %d), workers %d, prefixes %d, sessions %d, routes %d, rate %g, seed %llu, "
         "phases of %g s\n",
         item.nodes, item.replicas, item.workers, item.prefixes, item.sessions, item.routes, item.rate,
         static_cast<unsigned long long>(seed), span);
@@ -196,7 +198,7 @@
       for (Figures const& figures : found) curves[i].y.push_back(figures.of(names[i]));
     std::ofstream out(file);
     out << plot(swept->name, x, curves);
-    if (!out.flush()) return std::fprintf(stderr, "hollow: '%s' cannot be written\n", file.c_str()), 1;
+    if (!out.flush()) return std::fprintf(stderr, "cost_simulator: '%s' cannot be written\n", file.c_str()), 1;
   }
   return !told_violations() && whole ? 0 : 1;
 }
--- a/testing/fake_backend/main.cc
+++ b/testing/fake_backend/main.cc
@@ -373,7 +373,7 @@
 
 int run(int argc, char** argv) {
   Plan plan;
-  options::options_description flags("mimic worker|platform: stands in for the outside");
+  options::options_description flags("fake_backend worker|platform: stands in for the outside");
   flags.add_options()("sort", options::value(&plan.sort), "worker or platform")(
       "http", options::value(&plan.http), "IP:port")("id", options::value(&plan.id))(
       "ledger", options::value(&plan.ledger), "a file to which every run is written")(
@@ -384,19 +384,19 @@
   options::positional_options_description spots;
   spots.add("sort", 1);
   std::function<void()> const print_help = [&] { std::cout << flags; };
-  std::optional<int> const ended = read_flags("mimic", argc, argv, flags, print_help, &spots);
+  std::optional<int> const ended = read_flags("fake_backend", argc, argv, flags, print_help, &spots);
   if (ended) return *ended;
   std::string host;
   std::uint16_t port = 0;
   if (!split_address(plan.http, host, port) || (plan.sort != "worker" && plan.sort != "platform")) {
-    std::fprintf(stderr, "mimic: worker or platform, and --http IP:port, are needed\n");
+    std::fprintf(stderr, "fake_backend: worker or platform, and --http IP:port, are needed\n");
     return 2;
   }
   SoupServer* const server = soup_server_new(nullptr, nullptr);
   GSocketAddress* const position = g_inet_socket_address_new_from_string(host.c_str(), port);
   GError* error = nullptr;
   if (!soup_server_listen(server, position, static_cast<SoupServerListenOptions>(0), &error)) {
-    std::fprintf(stderr, "mimic: %s: %s\n", plan.http.c_str(), error->message);
+    std::fprintf(stderr, "fake_backend: %s: %s\n", plan.http.c_str(), error->message);
     return 2;
   }
   std::unique_ptr<Worker> worker;
--- a/testing/fleet_simulator/machines.cc
+++ b/testing/fleet_simulator/machines.cc
@@ -315,7 +315,7 @@
         box.chat_requests.count(verdict.chat_request) ? box.chat_requests[verdict.chat_request] : 0;
     box.chat_requests.erase(verdict.chat_request);
     box.attempts.erase(verdict.chat_request);
-    std::string const ran = execution_status_name(verdict.ran);
+    std::string const ran = execution_status_name(verdict.execution);
     Micros const back = verdict.wait;
     ++end.kinds[std::string("answer ") + error_code_row(verdict.error.code).name];
     after(lag(), [this, wish, ran, back] { told(wish, ran, back); });
--- a/testing/fleet_simulator/main.cc
+++ b/testing/fleet_simulator/main.cc
@@ -27,7 +27,7 @@
   unsigned jobs = std::thread::hardware_concurrency();
   double length = 30;
   bool loud = false;
-  options::options_description flags("augury: seeded worlds of the product's cores under virtual time");
+  options::options_description flags("fleet_simulator: seeded worlds of the product's cores under virtual time");
   flags.add_options()("shape", options::value(&shape_name), "coop or utility")(
       "from", options::value(&from), "the first seed")("seeds", options::value(&count), "how many")(
       "jobs", options::value(&jobs))("length", options::value(&length), "seconds of trouble")(
@@ -43,17 +43,17 @@
     for (std::size_t i = 0; i < n; ++i)
       std::cout << "  " << rows[i].name << " (" << rows[i].point << "): " << rows[i].text << "\n";
   };
-  std::optional<int> const ended = read_flags("augury", argc, argv, flags, print_help);
+  std::optional<int> const ended = read_flags("fleet_simulator", argc, argv, flags, print_help);
   if (ended) return *ended;
   Shape const* const shape = shape_of(shape_name);
-  if (shape == nullptr) return std::fprintf(stderr, "augury: there is no shape '%s'\n", shape_name.c_str()), 2;
+  if (shape == nullptr) return std::fprintf(stderr, "fleet_simulator: there is no shape '%s'\n", shape_name.c_str()), 2;
   std::vector<std::string> kept;
   std::stringstream parts(only);
   std::string part;
   std::vector<std::string> const all = World::troubles();
   while (std::getline(parts, part, ',')) {
     if (std::find(all.begin(), all.end(), part) == all.end())
-      return std::fprintf(stderr, "augury: there is no trouble '%s'\n", part.c_str()), 2;
+      return std::fprintf(stderr, "fleet_simulator: there is no trouble '%s'\n", part.c_str()), 2;
     kept.push_back(part);
   }
   Guard guard = Guard::none;
@@ -62,9 +62,9 @@
   for (std::size_t i = 0; i < n; ++i)
     if (off == rows[i].name) guard = static_cast<Guard>(i);
   if (!off.empty() && guard == Guard::none)
-    return std::fprintf(stderr, "augury: there is no guard '%s'\n", off.c_str()), 2;
+    return std::fprintf(stderr, "fleet_simulator: there is no guard '%s'\n", off.c_str()), 2;
   if (count == 0 || length <= 0 || length > 600)
-    return std::fprintf(stderr, "augury: seeds and length must be above 0, length at most 600\n"), 2;
+    return std::fprintf(stderr, "fleet_simulator: seeds and length must be above 0, length at most 600\n"), 2;
   mute_log(!loud);
   std::atomic<std::uint64_t> next{from};
   std::mutex gate;
--- a/testing/fleet_test/actions.cc
+++ b/testing/fleet_test/actions.cc
@@ -163,11 +163,18 @@
   constexpr int refused = 4;
   std::string const& verb = item.verb;
   if (verb != "drill" && verb != "tooth" && verb != "broken") return false;
-  std::string const name = "ordeal" + std::to_string(++drills);
+  std::string const name = "zone-drill" + std::to_string(++drills);
   Actor& actor = actors[name];
   actor.name = name;
-  actor.args = {"ordeal", "--node", actors[door()].address + ":7080", "--zone", item.args[0], "--hold",
-                "8",      "--most", verb == "tooth" ? "0.001" : "0.8"};
+  actor.args = {"pipitspool-zone-drill",
+                "--node",
+                actors[door()].address + ":7080",
+                "--zone",
+                item.args[0],
+                "--hold",
+                "8",
+                "--most",
+                verb == "tooth" ? "0.001" : "0.8"};
   wanted[name] = verb == "drill" ? passed : verb == "tooth" ? refused : interrupted;
   start(actor);
   if (verb == "broken") {
--- a/testing/fleet_test/faults.cc
+++ b/testing/fleet_test/faults.cc
@@ -18,7 +18,7 @@
   std::string const name = "crowd" + std::to_string(++crowds);
   Actor& actor = actors[name];
   actor.name = name;
-  actor.args = {"chorus",
+  actor.args = {"load_generator",
                 "--shape",
                 shape.name,
                 "--entries",
--- a/testing/fleet_test/fleet.cc
+++ b/testing/fleet_test/fleet.cc
@@ -25,7 +25,7 @@
   Actor list;
   list.name = "list";
   list.address = number(4, 1);
-  list.args = {"mimic", "platform", "--http", platform};
+  list.args = {"fake_backend", "platform", "--http", platform};
   actors["list"] = list;
   int i = 0;
   for (std::string const& name : cast.workers) {
@@ -61,17 +61,17 @@
   // Settings come from a file, so that a reload has something to read.
   std::string const file = plan.folder + "/" + name + ".conf";
   std::ofstream conf(file);
-  conf << "name=" << name << "\ncluster=scene" << plan.net << "\nzone=" << zone << "\nmesh=" << address
+  conf << "name=" << name << "\ncluster=fleet" << plan.net << "\nzone=" << zone << "\nmesh=" << address
        << ":7000\nhttp=" << address << ":7080\nseeds=" << seeds << "\nlog=" << plan.folder << "/logs/" << name
        << ".log\nfaults=true\ngrace=" << plan.grace << "\n";
   for (std::size_t i = 0; i + 1 < more.size(); i += 2) conf << more[i].substr(2) << "=" << more[i + 1] << "\n";
-  actor.args = {name[0] == 'k' ? "accord" : "passage", "--settings", file};
+  actor.args = {name[0] == 'k' ? "pipitspool-config-store" : "pipitspool-router", "--settings", file};
   actors[name] = actor;
 }
 
 void Scene::worker_args(Actor& actor) {
   Row const& row = rows[actor.name];
-  actor.args = {"mimic",         "worker",
+  actor.args = {"fake_backend",  "worker",
                 "--http",        row.address,
                 "--id",          actor.name,
                 "--incarnation", std::to_string(row.incarnation),
--- a/testing/fleet_test/fleet_test.cc
+++ b/testing/fleet_test/fleet_test.cc
@@ -78,8 +78,8 @@
   write_doors();
   begin = now();
   Actor callers;
-  callers.name = "chorus";
-  callers.args = {"chorus",
+  callers.name = "load_generator";
+  callers.args = {"load_generator",
                   "--shape",
                   shape.name,
                   "--entries",
@@ -87,7 +87,7 @@
                   "--books",
                   plan.folder + "/books",
                   "--out",
-                  plan.folder + "/chorus.json",
+                  plan.folder + "/load_generator.json",
                   "--rate",
                   std::to_string(plan.rate),
                   "--seconds",
@@ -96,9 +96,9 @@
                   std::to_string(plan.hot),
                   "--seed",
                   std::to_string(plan.seed)};
-  std::filesystem::remove(plan.folder + "/chorus.json");
-  actors["chorus"] = callers;
-  start(actors["chorus"]);
+  std::filesystem::remove(plan.folder + "/load_generator.json");
+  actors["load_generator"] = callers;
+  start(actors["load_generator"]);
   guint const timer = g_timeout_add(
       100,
       [](gpointer self) -> gboolean {
@@ -114,7 +114,8 @@
   until(seconds(900), [this] { return now() - begin >= static_cast<Micros>(plan.seconds * 1e6) + seconds(2); });
   for (std::pair<std::string const, Actor>& item : actors)
     if (item.second.frozen) step(Step{0, "wake", {item.first}});
-  ran_out = !until(static_cast<Micros>(plan.seconds * 1e6) + seconds(60), [this] { return actors["chorus"].pid == 0; });
+  ran_out = !until(static_cast<Micros>(plan.seconds * 1e6) + seconds(60),
+                   [this] { return actors["load_generator"].pid == 0; });
   g_source_remove(timer);
 }
 
--- a/testing/fleet_test/probes.cc
+++ b/testing/fleet_test/probes.cc
@@ -27,8 +27,8 @@
       return fetch("GET", address, std::string("/odd?times=1000000&kind=") + lie.kind, "", "", &good), good;
     });
     Actor callers;
-    callers.name = "chorus";
-    callers.args = {"chorus",
+    callers.name = "load_generator";
+    callers.args = {"load_generator",
                     "--shape",
                     shape.name,
                     "--entries",
@@ -36,18 +36,18 @@
                     "--books",
                     plan.folder + "/books",
                     "--out",
-                    plan.folder + "/chorus.json",
+                    plan.folder + "/load_generator.json",
                     "--rate",
                     "20",
                     "--seconds",
                     "1.5",
                     "--seed",
                     std::to_string(++turn)};
-    std::filesystem::remove(plan.folder + "/chorus.json");
-    actors["chorus"] = callers;
-    start(actors["chorus"]);
-    until(seconds(60), [this] { return actors["chorus"].pid == 0; });
-    std::ifstream report(plan.folder + "/chorus.json");
+    std::filesystem::remove(plan.folder + "/load_generator.json");
+    actors["load_generator"] = callers;
+    start(actors["load_generator"]);
+    until(seconds(60), [this] { return actors["load_generator"].pid == 0; });
+    std::ifstream report(plan.folder + "/load_generator.json");
     std::string text;
     std::getline(report, text);
     std::size_t const at = text.find("\"faults\":");
--- a/testing/fleet_test/steps.cc
+++ b/testing/fleet_test/steps.cc
@@ -47,7 +47,7 @@
      "N7 N9 with a slow disk and one that fails"},
     {"storm", "4 storm 12; 9 race; 12 storm 12", 20, "N7 N8 in storms of changes"},
     {"drill", "2 drill b; 14 tooth b; 16 broken b; 22 refill b", 24,
-     "ordeal: passes, refuses, and puts back when interrupted"},
+     "zone drill: passes, refuses, and puts back when interrupted"},
     {"closing", "5 apply; 17.5 apply; 18 kill p1; 18.2 kill k1; 18.5 freeze p2; 18.8 cut p3", 19,
      "N9: hit in the last second, read back after"},
 };
--- a/testing/fleet_test/verdict.cc
+++ b/testing/fleet_test/verdict.cc
@@ -151,13 +151,13 @@
 }
 
 void Scene::judge_callers(Verdict& verdict) {
-  std::ifstream file(plan.folder + "/chorus.json");
+  std::ifstream file(plan.folder + "/load_generator.json");
   std::string& callers = verdict.callers;
   std::getline(file, callers);
-  if (ran_out || callers.empty()) fault("chorus", "the callers did not report");
-  if (callers.find("\"faults\":{}") == std::string::npos) fault("chorus", "the callers found faults");
-  if (callers.find("\"unanswered\":0,") == std::string::npos) fault("chorus", "calls were never answered");
-  if (callers.find("\"done\":0,") != std::string::npos) fault("chorus", "no traffic was seen");
+  if (ran_out || callers.empty()) fault("load_generator", "the callers did not report");
+  if (callers.find("\"faults\":{}") == std::string::npos) fault("load_generator", "the callers found faults");
+  if (callers.find("\"unanswered\":0,") == std::string::npos) fault("load_generator", "calls were never answered");
+  if (callers.find("\"done\":0,") != std::string::npos) fault("load_generator", "no traffic was seen");
   // What a planned stop may not do to callers who follow /ready.
   if (plan.schedule != "stop" && plan.schedule != "rolling") return;
   for (char const* const none : {"\"lost\":0,", "\"failed\":0,", "\"refusals\":0,", "\"retried\":0,"})
@@ -191,7 +191,7 @@
     json.key(item.first).number(static_cast<std::int64_t>(item.second));
   json.end_object().key("longest_turn_us").number(static_cast<std::int64_t>(verdict.longest_turn_us));
   json.key("mesh_bytes").number(static_cast<std::int64_t>(verdict.mesh_bytes));
-  json.key("chorus").raw(verdict.callers.empty() ? "null" : verdict.callers);
+  json.key("load_generator").raw(verdict.callers.empty() ? "null" : verdict.callers);
   json.key("faults").begin_object();
   for (std::pair<std::string const, int> const& item : faults) json.key(item.first).number(item.second);
   json.end_object().end_object();
--- a/testing/load_generator/main.cc
+++ b/testing/load_generator/main.cc
@@ -449,7 +449,7 @@
 
 int run(int argc, char** argv) {
   Plan plan;
-  options::options_description flags("chorus: callers who judge every answer");
+  options::options_description flags("load_generator: callers who judge every answer");
   flags.add_options()("shape", options::value(&plan.shape), "coop or utility")(
       "entries", options::value(&plan.entries), "a file of IP:port lines, read again as it changes")(
       "books", options::value(&plan.books), "the folder of the workers' books")("out", options::value(&plan.out),
@@ -457,11 +457,11 @@
       "rate", options::value(&plan.rate), "requests a second")("seconds", options::value(&plan.seconds))(
       "hot", options::value(&plan.hot), "the share of one hot opening")("seed", options::value(&plan.seed))("help", "");
   std::function<void()> const print_help = [&] { std::cout << flags; };
-  std::optional<int> const ended = read_flags("chorus", argc, argv, flags, print_help);
+  std::optional<int> const ended = read_flags("load_generator", argc, argv, flags, print_help);
   if (ended) return *ended;
   if (shape_of(plan.shape) == nullptr || plan.entries.empty() || plan.books.empty() || plan.rate <= 0 ||
       plan.rate > 2000 || plan.seconds <= 0 || plan.seconds > 900) {
-    std::fprintf(stderr, "chorus: shape, entries and books are needed; rate up to 2000; seconds up to 900\n");
+    std::fprintf(stderr, "load_generator: shape, entries and books are needed; rate up to 2000; seconds up to 900\n");
     return 2;
   }
   return Chorus(plan).run();
--- a/testing/platform_fleet_test/callers.cc
+++ b/testing/platform_fleet_test/callers.cc
@@ -126,8 +126,8 @@
     Crowd crowd;
     crowd.of = of;
     crowd.until = now() + trouble.span;
-    if (trouble.kind == Trouble::ErrorCode::burst) crowd.x = trouble.x;
-    if (trouble.kind == Trouble::ErrorCode::hot) crowd.hot = trouble.share;
+    if (trouble.kind == Trouble::Kind::burst) crowd.x = trouble.x;
+    if (trouble.kind == Trouble::Kind::hot) crowd.hot = trouble.share;
     crowds.push_back(crowd);
   }
 }
--- a/testing/platform_fleet_test/main.cc
+++ b/testing/platform_fleet_test/main.cc
@@ -16,7 +16,7 @@
 namespace options = boost::program_options;
 
 int refuse(std::string const& line) {
-  std::fprintf(stderr, "stage: %s\n", line.c_str());
+  std::fprintf(stderr, "platform_fleet_test: %s\n", line.c_str());
   return 2;
 }
 
@@ -25,7 +25,7 @@
   std::string shape = "tiny";
   std::string out;
   std::vector<std::string> pair;
-  options::options_description flags("stage: an experiment with lodge on this machine");
+  options::options_description flags("platform_fleet_test: an experiment with pipitspool-node on this machine");
   options::options_description_easy_init put = flags.add_options();
   put("help", "this text, and the troubles");
   put("shape", options::value(&shape), ("what is played: " + shape_names()).c_str());
@@ -36,7 +36,7 @@
   put("seed", options::value(&plan.seed), "of all chance but that of the processes");
   put("net", options::value(&plan.net), "addresses are 127.NET.x.y, 2 to 254");
   put("folder", options::value(&plan.folder), "for settings, logs and disks; emptied at first");
-  put("lodge", options::value(&plan.program), "the program; beside this one if not given");
+  put("node-program", options::value(&plan.program), "the program; beside this one if not given");
   put("out", options::value(&out), "file for the report as JSON");
   put("compare", options::value(&pair)->multitoken(), "two reports: prints where they differ");
   options::variables_map given;
@@ -72,13 +72,13 @@
   for (Trouble const& trouble : plan.troubles)
     if (needs_relay(trouble.kind) && !plan.relayed)
       return refuse(std::string("--troubles: '") + trouble_name(trouble.kind) + "' needs --relay");
-  if (plan.program.empty()) plan.program = own_folder() + "/lodge";
-  if (::access(plan.program.c_str(), X_OK) != 0) return refuse("--lodge: '" + plan.program + "' cannot be run");
-  if (plan.folder.empty()) plan.folder = own_folder() + "/stage-" + std::to_string(plan.net);
+  if (plan.program.empty()) plan.program = own_folder() + "/pipitspool-node";
+  if (::access(plan.program.c_str(), X_OK) != 0) return refuse("--node-program: '" + plan.program + "' cannot be run");
+  if (plan.folder.empty()) plan.folder = own_folder() + "/platform-fleet-" + std::to_string(plan.net);
   std::error_code wrong;
   plan.folder = std::filesystem::absolute(plan.folder, wrong).string();
   // Only a folder that an earlier experiment marked as its own is drained.
-  std::string const mark = plan.folder + "/of-stage";
+  std::string const mark = plan.folder + "/of-platform-fleet";
   if (std::filesystem::exists(plan.folder, wrong) && !std::filesystem::exists(mark, wrong) &&
       !std::filesystem::is_empty(plan.folder, wrong))
     return refuse("--folder: '" + plan.folder + "' holds something that is no experiment");
--- a/testing/platform_fleet_test/nodes.cc
+++ b/testing/platform_fleet_test/nodes.cc
@@ -79,7 +79,7 @@
 
 void Nodes::settings(Node const& node, bool first) const {
   std::ofstream file(plan.folder + "/" + node.name + "/node.conf");
-  file << "node_name=" << node.name << "\nrole=lodge\nmachine_class=edge\nserves=edge,control\n"
+  file << "node_name=" << node.name << "\nrole=node\nmachine_class=edge\nserves=edge,control\n"
        << "ip_address=" << node.ip << "\nzone=" << node.zone << "\nregion=here\n";
   for (Zone const& zone : shape.zones) file << "zones." << zone.name << "=here\n";
   file << "listen_addresses.front=" << at_port(node.private_ip, front_port)
--- a/testing/platform_fleet_test/operators.cc
+++ b/testing/platform_fleet_test/operators.cc
@@ -414,14 +414,14 @@
 }
 
 void Operators::perform(Trouble const& trouble) {
-  int const many = trouble.kind == Trouble::ErrorCode::storm
+  int const many = trouble.kind == Trouble::Kind::storm
                        ? std::max(1, static_cast<int>(trouble.span / std::max<Micros>(1000, trouble.gap)))
                        : std::max(1, trouble.count);
   for (int i = 0; i < std::min(many, 100); ++i)
     after(trouble.gap * i, [this, i, kind = trouble.kind] {
       task([this, i, kind](std::function<void()> done) {
-        if (kind == Trouble::ErrorCode::race) return race(done);
-        if (kind == Trouble::ErrorCode::bad) return invalid(i, done);
+        if (kind == Trouble::Kind::race) return race(done);
+        if (kind == Trouble::Kind::bad) return invalid(i, done);
         change(2, done);
       });
     });
--- a/testing/platform_fleet_test/platform_fleet.cc
+++ b/testing/platform_fleet_test/platform_fleet.cc
@@ -146,11 +146,11 @@
 
 void Stage::perform(Trouble const& trouble) {
   switch (trouble.kind) {
-    case Trouble::ErrorCode::kill:
-    case Trouble::ErrorCode::restart:
+    case Trouble::Kind::kill:
+    case Trouble::Kind::restart:
       for (Node* const node : some(trouble)) nodes.kill(*node, trouble.span);
       return;
-    case Trouble::ErrorCode::term: {
+    case Trouble::Kind::term: {
       Micros when = 0;
       for (Node* const node : some(trouble)) {
         after(when, [this, node, trouble] { nodes.term(*node, trouble.span); });
@@ -158,45 +158,45 @@
       }
       return;
     }
-    case Trouble::ErrorCode::freeze:
+    case Trouble::Kind::freeze:
       for (Node* const node : some(trouble)) nodes.freeze(*node, trouble.span);
       return;
-    case Trouble::ErrorCode::crash:
+    case Trouble::Kind::crash:
       nodes.unplanned(now() + trouble.span);
       return workers.crash(trouble);
-    case Trouble::ErrorCode::dark:
+    case Trouble::Kind::dark:
       nodes.unplanned(now() + trouble.span);
       return workers.dark(trouble);
-    case Trouble::ErrorCode::farewell:
-    case Trouble::ErrorCode::release:
+    case Trouble::Kind::farewell:
+    case Trouble::Kind::release:
       return workers.release(trouble);
-    case Trouble::ErrorCode::surplus:
-    case Trouble::ErrorCode::garble:
+    case Trouble::Kind::surplus:
+    case Trouble::Kind::garble:
       nodes.unplanned(now() + trouble.span);
       return workers.lie(trouble);
-    case Trouble::ErrorCode::reload:
+    case Trouble::Kind::reload:
       for (Node* const node : some(trouble)) nodes.reload(*node);
       return;
-    case Trouble::ErrorCode::wipe:
+    case Trouble::Kind::wipe:
       for (Node* const node : some(trouble)) nodes.wipe(*node, trouble.span);
       return;
-    case Trouble::ErrorCode::replace:
+    case Trouble::Kind::replace:
       for (Node* const node : some(trouble)) nodes.replace(*node, trouble.span);
       return;
-    case Trouble::ErrorCode::blackout:
+    case Trouble::Kind::blackout:
       return blackout(trouble);
-    case Trouble::ErrorCode::rude:
+    case Trouble::Kind::rude:
       return rude.come(trouble.count, trouble.gap);
-    case Trouble::ErrorCode::cut:
-    case Trouble::ErrorCode::deaf:
-    case Trouble::ErrorCode::halves:
-    case Trouble::ErrorCode::delay:
-    case Trouble::ErrorCode::reset:
-    case Trouble::ErrorCode::lost:
-    case Trouble::ErrorCode::mute:
+    case Trouble::Kind::cut:
+    case Trouble::Kind::deaf:
+    case Trouble::Kind::halves:
+    case Trouble::Kind::delay:
+    case Trouble::Kind::reset:
+    case Trouble::Kind::lost:
+    case Trouble::Kind::mute:
       return perform_on_links(trouble);
-    case Trouble::ErrorCode::burst:
-    case Trouble::ErrorCode::hot:
+    case Trouble::Kind::burst:
+    case Trouble::Kind::hot:
       return callers.perform(trouble);
     default:
       return operators.perform(trouble);
@@ -221,17 +221,17 @@
   std::vector<Node*> const some_nodes = some(trouble);
   std::size_t const half = some_nodes.size() / 2;
   for (std::size_t n = 0; n < some_nodes.size(); ++n)
-    if (trouble.kind != Trouble::ErrorCode::halves || n < half) chosen.insert(some_nodes[n]->ip);
+    if (trouble.kind != Trouble::Kind::halves || n < half) chosen.insert(some_nodes[n]->ip);
   std::set<std::string> core;
   for (std::unique_ptr<Node> const& node : nodes.all)
     if (node->core) core.insert(node->ip);
   Micros const until = now() + trouble.span;
   bool const other_way = trouble.x > 0;
   // Whoever is cut off from one of the core is not in touch, and lost answers hold up anybody.
-  bool const all_troubled = trouble.kind == Trouble::ErrorCode::lost || trouble.kind == Trouble::ErrorCode::mute ||
-                            trouble.kind == Trouble::ErrorCode::delay || trouble.kind == Trouble::ErrorCode::reset;
+  bool const all_troubled = trouble.kind == Trouble::Kind::lost || trouble.kind == Trouble::Kind::mute ||
+                            trouble.kind == Trouble::Kind::delay || trouble.kind == Trouble::Kind::reset;
   for (std::unique_ptr<Node> const& node : nodes.all) {
-    bool const halved = trouble.kind == Trouble::ErrorCode::halves && node->core;
+    bool const halved = trouble.kind == Trouble::Kind::halves && node->core;
     if (all_troubled || halved || chosen.count(node->ip) > 0) nodes.troubled(*node, until);
   }
   LinkFault fault;
@@ -240,7 +240,7 @@
     return nodes.by_ip(ip) != nullptr;
   };
   switch (trouble.kind) {
-    case Trouble::ErrorCode::cut:
+    case Trouble::Kind::cut:
       fault.concerns = [chosen, is_node, other_way](std::string const& from, std::string const& to) {
         bool const apart = (chosen.count(from) > 0) != (chosen.count(to) > 0);
         bool const workers_too = other_way && from.compare(0, 4, "127.") == 0;
@@ -249,30 +249,30 @@
         return workers_too && apart && (worker_ip(from) || worker_ip(to));
       };
       return relay->begin(fault);
-    case Trouble::ErrorCode::deaf:
+    case Trouble::Kind::deaf:
       fault.concerns = [chosen, is_node, other_way](std::string const& from, std::string const& to) {
         std::string const& deaf = other_way ? from : to;
         std::string const& other = other_way ? to : from;
         return is_node(from) && is_node(to) && chosen.count(deaf) > 0 && chosen.count(other) == 0;
       };
       return relay->begin(fault);
-    case Trouble::ErrorCode::halves:
+    case Trouble::Kind::halves:
       fault.concerns = [chosen, core](std::string const& from, std::string const& to) {
         return core.count(from) > 0 && core.count(to) > 0 && (chosen.count(from) > 0) != (chosen.count(to) > 0);
       };
       return relay->begin(fault);
-    case Trouble::ErrorCode::delay:
-      fault.code = LinkFault::ErrorCode::delay;
+    case Trouble::Kind::delay:
+      fault.kind = LinkFault::Kind::delay;
       fault.span = static_cast<Micros>(trouble.x * 1e6);
       fault.concerns = [is_node](std::string const& from, std::string const& to) {
         return is_node(from) && is_node(to);
       };
       return relay->begin(fault);
-    case Trouble::ErrorCode::lost:
-    case Trouble::ErrorCode::mute:
-      fault.code = LinkFault::ErrorCode::swallow;
+    case Trouble::Kind::lost:
+    case Trouble::Kind::mute:
+      fault.kind = LinkFault::Kind::swallow;
       fault.chance = trouble.share;
-      fault.port = trouble.kind == Trouble::ErrorCode::lost ? control_port : worker_port;
+      fault.port = trouble.kind == Trouble::Kind::lost ? control_port : worker_port;
       fault.concerns = [](std::string const&, std::string const&) { return true; };
       return relay->begin(fault);
     default:
--- a/testing/platform_fleet_test/troubles.cc
+++ b/testing/platform_fleet_test/troubles.cc
@@ -66,11 +66,11 @@
     std::size_t const colon = std::min(item.find(':'), item.size());
     double when = 0;
     if (at == std::string::npos || at > colon || !number(trimmed(item.substr(at + 1, colon - at - 1)), when))
-      return fail(Kind::bad_settings, "'" + item + "' is not of the form KIND@SECONDS:KEY=VALUE,..");
+      return fail(ErrorCode::bad_settings, "'" + item + "' is not of the form KIND@SECONDS:KEY=VALUE,..");
     std::string const name = trimmed(item.substr(0, at));
     Row const* const row =
         std::find_if(std::begin(rows), std::end(rows), [&name](Row const& r) { return name == r.name; });
-    if (row == std::end(rows)) return fail(Kind::bad_settings, "there is no trouble '" + name + "'");
+    if (row == std::end(rows)) return fail(ErrorCode::bad_settings, "there is no trouble '" + name + "'");
     Trouble made;
     made.kind = static_cast<Trouble::Kind>(row - rows);
     made.at = micros(when);
@@ -89,8 +89,8 @@
         continue;
       }
       if (key != "count" && key != "share" && key != "for" && key != "x" && key != "gap")
-        return fail(Kind::bad_settings, "'" + name + "' has no key '" + key + "'");
-      if (!number(value, n)) return fail(Kind::bad_settings, "'" + pair + "' is no number");
+        return fail(ErrorCode::bad_settings, "'" + name + "' has no key '" + key + "'");
+      if (!number(value, n)) return fail(ErrorCode::bad_settings, "'" + pair + "' is no number");
       if (key == "count") made.count = static_cast<int>(n);
       if (key == "share") {
         made.share = std::min(1.0, n);
--- a/testing/platform_fleet_test/worker_troubles.cc
+++ b/testing/platform_fleet_test/worker_troubles.cc
@@ -88,7 +88,7 @@
 
 void Workers::lie(Trouble const& trouble) {
   for (Worker* const worker : some(trouble)) {
-    worker->lie = trouble.kind == Trouble::ErrorCode::surplus ? Lie::surplus : Lie::garble;
+    worker->lie = trouble.kind == Trouble::Kind::surplus ? Lie::surplus : Lie::garble;
     worker->lie_chance = trouble.x;
     worker->lie_until = now() + trouble.span;
   }
--- a/testing/platform_fleet_test/workers.cc
+++ b/testing/platform_fleet_test/workers.cc
@@ -146,7 +146,7 @@
   int const one = 1;
   setsockopt(worker.door, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   if (::bind(worker.door, reinterpret_cast<sockaddr*>(&own), sizeof own) != 0 || ::listen(worker.door, 512) != 0)
-    g_error("stage: %s cannot be listened on", worker.ip.c_str());
+    g_error("platform_fleet_test: %s cannot be listened on", worker.ip.c_str());
   std::string const port = ":" + std::to_string(worker_port);
   if (nodes.relay() != nullptr) nodes.relay()->open(worker.public_ip + port, worker.ip + port);
   struct Pair {
--- a/testing/quota_simulator/load.cc
+++ b/testing/quota_simulator/load.cc
@@ -99,7 +99,7 @@
   change.text = text();
   Machine& machine = world.machine(target);
   if (machine.up()) change.expected = machine.node->learner.serial();
-  world.enter(target, machine.incarnation,
+  world.enter(target, machine.process,
               [call, change](Node& node, Micros now, NodeEffects& out) { node.operate(call, change, now, out); });
   world.after(seconds(3), [this, call] {
     std::map<std::uint64_t, std::function<void()>>::iterator const position = waiting.find(call);
@@ -147,7 +147,7 @@
     word.pool = "p";
     word.slots = 100000;
     word.order = heartbeat_order;
-    world.enter(id, machine.incarnation,
+    world.enter(id, machine.process,
                 [word](Node& node, Micros now, NodeEffects& out) { node.heartbeat(word, now, out); });
   }
   world.after(heartbeat_interval, [this] { heartbeat(); });
@@ -211,7 +211,7 @@
   query.tokens_in = sent.count;
   query.key = key_digest_of(key_of(tenant, !sent.revoked_key && key_gone[tenant]));
   query.left = seconds(3);
-  world.enter(at, machine.incarnation,
+  world.enter(at, machine.process,
               [id, query](Node& node, Micros now, NodeEffects& out) { node.request(id, query, now, out); });
 }
 
@@ -223,7 +223,7 @@
     under_way.erase(position);
     std::uint64_t const id = start.request;
     MachineId const at = machine.id;
-    std::uint64_t const incarnation = machine.incarnation;
+    std::uint64_t const incarnation = machine.process;
     world.after(millis(5), [this, id, at, incarnation] {
       world.enter(at, incarnation, [id](Node& node, Micros now, NodeEffects& done) {
         node.dispatcher.left(id, now);
--- a/testing/quota_simulator/main.cc
+++ b/testing/quota_simulator/main.cc
@@ -23,7 +23,8 @@
   std::size_t const plain = number_at(argc, argv, "--plain", 7);
   std::size_t const disks = number_at(argc, argv, "--disks", 5);
   if (seeds == 0 || disks < 3) {
-    std::fprintf(stderr, "tenants: --seeds N (1 or more) --from SEED --disks N (3 or more) --plain N [SCENARIO]\n");
+    std::fprintf(stderr,
+                 "quota_simulator: --seeds N (1 or more) --from SEED --disks N (3 or more) --plain N [SCENARIO]\n");
     return 2;
   }
   mute_log(true);
--- a/testing/register_model_checker/main.cc
+++ b/testing/register_model_checker/main.cc
@@ -16,7 +16,8 @@
 using namespace pipit::checker;
 
 char const usage[] =
-    "checker [--scenario NAME]... [--small] [--large] [--directed] [--walked] [--walks N [--length N] [--seed N]]\n"
+    "register_model_checker [--scenario NAME]... [--small] [--large] [--directed] [--walked] [--walks N [--length N] "
+    "[--seed N]]\n"
     "        [--states N] [--seconds N] [--recover-one-in N] [--guard-off NAME] [--replay FILE] [--list]\n"
     "        [--retries N] [--repeats N] [--restarts N] [--crashes N] [--wipes N] [--give-ups N] [--polls N] [--steps "
     "N]\n";
@@ -32,7 +33,7 @@
 };
 
 [[noreturn]] void refuse(std::string const& why) {
-  std::fprintf(stderr, "checker: %s\n%s", why.c_str(), usage);
+  std::fprintf(stderr, "register_model_checker: %s\n%s", why.c_str(), usage);
   std::exit(2);
 }
 
--- a/testing/request_model_checker/main.cc
+++ b/testing/request_model_checker/main.cc
@@ -26,7 +26,7 @@
   std::size_t events = 0;
   std::size_t depth = 0;
   std::uint64_t seed = 1;
-  po::options_description options("requests");
+  po::options_description options("request_model_checker");
   options.add_options()("walks", po::value<std::size_t>(&walks)->default_value(2000), "seeded walks")(
       "events", po::value<std::size_t>(&events)->default_value(60), "events of a walk")(
       "seed", po::value<std::uint64_t>(&seed)->default_value(1), "the first seed")(
@@ -36,7 +36,7 @@
     po::store(po::parse_command_line(argc, argv, options), given);
     po::notify(given);
   } catch (po::error const& error) {
-    std::cerr << "requests: " << error.what() << "\n";
+    std::cerr << "request_model_checker: " << error.what() << "\n";
     return 2;
   }
   pipit::mute_log(true);
--- a/testing/request_model_checker/world.cc
+++ b/testing/request_model_checker/world.cc
@@ -162,7 +162,7 @@
   DispatchEffects out;
   dispatcher.tick(loop_time(), out);
   relay->act(out);
-  relay->sweep(loop_time());
+  relay->close_expired(loop_time());
   registry.silent(loop_time());
 }
 
--- a/testing/soak/main.cc
+++ b/testing/soak/main.cc
@@ -140,7 +140,7 @@
       "net", options::value(&plan.net), "addresses are 127.NET.x.y, one NET for each job, from this on")(
       "shape", options::value(&plan.shape))("folder", options::value(&plan.folder),
                                             "for logs; what failed is kept there")(
-      "stage", options::value(&plan.stage), "the program; beside this one if not given")(
+      "platform-fleet-test", options::value(&plan.stage), "the program; beside this one if not given")(
       "troubles", options::value(&plan.troubles), "the same for every seed, instead of drawn ones")(
       "show", "prints the schedules alone");
   options::variables_map given;
@@ -161,7 +161,7 @@
       std::cout << seed << ": " << soak_schedule(seed, plan.seconds, plan.calm) << "\n";
     return 0;
   }
-  if (plan.stage.empty()) plan.stage = own_folder() + "/stage";
+  if (plan.stage.empty()) plan.stage = own_folder() + "/platform_fleet_test";
   if (plan.folder.empty()) plan.folder = own_folder() + "/soak-runs";
   return soak(plan);
 }
--- a/tests/change_traffic.cc
+++ b/tests/change_traffic.cc
@@ -92,7 +92,7 @@
   std::uint64_t operate(MachineId machine, Change const& change) {
     std::uint64_t const id = ++calls;
     labels[id] = change.label;
-    world.enter(machine, world.machine(machine).incarnation,
+    world.enter(machine, world.machine(machine).process,
                 [id, change](Node& node, Micros now, NodeEffects& out) { node.operate(id, change, now, out); });
     return id;
   }
--- a/tests/checks/used_files.sh
+++ b/tests/checks/used_files.sh
@@ -14,7 +14,7 @@
 mkdir -p "$build"
 env -u CMAKE_GENERATOR -u MAKEFLAGS cmake -S "$source" -B "$build" -DPLATFORM_ONLY=ON -DCMAKE_BUILD_TYPE=Debug \
   -DCMAKE_CXX_FLAGS_DEBUG=-O0 -DCMAKE_EXE_LINKER_FLAGS=-Wl,--trace > "$build/configure.log"
-rm -f "$build/lodge"  # linked each time, for its trace
+rm -f "$build/pipitspool-node"  # linked each time, for its trace
 env -u MAKEFLAGS cmake --build "$build" -j2 > "$build/build.log"
 
 cache_value() { sed -n "s/^$1:[A-Z]*=//p" "$build/CMakeCache.txt"; }
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -97,7 +97,7 @@
     for (OutgoingMessage const& item : outgoing)
       if (item.body.type == wire::Body::Loads)
         for (std::unique_ptr<wire::LoadT> const& row : item.body.AsLoads()->list)
-          if (row->suspect) out.push_back(row->worker);
+          if (row->suspected) out.push_back(row->worker);
     return out;
   }
   bool free_of_work() {
--- a/tests/fate.cc
+++ b/tests/fate.cc
@@ -22,7 +22,7 @@
   std::string text() const {
     std::string out;
     for (bool const flag :
-         {traits.repeatable, traits.resumable, traits.attempts, traits.budget, traits.time, traits.ran})
+         {traits.repeatable, traits.resumable, traits.attempts, traits.budget, traits.time, traits.may_have_run})
       out += flag ? '1' : '0';
     return "repeatable resumable attempts budget time ran " + out + ", reach " +
            std::to_string(static_cast<int>(progress)) + ", end " + std::to_string(static_cast<int>(end));
@@ -36,7 +36,7 @@
   out.attempts = (bits & 4) != 0;
   out.budget = (bits & 8) != 0;
   out.time = (bits & 16) != 0;
-  out.ran = (bits & 32) != 0;
+  out.may_have_run = (bits & 32) != 0;
   return out;
 }
 
@@ -61,7 +61,7 @@
 
 TEST(RetryDecision, nobody_is_told_to_come_back_with_what_may_have_run_and_may_not_repeat) {
   each([](Case const& item, RetryDecision decision) {
-    if (!item.traits.repeatable && (item.traits.ran || item.may_have_run())) {
+    if (!item.traits.repeatable && (item.traits.may_have_run || item.may_have_run())) {
       EXPECT_NE(decision, RetryDecision::refuse);
     }
   });
@@ -112,7 +112,7 @@
   each([](Case const& item, RetryDecision decision) {
     if (decision != RetryDecision::fail) return;
     EXPECT_FALSE(item.traits.repeatable);
-    EXPECT_TRUE(item.traits.ran || item.may_have_run());
+    EXPECT_TRUE(item.traits.may_have_run || item.may_have_run());
   });
 }
 
--- a/tests/fleet_traffic.cc
+++ b/tests/fleet_traffic.cc
@@ -108,7 +108,7 @@
     Worker& worker = workers[number];
     std::string const id = worker.id;
     std::uint64_t const order = ++worker.order;
-    world.enter(worker.home, world.machine(worker.home).incarnation,
+    world.enter(worker.home, world.machine(worker.home).process,
                 [id, order](Node& node, Micros now, NodeEffects& out) { node.worker_left(id, order, now, out); });
     worker.ended = true;
   }
@@ -151,7 +151,7 @@
     word.pool = "s-llm";
     word.slots = 48;
     word.order = ++worker.order;
-    world.enter(worker.home, world.machine(worker.home).incarnation,
+    world.enter(worker.home, world.machine(worker.home).process,
                 [word](Node& node, Micros now, NodeEffects& out) { node.heartbeat(word, now, out); });
     world.after(heartbeat_interval, [this, number] { heartbeat(number); });
   }
@@ -159,7 +159,7 @@
   void request(MachineId id) {
     std::string const worker = workers[world.chance().below(workers.size())].id;
     std::uint64_t const path = world.chance().below(2000);
-    world.enter(id, world.machine(id).incarnation, [worker, path](Node& node, Micros now, NodeEffects&) {
+    world.enter(id, world.machine(id).process, [worker, path](Node& node, Micros now, NodeEffects&) {
       node.exchange.work(worker, prompt_work);
       if (Instance* const item = node.registry.find(worker)) item->work(prompt_work, now);
       wire::DeltaT delta;
@@ -179,7 +179,7 @@
     Worker& worker = workers[world.chance().below(workers.size())];
     std::string const id = worker.id;
     std::uint64_t const order = ++worker.order;
-    world.enter(worker.home, world.machine(worker.home).incarnation,
+    world.enter(worker.home, world.machine(worker.home).process,
                 [id, order](Node& node, Micros now, NodeEffects& out) { node.worker_left(id, order, now, out); });
     worker.id = name_of(static_cast<std::size_t>(&worker - workers.data()), ++worker.incarnation);
     worker.order = 0;
@@ -202,7 +202,7 @@
     asked[label] = world.now();
     MachineId const id = world.chance().below(plan.nodes);
     if (!world.machine(id).up()) return;
-    world.enter(id, world.machine(id).incarnation,
+    world.enter(id, world.machine(id).process,
                 [label, made](Node& node, Micros now, NodeEffects& out) { node.operate(label, made, now, out); });
   }
   void changing() {
--- a/tests/operators.cc
+++ b/tests/operators.cc
@@ -39,7 +39,7 @@
   }
 
   void send(std::uint64_t id, MachineId machine, Change const& change) {
-    world->enter(machine, world->machine(machine).incarnation,
+    world->enter(machine, world->machine(machine).process,
                  [id, change](Node& node, Micros now, NodeEffects& out) { node.operate(id, change, now, out); });
   }
 
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -363,7 +363,7 @@
   change.expected = expected;
   AmendStep const step = amend_step(present, change, "{\"version\": 900000}");
   Error const* const fault = std::get_if<Error>(&step);
-  return fault == nullptr ? std::nullopt : std::optional<ErrorCode>(fault->kind);
+  return fault == nullptr ? std::nullopt : std::optional<ErrorCode>(fault->code);
 }
 }  // namespace
 
--- a/tests/quickstart.sh
+++ b/tests/quickstart.sh
@@ -6,7 +6,7 @@
 readme=$2
 folder=$(mktemp -d)
 trap 'kill $(jobs -p) 2>/dev/null || true; rm -rf "$folder"' EXIT
-for name in mimic accord passage decree; do ln -s "$build/$name" "$folder/$name"; done
+for name in fake_backend pipitspool-config-store pipitspool-router pipitspoolctl; do ln -s "$build/$name" "$folder/$name"; done
 awk '/^## /{on=($0=="## Quick start")} on && /^    /{print substr($0,5)}' "$readme" | sed 's/^cd build$/cd ./' > "$folder/paste.sh"
 grep -q 'curl -N' "$folder/paste.sh"
 cd "$folder"
--- a/tests/registry.cc
+++ b/tests/registry.cc
@@ -292,7 +292,7 @@
   wire::LoadsT loads;
   loads.list.push_back(std::make_unique<wire::LoadT>());
   loads.list[0]->worker = "w";
-  loads.list[0]->suspect = true;
+  loads.list[0]->suspected = true;
   registry.peer_loads(loads, millis(10));
   EXPECT_GT(registry.find("w")->ejected, millis(10));
 }
--- a/tests/stage.cc
+++ b/tests/stage.cc
@@ -60,19 +60,19 @@
   EXPECT_EQ(broken(judge, Promise::twice), 1u);
   Attempt& after = judge.sent(attempt_of("b", false));
   judge.refused(after, 503);
-  EXPECT_EQ(broken(judge, Promise::refused_execution), 0u);
+  EXPECT_EQ(broken(judge, Promise::refused_ran), 0u);
   judge.ran(after, 3, "w");
-  EXPECT_EQ(broken(judge, Promise::refused_execution), 1u);
+  EXPECT_EQ(broken(judge, Promise::refused_ran), 1u);
   Attempt& before = judge.sent(attempt_of("c", false));
   judge.ran(before, 4, "w");
   judge.refused(before, 429);
-  EXPECT_EQ(broken(judge, Promise::refused_execution), 2u);
+  EXPECT_EQ(broken(judge, Promise::refused_ran), 2u);
   Attempt& often = judge.sent(attempt_of("d", true));
   judge.ran(often, 5, "w");
   judge.ran(often, 6, "v");
   judge.refused(often, 503);
   EXPECT_EQ(broken(judge, Promise::twice), 1u);
-  EXPECT_EQ(broken(judge, Promise::refused_execution), 2u);
+  EXPECT_EQ(broken(judge, Promise::refused_ran), 2u);
 }
 
 TEST(Judge, a_gap_a_double_a_mix_of_runs_and_an_early_end_are_noticed) {
@@ -137,7 +137,7 @@
       parse_troubles(" burst@6:x=2,on=note ; kill@1.5:on=core;; crash@2:share=0.5 ");
   ASSERT_TRUE(made);
   ASSERT_EQ(made.value().size(), 3u);
-  EXPECT_EQ(made.value()[0].kind, Trouble::ErrorCode::kill);
+  EXPECT_EQ(made.value()[0].kind, Trouble::Kind::kill);
   EXPECT_EQ(made.value()[0].at, 1500000);
   EXPECT_EQ(made.value()[0].on, "core");
   EXPECT_EQ(made.value()[0].count, 1);
--- a/tests/tables.cc
+++ b/tests/tables.cc
@@ -33,7 +33,7 @@
     ErrorCodeRow const& row = error_code_row(static_cast<ErrorCode>(i));
     Answer const out = answer_for(Error{static_cast<ErrorCode>(i), "", ""});
     bool const offered = out.body.find("retry_after_ms") != std::string::npos;
-    if (row.ran != ExecutionStatus::no) {
+    if (row.execution != ExecutionStatus::no) {
       EXPECT_FALSE(offered) << row.name << " may have run, and is offered again";
     } else if (row.status == 429 || row.status == 503) {
       EXPECT_TRUE(offered) << row.name;
