--- a/tests/stored_data.cc
+++ b/tests/stored_data.cc
@@ -1,4 +1,4 @@
-// Data folders of keepers that former programs wrote (tests/data/records) are opened with all that is in them.
+// Data folders of replicas that former programs wrote (tests/data/records) are opened with all that is in them.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -69,18 +69,18 @@
   EXPECT_EQ(ballot.who(), proposer);
 }
 
-void expect_keeper(wire::KeeperT const& keeper, std::string const& name, std::uint64_t disk,
-                   std::string const& address) {
-  EXPECT_EQ(keeper.name, name);
-  EXPECT_EQ(keeper.disk, disk);
-  EXPECT_EQ(keeper.address, address);
+void expect_replica(wire::ReplicaT const& replica, std::string const& name, std::uint64_t disk,
+                    std::string const& address) {
+  EXPECT_EQ(replica.name, name);
+  EXPECT_EQ(replica.disk, disk);
+  EXPECT_EQ(replica.address, address);
 }
 
-void expect_seat(wire::SeatT const& seat, std::string const& name, std::string const& address,
-                 std::uint64_t incarnation) {
-  EXPECT_EQ(seat.name, name);
-  EXPECT_EQ(seat.address, address);
-  EXPECT_EQ(seat.incarnation, incarnation);
+void expect_registration(wire::RouterRegistrationT const& registration, std::string const& name,
+                         std::string const& address, std::uint64_t incarnation) {
+  EXPECT_EQ(registration.name, name);
+  EXPECT_EQ(registration.address, address);
+  EXPECT_EQ(registration.incarnation, incarnation);
 }
 
 std::string const last_text = R"({"format":1,"pools":[{"name":"main","model":"m4","slots":60}],"lanes":[]})";
@@ -97,22 +97,22 @@
   wire::ValueT const& value = *record.value;
   EXPECT_EQ(value.change, "order-4");
   EXPECT_EQ(value.text, last_text);
-  EXPECT_EQ(value.emptied, std::vector<std::string>{"zone-b"});
+  EXPECT_EQ(value.drained_zones, std::vector<std::string>{"zone-b"});
   EXPECT_EQ(value.label, 24u);
   EXPECT_EQ(value.revision, 34u);
-  ASSERT_EQ(value.seats.size(), 1u);
-  expect_seat(*value.seats.front(), "p1", "127.0.0.1:7004", 41);
-  ASSERT_EQ(value.struck.size(), 1u);
-  expect_seat(*value.struck.front(), "p2", "127.0.0.1:7005", 42);
+  ASSERT_EQ(value.registrations.size(), 1u);
+  expect_registration(*value.registrations.front(), "p1", "127.0.0.1:7004", 41);
+  ASSERT_EQ(value.evicted.size(), 1u);
+  expect_registration(*value.evicted.front(), "p2", "127.0.0.1:7005", 42);
 }
 
-// The set of keepers before the change that formats 2 and 3 hold half done.
-void expect_first_keepers(std::vector<std::unique_ptr<wire::KeeperT>> const& keepers, unsigned format) {
+// The set of replicas before the change that formats 2 and 3 hold half done.
+void expect_first_replicas(std::vector<std::unique_ptr<wire::ReplicaT>> const& replicas, unsigned format) {
   std::uint64_t const first_disk = 1000u * format + 1;
-  ASSERT_EQ(keepers.size(), 3u);
-  expect_keeper(*keepers[0], "k1", first_disk, "127.0.0.1:7001");
-  expect_keeper(*keepers[1], "k2", first_disk + 1, "127.0.0.1:7002");
-  expect_keeper(*keepers[2], "k3", first_disk + 2, "127.0.0.1:7003");
+  ASSERT_EQ(replicas.size(), 3u);
+  expect_replica(*replicas[0], "k1", first_disk, "127.0.0.1:7001");
+  expect_replica(*replicas[1], "k2", first_disk + 1, "127.0.0.1:7002");
+  expect_replica(*replicas[2], "k3", first_disk + 2, "127.0.0.1:7003");
 }
 
 // The orders that formats 2 and 3 remember: serials 11 to 14, and up to 10 forgotten.
@@ -128,17 +128,17 @@
   EXPECT_EQ(value.forgotten_label, 19u);
 }
 
-void expect_joint_keepers(wire::ValueT const& value, unsigned format) {
+void expect_joint_replicas(wire::ValueT const& value, unsigned format) {
   std::uint64_t const first_disk = 1000u * format + 1;
   EXPECT_EQ(value.epoch, 2u);
-  expect_first_keepers(value.former, format);
-  ASSERT_EQ(value.keepers.size(), 3u);
-  expect_keeper(*value.keepers[0], "k1", first_disk, "127.0.0.1:7001");
-  expect_keeper(*value.keepers[1], "k2", first_disk + 1, "127.0.0.1:7002");
-  expect_keeper(*value.keepers[2], "k4", first_disk + 3, "127.0.0.1:7006");
+  expect_first_replicas(value.former, format);
+  ASSERT_EQ(value.replicas.size(), 3u);
+  expect_replica(*value.replicas[0], "k1", first_disk, "127.0.0.1:7001");
+  expect_replica(*value.replicas[1], "k2", first_disk + 1, "127.0.0.1:7002");
+  expect_replica(*value.replicas[2], "k4", first_disk + 3, "127.0.0.1:7006");
 }
 
-std::vector<std::string> const founding_seeds = {"127.0.0.1:7001", "127.0.0.1:7002"};
+std::vector<std::string> const bootstrap_seeds = {"127.0.0.1:7001", "127.0.0.1:7002"};
 
 // The record as the store opens it; one without a value where it is refused.
 wire::RecordT opened(CopiedDisk& disk, unsigned format) {
@@ -168,7 +168,7 @@
   wire::ValueT const& value = *record.value;
   EXPECT_EQ(value.serial, 4u);
   EXPECT_EQ(value.epoch, 1u);
-  expect_first_keepers(value.keepers, 1);
+  expect_first_replicas(value.replicas, 1);
   EXPECT_TRUE(value.former.empty());
   for (std::uint64_t order = 1; order <= 4; ++order)
     EXPECT_EQ(serial_of_order(value, "order-" + std::to_string(order)), order);
@@ -183,7 +183,7 @@
   ASSERT_NE(record.value, nullptr);
   ASSERT_EQ(record.value->past.size(), 3u);
   for (std::uint64_t serial = 1; serial <= 3; ++serial) {
-    wire::MarkT const& mark = *record.value->past[serial - 1];
+    wire::RememberedChangeT const& mark = *record.value->past[serial - 1];
     EXPECT_EQ(mark.serial, serial);
     EXPECT_EQ(mark.change, "order-" + std::to_string(serial));
   }
@@ -194,11 +194,11 @@
   Acceptor const acceptor(opened(disk, 2));
   wire::RecordT const& record = acceptor.held();
   expect_common(record, 2);
-  EXPECT_EQ(record.founding_seeds, founding_seeds);
+  EXPECT_EQ(record.bootstrap_seeds, bootstrap_seeds);
   EXPECT_EQ(record.quota_members, 0u);
   ASSERT_NE(record.value, nullptr);
   expect_orders(*record.value);
-  expect_joint_keepers(*record.value, 2);
+  expect_joint_replicas(*record.value, 2);
 }
 
 TEST(StoredData, a_folder_of_the_third_format_is_opened) {
@@ -206,11 +206,11 @@
   Acceptor const acceptor(opened(disk, 3));
   wire::RecordT const& record = acceptor.held();
   expect_common(record, 3);
-  EXPECT_EQ(record.founding_seeds, founding_seeds);
+  EXPECT_EQ(record.bootstrap_seeds, bootstrap_seeds);
   EXPECT_EQ(record.quota_members, 555u);
   ASSERT_NE(record.value, nullptr);
   expect_orders(*record.value);
-  expect_joint_keepers(*record.value, 3);
+  expect_joint_replicas(*record.value, 3);
 }
 
 TEST(StoredData, a_folder_of_each_format_is_written_on) {
--- a/tests/wire_frames.cc
+++ b/tests/wire_frames.cc
@@ -1,5 +1,5 @@
-// Frames stay on the wire as the program of commit 345c653 wrote them (tests/data/frames.txt): each is decoded, every
-// field has the value that it was written with, and encoding it again gives the same bytes.
+// Frames stay on the connection as the program of commit 345c653 wrote them (tests/data/frames.txt): each is decoded,
+// every field has the value that it was written with, and encoding it again gives the same bytes.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -39,14 +39,14 @@
     expect_texts(member.models);
     EXPECT_EQ(member.ready, flag(0));
     EXPECT_EQ(member.revision, number<std::uint64_t>());
-    EXPECT_EQ(member.keeper, flag(1));
+    EXPECT_EQ(member.replica, flag(1));
   }
 
   void expect(wire::HelloT const& hello) {
     EXPECT_EQ(hello.cluster, text());
     expect_part(hello.self);
     EXPECT_EQ(hello.digest, number<std::uint64_t>());
-    EXPECT_EQ(hello.ledger, number<std::uint64_t>());
+    EXPECT_EQ(hello.entry_digest, number<std::uint64_t>());
     EXPECT_EQ(hello.format, number<std::uint32_t>());
     EXPECT_EQ(hello.members, number<std::uint32_t>());
     EXPECT_EQ(hello.entries, number<std::uint32_t>());
@@ -56,7 +56,7 @@
     EXPECT_EQ(ping.seq, number<std::uint64_t>());
     expect_items(ping.table);
     EXPECT_EQ(ping.digest, number<std::uint64_t>());
-    EXPECT_EQ(ping.ledger, number<std::uint64_t>());
+    EXPECT_EQ(ping.entry_digest, number<std::uint64_t>());
     EXPECT_EQ(ping.revision, number<std::uint64_t>());
     EXPECT_EQ(ping.serial, number<std::uint64_t>());
     EXPECT_EQ(ping.ready, flag(0));
@@ -66,25 +66,25 @@
     EXPECT_EQ(pong.seq, number<std::uint64_t>());
     expect_items(pong.table);
     EXPECT_EQ(pong.digest, number<std::uint64_t>());
-    EXPECT_EQ(pong.ledger, number<std::uint64_t>());
+    EXPECT_EQ(pong.entry_digest, number<std::uint64_t>());
     EXPECT_EQ(pong.revision, number<std::uint64_t>());
     EXPECT_EQ(pong.serial, number<std::uint64_t>());
     EXPECT_EQ(pong.ready, flag(0));
     EXPECT_EQ(pong.whole, flag(1));
   }
 
-  void expect(wire::PingReqT const& ping_req) {
+  void expect(wire::IndirectPingT const& ping_req) {
     EXPECT_EQ(ping_req.seq, number<std::uint64_t>());
     EXPECT_EQ(ping_req.target, text());
   }
 
-  void expect(wire::PingResT const& ping_res) {
+  void expect(wire::IndirectPongT const& ping_res) {
     EXPECT_EQ(ping_res.seq, number<std::uint64_t>());
     EXPECT_EQ(ping_res.target, text());
     EXPECT_EQ(ping_res.ok, flag(0));
   }
 
-  void expect(wire::NewsT const& news) { expect_items(news.table); }
+  void expect(wire::MembershipUpdateT const& update) { expect_items(update.table); }
 
   void expect(wire::EntryT const& entry) {
     EXPECT_EQ(entry.key, text());
@@ -119,19 +119,19 @@
     EXPECT_EQ(deltas.hops, number<std::uint8_t>());
   }
 
-  void expect(wire::TreeAskT const& tree_ask) {
+  void expect(wire::TreeRequestT const& tree_ask) {
     EXPECT_EQ(tree_ask.model, text());
     EXPECT_EQ(tree_ask.pull, number<std::uint64_t>());
     EXPECT_EQ(tree_ask.page, number<std::uint32_t>());
   }
 
-  void expect(wire::CrumbT const& crumb) {
-    EXPECT_EQ(crumb.hash, number<std::uint64_t>());
-    EXPECT_EQ(crumb.parent, number<std::uint64_t>());
-    expect_texts(crumb.workers);
-    expect_numbers(crumb.incarnations);
-    expect_numbers(crumb.ages);
-    EXPECT_EQ(crumb.weight, number<std::uint32_t>());
+  void expect(wire::PrefixNodeT const& prefix_node) {
+    EXPECT_EQ(prefix_node.hash, number<std::uint64_t>());
+    EXPECT_EQ(prefix_node.parent, number<std::uint64_t>());
+    expect_texts(prefix_node.workers);
+    expect_numbers(prefix_node.incarnations);
+    expect_numbers(prefix_node.ages);
+    EXPECT_EQ(prefix_node.weight, number<std::uint32_t>());
   }
 
   void expect(wire::TreePageT const& tree_page) {
@@ -148,27 +148,27 @@
   }
 
   void expect(wire::PrepareT const& prepare) {
-    EXPECT_EQ(prepare.req, number<std::uint64_t>());
+    EXPECT_EQ(prepare.request_id, number<std::uint64_t>());
     expect(prepare.ballot);
     EXPECT_EQ(prepare.epoch, number<std::uint64_t>());
     expect(prepare.known);
   }
 
-  void expect(wire::KeeperT const& keeper) {
-    EXPECT_EQ(keeper.name, text());
-    EXPECT_EQ(keeper.disk, number<std::uint64_t>());
-    EXPECT_EQ(keeper.address, text());
+  void expect(wire::ReplicaT const& replica) {
+    EXPECT_EQ(replica.name, text());
+    EXPECT_EQ(replica.disk, number<std::uint64_t>());
+    EXPECT_EQ(replica.address, text());
   }
 
-  void expect(wire::MarkT const& mark) {
+  void expect(wire::RememberedChangeT const& mark) {
     EXPECT_EQ(mark.serial, number<std::uint64_t>());
     EXPECT_EQ(mark.change, text());
   }
 
-  void expect(wire::SeatT const& seat) {
-    EXPECT_EQ(seat.name, text());
-    EXPECT_EQ(seat.address, text());
-    EXPECT_EQ(seat.incarnation, number<std::uint64_t>());
+  void expect(wire::RouterRegistrationT const& registration) {
+    EXPECT_EQ(registration.name, text());
+    EXPECT_EQ(registration.address, text());
+    EXPECT_EQ(registration.incarnation, number<std::uint64_t>());
   }
 
   void expect(wire::Order const& order) {
@@ -181,13 +181,13 @@
     EXPECT_EQ(value.serial, number<std::uint64_t>());
     EXPECT_EQ(value.change, text());
     EXPECT_EQ(value.text, text());
-    expect_texts(value.emptied);
+    expect_texts(value.drained_zones);
     EXPECT_EQ(value.epoch, number<std::uint64_t>());
-    expect_items(value.keepers);
+    expect_items(value.replicas);
     expect_items(value.past);
     EXPECT_EQ(value.revision, number<std::uint64_t>());
-    expect_items(value.seats);
-    expect_items(value.struck);
+    expect_items(value.registrations);
+    expect_items(value.evicted);
     EXPECT_EQ(value.label, number<std::uint64_t>());
     expect_items(value.former);
     expect_items(value.orders);
@@ -196,7 +196,7 @@
   }
 
   void expect(wire::PromiseT const& promise) {
-    EXPECT_EQ(promise.req, number<std::uint64_t>());
+    EXPECT_EQ(promise.request_id, number<std::uint64_t>());
     EXPECT_EQ(promise.ok, flag(0));
     EXPECT_EQ(promise.disk, number<std::uint64_t>());
     expect(promise.promised);
@@ -228,7 +228,7 @@
   }
 
   void expect(wire::AcceptT const& accept) {
-    EXPECT_EQ(accept.req, number<std::uint64_t>());
+    EXPECT_EQ(accept.request_id, number<std::uint64_t>());
     expect(accept.ballot);
     expect_part(accept.value);
     expect(accept.base);
@@ -236,78 +236,78 @@
   }
 
   void expect(wire::AcceptedT const& accepted) {
-    EXPECT_EQ(accepted.req, number<std::uint64_t>());
+    EXPECT_EQ(accepted.request_id, number<std::uint64_t>());
     EXPECT_EQ(accepted.ok, flag(0));
     EXPECT_EQ(accepted.disk, number<std::uint64_t>());
     expect(accepted.promised);
     EXPECT_EQ(accepted.need_value, flag(1));
   }
 
-  void expect(wire::PeekT const& peek) {
-    EXPECT_EQ(peek.req, number<std::uint64_t>());
+  void expect(wire::ReadRequestT const& peek) {
+    EXPECT_EQ(peek.request_id, number<std::uint64_t>());
     EXPECT_EQ(peek.full, flag(0));
     EXPECT_EQ(peek.age, number<std::int64_t>());
     EXPECT_EQ(peek.epoch, number<std::uint64_t>());
     EXPECT_EQ(peek.members, number<std::uint64_t>());
   }
 
-  void expect(wire::PeekedT const& peeked) {
-    EXPECT_EQ(peeked.req, number<std::uint64_t>());
-    EXPECT_EQ(peeked.disk, number<std::uint64_t>());
-    EXPECT_EQ(peeked.formed, flag(0));
-    expect(peeked.ballot);
-    EXPECT_EQ(peeked.serial, number<std::uint64_t>());
-    EXPECT_EQ(peeked.change, text());
-    EXPECT_EQ(peeked.epoch, number<std::uint64_t>());
-    expect_items(peeked.keepers);
-    expect_part(peeked.value);
-    EXPECT_EQ(peeked.revision, number<std::uint64_t>());
-    EXPECT_EQ(peeked.age, number<std::int64_t>());
-    expect_items(peeked.former);
-    EXPECT_EQ(peeked.members, number<std::uint64_t>());
-    EXPECT_EQ(peeked.retiring, flag(1));
-    EXPECT_EQ(peeked.awaits_founding, flag(2));
+  void expect(wire::ReadReplyT const& read_reply) {
+    EXPECT_EQ(read_reply.request_id, number<std::uint64_t>());
+    EXPECT_EQ(read_reply.disk, number<std::uint64_t>());
+    EXPECT_EQ(read_reply.formed, flag(0));
+    expect(read_reply.ballot);
+    EXPECT_EQ(read_reply.serial, number<std::uint64_t>());
+    EXPECT_EQ(read_reply.change, text());
+    EXPECT_EQ(read_reply.epoch, number<std::uint64_t>());
+    expect_items(read_reply.replicas);
+    expect_part(read_reply.value);
+    EXPECT_EQ(read_reply.revision, number<std::uint64_t>());
+    EXPECT_EQ(read_reply.age, number<std::int64_t>());
+    expect_items(read_reply.former);
+    EXPECT_EQ(read_reply.members, number<std::uint64_t>());
+    EXPECT_EQ(read_reply.retiring, flag(1));
+    EXPECT_EQ(read_reply.awaits_bootstrap, flag(2));
   }
 
   void expect(wire::ChosenT const& chosen) {
-    EXPECT_EQ(chosen.req, number<std::uint64_t>());
+    EXPECT_EQ(chosen.request_id, number<std::uint64_t>());
     expect_part(chosen.value);
     EXPECT_EQ(chosen.origin, text());
     EXPECT_EQ(chosen.hops, number<std::uint8_t>());
     expect_part(chosen.patch);
   }
 
-  void expect(wire::ConfirmT const& confirm) {
-    EXPECT_EQ(confirm.req, number<std::uint64_t>());
+  void expect(wire::ChosenAckT const& confirm) {
+    EXPECT_EQ(confirm.request_id, number<std::uint64_t>());
     EXPECT_EQ(confirm.serial, number<std::uint64_t>());
     expect_texts(confirm.routers);
   }
 
-  void expect(wire::FoundT const& found) { expect_items(found.keepers); }
+  void expect(wire::BootstrapT const& found) { expect_items(found.replicas); }
 
   void expect(wire::LeaseRequestT const& lease_request) {
-    EXPECT_EQ(lease_request.req, number<std::uint64_t>());
+    EXPECT_EQ(lease_request.request_id, number<std::uint64_t>());
     EXPECT_EQ(lease_request.duty, text());
     EXPECT_EQ(lease_request.term, number<std::int64_t>());
   }
 
   void expect(wire::LeaseReplyT const& lease_reply) {
-    EXPECT_EQ(lease_reply.req, number<std::uint64_t>());
+    EXPECT_EQ(lease_reply.request_id, number<std::uint64_t>());
     EXPECT_EQ(lease_reply.duty, text());
     EXPECT_EQ(lease_reply.ok, flag(0));
     EXPECT_EQ(lease_reply.disk, number<std::uint64_t>());
   }
 
-  void expect(wire::DoubtT const& doubt) {
-    EXPECT_EQ(doubt.worker, text());
-    EXPECT_EQ(doubt.incarnation, number<std::uint64_t>());
+  void expect(wire::WorkerSuspectedT const& suspect) {
+    EXPECT_EQ(suspect.worker, text());
+    EXPECT_EQ(suspect.incarnation, number<std::uint64_t>());
   }
 
   void expect(wire::LoadT const& load) {
     EXPECT_EQ(load.worker, text());
-    EXPECT_EQ(load.legs, number<std::uint32_t>());
+    EXPECT_EQ(load.attempts, number<std::uint32_t>());
     EXPECT_EQ(load.reading, number<std::uint32_t>());
-    EXPECT_EQ(load.doubt, flag(0));
+    EXPECT_EQ(load.suspected, flag(0));
   }
 
   void expect(wire::LoadsT const& loads) {
@@ -316,14 +316,14 @@
     EXPECT_EQ(loads.hops, number<std::uint8_t>());
   }
 
-  void expect(wire::BehindT const& behind) {
+  void expect(wire::CatchUpRequestT const& behind) {
     EXPECT_EQ(behind.revision, number<std::uint64_t>());
-    EXPECT_EQ(behind.req, number<std::uint64_t>());
+    EXPECT_EQ(behind.request_id, number<std::uint64_t>());
     EXPECT_EQ(behind.origin, text());
   }
 
-  void expect(wire::ProposeT const& propose) {
-    EXPECT_EQ(propose.req, number<std::uint64_t>());
+  void expect(wire::ForwardedChangeT const& propose) {
+    EXPECT_EQ(propose.request_id, number<std::uint64_t>());
     EXPECT_EQ(propose.type, number<std::uint8_t>());
     EXPECT_EQ(propose.id, text());
     EXPECT_EQ(propose.text, text());
@@ -333,8 +333,8 @@
     expect_part(propose.patch);
   }
 
-  void expect(wire::ProposedT const& proposed) {
-    EXPECT_EQ(proposed.req, number<std::uint64_t>());
+  void expect(wire::ForwardedChangeReplyT const& proposed) {
+    EXPECT_EQ(proposed.request_id, number<std::uint64_t>());
     EXPECT_EQ(proposed.type, number<std::uint8_t>());
     EXPECT_EQ(proposed.kind, number<std::uint8_t>());
     EXPECT_EQ(proposed.why, text());
@@ -345,16 +345,16 @@
     EXPECT_EQ(proposed.need_text, flag(0));
   }
 
-  void expect(wire::NewestAskT const& newest_ask) { EXPECT_EQ(newest_ask.req, number<std::uint64_t>()); }
+  void expect(wire::NewestRequestT const& newest_ask) { EXPECT_EQ(newest_ask.request_id, number<std::uint64_t>()); }
 
   void expect(wire::NewestReplyT const& newest_reply) {
-    EXPECT_EQ(newest_reply.req, number<std::uint64_t>());
+    EXPECT_EQ(newest_reply.request_id, number<std::uint64_t>());
     EXPECT_EQ(newest_reply.revision, number<std::uint64_t>());
     EXPECT_EQ(newest_reply.age, number<std::int64_t>());
   }
 
-  void expect(wire::QuotaAskT const& quota_ask) {
-    EXPECT_EQ(quota_ask.req, number<std::uint64_t>());
+  void expect(wire::QuotaRequestT const& quota_ask) {
+    EXPECT_EQ(quota_ask.request_id, number<std::uint64_t>());
     EXPECT_EQ(quota_ask.tenant, text());
     EXPECT_EQ(quota_ask.count, number<std::int64_t>());
     EXPECT_EQ(quota_ask.origin, text());
@@ -363,7 +363,7 @@
   }
 
   void expect(wire::QuotaReplyT const& quota_reply) {
-    EXPECT_EQ(quota_reply.req, number<std::uint64_t>());
+    EXPECT_EQ(quota_reply.request_id, number<std::uint64_t>());
     EXPECT_EQ(quota_reply.tenant, text());
     EXPECT_EQ(quota_reply.count, number<std::int64_t>());
     EXPECT_EQ(quota_reply.origin, text());
@@ -423,7 +423,7 @@
   checks.expect(*static_cast<Table const*>(body.value));
 }
 
-// A member of the union of frames: its name in the data, its number on the wire, and what checks its fields.
+// A member of the union of frames: its name in the data, its number on the connection, and what checks its fields.
 struct BodyCheck {
   char const* name;
   unsigned number;
@@ -434,33 +434,33 @@
     {"Hello", 1, expect_body<wire::HelloT>},
     {"Ping", 2, expect_body<wire::PingT>},
     {"Pong", 3, expect_body<wire::PongT>},
-    {"PingReq", 4, expect_body<wire::PingReqT>},
-    {"PingRes", 5, expect_body<wire::PingResT>},
-    {"News", 6, expect_body<wire::NewsT>},
+    {"PingReq", 4, expect_body<wire::IndirectPingT>},
+    {"PingRes", 5, expect_body<wire::IndirectPongT>},
+    {"News", 6, expect_body<wire::MembershipUpdateT>},
     {"Entries", 7, expect_body<wire::EntriesT>},
     {"EntriesAck", 8, expect_body<wire::EntriesAckT>},
     {"Deltas", 9, expect_body<wire::DeltasT>},
-    {"TreeAsk", 10, expect_body<wire::TreeAskT>},
+    {"TreeAsk", 10, expect_body<wire::TreeRequestT>},
     {"TreePage", 11, expect_body<wire::TreePageT>},
     {"Prepare", 12, expect_body<wire::PrepareT>},
     {"Promise", 13, expect_body<wire::PromiseT>},
     {"Accept", 14, expect_body<wire::AcceptT>},
     {"Accepted", 15, expect_body<wire::AcceptedT>},
-    {"Peek", 16, expect_body<wire::PeekT>},
-    {"Peeked", 17, expect_body<wire::PeekedT>},
+    {"Peek", 16, expect_body<wire::ReadRequestT>},
+    {"Peeked", 17, expect_body<wire::ReadReplyT>},
     {"Chosen", 18, expect_body<wire::ChosenT>},
-    {"Confirm", 19, expect_body<wire::ConfirmT>},
-    {"Found", 20, expect_body<wire::FoundT>},
+    {"Confirm", 19, expect_body<wire::ChosenAckT>},
+    {"Found", 20, expect_body<wire::BootstrapT>},
     {"LeaseRequest", 21, expect_body<wire::LeaseRequestT>},
     {"LeaseReply", 22, expect_body<wire::LeaseReplyT>},
-    {"Doubt", 23, expect_body<wire::DoubtT>},
+    {"Doubt", 23, expect_body<wire::WorkerSuspectedT>},
     {"Loads", 24, expect_body<wire::LoadsT>},
-    {"Behind", 25, expect_body<wire::BehindT>},
-    {"Propose", 26, expect_body<wire::ProposeT>},
-    {"Proposed", 27, expect_body<wire::ProposedT>},
-    {"NewestAsk", 28, expect_body<wire::NewestAskT>},
+    {"Behind", 25, expect_body<wire::CatchUpRequestT>},
+    {"Propose", 26, expect_body<wire::ForwardedChangeT>},
+    {"Proposed", 27, expect_body<wire::ForwardedChangeReplyT>},
+    {"NewestAsk", 28, expect_body<wire::NewestRequestT>},
     {"NewestReply", 29, expect_body<wire::NewestReplyT>},
-    {"QuotaAsk", 30, expect_body<wire::QuotaAskT>},
+    {"QuotaAsk", 30, expect_body<wire::QuotaRequestT>},
     {"QuotaReply", 31, expect_body<wire::QuotaReplyT>},
 };
 
