--- a/tests/wire_frames.cc
+++ b/tests/wire_frames.cc
@@ -480,7 +480,7 @@
 
 std::vector<WrittenFrame> written_frames() {
   std::vector<WrittenFrame> frames;
-  std::ifstream file(std::string(SOURCE) + "/tests/data/frames.txt");
+  std::ifstream file(SOURCE "/tests/data/frames.txt");
   std::string line;
   while (std::getline(file, line)) {
     if (line.empty() || line.front() == '#') continue;
