--- a/src/node/changes.cc
+++ b/src/node/changes.cc
@@ -10,7 +10,6 @@
 namespace {
 constexpr Micros confirm_bound = millis(2000);
 constexpr Micros half_bound = millis(1200);
-constexpr Micros contact_slack = millis(300);  // beyond two polls, for answers on their way
 }  // namespace
 
 void Node::operate(std::uint64_t id, Change change, Micros now, NodeEffects& out) {
@@ -19,23 +18,12 @@
     change.id = plan.name + "-" + std::to_string(plan.incarnation) + "-" + std::to_string(++change_count_);
   note_call(id, change);
   if (hand_over(id, change, now, out)) return;
-  if (plan.registered && id != 0 && !quorum_heard(now)) return refuse_now(id, change, ErrorCode::no_majority, out);
+  if (plan.registered && id != 0 && !replica_directory_.hears_quorum(now))
+    return refuse_now(id, change, ErrorCode::no_majority, out);
   propose(id, std::move(change), now, out);
   check_replies(out);
 }
 
-bool Node::quorum_heard(Micros now) const {
-  bool const lately = learner.contact() >= 0 && now - learner.contact() <= 2 * poll_span() + contact_slack;
-  if (!lately) return false;
-  Voters connected;
-  for (wire::ReplicaT const& replica : learner.membership().replicas) {
-    std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(replica.name);
-    bool const here = replica.name == plan.name || (peer != mesh.members.peers.end() && peer->second.connection != 0);
-    if (here) connected[replica.name] = replica.disk;
-  }
-  return learner.membership().replicas.empty() || connected.size() >= learner.membership().majority();
-}
-
 void Node::refuse_now(std::uint64_t id, Change const& change, ErrorCode kind, NodeEffects& out) {
   Reply reply;
   reply.id = id;
--- a/src/node/duties.cc
+++ b/src/node/duties.cc
@@ -10,13 +10,12 @@
 constexpr Micros repair_gap = seconds(3);
 constexpr Micros replica_lost = seconds(3);
 constexpr Micros repair_calm = seconds(1);     // without a change, before copies that differ are mended
-constexpr Micros answer_slack = millis(300);   // beyond a poll, for an answer on its way
 constexpr Micros spare_seen = seconds(2);      // how lately a replica must have answered to be given a place
 constexpr Micros bootstrap_turn = seconds(1);  // how long each initial member waits for the one before it
-constexpr std::size_t least_replicas = 3;      // a set of more than these may shrink
-constexpr std::size_t most_replicas = 7;
-constexpr std::size_t seeds_most = 3;  // that a node is given
+constexpr std::size_t seeds_most = 3;          // that a node is given
 constexpr Micros lost_seed_after = seconds(5);
+constexpr std::size_t least_replicas = 3;  // a set of more than these may shrink
+constexpr std::size_t most_replicas = 7;
 constexpr Micros unsure_for = seconds(1);  // how long a majority may show no newest value before copies are mended
 }  // namespace
 
@@ -45,7 +44,7 @@
     wire::ReplicaT replica;
     replica.name = name;
     replica.disk = observation->second.disk;
-    replica.address = name == plan.name ? plan.address : address_of(name);
+    replica.address = name == plan.name ? plan.address : replica_directory_.address_of(name);
     first.replicas.push_back(std::move(replica));
   }
   log_event(Event::register_bootstrapped, std::to_string(first.replicas.size()) + " keepers");
@@ -64,11 +63,6 @@
   }
 }
 
-std::string Node::address_of(std::string const& name) const {
-  std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
-  return peer == mesh.members.peers.end() ? std::string() : peer->second.member.address;
-}
-
 // §12.3: at the very first start all nodes are given the same seeds, and these are up. Those of them that keep are the
 // first set, once every seed is heard; where none keeps, the first three that do. The set grows by the duty.
 //
@@ -96,7 +90,7 @@
     return enough && now - started_at_ > lost_seed_after ? out : std::vector<std::string>();
   }
   if (out.empty()) {
-    out = replicas();
+    out = replica_directory_.connected_replicas();
     if (out.size() > 3) out.resize(3);
   }
   return out;
@@ -105,42 +99,28 @@
 // §5.8, §12.3: an odd number of all that keep, so that no disk more makes the set no stronger; seven at most.
 std::size_t Node::replicas_wanted() const {
   if (!plan.registered) return std::max<std::size_t>(1, plan.initial_members.size());
-  std::size_t all = plan.replica && !replica_leaves(plan.name) ? 1 : 0;
+  std::size_t all = plan.replica && !replica_directory_.is_leaving(plan.name) ? 1 : 0;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     State const state = item.second.state();
-    bool const stays = (state == State::alive || state == State::suspected) && !replica_leaves(item.first);
+    bool const stays =
+        (state == State::alive || state == State::suspected) && !replica_directory_.is_leaving(item.first);
     if (item.second.member.replica && stays) ++all;
   }
   std::size_t const most = std::min(most_replicas, all);
   return std::max<std::size_t>(1, most % 2 == 0 ? most - 1 : most);
 }
 
-// A replica that is here, and on which disk: what it last answered, if that was lately.
-std::optional<std::uint64_t> Node::disk_here(std::string const& name, Micros within, Micros now) const {
-  std::map<std::string, Learner::Observation>::const_iterator const observation = learner.observations.find(name);
-  if (observation == learner.observations.end() || now - observation->second.at >= within) return std::nullopt;
-  return observation->second.disk;
-}
-
-// A replica that said goodbye, or that it is about to, though its process may still answer.
-bool Node::replica_leaves(std::string const& name) const {
-  if (name == plan.name) return leaving_ || retiring_;
-  std::map<std::string, Learner::Observation>::const_iterator const observation = learner.observations.find(name);
-  if (observation != learner.observations.end() && observation->second.retiring) return true;
-  std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
-  return peer != mesh.members.peers.end() && peer->second.state() == State::leaving;
-}
-
 // One that is here and not in the set.
 std::optional<wire::ReplicaT> Node::spare_replica(Micros now) const {
   std::optional<wire::ReplicaT> out;
   for (std::pair<std::string const, Learner::Observation> const& item : learner.observations) {
     bool const here = now - item.second.at < spare_seen;
-    if (!here || replica_leaves(item.first) || learner.membership().holds(item.first, item.second.disk)) continue;
+    if (!here || replica_directory_.is_leaving(item.first) || learner.membership().holds(item.first, item.second.disk))
+      continue;
     out.emplace();
     out->name = item.first;
     out->disk = item.second.disk;
-    out->address = address_of(item.first);
+    out->address = replica_directory_.address_of(item.first);
   }
   return out;
 }
@@ -150,24 +130,14 @@
 std::optional<wire::ReplicaT> Node::lost_replica(Micros now) const {
   std::optional<wire::ReplicaT> away;
   for (wire::ReplicaT const& replica : learner.membership().replicas) {
-    std::optional<std::uint64_t> const disk = disk_here(replica.name, replica_lost, now);
+    std::optional<std::uint64_t> const disk = replica_directory_.recent_disk(replica.name, replica_lost, now);
     if (disk && *disk != replica.disk) return replica;
-    if (replica_leaves(replica.name)) return replica;
+    if (replica_directory_.is_leaving(replica.name)) return replica;
     if (!disk && !away && now - started_at_ > replica_lost) away = replica;
   }
   return away;
 }
 
-// Whether a set has its majority here and now: else the last vote would be given away with no way back.
-bool Node::majority_here(std::vector<wire::ReplicaT> const& replicas, Micros now) const {
-  std::size_t here = 0;
-  for (wire::ReplicaT const& replica : replicas) {
-    std::optional<std::uint64_t> const disk = disk_here(replica.name, spare_seen, now);
-    if (disk && *disk == replica.disk) ++here;
-  }
-  return here >= replicas.size() / 2 + 1;
-}
-
 // So many members that a majority is left when as many disks are lost as are allowed: whoever is merely without power
 // comes back with what was acknowledged, so that nothing smaller may ever hold it alone.
 std::size_t Node::replicas_needed() const { return std::clamp(2 * plan.tolerated + 1, least_replicas, most_replicas); }
@@ -177,16 +147,6 @@
   return learner.membership().replicas.size() > std::max(replicas_needed(), replicas_wanted());
 }
 
-// Whether every member answered the last poll. A set does not grow while one of them may be lost: with a dead member a
-// set of four needs all the others, and the one that should take the dead one's place would only add to them.
-bool Node::members_answer(Micros now) const {
-  std::vector<wire::ReplicaT> const& replicas = learner.membership().replicas;
-  return std::all_of(replicas.begin(), replicas.end(), [this, now](wire::ReplicaT const& replica) {
-    std::optional<std::uint64_t> const disk = disk_here(replica.name, poll_span() + answer_slack, now);
-    return disk && *disk == replica.disk;
-  });
-}
-
 // §5.8: a replica that is lost gives its place to one that is here, in one change; the set grows to the wanted size.
 std::optional<Change> Node::member_change(Micros now) const {
   Membership const& members = learner.membership();
@@ -207,13 +167,16 @@
                                 return replica.name == lost->name && replica.disk == lost->disk;
                               }),
                next.end());
-  } else if (members.replicas.size() < replicas_wanted() && members_answer(now)) {
+    // A set does not grow while one of its members may be lost: with a dead member a set of four needs all the others,
+    // and the one that should take the dead one's place would only add to them.
+  } else if (members.replicas.size() < replicas_wanted() && replica_directory_.all_members_answered(now)) {
     change.type = Change::Type::admit;
   } else {
     return std::nullopt;
   }
   if (spare) next.push_back(*spare);
-  if (!majority_here(next, now)) return std::nullopt;
+  // Else the last vote would be given away with no way back.
+  if (!replica_directory_.majority_answered(next, spare_seen, now)) return std::nullopt;
   return change;
 }
 
@@ -271,7 +234,8 @@
 // replica that proposes for all reads the register, which repairs them, and needs no lease for it.
 std::optional<Change> Node::catch_up_read(Micros now) {
   bool const behind = now - std::max(started_at_, learner.sure) > unsure_for + poll_span();
-  if (!behind || now - repaired_at_ <= repair_gap || leaving_ || proposing_replica() != plan.name) return std::nullopt;
+  if (!behind || now - repaired_at_ <= repair_gap || leaving_ || replica_directory_.proposing_replica() != plan.name)
+    return std::nullopt;
   repaired_at_ = now;
   log_event(Event::replicas_repaired, "no majority shows one ballot");
   Change read;
--- a/src/node/handed.cc
+++ b/src/node/handed.cc
@@ -23,23 +23,6 @@
 }
 }  // namespace
 
-bool Node::replica_reached(wire::ReplicaT const& replica) const {
-  if (replica.name == plan.name) return acceptor && acceptor->held().disk == replica.disk && !leaving_;
-  std::map<std::string, Learner::Observation>::const_iterator const observation =
-      learner.observations.find(replica.name);
-  if (observation != learner.observations.end() && observation->second.disk != replica.disk) return false;
-  std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(replica.name);
-  return peer != mesh.members.peers.end() && peer->second.connection != 0 && peer->second.state() == State::alive;
-}
-
-std::string Node::proposing_replica() const {
-  std::string best;
-  Membership const& members = learner.membership().empty() ? learner.seen() : learner.membership();
-  for (wire::ReplicaT const& replica : members.replicas)
-    if (replica_reached(replica) && (best.empty() || replica.name < best)) best = replica.name;
-  return best;
-}
-
 // A node that hears no quorum may still hear a router that does: each order is handed to the next one in turn.
 std::string Node::relaying_peer() {
   std::vector<std::string> peers;
@@ -54,7 +37,8 @@
 bool Node::hand_over(std::uint64_t id, Change const& change, Micros now, NodeEffects& out) {
   if (!plan.registered || id == 0 || (id & handed_mark) != 0) return false;
   if (change.type != Change::Type::apply && change.type != Change::Type::read) return false;
-  std::string const replica = quorum_heard(now) ? proposing_replica() : relaying_peer();
+  std::string const replica =
+      replica_directory_.hears_quorum(now) ? replica_directory_.proposing_replica() : relaying_peer();
   if (replica.empty() || replica == plan.name) return false;
   std::uint64_t const request_id = ++next_request_id_;
   wire::ForwardedChangeT ask = proposal(request_id, change, learner.revision());
@@ -120,7 +104,7 @@
   Handed item = std::move(position->second);
   handed_.erase(position);
   // A replica that is cut off proposed nothing; this node may still hear a quorum.
-  if (static_cast<ErrorCode>(ans.kind) == ErrorCode::no_majority && quorum_heard(now))
+  if (static_cast<ErrorCode>(ans.kind) == ErrorCode::no_majority && replica_directory_.hears_quorum(now))
     return propose(item.id, std::move(item.change), now, out);
   Reply reply;
   reply.id = item.id;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -71,6 +71,8 @@
       lease(plan.revocation, plan.in_force),
       quota_owner(plan.quota),
       quota_client(plan.name, incarnation_seed(plan, SeedUse::quota) >> spare_number_bits),
+      replica_directory_(plan, mesh, learner, acceptor,
+                         {[this] { return leaving_; }, [this] { return retiring_; }, [this] { return poll_span(); }}),
       owner_lease_(owner_span_of(plan)),
       quota_shares_(plan.name, owner_span_of(plan), recovered ? recovered->quota_members : 0),
       lease_grantor_(now),
@@ -101,15 +103,6 @@
   last_tick_ = now;
 }
 
-std::vector<std::string> Node::replicas() const {
-  std::set<std::string> out;
-  for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-    if ((item.second.role() == Role::config_store || item.second.member.replica) && item.second.connection != 0)
-      out.insert(item.first);
-  if (acceptor) out.insert(plan.name);
-  return std::vector<std::string>(out.begin(), out.end());
-}
-
 std::set<std::string> Node::routers(bool all) const {
   std::set<std::string> out;
   if (plan.role == Role::router) out.insert(plan.name);
@@ -499,7 +492,7 @@
   std::vector<OutgoingMessage> outgoing;
   if (now >= next_poll_ && (guard(Guard::spread) || learner.sure < 0 || plan.role == Role::config_store)) {
     next_poll_ = now + poll_span();
-    learner.poll(now, replicas(), list_age(now), outgoing);
+    learner.poll(now, replica_directory_.connected_replicas(), list_age(now), outgoing);
     bootstrap(now, outgoing);
   }
   if (acceptor)
@@ -507,7 +500,7 @@
   ask_newer(now, outgoing);
   proposer.know(learner.membership());
   proposer.suggest(learner.seen());
-  if (plan.registered && !quorum_heard(now)) proposer.give_up_unsent();
+  if (plan.registered && !replica_directory_.hears_quorum(now)) proposer.give_up_unsent();
   proposer.tick(now, outgoing);
   settle_ended(now, out);
   if (plan.registered) {
@@ -530,7 +523,7 @@
   if (!learner.membership().concerns(plan.name, acceptor->held().disk)) return true;
   // Who hears no quorum cannot know whether a replica is here to take its place: it waits for the end of its grace.
   // Nor does one end that the set can do without: it is taken out first.
-  return quorum_heard(now) && !spare_replica(now) && !set_may_shrink();
+  return replica_directory_.hears_quorum(now) && !spare_replica(now) && !set_may_shrink();
 }
 
 void Node::drain(Micros now, NodeEffects& out) {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -18,42 +18,11 @@
 #include "routing/tenants/quota_owner.h"
 #include "routing/tenants/quota_shares.h"
 #include "mesh/mesh.h"
+#include "node/node_plan.h"
+#include "node/replica_directory.h"
 
 namespace pipit {
 
-struct NodePlan {
-  std::string cluster = "pipit";
-  std::string name;
-  std::string zone;
-  std::string address;  // of the mesh
-  std::string http;
-  Role role = Role::router;
-  std::vector<std::string> seeds;
-  std::vector<std::string> models;           // those that a passage serves; none means all
-  std::vector<std::string> initial_members;  // names of the first replicas
-  std::uint64_t incarnation = 1;
-  std::uint64_t chance = 1;
-  // Where workers register themselves (§12): no list is read and no health reports are asked, registrations are not
-  // needed since no zone is ever drained there, and the first replicas are those at the seeds.
-  bool registered = false;
-  bool replica = false;      // a router node that keeps as well
-  bool first_start = false;  // the fleet starts for the first time
-  // Whose replicas are the first set; none where this node may not found. The node fills it in.
-  std::vector<std::string> bootstrap_seeds;
-  Micros heartbeat_interval = millis(1200);
-  double resend_ratio = 0.15;
-  double resend_store = 30;   // of all nodes together
-  std::size_t tolerated = 1;  // replicas that may be lost at once with their disks
-  // What makes a description of the register's text.
-  DescriptionReader read = read_description;
-  // Within which a key that was taken away must let nothing run any more, also at a node that is cut off; 0: only nodes
-  // that hear of it are bound.
-  Micros revocation = 0;
-  // Within which a change is in force at a node that is in touch: an older configuration refuses nothing for good.
-  Micros in_force = millis(2000);
-  QuotaTerms quota;
-};
-
 // What an operator asked, answered.
 struct Reply {
   std::uint64_t id = 0;
@@ -195,19 +164,14 @@
   void duties(Micros now, NodeEffects& out);
   void bootstrap(Micros now, std::vector<OutgoingMessage>& outgoing);
   std::optional<Membership> initial_set(Micros now) const;
-  std::string address_of(std::string const& name) const;
-  std::optional<std::uint64_t> disk_here(std::string const& name, Micros within, Micros now) const;
-  bool replica_leaves(std::string const& name) const;
+  std::vector<std::string> initial_replicas(Micros now) const;
   std::optional<wire::ReplicaT> spare_replica(Micros now) const;
   std::optional<wire::ReplicaT> lost_replica(Micros now) const;
-  bool majority_here(std::vector<wire::ReplicaT> const& replicas, Micros now) const;
-  bool members_answer(Micros now) const;
   std::size_t replicas_needed() const;
   bool set_may_shrink() const;
   std::optional<Change> member_change(Micros now) const;
   std::optional<Change> duty_due(Micros now);
   std::optional<Change> catch_up_read(Micros now);
-  std::vector<std::string> initial_replicas(Micros now) const;
   std::size_t replicas_wanted() const;
   // Keys and limits of tenants (core/tenancy.cc).
   void renew_lease(Micros now, std::vector<OutgoingMessage>& outgoing);
@@ -232,10 +196,6 @@
   Paths paths() const;
   std::string hub_of(std::string const& zone) const;
   void forward(wire::ChosenT const& update, NodeEffects& out);
-  // Changes go to one replica, so that proposers do not outbid each other (§12.8).
-  std::string proposing_replica() const;
-  // Whether a replica of the set is reached, and was last seen on the disk that belongs to the set.
-  bool replica_reached(wire::ReplicaT const& replica) const;
   std::string relaying_peer();
   bool hand_over(std::uint64_t id, Change const& change, Micros now, NodeEffects& out);
   void take_handed(std::string const& from, wire::ForwardedChangeT const& ask, Micros now, NodeEffects& out);
@@ -250,8 +210,6 @@
   bool hears_others(Micros now) const;
   void check_end(std::string const& worker) const;
   void propose(std::uint64_t id, Change change, Micros now, NodeEffects& out);
-  // Whether this node still hears a quorum of the replicas; without one it refuses operators at once (docs/control.md).
-  bool quorum_heard(Micros now) const;
   void refuse_now(std::uint64_t id, Change const& change, ErrorCode kind, NodeEffects& out);
   Micros poll_span() const;
   bool half_has(std::uint64_t revision) const;
@@ -272,11 +230,11 @@
   void tell_loads(Micros now, std::vector<OutgoingMessage>& outgoing);
   void check_now(std::string const& id, Micros now, NodeEffects& out);
   void check_asked(Micros now, NodeEffects& out);
-  std::vector<std::string> replicas() const;
   std::vector<std::string> index_peers() const;
   std::set<std::string> routers(bool all) const;
   Index::Bounds bounds(std::string const& model) const;
 
+  ReplicaDirectory replica_directory_;
   ConfigurationLease owner_lease_;  // for handing limits out
   QuotaShares quota_shares_;
   std::map<std::uint64_t, Micros> newest_asks_;  // when each question that may still be answered was sent
--- a/src/node/worker_ends.cc
+++ b/src/node/worker_ends.cc
@@ -13,7 +13,7 @@
 
 // Whether this node reaches a quorum of the replicas, or at least half of the nodes that may be there.
 bool Node::hears_others(Micros now) const {
-  if (quorum_heard(now)) return true;
+  if (replica_directory_.hears_quorum(now)) return true;
   std::size_t all = 1;
   std::size_t reached = 1;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
