--- a/src/node/duties.cc
+++ b/src/node/duties.cc
@@ -1,4 +1,4 @@
-// What one replica does for all: the first set, the replacement of replicas, the sweep (§5.4, §5.8).
+// What one replica does for all: the replacement of replicas, the sweep (§5.8).
 #include <algorithm>
 
 #include "base/events.h"
@@ -9,93 +9,13 @@
 namespace {
 constexpr Micros repair_gap = seconds(3);
 constexpr Micros replica_lost = seconds(3);
-constexpr Micros repair_calm = seconds(1);     // without a change, before copies that differ are mended
-constexpr Micros spare_seen = seconds(2);      // how lately a replica must have answered to be given a place
-constexpr Micros bootstrap_turn = seconds(1);  // how long each initial member waits for the one before it
-constexpr std::size_t seeds_most = 3;          // that a node is given
-constexpr Micros lost_seed_after = seconds(5);
-constexpr std::size_t least_replicas = 3;  // a set of more than these may shrink
+constexpr Micros repair_calm = seconds(1);  // without a change, before copies that differ are mended
+constexpr Micros spare_seen = seconds(2);   // how lately a replica must have answered to be given a place
+constexpr std::size_t least_replicas = 3;   // a set of more than these may shrink
 constexpr std::size_t most_replicas = 7;
 constexpr Micros unsure_for = seconds(1);  // how long a majority may show no newest value before copies are mended
 }  // namespace
 
-// The first set that this node saw somewhere, or that it may write itself; nothing while it may not.
-std::optional<Membership> Node::initial_set(Micros now) const {
-  std::uint64_t const disk = acceptor->held().disk;
-  if (learner.bootstrap_set().holds(plan.name, disk)) return learner.bootstrap_set();
-  std::vector<std::string> initial_members = plan.registered ? initial_replicas(now) : plan.initial_members;
-  std::sort(initial_members.begin(), initial_members.end());
-  std::vector<std::string>::const_iterator const own =
-      std::find(initial_members.begin(), initial_members.end(), plan.name);
-  if (own == initial_members.end()) return std::nullopt;
-  // The first by name writes it; another only when that one has had its time, for it may have lost its disk.
-  if (now - started_at_ < bootstrap_turn * (own - initial_members.begin())) return std::nullopt;
-  Membership first;
-  first.epoch = 1;
-  for (std::string const& name : initial_members) {
-    // §5.4: the first set is written only while every initial member answers and every one of them is blank.
-    std::map<std::string, Learner::Observation>::const_iterator const observation = learner.observations.find(name);
-    if (observation == learner.observations.end() || observation->second.formed ||
-        now - observation->second.at > seconds(2))
-      return std::nullopt;
-    // After a restart a blank disk may also be a wiped one: only the marks of the first start tell them apart. A set
-    // that was chosen has left a majority of the initial members without them (docs/control.md, "Point 3").
-    if (resumes_bootstrap && !observation->second.awaits_bootstrap) return std::nullopt;
-    wire::ReplicaT replica;
-    replica.name = name;
-    replica.disk = observation->second.disk;
-    replica.address = name == plan.name ? plan.address : replica_directory_.address_of(name);
-    first.replicas.push_back(std::move(replica));
-  }
-  log_event(Event::register_bootstrapped, std::to_string(first.replicas.size()) + " keepers");
-  return first;
-}
-
-void Node::bootstrap(Micros now, std::vector<OutgoingMessage>& outgoing) {
-  if (!acceptor || acceptor->held().formed) return;
-  std::optional<Membership> const first = initial_set(now);
-  if (!first) return;
-  for (wire::ReplicaT const& to : first->replicas) {
-    wire::BootstrapT update;
-    for (wire::ReplicaT const& replica : first->replicas)
-      update.replicas.push_back(std::make_unique<wire::ReplicaT>(replica));
-    outgoing.push_back(message_to(to.name, std::move(update)));
-  }
-}
-
-// §12.3: at the very first start all nodes are given the same seeds, and these are up. Those of them that keep are the
-// first set, once every seed is heard; where none keeps, the first three that do. The set grows by the duty.
-//
-// A seed that is lost before the first set was written may never come back. After a while it is left out, as long as
-// two of three seeds keep and are heard: the quorums of any two such sets meet, so no more than one of them is chosen.
-std::vector<std::string> Node::initial_replicas(Micros now) const {
-  std::vector<std::string> out;
-  if (plan.bootstrap_seeds.empty() || !acceptor) return out;
-  bool all_heard = true;
-  for (std::string const& address : plan.bootstrap_seeds) {
-    if (address == plan.address) {
-      out.push_back(plan.name);
-      continue;
-    }
-    bool heard = false;
-    for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
-      if (item.second.connection == 0 || item.second.member.address != address) continue;
-      heard = true;
-      if (item.second.member.replica) out.push_back(item.first);
-    }
-    all_heard = all_heard && heard;
-  }
-  if (!all_heard) {
-    bool const enough = plan.bootstrap_seeds.size() == seeds_most && out.size() > seeds_most / 2;
-    return enough && now - started_at_ > lost_seed_after ? out : std::vector<std::string>();
-  }
-  if (out.empty()) {
-    out = replica_directory_.connected_replicas();
-    if (out.size() > 3) out.resize(3);
-  }
-  return out;
-}
-
 // §5.8, §12.3: an odd number of all that keep, so that no disk more makes the set no stronger; seven at most.
 std::size_t Node::replicas_wanted() const {
   if (!plan.registered) return std::max<std::size_t>(1, plan.initial_members.size());
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -73,6 +73,7 @@
       quota_client(plan.name, incarnation_seed(plan, SeedUse::quota) >> spare_number_bits),
       replica_directory_(plan, mesh, learner, acceptor,
                          {[this] { return leaving_; }, [this] { return retiring_; }, [this] { return poll_span(); }}),
+      register_bootstrap_(plan, mesh, learner, acceptor, replica_directory_, now),
       owner_lease_(owner_span_of(plan)),
       quota_shares_(plan.name, owner_span_of(plan), recovered ? recovered->quota_members : 0),
       lease_grantor_(now),
@@ -81,10 +82,7 @@
       last_tick_(now),
       next_request_id_(incarnation_seed(plan, SeedUse::requests) >> spare_number_bits) {
   if (recovered) acceptor.emplace(std::move(*recovered));
-  resumes_bootstrap = acceptor && !acceptor->held().bootstrap_seeds.empty();
-  std::vector<std::string> const& seeds = plan.bootstrap_seeds;
-  bool const initial_member = std::find(seeds.begin(), seeds.end(), plan.address) != seeds.end();
-  if (acceptor && plan.registered && initial_member) acceptor->await_bootstrap(seeds);
+  register_bootstrap_.mark_disk(acceptor);
   registry.span(plan.heartbeat_interval);
   if (plan.registered) dispatcher.begun(now);
   dispatcher.budget(plan.resend_ratio, plan.resend_store);
@@ -493,7 +491,7 @@
   if (now >= next_poll_ && (guard(Guard::spread) || learner.sure < 0 || plan.role == Role::config_store)) {
     next_poll_ = now + poll_span();
     learner.poll(now, replica_directory_.connected_replicas(), list_age(now), outgoing);
-    bootstrap(now, outgoing);
+    register_bootstrap_.propose_first_set(now, outgoing);
   }
   if (acceptor)
     if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -19,6 +19,7 @@
 #include "routing/tenants/quota_shares.h"
 #include "mesh/mesh.h"
 #include "node/node_plan.h"
+#include "node/register_bootstrap.h"
 #include "node/replica_directory.h"
 
 namespace pipit {
@@ -116,8 +117,6 @@
   Proposer proposer;
   Learner learner;
   std::optional<Acceptor> acceptor;
-  bool resumes_bootstrap =
-      false;  // an earlier incarnation of this initial member ended before the first set was written
   IndexSync index_sync;
   Fleet fleet;
   ChatDispatcher chat_dispatcher;
@@ -162,9 +161,6 @@
   void update_readiness(Micros now, NodeEffects& out);
   void own_entries(Micros now, NodeEffects& out);
   void duties(Micros now, NodeEffects& out);
-  void bootstrap(Micros now, std::vector<OutgoingMessage>& outgoing);
-  std::optional<Membership> initial_set(Micros now) const;
-  std::vector<std::string> initial_replicas(Micros now) const;
   std::optional<wire::ReplicaT> spare_replica(Micros now) const;
   std::optional<wire::ReplicaT> lost_replica(Micros now) const;
   std::size_t replicas_needed() const;
@@ -235,6 +231,7 @@
   Index::Bounds bounds(std::string const& model) const;
 
   ReplicaDirectory replica_directory_;
+  RegisterBootstrap register_bootstrap_;
   ConfigurationLease owner_lease_;  // for handing limits out
   QuotaShares quota_shares_;
   std::map<std::uint64_t, Micros> newest_asks_;  // when each question that may still be answered was sent
--- /dev/null
+++ b/src/node/register_bootstrap.h
@@ -0,0 +1,50 @@
+// Writes the register's first set of replicas, once in the life of a fleet (§5.4, §12.3).
+//
+// State: whether this initial member already waited for the first set in an earlier incarnation.
+// Invariants: at most one first set is ever chosen. It is offered only by an initial member whose own replica holds
+// nothing, and only while every initial member answers from a blank disk; after a restart, only while the disks carry
+// the marks of the first start, since a wiped disk looks blank as well.
+// Thread: the node's loop.
+#pragma once
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "consensus/register/acceptor.h"
+#include "consensus/register/learner.h"
+#include "consensus/register/membership.h"
+#include "mesh/mesh.h"
+#include "node/node_plan.h"
+#include "node/replica_directory.h"
+
+namespace pipit {
+
+class RegisterBootstrap {
+ public:
+  // 'started_at': when this node began, by its own clock.
+  RegisterBootstrap(NodePlan const& plan, Mesh const& mesh, Learner const& learner,
+                    std::optional<Acceptor> const& acceptor, ReplicaDirectory const& directory, Micros started_at);
+
+  // Marks a blank disk of an initial member as waiting for the first set. Called once, before anything is answered.
+  void mark_disk(std::optional<Acceptor>& acceptor);
+  // Adds a proposal of the first set to every member of it, when this node may make one now.
+  void propose_first_set(Micros now, std::vector<OutgoingMessage>& outgoing) const;
+
+ private:
+  // The first set that this node saw somewhere, or that it may write itself; nothing while it may not.
+  std::optional<Membership> initial_set(Micros now) const;
+  // The set of these members; nothing unless all of them answered lately from blank disks.
+  std::optional<Membership> blank_set(std::vector<std::string> const& names, Micros now) const;
+  // The names of those whose replicas are the first set; empty while that cannot be said.
+  std::vector<std::string> initial_replicas(Micros now) const;
+
+  NodePlan const& plan_;
+  Mesh const& mesh_;
+  Learner const& learner_;
+  std::optional<Acceptor> const& acceptor_;
+  ReplicaDirectory const& directory_;
+  Micros const started_at_;
+  bool resumes_ = false;
+};
+
+}  // namespace pipit
