--- a/src/node/changes.cc
+++ b/src/node/changes.cc
@@ -81,7 +81,10 @@
     if (outcome.value.serial > 0 && learner.adopt(outcome.value, now)) after_value(now, out);
   }
   if (id == 0) {
-    (change.type == Change::Type::register_router ? registration_pending_ : duty_busy_) = false;
+    if (change.type == Change::Type::register_router)
+      registration_pending_ = false;
+    else
+      replica_set_manager_.change_ended();
     return;
   }
   if (change.type == Change::Type::empty && holds) {
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -71,13 +71,13 @@
       lease(plan.revocation, plan.in_force),
       quota_owner(plan.quota),
       quota_client(plan.name, incarnation_seed(plan, SeedUse::quota) >> spare_number_bits),
-      replica_directory_(plan, mesh, learner, acceptor,
-                         {[this] { return leaving_; }, [this] { return retiring_; }, [this] { return poll_span(); }}),
+      replica_directory_(plan, mesh, learner, acceptor, replica_status()),
       register_bootstrap_(plan, mesh, learner, acceptor, replica_directory_, now),
+      replica_set_manager_(plan, mesh, learner, acceptor, replica_directory_, replica_status(), now,
+                           incarnation_seed(plan, SeedUse::lease)),
       owner_lease_(owner_span_of(plan)),
       quota_shares_(plan.name, owner_span_of(plan), recovered ? recovered->quota_members : 0),
       lease_grantor_(now),
-      repair_lease_("mend", incarnation_seed(plan, SeedUse::lease)),
       started_at_(now),
       last_tick_(now),
       next_request_id_(incarnation_seed(plan, SeedUse::requests) >> spare_number_bits) {
@@ -89,6 +89,19 @@
   dispatcher.lease_on(lease);
 }
 
+ReplicaDirectory::Status Node::replica_status() {
+  return {[this] { return leaving_; }, [this] { return retiring_; }, [this] { return poll_span(); }};
+}
+
+void Node::manage_replica_set(Micros now, NodeEffects& out) {
+  if (!acceptor) return;
+  std::vector<OutgoingMessage> outgoing;
+  replica_set_manager_.renew_lease(now, outgoing);
+  // This node's own answer counts before the manager decides what it may do.
+  dispatch(outgoing, now, out);
+  if (std::optional<Change> change = replica_set_manager_.next_change(now)) operate(0, std::move(*change), now, out);
+}
+
 void Node::watch_clock(Micros now) {
   if (now - last_tick_ > jump && guard(Guard::fresh_start)) {
     ++jumps;
@@ -217,7 +230,7 @@
       }
       break;
     case wire::Body::LeaseReply:
-      repair_lease_.take(from, *body.AsLeaseReply(), now, learner.membership());
+      replica_set_manager_.take_lease_reply(from, *body.AsLeaseReply(), now);
       break;
     case wire::Body::Loads:
       hear(body.AsLoads()->age, now);
@@ -509,7 +522,7 @@
     update_readiness(now, out);
   }
   dispatch(outgoing, now, out);
-  duties(now, out);
+  manage_replica_set(now, out);
   settle_waiting(now, out);
   settle_handed(now, out);
   check_replies(out);
@@ -521,14 +534,14 @@
   if (!learner.membership().concerns(plan.name, acceptor->held().disk)) return true;
   // Who hears no quorum cannot know whether a replica is here to take its place: it waits for the end of its grace.
   // Nor does one end that the set can do without: it is taken out first.
-  return replica_directory_.hears_quorum(now) && !spare_replica(now) && !set_may_shrink();
+  return replica_directory_.hears_quorum(now) && replica_set_manager_.lacks_successor(now);
 }
 
 void Node::drain(Micros now, NodeEffects& out) {
   if (leaving_) return;
   leaving_ = true;
   std::vector<OutgoingMessage> outgoing;
-  repair_lease_.give_back(learner.membership(), outgoing);
+  replica_set_manager_.release_lease(outgoing);
   dispatch(outgoing, now, out);
   chat_dispatcher.drain();
   mesh.members.self.ready = false;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -21,6 +21,7 @@
 #include "node/node_plan.h"
 #include "node/register_bootstrap.h"
 #include "node/replica_directory.h"
+#include "node/replica_set_manager.h"
 
 namespace pipit {
 
@@ -160,15 +161,7 @@
   void settle_waiting(Micros now, NodeEffects& out);
   void update_readiness(Micros now, NodeEffects& out);
   void own_entries(Micros now, NodeEffects& out);
-  void duties(Micros now, NodeEffects& out);
-  std::optional<wire::ReplicaT> spare_replica(Micros now) const;
-  std::optional<wire::ReplicaT> lost_replica(Micros now) const;
-  std::size_t replicas_needed() const;
-  bool set_may_shrink() const;
-  std::optional<Change> member_change(Micros now) const;
-  std::optional<Change> duty_due(Micros now);
-  std::optional<Change> catch_up_read(Micros now);
-  std::size_t replicas_wanted() const;
+  void manage_replica_set(Micros now, NodeEffects& out);
   // Keys and limits of tenants (core/tenancy.cc).
   void renew_lease(Micros now, std::vector<OutgoingMessage>& outgoing);
   void confirm_configuration(Micros now);
@@ -217,7 +210,6 @@
   void request_registration(Micros now, NodeEffects& out);
   void update_registration(Micros now, NodeEffects& out);
   bool owes(Waiting const& item, std::string const& name) const;
-  bool eviction_due(Micros now, Change& change) const;
   // Knowledge of the list that a peer passed on, as old as it said (§4.3).
   void hear(Micros age, Micros now);
   bool is_up_to_date(Micros now);
@@ -230,8 +222,11 @@
   std::set<std::string> routers(bool all) const;
   Index::Bounds bounds(std::string const& model) const;
 
+  ReplicaDirectory::Status replica_status();
+
   ReplicaDirectory replica_directory_;
   RegisterBootstrap register_bootstrap_;
+  ReplicaSetManager replica_set_manager_;
   ConfigurationLease owner_lease_;  // for handing limits out
   QuotaShares quota_shares_;
   std::map<std::uint64_t, Micros> newest_asks_;  // when each question that may still be answered was sent
@@ -241,7 +236,6 @@
   std::uint64_t newest_turn_ = 0;
 
   LeaseGrantor lease_grantor_;
-  LeaseHolder repair_lease_;
   Micros started_at_;
   Micros last_tick_;
   Micros next_poll_ = 0;
@@ -278,9 +272,6 @@
   std::uint64_t next_request_id_;  // begins at another number in each incarnation: an answer to a former incarnation
                                    // finds no request
   std::map<std::uint64_t, Waiting> waiting_;
-  bool duty_busy_ = false;
-  bool had_duty_ = false;
-  Micros repaired_at_ = -seconds(60);
   struct WorkerEnd {  // that waits until the others know of it
     std::string worker;
     Micros due = 0;
--- a/src/node/seats.cc
+++ b/src/node/seats.cc
@@ -11,7 +11,6 @@
 constexpr Micros behind_gap = millis(300);
 constexpr Micros alone_after = millis(1700);
 constexpr Micros catch_up = millis(1500);
-constexpr Micros evict_after = seconds(20);
 }  // namespace
 
 bool Node::is_registered() const {
@@ -123,24 +122,6 @@
   return std::nullopt;
 }
 
-// A router node that said goodbye, or whose address has refused for long, is evicted by whoever holds the duty.
-bool Node::eviction_due(Micros now, Change& change) const {
-  if (!learner.value) return false;
-  for (std::unique_ptr<wire::RouterRegistrationT> const& registration : learner.value->registrations) {
-    std::map<std::string, Peer>::const_iterator const position = mesh.members.peers.find(registration->name);
-    if (position == mesh.members.peers.end() || position->second.member.incarnation > registration->incarnation)
-      continue;
-    Peer const& peer = position->second;
-    bool const left = peer.state() == State::leaving && now - std::max(peer.since, peer.bare_since) > evict_after;
-    bool const dead = peer.refused && now - peer.refused_at > evict_after;
-    if (peer.connection != 0 || (!left && !dead)) continue;
-    change.type = Change::Type::evict_router;
-    change.registration = *registration;
-    return true;
-  }
-  return false;
-}
-
 // §4.3: who knows no late reading of the list cannot know which workers are marked. Unless the list itself is down,
 // so that nobody can have read any more: its own address says so, or half of all members have no news either. That
 // holds on from what was known before; a node that was alone must first hear from half of them for a while.
