--- a/src/node/changes.cc
+++ b/src/node/changes.cc
@@ -17,7 +17,7 @@
   if (change.id.empty())
     change.id = plan.name + "-" + std::to_string(plan.incarnation) + "-" + std::to_string(++change_count_);
   note_call(id, change);
-  if (hand_over(id, change, now, out)) return;
+  if (change_forwarder_.forward_change(id, change, now, out)) return;
   if (plan.registered && id != 0 && !replica_directory_.hears_quorum(now))
     return refuse_now(id, change, ErrorCode::no_majority, out);
   propose(id, std::move(change), now, out);
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -75,6 +75,7 @@
       register_bootstrap_(plan, mesh, learner, acceptor, replica_directory_, now),
       replica_set_manager_(plan, mesh, learner, acceptor, replica_directory_, replica_status(), now,
                            incarnation_seed(plan, SeedUse::lease)),
+      change_forwarder_(plan, mesh, learner, replica_directory_, forwarder_actions()),
       owner_lease_(owner_span_of(plan)),
       quota_shares_(plan.name, owner_span_of(plan), recovered ? recovered->quota_members : 0),
       lease_grantor_(now),
@@ -93,6 +94,18 @@
   return {[this] { return leaving_; }, [this] { return retiring_; }, [this] { return poll_span(); }};
 }
 
+ChangeForwarder::Actions Node::forwarder_actions() {
+  ChangeForwarder::Actions actions;
+  actions.next_request_id = [this] { return ++next_request_id_; };
+  actions.propose = [this](std::uint64_t id, Change change, Micros now, NodeEffects& out) {
+    propose(id, std::move(change), now, out);
+  };
+  actions.adopt_value = [this](wire::ValueT const& value, Micros now, NodeEffects& out) {
+    if (learner.adopt(value, now)) after_value(now, out);
+  };
+  return actions;
+}
+
 void Node::manage_replica_set(Micros now, NodeEffects& out) {
   if (!acceptor) return;
   std::vector<OutgoingMessage> outgoing;
@@ -254,10 +267,10 @@
       settle_quota(now, out);
       break;
     case wire::Body::ForwardedChange:
-      take_handed(from, *body.AsForwardedChange(), now, out);
+      change_forwarder_.take_change(from, *body.AsForwardedChange(), now, out);
       break;
     case wire::Body::ForwardedChangeReply:
-      take_answer(from, *body.AsForwardedChangeReply(), now, out);
+      change_forwarder_.take_reply(from, *body.AsForwardedChangeReply(), now, out);
       break;
     case wire::Body::WorkerSuspected:
       // Asked at once; a worker that is well is back in a moment.
@@ -422,7 +435,7 @@
   }
   if (!from.empty()) deliver(from, frame.value()->body, now, out);
   if (!waiting_.empty()) settle_waiting(now, out);
-  settle_handed(now, out);
+  change_forwarder_.advance(now, out);
   settle_ends(now, out);
   check_replies(out);
   return true;
@@ -449,7 +462,7 @@
   acceptor->synced(outgoing);
   if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
   dispatch(outgoing, now, out);
-  settle_handed(now, out);
+  change_forwarder_.advance(now, out);
   check_replies(out);
 }
 
@@ -524,7 +537,7 @@
   dispatch(outgoing, now, out);
   manage_replica_set(now, out);
   settle_waiting(now, out);
-  settle_handed(now, out);
+  change_forwarder_.advance(now, out);
   check_replies(out);
   tell_waiting(now);
 }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -18,6 +18,8 @@
 #include "routing/tenants/quota_owner.h"
 #include "routing/tenants/quota_shares.h"
 #include "mesh/mesh.h"
+#include "node/change_forwarder.h"
+#include "node/node_effects.h"
 #include "node/node_plan.h"
 #include "node/register_bootstrap.h"
 #include "node/replica_directory.h"
@@ -25,38 +27,6 @@
 
 namespace pipit {
 
-// What an operator asked, answered.
-struct Reply {
-  std::uint64_t id = 0;
-  Outcome outcome;
-  std::vector<std::string> missing;  // nodes that have not confirmed, of an 'empty'
-  std::string change;
-};
-
-struct Check {
-  std::string worker;
-  std::string address;
-  std::uint64_t incarnation = 0;
-  Micros asked = 0;
-};
-
-// Whether the end of a worker may be acknowledged: the other nodes know of it.
-struct EndAnswer {
-  std::uint64_t id = 0;  // of the call
-  bool known = false;
-};
-
-struct NodeEffects {
-  ConnectionEffects mesh;
-  std::optional<wire::RecordT> save;
-  std::vector<Reply> replies;
-  std::vector<EndAnswer> end_answers;
-  ChatEffects chat;
-  DispatchEffects dispatch;
-  bool read_list = false;
-  std::vector<Check> checks;
-};
-
 class Node {
  public:
   Node(NodePlan initial_plan, Micros now, std::optional<wire::RecordT> recovered);
@@ -185,14 +155,6 @@
   Paths paths() const;
   std::string hub_of(std::string const& zone) const;
   void forward(wire::ChosenT const& update, NodeEffects& out);
-  std::string relaying_peer();
-  bool hand_over(std::uint64_t id, Change const& change, Micros now, NodeEffects& out);
-  void take_handed(std::string const& from, wire::ForwardedChangeT const& ask, Micros now, NodeEffects& out);
-  void put_text(std::string const& text, wire::ForwardedChangeT& ask) const;
-  std::optional<std::string> handed_text(wire::ForwardedChangeT const& ask) const;
-  void send_text(std::string const& to, std::uint64_t request_id, Change const& change, NodeEffects& out);
-  void take_answer(std::string const& from, wire::ForwardedChangeReplyT const& ans, Micros now, NodeEffects& out);
-  void settle_handed(Micros now, NodeEffects& out);
   void settle_ends(Micros now, NodeEffects& out);
   bool told_all_reached(std::string const& worker) const;
   bool told_enough(std::string const& worker) const;
@@ -223,10 +185,12 @@
   Index::Bounds bounds(std::string const& model) const;
 
   ReplicaDirectory::Status replica_status();
+  ChangeForwarder::Actions forwarder_actions();
 
   ReplicaDirectory replica_directory_;
   RegisterBootstrap register_bootstrap_;
   ReplicaSetManager replica_set_manager_;
+  ChangeForwarder change_forwarder_;
   ConfigurationLease owner_lease_;  // for handing limits out
   QuotaShares quota_shares_;
   std::map<std::uint64_t, Micros> newest_asks_;  // when each question that may still be answered was sent
@@ -268,7 +232,6 @@
   bool retiring_ = false;
   Micros stale_from_ = -1;  // since when a jump of the clock waits for fresh knowledge
   std::uint64_t change_count_ = 0;
-  std::uint64_t relay_turn_ = 0;   // which peer is next to be asked for a quorum's sake
   std::uint64_t next_request_id_;  // begins at another number in each incarnation: an answer to a former incarnation
                                    // finds no request
   std::map<std::uint64_t, Waiting> waiting_;
@@ -291,19 +254,6 @@
     Outcome outcome;
   };
   std::vector<Ended> ended_;
-  struct Handed {  // a change that another node was asked to propose
-    std::uint64_t id = 0;
-    std::string proposer;  // that node
-    Change change;
-    Micros due = 0;
-  };
-  std::map<std::uint64_t, Handed> handed_;
-  struct Asked {  // by whom this node was asked to propose
-    std::string from;
-    std::uint64_t request_id = 0;
-    std::uint64_t revision = 0;  // what it held
-  };
-  std::map<std::uint64_t, Asked> asked_by_;
 };
 
 }  // namespace pipit
--- /dev/null
+++ b/tests/node/change_forwarder.cc
@@ -0,0 +1,201 @@
+// Changes that another node is asked to propose, and those proposed for others (src/node/change_forwarder.h).
+#include "node/change_forwarder.h"
+
+#include <gtest/gtest.h>
+
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "mesh/frame.h"
+#include "tests/node/replica_fixture.h"
+
+namespace pipit {
+
+namespace {
+struct Proposed {
+  std::uint64_t id = 0;
+  Change change;
+};
+
+// The node "m" is no replica; "b" is the only one of the set, and its quorum was heard at time 0.
+struct ForwarderFixture : ReplicaFixture {
+  ForwarderFixture() {
+    plan.name = "m";
+    acceptor.reset();
+    add_peer("b");
+    std::vector<wire::ReplicaT> const set = {replica_on_disk("b", 2)};
+    choose_set(set, 0);
+    poll_answered_by(set, 0);
+  }
+
+  ChangeForwarder::Actions actions() {
+    ChangeForwarder::Actions out;
+    out.next_request_id = [this] { return ++last_request_id; };
+    out.propose = [this](std::uint64_t id, Change change, Micros, NodeEffects&) {
+      proposed.push_back({id, std::move(change)});
+    };
+    out.adopt_value = [this](wire::ValueT const& value, Micros now, NodeEffects&) { learner.adopt(value, now); };
+    return out;
+  }
+
+  // The bodies that were sent since the last call.
+  std::vector<wire::BodyUnion> sent() {
+    std::vector<wire::BodyUnion> bodies;
+    for (ConnectionEffects::Send const& send : out.mesh.sends)
+      bodies.push_back(std::move(decode(send.bytes).value()->body));
+    out.mesh.sends.clear();
+    return bodies;
+  }
+
+  wire::ForwardedChangeReplyT reply_of(Outcome::Type type, ErrorCode code = ErrorCode{}) {
+    wire::ForwardedChangeReplyT reply;
+    reply.request_id = last_request_id;
+    reply.type = static_cast<std::uint8_t>(type);
+    reply.kind = static_cast<std::uint8_t>(code);
+    return reply;
+  }
+
+  std::uint64_t last_request_id = 100;
+  std::vector<Proposed> proposed;
+  NodeEffects out;
+  ChangeForwarder forwarder{plan, mesh, learner, directory, actions()};
+};
+
+Change apply_text(std::string const& text) {
+  Change out;
+  out.type = Change::Type::apply;
+  out.id = "change-1";
+  out.text = text;
+  return out;
+}
+}  // namespace
+
+TEST(ChangeForwarder, ForwardsOperatorsChangesToTheProposingReplica) {
+  ForwarderFixture fixture;
+  ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
+  std::vector<wire::BodyUnion> bodies = fixture.sent();
+  ASSERT_EQ(bodies.size(), 1u);
+  ASSERT_EQ(bodies[0].type, wire::Body::ForwardedChange);
+  EXPECT_EQ(bodies[0].AsForwardedChange()->request_id, 101u);
+  EXPECT_EQ(bodies[0].AsForwardedChange()->id, "change-1");
+}
+
+TEST(ChangeForwarder, ForwardsNothingOfItsOwnNorOfMembers) {
+  ForwarderFixture fixture;
+  EXPECT_FALSE(fixture.forwarder.forward_change(0, apply_text("new"), 0, fixture.out));
+  Change admission;
+  admission.type = Change::Type::admit;
+  EXPECT_FALSE(fixture.forwarder.forward_change(7, admission, 0, fixture.out));
+  fixture.plan.name = "b";  // the proposing replica itself
+  EXPECT_FALSE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
+  fixture.plan.name = "m";
+  fixture.plan.registered = false;
+  EXPECT_FALSE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
+  EXPECT_TRUE(fixture.out.mesh.sends.empty());
+}
+
+TEST(ChangeForwarder, WithoutAQuorumAsksRoutersInTurn) {
+  ForwarderFixture fixture;
+  Micros const later = seconds(60);
+  EXPECT_FALSE(fixture.forwarder.forward_change(7, apply_text("new"), later, fixture.out));
+  fixture.add_peer("r1", State::alive, 21).member.replica = false;
+  fixture.add_peer("r2", State::alive, 22).member.replica = false;
+  for (int count = 0; count < 3; ++count)
+    ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), later, fixture.out));
+  ASSERT_EQ(fixture.out.mesh.sends.size(), 3u);
+  EXPECT_EQ(fixture.out.mesh.sends[0].connection, 21u);
+  EXPECT_EQ(fixture.out.mesh.sends[1].connection, 22u);
+  EXPECT_EQ(fixture.out.mesh.sends[2].connection, 21u);
+}
+
+TEST(ChangeForwarder, PassesTheAnswerOnOnce) {
+  ForwarderFixture fixture;
+  ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
+  wire::ForwardedChangeReplyT const reply = fixture.reply_of(Outcome::Type::chosen);
+  fixture.forwarder.take_reply("stranger", reply, 0, fixture.out);
+  EXPECT_TRUE(fixture.out.replies.empty());
+  fixture.forwarder.take_reply("b", reply, 0, fixture.out);
+  fixture.forwarder.take_reply("b", reply, 0, fixture.out);
+  ASSERT_EQ(fixture.out.replies.size(), 1u);
+  EXPECT_EQ(fixture.out.replies[0].id, 7u);
+  EXPECT_EQ(fixture.out.replies[0].change, "change-1");
+  EXPECT_EQ(fixture.out.replies[0].outcome.type, Outcome::Type::chosen);
+}
+
+TEST(ChangeForwarder, ProposesItselfWhatIsNotAnsweredInTime) {
+  ForwarderFixture fixture;
+  ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
+  fixture.forwarder.advance(millis(600) - 1, fixture.out);
+  EXPECT_TRUE(fixture.proposed.empty());
+  fixture.forwarder.advance(millis(600), fixture.out);
+  fixture.forwarder.advance(millis(601), fixture.out);
+  ASSERT_EQ(fixture.proposed.size(), 1u);
+  EXPECT_EQ(fixture.proposed[0].id, 7u);
+  EXPECT_TRUE(fixture.proposed[0].change.proposed_elsewhere);
+}
+
+TEST(ChangeForwarder, ProposesItselfWhatACutOffReplicaRefuses) {
+  ForwarderFixture fixture;
+  ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
+  fixture.forwarder.take_reply("b", fixture.reply_of(Outcome::Type::refused, ErrorCode::no_majority), 0, fixture.out);
+  ASSERT_EQ(fixture.proposed.size(), 1u);
+  EXPECT_FALSE(fixture.proposed[0].change.proposed_elsewhere);
+  EXPECT_TRUE(fixture.out.replies.empty());
+}
+
+TEST(ChangeForwarder, SendsTheTextAgainWhenItsPatchHasAnotherBase) {
+  ForwarderFixture fixture;
+  ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
+  fixture.sent();
+  wire::ForwardedChangeReplyT reply = fixture.reply_of(Outcome::Type::refused);
+  reply.need_text = true;
+  fixture.forwarder.take_reply("b", reply, 0, fixture.out);
+  std::vector<wire::BodyUnion> bodies = fixture.sent();
+  ASSERT_EQ(bodies.size(), 1u);
+  EXPECT_EQ(bodies[0].AsForwardedChange()->text, "new");
+  EXPECT_EQ(bodies[0].AsForwardedChange()->request_id, 101u);
+}
+
+TEST(ChangeForwarder, ProposesForOthersAndAnswersThem) {
+  ForwarderFixture fixture;
+  wire::ForwardedChangeT request;
+  request.request_id = 55;
+  request.type = static_cast<std::uint8_t>(Change::Type::apply);
+  request.id = "theirs";
+  request.text = "new";
+  fixture.forwarder.take_change("b", request, 0, fixture.out);
+  ASSERT_EQ(fixture.proposed.size(), 1u);
+  EXPECT_EQ(fixture.proposed[0].change.id, "theirs");
+  // What was proposed for another node is never forwarded again.
+  EXPECT_FALSE(fixture.forwarder.forward_change(fixture.proposed[0].id, apply_text("new"), 0, fixture.out));
+  Reply own;
+  own.id = 7;
+  Reply theirs;
+  theirs.id = fixture.proposed[0].id;
+  theirs.outcome.type = Outcome::Type::chosen;
+  fixture.out.replies = {own, theirs};
+  fixture.forwarder.advance(0, fixture.out);
+  ASSERT_EQ(fixture.out.replies.size(), 1u);
+  EXPECT_EQ(fixture.out.replies[0].id, 7u);
+  std::vector<wire::BodyUnion> bodies = fixture.sent();
+  ASSERT_EQ(bodies.size(), 1u);
+  EXPECT_EQ(bodies[0].AsForwardedChangeReply()->request_id, 55u);
+}
+
+TEST(ChangeForwarder, AsksForTheTextOfAPatchWithAnUnknownBase) {
+  ForwarderFixture fixture;
+  wire::ForwardedChangeT request;
+  request.request_id = 55;
+  request.type = static_cast<std::uint8_t>(Change::Type::apply);
+  request.revision = 999;
+  request.patch = std::make_unique<wire::TextPatchT>();
+  fixture.forwarder.take_change("b", request, 0, fixture.out);
+  EXPECT_TRUE(fixture.proposed.empty());
+  std::vector<wire::BodyUnion> bodies = fixture.sent();
+  ASSERT_EQ(bodies.size(), 1u);
+  EXPECT_TRUE(bodies[0].AsForwardedChangeReply()->need_text);
+}
+
+}  // namespace pipit
