--- /dev/null
+++ b/tests/checks/changed.sh
@@ -0,0 +1,22 @@
+#!/bin/sh
+# The formatter and the linter on what changed, in seconds, before a commit: changed.sh [BUILD_FOLDER [REVISION]].
+# What counts as changed is what differs from REVISION (HEAD), with files that git does not track yet. Headers are linted
+# with the source file of the same name. As a hook: ln -s ../../tests/checks/changed.sh .git/hooks/pre-commit
+set -eu
+cd "$(git rev-parse --show-toplevel)"
+build=${1:-build}
+revision=${2:-HEAD}
+files=$({ git diff --name-only --diff-filter=d "$revision"; git ls-files --others --exclude-standard; } | grep -E '\.(cc|h)$' || true)
+[ -n "$files" ] || { echo "no C++ file changed"; exit 0; }
+echo "$files" | xargs clang-format-14 --dry-run -Werror
+sources=$(for file in $files; do
+  source=${file%.*}.cc
+  [ -f "$source" ] && echo "$source"
+done | sort -u)
+[ -n "$sources" ] || exit 0
+cmake -S . -B "$build" -G Ninja -DCMAKE_EXPORT_COMPILE_COMMANDS=ON > /dev/null
+cmake --build "$build" --target frames > /dev/null
+product=$(echo "$sources" | grep -E '^(src|platform)/' || true)
+tests=$(echo "$sources" | grep -E '^(programs|testing|tests)/' || true)
+[ -z "$product" ] || echo "$product" | xargs -P 4 -n 2 clang-tidy-14 -quiet -p "$build"
+[ -z "$tests" ] || echo "$tests" | xargs -P 4 -n 2 clang-tidy-14 -quiet -p "$build" '--checks=-*,readability-identifier-naming'
--- a/tests/checks/lint.sh
+++ b/tests/checks/lint.sh
@@ -1,20 +1,30 @@
 #!/bin/sh
-# Runs clang-tidy 14 with the committed .clang-tidy over src/ and platform/: lint.sh SOURCE BUILD_FOLDER [JOBS [PATH]].
-# Ends with 1 when anything is found. PATH narrows it, such as src/storage. The folder needs no finished build but the
-# generated headers (target `frames`).
+# Runs clang-tidy 14 with the committed .clang-tidy: lint.sh SOURCE BUILD_FOLDER [JOBS [PATH]].
+# The product (src/, platform/) is held to all of its rules, programs, test tools and tests (programs/, testing/, tests/) to the
+# rule of names. PATH narrows it, such as src/storage, and then means all rules. Ends with 1 when anything is found. The
+# folder needs no finished build but the generated headers (target `frames`).
 set -eu
 source=$(readlink -f "$1")
 build=$2
 jobs=${3:-4}
-path=${4:-"(src|platform)"}
+path=${4:-}
 cmake -S "$source" -B "$build" -G Ninja -DCMAKE_EXPORT_COMPILE_COMMANDS=ON > /dev/null
 cmake --build "$build" --target frames > /dev/null
-log=$build/lint.log
-# With WarningsAsErrors each finding makes run-clang-tidy end with 1.
-if run-clang-tidy-14 -quiet -j "$jobs" -p "$build" "^$source/$path/" > "$log" 2>&1; then
-  echo "clean: $(grep -c '^clang-tidy-14 ' "$log") files"
-  exit 0
-fi
-# A header's finding comes once for each file that includes it.
-grep -E '(warning|error):' "$log" | sed 's/\x1b\[[0-9;]*m//g' | sort -u
-exit 1
+
+# lint PATHS LOG [FLAG...]; with WarningsAsErrors each finding makes run-clang-tidy end with 1.
+lint() {
+  paths=$1
+  log=$2
+  shift 2
+  if run-clang-tidy-14 -quiet -j "$jobs" -p "$build" "$@" "^$source/$paths/" > "$log" 2>&1; then
+    echo "clean: $(grep -c '^clang-tidy-14 ' "$log") files of $paths"
+    return 0
+  fi
+  # A header's finding comes once for each file that includes it.
+  grep -E '(warning|error):' "$log" | sed 's/\x1b\[[0-9;]*m//g' | sort -u
+  return 1
+}
+
+[ -z "$path" ] || { lint "$path" "$build/lint.log"; exit; }
+lint "(src|platform)" "$build/lint.log"
+lint "(programs|testing|tests)" "$build/lint-tests.log" '-checks=-*,readability-identifier-naming'
