--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -77,7 +77,8 @@
       repair_lease_("mend", incarnation_seed(plan, SeedUse::lease)),
       started_at_(now),
       last_tick_(now),
-      next_request_id_(incarnation_seed(plan, SeedUse::requests) >> spare_number_bits) {
+      next_request_id_(incarnation_seed(plan, SeedUse::requests) >> spare_number_bits),
+      worker_departures_(plan.name, mesh, learner, [this](Micros at) { return quorum_heard(at); }) {
   if (recovered) acceptor.emplace(std::move(*recovered));
   resumes_bootstrap = acceptor && !acceptor->held().bootstrap_seeds.empty();
   std::vector<std::string> const& seeds = plan.bootstrap_seeds;
@@ -419,7 +420,7 @@
   if (!from.empty()) deliver(from, frame.value()->body, now, out);
   if (!waiting_.empty()) settle_waiting(now, out);
   settle_handed(now, out);
-  settle_ends(now, out);
+  worker_departures_.answer_calls(now, out.end_answers);
   check_replies(out);
   return true;
 }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -18,6 +18,7 @@
 #include "routing/tenants/quota_owner.h"
 #include "routing/tenants/quota_shares.h"
 #include "mesh/mesh.h"
+#include "node/worker_departures.h"
 
 namespace pipit {
 
@@ -69,12 +70,6 @@
   Micros asked = 0;
 };
 
-// Whether the end of a worker may be acknowledged: the other nodes know of it.
-struct EndAnswer {
-  std::uint64_t id = 0;  // of the call
-  bool known = false;
-};
-
 struct NodeEffects {
   ConnectionEffects mesh;
   std::optional<wire::RecordT> save;
@@ -244,11 +239,6 @@
   void send_text(std::string const& to, std::uint64_t request_id, Change const& change, NodeEffects& out);
   void take_answer(std::string const& from, wire::ForwardedChangeReplyT const& ans, Micros now, NodeEffects& out);
   void settle_handed(Micros now, NodeEffects& out);
-  void settle_ends(Micros now, NodeEffects& out);
-  bool told_all_reached(std::string const& worker) const;
-  bool told_enough(std::string const& worker) const;
-  bool hears_others(Micros now) const;
-  void check_end(std::string const& worker) const;
   void propose(std::uint64_t id, Change change, Micros now, NodeEffects& out);
   // Whether this node still hears a quorum of the replicas; without one it refuses operators at once (docs/control.md).
   bool quorum_heard(Micros now) const;
@@ -326,11 +316,7 @@
   bool duty_busy_ = false;
   bool had_duty_ = false;
   Micros repaired_at_ = -seconds(60);
-  struct WorkerEnd {  // that waits until the others know of it
-    std::string worker;
-    Micros due = 0;
-  };
-  std::map<std::uint64_t, WorkerEnd> worker_ends_;
+  WorkerDepartures worker_departures_;
   struct OpenCall {  // of an operator, until it is answered
     Change::Type type = Change::Type::read;
     std::string change;
--- a/src/node/registered.cc
+++ b/src/node/registered.cc
@@ -21,7 +21,7 @@
 
 bool Node::heartbeat(Heartbeat const& word, Micros now, NodeEffects& out) {
   watch_clock(now);
-  bool const heard = hears_others(now);
+  bool const heard = worker_departures_.is_connected(now);
   // The others know the worker by another node, which goes on hearing it: nothing of that is taken over here, where
   // nobody would hear of it.
   if (!heard && !word.leaving && registry.hear(word, now)) return false;
@@ -37,6 +37,10 @@
   take_fresh(now);
 }
 
+void Node::await_end(std::uint64_t id, std::string const& worker, Micros now, NodeEffects& out) {
+  worker_departures_.add_call(id, worker, now, out.end_answers);
+}
+
 void Node::request(std::uint64_t id, Query query, Micros now, NodeEffects& out) {
   watch_clock(now);
   confirm_configuration(now);
@@ -139,7 +143,7 @@
 // that is gone.
 void Node::adopt_workers(Micros now, NodeEffects& out) {
   next_adoption_ = now + adopt_gap;
-  if (leaving_ || !hears_others(now)) return;
+  if (leaving_ || !worker_departures_.is_connected(now)) return;
   std::set<std::string> const here = routers(false);
   for (std::pair<std::string const, Instance> const& item : registry.all) {
     Instance const& at = item.second;
@@ -175,7 +179,7 @@
   for (wire::EntryT& entry : registry.silent(now)) put_entry(std::move(entry), now, out);
   if (now >= next_adoption_) adopt_workers(now, out);
   take_fresh(now);
-  settle_ends(now, out);
+  worker_departures_.answer_calls(now, out.end_answers);
   dispatcher.nodes(routers(true).size(), mesh.wide());
   update_readiness(now, out);
   renew_lease(now, outgoing);
--- /dev/null
+++ b/src/node/worker_departures.cc
@@ -0,0 +1,94 @@
+#include "node/worker_departures.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "base/invariants.h"
+
+namespace pipit {
+
+namespace {
+constexpr Micros acknowledgement_timeout = millis(600);  // a worker waits a second for its answer
+}  // namespace
+
+WorkerDepartures::WorkerDepartures(std::string self, Mesh const& mesh, Learner const& learner,
+                                   std::function<bool(Micros)> has_quorum)
+    : self_(std::move(self)), mesh_(mesh), learner_(learner), has_quorum_(std::move(has_quorum)) {}
+
+void WorkerDepartures::add_call(std::uint64_t id, std::string const& worker, Micros now,
+                                std::vector<EndAnswer>& answers) {
+  pending_calls_[id] = PendingCall{worker, now + acknowledgement_timeout};
+  answer_calls(now, answers);
+}
+
+void WorkerDepartures::answer_calls(Micros now, std::vector<EndAnswer>& answers) {
+  for (std::map<std::uint64_t, PendingCall>::iterator it = pending_calls_.begin(); it != pending_calls_.end();) {
+    PendingCall const& call = it->second;
+    bool const quorum = reached_quorum(call.worker);
+    bool const complete = quorum && reached_all_connected(call.worker);
+    if (!complete && now < call.deadline) {
+      ++it;
+      continue;
+    }
+    if (quorum) check_acknowledgement(call.worker);
+    answers.push_back(EndAnswer{it->first, quorum});
+    it = pending_calls_.erase(it);
+  }
+}
+
+bool WorkerDepartures::is_connected(Micros now) const {
+  if (has_quorum_(now)) return true;
+  std::size_t all = 1;
+  std::size_t connected = 1;
+  for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
+    if (mesh_.gone(item.first)) continue;
+    ++all;
+    if (item.second.connection != 0) ++connected;
+  }
+  return connected * 2 >= all;
+}
+
+bool WorkerDepartures::reached_all_connected(std::string const& worker) const {
+  return std::all_of(mesh_.members.peers.begin(), mesh_.members.peers.end(),
+                     [&](std::pair<std::string const, Peer> const& item) {
+                       bool const connected = item.second.connection != 0 && item.second.state() == State::alive;
+                       return !connected || mesh_.entry_table.told(item.first, worker);
+                     });
+}
+
+// A quorum of the replicas reaches every node that others reach, since each replica passes the entry on.
+bool WorkerDepartures::reached_quorum(std::string const& worker) const {
+  Membership const& members = learner_.membership();
+  if (members.empty()) return reached_majority_of_nodes(worker);
+  Voters voters;
+  for (std::vector<wire::ReplicaT> const* const part : {&members.replicas, &members.former})
+    for (wire::ReplicaT const& replica : *part)
+      if (replica.name == self_ || mesh_.entry_table.told(replica.name, worker)) voters[replica.name] = replica.disk;
+  return members.quorum(voters);
+}
+
+bool WorkerDepartures::reached_majority_of_nodes(std::string const& worker) const {
+  std::size_t all = 1;
+  std::size_t informed = 1;
+  for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
+    if (mesh_.gone(item.first)) continue;
+    ++all;
+    if (mesh_.entry_table.told(item.first, worker)) ++informed;
+  }
+  return informed * 2 > all;
+}
+
+void WorkerDepartures::check_acknowledgement(std::string const& worker) const {
+  bool alone = true;
+  bool informed = false;
+  for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
+    alone = alone && mesh_.gone(item.first);
+    informed = informed || mesh_.entry_table.told(item.first, worker);
+  }
+  check_invariant(alone || informed, Invariant::end_is_known, [&] {
+    return worker + ", " + std::to_string(mesh_.members.peers.size()) + " peers, " +
+           std::to_string(mesh_.open_connections()) + " connections";
+  });
+}
+
+}  // namespace pipit
