--- /dev/null
+++ b/src/node/configuration_authority.cc
@@ -0,0 +1,97 @@
+#include "node/configuration_authority.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace pipit {
+
+namespace {
+constexpr Micros request_interval = millis(300);
+constexpr Micros request_timeout = seconds(4);  // an older question is not answered any more
+constexpr std::size_t max_confirmed_revisions = 16;
+}  // namespace
+
+ConfigurationAuthority::ConfigurationAuthority(ConfigurationSpans const& spans, Mesh const& mesh,
+                                               Learner const& learner, PeerRotation& rotation,
+                                               std::function<std::uint64_t()> next_request_id)
+    : mesh_(mesh),
+      learner_(learner),
+      rotation_(rotation),
+      next_request_id_(std::move(next_request_id)),
+      key_lease_(spans.revocation, spans.in_force),
+      quota_lease_(spans.quota) {}
+
+// Both leases rest on the same facts.
+void ConfigurationAuthority::confirm_leases(Micros at) {
+  key_lease_.confirm(at);
+  quota_lease_.confirm(at);
+}
+
+void ConfigurationAuthority::update_confirmations() {
+  if (learner_.sure >= 0) confirm_leases(learner_.sure);
+  while (!confirmed_revisions_.empty() && confirmed_revisions_.begin()->first <= learner_.revision()) {
+    confirm_leases(confirmed_revisions_.begin()->second);
+    confirmed_revisions_.erase(confirmed_revisions_.begin());
+  }
+}
+
+// A third of the lease before its end would be late: it is renewed from its first third on, by one replica at a time,
+// and from its half on by any peer besides, since a cut may part this node from the replicas alone.
+void ConfigurationAuthority::renew_leases(bool keys_required, Micros now, std::vector<OutgoingMessage>& outgoing) {
+  update_confirmations();
+  if (!keys_required || !quota_lease_.ageing(now) || now < next_request_at_) return;
+  next_request_at_ = now + request_interval;
+  std::erase_if(open_requests_, [now](std::pair<std::uint64_t const, Micros> const& item) {
+    return now - item.second > request_timeout;
+  });
+  for (std::string const& target : select_targets(now)) {
+    wire::NewestRequestT request;
+    request.request_id = next_request_id_();
+    open_requests_[request.request_id] = now;
+    outgoing.push_back(message_to(target, std::move(request)));
+  }
+}
+
+std::vector<std::string> ConfigurationAuthority::select_targets(Micros now) {
+  std::vector<std::string> replicas;
+  std::vector<std::string> others;
+  for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
+    if (!is_reachable(mesh_, item.first)) continue;
+    (item.second.member.replica ? replicas : others).push_back(item.first);
+  }
+  std::vector<std::string> targets;
+  rotation_.advance();
+  if (!replicas.empty()) targets.push_back(rotation_.current(replicas));
+  if (!others.empty() && (replicas.empty() || quota_lease_.urgent(now))) targets.push_back(rotation_.current(others));
+  return targets;
+}
+
+wire::NewestReplyT ConfigurationAuthority::answer_request(std::uint64_t request_id, Micros now) const {
+  wire::NewestReplyT out;
+  out.request_id = request_id;
+  out.revision = learner_.revision();
+  if (quota_lease_.confirmed() >= 0) out.age = now - quota_lease_.confirmed();
+  return out;
+}
+
+// The peer's moment lies 'age' before its reply, and its reply after this node's question: reckoned from the question,
+// it can only be taken for an earlier one than it was.
+void ConfigurationAuthority::take_reply(std::string const& from, wire::NewestReplyT const& reply, Micros now,
+                                        std::vector<OutgoingMessage>& outgoing) {
+  std::map<std::uint64_t, Micros>::iterator const request = open_requests_.find(reply.request_id);
+  if (request == open_requests_.end()) return;
+  Micros const sent_at = request->second;
+  open_requests_.erase(request);
+  if (reply.age < 0) return;
+  Micros& confirmed_at = confirmed_revisions_.emplace(reply.revision, -1).first->second;
+  confirmed_at = std::max(confirmed_at, sent_at - reply.age);
+  update_confirmations();
+  if (confirmed_revisions_.size() > max_confirmed_revisions) confirmed_revisions_.erase(confirmed_revisions_.begin());
+  if (confirmed_revisions_.empty() || !quota_lease_.urgent(now)) return;
+  // What is newer has not come by itself.
+  wire::CatchUpRequestT catch_up;
+  catch_up.revision = learner_.revision();
+  outgoing.push_back(message_to(from, std::move(catch_up)));
+}
+
+}  // namespace pipit
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -27,6 +27,16 @@
 constexpr Micros owner_span = millis(4700);
 Micros owner_span_of(NodePlan const& plan) { return plan.revocation > 0 ? plan.revocation : owner_span; }
 
+QuotaAuthorityPlan quota_plan_of(NodePlan const& plan, std::optional<wire::RecordT> const& recovered) {
+  QuotaAuthorityPlan out;
+  out.self = plan.name;
+  out.terms = plan.quota;
+  out.first_request = incarnation_seed(plan, SeedUse::quota) >> spare_number_bits;
+  out.fence = owner_span_of(plan);
+  out.settled_members = recovered ? recovered->quota_members : 0;
+  return out;
+}
+
 wire::MemberT self_of(NodePlan const& plan) {
   wire::MemberT out;
   out.name = plan.name;
@@ -68,17 +78,16 @@
       registry(plan.name),
       exchange(plan.name),
       dispatcher(plan.name, plan.zone, index_sync, registry, exchange),
-      lease(plan.revocation, plan.in_force),
-      quota_owner(plan.quota),
-      quota_client(plan.name, incarnation_seed(plan, SeedUse::quota) >> spare_number_bits),
-      owner_lease_(owner_span_of(plan)),
-      quota_shares_(plan.name, owner_span_of(plan), recovered ? recovered->quota_members : 0),
       lease_grantor_(now),
       repair_lease_("mend", incarnation_seed(plan, SeedUse::lease)),
       started_at_(now),
       last_tick_(now),
       next_request_id_(incarnation_seed(plan, SeedUse::requests) >> spare_number_bits),
-      worker_departures_(plan.name, mesh, learner, [this](Micros at) { return quorum_heard(at); }) {
+      worker_departures_(plan.name, mesh, learner, [this](Micros at) { return quorum_heard(at); }),
+      configuration_authority_({plan.revocation, plan.in_force, owner_span_of(plan)}, mesh, learner, peer_rotation_,
+                               [this] { return ++next_request_id_; }),
+      quota_authority_(quota_plan_of(plan, recovered),
+                       {mesh, learner, acceptor, configuration_authority_, peer_rotation_, dispatcher}) {
   if (recovered) acceptor.emplace(std::move(*recovered));
   resumes_bootstrap = acceptor && !acceptor->held().bootstrap_seeds.empty();
   std::vector<std::string> const& seeds = plan.bootstrap_seeds;
@@ -87,7 +96,7 @@
   registry.span(plan.heartbeat_interval);
   if (plan.registered) dispatcher.begun(now);
   dispatcher.budget(plan.resend_ratio, plan.resend_store);
-  dispatcher.lease_on(lease);
+  dispatcher.lease_on(key_lease());
 }
 
 void Node::watch_clock(Micros now) {
@@ -238,17 +247,18 @@
         fleet.take_peer_loads(from, *body.AsLoads(), now);
       break;
     case wire::Body::NewestRequest:
-      outgoing.push_back(message_to(from, newest_reply(body.AsNewestRequest()->request_id, now)));
+      outgoing.push_back(
+          message_to(from, configuration_authority_.answer_request(body.AsNewestRequest()->request_id, now)));
       break;
     case wire::Body::NewestReply:
-      take_newest(from, *body.AsNewestReply(), now, outgoing);
+      configuration_authority_.take_reply(from, *body.AsNewestReply(), now, outgoing);
       break;
     case wire::Body::QuotaRequest:
-      take_quota_ask(from, *body.AsQuotaRequest(), now, outgoing);
+      quota_authority_.take_request(from, *body.AsQuotaRequest(), now, outgoing);
       break;
     case wire::Body::QuotaReply:
-      take_quota_reply(from, *body.AsQuotaReply(), now, outgoing);
-      settle_quota(now, out);
+      quota_authority_.take_reply(from, *body.AsQuotaReply(), now, outgoing);
+      process_quota(now, out);
       break;
     case wire::Body::ForwardedChange:
       take_handed(from, *body.AsForwardedChange(), now, out);
@@ -370,7 +380,7 @@
   }
   mesh.members.self.serial = value.serial;
   mesh.members.self.revision = value.revision;
-  confirm_configuration(now);
+  configuration_authority_.update_confirmations();
   update_registration(now, out);
   // Among nodes whose workers register, pings carry revisions; a bump of the record is not needed for them (§3.6).
   if (!plan.registered) mesh.announce_self(out.mesh);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -13,11 +13,10 @@
 #include "routing/dispatch/dispatcher.h"
 #include "routing/chat/chat_dispatcher.h"
 #include "routing/registry/registry.h"
-#include "routing/tenants/configuration_lease.h"
-#include "routing/tenants/quota_client.h"
-#include "routing/tenants/quota_owner.h"
-#include "routing/tenants/quota_shares.h"
 #include "mesh/mesh.h"
+#include "node/configuration_authority.h"
+#include "node/peer_selection.h"
+#include "node/quota_authority.h"
 #include "node/worker_departures.h"
 
 namespace pipit {
@@ -132,9 +131,13 @@
   bool ready() const { return ready_now_; }
   // Ready, and not without the lease that keys need.
   bool takes_requests(Micros now) const {
-    return ready_now_ && (!dispatcher.description()->keys_required || lease.holds(now));
+    return ready_now_ && (!dispatcher.description()->keys_required || key_lease().holds(now));
   }
   bool draining() const { return leaving_; }
+  // The lease on the configuration that requests with keys need.
+  ConfigurationLease const& key_lease() const { return configuration_authority_.key_lease(); }
+  // This node's part in asking for and handing out tenants' quota.
+  QuotaAuthority const& quota_authority() const { return quota_authority_; }
   std::size_t under_way() const { return chat_dispatcher.under_way(); }
 
   NodePlan const plan;
@@ -151,9 +154,6 @@
   Exchange exchange;
   Dispatcher dispatcher;
   std::uint64_t jumps = 0;
-  ConfigurationLease lease;  // for keys
-  QuotaOwner quota_owner;
-  QuotaClient quota_client;
 
  private:
   struct Waiting {  // an 'empty' that waits for confirmations
@@ -204,21 +204,8 @@
   std::optional<Change> catch_up_read(Micros now);
   std::vector<std::string> initial_replicas(Micros now) const;
   std::size_t replicas_wanted() const;
-  // Keys and limits of tenants (core/tenancy.cc).
-  void renew_lease(Micros now, std::vector<OutgoingMessage>& outgoing);
-  void confirm_configuration(Micros now);
-  wire::NewestReplyT newest_reply(std::uint64_t request_id, Micros now) const;
-  void take_newest(std::string const& from, wire::NewestReplyT const& reply, Micros now,
-                   std::vector<OutgoingMessage>& outgoing);
-  void tick_quota(Micros now, std::vector<OutgoingMessage>& outgoing);
-  void settle_quota(Micros now, NodeEffects& out);
-  void take_quota_ask(std::string const& from, wire::QuotaRequestT const& ask, Micros now,
-                      std::vector<OutgoingMessage>& outgoing);
-  void take_quota_reply(std::string const& from, wire::QuotaReplyT& reply, Micros now,
-                        std::vector<OutgoingMessage>& outgoing);
-  QuotaDecision decide_quota(wire::QuotaRequestT const& ask, Micros now);
-  QuotaPeers quota_peers() const;
-  bool reached(std::string const& name) const;
+  // Lets the quota authority work on what the dispatcher needs.
+  void process_quota(Micros now, NodeEffects& out);
   void tick_listed(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out);
   void tick_registered(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out);
   void put_entry(wire::EntryT entry, Micros now, NodeEffects& out);
@@ -267,14 +254,6 @@
   std::set<std::string> routers(bool all) const;
   Index::Bounds bounds(std::string const& model) const;
 
-  ConfigurationLease owner_lease_;  // for handing limits out
-  QuotaShares quota_shares_;
-  std::map<std::uint64_t, Micros> newest_asks_;  // when each question that may still be answered was sent
-  // By revision that is not held here yet: a moment at which nothing above it had been chosen.
-  std::map<std::uint64_t, Micros> newest_told_;
-  Micros next_newest_ask_ = 0;
-  std::uint64_t newest_turn_ = 0;
-
   LeaseGrantor lease_grantor_;
   LeaseHolder repair_lease_;
   Micros started_at_;
@@ -317,6 +296,9 @@
   bool had_duty_ = false;
   Micros repaired_at_ = -seconds(60);
   WorkerDepartures worker_departures_;
+  PeerRotation peer_rotation_;
+  ConfigurationAuthority configuration_authority_;
+  QuotaAuthority quota_authority_;
   struct OpenCall {  // of an operator, until it is answered
     Change::Type type = Change::Type::read;
     std::string change;
--- a/src/node/registered.cc
+++ b/src/node/registered.cc
@@ -43,16 +43,22 @@
 
 void Node::request(std::uint64_t id, Query query, Micros now, NodeEffects& out) {
   watch_clock(now);
-  confirm_configuration(now);
+  configuration_authority_.update_confirmations();
   dispatcher.fresh(id, std::move(query), now, out.dispatch);
-  settle_quota(now, out);
+  process_quota(now, out);
   exchange_now(now, out);
 }
 
+void Node::process_quota(Micros now, NodeEffects& out) {
+  std::vector<OutgoingMessage> outgoing;
+  quota_authority_.process_needs(out.dispatch, now, outgoing);
+  dispatch(outgoing, now, out);
+}
+
 void Node::attempt_ended(std::uint64_t id, AttemptEnd end, bool elsewhere, Micros now, NodeEffects& out) {
   watch_clock(now);
   dispatcher.ended(id, end, elsewhere, now, out.dispatch);
-  settle_quota(now, out);
+  process_quota(now, out);
 }
 
 // §12.7: the node of a zone that passes words on: the first of its replicas that is reached, else the first of all.
@@ -182,10 +188,10 @@
   worker_departures_.answer_calls(now, out.end_answers);
   dispatcher.nodes(routers(true).size(), mesh.wide());
   update_readiness(now, out);
-  renew_lease(now, outgoing);
-  tick_quota(now, outgoing);
+  configuration_authority_.renew_leases(dispatcher.description()->keys_required, now, outgoing);
+  quota_authority_.tick(now, outgoing);
   dispatcher.tick(now, out.dispatch);
-  settle_quota(now, out);
+  process_quota(now, out);
   exchange.tick(now, ways, outgoing);
 }
 
--- a/src/server/node_server_status.cc
+++ b/src/server/node_server_status.cc
@@ -38,7 +38,7 @@
 
 // -1 before the first confirmation.
 std::int64_t lease_age_ms(Node const& node) {
-  Micros const at = node.lease.confirmed();
+  Micros const at = node.key_lease().confirmed();
   return at < 0 ? -1 : (now() - at) / 1000;
 }
 
@@ -98,14 +98,14 @@
   JsonWriter json;
   json.begin_object().key("keys_required").boolean(rules.keys_required);
   json.key("configuration_confirmed_ms_ago").number(lease_age_ms(*node_));
-  json.key("keys_taken").boolean(node_->lease.holds(now())).key("tenants").begin_list();
+  json.key("keys_taken").boolean(node_->key_lease().holds(now())).key("tenants").begin_list();
   for (Tenant const& tenant : rules.tenants) {
     json.begin_object().key("name").text(tenant.name).key("rank").number(tenant.rank).key("keys").begin_list();
     for (Digest const& key : tenant.keys) json.text(short_text(key));
     json.end_list().key("counts").text(tenant.unit == CountingUnit::tokens ? "tokens" : "requests");
     json.key("rate").number(tenant.rate).key("burst").number(tenant.burst);
     TenantTally const asked = value_at(node_->dispatcher.tenant_tallies, tenant.name);
-    QuotaOwner::Tally const granted = value_at(node_->quota_owner.tallies, tenant.name);
+    QuotaOwner::Tally const granted = value_at(node_->quota_authority().owner().tallies, tenant.name);
     json.key("here").begin_object();
     json.key("asked").number(static_cast<std::int64_t>(asked.asked));
     json.key("refused").number(static_cast<std::int64_t>(asked.refused));
@@ -161,11 +161,11 @@
   text.gauge("pipit_wires", node_->mesh.open_connections());
   text.gauges("pipit_peers", "state", peers_by_state(*node_));
   text.gauges("pipit_workers", "standing", workers_by_standing(*node_));
-  text.gauge("pipit_configuration_confirmed_ms_ago", age_ms(node_->lease.confirmed(), now()));
+  text.gauge("pipit_configuration_confirmed_ms_ago", age_ms(node_->key_lease().confirmed(), now()));
   text.counter("pipit_keys_unknown_total", t.unknown_keys);
   text.counter("pipit_keys_unconfirmed_total", t.unconfirmed);
-  text.counter("pipit_quota_messages_total", node_->quota_client.tally.messages);
-  text.counter("pipit_quota_timeouts_total", node_->quota_client.tally.timeouts);
+  text.counter("pipit_quota_messages_total", node_->quota_authority().client().tally.messages);
+  text.counter("pipit_quota_timeouts_total", node_->quota_authority().client().tally.timeouts);
   text.counters("pipit_quota_asked_total", "tenant", by_tenant(&TenantTally::asked));
   text.counters("pipit_quota_refused_total", "tenant", by_tenant(&TenantTally::refused));
   text.counters("pipit_quota_unreachable_total", "tenant", by_tenant(&TenantTally::unreachable));
--- /dev/null
+++ b/tests/node/configuration_authority.cc
@@ -0,0 +1,128 @@
+// Leases on the configuration: whom a node asks, and what a reply confirms. Without sockets.
+#include "node/configuration_authority.h"
+
+#include <gtest/gtest.h>
+
+namespace pipit {
+
+namespace {
+constexpr Micros quota_span = seconds(3);
+
+class ConfigurationAuthorityTest : public testing::Test {
+ protected:
+  ConfigurationAuthorityTest()
+      : mesh(MeshPlan{}, wire::MemberT(), 1),
+        authority({quota_span, millis(500), quota_span}, mesh, learner, rotation, [this] { return ++last_request; }) {}
+
+  void connect(std::string const& name, bool replica) {
+    Peer& peer = mesh.members.peers[name];
+    peer.member.name = name;
+    peer.member.replica = replica;
+    peer.connection = mesh.members.peers.size();
+  }
+  void hold_revision(std::uint64_t revision) {
+    wire::ValueT value;
+    value.revision = revision;
+    ASSERT_TRUE(learner.adopt(value, 0));
+  }
+  // Whom the node asks at that moment.
+  std::vector<std::string> renew(Micros now) {
+    std::vector<OutgoingMessage> outgoing;
+    authority.renew_leases(true, now, outgoing);
+    std::vector<std::string> names;
+    for (OutgoingMessage const& message : outgoing) {
+      EXPECT_EQ(message.body.type, wire::Body::NewestRequest);
+      names.push_back(message.to);
+    }
+    return names;
+  }
+  // The number of requests for a newer value that the reply leads to.
+  std::size_t reply(std::uint64_t request_id, std::uint64_t revision, Micros age, Micros now) {
+    wire::NewestReplyT body;
+    body.request_id = request_id;
+    body.revision = revision;
+    body.age = age;
+    std::vector<OutgoingMessage> outgoing;
+    authority.take_reply("n2", body, now, outgoing);
+    for (OutgoingMessage const& message : outgoing) EXPECT_EQ(message.body.type, wire::Body::CatchUpRequest);
+    return outgoing.size();
+  }
+
+  Mesh mesh;
+  Learner learner;
+  PeerRotation rotation;
+  std::uint64_t last_request = 0;
+  ConfigurationAuthority authority;
+};
+}  // namespace
+
+TEST_F(ConfigurationAuthorityTest, PollOfTheReplicasConfirmsBothLeases) {
+  EXPECT_FALSE(authority.key_lease().holds(0));
+  EXPECT_FALSE(authority.may_grant_quota(0));
+  learner.sure = seconds(1);
+  authority.update_confirmations();
+  EXPECT_TRUE(authority.key_lease().holds(seconds(1) + quota_span));
+  EXPECT_TRUE(authority.may_grant_quota(seconds(1) + quota_span));
+  EXPECT_FALSE(authority.key_lease().holds(seconds(1) + quota_span + 1));
+  EXPECT_FALSE(authority.may_grant_quota(seconds(1) + quota_span + 1));
+}
+
+TEST_F(ConfigurationAuthorityTest, AsksAReplicaFromTheFirstThirdAndOthersFromTheHalf) {
+  connect("n2", true);
+  connect("n3", false);
+  learner.sure = 0;
+  EXPECT_TRUE(renew(seconds(1)).empty()) << "still in the first third";
+  EXPECT_EQ(renew(seconds(1) + 1), std::vector<std::string>({"n2"}));
+  EXPECT_TRUE(renew(seconds(1) + 2).empty()) << "an interval lies between two questions";
+  EXPECT_EQ(renew(millis(1501)), std::vector<std::string>({"n2", "n3"}));
+}
+
+TEST_F(ConfigurationAuthorityTest, AsksNobodyWhereKeysAreNotRequired) {
+  connect("n2", true);
+  std::vector<OutgoingMessage> outgoing;
+  authority.renew_leases(false, seconds(1), outgoing);
+  EXPECT_TRUE(outgoing.empty());
+}
+
+TEST_F(ConfigurationAuthorityTest, QuestionsGoToTheReplicasInTurn) {
+  connect("n2", true);
+  connect("n3", true);
+  std::vector<std::string> const first = renew(0);
+  std::vector<std::string> const second = renew(millis(300));
+  ASSERT_EQ(first.size(), 1u);
+  ASSERT_EQ(second.size(), 1u);
+  EXPECT_NE(first[0], second[0]);
+}
+
+TEST_F(ConfigurationAuthorityTest, ReplyCountsFromTheQuestionLessItsAge) {
+  hold_revision(5);
+  connect("n2", true);
+  ASSERT_EQ(renew(seconds(10)).size(), 1u);
+  EXPECT_EQ(reply(last_request, 5, millis(200), seconds(10) + millis(50)), 0u);
+  EXPECT_EQ(authority.key_lease().confirmed(), seconds(10) - millis(200));
+  EXPECT_EQ(authority.answer_request(9, seconds(10)).age, millis(200));
+}
+
+TEST_F(ConfigurationAuthorityTest, ReplyWithoutAQuestionOrAnAgeConfirmsNothing) {
+  hold_revision(5);
+  connect("n2", true);
+  EXPECT_EQ(reply(77, 5, 0, seconds(10)), 0u);
+  ASSERT_EQ(renew(seconds(10)).size(), 1u);
+  EXPECT_EQ(reply(last_request, 5, -1, seconds(10)), 0u);
+  EXPECT_EQ(authority.key_lease().confirmed(), -1);
+  EXPECT_EQ(reply(last_request, 5, 0, seconds(10)), 0u) << "a question is answered once";
+  EXPECT_EQ(authority.key_lease().confirmed(), -1);
+}
+
+TEST_F(ConfigurationAuthorityTest, ReplyOfANewerRevisionConfirmsOnceThatIsHeld) {
+  hold_revision(5);
+  connect("n2", true);
+  ASSERT_EQ(renew(seconds(10)).size(), 1u);
+  EXPECT_EQ(reply(last_request, 6, 0, seconds(10)), 1u) << "the newer value is asked for";
+  EXPECT_EQ(authority.key_lease().confirmed(), -1);
+  hold_revision(6);
+  authority.update_confirmations();
+  EXPECT_EQ(authority.key_lease().confirmed(), seconds(10));
+}
+
+}  // namespace pipit
