--- a/src/node/changes.cc
+++ b/src/node/changes.cc
@@ -93,7 +93,10 @@
     if (outcome.value.serial > 0 && learner.adopt(outcome.value, now)) after_value(now, out);
   }
   if (id == 0) {
-    (change.type == Change::Type::register_router ? registration_pending_ : duty_busy_) = false;
+    if (change.type == Change::Type::register_router)
+      router_registrations_.finish_registration();
+    else
+      duty_busy_ = false;
     return;
   }
   if (change.type == Change::Type::empty && holds) {
@@ -129,7 +132,7 @@
     Waiting& item = it->second;
     std::set<std::string> owe;
     for (std::string const& name : item.owe)
-      if (owes(item, name)) owe.insert(name);
+      if (is_unconfirmed(item, name)) owe.insert(name);
     bool const half = plan.registered ? (item.sure.size() + 1) * 2 >= routers(false).size() : half_has(item.half);
     bool const more = item.half > 0 ? !half : !owe.empty();
     if (more && now < item.due) {
--- a/src/node/checks.cc
+++ b/src/node/checks.cc
@@ -75,7 +75,7 @@
     return "no majority of keepers has answered since " + std::to_string((now - from) / 1000) + " ms, " +
            std::to_string(mesh.open_connections()) + " connections to peers, " +
            std::to_string(learner.membership().replicas.size()) + " keepers known";
-  if (!is_registered()) return "it has no seat in the register";
+  if (!router_registrations_.is_registered()) return "it has no seat in the register";
   if (learner.serial() == 0) return "there is no configuration yet";
   return "no worker is known, or it is new and others may not know of it";
 }
--- a/src/node/listed.cc
+++ b/src/node/listed.cc
@@ -47,7 +47,7 @@
   if (learner.value)
     for (std::unique_ptr<wire::RouterRegistrationT> const& registration : learner.value->registrations)
       names.insert(registration->name);
-  chat_dispatcher.nodes(std::move(names), newcomer(now));
+  chat_dispatcher.nodes(std::move(names), router_registrations_.is_newcomer(now));
   update_registration(now, out);
   tell_loads(now, outgoing);
   std::set<std::string> senders = routers(false);
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -84,6 +84,7 @@
       last_tick_(now),
       next_request_id_(incarnation_seed(plan, SeedUse::requests) >> spare_number_bits),
       worker_departures_(plan.name, mesh, learner, [this](Micros at) { return quorum_heard(at); }),
+      router_registrations_({plan.name, plan.address, plan.role == Role::router, !plan.registered}, mesh, learner),
       configuration_authority_({plan.revocation, plan.in_force, owner_span_of(plan)}, mesh, learner, peer_rotation_,
                                [this] { return ++next_request_id_; }),
       quota_authority_(quota_plan_of(plan, recovered),
@@ -467,7 +468,7 @@
   // Where replicas are many enough for the losses that are allowed, nothing else will do (docs/control.md).
   if (plan.registered && !word && !ready_now_) return;
   bool sure = word;
-  if (word && plan.role == Role::router && !is_registered()) {
+  if (word && plan.role == Role::router && !router_registrations_.is_registered()) {
     // §5.9: nothing is placed before this incarnation of the node has its registration; while a majority answers, by
     // nobody's word.
     request_registration(now, out);
@@ -492,7 +493,7 @@
     update_hold();
     chat_dispatcher.work(now, out.chat);
   }
-  if (!ready_now_ && newcomer(now)) return;
+  if (!ready_now_ && router_registrations_.is_newcomer(now)) return;
   if (!ready_now_) {
     ready_now_ = true;
     log_event(Event::node_ready, "revision " + std::to_string(learner.revision()) + ", " +
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -17,6 +17,7 @@
 #include "node/configuration_authority.h"
 #include "node/peer_selection.h"
 #include "node/quota_authority.h"
+#include "node/router_registrations.h"
 #include "node/worker_departures.h"
 
 namespace pipit {
@@ -104,7 +105,9 @@
   void operate(std::uint64_t id, Change change, Micros now, NodeEffects& out);
   bool zone_known(std::string const& zone) const;
   // Why a router node cannot be forgotten; nothing when it can (§5.9).
-  std::optional<Error> keeps(std::string const& name) const;
+  std::optional<Error> eviction_refusal(std::string const& name) const {
+    return router_registrations_.eviction_refusal(name);
+  }
 
   // Routed requests, and workers that register themselves (§12). An answer to a worker's word may be given at once.
   void request(std::uint64_t id, Query query, Micros now, NodeEffects& out);
@@ -232,14 +235,12 @@
   void refuse_now(std::uint64_t id, Change const& change, ErrorCode kind, NodeEffects& out);
   Micros poll_span() const;
   bool half_has(std::uint64_t revision) const;
-  bool is_registered() const;
   void ask_newer(Micros now, std::vector<OutgoingMessage>& outgoing);
   void update_hold();
-  bool newcomer(Micros now) const;
-  bool self_evicted() const;
   void request_registration(Micros now, NodeEffects& out);
   void update_registration(Micros now, NodeEffects& out);
-  bool owes(Waiting const& item, std::string const& name) const;
+  // Whether an 'empty' still waits for this node's confirmation.
+  bool is_unconfirmed(Waiting const& item, std::string const& name) const;
   bool eviction_due(Micros now, Change& change) const;
   // Knowledge of the list that a peer passed on, as old as it said (§4.3).
   void hear(Micros age, Micros now);
@@ -278,12 +279,7 @@
   Micros up_to_date_at_ = -1;  // until when no mark can have been missed
   Micros half_since_ = -1;     // since when at least half of all members are heard
   Micros list_said_at_ = -1;   // when the list's own address last refused, or answered oddly
-  bool registration_pending_ = false;
-  bool was_registered_ = false;
-  bool registered_before_ = false;  // a former incarnation had one: nobody's share changes with this one
   Micros behind_since_ = -1;
-  Micros next_registration_ = 0;
-  Micros registered_at_ = -1;
   bool leaving_ = false;
   bool retiring_ = false;
   Micros stale_from_ = -1;  // since when a jump of the clock waits for fresh knowledge
@@ -296,6 +292,7 @@
   bool had_duty_ = false;
   Micros repaired_at_ = -seconds(60);
   WorkerDepartures worker_departures_;
+  RouterRegistrations router_registrations_;
   PeerRotation peer_rotation_;
   ConfigurationAuthority configuration_authority_;
   QuotaAuthority quota_authority_;
--- a/src/node/seats.cc
+++ b/src/node/seats.cc
@@ -6,62 +6,20 @@
 namespace pipit {
 
 namespace {
-constexpr Micros registration_interval = millis(150);
-constexpr Micros newcomer_span = seconds(2);
 constexpr Micros behind_gap = millis(300);
 constexpr Micros alone_after = millis(1700);
 constexpr Micros catch_up = millis(1500);
 constexpr Micros evict_after = seconds(20);
 }  // namespace
 
-bool Node::is_registered() const {
-  if (!guard(Guard::registrations) || plan.registered) return true;
-  if (!learner.value) return false;
-  wire::RouterRegistrationT const* const registration = registration_of(*learner.value, plan.name);
-  return registration != nullptr && registration->incarnation == mesh.members.self.incarnation;
-}
-
 void Node::request_registration(Micros now, NodeEffects& out) {
-  if (registration_pending_ || leaving_ || now < next_registration_) return;
-  registration_pending_ = true;
-  next_registration_ = now + registration_interval;
-  Change change;
-  change.type = Change::Type::register_router;
-  change.registration.name = plan.name;
-  change.registration.address = plan.address;
-  change.registration.incarnation = mesh.members.self.incarnation;
-  operate(0, std::move(change), now, out);
+  if (leaving_) return;
+  if (std::optional<Change> change = router_registrations_.next_registration(now))
+    operate(0, std::move(*change), now, out);
 }
 
-// What the register says of registrations, this node's own among them.
 void Node::update_registration(Micros now, NodeEffects& out) {
-  if (!learner.value) return;
-  for (std::unique_ptr<wire::RouterRegistrationT> const& registration : learner.value->registrations)
-    mesh.members.register_router(*registration, now);
-  mesh.members.evict(learner.value->evicted);
-  if (plan.role != Role::router) return;
-  wire::RouterRegistrationT const* const own = registration_of(*learner.value, plan.name);
-  if (own != nullptr && own->incarnation > mesh.members.self.incarnation) {
-    // A former incarnation had a later clock.
-    mesh.members.self.incarnation = own->incarnation + 1;
-    mesh.announce_self(out.mesh);
-  }
-  if (own != nullptr && own->incarnation != mesh.members.self.incarnation) registered_before_ = true;
-  if (is_registered()) {
-    if (registered_at_ < 0) log_event(Event::router_registered, std::to_string(mesh.members.self.incarnation));
-    if (registered_at_ < 0) registered_at_ = now;
-    if (!was_registered_) {
-      was_registered_ = true;
-      update_hold();
-    }
-  } else if (was_registered_) {
-    // It was evicted, though it incarnations: it places nothing until it has a registration again, and then begins as a
-    // newcomer.
-    was_registered_ = false;
-    registered_before_ = false;
-    registered_at_ = -1;
-    update_hold();
-  }
+  if (router_registrations_.apply_register(now, out.mesh)) update_hold();
 }
 
 // §5.5: a peer announces a newer revision than is held here, and no push or poll has brought it: the peer itself is
@@ -82,45 +40,15 @@
   }
 }
 
-// §5.9: for a while others still divide the bounds of cold workers among fewer.
-// Its start changes everybody's share of a cold worker's bound; where workers register there are no such shares.
-bool Node::newcomer(Micros now) const {
-  if (plan.registered) return false;
-  return plan.role == Role::router && !registered_before_ && registered_at_ >= 0 &&
-         now - registered_at_ < newcomer_span;
-}
-
 void Node::update_hold() {
   if (plan.role != Role::router) return;
   dispatcher.hold(stale_from_ >= 0);
-  bool const lost = guard(Guard::registrations) && ready_now_ && registered_at_ < 0 && learner.value && self_evicted();
+  bool const lost = ready_now_ && router_registrations_.is_evicted();
   chat_dispatcher.hold(stale_from_ >= 0 || lost);
 }
 
-bool Node::self_evicted() const {
-  for (std::unique_ptr<wire::RouterRegistrationT> const& item : learner.value->evicted)
-    if (item->name == plan.name && item->incarnation >= mesh.members.self.incarnation) return true;
-  return false;
-}
-
-// Whether an 'empty' still waits for this node's word.
-bool Node::owes(Waiting const& item, std::string const& name) const {
-  if (item.sure.count(name)) return false;
-  wire::RouterRegistrationT const* const registration = learner.value ? registration_of(*learner.value, name) : nullptr;
-  std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
-  bool const known = peer != mesh.members.peers.end();
-  // That it left, or refuses a dial, says nothing of a later incarnation.
-  if (registration != nullptr && (!known || peer->second.member.incarnation < registration->incarnation)) return true;
-  return !mesh.gone(name);
-}
-
-std::optional<Error> Node::keeps(std::string const& name) const {
-  bool const known = learner.value && registration_of(*learner.value, name) != nullptr;
-  std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
-  bool const here = name == plan.name || (peer != mesh.members.peers.end() && peer->second.connection != 0);
-  if (here) return Error{ErrorCode::node_alive, "the node '" + name + "' is alive", ""};
-  if (!known) return Error{ErrorCode::unknown_node, "no router node '" + name + "' has a seat", ""};
-  return std::nullopt;
+bool Node::is_unconfirmed(Waiting const& item, std::string const& name) const {
+  return item.sure.count(name) == 0 && router_registrations_.must_confirm(name);
 }
 
 // A router node that said goodbye, or whose address has refused for long, is evicted by whoever holds the duty.
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -98,7 +98,7 @@
       return refuse(call.id, Error{ErrorCode::not_found, "", ""});
     if (call.method != "POST") return refuse(call.id, Error{ErrorCode::bad_method, "", ""});
     std::string const name = rest.substr(0, cut);
-    if (std::optional<Error> const why = node_->keeps(name)) return refuse(call.id, *why);
+    if (std::optional<Error> const why = node_->eviction_refusal(name)) return refuse(call.id, *why);
     change.type = Change::Type::evict_router;
     change.registration = *registration_of(*node_->learner.value, name);
   } else if (call.path.rfind("/v1/changes/", 0) == 0 && call.method == "GET") {
--- a/testing/fleet_simulator/operators.cc
+++ b/testing/fleet_simulator/operators.cc
@@ -32,7 +32,7 @@
   enter(box, box.life, [this, id, type, text, expected](Box& b, Micros t, NodeEffects& out) {
     Change change;
     if (type == Change::Type::evict_router) {
-      if (b.node->keeps(text)) return;
+      if (b.node->eviction_refusal(text)) return;
       change.registration = *registration_of(*b.node->learner.value, text);
     }
     change.type = type;
