--- a/src/node/listed.cc
+++ b/src/node/listed.cc
@@ -54,7 +54,7 @@
   senders.erase(plan.name);
   fleet.sum_others(senders, now);
   update_readiness(now, out);
-  bool const alone = guard(Guard::isolation) && !is_up_to_date(now);
+  bool const alone = guard(Guard::isolation) && !list_freshness_.update(now);
   if (ready_now_ && alone != isolated_) {
     isolated_ = alone;
     log_event(alone ? Event::node_isolated : Event::node_rejoined, "");
@@ -69,7 +69,7 @@
   list_flying_ = false;
   if (!rows) {
     // A failed reading is no departure.
-    if (answered) list_said_at_ = now;
+    if (answered) list_freshness_.note_source_failure(now);
     if (!list_bad_) log_event(Event::list_failed, "");
     list_bad_ = true;
     return;
@@ -80,7 +80,7 @@
   // What this reading began before a jump of the clock says nothing about the time after it.
   if (stale_from_ < 0 || list_flew_ >= stale_from_) {
     listed_at_ = list_flew_;
-    list_known_at_ = std::max(list_known_at_, listed_at_);
+    list_freshness_.note_reading(listed_at_);
   }
   take_fresh(now);
   own_entries(now, out);
@@ -133,7 +133,7 @@
   if (now < next_loads_) return;
   next_loads_ = now + load_gap;
   wire::LoadsT loads = fleet.own_loads();
-  loads.age = list_age(now);
+  loads.age = list_freshness_.age(now);
   std::string print;
   for (std::unique_ptr<wire::LoadT> const& item : loads.list)
     print += item->worker + " " + std::to_string(item->attempts) + " ";
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -85,6 +85,7 @@
       next_request_id_(incarnation_seed(plan, SeedUse::requests) >> spare_number_bits),
       worker_departures_(plan.name, mesh, learner, [this](Micros at) { return quorum_heard(at); }),
       router_registrations_({plan.name, plan.address, plan.role == Role::router, !plan.registered}, mesh, learner),
+      list_freshness_(mesh),
       configuration_authority_({plan.revocation, plan.in_force, owner_span_of(plan)}, mesh, learner, peer_rotation_,
                                [this] { return ++next_request_id_; }),
       quota_authority_(quota_plan_of(plan, recovered),
@@ -190,10 +191,10 @@
       }
       break;
     case wire::Body::ReadRequest:
-      hear(body.AsReadRequest()->age, now);
+      take_list_age(body.AsReadRequest()->age, now);
       if (acceptor) {
         wire::ReadReplyT ans = read_reply(acceptor->held(), *body.AsReadRequest());
-        ans.age = list_age(now);
+        ans.age = list_freshness_.age(now);
         ans.retiring = retiring_;
         outgoing.push_back(message_to(from, std::move(ans)));
       }
@@ -204,7 +205,7 @@
       settle_ended(now, out);
       break;
     case wire::Body::ReadReply:
-      hear(body.AsReadReply()->age, now);
+      take_list_age(body.AsReadReply()->age, now);
       if (learner.take(from, *body.AsReadReply(), now, outgoing)) after_value(now, out);
       proposer.know(learner.membership());
       update_readiness(now, out);
@@ -240,7 +241,7 @@
       repair_lease_.take(from, *body.AsLeaseReply(), now, learner.membership());
       break;
     case wire::Body::Loads:
-      hear(body.AsLoads()->age, now);
+      take_list_age(body.AsLoads()->age, now);
       if (plan.registered) {
         registry.peer_loads(*body.AsLoads(), now);
         exchange.pass(from, *body.AsLoads());
@@ -511,7 +512,7 @@
   std::vector<OutgoingMessage> outgoing;
   if (now >= next_poll_ && (guard(Guard::spread) || learner.sure < 0 || plan.role == Role::config_store)) {
     next_poll_ = now + poll_span();
-    learner.poll(now, replicas(), list_age(now), outgoing);
+    learner.poll(now, replicas(), list_freshness_.age(now), outgoing);
     bootstrap(now, outgoing);
   }
   if (acceptor)
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -15,6 +15,7 @@
 #include "routing/registry/registry.h"
 #include "mesh/mesh.h"
 #include "node/configuration_authority.h"
+#include "node/list_freshness.h"
 #include "node/peer_selection.h"
 #include "node/quota_authority.h"
 #include "node/router_registrations.h"
@@ -242,10 +243,8 @@
   // Whether an 'empty' still waits for this node's confirmation.
   bool is_unconfirmed(Waiting const& item, std::string const& name) const;
   bool eviction_due(Micros now, Change& change) const;
-  // Knowledge of the list that a peer passed on, as old as it said (§4.3).
-  void hear(Micros age, Micros now);
-  bool is_up_to_date(Micros now);
-  Micros list_age(Micros now) const { return list_known_at_ < 0 ? -1 : now - list_known_at_; }
+  // Takes the age of a peer's knowledge of the list (§4.3).
+  void take_list_age(Micros age, Micros now);
   void take_fresh(Micros now);
   void tell_loads(Micros now, std::vector<OutgoingMessage>& outgoing);
   void check_now(std::string const& id, Micros now, NodeEffects& out);
@@ -275,10 +274,6 @@
   std::map<std::string, Micros> check_due_;
   bool ready_now_ = false;
   bool isolated_ = false;
-  Micros list_known_at_ = -1;  // when the freshest reading of the list that is known here was begun, by whomever
-  Micros up_to_date_at_ = -1;  // until when no mark can have been missed
-  Micros half_since_ = -1;     // since when at least half of all members are heard
-  Micros list_said_at_ = -1;   // when the list's own address last refused, or answered oddly
   Micros behind_since_ = -1;
   bool leaving_ = false;
   bool retiring_ = false;
@@ -293,6 +288,7 @@
   Micros repaired_at_ = -seconds(60);
   WorkerDepartures worker_departures_;
   RouterRegistrations router_registrations_;
+  ListFreshness list_freshness_;
   PeerRotation peer_rotation_;
   ConfigurationAuthority configuration_authority_;
   QuotaAuthority quota_authority_;
--- a/src/node/seats.cc
+++ b/src/node/seats.cc
@@ -7,8 +7,6 @@
 
 namespace {
 constexpr Micros behind_gap = millis(300);
-constexpr Micros alone_after = millis(1700);
-constexpr Micros catch_up = millis(1500);
 constexpr Micros evict_after = seconds(20);
 }  // namespace
 
@@ -69,26 +67,9 @@
   return false;
 }
 
-// §4.3: who knows no late reading of the list cannot know which workers are marked. Unless the list itself is down,
-// so that nobody can have read any more: its own address says so, or half of all members have no news either. That
-// holds on from what was known before; a node that was alone must first hear from half of them for a while.
-bool Node::is_up_to_date(Micros now) {
-  Micros const half_at = mesh.half_heard(now);
-  bool const half = half_at >= 0 && now - half_at <= alone_after;
-  if (!half)
-    half_since_ = -1;
-  else if (half_since_ < 0)
-    half_since_ = now;
-  up_to_date_at_ = std::max(up_to_date_at_, list_known_at_);
-  Micros const word = std::max(half_at, list_said_at_);
-  bool const held = up_to_date_at_ >= 0 && word - up_to_date_at_ <= alone_after;
-  if (held || (half && now - half_since_ > catch_up)) up_to_date_at_ = std::max(up_to_date_at_, word);
-  return now - up_to_date_at_ <= alone_after;
-}
-
-void Node::hear(Micros age, Micros now) {
+void Node::take_list_age(Micros age, Micros now) {
   // What lay in a connection while this node stood still is older than it says.
-  if (age >= 0 && stale_from_ < 0) list_known_at_ = std::max(list_known_at_, now - age);
+  if (stale_from_ < 0) list_freshness_.note_peer_age(age, now);
 }
 
 }  // namespace pipit
