--- a/src/node/quota_authority.cc
+++ b/src/node/quota_authority.cc
@@ -29,7 +29,7 @@
   if (!collaborators_.dispatcher.description()->keys_required) return;
   std::uint64_t const settled = shares_.settled(now);
   std::optional<Acceptor>& acceptor = collaborators_.acceptor;
-  if (acceptor && settled != 0 && collaborators_.configuration.may_grant_quota(now))
+  if (acceptor && settled != 0 && collaborators_.configuration.may_issue_quota(now))
     acceptor->note_quota_members(settled);
   owner_.forget(now);
   if (client_.waiting() > 0) client_.tick(select_peers(), now, outgoing);
@@ -68,7 +68,7 @@
   collaborators_.configuration.update_confirmations();
   Tenant const* const tenant = collaborators_.dispatcher.description()->tenant(request.tenant);
   double const share = shares_.share(now);
-  bool const confirmed = collaborators_.configuration.may_grant_quota(now);
+  bool const confirmed = collaborators_.configuration.may_issue_quota(now);
   if (tenant == nullptr || share <= 0 || !confirmed || request.count < 0) return QuotaDecision{};
   Micros const since = shares_.active_since(now);
   switch (static_cast<QuotaPurpose>(request.purpose)) {
--- a/src/node/router_registrations.h
+++ b/src/node/router_registrations.h
@@ -59,7 +59,7 @@
   Mesh& mesh_;
   Learner const& learner_;
   bool is_pending_ = false;       // a request for it is under way
-  bool was_registered_ = false;   // at the last look at the register
+  bool was_registered_ = false;   // when the register was last applied
   bool had_predecessor_ = false;  // a former incarnation was registered: nobody's share changes with this one
   Micros next_request_at_ = 0;
   Micros registered_at_ = -1;  // -1: not since the start, or since an eviction
--- a/tests/node/configuration_authority.cc
+++ b/tests/node/configuration_authority.cc
@@ -58,13 +58,13 @@
 
 TEST_F(ConfigurationAuthorityTest, PollOfTheReplicasConfirmsBothLeases) {
   EXPECT_FALSE(authority.key_lease().holds(0));
-  EXPECT_FALSE(authority.may_grant_quota(0));
+  EXPECT_FALSE(authority.may_issue_quota(0));
   learner.sure = seconds(1);
   authority.update_confirmations();
   EXPECT_TRUE(authority.key_lease().holds(seconds(1) + quota_span));
-  EXPECT_TRUE(authority.may_grant_quota(seconds(1) + quota_span));
+  EXPECT_TRUE(authority.may_issue_quota(seconds(1) + quota_span));
   EXPECT_FALSE(authority.key_lease().holds(seconds(1) + quota_span + 1));
-  EXPECT_FALSE(authority.may_grant_quota(seconds(1) + quota_span + 1));
+  EXPECT_FALSE(authority.may_issue_quota(seconds(1) + quota_span + 1));
 }
 
 TEST_F(ConfigurationAuthorityTest, AsksAReplicaFromTheFirstThirdAndOthersFromTheHalf) {
