--- /dev/null
+++ b/src/node/exchange_topology.cc
@@ -0,0 +1,56 @@
+#include "node/exchange_topology.h"
+
+#include <set>
+#include <utility>
+
+#include "node/peer_selection.h"
+
+namespace pipit {
+
+ExchangeTopology::ExchangeTopology(TopologyPlan plan, Mesh const& mesh) : plan_(std::move(plan)), mesh_(mesh) {}
+
+std::string ExchangeTopology::select_hub(std::string const& zone) const {
+  std::string hub;
+  bool hub_is_replica = false;
+  if (zone == plan_.zone) {
+    hub = plan_.name;
+    hub_is_replica = plan_.is_replica;
+  }
+  for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
+    wire::MemberT const& member = item.second.member;
+    if (member.zone != zone || !is_reachable(item.second)) continue;
+    bool const better =
+        hub.empty() || (member.replica && !hub_is_replica) || (member.replica == hub_is_replica && item.first < hub);
+    if (!better) continue;
+    hub = item.first;
+    hub_is_replica = member.replica;
+  }
+  return hub;
+}
+
+Paths ExchangeTopology::compute_paths() const {
+  Paths out;
+  out.wide = mesh_.wide();
+  std::set<std::string> other_zones;
+  for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
+    if (!is_reachable(item.second)) continue;
+    std::string const& zone = item.second.member.zone;
+    if (!out.wide)
+      out.all.push_back(item.first);
+    else if (zone == plan_.zone)
+      out.zone.push_back(item.first);
+    else
+      other_zones.insert(zone);
+  }
+  if (!out.wide) return out;
+  std::string const own_hub = select_hub(plan_.zone);
+  out.hub = own_hub == plan_.name;
+  if (!out.hub) {
+    out.own_hub = own_hub;
+    return out;
+  }
+  for (std::string const& zone : other_zones) out.hubs.push_back(select_hub(zone));
+  return out;
+}
+
+}  // namespace pipit
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -86,6 +86,7 @@
       worker_departures_(plan.name, mesh, learner, [this](Micros at) { return quorum_heard(at); }),
       router_registrations_({plan.name, plan.address, plan.role == Role::router, !plan.registered}, mesh, learner),
       list_freshness_(mesh),
+      exchange_topology_({plan.name, plan.zone, plan.replica}, mesh),
       configuration_authority_({plan.revocation, plan.in_force, owner_span_of(plan)}, mesh, learner, peer_rotation_,
                                [this] { return ++next_request_id_; }),
       quota_authority_(quota_plan_of(plan, recovered),
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -15,6 +15,7 @@
 #include "routing/registry/registry.h"
 #include "mesh/mesh.h"
 #include "node/configuration_authority.h"
+#include "node/exchange_topology.h"
 #include "node/list_freshness.h"
 #include "node/peer_selection.h"
 #include "node/quota_authority.h"
@@ -215,8 +216,6 @@
   void put_entry(wire::EntryT entry, Micros now, NodeEffects& out);
   void adopt_workers(Micros now, NodeEffects& out);
   void exchange_now(Micros now, NodeEffects& out);
-  Paths paths() const;
-  std::string hub_of(std::string const& zone) const;
   void forward(wire::ChosenT const& update, NodeEffects& out);
   // Changes go to one replica, so that proposers do not outbid each other (§12.8).
   std::string proposing_replica() const;
@@ -289,6 +288,7 @@
   WorkerDepartures worker_departures_;
   RouterRegistrations router_registrations_;
   ListFreshness list_freshness_;
+  ExchangeTopology exchange_topology_;
   PeerRotation peer_rotation_;
   ConfigurationAuthority configuration_authority_;
   QuotaAuthority quota_authority_;
--- a/src/node/peer_selection.h
+++ b/src/node/peer_selection.h
@@ -13,9 +13,10 @@
 namespace pipit {
 
 // Whether the peer has an open connection and is alive.
+inline bool is_reachable(Peer const& peer) { return peer.connection != 0 && peer.state() == State::alive; }
 inline bool is_reachable(Mesh const& mesh, std::string const& name) {
   std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
-  return peer != mesh.members.peers.end() && peer->second.connection != 0 && peer->second.state() == State::alive;
+  return peer != mesh.members.peers.end() && is_reachable(peer->second);
 }
 
 class PeerRotation {
--- a/src/node/registered.cc
+++ b/src/node/registered.cc
@@ -61,55 +61,10 @@
   process_quota(now, out);
 }
 
-// §12.7: the node of a zone that passes words on: the first of its replicas that is reached, else the first of all.
-std::string Node::hub_of(std::string const& zone) const {
-  std::string best;
-  bool keeps = false;
-  if (zone == plan.zone) {
-    best = plan.name;
-    keeps = plan.replica;
-  }
-  for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
-    Peer const& peer = item.second;
-    if (peer.connection == 0 || peer.state() != State::alive || peer.member.zone != zone) continue;
-    bool const better =
-        best.empty() || (peer.member.replica && !keeps) || (peer.member.replica == keeps && item.first < best);
-    if (!better) continue;
-    best = item.first;
-    keeps = peer.member.replica;
-  }
-  return best;
-}
-
-Paths Node::paths() const {
-  Paths out;
-  out.wide = mesh.wide();
-  std::set<std::string> zones;
-  for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
-    Peer const& peer = item.second;
-    if (peer.connection == 0 || peer.state() != State::alive) continue;
-    if (!out.wide)
-      out.all.push_back(item.first);
-    else if (peer.member.zone == plan.zone)
-      out.zone.push_back(item.first);
-    else
-      zones.insert(peer.member.zone);
-  }
-  if (!out.wide) return out;
-  std::string const own = hub_of(plan.zone);
-  out.hub = own == plan.name;
-  if (!out.hub) {
-    out.own_hub = own;
-    return out;
-  }
-  for (std::string const& zone : zones) out.hubs.push_back(hub_of(zone));
-  return out;
-}
-
 void Node::exchange_now(Micros now, NodeEffects& out) {
   if (mesh.wide()) return;  // words of many nodes wait for the tick, so that more of them go together
   std::vector<OutgoingMessage> outgoing;
-  exchange.tick(now, paths(), outgoing);
+  exchange.tick(now, exchange_topology_.compute_paths(), outgoing);
   dispatch(outgoing, now, out);
 }
 
@@ -165,7 +120,7 @@
 }
 
 void Node::tick_registered(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out) {
-  Paths const ways = paths();
+  Paths const ways = exchange_topology_.compute_paths();
   // §12.7: an owner tells every peer itself; a hub tells its zone besides, for pairs that have no connection.
   mesh.entry_table.passes_on = !ways.wide;
   mesh.entry_table.pass_to.clear();
--- /dev/null
+++ b/tests/node/exchange_topology.cc
@@ -0,0 +1,84 @@
+// Whom a node exchanges with, by the number of members, their zones and roles. Without sockets.
+#include "node/exchange_topology.h"
+
+#include <gtest/gtest.h>
+
+namespace pipit {
+
+namespace {
+class ExchangeTopologyTest : public testing::Test {
+ protected:
+  ExchangeTopologyTest() : mesh(mesh_plan(), wire::MemberT(), 1) {}
+
+  // Four peers make the mesh wide.
+  static MeshPlan mesh_plan() {
+    MeshPlan out;
+    out.wide = 4;
+    return out;
+  }
+  void add(std::string const& name, std::string const& zone, bool replica = false) {
+    Peer& peer = mesh.members.peers[name];
+    peer.member.name = name;
+    peer.member.zone = zone;
+    peer.member.replica = replica;
+    peer.connection = mesh.members.peers.size();
+  }
+  ExchangeTopology topology(std::string const& name, std::string const& zone, bool replica = false) const {
+    return ExchangeTopology({name, zone, replica}, mesh);
+  }
+
+  Mesh mesh;
+};
+}  // namespace
+
+TEST_F(ExchangeTopologyTest, FewNodesAllTalkToEachOther) {
+  add("n2", "a");
+  add("n3", "b");
+  add("n4", "b");
+  mesh.members.peers["n4"].connection = 0;
+  Paths const paths = topology("n1", "a").compute_paths();
+  EXPECT_FALSE(paths.wide);
+  EXPECT_EQ(paths.all, std::vector<std::string>({"n2", "n3"})) << "n4 has no connection";
+}
+
+TEST_F(ExchangeTopologyTest, HubIsTheFirstReachableReplicaElseTheFirstNode) {
+  add("n2", "a");
+  add("n3", "b");
+  add("n4", "b", true);
+  add("n5", "b", true);
+  EXPECT_EQ(topology("n1", "a").select_hub("a"), "n1");
+  EXPECT_EQ(topology("n6", "a").select_hub("a"), "n2");
+  EXPECT_EQ(topology("n6", "a", true).select_hub("a"), "n6");
+  EXPECT_EQ(topology("n1", "a").select_hub("b"), "n4");
+  mesh.members.peers["n4"].member.state = static_cast<std::uint8_t>(State::suspected);
+  EXPECT_EQ(topology("n1", "a").select_hub("b"), "n5");
+  mesh.members.peers["n5"].connection = 0;
+  EXPECT_EQ(topology("n1", "a").select_hub("b"), "n3");
+  EXPECT_EQ(topology("n1", "a").select_hub("c"), "");
+}
+
+TEST_F(ExchangeTopologyTest, HubTalksToItsZoneAndToTheOtherHubs) {
+  add("n2", "a");
+  add("n3", "b");
+  add("n4", "b", true);
+  add("n5", "c");
+  Paths const paths = topology("n1", "a").compute_paths();
+  EXPECT_TRUE(paths.wide);
+  EXPECT_TRUE(paths.hub);
+  EXPECT_EQ(paths.zone, std::vector<std::string>({"n2"}));
+  EXPECT_EQ(paths.hubs, std::vector<std::string>({"n4", "n5"}));
+}
+
+TEST_F(ExchangeTopologyTest, OthersTalkToTheirZoneAndItsHub) {
+  add("n2", "a", true);
+  add("n3", "a");
+  add("n4", "b");
+  add("n5", "c");
+  Paths const paths = topology("n1", "a").compute_paths();
+  EXPECT_FALSE(paths.hub);
+  EXPECT_EQ(paths.own_hub, "n2");
+  EXPECT_EQ(paths.zone, std::vector<std::string>({"n2", "n3"}));
+  EXPECT_TRUE(paths.hubs.empty());
+}
+
+}  // namespace pipit
