--- a/src/node/changes.cc
+++ b/src/node/changes.cc
@@ -82,7 +82,7 @@
   }
   if (id == 0) {
     if (change.type == Change::Type::register_router)
-      registration_pending_ = false;
+      router_registrations_.finish_registration();
     else
       replica_set_manager_.change_ended();
     return;
@@ -120,7 +120,7 @@
     Waiting& item = it->second;
     std::set<std::string> owe;
     for (std::string const& name : item.owe)
-      if (owes(item, name)) owe.insert(name);
+      if (is_unconfirmed(item, name)) owe.insert(name);
     bool const half = plan.registered ? (item.sure.size() + 1) * 2 >= routers(false).size() : half_has(item.half);
     bool const more = item.half > 0 ? !half : !owe.empty();
     if (more && now < item.due) {
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -27,6 +27,16 @@
 constexpr Micros owner_span = millis(4700);
 Micros owner_span_of(NodePlan const& plan) { return plan.revocation > 0 ? plan.revocation : owner_span; }
 
+QuotaAuthorityPlan quota_plan_of(NodePlan const& plan, std::optional<wire::RecordT> const& recovered) {
+  QuotaAuthorityPlan out;
+  out.self = plan.name;
+  out.terms = plan.quota;
+  out.first_request = incarnation_seed(plan, SeedUse::quota) >> spare_number_bits;
+  out.fence = owner_span_of(plan);
+  out.settled_members = recovered ? recovered->quota_members : 0;
+  return out;
+}
+
 wire::MemberT self_of(NodePlan const& plan) {
   wire::MemberT out;
   out.name = plan.name;
@@ -68,26 +78,29 @@
       registry(plan.name),
       exchange(plan.name),
       dispatcher(plan.name, plan.zone, index_sync, registry, exchange),
-      lease(plan.revocation, plan.in_force),
-      quota_owner(plan.quota),
-      quota_client(plan.name, incarnation_seed(plan, SeedUse::quota) >> spare_number_bits),
       replica_directory_(plan, mesh, learner, acceptor, replica_status()),
       register_bootstrap_(plan, mesh, learner, acceptor, replica_directory_, now),
       replica_set_manager_(plan, mesh, learner, acceptor, replica_directory_, replica_status(), now,
                            incarnation_seed(plan, SeedUse::lease)),
       change_forwarder_(plan, mesh, learner, replica_directory_, forwarder_actions()),
-      owner_lease_(owner_span_of(plan)),
-      quota_shares_(plan.name, owner_span_of(plan), recovered ? recovered->quota_members : 0),
       lease_grantor_(now),
       started_at_(now),
       last_tick_(now),
-      next_request_id_(incarnation_seed(plan, SeedUse::requests) >> spare_number_bits) {
+      next_request_id_(incarnation_seed(plan, SeedUse::requests) >> spare_number_bits),
+      worker_departures_(plan.name, mesh, learner, [this](Micros at) { return replica_directory_.hears_quorum(at); }),
+      router_registrations_({plan.name, plan.address, plan.role == Role::router, !plan.registered}, mesh, learner),
+      list_freshness_(mesh),
+      exchange_topology_({plan.name, plan.zone, plan.replica}, mesh),
+      configuration_authority_({plan.revocation, plan.in_force, owner_span_of(plan)}, mesh, learner, peer_rotation_,
+                               [this] { return ++next_request_id_; }),
+      quota_authority_(quota_plan_of(plan, recovered),
+                       {mesh, learner, acceptor, configuration_authority_, peer_rotation_, dispatcher}) {
   if (recovered) acceptor.emplace(std::move(*recovered));
   register_bootstrap_.mark_disk(acceptor);
   registry.span(plan.heartbeat_interval);
   if (plan.registered) dispatcher.begun(now);
   dispatcher.budget(plan.resend_ratio, plan.resend_store);
-  dispatcher.lease_on(lease);
+  dispatcher.lease_on(key_lease());
 }
 
 ReplicaDirectory::Status Node::replica_status() {
@@ -196,10 +209,10 @@
       }
       break;
     case wire::Body::ReadRequest:
-      hear(body.AsReadRequest()->age, now);
+      take_list_age(body.AsReadRequest()->age, now);
       if (acceptor) {
         wire::ReadReplyT ans = read_reply(acceptor->held(), *body.AsReadRequest());
-        ans.age = list_age(now);
+        ans.age = list_freshness_.age(now);
         ans.retiring = retiring_;
         outgoing.push_back(message_to(from, std::move(ans)));
       }
@@ -210,7 +223,7 @@
       settle_ended(now, out);
       break;
     case wire::Body::ReadReply:
-      hear(body.AsReadReply()->age, now);
+      take_list_age(body.AsReadReply()->age, now);
       if (learner.take(from, *body.AsReadReply(), now, outgoing)) after_value(now, out);
       proposer.know(learner.membership());
       update_readiness(now, out);
@@ -246,7 +259,7 @@
       replica_set_manager_.take_lease_reply(from, *body.AsLeaseReply(), now);
       break;
     case wire::Body::Loads:
-      hear(body.AsLoads()->age, now);
+      take_list_age(body.AsLoads()->age, now);
       if (plan.registered) {
         registry.peer_loads(*body.AsLoads(), now);
         exchange.pass(from, *body.AsLoads());
@@ -254,17 +267,18 @@
         fleet.take_peer_loads(from, *body.AsLoads(), now);
       break;
     case wire::Body::NewestRequest:
-      outgoing.push_back(message_to(from, newest_reply(body.AsNewestRequest()->request_id, now)));
+      outgoing.push_back(
+          message_to(from, configuration_authority_.answer_request(body.AsNewestRequest()->request_id, now)));
       break;
     case wire::Body::NewestReply:
-      take_newest(from, *body.AsNewestReply(), now, outgoing);
+      configuration_authority_.take_reply(from, *body.AsNewestReply(), now, outgoing);
       break;
     case wire::Body::QuotaRequest:
-      take_quota_ask(from, *body.AsQuotaRequest(), now, outgoing);
+      quota_authority_.take_request(from, *body.AsQuotaRequest(), now, outgoing);
       break;
     case wire::Body::QuotaReply:
-      take_quota_reply(from, *body.AsQuotaReply(), now, outgoing);
-      settle_quota(now, out);
+      quota_authority_.take_reply(from, *body.AsQuotaReply(), now, outgoing);
+      process_quota(now, out);
       break;
     case wire::Body::ForwardedChange:
       change_forwarder_.take_change(from, *body.AsForwardedChange(), now, out);
@@ -386,7 +400,7 @@
   }
   mesh.members.self.serial = value.serial;
   mesh.members.self.revision = value.revision;
-  confirm_configuration(now);
+  configuration_authority_.update_confirmations();
   update_registration(now, out);
   // Among nodes whose workers register, pings carry revisions; a bump of the record is not needed for them (§3.6).
   if (!plan.registered) mesh.announce_self(out.mesh);
@@ -436,7 +450,7 @@
   if (!from.empty()) deliver(from, frame.value()->body, now, out);
   if (!waiting_.empty()) settle_waiting(now, out);
   change_forwarder_.advance(now, out);
-  settle_ends(now, out);
+  worker_departures_.answer_calls(now, out.end_answers);
   check_replies(out);
   return true;
 }
@@ -473,7 +487,7 @@
   // Where replicas are many enough for the losses that are allowed, nothing else will do (docs/control.md).
   if (plan.registered && !word && !ready_now_) return;
   bool sure = word;
-  if (word && plan.role == Role::router && !is_registered()) {
+  if (word && plan.role == Role::router && !router_registrations_.is_registered()) {
     // §5.9: nothing is placed before this incarnation of the node has its registration; while a majority answers, by
     // nobody's word.
     request_registration(now, out);
@@ -498,7 +512,7 @@
     update_hold();
     chat_dispatcher.work(now, out.chat);
   }
-  if (!ready_now_ && newcomer(now)) return;
+  if (!ready_now_ && router_registrations_.is_newcomer(now)) return;
   if (!ready_now_) {
     ready_now_ = true;
     log_event(Event::node_ready, "revision " + std::to_string(learner.revision()) + ", " +
@@ -516,7 +530,7 @@
   std::vector<OutgoingMessage> outgoing;
   if (now >= next_poll_ && (guard(Guard::spread) || learner.sure < 0 || plan.role == Role::config_store)) {
     next_poll_ = now + poll_span();
-    learner.poll(now, replica_directory_.connected_replicas(), list_age(now), outgoing);
+    learner.poll(now, replica_directory_.connected_replicas(), list_freshness_.age(now), outgoing);
     register_bootstrap_.propose_first_set(now, outgoing);
   }
   if (acceptor)
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -13,10 +13,6 @@
 #include "routing/dispatch/dispatcher.h"
 #include "routing/chat/chat_dispatcher.h"
 #include "routing/registry/registry.h"
-#include "routing/tenants/configuration_lease.h"
-#include "routing/tenants/quota_client.h"
-#include "routing/tenants/quota_owner.h"
-#include "routing/tenants/quota_shares.h"
 #include "mesh/mesh.h"
 #include "node/change_forwarder.h"
 #include "node/node_effects.h"
@@ -24,6 +20,13 @@
 #include "node/register_bootstrap.h"
 #include "node/replica_directory.h"
 #include "node/replica_set_manager.h"
+#include "node/configuration_authority.h"
+#include "node/exchange_topology.h"
+#include "node/list_freshness.h"
+#include "node/peer_selection.h"
+#include "node/quota_authority.h"
+#include "node/router_registrations.h"
+#include "node/worker_departures.h"
 
 namespace pipit {
 
@@ -51,7 +54,9 @@
   void operate(std::uint64_t id, Change change, Micros now, NodeEffects& out);
   bool zone_known(std::string const& zone) const;
   // Why a router node cannot be forgotten; nothing when it can (§5.9).
-  std::optional<Error> keeps(std::string const& name) const;
+  std::optional<Error> eviction_refusal(std::string const& name) const {
+    return router_registrations_.eviction_refusal(name);
+  }
 
   // Routed requests, and workers that register themselves (§12). An answer to a worker's word may be given at once.
   void request(std::uint64_t id, Query query, Micros now, NodeEffects& out);
@@ -78,9 +83,13 @@
   bool ready() const { return ready_now_; }
   // Ready, and not without the lease that keys need.
   bool takes_requests(Micros now) const {
-    return ready_now_ && (!dispatcher.description()->keys_required || lease.holds(now));
+    return ready_now_ && (!dispatcher.description()->keys_required || key_lease().holds(now));
   }
   bool draining() const { return leaving_; }
+  // The lease on the configuration that requests with keys need.
+  ConfigurationLease const& key_lease() const { return configuration_authority_.key_lease(); }
+  // This node's part in asking for and handing out tenants' quota.
+  QuotaAuthority const& quota_authority() const { return quota_authority_; }
   std::size_t under_way() const { return chat_dispatcher.under_way(); }
 
   NodePlan const plan;
@@ -95,9 +104,6 @@
   Exchange exchange;
   Dispatcher dispatcher;
   std::uint64_t jumps = 0;
-  ConfigurationLease lease;  // for keys
-  QuotaOwner quota_owner;
-  QuotaClient quota_client;
 
  private:
   struct Waiting {  // an 'empty' that waits for confirmations
@@ -132,50 +138,26 @@
   void update_readiness(Micros now, NodeEffects& out);
   void own_entries(Micros now, NodeEffects& out);
   void manage_replica_set(Micros now, NodeEffects& out);
-  // Keys and limits of tenants (core/tenancy.cc).
-  void renew_lease(Micros now, std::vector<OutgoingMessage>& outgoing);
-  void confirm_configuration(Micros now);
-  wire::NewestReplyT newest_reply(std::uint64_t request_id, Micros now) const;
-  void take_newest(std::string const& from, wire::NewestReplyT const& reply, Micros now,
-                   std::vector<OutgoingMessage>& outgoing);
-  void tick_quota(Micros now, std::vector<OutgoingMessage>& outgoing);
-  void settle_quota(Micros now, NodeEffects& out);
-  void take_quota_ask(std::string const& from, wire::QuotaRequestT const& ask, Micros now,
-                      std::vector<OutgoingMessage>& outgoing);
-  void take_quota_reply(std::string const& from, wire::QuotaReplyT& reply, Micros now,
-                        std::vector<OutgoingMessage>& outgoing);
-  QuotaDecision decide_quota(wire::QuotaRequestT const& ask, Micros now);
-  QuotaPeers quota_peers() const;
-  bool reached(std::string const& name) const;
+  // Lets the quota authority work on what the dispatcher needs.
+  void process_quota(Micros now, NodeEffects& out);
   void tick_listed(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out);
   void tick_registered(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out);
   void put_entry(wire::EntryT entry, Micros now, NodeEffects& out);
   void adopt_workers(Micros now, NodeEffects& out);
   void exchange_now(Micros now, NodeEffects& out);
-  Paths paths() const;
-  std::string hub_of(std::string const& zone) const;
   void forward(wire::ChosenT const& update, NodeEffects& out);
-  void settle_ends(Micros now, NodeEffects& out);
-  bool told_all_reached(std::string const& worker) const;
-  bool told_enough(std::string const& worker) const;
-  bool hears_others(Micros now) const;
-  void check_end(std::string const& worker) const;
   void propose(std::uint64_t id, Change change, Micros now, NodeEffects& out);
   void refuse_now(std::uint64_t id, Change const& change, ErrorCode kind, NodeEffects& out);
   Micros poll_span() const;
   bool half_has(std::uint64_t revision) const;
-  bool is_registered() const;
   void ask_newer(Micros now, std::vector<OutgoingMessage>& outgoing);
   void update_hold();
-  bool newcomer(Micros now) const;
-  bool self_evicted() const;
   void request_registration(Micros now, NodeEffects& out);
   void update_registration(Micros now, NodeEffects& out);
-  bool owes(Waiting const& item, std::string const& name) const;
-  // Knowledge of the list that a peer passed on, as old as it said (§4.3).
-  void hear(Micros age, Micros now);
-  bool is_up_to_date(Micros now);
-  Micros list_age(Micros now) const { return list_known_at_ < 0 ? -1 : now - list_known_at_; }
+  // Whether an 'empty' still waits for this node's confirmation.
+  bool is_unconfirmed(Waiting const& item, std::string const& name) const;
+  // Takes the age of a peer's knowledge of the list (§4.3).
+  void take_list_age(Micros age, Micros now);
   void take_fresh(Micros now);
   void tell_loads(Micros now, std::vector<OutgoingMessage>& outgoing);
   void check_now(std::string const& id, Micros now, NodeEffects& out);
@@ -191,14 +173,6 @@
   RegisterBootstrap register_bootstrap_;
   ReplicaSetManager replica_set_manager_;
   ChangeForwarder change_forwarder_;
-  ConfigurationLease owner_lease_;  // for handing limits out
-  QuotaShares quota_shares_;
-  std::map<std::uint64_t, Micros> newest_asks_;  // when each question that may still be answered was sent
-  // By revision that is not held here yet: a moment at which nothing above it had been chosen.
-  std::map<std::uint64_t, Micros> newest_told_;
-  Micros next_newest_ask_ = 0;
-  std::uint64_t newest_turn_ = 0;
-
   LeaseGrantor lease_grantor_;
   Micros started_at_;
   Micros last_tick_;
@@ -218,16 +192,7 @@
   std::map<std::string, Micros> check_due_;
   bool ready_now_ = false;
   bool isolated_ = false;
-  Micros list_known_at_ = -1;  // when the freshest reading of the list that is known here was begun, by whomever
-  Micros up_to_date_at_ = -1;  // until when no mark can have been missed
-  Micros half_since_ = -1;     // since when at least half of all members are heard
-  Micros list_said_at_ = -1;   // when the list's own address last refused, or answered oddly
-  bool registration_pending_ = false;
-  bool was_registered_ = false;
-  bool registered_before_ = false;  // a former incarnation had one: nobody's share changes with this one
   Micros behind_since_ = -1;
-  Micros next_registration_ = 0;
-  Micros registered_at_ = -1;
   bool leaving_ = false;
   bool retiring_ = false;
   Micros stale_from_ = -1;  // since when a jump of the clock waits for fresh knowledge
@@ -235,11 +200,13 @@
   std::uint64_t next_request_id_;  // begins at another number in each incarnation: an answer to a former incarnation
                                    // finds no request
   std::map<std::uint64_t, Waiting> waiting_;
-  struct WorkerEnd {  // that waits until the others know of it
-    std::string worker;
-    Micros due = 0;
-  };
-  std::map<std::uint64_t, WorkerEnd> worker_ends_;
+  WorkerDepartures worker_departures_;
+  RouterRegistrations router_registrations_;
+  ListFreshness list_freshness_;
+  ExchangeTopology exchange_topology_;
+  PeerRotation peer_rotation_;
+  ConfigurationAuthority configuration_authority_;
+  QuotaAuthority quota_authority_;
   struct OpenCall {  // of an operator, until it is answered
     Change::Type type = Change::Type::read;
     std::string change;
--- a/src/node/node_effects.h
+++ b/src/node/node_effects.h
@@ -7,6 +7,7 @@
 
 #include "consensus/register/proposer.h"
 #include "mesh/effects.h"
+#include "node/worker_departures.h"
 #include "routing/chat/chat_dispatcher.h"
 #include "routing/dispatch/dispatcher.h"
 
@@ -27,12 +28,6 @@
   Micros asked = 0;
 };
 
-// Whether the end of a worker may be acknowledged: the other nodes know of it.
-struct EndAnswer {
-  std::uint64_t id = 0;  // of the call
-  bool known = false;
-};
-
 struct NodeEffects {
   ConnectionEffects mesh;
   std::optional<wire::RecordT> save;
--- a/src/node/registered.cc
+++ b/src/node/registered.cc
@@ -21,7 +21,7 @@
 
 bool Node::heartbeat(Heartbeat const& word, Micros now, NodeEffects& out) {
   watch_clock(now);
-  bool const heard = hears_others(now);
+  bool const heard = worker_departures_.is_connected(now);
   // The others know the worker by another node, which goes on hearing it: nothing of that is taken over here, where
   // nobody would hear of it.
   if (!heard && !word.leaving && registry.hear(word, now)) return false;
@@ -37,69 +37,34 @@
   take_fresh(now);
 }
 
+void Node::await_end(std::uint64_t id, std::string const& worker, Micros now, NodeEffects& out) {
+  worker_departures_.add_call(id, worker, now, out.end_answers);
+}
+
 void Node::request(std::uint64_t id, Query query, Micros now, NodeEffects& out) {
   watch_clock(now);
-  confirm_configuration(now);
+  configuration_authority_.update_confirmations();
   dispatcher.fresh(id, std::move(query), now, out.dispatch);
-  settle_quota(now, out);
+  process_quota(now, out);
   exchange_now(now, out);
 }
 
+void Node::process_quota(Micros now, NodeEffects& out) {
+  std::vector<OutgoingMessage> outgoing;
+  quota_authority_.process_needs(out.dispatch, now, outgoing);
+  dispatch(outgoing, now, out);
+}
+
 void Node::attempt_ended(std::uint64_t id, AttemptEnd end, bool elsewhere, Micros now, NodeEffects& out) {
   watch_clock(now);
   dispatcher.ended(id, end, elsewhere, now, out.dispatch);
-  settle_quota(now, out);
-}
-
-// §12.7: the node of a zone that passes words on: the first of its replicas that is reached, else the first of all.
-std::string Node::hub_of(std::string const& zone) const {
-  std::string best;
-  bool keeps = false;
-  if (zone == plan.zone) {
-    best = plan.name;
-    keeps = plan.replica;
-  }
-  for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
-    Peer const& peer = item.second;
-    if (peer.connection == 0 || peer.state() != State::alive || peer.member.zone != zone) continue;
-    bool const better =
-        best.empty() || (peer.member.replica && !keeps) || (peer.member.replica == keeps && item.first < best);
-    if (!better) continue;
-    best = item.first;
-    keeps = peer.member.replica;
-  }
-  return best;
-}
-
-Paths Node::paths() const {
-  Paths out;
-  out.wide = mesh.wide();
-  std::set<std::string> zones;
-  for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
-    Peer const& peer = item.second;
-    if (peer.connection == 0 || peer.state() != State::alive) continue;
-    if (!out.wide)
-      out.all.push_back(item.first);
-    else if (peer.member.zone == plan.zone)
-      out.zone.push_back(item.first);
-    else
-      zones.insert(peer.member.zone);
-  }
-  if (!out.wide) return out;
-  std::string const own = hub_of(plan.zone);
-  out.hub = own == plan.name;
-  if (!out.hub) {
-    out.own_hub = own;
-    return out;
-  }
-  for (std::string const& zone : zones) out.hubs.push_back(hub_of(zone));
-  return out;
+  process_quota(now, out);
 }
 
 void Node::exchange_now(Micros now, NodeEffects& out) {
   if (mesh.wide()) return;  // words of many nodes wait for the tick, so that more of them go together
   std::vector<OutgoingMessage> outgoing;
-  exchange.tick(now, paths(), outgoing);
+  exchange.tick(now, exchange_topology_.compute_paths(), outgoing);
   dispatch(outgoing, now, out);
 }
 
@@ -139,7 +104,7 @@
 // that is gone.
 void Node::adopt_workers(Micros now, NodeEffects& out) {
   next_adoption_ = now + adopt_gap;
-  if (leaving_ || !hears_others(now)) return;
+  if (leaving_ || !worker_departures_.is_connected(now)) return;
   std::set<std::string> const here = routers(false);
   for (std::pair<std::string const, Instance> const& item : registry.all) {
     Instance const& at = item.second;
@@ -155,7 +120,7 @@
 }
 
 void Node::tick_registered(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out) {
-  Paths const ways = paths();
+  Paths const ways = exchange_topology_.compute_paths();
   // §12.7: an owner tells every peer itself; a hub tells its zone besides, for pairs that have no connection.
   mesh.entry_table.passes_on = !ways.wide;
   mesh.entry_table.pass_to.clear();
@@ -175,13 +140,13 @@
   for (wire::EntryT& entry : registry.silent(now)) put_entry(std::move(entry), now, out);
   if (now >= next_adoption_) adopt_workers(now, out);
   take_fresh(now);
-  settle_ends(now, out);
+  worker_departures_.answer_calls(now, out.end_answers);
   dispatcher.nodes(routers(true).size(), mesh.wide());
   update_readiness(now, out);
-  renew_lease(now, outgoing);
-  tick_quota(now, outgoing);
+  configuration_authority_.renew_leases(dispatcher.description()->keys_required, now, outgoing);
+  quota_authority_.tick(now, outgoing);
   dispatcher.tick(now, out.dispatch);
-  settle_quota(now, out);
+  process_quota(now, out);
   exchange.tick(now, ways, outgoing);
 }
 
