--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -517,7 +517,7 @@
   if (now >= next_poll_ && (guard(Guard::spread) || learner.sure < 0 || plan.role == Role::config_store)) {
     next_poll_ = now + poll_span();
     learner.poll(now, replica_directory_.connected_replicas(), list_age(now), outgoing);
-    register_bootstrap_.propose_first_set(now, outgoing);
+    register_bootstrap_.propose_initial_set(now, outgoing);
   }
   if (acceptor)
     if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
--- a/src/node/register_bootstrap.cc
+++ b/src/node/register_bootstrap.cc
@@ -35,7 +35,7 @@
   if (plan_.registered && initial_member) acceptor->await_bootstrap(seeds);
 }
 
-void RegisterBootstrap::propose_first_set(Micros now, std::vector<OutgoingMessage>& outgoing) const {
+void RegisterBootstrap::propose_initial_set(Micros now, std::vector<OutgoingMessage>& outgoing) const {
   if (!acceptor_ || acceptor_->held().formed) return;
   std::optional<Membership> const first = initial_set(now);
   if (!first) return;
--- a/src/node/register_bootstrap.h
+++ b/src/node/register_bootstrap.h
@@ -1,4 +1,4 @@
-// Writes the register's first set of replicas, once in the life of a fleet (§5.4, §12.3).
+// Writes the register's first set of replicas, once for a fleet (§5.4, §12.3).
 //
 // State: whether this initial member already waited for the first set in an earlier incarnation.
 // Invariants: at most one first set is ever chosen. It is offered only by an initial member whose own replica holds
@@ -28,7 +28,7 @@
   // Marks a blank disk of an initial member as waiting for the first set. Called once, before anything is answered.
   void mark_disk(std::optional<Acceptor>& acceptor);
   // Adds a proposal of the first set to every member of it, when this node may make one now.
-  void propose_first_set(Micros now, std::vector<OutgoingMessage>& outgoing) const;
+  void propose_initial_set(Micros now, std::vector<OutgoingMessage>& outgoing) const;
 
  private:
   // The first set that this node saw somewhere, or that it may write itself; nothing while it may not.
--- a/tests/node/register_bootstrap.cc
+++ b/tests/node/register_bootstrap.cc
@@ -28,7 +28,7 @@
   // Whom a proposal goes to, and with how many replicas the first one names.
   std::vector<std::string> receivers(Micros now) {
     std::vector<OutgoingMessage> outgoing;
-    bootstrap.propose_first_set(now, outgoing);
+    bootstrap.propose_initial_set(now, outgoing);
     std::vector<std::string> out;
     for (OutgoingMessage& message : outgoing) {
       EXPECT_EQ(message.body.AsBootstrap()->replicas.size(), outgoing.size());
