--- a/src/consensus/register/acceptor.h
+++ b/src/consensus/register/acceptor.h
@@ -1,73 +1,67 @@
-// The register's acceptor on a machine with a disk. Nothing is answered before it is synced (§5.3).
+// The acceptor of the register, on a machine with a disk (§5.3).
 #pragma once
 #include <deque>
+#include <memory>
 #include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
-#include "base/micros.h"
+#include "consensus/register/ballot.h"
+#include "consensus/register/outgoing_message.h"
 #include "wire_generated.h"
 
 namespace pipit {
 
-inline bool operator<(wire::Ballot const& a, wire::Ballot const& b) {
-  return a.n() != b.n() ? a.n() < b.n() : a.who() < b.who();
-}
-inline bool same(wire::Ballot const& a, wire::Ballot const& b) { return a.n() == b.n() && a.who() == b.who(); }
-inline bool is_set(wire::Ballot const& ballot) { return ballot.n() != 0; }
-
-// A message of the control plane, addressed by name; the mesh carries it.
-struct OutgoingMessage {
-  std::string to;
-  wire::BodyUnion body;
-};
-template <class T>
-OutgoingMessage message_to(std::string to, T&& body) {
-  OutgoingMessage out;
-  out.to = std::move(to);
-  out.body.Set(std::forward<T>(body));
-  return out;
-}
-
+// Promises and accepts ballots for one replica. It replies to nothing before the state that the reply tells of is
+// synced: the owner writes each record that step() returns and calls synced() when it is on disk.
+//
+// State: the record as it is to be, the record as it is on disk, requests that wait for step(), and replies that wait
+// for the sync. Called from the node's loop only.
+//
+// Invariants: the promised and the accepted ballot never go down; one ballot has one value; at most one sync is under
+// way.
 class Acceptor {
  public:
   // The durable state as recovered, or formatted anew.
   explicit Acceptor(wire::RecordT recovered);
 
-  // Messages are taken into a backlog; step() works through it while no sync is under way.
-  void take(std::string from, wire::BodyUnion body);
-  // Fills what to send; returns a record to sync when one is due.
+  // Queues a request (Prepare, Accept or Bootstrap) for step(). A full queue drops it: its sender asks again.
+  void enqueue(std::string from, wire::BodyUnion body);
+  // Handles the queued requests, unless a sync is under way. Returns the record to sync when the state changed; else
+  // the replies are ready in 'out'.
   std::optional<wire::RecordT> step(std::vector<OutgoingMessage>& out);
   // Notes the seeds of the first start on a blank disk, so that a later incarnation may still take part in bootstrap;
   // step() has it synced.
   void await_bootstrap(std::vector<std::string> const& seeds);
-  // Notes the set of replicas by which limits are handed out here; step() has it synced.
+  // Notes the membership by which quotas are handed out here; step() has it synced.
   void note_quota_members(std::uint64_t fingerprint);
-  // The record that step() returned is synced.
+  // The record that step() returned is synced: 'out' gets the replies that waited for it.
   void synced(std::vector<OutgoingMessage>& out);
 
-  wire::RecordT const& held() const { return synced_state_; }
-  std::size_t backlog() const { return inbox_.size(); }
+  // The state that is on disk; what others are told comes from here.
+  wire::RecordT const& durable_state() const { return durable_state_; }
+  std::size_t backlog() const { return requests_.size(); }
 
  private:
-  // Each returns whether the durable state changed. The first one also checks what no message may do to it.
+  // Handles one request and checks that no ballot went down. Like the handlers, returns whether the state changed.
   bool handle(std::string const& from, wire::BodyUnion& body, std::vector<OutgoingMessage>& out);
-  bool answer(std::string const& from, wire::BodyUnion& body, std::vector<OutgoingMessage>& out);
-  bool prepare(std::string const& from, wire::PrepareT const& ask, std::vector<OutgoingMessage>& out);
-  bool accept(std::string const& from, wire::AcceptT& ask, std::vector<OutgoingMessage>& out);
-  bool bootstrap(wire::BootstrapT const& ask);
-  // The value that an accept brings, whole or as a patch of the one that is held; nothing when its base is missing.
-  std::unique_ptr<wire::ValueT> value_of(wire::AcceptT& ask) const;
+  bool dispatch(std::string const& from, wire::BodyUnion& body, std::vector<OutgoingMessage>& out);
+  bool handle_prepare(std::string const& from, wire::PrepareT const& request, std::vector<OutgoingMessage>& out);
+  bool handle_accept(std::string const& from, wire::AcceptT& request, std::vector<OutgoingMessage>& out);
+  bool handle_bootstrap(wire::BootstrapT const& request);
+  // The value that an accept brings, in full or as a patch of the present one; nothing when its base is missing.
+  std::unique_ptr<wire::ValueT> value_to_accept(wire::AcceptT& request) const;
 
-  wire::RecordT state_;         // with what is not synced yet
-  wire::RecordT synced_state_;  // what is synced
-  bool busy_ = false;
-  bool marked_ = false;  // the record was marked since the last step
-  std::deque<std::pair<std::string, wire::BodyUnion>> inbox_;
-  std::vector<OutgoingMessage> held_back_;
+  wire::RecordT state_;          // with what is not synced yet
+  wire::RecordT durable_state_;  // what is synced
+  bool sync_in_progress_ = false;
+  bool note_pending_ = false;                                     // a note changed the record since the last step
+  std::deque<std::pair<std::string, wire::BodyUnion>> requests_;  // with their senders
+  std::vector<OutgoingMessage> unsynced_replies_;                 // to send once the sync is done
 };
 
-// What a replica tells of its value. The set of replicas goes along only when it is not the one that the asker knows.
-wire::ReadReplyT read_reply(wire::RecordT const& state, wire::ReadRequestT const& ask);
+// What a replica tells of its value. The membership goes along only when it is not the one that the asker knows.
+wire::ReadReplyT read_reply(wire::RecordT const& state, wire::ReadRequestT const& request);
 
 }  // namespace pipit
--- a/src/consensus/register/membership.h
+++ b/src/consensus/register/membership.h
@@ -1,8 +1,5 @@
-// The set of replicas that hold the register, and what counts as a quorum of it (docs/control.md, "Changes of
+// The membership of the register: its replicas, and what counts as a quorum of them (docs/control.md, "Changes of
 // members").
-//
-// A set is settled, or it is joint: on its way from `former` to `replicas`. A quorum of a joint set is a majority of
-// either part, so that proposers that saw different next sets still meet in the former one.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -17,10 +14,13 @@
 // Replicas that answered, by name, with the id of the disk that they answered from.
 using Voters = std::map<std::string, std::uint64_t>;
 
+// A set of replicas, or a joint one on its way from `former` to `replicas`. A quorum of a joint set is a majority of
+// each of the two, so that proposers that saw different next sets still meet in the former one. A plain value: the
+// register's value carries it, and learners and proposers keep what they know of it.
 struct Membership {
-  std::uint64_t epoch = 0;
+  std::uint64_t epoch = 0;  // raised by each change of members, also by the step out of a joint set
   std::vector<wire::ReplicaT> replicas;
-  std::vector<wire::ReplicaT> former;  // the set that this one follows, until this one is settled
+  std::vector<wire::ReplicaT> former;  // the set that this one follows, until the joint set is left
 
   bool empty() const { return replicas.empty(); }
   bool joint() const { return !former.empty(); }
--- a/src/consensus/register/orders.cc
+++ b/src/consensus/register/orders.cc
@@ -70,12 +70,12 @@
   }
   // The serials of format 1 follow one another without a gap; a gap would end what can be kept.
   std::uint64_t expected = value.serial - value.past.size();
-  for (std::unique_ptr<wire::RememberedChangeT> const& mark : value.past) {
-    if (mark->serial != expected++) {
+  for (std::unique_ptr<wire::RememberedChangeT> const& remembered : value.past) {
+    if (remembered->serial != expected++) {
       value.orders.clear();
       continue;
     }
-    Digest const digest = digest_of(mark->change);
+    Digest const digest = digest_of(remembered->change);
     value.orders.emplace_back(digest.high, digest.low, value.label);
   }
   Digest const digest = digest_of(value.change);
--- a/src/consensus/register/orders.h
+++ b/src/consensus/register/orders.h
@@ -28,6 +28,7 @@
   early,      // it builds on a label that is still to come: a late copy of it may yet be taken
   outdated,   // it builds on another label or serial, and neither was nor will be taken
 };
+// What an order builds on: a label, or a serial where the operator gives no labels.
 struct OrderBase {
   std::uint64_t expected = 0;
   bool by_label = true;
--- a/src/consensus/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -6,222 +6,212 @@
 #include "base/digest.h"
 #include "base/guards.h"
 #include "consensus/register/orders.h"
+#include "consensus/register/router_registrations.h"
 #include "consensus/register/value_patch.h"
 
 namespace pipit {
 
-wire::RouterRegistrationT const* registration_of(wire::ValueT const& value, std::string const& name) {
-  for (std::unique_ptr<wire::RouterRegistrationT> const& item : value.registrations)
-    if (item->name == name) return item.get();
-  return nullptr;
-}
-
 namespace {
-constexpr std::size_t evicted_limit = 256;
+// After so many rejections each further one raises the next ballot number by a leap more, up to a bound.
+constexpr int rejections_without_leap = 8;
+constexpr int max_leaps = 16;
 constexpr std::uint64_t ballot_leap = 4;
-constexpr int refusals_without_leap = 8;
-constexpr int leaps_most = 16;
-
-void unseat(std::vector<std::unique_ptr<wire::RouterRegistrationT>>& list, std::string const& name) {
-  list.erase(
-      std::remove_if(list.begin(), list.end(),
-                     [&name](std::unique_ptr<wire::RouterRegistrationT> const& item) { return item->name == name; }),
-      list.end());
-}
-
-bool register_router(wire::ValueT& value, wire::RouterRegistrationT const& registration) {
-  wire::RouterRegistrationT const* const old = registration_of(value, registration.name);
-  if (old != nullptr && old->incarnation >= registration.incarnation) return false;
-  unseat(value.registrations, registration.name);
-  unseat(value.evicted, registration.name);
-  value.registrations.push_back(std::make_unique<wire::RouterRegistrationT>(registration));
-  return true;
-}
-
-bool evict_router(wire::ValueT& value, wire::RouterRegistrationT const& registration) {
-  wire::RouterRegistrationT const* const old = registration_of(value, registration.name);
-  if (old == nullptr || old->incarnation > registration.incarnation) return false;
-  wire::RouterRegistrationT const gone = *old;
-  unseat(value.registrations, registration.name);
-  unseat(value.evicted, registration.name);
-  value.evicted.push_back(std::make_unique<wire::RouterRegistrationT>(gone));
-  if (value.evicted.size() > evicted_limit) value.evicted.erase(value.evicted.begin());
-  return true;
-}
+// A backoff lasts the least span and a random part that grows with the attempts, up to a bound.
+constexpr Micros least_backoff = millis(5);
+constexpr Micros backoff_for_attempt = millis(20);
+constexpr int max_backoff_attempts = 8;
 }  // namespace
 
-Proposer::Proposer(std::string self, std::uint64_t seed, ProposerPlan plan)
+Proposer::Proposer(std::string self, std::uint64_t seed, ProposerOptions options)
     : self_(std::move(self)),
-      plan_(plan),
+      options_(options),
       random_(derived_seed(seed, self_)),
-      owner_(hash_bits(random_.next())),
+      proposer_id_(hash_bits(random_.next())),
       request_id_(random_.next() >> 8) {}
 
-bool Proposer::ask(Change change, Done done, Micros now) {
-  if (jobs_.size() >= plan_.backlog) return false;
-  Job job;
-  job.change = std::move(change);
-  job.done = std::move(done);
-  job.due = now + plan_.whole;
-  jobs_.push_back(std::move(job));
+bool Proposer::submit(Change change, DoneCallback done, Micros now) {
+  if (pending_.size() >= options_.max_pending) return false;
+  PendingChange pending;
+  pending.change = std::move(change);
+  pending.done = std::move(done);
+  pending.deadline = now + options_.change_timeout;
+  pending_.push_back(std::move(pending));
   return true;
 }
 
-void Proposer::know(Membership const& members) {
-  if (members.epoch <= known_.epoch) return;
-  known_ = members;
-  if (members.joint()) joint_chosen_ = members.fingerprint();
-  if (members.epoch <= set_.epoch) return;
-  set_ = members;
-  if (phase_ == Phase::first) phase_ = Phase::pause;  // round one begins anew with the newer set
+void Proposer::adopt_membership(Membership const& members) {
+  if (members.epoch <= chosen_membership_.epoch) return;
+  chosen_membership_ = members;
+  if (members.joint()) chosen_joint_fingerprint_ = members.fingerprint();
+  if (members.epoch <= membership_.epoch) return;
+  membership_ = members;
+  if (phase_ == Phase::prepare) phase_ = Phase::backoff;  // phase one begins anew with the newer one
 }
 
-void Proposer::suggest(Membership const& members) {
-  suggested_ = members;
-  if (set_.empty()) set_ = members;
+void Proposer::suggest_membership(Membership const& members) {
+  suggested_membership_ = members;
+  if (membership_.empty()) membership_ = members;
 }
 
 std::uint64_t Proposer::serial_of(wire::ValueT const& value, std::string const& id) {
   return serial_of_order(value, id);
 }
 
-void Proposer::start(Micros now, std::vector<OutgoingMessage>& out) {
-  ++jobs_.front().tries;
-  ballot_ = wire::Ballot(++top_, owner_);
+void Proposer::start_prepare_phase(Micros now, std::vector<OutgoingMessage>& out) {
+  ++pending_.front().attempts;
+  ballot_ = wire::Ballot(++highest_ballot_number_, proposer_id_);
   ++request_id_;
   promises_.clear();
-  accepts_.clear();
-  // What this proposer saw at a ballot stays seen, also where no replica of the set holds it: else it could go to and
-  // fro between two sets for ever.
-  best_ = held_ballot_;
-  found_ = held_;
-  verdict_.reset();
-  phase_ = Phase::first;
-  due_ = now + plan_.phase;
-  for (std::string const& name : set_.names()) {
-    wire::PrepareT ask;
-    ask.request_id = request_id_;
-    ask.ballot = ballot_;
-    ask.epoch = set_.epoch;
-    ask.known = held_ballot_;
-    out.push_back(message_to(name, std::move(ask)));
+  accepted_by_.clear();
+  // What this proposer saw at a ballot stays seen, also where no replica of the membership holds it: else it could
+  // go to and fro between two memberships for ever.
+  highest_accepted_ballot_ = cached_ballot_;
+  highest_accepted_value_ = cached_value_;
+  rejection_.reset();
+  phase_ = Phase::prepare;
+  phase_deadline_ = now + options_.phase_timeout;
+  for (std::string const& name : membership_.names()) {
+    wire::PrepareT request;
+    request.request_id = request_id_;
+    request.ballot = ballot_;
+    request.epoch = membership_.epoch;
+    request.known = cached_ballot_;
+    out.push_back(message_to(name, std::move(request)));
   }
 }
 
-void Proposer::again(Micros now, std::uint64_t seen) {
+void Proposer::back_off(Micros now, std::uint64_t promised) {
+  PendingChange& pending = pending_.front();
   // A rival that makes many changes raises its ballots faster than this proposer's timers come round: after a few
-  // refusals each one leaps further beyond what was promised to it.
-  if (seen > 0) ++jobs_.front().refusals;
-  int const leaps = std::clamp(jobs_.front().refusals - refusals_without_leap, 0, leaps_most);
-  top_ = std::max(top_, seen > 0 ? seen + static_cast<std::uint64_t>(leaps) * ballot_leap : seen);
-  phase_ = Phase::pause;
-  // Rivals step aside for a random while, longer with each try.
-  due_ = now + millis(5) +
-         static_cast<Micros>(random_.below(static_cast<std::uint64_t>(millis(20) * std::min(jobs_.front().tries, 8))));
+  // rejections each one leaps further beyond what was promised to the rival.
+  if (promised > 0) ++pending.rejections;
+  int const leaps = std::clamp(pending.rejections - rejections_without_leap, 0, max_leaps);
+  std::uint64_t const leap = promised > 0 ? static_cast<std::uint64_t>(leaps) * ballot_leap : 0;
+  highest_ballot_number_ = std::max(highest_ballot_number_, promised + leap);
+  phase_ = Phase::backoff;
+  // Rivals step aside for a random while, longer with each attempt.
+  Micros const longest = backoff_for_attempt * std::min(pending.attempts, max_backoff_attempts);
+  phase_deadline_ = now + least_backoff + static_cast<Micros>(random_.below(static_cast<std::uint64_t>(longest)));
 }
 
 void Proposer::finish(Outcome const& outcome) {
-  Job job = std::move(jobs_.front());
-  jobs_.pop_front();
+  PendingChange pending = std::move(pending_.front());
+  pending_.pop_front();
   phase_ = Phase::idle;
-  job.done(outcome);
+  pending.done(outcome);
 }
 
-void Proposer::promise(std::string const& from, wire::PromiseT const& ans, Micros now,
-                       std::vector<OutgoingMessage>& out) {
-  if (phase_ != Phase::first || ans.request_id != request_id_ || !set_.concerns(from, ans.disk)) return;
-  if (!ans.ok) return again(now, ans.promised.n());
-  if (!same(ans.promised, ballot_)) return;  // an answer to another round, whatever its number
-  promises_[from] = Promised{ans.disk, ans.accepted};
-  if (is_set(ans.accepted) && best_ < ans.accepted) {
-    bool const have = held_ && same(ans.accepted, held_ballot_);
-    if (!have && !ans.value) return again(now, 0);
-    best_ = ans.accepted;
-    found_ = have ? *held_ : *ans.value;
-  }
+void Proposer::handle_promise(std::string const& from, wire::PromiseT const& reply, Micros now,
+                              std::vector<OutgoingMessage>& out) {
+  if (phase_ != Phase::prepare || reply.request_id != request_id_ || !membership_.concerns(from, reply.disk)) return;
+  if (!reply.ok) return back_off(now, reply.promised.n());
+  if (!same(reply.promised, ballot_)) return;  // a reply to another round, whatever its number
+  promises_[from] = ReceivedPromise{reply.disk, reply.accepted};
+  if (!note_accepted_value(reply)) return back_off(now, 0);
+  if (!has_promise_quorum()) return;
+  // Only the first membership may have no value yet.
+  if (!highest_accepted_value_ && membership_.epoch != 1) return back_off(now, 0);
+  if (!adopt_found_value()) return back_off(now, 0);
+  start_accept_phase(now, out);
+}
+
+bool Proposer::note_accepted_value(wire::PromiseT const& reply) {
+  if (!is_set(reply.accepted) || !(highest_accepted_ballot_ < reply.accepted)) return true;
+  bool const is_cached = cached_value_ && same(reply.accepted, cached_ballot_);
+  if (!is_cached && !reply.value) return false;
+  highest_accepted_ballot_ = reply.accepted;
+  highest_accepted_value_ = is_cached ? *cached_value_ : *reply.value;
+  return true;
+}
+
+bool Proposer::has_promise_quorum() const {
   Voters voters;
-  for (std::pair<std::string const, Promised> const& item : promises_) voters[item.first] = item.second.disk;
-  if (!set_.quorum(voters)) return;
-  if (!found_ && set_.epoch != 1) return again(now, 0);
-  if (found_) {
-    held_ballot_ = best_;
-    held_ = *found_;
-    Membership const members = membership_of(*found_);
-    if (members.fingerprint() != set_.fingerprint() && guard(Guard::found_set)) {
-      // Round one counts only at a quorum of the set that it found: it is begun again with that one.
-      set_ = members;
-      return again(now, 0);
-    }
-  }
-  round_two(now, out);
+  for (std::pair<std::string const, ReceivedPromise> const& item : promises_) voters[item.first] = item.second.disk;
+  return membership_.quorum(voters);
 }
 
-void Proposer::round_two(Micros now, std::vector<OutgoingMessage>& out) {
+bool Proposer::adopt_found_value() {
+  if (!highest_accepted_value_) return true;
+  cached_ballot_ = highest_accepted_ballot_;
+  cached_value_ = *highest_accepted_value_;
+  Membership const found = membership_of(*highest_accepted_value_);
+  if (found.fingerprint() == membership_.fingerprint() || !guard(Guard::found_set)) return true;
+  // Phase one counts only at a quorum of the membership that it found: it is begun again with that one.
+  membership_ = found;
+  return false;
+}
+
+void Proposer::start_accept_phase(Micros now, std::vector<OutgoingMessage>& out) {
   if (!make_draft()) return;
-  phase_ = Phase::second;
-  due_ = now + plan_.phase;
+  phase_ = Phase::accept;
+  phase_deadline_ = now + options_.phase_timeout;
   Membership const next = membership_of(draft_);
-  std::vector<std::string> names = set_.names();
+  std::vector<std::string> names = membership_.names();
   for (std::string const& name : next.names())
     if (std::find(names.begin(), names.end(), name) == names.end()) names.push_back(name);
   for (std::string const& name : names) {
-    std::map<std::string, Promised>::const_iterator const position = promises_.find(name);
-    bool const other = position != promises_.end() && !same(position->second.accepted, best_);
-    send_accept(name, other || !found_, out);
+    std::map<std::string, ReceivedPromise>::const_iterator const position = promises_.find(name);
+    bool const has_other_value =
+        position != promises_.end() && !same(position->second.accepted, highest_accepted_ballot_);
+    send_accept(name, has_other_value || !highest_accepted_value_, out);
   }
 }
 
-void Proposer::send_accept(std::string const& to, bool whole, std::vector<OutgoingMessage>& out) const {
-  wire::AcceptT ask;
-  ask.request_id = request_id_;
-  ask.ballot = ballot_;
-  if (whole) {
-    ask.value = std::make_unique<wire::ValueT>(draft_);
+void Proposer::send_accept(std::string const& to, bool full_value, std::vector<OutgoingMessage>& out) const {
+  wire::AcceptT request;
+  request.request_id = request_id_;
+  request.ballot = ballot_;
+  if (full_value) {
+    request.value = std::make_unique<wire::ValueT>(draft_);
   } else {
-    ask.base = best_;
-    ask.patch = patch_between(*found_, draft_);
+    request.base = highest_accepted_ballot_;
+    request.patch = patch_between(*highest_accepted_value_, draft_);
   }
-  out.push_back(message_to(to, std::move(ask)));
+  out.push_back(message_to(to, std::move(request)));
 }
 
 bool Proposer::make_draft() {
-  Job& job = jobs_.front();
-  draft_ = found_ ? *found_ : wire::ValueT();
-  if (!found_) put_membership(set_, draft_);  // the first set, which no replica has written yet
-  order_taken_ = false;
-  step_ = Step::change;
-  if (set_.joint()) {
-    // A joint set that was found is first made chosen, and settled only then.
-    bool const agreed = joint_chosen_ == set_.fingerprint() || !guard(Guard::settle_chosen);
-    step_ = agreed ? Step::settle : Step::confirm_joint;
-    if (!agreed) return true;
-    draft_.former.clear();
-    ++draft_.epoch;
-    ++draft_.revision;
+  PendingChange& pending = pending_.front();
+  draft_ = highest_accepted_value_ ? *highest_accepted_value_ : wire::ValueT();
+  // The first membership, which no replica has written yet.
+  if (!highest_accepted_value_) put_membership(membership_, draft_);
+  order_applied_ = false;
+  draft_type_ = DraftType::change;
+  if (membership_.joint()) {
+    make_draft_of_joint();
     return true;
   }
-  if (serial_of_order(draft_, job.change.id) > 0) return true;
-  if (std::optional<Error> const unknown = unknown_outcome_of(job)) {
-    Outcome lost;
-    lost.error = *unknown;
-    finish(lost);
+  if (serial_of_order(draft_, pending.change.id) > 0) return true;
+  if (std::optional<Error> const unknown = unknown_outcome_of(pending)) {
+    Outcome outcome;
+    outcome.error = *unknown;
+    finish(outcome);
     return false;
   }
-  make_change(job.change);
+  make_change(pending.change);
   return true;
 }
 
+void Proposer::make_draft_of_joint() {
+  bool const is_chosen = chosen_joint_fingerprint_ == membership_.fingerprint() || !guard(Guard::settle_chosen);
+  draft_type_ = is_chosen ? DraftType::leave_joint : DraftType::confirm_joint;
+  if (!is_chosen) return;
+  draft_.former.clear();
+  ++draft_.epoch;
+  ++draft_.revision;
+}
+
 // Why nobody can say what became, or will become, of the order that is to be tried now; nothing when that is certain.
-std::optional<Error> Proposer::unknown_outcome_of(Job const& job) const {
-  if (job.sent_serial > 0 && job.sent_serial <= draft_.forgotten_serial)
+std::optional<Error> Proposer::unknown_outcome_of(PendingChange const& pending) const {
+  if (pending.sent_serial > 0 && pending.sent_serial <= draft_.forgotten_serial)
     return Error{ErrorCode::change_unknown, "", ""};
-  if (job.change.type != Change::Type::apply) return std::nullopt;
-  OrderBase const base{job.change.expected, job.change.label > 0};
-  return unknown_outcome_of_order(draft_, standing_of_order(draft_, job.change.id, base));
+  if (pending.change.type != Change::Type::apply) return std::nullopt;
+  OrderBase const base{pending.change.expected, pending.change.label > 0};
+  return unknown_outcome_of_order(draft_, standing_of_order(draft_, pending.change.id, base));
 }
 
 void Proposer::make_change(Change const& change) {
-  bool turned = false;
+  bool members_or_routers_changed = false;
   switch (change.type) {
     case Change::Type::read:
       break;
@@ -235,26 +225,26 @@
     case Change::Type::admit:
     case Change::Type::dismiss:
     case Change::Type::replace:
-      turned = change_members(change);
+      members_or_routers_changed = change_members(change);
       break;
-    // §5.9: registrations are no business of the operators' serial. Asking twice changes nothing more.
+    // §5.9: registrations are no business of the operators' serial.
     case Change::Type::register_router:
-      turned = register_router(draft_, change.registration);
+      members_or_routers_changed = register_router(draft_, change.registration);
       break;
     case Change::Type::evict_router:
-      turned = evict_router(draft_, change.registration);
+      members_or_routers_changed = evict_router(draft_, change.registration);
       break;
   }
-  Job& job = jobs_.front();
-  if (order_taken_) {
+  PendingChange& pending = pending_.front();
+  if (order_applied_) {
     ++draft_.serial;
     draft_.change = change.id;
     remember_order(draft_, change.id);
-    job.sent_serial = draft_.serial;
+    pending.sent_serial = draft_.serial;
   }
-  if (order_taken_ || turned) {
+  if (order_applied_ || members_or_routers_changed) {
     ++draft_.revision;
-    job.sent = true;
+    pending.accept_sent = true;
   }
 }
 
@@ -262,13 +252,13 @@
   bool const by_label = change.label > 0;
   OrderStanding const standing = standing_of_order(draft_, change.id, OrderBase{change.expected, by_label});
   if (standing != OrderStanding::fits && guard(Guard::expected)) {
-    verdict_ = outdated_error(draft_, by_label);
+    rejection_ = outdated_error(draft_, by_label);
   } else if (by_label && change.label <= draft_.label) {
-    verdict_ = Error{ErrorCode::bad_description, "the label is not above " + std::to_string(draft_.label), ""};
+    rejection_ = Error{ErrorCode::bad_description, "the label is not above " + std::to_string(draft_.label), ""};
   } else {
     draft_.text = change.text;
     if (by_label) draft_.label = change.label;
-    order_taken_ = true;
+    order_applied_ = true;
   }
 }
 
@@ -278,14 +268,14 @@
   bool const there = zone != zones.end();
   if (change.type == Change::Type::empty && !there) {
     zones.push_back(change.text);
-    order_taken_ = true;
+    order_applied_ = true;
   } else if (change.type == Change::Type::refill && there) {
     zones.erase(zone);
-    order_taken_ = true;
+    order_applied_ = true;
   }
 }
 
-// Writes the joint set of a change of members; false when it does not fit the present set.
+// Writes the joint membership of a change of members; false when it does not fit the present one.
 bool Proposer::change_members(Change const& change) {
   if (draft_.epoch != change.expected || draft_.replicas.empty()) return false;
   Membership next = membership_of(draft_);
@@ -304,71 +294,77 @@
   if (adds) next.replicas.push_back(change.replica);
   ++next.epoch;
   put_membership(next, draft_);
-  jobs_.front().joint_written = next.fingerprint();
+  pending_.front().joint_fingerprint = next.fingerprint();
   return true;
 }
 
-void Proposer::accepted(std::string const& from, wire::AcceptedT const& ans, Micros now,
-                        std::vector<OutgoingMessage>& out) {
-  if (phase_ != Phase::second || ans.request_id != request_id_) return;
+void Proposer::handle_accepted(std::string const& from, wire::AcceptedT const& reply, Micros now,
+                               std::vector<OutgoingMessage>& out) {
+  if (phase_ != Phase::accept || reply.request_id != request_id_) return;
   Membership const members = membership_of(draft_);
-  if (!members.concerns(from, ans.disk) && !set_.concerns(from, ans.disk)) return;
-  if (ans.need_value) return send_accept(from, true, out);
-  if (!ans.ok) return again(now, ans.promised.n());
-  if (!same(ans.promised, ballot_)) return;  // an answer to another round, whatever its number
-  accepts_[from] = ans.disk;
-  if (members.quorum(accepts_)) chosen(now, out);
+  if (!members.concerns(from, reply.disk) && !membership_.concerns(from, reply.disk)) return;
+  if (reply.need_value) return send_accept(from, true, out);
+  if (!reply.ok) return back_off(now, reply.promised.n());
+  if (!same(reply.promised, ballot_)) return;  // an answer to another round, whatever its number
+  accepted_by_[from] = reply.disk;
+  if (members.quorum(accepted_by_)) handle_chosen(now, out);
 }
 
-// The draft is chosen. A joint set is settled before anything else; then the change that was asked has its turn.
-void Proposer::chosen(Micros now, std::vector<OutgoingMessage>& out) {
-  held_ballot_ = ballot_;
-  held_ = draft_;
-  set_ = membership_of(draft_);
-  known_ = set_.epoch > known_.epoch ? set_ : known_;
-  if (set_.joint()) {
-    joint_chosen_ = set_.fingerprint();
-    return start(now, out);
+// A joint membership is left before anything else; then the change that was asked has its turn.
+void Proposer::handle_chosen(Micros now, std::vector<OutgoingMessage>& out) {
+  cached_ballot_ = ballot_;
+  cached_value_ = draft_;
+  membership_ = membership_of(draft_);
+  if (membership_.epoch > chosen_membership_.epoch) chosen_membership_ = membership_;
+  if (membership_.joint()) {
+    chosen_joint_fingerprint_ = membership_.fingerprint();
+    return start_prepare_phase(now, out);
   }
-  bool const taken = serial_of_order(draft_, jobs_.front().change.id) > 0;
+  PendingChange const& pending = pending_.front();
+  std::uint64_t const serial = serial_of_order(draft_, pending.change.id);
+  bool const left_joint = draft_type_ == DraftType::leave_joint;
   bool const members_changed =
-      step_ == Step::settle && joint_chosen_ != 0 && jobs_.front().joint_written == joint_chosen_;
-  if (step_ == Step::settle && !taken && !members_changed) return start(now, out);
+      left_joint && chosen_joint_fingerprint_ != 0 && pending.joint_fingerprint == chosen_joint_fingerprint_;
+  if (left_joint && serial == 0 && !members_changed) return start_prepare_phase(now, out);
+  finish(outcome_of_draft(serial, members_changed));
+}
+
+Outcome Proposer::outcome_of_draft(std::uint64_t serial, bool members_changed) const {
   Outcome outcome;
   outcome.value = draft_;
-  if (verdict_) {
+  if (rejection_) {
     outcome.type = Outcome::Type::refused;
-    outcome.error = *verdict_;
-  } else {
-    outcome.serial = serial_of_order(draft_, jobs_.front().change.id);
-    outcome.type = outcome.serial > 0 || members_changed ? Outcome::Type::chosen : Outcome::Type::kept;
+    outcome.error = *rejection_;
+    return outcome;
   }
-  finish(outcome);
+  outcome.serial = serial;
+  outcome.type = serial > 0 || members_changed ? Outcome::Type::chosen : Outcome::Type::kept;
+  return outcome;
 }
 
-void Proposer::take(std::string const& from, wire::BodyUnion const& body, Micros now,
-                    std::vector<OutgoingMessage>& out) {
-  if (wire::PromiseT const* const ans = body.AsPromise()) promise(from, *ans, now, out);
-  if (wire::AcceptedT const* const ans = body.AsAccepted()) accepted(from, *ans, now, out);
+void Proposer::handle_reply(std::string const& from, wire::BodyUnion const& body, Micros now,
+                            std::vector<OutgoingMessage>& out) {
+  if (wire::PromiseT const* const reply = body.AsPromise()) handle_promise(from, *reply, now, out);
+  if (wire::AcceptedT const* const reply = body.AsAccepted()) handle_accepted(from, *reply, now, out);
 }
 
 void Proposer::give_up_unsent() {
-  std::deque<Job> kept;
-  std::vector<Job> given_up;
-  for (Job& job : jobs_) {
-    if (job.sent)
-      kept.push_back(std::move(job));
+  std::deque<PendingChange> kept;
+  std::vector<PendingChange> given_up;
+  for (PendingChange& pending : pending_) {
+    if (pending.accept_sent)
+      kept.push_back(std::move(pending));
     else
-      given_up.push_back(std::move(job));
+      given_up.push_back(std::move(pending));
   }
-  jobs_ = std::move(kept);
+  pending_ = std::move(kept);
   if (given_up.empty()) return;
   phase_ = Phase::idle;
-  for (Job& job : given_up) job.done(outcome_without_quorum(job));
+  for (PendingChange& pending : given_up) pending.done(outcome_without_quorum(pending));
 }
 
-Outcome Proposer::outcome_without_quorum(Job const& job) {
-  bool const maybe_taken = job.sent || job.change.proposed_elsewhere;
+Outcome Proposer::outcome_without_quorum(PendingChange const& pending) {
+  bool const maybe_taken = pending.accept_sent || pending.change.proposed_elsewhere;
   Outcome outcome;
   outcome.type = maybe_taken ? Outcome::Type::unknown : Outcome::Type::refused;
   outcome.error.code = maybe_taken ? ErrorCode::change_unknown : ErrorCode::no_majority;
@@ -376,23 +372,24 @@
 }
 
 void Proposer::tick(Micros now, std::vector<OutgoingMessage>& out) {
-  while (!jobs_.empty()) {
-    Job& job = jobs_.front();
-    if (now >= job.due) {
-      finish(outcome_without_quorum(job));
+  while (!pending_.empty()) {
+    PendingChange& pending = pending_.front();
+    if (now >= pending.deadline) {
+      finish(outcome_without_quorum(pending));
       continue;
     }
     if (phase_ == Phase::idle) {
-      if (set_.empty()) return;
-      start(now, out);
-    } else if (phase_ == Phase::pause) {
-      if (now >= due_ && !set_.empty()) start(now, out);
-    } else if (now >= due_) {
-      // A set that was only found may be one that nobody can complete: the next try begins with the chosen one.
-      set_ = known_.empty() ? suggested_ : known_;
-      held_.reset();
-      held_ballot_ = wire::Ballot(0, 0);
-      again(now, 0);
+      if (membership_.empty()) return;
+      start_prepare_phase(now, out);
+    } else if (phase_ == Phase::backoff) {
+      if (now >= phase_deadline_ && !membership_.empty()) start_prepare_phase(now, out);
+    } else if (now >= phase_deadline_) {
+      // A membership that was only found may be one that nobody can complete: the next attempt begins with the chosen
+      // one.
+      membership_ = chosen_membership_.empty() ? suggested_membership_ : chosen_membership_;
+      cached_value_.reset();
+      cached_ballot_ = wire::Ballot(0, 0);
+      back_off(now, 0);
     }
     return;
   }
--- a/src/consensus/register/text_patch.cc
+++ b/src/consensus/register/text_patch.cc
@@ -52,18 +52,19 @@
 class ChunkIndex {
  public:
   explicit ChunkIndex(std::string_view text) : text_(text), chunks_(chunks_of(text)) {
-    places_.reserve(chunks_.size());
-    for (std::size_t n = 0; n < chunks_.size(); ++n) places_.emplace_back(digest_of(part(text_, chunks_[n])).low, n);
-    std::sort(places_.begin(), places_.end());
+    occurrences_.reserve(chunks_.size());
+    for (std::size_t n = 0; n < chunks_.size(); ++n)
+      occurrences_.emplace_back(digest_of(part(text_, chunks_[n])).low, n);
+    std::sort(occurrences_.begin(), occurrences_.end());
   }
 
   // The occurrence of these bytes that is next to an expected place, at or after it if there is one; npos for none.
   std::size_t find(std::string_view bytes, std::size_t expected) const {
     std::uint64_t const hash = digest_of(bytes).low;
-    std::vector<Place>::const_iterator position =
-        std::lower_bound(places_.begin(), places_.end(), Place(hash, expected));
-    bool const after = position != places_.end() && position->first == hash;
-    if (!after && position == places_.begin()) return none;
+    std::vector<Occurrence>::const_iterator position =
+        std::lower_bound(occurrences_.begin(), occurrences_.end(), Occurrence(hash, expected));
+    bool const after = position != occurrences_.end() && position->first == hash;
+    if (!after && position == occurrences_.begin()) return none;
     if (!after) --position;
     if (position->first != hash || part(text_, chunks_[position->second]) != bytes) return none;
     return position->second;
@@ -73,10 +74,10 @@
   static constexpr std::size_t none = SIZE_MAX;
 
  private:
-  using Place = std::pair<std::uint64_t, std::size_t>;
+  using Occurrence = std::pair<std::uint64_t, std::size_t>;
   std::string_view const text_;
   std::vector<Chunk> const chunks_;
-  std::vector<Place> places_;
+  std::vector<Occurrence> occurrences_;
 };
 
 // Appends a stretch, to the last one where they follow one another.
@@ -118,12 +119,12 @@
   return out;
 }
 
-// Copies that are not worth their place in the patch become new bytes.
-std::vector<Stretch> worthwhile(std::vector<Stretch> const& stretches) {
+// Replaces copies that are shorter than their entry in the patch by new bytes.
+std::vector<Stretch> without_short_ranges(std::vector<Stretch> const& stretches) {
   std::vector<Stretch> out;
   for (Stretch const& stretch : stretches) {
-    bool const worth = stretch.length >= copy_least;
-    append(out, worth ? stretch : Stretch{0, 0, stretch.length + stretch.fresh});
+    bool const long_enough = stretch.length >= copy_least;
+    append(out, long_enough ? stretch : Stretch{0, 0, stretch.length + stretch.fresh});
   }
   return out;
 }
@@ -150,7 +151,7 @@
     append(out, stretch);
   }
   append(out, Stretch{base.size() - tail, tail, 0});
-  return worthwhile(out);
+  return without_short_ranges(out);
 }
 }  // namespace
 
@@ -158,8 +159,9 @@
   std::unique_ptr<wire::TextPatchT> out = std::make_unique<wire::TextPatchT>();
   std::size_t done = 0;
   for (Stretch const& stretch : difference(base, next)) {
-    out->copies.emplace_back(static_cast<std::uint32_t>(stretch.from), static_cast<std::uint32_t>(stretch.length),
-                             static_cast<std::uint32_t>(stretch.fresh));
+    out->copied_ranges.emplace_back(static_cast<std::uint32_t>(stretch.from),
+                                    static_cast<std::uint32_t>(stretch.length),
+                                    static_cast<std::uint32_t>(stretch.fresh));
     out->fresh += next.substr(done + stretch.length, stretch.fresh);
     done += stretch.length + stretch.fresh;
   }
@@ -172,7 +174,7 @@
 std::optional<std::string> patched_text(std::string_view base, wire::TextPatchT const& patch) {
   std::string out;
   std::size_t used = 0;
-  for (wire::TextCopy const& copy : patch.copies) {
+  for (wire::TextCopy const& copy : patch.copied_ranges) {
     std::size_t const from = copy.from();
     std::size_t const length = copy.length();
     std::size_t const fresh = copy.fresh();
--- a/src/consensus/register/value_patch.h
+++ b/src/consensus/register/value_patch.h
@@ -1,4 +1,4 @@
-// A value of the register as its difference to another one, so that a change costs what differs and not the whole
+// A value of the register as its difference to another one, so that a change costs what differs and not the
 // description with all that is remembered (docs/control.md, "What a change costs").
 #pragma once
 #include <memory>
@@ -8,6 +8,7 @@
 
 namespace pipit {
 
+// The patch that makes `next` of `base`.
 std::unique_ptr<wire::ValuePatchT> patch_between(wire::ValueT const& base, wire::ValueT const& next);
 // The patched value; nothing when the patch was made for another base: the digest of the result is checked.
 std::optional<wire::ValueT> patched(wire::ValueT const& base, wire::ValuePatchT const& patch);
--- a/src/node/changes.cc
+++ b/src/node/changes.cc
@@ -25,7 +25,8 @@
 }
 
 bool Node::quorum_heard(Micros now) const {
-  bool const lately = learner.contact() >= 0 && now - learner.contact() <= 2 * poll_span() + contact_slack;
+  bool const lately =
+      learner.last_quorum_at() >= 0 && now - learner.last_quorum_at() <= 2 * poll_span() + contact_slack;
   if (!lately) return false;
   Voters connected;
   for (wire::ReplicaT const& replica : learner.membership().replicas) {
@@ -47,7 +48,7 @@
 
 void Node::propose(std::uint64_t id, Change change, Micros now, NodeEffects& out) {
   Change const kept = change;
-  bool const taken = proposer.ask(
+  bool const taken = proposer.submit(
       std::move(change),
       [this, id, kept](Outcome const& outcome) {
         ended_.push_back({id, kept, outcome});
@@ -85,7 +86,7 @@
     if (fresh) after_value(now, out);
     // Also when a poll brought it here first: the others may hear of it from nobody else.
     if (fresh || outcome.type == Outcome::Type::chosen || change.type >= Change::Type::empty)
-      spread(outcome.value, fresh ? learner.before : std::nullopt, request_id, out);
+      spread(outcome.value, fresh ? learner.previous_value : std::nullopt, request_id, out);
     update_readiness(now, out);
   } else {
     log_event(outcome.type == Outcome::Type::unknown ? Event::change_outcome_unknown : Event::change_rejected,
--- a/src/node/checks.cc
+++ b/src/node/checks.cc
@@ -71,7 +71,7 @@
 
 std::string Node::waits_for(Micros now) const {
   Micros const from = stale_from_ >= 0 ? stale_from_ : started_at_;
-  if (learner.sure < from)
+  if (learner.confirmed_at < from)
     return "no majority of keepers has answered since " + std::to_string((now - from) / 1000) + " ms, " +
            std::to_string(mesh.open_connections()) + " connections to peers, " +
            std::to_string(learner.membership().replicas.size()) + " keepers known";
--- a/src/node/duties.cc
+++ b/src/node/duties.cc
@@ -22,7 +22,7 @@
 
 // The first set that this node saw somewhere, or that it may write itself; nothing while it may not.
 std::optional<Membership> Node::initial_set(Micros now) const {
-  std::uint64_t const disk = acceptor->held().disk;
+  std::uint64_t const disk = acceptor->durable_state().disk;
   if (learner.bootstrap_set().holds(plan.name, disk)) return learner.bootstrap_set();
   std::vector<std::string> initial_members = plan.registered ? initial_replicas(now) : plan.initial_members;
   std::sort(initial_members.begin(), initial_members.end());
@@ -53,7 +53,7 @@
 }
 
 void Node::bootstrap(Micros now, std::vector<OutgoingMessage>& outgoing) {
-  if (!acceptor || acceptor->held().formed) return;
+  if (!acceptor || acceptor->durable_state().formed) return;
   std::optional<Membership> const first = initial_set(now);
   if (!first) return;
   for (wire::ReplicaT const& to : first->replicas) {
@@ -242,7 +242,7 @@
   // Not oftener: each round outbids what others have under way, and a slow disk never catches up with a storm. Nor
   // while changes go by: each of them rewrites the copies, and a second proposer only delays them.
   bool const calm = learner.changed_at < 0 || now - learner.changed_at > repair_calm;
-  if (!learner.split || !calm || now - repaired_at_ <= repair_gap) return std::nullopt;
+  if (!learner.replicas_differ || !calm || now - repaired_at_ <= repair_gap) return std::nullopt;
   repaired_at_ = now;
   log_event(Event::replicas_repaired, "epoch " + std::to_string(learner.membership().epoch));
   return change;
@@ -251,7 +251,7 @@
 void Node::duties(Micros now, NodeEffects& out) {
   if (!acceptor) return;
   // A member that holds nothing yet gets no lease, but the others may wait for it to read the register.
-  bool const formed = acceptor->held().formed;
+  bool const formed = acceptor->durable_state().formed;
   std::vector<OutgoingMessage> outgoing;
   if (!leaving_ && formed) repair_lease_.tick(now, learner.membership(), outgoing);
   dispatch(outgoing, now, out);
@@ -270,7 +270,7 @@
 // Copies that differ after a loss leave no ballot that a majority shows; then nobody gets ready by polls alone. The
 // replica that proposes for all reads the register, which repairs them, and needs no lease for it.
 std::optional<Change> Node::catch_up_read(Micros now) {
-  bool const behind = now - std::max(started_at_, learner.sure) > unsure_for + poll_span();
+  bool const behind = now - std::max(started_at_, learner.confirmed_at) > unsure_for + poll_span();
   if (!behind || now - repaired_at_ <= repair_gap || leaving_ || proposing_replica() != plan.name) return std::nullopt;
   repaired_at_ = now;
   log_event(Event::replicas_repaired, "no majority shows one ballot");
--- a/src/node/handed.cc
+++ b/src/node/handed.cc
@@ -24,7 +24,7 @@
 }  // namespace
 
 bool Node::replica_reached(wire::ReplicaT const& replica) const {
-  if (replica.name == plan.name) return acceptor && acceptor->held().disk == replica.disk && !leaving_;
+  if (replica.name == plan.name) return acceptor && acceptor->durable_state().disk == replica.disk && !leaving_;
   std::map<std::string, Learner::Observation>::const_iterator const observation =
       learner.observations.find(replica.name);
   if (observation != learner.observations.end() && observation->second.disk != replica.disk) return false;
@@ -34,7 +34,7 @@
 
 std::string Node::proposing_replica() const {
   std::string best;
-  Membership const& members = learner.membership().empty() ? learner.seen() : learner.membership();
+  Membership const& members = learner.membership().empty() ? learner.newest_seen_membership() : learner.membership();
   for (wire::ReplicaT const& replica : members.replicas)
     if (replica_reached(replica) && (best.empty() || replica.name < best)) best = replica.name;
   return best;
@@ -75,7 +75,7 @@
 // The text that an order brings; nothing when the base of its patch is neither held here nor was just before.
 std::optional<std::string> Node::handed_text(wire::ForwardedChangeT const& ask) const {
   if (!ask.patch) return ask.text;
-  for (std::optional<wire::ValueT> const* const base : {&learner.value, &learner.before}) {
+  for (std::optional<wire::ValueT> const* const base : {&learner.value, &learner.previous_value}) {
     if (!*base || (*base)->revision != ask.revision) continue;
     if (std::optional<std::string> text = patched_text((*base)->text, *ask.patch)) return text;
   }
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -4,6 +4,7 @@
 
 #include "base/events.h"
 #include "base/guards.h"
+#include "consensus/register/router_registrations.h"
 #include "consensus/register/value_patch.h"
 
 namespace pipit {
@@ -79,7 +80,7 @@
       last_tick_(now),
       next_request_id_(incarnation_seed(plan, SeedUse::requests) >> spare_number_bits) {
   if (recovered) acceptor.emplace(std::move(*recovered));
-  resumes_bootstrap = acceptor && !acceptor->held().bootstrap_seeds.empty();
+  resumes_bootstrap = acceptor && !acceptor->durable_state().bootstrap_seeds.empty();
   std::vector<std::string> const& seeds = plan.bootstrap_seeds;
   bool const initial_member = std::find(seeds.begin(), seeds.end(), plan.address) != seeds.end();
   if (acceptor && plan.registered && initial_member) acceptor->await_bootstrap(seeds);
@@ -174,14 +175,14 @@
     case wire::Body::Accept:
     case wire::Body::Bootstrap:
       if (acceptor) {
-        acceptor->take(from, std::move(body));
+        acceptor->enqueue(from, std::move(body));
         if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
       }
       break;
     case wire::Body::ReadRequest:
       hear(body.AsReadRequest()->age, now);
       if (acceptor) {
-        wire::ReadReplyT ans = read_reply(acceptor->held(), *body.AsReadRequest());
+        wire::ReadReplyT ans = read_reply(acceptor->durable_state(), *body.AsReadRequest());
         ans.age = list_age(now);
         ans.retiring = retiring_;
         outgoing.push_back(message_to(from, std::move(ans)));
@@ -189,13 +190,13 @@
       break;
     case wire::Body::Promise:
     case wire::Body::Accepted:
-      proposer.take(from, body, now, outgoing);
+      proposer.handle_reply(from, body, now, outgoing);
       settle_ended(now, out);
       break;
     case wire::Body::ReadReply:
       hear(body.AsReadReply()->age, now);
-      if (learner.take(from, *body.AsReadReply(), now, outgoing)) after_value(now, out);
-      proposer.know(learner.membership());
+      if (learner.handle_reply(from, *body.AsReadReply(), now, outgoing)) after_value(now, out);
+      proposer.adopt_membership(learner.membership());
       update_readiness(now, out);
       break;
     case wire::Body::Chosen:
@@ -219,14 +220,14 @@
         wire::LeaseRequestT const& ask = *body.AsLeaseRequest();
         wire::LeaseReplyT ans;
         ans.request_id = ask.request_id;
-        ans.duty = ask.duty;
-        ans.disk = acceptor->held().disk;
-        ans.ok = lease_grantor_.ask(from, ask.duty, ask.term, now);
+        ans.role = ask.role;
+        ans.disk = acceptor->durable_state().disk;
+        ans.ok = lease_grantor_.handle_request(from, ask.role, ask.term, now);
         outgoing.push_back(message_to(from, std::move(ans)));
       }
       break;
     case wire::Body::LeaseReply:
-      repair_lease_.take(from, *body.AsLeaseReply(), now, learner.membership());
+      repair_lease_.handle_reply(from, *body.AsLeaseReply(), now, learner.membership());
       break;
     case wire::Body::Loads:
       hear(body.AsLoads()->age, now);
@@ -283,7 +284,7 @@
                                                       : 0;
   bool const fresh = update.value ? learner.adopt(*update.value, now) : learner.adopt(*update.patch, now);
   if (fresh) after_value(now, out);
-  proposer.know(learner.membership());
+  proposer.adopt_membership(learner.membership());
   if (update.hops > 0) forward(update, out);
   if (learner.revision() < revision) {
     // The patch has another base than what is held here: the whole value is asked for, and confirmed when it comes.
@@ -452,7 +453,7 @@
 void Node::update_readiness(Micros now, NodeEffects& out) {
   // What must be known: a majority's word on the register, and the list; both after the last jump.
   Micros const from = stale_from_ >= 0 ? stale_from_ : started_at_;
-  bool const word = learner.sure >= from;  // of a majority
+  bool const word = learner.confirmed_at >= from;  // of a majority
   // Where replicas are many enough for the losses that are allowed, nothing else will do (docs/control.md).
   if (plan.registered && !word && !ready_now_) return;
   bool sure = word;
@@ -497,7 +498,7 @@
   mesh.tick(now, out.mesh);
   take_fresh(now);
   std::vector<OutgoingMessage> outgoing;
-  if (now >= next_poll_ && (guard(Guard::spread) || learner.sure < 0 || plan.role == Role::config_store)) {
+  if (now >= next_poll_ && (guard(Guard::spread) || learner.confirmed_at < 0 || plan.role == Role::config_store)) {
     next_poll_ = now + poll_span();
     learner.poll(now, replicas(), list_age(now), outgoing);
     bootstrap(now, outgoing);
@@ -505,8 +506,8 @@
   if (acceptor)
     if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
   ask_newer(now, outgoing);
-  proposer.know(learner.membership());
-  proposer.suggest(learner.seen());
+  proposer.adopt_membership(learner.membership());
+  proposer.suggest_membership(learner.newest_seen_membership());
   if (plan.registered && !quorum_heard(now)) proposer.give_up_unsent();
   proposer.tick(now, outgoing);
   settle_ended(now, out);
@@ -526,8 +527,8 @@
 }
 
 bool Node::may_end(Micros now) const {
-  if (!acceptor || !acceptor->held().formed) return true;
-  if (!learner.membership().concerns(plan.name, acceptor->held().disk)) return true;
+  if (!acceptor || !acceptor->durable_state().formed) return true;
+  if (!learner.membership().concerns(plan.name, acceptor->durable_state().disk)) return true;
   // Who hears no quorum cannot know whether a replica is here to take its place: it waits for the end of its grace.
   // Nor does one end that the set can do without: it is taken out first.
   return quorum_heard(now) && !spare_replica(now) && !set_may_shrink();
@@ -537,7 +538,7 @@
   if (leaving_) return;
   leaving_ = true;
   std::vector<OutgoingMessage> outgoing;
-  repair_lease_.give_back(learner.membership(), outgoing);
+  repair_lease_.release(learner.membership(), outgoing);
   dispatch(outgoing, now, out);
   chat_dispatcher.drain();
   mesh.members.self.ready = false;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -8,8 +8,11 @@
 #include <string>
 #include <vector>
 
-#include "consensus/lease/lease.h"
+#include "consensus/lease/lease_candidate.h"
+#include "consensus/lease/lease_grantor.h"
+#include "consensus/register/acceptor.h"
 #include "consensus/register/learner.h"
+#include "consensus/register/proposer.h"
 #include "routing/dispatch/dispatcher.h"
 #include "routing/chat/chat_dispatcher.h"
 #include "routing/registry/registry.h"
@@ -286,7 +289,7 @@
   std::uint64_t newest_turn_ = 0;
 
   LeaseGrantor lease_grantor_;
-  LeaseHolder repair_lease_;
+  LeaseCandidate repair_lease_;
   Micros started_at_;
   Micros last_tick_;
   Micros next_poll_ = 0;
--- a/src/node/seats.cc
+++ b/src/node/seats.cc
@@ -1,6 +1,7 @@
 // Registrations of router nodes in the register (§5.9), and how old a node's knowledge of the list is (§4.3).
 #include "base/events.h"
 #include "base/guards.h"
+#include "consensus/register/router_registrations.h"
 #include "node/node.h"
 
 namespace pipit {
--- a/src/node/tenancy.cc
+++ b/src/node/tenancy.cc
@@ -19,9 +19,9 @@
 
 // Both leases rest on the same facts: what polls of replicas confirmed, and what peers told of theirs.
 void Node::confirm_configuration(Micros now) {
-  if (learner.sure >= 0) {
-    lease.confirm(learner.sure);
-    owner_lease_.confirm(learner.sure);
+  if (learner.confirmed_at >= 0) {
+    lease.confirm(learner.confirmed_at);
+    owner_lease_.confirm(learner.confirmed_at);
   }
   while (!newest_told_.empty() && newest_told_.begin()->first <= learner.revision()) {
     lease.confirm(newest_told_.begin()->second);
--- a/src/routing/exchange/exchange.h
+++ b/src/routing/exchange/exchange.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "consensus/register/acceptor.h"
+#include "consensus/register/outgoing_message.h"
 #include "routing/registry/registry.h"
 
 namespace pipit {
--- a/src/routing/index/index_sync.h
+++ b/src/routing/index/index_sync.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "base/random.h"
-#include "consensus/register/acceptor.h"
+#include "consensus/register/outgoing_message.h"
 #include "routing/index/index.h"
 
 namespace pipit {
--- a/src/routing/tenants/quota_client.h
+++ b/src/routing/tenants/quota_client.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "base/micros.h"
-#include "consensus/register/acceptor.h"
+#include "consensus/register/outgoing_message.h"
 #include "routing/tenants/quota_budget.h"
 
 namespace pipit {
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -5,6 +5,7 @@
 #include "base/fault_points.h"
 #include "base/json_writer.h"
 #include "config/description/description.h"
+#include "consensus/register/router_registrations.h"
 #include "routing/chat/chat_request_reader.h"
 #include "runtime/host.h"
 
--- a/src/storage/record_store.cc
+++ b/src/storage/record_store.cc
@@ -10,11 +10,11 @@
 
 constexpr char magic[8] = {'p', 'i', 'p', 'r', 'i', 'n', 'g', '1'};
 // Written last of all when a folder is formatted: without it the folder was never used.
-constexpr char const* formatted_mark = "formed";
-constexpr std::size_t mark_size = 16;
+constexpr char const* formatted_marker = "formed";
+constexpr std::size_t marker_size = 16;
 // Bounds for the verifier of FlatBuffers.
-constexpr std::size_t deepest_table = 16;
-constexpr std::size_t most_tables = 2000000;
+constexpr std::size_t max_table_depth = 16;
+constexpr std::size_t max_tables = 2000000;
 
 struct Header {
   char magic[8];
@@ -65,11 +65,11 @@
   record.disk = new_disk_id;
   record.format = record_format;
   // Once for each pair of files, so that none is left empty.
-  for (std::size_t pair = 0; pair < file_count / copies; ++pair) {
+  for (std::size_t pair = 0; pair < file_count / files_per_record; ++pair) {
     Result<void> saved = save(record);
     if (!saved) return saved.as_failure();
   }
-  Result<void> made = disk_.allocate(formatted_mark, mark_size);
+  Result<void> made = disk_.allocate(formatted_marker, marker_size);
   if (!made) return made.as_failure();
   return record;
 }
@@ -91,8 +91,8 @@
 }
 
 Result<wire::RecordT> RecordStore::unpack(std::string const& body) const {
-  flatbuffers::Verifier check(reinterpret_cast<std::uint8_t const*>(body.data()), body.size(), deepest_table,
-                              most_tables);
+  flatbuffers::Verifier check(reinterpret_cast<std::uint8_t const*>(body.data()), body.size(), max_table_depth,
+                              max_tables);
   if (!check.VerifyBuffer<wire::Record>(nullptr)) return fail(ErrorCode::bad_disk, "the record does not verify");
   wire::RecordT record;
   flatbuffers::GetRoot<wire::Record>(body.data())->UnPackTo(&record);
@@ -105,7 +105,7 @@
   return record;
 }
 
-bool RecordStore::holds_vote() {
+bool RecordStore::has_member_record() {
   for (std::size_t i = 0; i < file_count; ++i) {
     if (!disk_.exists(file_name(i))) continue;
     Result<std::string> const bytes = disk_.read(file_name(i));
@@ -119,11 +119,11 @@
 }
 
 Result<wire::RecordT> RecordStore::open(std::uint64_t new_disk_id, bool& blank) {
-  bool const marked = disk_.exists(formatted_mark);
-  blank = !marked && !holds_vote();
+  bool const formatted = disk_.exists(formatted_marker);
+  blank = !formatted && !has_member_record();
   if (blank) return format(new_disk_id);
-  // The mark's name was made and never synced. Without it the votes decide, so that a refusal does no harm.
-  if (!marked) static_cast<void>(disk_.allocate(formatted_mark, mark_size));
+  // The marker's name was made and never synced. Without it the votes decide, so that a refusal does no harm.
+  if (!formatted) static_cast<void>(disk_.allocate(formatted_marker, marker_size));
   Result<Files> const read = read_files();
   if (!read) return read.as_failure();
   Files const& files = read.value();
@@ -131,7 +131,7 @@
   if (last == nullptr) return fail(ErrorCode::bad_disk, "no record of the store is intact");
   // A power cut tears the one file that was being written. Both copies corrupt is decay of the disk, and what was in
   // them may have been answered for: then the replica must not go on with something older.
-  for (std::size_t first = 0; first < file_count; first += copies) {
+  for (std::size_t first = 0; first < file_count; first += files_per_record) {
     File const& one = files[first];
     File const& other = files[first + 1];
     if (!one.intact && !other.intact && !(one.empty && other.empty))
@@ -160,11 +160,11 @@
   header.sequence = ++sequence_;
   header.size = body.size();
   header.checksum = checksum_of(sequence_, body);
-  if (sizeof header + body.size() > largest_file)
+  if (sizeof header + body.size() > max_file_size)
     return fail(ErrorCode::bad_disk, "the record is larger than its file");
   std::string bytes(reinterpret_cast<char const*>(&header), sizeof header);
   bytes += body;
-  std::size_t const first = (sequence_ % (file_count / copies)) * copies;
+  std::size_t const first = (sequence_ % (file_count / files_per_record)) * files_per_record;
   std::size_t const second = first + 1;
   // Else a second interruption could tear the copy that the first one left intact.
   bool const second_before = corrupt_[second] && !corrupt_[first];
--- a/src/storage/record_store.h
+++ b/src/storage/record_store.h
@@ -24,20 +24,28 @@
 // The version of the record that this program writes. Format 1 remembered 64 orders by name (register/orders.h).
 constexpr std::uint32_t record_format = 3;
 
+// Keeps the record of one replica. Files come in pairs; each record is written to both files of a pair, and the next
+// one to the other pair, so that a write that is cut short leaves the record before it intact.
+//
+// State: the sequence number of the newest record and which files may be corrupt. Called from the thread of the disk
+// task, or from the simulator's loop.
+//
+// Invariant: a record that save() reported as written is what open() recovers, or a newer one, unless both files of its
+// pair are corrupt; then open() refuses.
 class RecordStore {
  public:
   static constexpr std::size_t file_count = 4;
-  static constexpr std::size_t copies = 2;  // of each record, in neighbouring files
-  static constexpr std::size_t largest_file = 6u << 20;
+  static constexpr std::size_t files_per_record = 2;  // of each record, in neighbouring files
+  static constexpr std::size_t max_file_size = 6u << 20;
 
-  // Each file is given `reserved` bytes at the first start; a larger record makes its file grow, up to largest_file.
+  // Each file is given `reserved` bytes at the first start; a larger record makes its file grow, up to max_file_size.
   // `disk` must outlive the store.
-  RecordStore(Disk& disk, std::string cluster, std::string node, std::size_t reserved = largest_file)
+  RecordStore(Disk& disk, std::string cluster, std::string node, std::size_t reserved = max_file_size)
       : disk_(disk), cluster_(std::move(cluster)), node_(std::move(node)), reserved_(reserved) {}
 
   // Recovers the last synced record. A folder that was never used is formatted, with `new_disk_id` in its first record;
   // `blank` says which. Refused: missing files, a record of another node or cluster, and both copies corrupt. A folder
-  // whose mark was lost with the power, but that holds a record of a member, is not blank.
+  // whose marker was lost with the power, but that holds a record of a member, is not blank.
   Result<wire::RecordT> open(std::uint64_t new_disk_id, bool& blank);
   // Writes and syncs both copies, one after the other, so that one corrupt copy loses nothing. A copy that may be
   // corrupt is written before an intact one. After an error the record may be saved again.
@@ -61,7 +69,7 @@
   Result<Files> read_files();
   Result<wire::RecordT> unpack(std::string const& body) const;
   // Whether some file holds the record of a member of a set: an intact one that has voted.
-  bool holds_vote();
+  bool has_member_record();
   Result<void> write_file(std::size_t index, std::string const& bytes);
 
   Disk& disk_;
--- a/testing/fleet_simulator/operators.cc
+++ b/testing/fleet_simulator/operators.cc
@@ -5,6 +5,7 @@
 #include <cstdio>
 
 #include "base/events.h"
+#include "consensus/register/router_registrations.h"
 #include "routing/index/path.h"
 
 namespace pipit {
--- a/testing/register_model_checker/register_view.cc
+++ b/testing/register_model_checker/register_view.cc
@@ -152,15 +152,15 @@
 Print print_of(Acceptor const& acceptor, Symmetry const& symmetry) {
   Print out(symmetry);
   add(out, acceptor.state_, symmetry);
-  add(out, acceptor.synced_state_, symmetry);
-  out.number(acceptor.busy_ ? 1 : 0);
-  out.number(acceptor.marked_ ? 1 : 0);
-  for (std::pair<std::string, wire::BodyUnion> const& item : acceptor.inbox_) {
+  add(out, acceptor.durable_state_, symmetry);
+  out.number(acceptor.sync_in_progress_ ? 1 : 0);
+  out.number(acceptor.note_pending_ ? 1 : 0);
+  for (std::pair<std::string, wire::BodyUnion> const& item : acceptor.requests_) {
     out.name(symmetry, item.first);
     out.part(print_of(item.second, symmetry));
   }
-  out.number(acceptor.inbox_.size());
-  for (OutgoingMessage const& item : acceptor.held_back_) {
+  out.number(acceptor.requests_.size());
+  for (OutgoingMessage const& item : acceptor.unsynced_replies_) {
     out.name(symmetry, item.to);
     out.part(print_of(item.body, symmetry));
   }
@@ -169,29 +169,29 @@
 
 Print print_of(Proposer const& proposer, Symmetry const& symmetry) {
   Print out(symmetry);
-  out.number(proposer.owner_);
-  add(out, proposer.known_, symmetry);
-  add(out, proposer.suggested_, symmetry);
-  add(out, proposer.set_, symmetry);
-  out.number(proposer.joint_chosen_);
-  for (Proposer::Job const& job : proposer.jobs_) {
-    out.text(job.change.id);
-    out.number(static_cast<std::uint64_t>(job.change.type));
-    out.number(job.change.expected);
-    out.number(job.sent ? 1 : 0);
-    out.number(job.sent_serial);
-    out.number(job.joint_written);
+  out.number(proposer.proposer_id_);
+  add(out, proposer.chosen_membership_, symmetry);
+  add(out, proposer.suggested_membership_, symmetry);
+  add(out, proposer.membership_, symmetry);
+  out.number(proposer.chosen_joint_fingerprint_);
+  for (Proposer::PendingChange const& pending : proposer.pending_) {
+    out.text(pending.change.id);
+    out.number(static_cast<std::uint64_t>(pending.change.type));
+    out.number(pending.change.expected);
+    out.number(pending.accept_sent ? 1 : 0);
+    out.number(pending.sent_serial);
+    out.number(pending.joint_fingerprint);
   }
-  out.number(proposer.jobs_.size());
+  out.number(proposer.pending_.size());
   out.number(static_cast<std::uint64_t>(proposer.phase_));
   out.number(proposer.request_id_);
-  out.number(proposer.top_);
+  out.number(proposer.highest_ballot_number_);
   add(out, proposer.ballot_);
-  add(out, proposer.held_ballot_);
-  add_optional(out, proposer.held_, symmetry);
-  if (proposer.phase_ == Proposer::Phase::first || proposer.phase_ == Proposer::Phase::second) {
+  add(out, proposer.cached_ballot_);
+  add_optional(out, proposer.cached_value_, symmetry);
+  if (proposer.phase_ == Proposer::Phase::prepare || proposer.phase_ == Proposer::Phase::accept) {
     Print promises(symmetry);
-    for (std::pair<std::string const, Proposer::Promised> const& item : proposer.promises_) {
+    for (std::pair<std::string const, Proposer::ReceivedPromise> const& item : proposer.promises_) {
       Print one(symmetry);
       one.name(symmetry, item.first);
       one.disk(symmetry, item.second.disk);
@@ -199,46 +199,46 @@
       promises.member(one);
     }
     out.part(promises);
-    add(out, proposer.best_);
-    add_optional(out, proposer.found_, symmetry);
+    add(out, proposer.highest_accepted_ballot_);
+    add_optional(out, proposer.highest_accepted_value_, symmetry);
   }
-  if (proposer.phase_ == Proposer::Phase::second) {
-    add(out, proposer.accepts_, symmetry);
+  if (proposer.phase_ == Proposer::Phase::accept) {
+    add(out, proposer.accepted_by_, symmetry);
     add(out, proposer.draft_, symmetry);
-    out.number(static_cast<std::uint64_t>(proposer.step_));
-    out.number(proposer.order_taken_ ? 1 : 0);
-    out.number(proposer.verdict_ ? 1 : 0);
+    out.number(static_cast<std::uint64_t>(proposer.draft_type_));
+    out.number(proposer.order_applied_ ? 1 : 0);
+    out.number(proposer.rejection_ ? 1 : 0);
   }
   return out;
 }
 
 Print print_of(Learner const& learner, Symmetry const& symmetry) {
   Print out(symmetry);
-  add(out, learner.set_, symmetry);
-  add(out, learner.seen_set_, symmetry);
-  add(out, learner.initial_set_, symmetry);
+  add(out, learner.membership_, symmetry);
+  add(out, learner.newest_seen_membership_, symmetry);
+  add(out, learner.bootstrap_membership_, symmetry);
   add_optional(out, learner.value, symmetry);
   out.number(learner.request_id_);
-  Print offered(symmetry);
-  for (std::pair<std::uint64_t const, Membership> const& item : learner.offered_) {
+  Print memberships(symmetry);
+  for (std::pair<std::uint64_t const, Membership> const& item : learner.poll_memberships_) {
     Print one(symmetry);
     add(one, item.second, symmetry);
-    offered.member(one);
+    memberships.member(one);
   }
-  out.part(offered);
-  Print votes(symmetry);
-  for (std::pair<std::string const, Learner::Vote> const& item : learner.votes_) {
+  out.part(memberships);
+  Print replies(symmetry);
+  for (std::pair<std::string const, Learner::PollReply> const& item : learner.poll_replies_) {
     Print one(symmetry);
     one.name(symmetry, item.first);
     one.disk(symmetry, item.second.disk);
     add(one, item.second.ballot);
     one.number(item.second.revision);
     one.number(item.second.members);
-    votes.member(one);
+    replies.member(one);
   }
-  out.part(votes);
-  out.number(learner.wanted_ ? 1 : 0);
-  if (learner.wanted_) add(out, learner.wanted_->ballot);
+  out.part(replies);
+  out.number(learner.value_to_fetch_ ? 1 : 0);
+  if (learner.value_to_fetch_) add(out, learner.value_to_fetch_->ballot);
   return out;
 }
 
@@ -246,10 +246,10 @@
 
 bool is_late(Proposer const& proposer, wire::BodyUnion const& body) {
   if (wire::PromiseT const* const ans = body.AsPromise())
-    return proposer.phase_ != Proposer::Phase::first || ans->request_id != proposer.request_id_;
+    return proposer.phase_ != Proposer::Phase::prepare || ans->request_id != proposer.request_id_;
   if (wire::AcceptedT const* const ans = body.AsAccepted())
     return ans->request_id != proposer.request_id_ ||
-           (proposer.phase_ != Proposer::Phase::second && proposer.phase_ != Proposer::Phase::first);
+           (proposer.phase_ != Proposer::Phase::accept && proposer.phase_ != Proposer::Phase::prepare);
   return false;
 }
 
@@ -258,7 +258,7 @@
   return ans != nullptr && ans->request_id != learner.request_id_;
 }
 
-void tell_members(Proposer& proposer, Learner const& learner) { proposer.know(learner.membership()); }
+void tell_members(Proposer& proposer, Learner const& learner) { proposer.adopt_membership(learner.membership()); }
 
 void start_with(Proposer& proposer, Learner& learner, wire::ValueT const& value) {
   learner.adopt(value, 0);
--- a/testing/register_model_checker/register_view.h
+++ b/testing/register_model_checker/register_view.h
@@ -5,6 +5,7 @@
 #include <string>
 #include <vector>
 
+#include "consensus/register/acceptor.h"
 #include "consensus/register/learner.h"
 #include "consensus/register/proposer.h"
 #include "testing/register_model_checker/print.h"
--- a/testing/register_model_checker/world.cc
+++ b/testing/register_model_checker/world.cc
@@ -227,11 +227,11 @@
 void World::deliver_to_replica(std::size_t index, Message const& message) {
   std::vector<OutgoingMessage> out;
   if (wire::ReadRequestT const* const ask = message.body.AsReadRequest()) {
-    out.push_back(message_to(message.from, read_reply(replicas[index].acceptor->held(), *ask)));
+    out.push_back(message_to(message.from, read_reply(replicas[index].acceptor->durable_state(), *ask)));
     return send(replica_name(index), out);
   }
   Acceptor next = *replicas[index].acceptor;
-  next.take(message.from, message.body);
+  next.enqueue(message.from, message.body);
   std::optional<wire::RecordT> save = next.step(out);
   after_acceptor(index, std::move(next), out, std::move(save));
 }
@@ -275,11 +275,11 @@
 
 void World::start_node(std::size_t index) {
   Node& node = nodes[index];
-  ProposerPlan plan;
-  plan.phase = round_time;
-  plan.whole = whole_time;
+  ProposerOptions options;
+  options.phase_timeout = round_time;
+  options.change_timeout = whole_time;
   std::uint64_t const chance = first_chance + (scenario->same_chance ? 0 : node.incarnation);
-  Proposer proposer(scenario->nodes[index], chance, plan);
+  Proposer proposer(scenario->nodes[index], chance, options);
   Learner learner;
   // A later incarnation reads the set from its peers; the first one is what every node knew.
   start_with(proposer, learner, first_value(scenario->members));
@@ -297,7 +297,7 @@
   Proposer next = *nodes[at].proposer;
   std::vector<std::pair<std::size_t, Outcome>> got;
   outcomes = &got;
-  next.ask(
+  next.submit(
       change_of(order),
       [index](Outcome const& outcome) {
         outcomes->push_back({index, outcome});
@@ -318,14 +318,14 @@
   outcomes = &got;
   std::vector<OutgoingMessage> out;
   if (wire::ReadReplyT const* const ans = message.body.AsReadReply()) {
-    if (std::optional<wire::ValueT> const fresh = learner.take(message.from, *ans, node.now, out))
+    if (std::optional<wire::ValueT> const fresh = learner.handle_reply(message.from, *ans, node.now, out))
       tell(*fresh, "the learner of " + scenario->nodes[index]);
     tell_members(proposer, learner);
   } else if (wire::ChosenT const* const update = message.body.AsChosen()) {
     if (update->value) learner.adopt(*update->value, node.now);
     tell_members(proposer, learner);
   } else {
-    proposer.take(message.from, message.body, node.now, out);
+    proposer.handle_reply(message.from, message.body, node.now, out);
   }
   std::vector<Ending> endings;
   for (std::pair<std::size_t, Outcome>& item : got) endings.push_back({item.first, std::move(item.second)});
@@ -632,7 +632,8 @@
   for (std::shared_ptr<Settled const> const& item : settled)
     if (item->revision == newest_told() && !is_quorum(*item->value, disks)) return "";
   for (Replica const& replica : replicas)
-    if (replica.acceptor->held().value && !is_quorum(*replica.acceptor->held().value, disks)) return "";
+    if (replica.acceptor->durable_state().value && !is_quorum(*replica.acceptor->durable_state().value, disks))
+      return "";
   World later = *this;
   Scenario changed = *scenario;
   changed.orders.push_back({"recovery", "reader", Change::Type::read, 0, "", -1, ""});
--- a/tests/control_plane.cc
+++ b/tests/control_plane.cc
@@ -102,7 +102,7 @@
     world.isolate({apart}, CutKind::silent, CutWay::both);
     world.run(seconds(2));
     for (MachineId const id : world.replicas()) {
-      EXPECT_FALSE(world.machine(id).node->acceptor->held().formed) << "not every founder was heard";
+      EXPECT_FALSE(world.machine(id).node->acceptor->durable_state().formed) << "not every founder was heard";
       world.power_off(id);
       if (wiped && id != apart) world.wipe(id);
     }
@@ -111,7 +111,8 @@
     for (MachineId const id : world.replicas()) world.boot(id);
     world.run(seconds(8));
     for (MachineId const id : world.replicas())
-      EXPECT_EQ(world.machine(id).node->acceptor->held().formed, !wiped) << "seed " << seed << ", machine " << id;
+      EXPECT_EQ(world.machine(id).node->acceptor->durable_state().formed, !wiped)
+          << "seed " << seed << ", machine " << id;
   }
 }
 
--- a/tests/invariants.cc
+++ b/tests/invariants.cc
@@ -100,7 +100,7 @@
     ask.value = std::make_unique<wire::ValueT>(value_of(7, text));
     wire::BodyUnion body;
     body.Set(std::move(ask));
-    acceptor.take("p", std::move(body));
+    acceptor.enqueue("p", std::move(body));
     if (acceptor.step(out)) acceptor.synced(out);
     EXPECT_EQ(expected.seen(Invariant::promise_kept), std::string(text) == "two" ? 1u : 0u);
   }
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -182,16 +182,16 @@
     members.replicas.push_back(replica);
   }
   std::map<std::string, LeaseGrantor> grantors;
-  std::map<std::string, LeaseHolder> holders;
+  std::map<std::string, LeaseCandidate> holders;
   std::uint64_t seed = 0;
   for (char const* const name : {"k1", "k2", "k3"}) {
     grantors.emplace(name, LeaseGrantor(0));
-    holders.emplace(name, LeaseHolder("mend", ++seed));
+    holders.emplace(name, LeaseCandidate("mend", ++seed));
   }
   bool any = false;
   for (Micros now = 0; now < seconds(40); now += millis(50)) {
     std::vector<std::pair<std::string, OutgoingMessage>> mail;
-    for (std::pair<std::string const, LeaseHolder>& item : holders) {
+    for (std::pair<std::string const, LeaseCandidate>& item : holders) {
       std::vector<OutgoingMessage> out;
       item.second.tick(now, members, out);
       for (OutgoingMessage& one : out) mail.emplace_back(item.first, std::move(one));
@@ -206,13 +206,13 @@
       wire::LeaseRequestT const& ask = *one.second.body.AsLeaseRequest();
       wire::LeaseReplyT ans;
       ans.request_id = ask.request_id;
-      ans.duty = ask.duty;
+      ans.role = ask.role;
       ans.disk = 1;
-      ans.ok = grantors.at(one.second.to).ask(one.first, ask.duty, ask.term, now);
-      holders.at(one.first).take(one.second.to, ans, now, members);
+      ans.ok = grantors.at(one.second.to).handle_request(one.first, ask.role, ask.term, now);
+      holders.at(one.first).handle_reply(one.second.to, ans, now, members);
     }
     int held = 0;
-    for (std::pair<std::string const, LeaseHolder>& item : holders) held += item.second.holds(now) ? 1 : 0;
+    for (std::pair<std::string const, LeaseCandidate>& item : holders) held += item.second.holds(now) ? 1 : 0;
     EXPECT_LE(held, 1);
     EXPECT_TRUE(held == 0 || now >= lease_term) << "a keeper that just began gives no lease for a term";
     any = any || held == 1;
--- a/tests/operators.cc
+++ b/tests/operators.cc
@@ -66,8 +66,8 @@
   replica.name = "k";
   replica.disk = 1;
   members.replicas.push_back(replica);
-  node.proposer.know(members);
-  EXPECT_TRUE(node.proposer.ask(
+  node.proposer.adopt_membership(members);
+  EXPECT_TRUE(node.proposer.submit(
       read_change(), [](Outcome const&) {}, 0));
   std::vector<OutgoingMessage> outgoing;
   node.proposer.tick(0, outgoing);
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -416,7 +416,7 @@
         recovered.value->replicas.push_back(std::make_unique<wire::ReplicaT>(replica));
       replicas.emplace(recovered.name, Acceptor(recovered));
     }
-    proposer.know(members);
+    proposer.adopt_membership(members);
   }
 
   Outcome ask(std::string const& id, std::string const& text, std::uint64_t expected, std::uint64_t label) {
@@ -427,7 +427,7 @@
     change.expected = expected;
     change.label = label;
     std::optional<Outcome> out;
-    EXPECT_TRUE(proposer.ask(
+    EXPECT_TRUE(proposer.submit(
         change, [&out](Outcome const& outcome) { out = outcome; }, now));
     for (int turns = 0; turns < 400 && !out; ++turns) {
       now += millis(10);
@@ -438,10 +438,10 @@
         for (OutgoingMessage& item : asks) {
           std::string const to = item.to;
           Acceptor& replica = replicas.at(to);
-          replica.take("n1", std::move(item.body));
+          replica.enqueue("n1", std::move(item.body));
           std::vector<OutgoingMessage> replies;
           if (replica.step(replies)) replica.synced(replies);
-          for (OutgoingMessage& reply : replies) proposer.take(to, reply.body, now, more);
+          for (OutgoingMessage& reply : replies) proposer.handle_reply(to, reply.body, now, more);
         }
         asks = std::move(more);
       }
--- a/tests/register.cc
+++ b/tests/register.cc
@@ -8,6 +8,7 @@
 #include <string>
 #include <vector>
 
+#include "consensus/register/acceptor.h"
 #include "consensus/register/learner.h"
 #include "consensus/register/orders.h"
 #include "consensus/register/proposer.h"
@@ -41,7 +42,7 @@
   Proposer& proposer(std::string const& name) {
     if (!proposers.count(name)) {
       proposers.emplace(name, std::make_unique<Proposer>(name, 7 + proposers.size()));
-      proposers.at(name)->know(first);
+      proposers.at(name)->adopt_membership(first);
     }
     return *proposers.at(name);
   }
@@ -51,7 +52,7 @@
   void ask(std::string const& who, Change change, std::vector<std::string> const& progress,
            std::vector<std::string> const& accepted_by = {}) {
     Proposer& from = proposer(who);
-    EXPECT_TRUE(from.ask(
+    EXPECT_TRUE(from.submit(
         std::move(change), [this, who](Outcome const& out) { outcomes[who].push_back(out); }, now));
     run(who, progress, accepted_by.empty() ? progress : accepted_by);
   }
@@ -78,7 +79,7 @@
         std::vector<std::string> const& to = accept ? accepted_by : progress;
         if (std::find(to.begin(), to.end(), item.to) == to.end()) continue;
         for (OutgoingMessage& answer : deliver(item.to, who, std::move(item.body)))
-          from.take(item.to, answer.body, now, outgoing);
+          from.handle_reply(item.to, answer.body, now, outgoing);
       }
     }
   }
@@ -86,7 +87,7 @@
   std::vector<OutgoingMessage> deliver(std::string const& to, std::string const& from, wire::BodyUnion body) {
     std::vector<OutgoingMessage> answers;
     Acceptor& acceptor = *acceptors.at(to);
-    acceptor.take(from, std::move(body));
+    acceptor.enqueue(from, std::move(body));
     if (acceptor.step(answers)) acceptor.synced(answers);
     return answers;
   }
@@ -181,7 +182,7 @@
   ASSERT_EQ(cluster.last("p1").type, Outcome::Type::chosen);
   EXPECT_EQ(membership_of(cluster.last("p1").value).names(), (std::vector<std::string>{"k2", "k3", "k4"}));
   // k2 is lost as well, the last of those that took the order. Whoever reads has heard of the new set from its peers.
-  cluster.proposer("p2").know(membership_of(cluster.last("p1").value));
+  cluster.proposer("p2").adopt_membership(membership_of(cluster.last("p1").value));
   cluster.ask("p2", cluster.read(), {"k3", "k4"});
   ASSERT_FALSE(cluster.outcomes["p2"].empty());
   EXPECT_EQ(cluster.last("p2").value.label, 7u);
@@ -205,7 +206,7 @@
   Change replace = cluster.admit("k4", 1);
   replace.type = Change::Type::replace;
   replace.leaving = replica_named("k3", 3);
-  ASSERT_TRUE(cluster.proposer("p2").ask(
+  ASSERT_TRUE(cluster.proposer("p2").submit(
       std::move(replace), [&over](Outcome const& out) { over = out.type == Outcome::Type::chosen; }, cluster.now));
   for (int turn = 0; turn < 12 && !over; ++turn) {
     for (int change = 0; change < 2; ++change, ++label)
@@ -221,8 +222,8 @@
   std::vector<wire::Ballot> ballots;
   for (std::uint64_t incarnation = 1; incarnation <= 2; ++incarnation) {
     Proposer proposer("n", incarnation);
-    proposer.know(members_of(2, {"k1", "k2", "k3"}));
-    ASSERT_TRUE(proposer.ask(
+    proposer.adopt_membership(members_of(2, {"k1", "k2", "k3"}));
+    ASSERT_TRUE(proposer.submit(
         cluster.read(), [](Outcome const&) {}, 0));
     std::vector<OutgoingMessage> outgoing;
     proposer.tick(0, outgoing);
@@ -238,8 +239,8 @@
   std::vector<wire::Ballot> ballots;
   for (std::string const& name : {std::string("n1"), std::string("n2")}) {
     Proposer proposer(name, hash_text(name));
-    proposer.know(members_of(2, {"k1", "k2", "k3"}));
-    ASSERT_TRUE(proposer.ask(
+    proposer.adopt_membership(members_of(2, {"k1", "k2", "k3"}));
+    ASSERT_TRUE(proposer.submit(
         Change(), [](Outcome const&) {}, 0));
     std::vector<OutgoingMessage> outgoing;
     proposer.tick(0, outgoing);
@@ -252,9 +253,9 @@
 // A replica's answer to a former incarnation of the same node, should the request numbers ever be the same.
 TEST(Ballots, a_promise_of_another_ballot_does_not_count) {
   Proposer proposer("n", 1);
-  proposer.know(members_of(2, {"k1", "k2", "k3"}));
+  proposer.adopt_membership(members_of(2, {"k1", "k2", "k3"}));
   Cluster const cluster(members_of(2, {"k1", "k2", "k3"}));
-  ASSERT_TRUE(proposer.ask(
+  ASSERT_TRUE(proposer.submit(
       cluster.apply("A", 0, 1), [](Outcome const&) {}, 0));
   std::vector<OutgoingMessage> outgoing;
   proposer.tick(0, outgoing);
@@ -271,7 +272,7 @@
     promise.promised = disk == 1 ? asked.ballot : wire::Ballot(asked.ballot.n() - 1, asked.ballot.who());
     promise.accepted = wire::Ballot(1, 1);
     promise.value = std::make_unique<wire::ValueT>(value);
-    proposer.take("k" + std::to_string(disk), message_to("n", std::move(promise)).body, 0, outgoing);
+    proposer.handle_reply("k" + std::to_string(disk), message_to("n", std::move(promise)).body, 0, outgoing);
   }
   EXPECT_TRUE(outgoing.empty()) << "round two was begun with one promise of three";
 }
@@ -279,16 +280,16 @@
 TEST(Ballots, an_acceptance_of_another_ballot_does_not_count) {
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}));
   Proposer proposer("n", 1);
-  proposer.know(members_of(2, {"k1", "k2", "k3"}));
+  proposer.adopt_membership(members_of(2, {"k1", "k2", "k3"}));
   std::vector<Outcome> outcomes;
-  ASSERT_TRUE(proposer.ask(
+  ASSERT_TRUE(proposer.submit(
       cluster.apply("A", 0, 1), [&outcomes](Outcome const& outcome) { outcomes.push_back(outcome); }, 0));
   std::vector<OutgoingMessage> asks;
   std::vector<OutgoingMessage> accepts;
   proposer.tick(0, asks);
   for (OutgoingMessage& ask : asks)
     for (OutgoingMessage& answer : cluster.deliver(ask.to, "n", std::move(ask.body)))
-      proposer.take(ask.to, answer.body, 0, accepts);
+      proposer.handle_reply(ask.to, answer.body, 0, accepts);
   ASSERT_FALSE(accepts.empty());
   wire::AcceptT const asked = *accepts.front().body.AsAccept();
   for (std::uint64_t disk = 1; disk <= 2; ++disk) {
@@ -298,7 +299,7 @@
     accepted.ok = true;
     accepted.promised = disk == 1 ? asked.ballot : wire::Ballot(asked.ballot.n() - 1, asked.ballot.who());
     std::vector<OutgoingMessage> more;
-    proposer.take("k" + std::to_string(disk), message_to("n", std::move(accepted)).body, 0, more);
+    proposer.handle_reply("k" + std::to_string(disk), message_to("n", std::move(accepted)).body, 0, more);
   }
   EXPECT_TRUE(outcomes.empty()) << "confirmed with one acceptance of three";
 }
@@ -410,13 +411,13 @@
   cluster.ask("p1", cluster.apply("A", 0, 1), {"k1", "k2"});
   cluster.ask("p1", cluster.apply("B", 1, 2), {"k2", "k3"});
   EXPECT_EQ(cluster.last("p1").type, Outcome::Type::chosen);
-  EXPECT_EQ(cluster.acceptor("k3").held().value->text, "B");
-  EXPECT_EQ(cluster.acceptor("k3").held().value->orders.size(), 2u);
+  EXPECT_EQ(cluster.acceptor("k3").durable_state().value->text, "B");
+  EXPECT_EQ(cluster.acceptor("k3").durable_state().value->orders.size(), 2u);
 }
 
 namespace {
 wire::ReadReplyT answer_of(Acceptor const& acceptor, wire::ReadRequestT const& ask) {
-  return read_reply(acceptor.held(), ask);
+  return read_reply(acceptor.durable_state(), ask);
 }
 }  // namespace
 
@@ -429,9 +430,9 @@
   std::vector<OutgoingMessage> asks;
   learner.poll(0, {"k1"}, -1, asks);
   std::vector<OutgoingMessage> more;
-  learner.take("k1", answer_of(cluster.acceptor("k1"), *asks.front().body.AsReadRequest()), 0, more);
+  learner.handle_reply("k1", answer_of(cluster.acceptor("k1"), *asks.front().body.AsReadRequest()), 0, more);
   EXPECT_TRUE(learner.membership().empty());
-  EXPECT_EQ(learner.sure, -1);
+  EXPECT_EQ(learner.confirmed_at, -1);
 }
 
 // While changes go on no two replicas may show one ballot. Who holds as much as a quorum knew is as new as the poll.
@@ -443,12 +444,12 @@
   learner.poll(seconds(5), {"k1", "k2", "k3"}, -1, asks);
   wire::ReadRequestT const peek = *asks.front().body.AsReadRequest();
   std::vector<OutgoingMessage> more;
-  learner.take("k1", answer_of(cluster.acceptor("k1"), peek), seconds(5), more);
+  learner.handle_reply("k1", answer_of(cluster.acceptor("k1"), peek), seconds(5), more);
   cluster.ask("p1", cluster.apply("B", 1, 2), {"k1", "k2"});
-  learner.take("k2", answer_of(cluster.acceptor("k2"), peek), seconds(5), more);
-  EXPECT_EQ(learner.sure, -1) << "two ballots, and the newer revision is not held here";
+  learner.handle_reply("k2", answer_of(cluster.acceptor("k2"), peek), seconds(5), more);
+  EXPECT_EQ(learner.confirmed_at, -1) << "two ballots, and the newer revision is not held here";
   learner.adopt(cluster.last("p1").value, seconds(6));
-  EXPECT_EQ(learner.sure, seconds(5));
+  EXPECT_EQ(learner.confirmed_at, seconds(5));
 }
 
 // A member that was dark when it got its place holds nothing, and is a member all the same: with it the others are a
@@ -457,14 +458,14 @@
   Cluster cluster(members_of(2, {"k1", "k2", "k3"}), {"k4"});
   cluster.ask("p1", cluster.admit("k4", 2), {"k1", "k2", "k3"});
   ASSERT_EQ(cluster.last("p1").type, Outcome::Type::chosen);
-  ASSERT_FALSE(cluster.acceptor("k4").held().formed);
+  ASSERT_FALSE(cluster.acceptor("k4").durable_state().formed);
   Learner learner;
   std::vector<OutgoingMessage> asks;
   std::vector<OutgoingMessage> more;
   learner.poll(seconds(5), {"k2", "k3", "k4"}, -1, asks);
   for (OutgoingMessage const& ask : asks)
-    learner.take(ask.to, answer_of(cluster.acceptor(ask.to), *ask.body.AsReadRequest()), seconds(5), more);
-  EXPECT_EQ(learner.contact(), seconds(5)) << "three of four members answered";
+    learner.handle_reply(ask.to, answer_of(cluster.acceptor(ask.to), *ask.body.AsReadRequest()), seconds(5), more);
+  EXPECT_EQ(learner.last_quorum_at(), seconds(5)) << "three of four members answered";
 }
 
 // All lost their memory, and no two replicas show one ballot: a proposer begins with the newest set that was seen.
@@ -478,12 +479,12 @@
   std::vector<OutgoingMessage> more;
   learner.poll(0, {"k2", "k3"}, -1, asks);
   for (OutgoingMessage const& ask : asks)
-    learner.take(ask.to, answer_of(cluster.acceptor(ask.to), *ask.body.AsReadRequest()), 0, more);
+    learner.handle_reply(ask.to, answer_of(cluster.acceptor(ask.to), *ask.body.AsReadRequest()), 0, more);
   EXPECT_TRUE(learner.membership().empty());
   Proposer fresh("p9", 99);
-  fresh.suggest(learner.seen());
+  fresh.suggest_membership(learner.newest_seen_membership());
   std::optional<Outcome> outcome;
-  ASSERT_TRUE(fresh.ask(
+  ASSERT_TRUE(fresh.submit(
       cluster.read(), [&outcome](Outcome const& end) { outcome = end; }, 0));
   for (Micros now = 0; now < seconds(2) && !outcome; now += millis(50)) {
     std::vector<OutgoingMessage> outgoing;
@@ -494,7 +495,7 @@
       for (OutgoingMessage& item : batch) {
         if (item.to == "k1") continue;
         for (OutgoingMessage& answer : cluster.deliver(item.to, "p9", std::move(item.body)))
-          fresh.take(item.to, answer.body, now, outgoing);
+          fresh.handle_reply(item.to, answer.body, now, outgoing);
       }
     }
   }
--- a/tests/stored_data.cc
+++ b/tests/stored_data.cc
@@ -162,7 +162,7 @@
 TEST(StoredData, a_folder_of_the_first_format_is_opened_and_its_orders_are_known) {
   CopiedDisk disk(folder_of(1));
   Acceptor const acceptor(opened(disk, 1));
-  wire::RecordT const& record = acceptor.held();
+  wire::RecordT const& record = acceptor.durable_state();
   expect_common(record, 1);
   ASSERT_NE(record.value, nullptr);
   wire::ValueT const& value = *record.value;
@@ -192,7 +192,7 @@
 TEST(StoredData, a_folder_of_the_second_format_is_opened) {
   CopiedDisk disk(folder_of(2));
   Acceptor const acceptor(opened(disk, 2));
-  wire::RecordT const& record = acceptor.held();
+  wire::RecordT const& record = acceptor.durable_state();
   expect_common(record, 2);
   EXPECT_EQ(record.bootstrap_seeds, bootstrap_seeds);
   EXPECT_EQ(record.quota_members, 0u);
@@ -204,7 +204,7 @@
 TEST(StoredData, a_folder_of_the_third_format_is_opened) {
   CopiedDisk disk(folder_of(3));
   Acceptor const acceptor(opened(disk, 3));
-  wire::RecordT const& record = acceptor.held();
+  wire::RecordT const& record = acceptor.durable_state();
   expect_common(record, 3);
   EXPECT_EQ(record.bootstrap_seeds, bootstrap_seeds);
   EXPECT_EQ(record.quota_members, 555u);
@@ -226,7 +226,7 @@
     prepare.ballot = wire::Ballot(17, 79);
     wire::BodyUnion body;
     body.Set(std::move(prepare));
-    acceptor.take("k2", std::move(body));
+    acceptor.enqueue("k2", std::move(body));
     std::vector<OutgoingMessage> replies;
     std::optional<wire::RecordT> const changed = acceptor.step(replies);
     ASSERT_TRUE(changed);
--- a/tests/text_patch.cc
+++ b/tests/text_patch.cc
@@ -121,7 +121,7 @@
   };
   for (std::vector<wire::TextCopy> const& copies : bad) {
     wire::TextPatchT patch = *good;
-    patch.copies = copies;
+    patch.copied_ranges = copies;
     EXPECT_FALSE(patched_text(base, patch)) << copies.size();
   }
   wire::TextPatchT other = *good;
--- a/tests/wire_frames.cc
+++ b/tests/wire_frames.cc
@@ -211,7 +211,7 @@
   }
 
   void expect(wire::TextPatchT const& text_patch) {
-    expect_items(text_patch.copies);
+    expect_items(text_patch.copied_ranges);
     EXPECT_EQ(text_patch.fresh, text());
     EXPECT_EQ(text_patch.digest_high, number<std::uint64_t>());
     EXPECT_EQ(text_patch.digest_low, number<std::uint64_t>());
@@ -287,13 +287,13 @@
 
   void expect(wire::LeaseRequestT const& lease_request) {
     EXPECT_EQ(lease_request.request_id, number<std::uint64_t>());
-    EXPECT_EQ(lease_request.duty, text());
+    EXPECT_EQ(lease_request.role, text());
     EXPECT_EQ(lease_request.term, number<std::int64_t>());
   }
 
   void expect(wire::LeaseReplyT const& lease_reply) {
     EXPECT_EQ(lease_reply.request_id, number<std::uint64_t>());
-    EXPECT_EQ(lease_reply.duty, text());
+    EXPECT_EQ(lease_reply.role, text());
     EXPECT_EQ(lease_reply.ok, flag(0));
     EXPECT_EQ(lease_reply.disk, number<std::uint64_t>());
   }
