--- a/src/config/description/builder.cc
+++ b/src/config/description/builder.cc
@@ -39,7 +39,7 @@
     weights += share.weight;
   }
   if (weights <= 0) return fail(ErrorCode::bad_description, "the weights add up to 0", place + ".shares");
-  if (route.hold <= 0)
+  if (route.request_timeout <= 0)
     return fail(ErrorCode::bad_description, "a request that may be held for no time is never served",
                 place + ".hold_ms");
   if (!route_names_.insert(route.name).second)
--- a/src/config/description/builder.h
+++ b/src/config/description/builder.h
@@ -10,6 +10,8 @@
 
 namespace pipit {
 
+// State: the description so far with the names in it. Items may be added in any order but for the pools that a route
+// names. After an error the builder is not used any more.
 class DescriptionBuilder {
  public:
   // 'place' is where the item stands in the text, for the fault.
--- a/src/config/description/description.h
+++ b/src/config/description/description.h
@@ -14,6 +14,7 @@
 
 namespace pipit {
 
+// Workers that serve one model.
 struct Pool {
   std::string name;
   std::string model;
@@ -29,6 +30,7 @@
   std::int64_t stride = 1;           // tokens in one event of a stream
 };
 
+// Requests that one policy treats alike, and the pools that serve them (§5.2).
 struct Lane {
   std::string name;
   Binding binding;
@@ -45,10 +47,10 @@
   std::string host;
   std::string prefix;  // begins and ends with a slash
   std::vector<Share> shares;
-  bool repeatable = false;  // may run more than once
-  bool streams = false;     // answers with a series of events
-  bool resumable = false;   // a stream may go on at another worker
-  Micros hold = seconds(30);
+  bool repeatable = false;               // may run more than once
+  bool streams = false;                  // answers with a series of events
+  bool resumable = false;                // a stream may go on at another worker
+  Micros request_timeout = seconds(30);  // from the arrival of a request until it is given up
   Micros latency_target = seconds(1);
   Micros gap = 0;         // the longest pause between events that keeps an answer in time; 0: none is named
   std::int64_t rank = 0;  // 0 comes first
@@ -79,6 +81,7 @@
   Micros idle = seconds(60);
 };
 
+// A description that was read and checked; it does not change any more, so that threads may share it.
 struct Description {
   std::vector<Pool> pools;
   std::vector<Lane> lanes;
@@ -113,7 +116,8 @@
 // Makes a description of a text that the register holds.
 using DescriptionReader = std::function<Result<std::shared_ptr<Description const>>(std::string_view)>;
 
-// The check of `decree check` and of every node that proposes or learns a description.
+// Reads and checks the JSON text of a description: the check of `decree check` and of every node that proposes or
+// learns one. Errors are too_large, bad_json, bad_description and bad_language, with the place of the fault.
 Result<std::shared_ptr<Description const>> read_description(std::string_view text);
 
 }  // namespace pipit
--- a/src/config/rules/compiler.cc
+++ b/src/config/rules/compiler.cc
@@ -10,7 +10,7 @@
 constexpr std::int64_t longest_time_s = 3600;
 constexpr std::int64_t highest_urgency = 9;
 constexpr std::int64_t largest_backlog = 100000;
-constexpr std::int64_t most_tries = 5;
+constexpr std::int64_t max_attempts_limit = 5;
 
 Result<void> failure(Error error) { return boost::outcome_v2::failure(std::move(error)); }
 
@@ -36,13 +36,13 @@
 }
 
 bool read_repeat(Token const& token, bool& safe) {
-  if (token.kind != TokenKind::word || (token.text != "never" && token.text != "safe")) return false;
+  if (token.kind != TokenKind::identifier || (token.text != "never" && token.text != "safe")) return false;
   safe = token.text == "safe";
   return true;
 }
 
 bool read_locality(Token const& token, Locality& out) {
-  if (token.kind != TokenKind::word) return false;
+  if (token.kind != TokenKind::identifier) return false;
   if (token.text == "prefer")
     out = Locality::prefer;
   else if (token.text == "only")
@@ -56,9 +56,9 @@
 
 char const* check(bool good, char const* expected) { return good ? "" : expected; }
 
-// Reads the value of one word of a policy. Returns what the word takes when the value does not fit, an empty text when
-// it does, and null when there is no such word.
-char const* read_policy_word(std::string const& name, Token const& value, Policy& out) {
+// Reads the value of one setting of a policy. Returns what the word takes when the value does not fit, an empty text
+// when it does, and null when there is no such word.
+char const* read_policy_setting(std::string const& name, Token const& value, Policy& out) {
   static char const* const takes_time = "takes a time such as 800ms or 2s, up to 60m";
   if (name == "wait") return check(read_time(value, out.wait), takes_time);
   if (name == "answer") return check(read_time(value, out.answer), takes_time);
@@ -67,7 +67,8 @@
     return check(read_number(value, 0, highest_urgency, out.urgency), "takes a number from 0 to 9");
   if (name == "backlog")
     return check(read_number(value, 0, largest_backlog, out.backlog), "takes a number up to 100000");
-  if (name == "tries") return check(read_number(value, 1, most_tries, out.tries), "takes a number from 1 to 5");
+  if (name == "tries")
+    return check(read_number(value, 1, max_attempts_limit, out.max_attempts), "takes a number from 1 to 5");
   if (name == "repeat") return check(read_repeat(value, out.safe), "takes never or safe");
   if (name == "locality") return check(read_locality(value, out.locality), "takes prefer, only or any");
   return nullptr;
@@ -81,7 +82,7 @@
 }
 
 Result<void> parse_choice(Parser& parser, std::vector<Binding::Choice>& pools) {
-  if (parser.peek().kind != TokenKind::word) return failure(parser.error_here("a pool's name is expected"));
+  if (parser.peek().kind != TokenKind::identifier) return failure(parser.error_here("a pool's name is expected"));
   Binding::Choice choice;
   choice.offset = parser.peek().offset;
   choice.pool = parser.take().text;
@@ -89,7 +90,7 @@
     if (earlier.pool == choice.pool)
       return failure(parser.error_at(choice.offset, "the pool '" + choice.pool + "' stands twice"));
   Error error;
-  if (parser.take_word("when") && !parser.parse_condition(choice.when, error)) return failure(error);
+  if (parser.take_keyword("when") && !parser.parse_condition(choice.when, error)) return failure(error);
   pools.push_back(std::move(choice));
   return boost::outcome_v2::success();
 }
@@ -111,11 +112,11 @@
   while (!parser.at_end()) {
     std::size_t const offset = parser.peek().offset;
     Result<void> clause = boost::outcome_v2::success();
-    if (parser.take_word("match")) {
+    if (parser.take_keyword("match")) {
       if (matched) return boost::outcome_v2::failure(parser.error_at(offset, "'match' stands twice"));
       matched = true;
       clause = parse_match(parser, offset, out.match);
-    } else if (parser.take_word("pool")) {
+    } else if (parser.take_keyword("pool")) {
       clause = parse_choice(parser, out.pools);
     } else {
       clause = failure(parser.error_here("'match' or 'pool' is expected"));
@@ -135,13 +136,13 @@
   Policy out;
   std::set<std::string> seen;
   while (!parser.at_end()) {
-    if (parser.peek().kind != TokenKind::word)
+    if (parser.peek().kind != TokenKind::identifier)
       return boost::outcome_v2::failure(parser.error_here("a policy's word is expected"));
     Token const name = parser.take();
     if (!seen.insert(name.text).second)
       return boost::outcome_v2::failure(parser.error_at(name.offset, "'" + name.text + "' stands twice"));
     Token const value = parser.take();
-    char const* const expected = read_policy_word(name.text, value, out);
+    char const* const expected = read_policy_setting(name.text, value, out);
     if (expected == nullptr)
       return boost::outcome_v2::failure(parser.error_at(name.offset, "there is no policy word '" + name.text + "'"));
     if (*expected != '\0')
--- a/src/config/rules/lexer.cc
+++ b/src/config/rules/lexer.cc
@@ -43,14 +43,14 @@
 
   Result<void> read(Token& token) {
     char const first = text_[position_];
-    if (is_alphabetic(first)) return read_word(token);
+    if (is_alphabetic(first)) return read_identifier(token);
     if (is_digit(first)) return read_number(token);
     if (first == '"') return read_text(token);
     return read_symbol(token);
   }
 
-  Result<void> read_word(Token& token) {
-    token.kind = TokenKind::word;
+  Result<void> read_identifier(Token& token) {
+    token.kind = TokenKind::identifier;
     while (more() && (is_alphabetic(text_[position_]) || is_digit(text_[position_]) || text_[position_] == '-'))
       token.text += text_[position_++];
     return boost::outcome_v2::success();
--- a/src/config/rules/lexer.h
+++ b/src/config/rules/lexer.h
@@ -9,7 +9,7 @@
 
 namespace pipit {
 
-enum class TokenKind : std::uint8_t { word, number, text, symbol, end };
+enum class TokenKind : std::uint8_t { identifier, number, text, symbol, end };
 
 struct Token {
   TokenKind kind = TokenKind::end;
--- a/src/config/rules/parser.cc
+++ b/src/config/rules/parser.cc
@@ -34,7 +34,7 @@
 
 bool Parser::parse_condition(Condition& out, Error& error, int depth) {
   if (!parse_and(out, error, depth)) return false;
-  while (take_word("or")) {
+  while (take_keyword("or")) {
     if (!parse_and(out, error, depth)) return false;
     out.instructions.push_back({Operation::logical_or, 0, 0, ""});
   }
@@ -43,7 +43,7 @@
 
 bool Parser::parse_and(Condition& out, Error& error, int depth) {
   if (!parse_not(out, error, depth)) return false;
-  while (take_word("and")) {
+  while (take_keyword("and")) {
     if (!parse_not(out, error, depth)) return false;
     out.instructions.push_back({Operation::logical_and, 0, 0, ""});
   }
@@ -55,7 +55,7 @@
     error = error_here("the condition is nested too deeply");
     return false;
   }
-  if (take_word("not")) {
+  if (take_keyword("not")) {
     if (!parse_not(out, error, depth + 1)) return false;
     out.instructions.push_back({Operation::logical_not, 0, 0, ""});
     return true;
@@ -70,11 +70,11 @@
 }
 
 bool Parser::parse_test(Condition& out, Error& error) {
-  if (take_word("always")) {
+  if (take_keyword("always")) {
     out.instructions.push_back({Operation::always, 0, 0, ""});
     return true;
   }
-  if (peek().kind != TokenKind::word) {
+  if (peek().kind != TokenKind::identifier) {
     error = error_here("a field's name is expected");
     return false;
   }
@@ -98,7 +98,7 @@
     out.operation = Operation::text_equal;
   } else if (take_symbol("!=")) {
     out.operation = Operation::text_not_equal;
-  } else if (take_word("starts")) {
+  } else if (take_keyword("starts")) {
     out.operation = Operation::text_starts_with;
   } else {
     error = error_here("'" + name_of(out) + "' takes =, != or starts");
--- a/src/config/rules/parser.h
+++ b/src/config/rules/parser.h
@@ -10,6 +10,7 @@
 
 namespace pipit {
 
+// Walks the tokens of one text; nothing outlives the compilation of that text.
 class Parser {
  public:
   // `text` must outlive the parser; it is what `tokens` was made from.
@@ -19,8 +20,8 @@
   // The token here, and a step on; the last one stays.
   Token const& take() { return tokens_[position_ + 1 < tokens_.size() ? position_++ : position_]; }
   bool at_end() const { return peek().kind == TokenKind::end; }
-  // Takes the token here if it is this word or symbol; else nothing moves.
-  bool take_word(std::string_view name) { return take_if(TokenKind::word, name); }
+  // Takes the token here if it is this keyword or symbol; else nothing moves.
+  bool take_keyword(std::string_view name) { return take_if(TokenKind::identifier, name); }
   bool take_symbol(std::string_view name) { return take_if(TokenKind::symbol, name); }
 
   Error error_here(std::string why) const { return error_at(peek().offset, std::move(why)); }
@@ -28,7 +29,7 @@
     return Error{ErrorCode::bad_language, std::move(why), place_of(text_, offset)};
   }
 
-  // Parses a condition and appends its instructions to `out`; `fault` is set when it returns false.
+  // Parses a condition and appends its instructions to `out`; `error` is set when it returns false.
   //   CONDITION = AND {"or" AND};  AND = NOT {"and" NOT};  NOT = "not" NOT | "(" CONDITION ")" | TEST
   bool parse_condition(Condition& out, Error& error, int depth = 0);
 
--- a/src/config/rules/rules.h
+++ b/src/config/rules/rules.h
@@ -77,13 +77,13 @@
 
 // How the requests of a lane are treated; the values here stand for words that a policy leaves out.
 struct Policy {
-  Micros wait = seconds(2);     // longest time in the queue
-  Micros answer = seconds(30);  // longest time until the first byte
-  Micros stall = seconds(15);   // longest pause between two pieces
-  std::int64_t urgency = 5;     // 0 to 9; the higher goes first
-  std::int64_t backlog = 100;   // most requests that wait
-  std::int64_t tries = 2;       // most attempts, the first with them
-  bool safe = false;            // whether the work may be repeated
+  Micros wait = seconds(2);       // longest time in the queue
+  Micros answer = seconds(30);    // longest time until the first byte
+  Micros stall = seconds(15);     // longest pause between two pieces
+  std::int64_t urgency = 5;       // 0 to 9; the higher goes first
+  std::int64_t backlog = 100;     // most requests that wait
+  std::int64_t max_attempts = 2;  // most attempts, the first with them
+  bool safe = false;              // whether the work may be repeated
   Locality locality = Locality::prefer;
 };
 
--- a/src/routing/chat/chat_dispatcher.cc
+++ b/src/routing/chat/chat_dispatcher.cc
@@ -339,9 +339,10 @@
     out.suspects.emplace_back(chat_request.worker, chat_request.incarnation);
   log_event(Event::chat_attempt_failed, chat_request.worker + " " + error_code_row(kind).name + " " + why);
   bool const may_repeat = chat_request.safe || !chat_request.left || !guard(Guard::never_repeat);
-  bool const again =
-      !chat_request.begun && may_repeat && !draining_ && chat_request.attempts < chat_request.lane->policy.tries &&
-      now < chat_request.due + chat_request.lane->policy.answer && (bucket_ >= 1.0 || !guard(Guard::bucket));
+  bool const again = !chat_request.begun && may_repeat && !draining_ &&
+                     chat_request.attempts < chat_request.lane->policy.max_attempts &&
+                     now < chat_request.due + chat_request.lane->policy.answer &&
+                     (bucket_ >= 1.0 || !guard(Guard::bucket));
   if (again) {
     Choice const choice = select(chat_request, 0, now, true);
     if (choice.say == Say::go) return go(chat_request, choice, now, out);
--- a/src/routing/dispatch/dispatcher.cc
+++ b/src/routing/dispatch/dispatcher.cc
@@ -126,8 +126,8 @@
   request.repeatable = request.route->repeatable || (request.route->streams && request.route->resumable);
   if (!authorize(request, now, out)) return;
   request.tree = request.pool->name + "/" + request.query.model;
-  Micros const left = request.query.left > 0 ? request.query.left : request.route->hold;
-  request.due = request.came - request.query.read_for + std::min(left, request.route->hold) - way_back;
+  Micros const left = request.query.left > 0 ? request.query.left : request.route->request_timeout;
+  request.due = request.came - request.query.read_for + std::min(left, request.route->request_timeout) - way_back;
   if (request.due <= now) return deny(request, ErrorCode::expired, millis(100), now, out);
   request.give_up = request.came + std::min(request.route->latency_target / 5, left / 4);
   if (now - started_at_ < begin_span) request.give_up = request.came + std::min(begin_wait, left / 4);
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -203,7 +203,7 @@
   Route const& chat = description->routes[0];
   EXPECT_EQ(chat.prefix, "/v1/chat/");
   EXPECT_TRUE(chat.streams && chat.resumable && !chat.repeatable);
-  EXPECT_EQ(chat.hold, seconds(260));
+  EXPECT_EQ(chat.request_timeout, seconds(260));
   EXPECT_EQ(chat.latency_target, millis(900));
   EXPECT_EQ(chat.gap, millis(200));
   EXPECT_EQ(chat.rank, 2);
@@ -308,7 +308,7 @@
   ASSERT_EQ(description->routes.size(), 2u);
   EXPECT_EQ(description->routes[0].name, "chat");
   EXPECT_EQ(description->routes[1].name, "once");
-  EXPECT_EQ(description->routes[1].hold, millis(2000));
+  EXPECT_EQ(description->routes[1].request_timeout, millis(2000));
   EXPECT_EQ(description->routes[1].shares[0].pool, pool_of("tiny"));
   EXPECT_EQ(description->pool(pool_of("small")), nullptr);
   EXPECT_EQ(description->limits.head_bytes, 4096);
