--- a/src/node/change_forwarder.cc
+++ b/src/node/change_forwarder.cc
@@ -66,7 +66,7 @@
 // The text that a request brings; nothing when the base of its patch is neither held here nor was just before.
 std::optional<std::string> ChangeForwarder::text_of(wire::ForwardedChangeT const& request) const {
   if (!request.patch) return request.text;
-  for (std::optional<wire::ValueT> const* const base : {&learner_.value, &learner_.before}) {
+  for (std::optional<wire::ValueT> const* const base : {&learner_.value, &learner_.previous_value}) {
     if (!*base || (*base)->revision != request.revision) continue;
     if (std::optional<std::string> text = patched_text((*base)->text, *request.patch)) return text;
   }
--- a/src/node/configuration_authority.cc
+++ b/src/node/configuration_authority.cc
@@ -28,7 +28,7 @@
 }
 
 void ConfigurationAuthority::update_confirmations() {
-  if (learner_.sure >= 0) confirm_leases(learner_.sure);
+  if (learner_.confirmed_at >= 0) confirm_leases(learner_.confirmed_at);
   while (!confirmed_revisions_.empty() && confirmed_revisions_.begin()->first <= learner_.revision()) {
     confirm_leases(confirmed_revisions_.begin()->second);
     confirmed_revisions_.erase(confirmed_revisions_.begin());
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -4,6 +4,7 @@
 
 #include "base/events.h"
 #include "base/guards.h"
+#include "consensus/register/router_registrations.h"
 #include "consensus/register/value_patch.h"
 
 namespace pipit {
@@ -204,14 +205,14 @@
     case wire::Body::Accept:
     case wire::Body::Bootstrap:
       if (acceptor) {
-        acceptor->take(from, std::move(body));
+        acceptor->enqueue(from, std::move(body));
         if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
       }
       break;
     case wire::Body::ReadRequest:
       take_list_age(body.AsReadRequest()->age, now);
       if (acceptor) {
-        wire::ReadReplyT ans = read_reply(acceptor->held(), *body.AsReadRequest());
+        wire::ReadReplyT ans = read_reply(acceptor->durable_state(), *body.AsReadRequest());
         ans.age = list_freshness_.age(now);
         ans.retiring = retiring_;
         outgoing.push_back(message_to(from, std::move(ans)));
@@ -219,13 +220,13 @@
       break;
     case wire::Body::Promise:
     case wire::Body::Accepted:
-      proposer.take(from, body, now, outgoing);
+      proposer.handle_reply(from, body, now, outgoing);
       settle_ended(now, out);
       break;
     case wire::Body::ReadReply:
       take_list_age(body.AsReadReply()->age, now);
-      if (learner.take(from, *body.AsReadReply(), now, outgoing)) after_value(now, out);
-      proposer.know(learner.membership());
+      if (learner.handle_reply(from, *body.AsReadReply(), now, outgoing)) after_value(now, out);
+      proposer.adopt_membership(learner.membership());
       update_readiness(now, out);
       break;
     case wire::Body::Chosen:
@@ -249,9 +250,9 @@
         wire::LeaseRequestT const& ask = *body.AsLeaseRequest();
         wire::LeaseReplyT ans;
         ans.request_id = ask.request_id;
-        ans.duty = ask.duty;
-        ans.disk = acceptor->held().disk;
-        ans.ok = lease_grantor_.ask(from, ask.duty, ask.term, now);
+        ans.role = ask.role;
+        ans.disk = acceptor->durable_state().disk;
+        ans.ok = lease_grantor_.handle_request(from, ask.role, ask.term, now);
         outgoing.push_back(message_to(from, std::move(ans)));
       }
       break;
@@ -314,7 +315,7 @@
                                                       : 0;
   bool const fresh = update.value ? learner.adopt(*update.value, now) : learner.adopt(*update.patch, now);
   if (fresh) after_value(now, out);
-  proposer.know(learner.membership());
+  proposer.adopt_membership(learner.membership());
   if (update.hops > 0) forward(update, out);
   if (learner.revision() < revision) {
     // The patch has another base than what is held here: the whole value is asked for, and confirmed when it comes.
@@ -483,7 +484,7 @@
 void Node::update_readiness(Micros now, NodeEffects& out) {
   // What must be known: a majority's word on the register, and the list; both after the last jump.
   Micros const from = stale_from_ >= 0 ? stale_from_ : started_at_;
-  bool const word = learner.sure >= from;  // of a majority
+  bool const word = learner.confirmed_at >= from;  // of a majority
   // Where replicas are many enough for the losses that are allowed, nothing else will do (docs/control.md).
   if (plan.registered && !word && !ready_now_) return;
   bool sure = word;
@@ -528,7 +529,7 @@
   mesh.tick(now, out.mesh);
   take_fresh(now);
   std::vector<OutgoingMessage> outgoing;
-  if (now >= next_poll_ && (guard(Guard::spread) || learner.sure < 0 || plan.role == Role::config_store)) {
+  if (now >= next_poll_ && (guard(Guard::spread) || learner.confirmed_at < 0 || plan.role == Role::config_store)) {
     next_poll_ = now + poll_span();
     learner.poll(now, replica_directory_.connected_replicas(), list_freshness_.age(now), outgoing);
     register_bootstrap_.propose_initial_set(now, outgoing);
@@ -536,8 +537,8 @@
   if (acceptor)
     if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
   ask_newer(now, outgoing);
-  proposer.know(learner.membership());
-  proposer.suggest(learner.seen());
+  proposer.adopt_membership(learner.membership());
+  proposer.suggest_membership(learner.newest_seen_membership());
   if (plan.registered && !replica_directory_.hears_quorum(now)) proposer.give_up_unsent();
   proposer.tick(now, outgoing);
   settle_ended(now, out);
@@ -557,8 +558,8 @@
 }
 
 bool Node::may_end(Micros now) const {
-  if (!acceptor || !acceptor->held().formed) return true;
-  if (!learner.membership().concerns(plan.name, acceptor->held().disk)) return true;
+  if (!acceptor || !acceptor->durable_state().formed) return true;
+  if (!learner.membership().concerns(plan.name, acceptor->durable_state().disk)) return true;
   // Who hears no quorum cannot know whether a replica is here to take its place: it waits for the end of its grace.
   // Nor does one end that the set can do without: it is taken out first.
   return replica_directory_.hears_quorum(now) && replica_set_manager_.lacks_successor(now);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -8,8 +8,11 @@
 #include <string>
 #include <vector>
 
-#include "consensus/lease/lease.h"
+#include "consensus/lease/lease_candidate.h"
+#include "consensus/lease/lease_grantor.h"
+#include "consensus/register/acceptor.h"
 #include "consensus/register/learner.h"
+#include "consensus/register/proposer.h"
 #include "routing/dispatch/dispatcher.h"
 #include "routing/chat/chat_dispatcher.h"
 #include "routing/registry/registry.h"
--- a/src/node/register_bootstrap.cc
+++ b/src/node/register_bootstrap.cc
@@ -29,14 +29,14 @@
 
 void RegisterBootstrap::mark_disk(std::optional<Acceptor>& acceptor) {
   if (!acceptor) return;
-  resumes_ = !acceptor->held().bootstrap_seeds.empty();
+  resumes_ = !acceptor->durable_state().bootstrap_seeds.empty();
   std::vector<std::string> const& seeds = plan_.bootstrap_seeds;
   bool const initial_member = std::find(seeds.begin(), seeds.end(), plan_.address) != seeds.end();
   if (plan_.registered && initial_member) acceptor->await_bootstrap(seeds);
 }
 
 void RegisterBootstrap::propose_initial_set(Micros now, std::vector<OutgoingMessage>& outgoing) const {
-  if (!acceptor_ || acceptor_->held().formed) return;
+  if (!acceptor_ || acceptor_->durable_state().formed) return;
   std::optional<Membership> const first = initial_set(now);
   if (!first) return;
   for (wire::ReplicaT const& to : first->replicas) {
@@ -48,7 +48,7 @@
 }
 
 std::optional<Membership> RegisterBootstrap::initial_set(Micros now) const {
-  std::uint64_t const disk = acceptor_->held().disk;
+  std::uint64_t const disk = acceptor_->durable_state().disk;
   if (learner_.bootstrap_set().holds(plan_.name, disk)) return learner_.bootstrap_set();
   std::vector<std::string> names = plan_.registered ? initial_replicas(now) : plan_.initial_members;
   std::sort(names.begin(), names.end());
--- a/src/node/replica_directory.cc
+++ b/src/node/replica_directory.cc
@@ -44,7 +44,7 @@
 }
 
 bool ReplicaDirectory::is_reachable(wire::ReplicaT const& replica) const {
-  if (replica.name == plan_.name) return acceptor_ && acceptor_->held().disk == replica.disk && !status_.leaving();
+  if (replica.name == plan_.name) return acceptor_ && acceptor_->durable_state().disk == replica.disk && !status_.leaving();
   std::map<std::string, Learner::Observation>::const_iterator const observation =
       learner_.observations.find(replica.name);
   if (observation != learner_.observations.end() && observation->second.disk != replica.disk) return false;
@@ -72,7 +72,7 @@
 
 bool ReplicaDirectory::hears_quorum(Micros now) const {
   Micros const within = 2 * status_.poll_interval() + contact_slack;
-  if (learner_.contact() < 0 || now - learner_.contact() > within) return false;
+  if (learner_.last_quorum_at() < 0 || now - learner_.last_quorum_at() > within) return false;
   Voters connected;
   for (wire::ReplicaT const& replica : learner_.membership().replicas) {
     std::map<std::string, Peer>::const_iterator const peer = mesh_.members.peers.find(replica.name);
@@ -85,7 +85,7 @@
 std::string ReplicaDirectory::proposing_replica() const {
   std::string best;
   // Before a chosen set is known, the one that was merely seen says who proposes.
-  Membership const& members = learner_.membership().empty() ? learner_.seen() : learner_.membership();
+  Membership const& members = learner_.membership().empty() ? learner_.newest_seen_membership() : learner_.membership();
   for (wire::ReplicaT const& replica : members.replicas)
     if (is_reachable(replica) && (best.empty() || replica.name < best)) best = replica.name;
   return best;
--- a/src/node/replica_set_manager.cc
+++ b/src/node/replica_set_manager.cc
@@ -55,16 +55,16 @@
 
 void ReplicaSetManager::renew_lease(Micros now, std::vector<OutgoingMessage>& outgoing) {
   // A member that holds nothing yet gets no lease, but the others may wait for it to read the register.
-  if (status_.leaving() || !acceptor_ || !acceptor_->held().formed) return;
+  if (status_.leaving() || !acceptor_ || !acceptor_->durable_state().formed) return;
   lease_.tick(now, learner_.membership(), outgoing);
 }
 
 void ReplicaSetManager::take_lease_reply(std::string const& from, wire::LeaseReplyT const& reply, Micros now) {
-  lease_.take(from, reply, now, learner_.membership());
+  lease_.handle_reply(from, reply, now, learner_.membership());
 }
 
 void ReplicaSetManager::release_lease(std::vector<OutgoingMessage>& outgoing) {
-  lease_.give_back(learner_.membership(), outgoing);
+  lease_.release(learner_.membership(), outgoing);
 }
 
 std::optional<Change> ReplicaSetManager::next_change(Micros now) {
@@ -99,7 +99,7 @@
 // a storm. Nor while changes go by: each of them rewrites the copies, and a second proposer only delays them.
 std::optional<Change> ReplicaSetManager::repair_copies(Micros now) {
   bool const calm = learner_.changed_at < 0 || now - learner_.changed_at > repair_calm;
-  if (!learner_.split || !calm || now - repaired_at_ <= repair_gap) return std::nullopt;
+  if (!learner_.replicas_differ || !calm || now - repaired_at_ <= repair_gap) return std::nullopt;
   repaired_at_ = now;
   log_event(Event::replicas_repaired, "epoch " + std::to_string(learner_.membership().epoch));
   return reading();
@@ -108,7 +108,7 @@
 // Copies that differ after a loss leave no ballot that a majority shows; then nobody gets ready by polls alone. The
 // replica that proposes for all reads the register, which repairs them.
 std::optional<Change> ReplicaSetManager::read_without_lease(Micros now) {
-  Micros const unsure = now - std::max(started_at_, learner_.sure);
+  Micros const unsure = now - std::max(started_at_, learner_.confirmed_at);
   if (unsure <= unsure_for + status_.poll_interval() || now - repaired_at_ <= repair_gap) return std::nullopt;
   if (status_.leaving() || directory_.proposing_replica() != plan_.name) return std::nullopt;
   repaired_at_ = now;
--- a/src/node/replica_set_manager.h
+++ b/src/node/replica_set_manager.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "consensus/lease/lease.h"
+#include "consensus/lease/lease_candidate.h"
 #include "consensus/register/acceptor.h"
 #include "consensus/register/learner.h"
 #include "consensus/register/proposer.h"
@@ -70,7 +70,7 @@
   ReplicaDirectory const& directory_;
   ReplicaDirectory::Status const status_;
   Micros const started_at_;
-  LeaseHolder lease_;
+  LeaseCandidate lease_;
   bool had_lease_ = false;  // when next_change() last looked
   bool change_under_way_ = false;
   Micros repaired_at_ = -seconds(60);
--- a/tests/node/configuration_authority.cc
+++ b/tests/node/configuration_authority.cc
@@ -59,7 +59,7 @@
 TEST_F(ConfigurationAuthorityTest, PollOfTheReplicasConfirmsBothLeases) {
   EXPECT_FALSE(authority.key_lease().holds(0));
   EXPECT_FALSE(authority.may_issue_quota(0));
-  learner.sure = seconds(1);
+  learner.confirmed_at = seconds(1);
   authority.update_confirmations();
   EXPECT_TRUE(authority.key_lease().holds(seconds(1) + quota_span));
   EXPECT_TRUE(authority.may_issue_quota(seconds(1) + quota_span));
@@ -70,7 +70,7 @@
 TEST_F(ConfigurationAuthorityTest, AsksAReplicaFromTheFirstThirdAndOthersFromTheHalf) {
   connect("n2", true);
   connect("n3", false);
-  learner.sure = 0;
+  learner.confirmed_at = 0;
   EXPECT_TRUE(renew(seconds(1)).empty()) << "still in the first third";
   EXPECT_EQ(renew(seconds(1) + 1), std::vector<std::string>({"n2"}));
   EXPECT_TRUE(renew(seconds(1) + 2).empty()) << "an interval lies between two questions";
--- a/tests/node/quota_authority.cc
+++ b/tests/node/quota_authority.cc
@@ -56,7 +56,7 @@
     ASSERT_TRUE(learner.adopt(value, 0));
     std::vector<OutgoingMessage> outgoing;
     quota.tick(0, outgoing);
-    learner.sure = settled_at;
+    learner.confirmed_at = settled_at;
   }
   static wire::QuotaRequestT request(QuotaPurpose purpose, std::int64_t count) {
     wire::QuotaRequestT out;
--- a/tests/node/replica_fixture.h
+++ b/tests/node/replica_fixture.h
@@ -74,7 +74,7 @@
       record.value = std::make_unique<wire::ValueT>(*learner.value);
       wire::ReadReplyT const reply = read_reply(record, *outgoing[index].body.AsReadRequest());
       std::vector<OutgoingMessage> more;
-      learner.take(replicas[index].name, reply, now, more);
+      learner.handle_reply(replicas[index].name, reply, now, more);
     }
   }
 
--- a/tests/node/replica_set_manager.cc
+++ b/tests/node/replica_set_manager.cc
@@ -26,7 +26,7 @@
     choose_set(set, 0);
     add_peer("b");
     add_peer("c");
-    learner.sure = settled;
+    learner.confirmed_at = settled;
     observe_set(settled);
   }
 
@@ -181,7 +181,7 @@
 
 TEST(ReplicaSetManager, RepairsCopiesThatDifferOnceInAGap) {
   ManagerFixture fixture;
-  fixture.learner.split = true;
+  fixture.learner.replicas_differ = true;
   fixture.grant_lease(fixture.set, settled);
   std::optional<Change> const change = fixture.manager.next_change(settled);
   ASSERT_TRUE(change.has_value());
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -203,7 +203,7 @@
   Route const& chat = description->routes[0];
   EXPECT_EQ(chat.prefix, "/v1/chat/");
   EXPECT_TRUE(chat.streams && chat.resumable && !chat.repeatable);
-  EXPECT_EQ(chat.hold, seconds(260));
+  EXPECT_EQ(chat.request_timeout, seconds(260));
   EXPECT_EQ(chat.latency_target, millis(900));
   EXPECT_EQ(chat.gap, millis(200));
   EXPECT_EQ(chat.rank, 2);
@@ -308,7 +308,7 @@
   ASSERT_EQ(description->routes.size(), 2u);
   EXPECT_EQ(description->routes[0].name, "chat");
   EXPECT_EQ(description->routes[1].name, "once");
-  EXPECT_EQ(description->routes[1].hold, millis(2000));
+  EXPECT_EQ(description->routes[1].request_timeout, millis(2000));
   EXPECT_EQ(description->routes[1].shares[0].pool, pool_of("tiny"));
   EXPECT_EQ(description->pool(pool_of("small")), nullptr);
   EXPECT_EQ(description->limits.head_bytes, 4096);
@@ -416,7 +416,7 @@
         recovered.value->replicas.push_back(std::make_unique<wire::ReplicaT>(replica));
       replicas.emplace(recovered.name, Acceptor(recovered));
     }
-    proposer.know(members);
+    proposer.adopt_membership(members);
   }
 
   Outcome ask(std::string const& id, std::string const& text, std::uint64_t expected, std::uint64_t label) {
@@ -427,7 +427,7 @@
     change.expected = expected;
     change.label = label;
     std::optional<Outcome> out;
-    EXPECT_TRUE(proposer.ask(
+    EXPECT_TRUE(proposer.submit(
         change, [&out](Outcome const& outcome) { out = outcome; }, now));
     for (int turns = 0; turns < 400 && !out; ++turns) {
       now += millis(10);
@@ -438,10 +438,10 @@
         for (OutgoingMessage& item : asks) {
           std::string const to = item.to;
           Acceptor& replica = replicas.at(to);
-          replica.take("n1", std::move(item.body));
+          replica.enqueue("n1", std::move(item.body));
           std::vector<OutgoingMessage> replies;
           if (replica.step(replies)) replica.synced(replies);
-          for (OutgoingMessage& reply : replies) proposer.take(to, reply.body, now, more);
+          for (OutgoingMessage& reply : replies) proposer.handle_reply(to, reply.body, now, more);
         }
         asks = std::move(more);
       }
