--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -102,7 +102,7 @@
   }
   bool free_of_work() {
     for (std::pair<std::string const, Instance> const& item : registry.all)
-      if (item.second.running != 0 || item.second.held != 0) return false;
+      if (item.second.running != 0 || item.second.reserved_tokens != 0) return false;
     return dispatcher.under_way() == 0;
   }
 
@@ -184,8 +184,8 @@
     std::string const at = place(id, "once");
     ASSERT_FALSE(at.empty());
     first += at == "w" ? 1 : 0;
-    dispatcher.left(id, now);
-    end(id, AttemptEnd::whole);
+    dispatcher.sent(id, now);
+    end(id, AttemptEnd::complete);
   }
   EXPECT_NEAR(first, all * 3 / 4, all / 20);
   EXPECT_TRUE(free_of_work());
@@ -262,7 +262,7 @@
 
 TEST_F(Desks, a_short_deadline_shortens_the_wait) {
   Query query = query_of("once");
-  query.left = millis(200);
+  query.remaining = millis(200);
   Micros const came = now;
   place(1, query);
   wait(seconds(5));
@@ -319,7 +319,7 @@
   for (char const* const id : {"w1", "w2", "w3", "w4", "w5"}) worker(id);
   ASSERT_FALSE(place(1, "safe").empty());
   for (int sends = 1; sends <= 3; ++sends) {
-    dispatcher.left(1, now);
+    dispatcher.sent(1, now);
     end(1, AttemptEnd::broke);
     EXPECT_EQ(started(1).empty(), sends == 3) << sends;
   }
@@ -335,7 +335,7 @@
   worker("v");
   for (AttemptEnd const how : {AttemptEnd::broke, AttemptEnd::silent}) {
     ASSERT_FALSE(place(1, "once").empty());
-    dispatcher.left(1, now);
+    dispatcher.sent(1, now);
     end(1, how);
     EXPECT_TRUE(out.starts.empty());
     ASSERT_EQ(out.denials.size(), 1u);
@@ -348,11 +348,11 @@
   worker("w");
   worker("v");
   std::string const first = place(1, "once");
-  dispatcher.left(1, now);
+  dispatcher.sent(1, now);
   end(1, AttemptEnd::declined);
   ASSERT_FALSE(started(1).empty());
   EXPECT_NE(started(1), first);
-  dispatcher.left(1, now);
+  dispatcher.sent(1, now);
   end(1, AttemptEnd::declined);
   if (out.denials.empty()) wait(seconds(3));
   ASSERT_EQ(out.denials.size(), 1u);
@@ -363,7 +363,7 @@
 TEST_F(Desks, a_failure_of_the_workers_own_goes_back) {
   worker("w");
   place(1, "once");
-  dispatcher.left(1, now);
+  dispatcher.sent(1, now);
   end(1, AttemptEnd::failed);
   EXPECT_EQ(out.passes, std::vector<std::uint64_t>{1});
   EXPECT_TRUE(free_of_work());
@@ -373,8 +373,8 @@
   worker("w");
   place(1, "safe");
   place(2, "safe");
-  dispatcher.left(1, now);
-  dispatcher.left(2, now);
+  dispatcher.sent(1, now);
+  dispatcher.sent(2, now);
   end(1, AttemptEnd::declined);
   EXPECT_TRUE(suspects().empty()) << "a worker that declines is well";
   end(2, AttemptEnd::broke);
@@ -392,10 +392,10 @@
                          Row{"flow", true, true}, Row{"safe", true, false}}) {
     Micros const came = now;
     Query query = query_of(row.route);
-    query.left = millis(600);
+    query.remaining = millis(600);
     ASSERT_EQ(place(1, query), "w");
-    EXPECT_LE(out.starts[0].left, millis(600));
-    if (row.left) dispatcher.left(1, now);
+    EXPECT_LE(out.starts[0].remaining, millis(600));
+    if (row.left) dispatcher.sent(1, now);
     if (row.began) dispatcher.began(1, now);
     out = DispatchEffects();
     for (Micros const stop = now + seconds(5); now < stop && out.denials.empty() && out.breaks.empty();) {
@@ -417,7 +417,7 @@
   worker("w");
   for (Micros const left : {Micros(1), millis(1), millis(20)}) {
     Query query = query_of("once");
-    query.left = left;
+    query.remaining = left;
     EXPECT_EQ(place(1, query), "") << left;
     ASSERT_EQ(out.denials.size(), 1u);
     EXPECT_GT(out.denials[0].wait, 0) << "it did not run";
@@ -429,7 +429,7 @@
   worker("w");
   worker("v");
   place(1, "safe");
-  dispatcher.left(1, now);
+  dispatcher.sent(1, now);
   end(1, AttemptEnd::broke);
   ASSERT_FALSE(started(1).empty());
   wait(seconds(5));
@@ -442,7 +442,7 @@
   worker("w");
   worker("v");
   std::string const first = place(1, "flow");
-  dispatcher.left(1, now);
+  dispatcher.sent(1, now);
   dispatcher.began(1, now);
   now += millis(50);
   dispatcher.event(1, now);
@@ -453,9 +453,9 @@
   EXPECT_NE(out.starts[0].instance, first);
   EXPECT_TRUE(out.starts[0].resumed);
   EXPECT_LT(now - since, seconds(2));
-  dispatcher.left(1, now);
+  dispatcher.sent(1, now);
   dispatcher.event(1, now);
-  end(1, AttemptEnd::whole);
+  end(1, AttemptEnd::complete);
   EXPECT_EQ(dispatcher.tally.served, 1u);
   EXPECT_EQ(dispatcher.tally.resumes, 1u);
   EXPECT_TRUE(free_of_work());
@@ -465,7 +465,7 @@
   for (char const* const id : {"w", "v"}) worker(id);
   for (bool const began : {false, true}) {
     place(1, "live");
-    dispatcher.left(1, now);
+    dispatcher.sent(1, now);
     if (began) dispatcher.began(1, now);
     wait(millis(2900));
     EXPECT_TRUE(out.empty());
@@ -479,7 +479,7 @@
   worker("w");
   worker("v");
   ASSERT_FALSE(place(1, "safe").empty());
-  dispatcher.left(1, now);
+  dispatcher.sent(1, now);
   dispatcher.began(1, now);
   wait(millis(2500));
   EXPECT_TRUE(out.cuts.empty());
@@ -490,9 +490,9 @@
   worker("w");
   worker("v");
   Query query = query_of("safe");
-  query.left = millis(870);
+  query.remaining = millis(870);
   place(1, query);
-  dispatcher.left(1, now);
+  dispatcher.sent(1, now);
   // The route's aim makes it look elsewhere after some 750 ms; at 800 ms too little is left.
   dispatcher.hold(true);
   for (int i = 0; i < 80; ++i) dispatcher.tick(now += millis(10), out);
@@ -507,7 +507,7 @@
   for (bool const told_by_a_peer : {false, true}) {
     worker("w");
     ASSERT_EQ(place(1, "safe"), "w");
-    dispatcher.left(1, now);
+    dispatcher.sent(1, now);
     now += millis(20);
     if (told_by_a_peer) {
       Registry peer("n2");
@@ -520,13 +520,13 @@
     }
     worker("v");
     EXPECT_EQ(place(2, "safe"), "v");
-    dispatcher.left(2, now);
+    dispatcher.sent(2, now);
     dispatcher.began(2, now);
-    end(2, AttemptEnd::whole);
+    end(2, AttemptEnd::complete);
     wait(millis(700));  // less than what makes any silent worker be left
     EXPECT_TRUE(out.empty()) << "its worker still works on it";
     dispatcher.began(1, now);
-    end(1, AttemptEnd::whole);
+    end(1, AttemptEnd::complete);
     EXPECT_TRUE(free_of_work());
     registry.all.clear();
   }
@@ -536,7 +536,7 @@
 TEST_F(Desks, what_a_worker_has_is_not_moved_for_late_heartbeats_while_it_is_heard) {
   worker("w");
   ASSERT_EQ(place(1, "safe"), "w");
-  dispatcher.left(1, now);
+  dispatcher.sent(1, now);
   now += millis(100);
   wire::EntryT gone;  // its owner has missed its heartbeats
   gone.key = "w";
@@ -564,15 +564,15 @@
 TEST_F(Desks, the_time_that_a_request_took_to_be_read_is_not_given_to_a_worker) {
   worker("w");
   Query query = query_of("once");
-  query.left = millis(2000);
+  query.remaining = millis(2000);
   query.read_for = millis(700);
   ASSERT_EQ(place(1, query), "w");
-  EXPECT_LE(out.starts[0].left, millis(1300));
-  EXPECT_GT(out.starts[0].left, millis(1200));
-  query.left = 0;  // the route's time holds from the first byte, too
+  EXPECT_LE(out.starts[0].remaining, millis(1300));
+  EXPECT_GT(out.starts[0].remaining, millis(1200));
+  query.remaining = 0;  // the route's time holds from the first byte, too
   ASSERT_EQ(place(2, query), "w");
-  EXPECT_LE(out.starts[0].left, millis(2300));
-  query.left = millis(700);
+  EXPECT_LE(out.starts[0].remaining, millis(2300));
+  query.remaining = millis(700);
   EXPECT_EQ(place(3, query), "");
   ASSERT_EQ(out.denials.size(), 1u);
   EXPECT_GT(out.denials[0].wait, 0) << "it has not run and never will";
@@ -586,9 +586,9 @@
       for (char const* const route : {"once", "safe", "live", "flow"}) {
         Micros const came = now;
         Query query = query_of(route);
-        query.left = left;
+        query.remaining = left;
         ASSERT_EQ(place(1, query), "w");
-        dispatcher.left(1, now);
+        dispatcher.sent(1, now);
         dispatcher.hold(held);
         out = DispatchEffects();
         while (dispatcher.under_way() > 0 && now - came < seconds(5)) dispatcher.tick(now += millis(50), out);
@@ -606,15 +606,15 @@
   worker("v");
   for (Micros const left : {Micros(0), millis(2500)}) {
     Query query = query_of("safe");
-    query.left = left;
+    query.remaining = left;
     ASSERT_NE(place(1, query), "");
-    Micros const end_of_first = now + out.starts[0].left;
-    dispatcher.left(1, now);
+    Micros const end_of_first = now + out.starts[0].remaining;
+    dispatcher.sent(1, now);
     now += millis(800);
     end(1, AttemptEnd::broke);
     ASSERT_EQ(out.starts.size(), 1u);
-    EXPECT_LE(now + out.starts[0].left, end_of_first);
-    EXPECT_GE(now + out.starts[0].left, end_of_first - millis(1));
+    EXPECT_LE(now + out.starts[0].remaining, end_of_first);
+    EXPECT_GE(now + out.starts[0].remaining, end_of_first - millis(1));
     dispatcher.hung_up(1, now);
     now += seconds(10);
     registry.all.clear();
@@ -627,7 +627,7 @@
   worker("w");
   for (int stage = 0; stage < 3; ++stage) {
     place(1, "flow");
-    if (stage > 0) dispatcher.left(1, now);
+    if (stage > 0) dispatcher.sent(1, now);
     if (stage > 1) dispatcher.began(1, now);
     dispatcher.hung_up(1, now);
     EXPECT_TRUE(free_of_work());
@@ -643,14 +643,14 @@
   query.parts = parse_parts("aa:4000,bb:50");
   query.tokens_in = 4050;
   std::string const home = place(1, query);
-  dispatcher.left(1, now);
-  end(1, AttemptEnd::whole);
+  dispatcher.sent(1, now);
+  end(1, AttemptEnd::complete);
   for (std::uint64_t id = 2; id < 8; ++id) {
     Query next = query;
     next.parts = parse_parts("aa:4000,c" + std::to_string(id) + ":50");
     EXPECT_EQ(place(id, next), home);
-    dispatcher.left(id, now);
-    end(id, AttemptEnd::whole);
+    dispatcher.sent(id, now);
+    end(id, AttemptEnd::complete);
   }
   // Another node that knows nothing of it yet chooses the same one.
   IndexSync other_index_sync(2);
@@ -674,7 +674,7 @@
   int at_far = 0;
   for (std::uint64_t id = 2; id < 40; ++id) at_far += place(id, "once") == "far" ? 1 : 0;
   EXPECT_GT(at_far, 5);
-  EXPECT_GT(dispatcher.tally.far_sends, 0u);
+  EXPECT_GT(dispatcher.tally.cross_zone_sends, 0u);
 }
 
 namespace {
@@ -737,7 +737,7 @@
       asked.add(now, 1, seconds(2));
       while (!out.starts.empty()) {
         out = DispatchEffects();
-        box.dispatcher->left(id, now);
+        box.dispatcher->sent(id, now);
         std::uint64_t const so_far = box.dispatcher->tally.resends;
         if (so_far > box.resends) {
           box.resends = so_far;
@@ -747,7 +747,7 @@
           again.add(now, 1, seconds(2));
           worst_span = std::max(worst_span, again.sum - ratio * asked.sum);
         }
-        box.dispatcher->ended(id, bad ? AttemptEnd::broke : AttemptEnd::whole, false, now, out);
+        box.dispatcher->ended(id, bad ? AttemptEnd::broke : AttemptEnd::complete, false, now, out);
       }
     }
     EXPECT_GT(resends, 0u);
@@ -853,7 +853,7 @@
     if (what < 12 && next < 2500) {
       std::uint64_t const id = ++next;
       Query query = query_of(routes[random.below(4)]);
-      if (random.chance(0.3)) query.left = millis(static_cast<std::int64_t>(1 + random.below(1500)));
+      if (random.chance(0.3)) query.remaining = millis(static_cast<std::int64_t>(1 + random.below(1500)));
       if (random.chance(0.5))
         query.parts = parse_parts("a" + std::to_string(random.below(6)) + ":300,b" + std::to_string(id) + ":9");
       query.tokens_in = static_cast<std::int64_t>(random.below(500));
@@ -882,7 +882,7 @@
       std::uint64_t const step = random.below(20);
       if (row.ended) {
         // An executor's late word of what has ended.
-        dispatcher.left(id, now);
+        dispatcher.sent(id, now);
         dispatcher.event(id, now);
         dispatcher.ended(id, AttemptEnd::broke, false, now, out);
         open.erase(open.begin() + static_cast<std::ptrdiff_t>(position));
@@ -898,7 +898,7 @@
         } else {
           row.left = true;
           ++row.sends;
-          dispatcher.left(id, now);
+          dispatcher.sent(id, now);
         }
       } else if (step < 6) {
         row.began = true;
@@ -908,7 +908,7 @@
       } else if (step < 13) {
         judge.stop(row, true);
         judge.end(row);
-        dispatcher.ended(id, AttemptEnd::whole, false, now, out);
+        dispatcher.ended(id, AttemptEnd::complete, false, now, out);
       } else {
         AttemptEnd const how = step < 15 && !row.began   ? AttemptEnd::declined
                                : step < 17 && !row.began ? AttemptEnd::failed
@@ -929,7 +929,7 @@
       ASSERT_EQ(dispatcher.under_way(), alive);
       for (std::pair<std::string const, Instance> const& item : registry.all) {
         ASSERT_EQ(item.second.running, running[item.first]) << item.first;
-        ASSERT_GE(item.second.held, 0);
+        ASSERT_GE(item.second.reserved_tokens, 0);
       }
     }
   }
@@ -947,7 +947,7 @@
   }
   for (std::pair<std::string const, Instance> const& item : registry.all) {
     EXPECT_EQ(item.second.running, 0);
-    EXPECT_EQ(item.second.held, 0);
+    EXPECT_EQ(item.second.reserved_tokens, 0);
   }
   EXPECT_EQ(judge.rows.size(), 2500u);
   DispatchTally const& t = dispatcher.tally;
@@ -966,7 +966,7 @@
   worker("w");
   std::string const at = place(1, "flow");
   ASSERT_FALSE(at.empty());
-  dispatcher.left(1, now);
+  dispatcher.sent(1, now);
   dispatcher.began(1, now);
   dispatcher.tick(now += millis(50), out);
   out = DispatchEffects();
--- a/tests/fate.cc
+++ b/tests/fate.cc
@@ -12,7 +12,7 @@
 struct Case {
   Traits traits;
   AttemptProgress progress = AttemptProgress::none;
-  AttemptEnd end = AttemptEnd::whole;
+  AttemptEnd end = AttemptEnd::complete;
 
   bool another() const { return traits.attempts && traits.budget && traits.time; }
   // What may go on at another worker may run there once more: it may repeat as well.
@@ -54,7 +54,7 @@
 TEST(RetryDecision, what_may_not_repeat_is_sent_again_only_when_it_was_declined) {
   each([](Case const& item, RetryDecision decision) {
     if (!item.twice() && item.may_have_run()) {
-      EXPECT_NE(decision, RetryDecision::again);
+      EXPECT_NE(decision, RetryDecision::retry);
     }
   });
 }
@@ -69,7 +69,7 @@
 
 TEST(RetryDecision, another_worker_needs_attempts_budget_and_time) {
   each([](Case const& item, RetryDecision decision) {
-    if (decision != RetryDecision::again) return;
+    if (decision != RetryDecision::retry) return;
     EXPECT_TRUE(item.traits.time);
     // Where nothing has left, another worker costs nobody anything.
     if (item.progress != AttemptProgress::none) {
@@ -84,8 +84,8 @@
       EXPECT_NE(decision, RetryDecision::cut);
       return;
     }
-    EXPECT_TRUE(decision == RetryDecision::again || decision == RetryDecision::cut || decision == RetryDecision::done);
-    if (decision == RetryDecision::again) {
+    EXPECT_TRUE(decision == RetryDecision::retry || decision == RetryDecision::cut || decision == RetryDecision::done);
+    if (decision == RetryDecision::retry) {
       EXPECT_TRUE(item.traits.resumable);
     }
   });
@@ -93,7 +93,7 @@
 
 TEST(RetryDecision, only_a_whole_answer_is_done) {
   each([](Case const& item, RetryDecision decision) {
-    EXPECT_EQ(decision == RetryDecision::done, item.end == AttemptEnd::whole);
+    EXPECT_EQ(decision == RetryDecision::done, item.end == AttemptEnd::complete);
   });
 }
 
@@ -103,7 +103,7 @@
       EXPECT_EQ(item.end, AttemptEnd::failed);
     }
     if (item.end == AttemptEnd::failed && item.progress != AttemptProgress::answering) {
-      EXPECT_TRUE(decision == RetryDecision::pass || decision == RetryDecision::again);
+      EXPECT_TRUE(decision == RetryDecision::pass || decision == RetryDecision::retry);
     }
   });
 }
@@ -118,25 +118,25 @@
 
 TEST(RetryDecision, no_second_chance_is_left_unused) {
   each([](Case const& item, RetryDecision decision) {
-    if (!item.another() || item.end == AttemptEnd::whole) return;
+    if (!item.another() || item.end == AttemptEnd::complete) return;
     if (item.progress == AttemptProgress::answering) {
       if (item.traits.resumable && item.end != AttemptEnd::failed) {
-        EXPECT_EQ(decision, RetryDecision::again);
+        EXPECT_EQ(decision, RetryDecision::retry);
       }
     } else if (item.traits.repeatable || item.end == AttemptEnd::declined ||
                (item.progress == AttemptProgress::none && item.end != AttemptEnd::failed)) {
-      EXPECT_EQ(decision, RetryDecision::again);
+      EXPECT_EQ(decision, RetryDecision::retry);
     }
   });
 }
 
 TEST(RetryDecision, more_attempts_budget_or_time_take_no_second_chance_away) {
   each([](Case const& item, RetryDecision decision) {
-    if (decision != RetryDecision::again) return;
+    if (decision != RetryDecision::retry) return;
     for (int i = 0; i < 3; ++i) {
       Traits more = item.traits;
       (i == 0 ? more.attempts : i == 1 ? more.budget : more.time) = true;
-      EXPECT_EQ(decide_retry(more, item.progress, item.end), RetryDecision::again);
+      EXPECT_EQ(decide_retry(more, item.progress, item.end), RetryDecision::retry);
     }
   });
 }
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -50,7 +50,7 @@
     return !bodiless;
   };
   reader.callbacks.body = [&](std::string_view bytes) { now.body.append(bytes); };
-  reader.callbacks.whole = [&] {
+  reader.callbacks.complete = [&] {
     out.whole.push_back(now);
     now = Message();
   };
@@ -140,7 +140,7 @@
     std::string body;
     int whole = 0;
     reader.callbacks.body = [&body](std::string_view bytes) { body.append(bytes); };
-    reader.callbacks.whole = [&whole] { ++whole; };
+    reader.callbacks.complete = [&whole] { ++whole; };
     std::string const text = cut ? "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc" : "HTTP/1.1 200 OK\r\n\r\nabc";
     EXPECT_EQ(reader.feed(text), text.size());
     EXPECT_EQ(whole, 0);
@@ -664,7 +664,7 @@
   connection.send("HEAD /i HTTP/1.1\r\n" + host + "\r\n");
   ASSERT_TRUE(until([&] { return calls.size() == 2; }));
   server.begin(calls[1].id, status(200), -1);
-  server.piece(calls[1].id, "pieces");
+  server.write_chunk(calls[1].id, "pieces");
   server.end(calls[1].id);
   ASSERT_TRUE(
       until([&] { return count_of(connection.got, "HTTP/1.1 200") == 2 && connection.got.ends_with("\r\n\r\n"); }));
@@ -691,19 +691,19 @@
 TEST_F(Serving, a_large_last_answer_arrives_whole) {
   for (bool const pieces : {false, true}) {
     LoopbackStream connection(address);
-    connection.link->hold(true);
+    connection.link->pause_reading(true);
     connection.send("GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n");
     ASSERT_TRUE(until([&] { return calls.size() > answered; }));
     std::string const body(32u << 20, 'z');
     if (pieces) {
       server.begin(calls[answered].id, status(200), -1);
-      server.piece(calls[answered].id, body);
+      server.write_chunk(calls[answered].id, body);
       server.end(calls[answered++].id);
     } else {
       answer_all(body);
     }
     settle();
-    connection.link->hold(false);
+    connection.link->pause_reading(false);
     ASSERT_TRUE(until([&] { return connection.shut; }));
     std::vector<Message> const answers = read_pieces(false, {connection.got}, false, 65536, 64u << 20).whole;
     ASSERT_EQ(answers.size(), 1u) << connection.got.size() << " bytes came";
@@ -713,14 +713,14 @@
 
 TEST_F(Serving, counts_connections_whose_last_answer_is_still_on_its_way) {
   LoopbackStream connection(address);
-  connection.link->hold(true);
+  connection.link->pause_reading(true);
   connection.send("GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n");
   ASSERT_TRUE(until([&] { return calls.size() > answered; }));
   answer_all(std::string(32u << 20, 'z'));
   settle();
   EXPECT_EQ(server.calls(), 0u);
   EXPECT_EQ(server.connections(), 1u) << "a process that ends now would cut the answer";
-  connection.link->hold(false);
+  connection.link->pause_reading(false);
   ASSERT_TRUE(until([&] { return connection.shut; }));
   EXPECT_EQ(server.connections(), 0u);
 }
@@ -731,7 +731,7 @@
   ASSERT_TRUE(until([&] { return calls.size() == 1; }));
   server.begin(calls[0].id, status(200), -1);
   for (char const* const part : {"one", "two", "three"}) {
-    server.piece(calls[0].id, part);
+    server.write_chunk(calls[0].id, part);
     ASSERT_TRUE(until([&] { return connection.got.find(part) != std::string::npos; }));
     EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
   }
@@ -748,7 +748,7 @@
     ASSERT_TRUE(until([&] { return calls.size() > answered; }));
     std::uint64_t const id = calls[answered++].id;
     server.begin(id, status(200), length);
-    server.piece(id, "part");
+    server.write_chunk(id, "part");
     server.break_off(id);
     ASSERT_TRUE(until([&] { return connection.shut; }));
     EXPECT_NE(connection.got.find("part"), std::string::npos);
@@ -761,7 +761,7 @@
   connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
   ASSERT_TRUE(until([&] { return calls.size() == 1; }));
   server.begin(calls[0].id, status(200), 100);
-  server.piece(calls[0].id, "part");
+  server.write_chunk(calls[0].id, "part");
   server.end(calls[0].id);
   ASSERT_TRUE(until([&] { return connection.shut; }));
   EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
@@ -798,7 +798,7 @@
   EXPECT_EQ(gone[0], calls[0].id);
   // What is done for it afterwards goes nowhere.
   server.begin(calls[0].id, status(200), -1);
-  server.piece(calls[0].id, "x");
+  server.write_chunk(calls[0].id, "x");
   server.end(calls[0].id);
   server.answer(calls[0].id, status(200), "x");
   server.break_off(calls[0].id);
@@ -951,7 +951,7 @@
   Head head;
   head.status = 200;
   server.begin(id, head, -1);
-  server.piece(id, "first");
+  server.write_chunk(id, "first");
   ASSERT_TRUE(until([&] { return connection.got.find("first") != std::string::npos; }));
   EXPECT_EQ(connection.got.find("Connection: close"), std::string::npos)
       << "nothing told the caller that it is the last";
@@ -1164,7 +1164,7 @@
                  "POST / HTTP/1.1\r\n" + host + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body,
                  seconds(10));
   ASSERT_TRUE(until([&] { return !connections.empty(); }));
-  connections[0]->link->hold(true);
+  connections[0]->link->pause_reading(true);
   connections[0]->send(ok);
   ASSERT_TRUE(over());
   EXPECT_EQ(done, std::vector<std::uint64_t>{1});
@@ -1387,7 +1387,7 @@
     connections.clear();
     upstream.start(1, "w", address, text, seconds(10));
     ASSERT_TRUE(until([&] { return !connections.empty(); }));
-    connections[0]->link->hold(true);
+    connections[0]->link->pause_reading(true);
     connections[0]->send(length ? ok : "HTTP/1.1 200 OK\r\n\r\nok");
     connections[0]->link->close();
     connections[0]->shut = true;
--- a/tests/index.cc
+++ b/tests/index.cc
@@ -42,10 +42,10 @@
   Index index;
   Path const path = line(1, 10);
   index.touch(path, "w", 1, {6, seconds(10)}, seconds(1));
-  EXPECT_EQ(index.held("w"), 6u);
+  EXPECT_EQ(index.kept_blocks("w"), 6u);
   EXPECT_EQ(index.match(path)["w"], 6u);
   index.age({6, seconds(10)}, seconds(12));
-  EXPECT_EQ(index.held("w"), 0u);
+  EXPECT_EQ(index.kept_blocks("w"), 0u);
   EXPECT_EQ(index.size(), 0u);
   index.touch(path, "w", 1, wide, seconds(20));
   index.touch(line(2, 3), "w", 2, wide, seconds(21));
@@ -66,7 +66,7 @@
   item.incarnations = {2};
   item.ages = {0};
   index.learn(item, wide, seconds(2));
-  EXPECT_EQ(index.held("w"), 0u);
+  EXPECT_EQ(index.kept_blocks("w"), 0u);
   EXPECT_EQ(index.size(), 0u);
   // A delta on a base that ends in the same way asks for the tree.
   index.touch(path, "w", 2, wide, seconds(3));
--- a/tests/passing.h
+++ b/tests/passing.h
@@ -109,7 +109,7 @@
   }
   bool quiet() const {
     for (std::pair<std::string const, Instance> const& item : registry.all)
-      if (item.second.running != 0 || item.second.held != 0) return false;
+      if (item.second.running != 0 || item.second.reserved_tokens != 0) return false;
     return dispatcher.under_way() == 0;
   }
 
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -13,7 +13,7 @@
 #include "platform/amend.h"
 #include "platform/description.h"
 #include "platform/settings.h"
-#include "platform/words.h"
+#include "platform/names.h"
 
 namespace pipit::platform {
 
@@ -193,7 +193,7 @@
 }
 
 TEST(Configurations, a_whole_one_becomes_a_description) {
-  Result<Configuration> const made = whole_of(base);
+  Result<Configuration> const made = read_complete_configuration(base);
   ASSERT_TRUE(made) << made.error().place << " " << made.error().why;
   EXPECT_EQ(made.value().version, 4u);
   EXPECT_EQ(source_of(made.value().text), base) << "what was sent is kept word for word";
@@ -276,7 +276,7 @@
       with("\"max_body_bytes\": 1000000", "\"max_body_bytes\": -1e300"),
   };
   for (std::string const& row : rows) {
-    Result<Configuration> const made = whole_of(row);
+    Result<Configuration> const made = read_complete_configuration(row);
     ASSERT_FALSE(made) << row;
     EXPECT_EQ(answer_for(made.error()).status, 400u) << made.error().why << "\n" << row;
     EXPECT_FALSE(made.error().why.empty());
@@ -291,12 +291,12 @@
 
 TEST(Configurations, amending_adds_replaces_and_removes_and_keeps_the_rest_as_written) {
   Result<Configuration> const made =
-      amended(base,
-              "{\"version\": 5, \"upsert\": {\"routes\": [\n"
-              "{\"name\":\"once\",\"host\":\"api.test\",\"path_prefix\":\"/\",\"service\":\"tiny\","
-              "\"timeout_ms\":2000.50}],"
-              "\"services\": [{\"name\": \"tiny\"}], \"limits\": {\"max_header_bytes\": 4096}},"
-              "\"remove\": {\"routes\": [\"embed\"], \"services\": [\"small\", \"nobody\"]}}");
+      apply_changes(base,
+                    "{\"version\": 5, \"upsert\": {\"routes\": [\n"
+                    "{\"name\":\"once\",\"host\":\"api.test\",\"path_prefix\":\"/\",\"service\":\"tiny\","
+                    "\"timeout_ms\":2000.50}],"
+                    "\"services\": [{\"name\": \"tiny\"}], \"limits\": {\"max_header_bytes\": 4096}},"
+                    "\"remove\": {\"routes\": [\"embed\"], \"services\": [\"small\", \"nobody\"]}}");
   ASSERT_TRUE(made) << made.error().place << " " << made.error().why;
   EXPECT_EQ(made.value().version, 5u);
   std::string const source = source_of(made.value().text);
@@ -321,9 +321,9 @@
 }
 
 TEST(Configurations, amending_with_nothing_changes_the_version_alone) {
-  Result<Configuration> const made = amended(base, "{\"version\": 9}");
+  Result<Configuration> const made = apply_changes(base, "{\"version\": 9}");
   ASSERT_TRUE(made) << made.error().place << " " << made.error().why;
-  Result<Configuration> const again = amended(source_of(made.value().text), "{\"version\": 9}");
+  Result<Configuration> const again = apply_changes(source_of(made.value().text), "{\"version\": 9}");
   ASSERT_TRUE(again);
   EXPECT_EQ(source_of(again.value().text), source_of(made.value().text));
   EXPECT_EQ(compiled_description(made.value())->routes.size(), 3u);
@@ -331,10 +331,10 @@
 
 TEST(Configurations, amending_nothing_at_all_begins_one) {
   std::string const none = source_of("");
-  Result<Configuration> const made =
-      amended(none,
-              "{\"version\":1,\"upsert\":{\"services\":[{\"name\":\"s\"}],\"routes\":[{\"name\":\"r\",\"host\":\"h\","
-              "\"path_prefix\":\"/\",\"service\":\"s\",\"timeout_ms\":10}]}}");
+  Result<Configuration> const made = apply_changes(
+      none,
+      "{\"version\":1,\"upsert\":{\"services\":[{\"name\":\"s\"}],\"routes\":[{\"name\":\"r\",\"host\":\"h\","
+      "\"path_prefix\":\"/\",\"service\":\"s\",\"timeout_ms\":10}]}}");
   ASSERT_TRUE(made) << made.error().place << " " << made.error().why;
   EXPECT_EQ(compiled_description(made.value())->routes.size(), 1u);
 }
@@ -348,7 +348,7 @@
         "{\"version\":5,\"remove\":{\"services\":[\"small\"]}}",
         "{\"version\":5,\"upsert\":{\"limits\":[{\"name\":\"x\"}]}}", "{\"version\":5,\"upsert\":{\"routes\":7}}",
         "{\"version\":5,\"upsert\":{\"routes\":{}}}", "{\"version\":5,\"upsert\":{\"labels\":[{\"name\":\"x\"}]}}"}) {
-    Result<Configuration> const made = amended(base, bad);
+    Result<Configuration> const made = apply_changes(base, bad);
     ASSERT_FALSE(made) << bad;
     EXPECT_EQ(answer_for(made.error()).status, 400u) << bad << ": " << made.error().why;
   }
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -235,7 +235,7 @@
       "X-Pipit-Left-Ms: 18446744073709552\r\nX-Pipit-Tokens: 9223372036854775807,9223372036854775807\r\n");
   ASSERT_TRUE(until([&] { return !workers["w"]->got().empty() || !caller->got.empty(); }));
   ASSERT_EQ(caller->got, "");
-  EXPECT_GT(registry.find("w")->held, 0);
+  EXPECT_GT(registry.find("w")->reserved_tokens, 0);
   connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine +
                           "X-Pipit-Load: 9223372036854775807,9223372036854775807,8\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("yes"));
@@ -391,7 +391,7 @@
     return !first.empty();
   }));
   LoopbackStream& connection = connection_of(first);
-  connection.link->hold(true);
+  connection.link->pause_reading(true);
   connection.send("HTTP/1.1 503 Busy\r\n" + mine +
                   "X-Pipit-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
   connection.link->close();
--- a/tests/tenants.cc
+++ b/tests/tenants.cc
@@ -23,7 +23,7 @@
     "\"timeout_ms\":1000,\"public\":true}],\"services\":[{\"name\":\"s\"}],\"tenants\":";
 
 Result<std::shared_ptr<Description const>> with_tenants(std::string const& tenants) {
-  Result<platform::Configuration> const made = platform::whole_of(base + tenants + "}");
+  Result<platform::Configuration> const made = platform::read_complete_configuration(base + tenants + "}");
   if (!made) return made.as_failure();
   return platform::read_configuration(made.value().text);
 }
