--- a/testing/common/caller.h
+++ b/testing/common/caller.h
@@ -15,7 +15,7 @@
 
 class Caller {
  public:
-  enum class End : std::uint8_t { whole, cut, unopened };
+  enum class End : std::uint8_t { complete, cut, unopened };
   std::function<void(std::string_view)> on_body;  // pieces of a body, unchunked
   std::function<void(End)> on_end;                // once; the caller may be deleted then
 
@@ -61,15 +61,15 @@
     self.more();
   }
   void more() {
-    g_input_stream_read_async(g_io_stream_get_input_stream(G_IO_STREAM(link)), room, sizeof room, G_PRIORITY_DEFAULT,
-                              stop, on_read, this);
+    g_input_stream_read_async(g_io_stream_get_input_stream(G_IO_STREAM(link)), buffer, sizeof buffer,
+                              G_PRIORITY_DEFAULT, stop, on_read, this);
   }
   static void on_read(GObject* source, GAsyncResult* result, gpointer data) {
     Caller& self = *static_cast<Caller*>(data);
     gssize const size = g_input_stream_read_finish(G_INPUT_STREAM(source), result, nullptr);
     if (size <= 0) return self.on_end(End::cut);  // a whole body ends the exchange before this
-    self.in.append(self.room, static_cast<std::size_t>(size));
-    if (!self.take()) return self.on_end(self.over ? End::whole : End::cut);
+    self.in.append(self.buffer, static_cast<std::size_t>(size));
+    if (!self.take()) return self.on_end(self.over ? End::complete : End::cut);
     self.more();
   }
 
@@ -131,7 +131,7 @@
   bool chunked = false;
   bool over = false;
   std::size_t left = 0;
-  char room[16384];
+  char buffer[16384];
 };
 
 }  // namespace pipit
--- a/testing/common/books.h
+++ b/testing/common/run_records.h
@@ -1,4 +1,4 @@
-// The books of the stand-in workers: every run that began, ended or was cut (§10.1).
+// The run records of the stand-in workers: every run that began, ended or was cut (§10.1).
 #pragma once
 #include <dirent.h>
 
@@ -12,7 +12,7 @@
 
 namespace pipit {
 
-struct BookLine {
+struct RunRecord {
   char what = ' ';  // W woke, S began, E ended, X cut
   std::string tag;
   Micros at = 0;
@@ -20,8 +20,8 @@
   std::string worker;
 };
 
-inline std::vector<BookLine> read_books(std::string const& folder) {
-  std::vector<BookLine> out;
+inline std::vector<RunRecord> read_run_records(std::string const& folder) {
+  std::vector<RunRecord> out;
   DIR* const dir = ::opendir(folder.c_str());
   if (dir == nullptr) return out;
   while (dirent const* const item = ::readdir(dir)) {
@@ -30,9 +30,9 @@
     std::ifstream file(folder + "/" + name);
     std::string line;
     while (std::getline(file, line)) {
-      std::stringstream words(line);
-      BookLine entry;
-      if (words >> entry.what >> entry.tag >> entry.at >> entry.n >> entry.worker) out.push_back(entry);
+      std::stringstream fields(line);
+      RunRecord entry;
+      if (fields >> entry.what >> entry.tag >> entry.at >> entry.n >> entry.worker) out.push_back(entry);
     }
   }
   ::closedir(dir);
--- a/testing/common/shapes.h
+++ b/testing/common/shapes.h
@@ -11,7 +11,7 @@
   std::string lane;
   bool stream = true;
   bool safe = false;
-  int pieces = 16;
+  int chunks = 16;
   int opening = 4096;  // bytes that requests of one opening share
   int openings = 12;   // how many openings there are
   int tail = 200;      // bytes of its own
@@ -82,12 +82,12 @@
 }
 
 inline std::string filler(std::uint64_t seed, int size) {
-  static char const* const words[] = {"roster", "press",   "harvest", "tribute", "season", "page",   "vine",  "weigh",
+  static char const* const texts[] = {"roster", "press",   "harvest", "tribute", "season", "page",   "vine",  "weigh",
                                       "school", "caption", "editor",  "cellar",  "dusk",   "bridge", "style", "guide"};
   RandomSource random(seed);
   std::string out;
   while (static_cast<int>(out.size()) < size) {
-    out += words[random.below(16)];
+    out += texts[random.below(16)];
     out += random.below(9) == 0 ? ". " : " ";
   }
   out.resize(static_cast<std::size_t>(size));
--- a/testing/control_plane_simulator/disk.cc
+++ b/testing/control_plane_simulator/disk.cc
@@ -1,6 +1,6 @@
 #include "testing/control_plane_simulator/disk.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 namespace {
 Error refused(std::string const& what) { return Error{ErrorCode::bad_disk, what, ""}; }
@@ -83,9 +83,9 @@
     }
     file.content = file.synced;
     for (Write write : file.unsynced) {
-      std::uint64_t const fate = all_lost ? 0 : random.below(3);
-      if (fate == 0) continue;
-      if (fate == 2 && !write.bytes.empty()) {
+      std::uint64_t const outcome = all_lost ? 0 : random.below(3);
+      if (outcome == 0) continue;
+      if (outcome == 2 && !write.bytes.empty()) {
         std::size_t const from = random.below(write.bytes.size());
         bool const head = random.chance(0.5);
         if (!head) write.offset += from;
@@ -99,4 +99,4 @@
   }
 }
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/testing/control_plane_simulator/disk.h
+++ b/testing/control_plane_simulator/disk.h
@@ -11,7 +11,7 @@
 #include "base/random.h"
 #include "storage/record_store.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 class SimulatedDisk : public Disk {
  public:
@@ -57,4 +57,4 @@
   bool is_full = false;
 };
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/testing/control_plane_simulator/fleet.cc
+++ b/testing/control_plane_simulator/fleet.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 namespace {
 WorldPlan world_of(ScenarioPlan const& plan, RandomSource& random) {
@@ -69,7 +69,7 @@
   operators.plan.lost = operators.plan.late = operators.plan.doubled = 0;
   std::uint64_t const before = judge.confirmations;
   operators.drive_reading(
-      [this](Verdict) { operators.drive(operators.replace(operators.newest_told(), operators.next_label())); });
+      [this](Verdict) { operators.drive(operators.replace(operators.newest_acknowledged(), operators.next_label())); });
   world.run(seconds(4));
   if (judge.confirmations == before)
     judge.findings.push_back(Finding{3, world.now(), "a change in a calm time was not confirmed in 4 s"});
@@ -87,4 +87,4 @@
   return out;
 }
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/testing/control_plane_simulator/fleet.h
+++ b/testing/control_plane_simulator/fleet.h
@@ -8,7 +8,7 @@
 #include "testing/control_plane_simulator/operators.h"
 #include "testing/control_plane_simulator/scenarios.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 struct Fleet {
   // Started, and with a first configuration in force.
@@ -45,12 +45,12 @@
 
 constexpr CutKind cut_kinds[] = {CutKind::silent, CutKind::reset, CutKind::refused};
 constexpr CutWay cut_ways[] = {CutWay::both, CutWay::inbound, CutWay::outbound};
-constexpr char const* kind_words[] = {"silent", "reset", "refused"};
-constexpr char const* way_words[] = {"both ways", "inbound", "outbound"};
+constexpr char const* kind_names[] = {"silent", "reset", "refused"};
+constexpr char const* way_names[] = {"both ways", "inbound", "outbound"};
 
 // Points 3 and 4.
 std::vector<Scenario> const& member_scenarios();
 // Losses beyond what is allowed at once, and halves.
 std::vector<Scenario> const& overlap_scenarios();
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/testing/control_plane_simulator/judge.cc
+++ b/testing/control_plane_simulator/judge.cc
@@ -6,10 +6,10 @@
 #include "base/events.h"
 #include "testing/control_plane_simulator/node_view.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 namespace {
-constexpr Micros look_gap = millis(100);
+constexpr Micros check_interval = millis(100);
 
 std::uint64_t highest_until(std::map<Micros, std::uint64_t> const& over_time, Micros when) {
   std::map<Micros, std::uint64_t>::const_iterator const next = over_time.upper_bound(when);
@@ -20,7 +20,7 @@
 Judge::Judge(World& world_, JudgePlan plan_) : world(world_), plan(plan_) {
   world.on_step = [this](Machine& machine) { stepped(machine); };
   world.on_boot = [this](Machine& machine) { booted(machine); };
-  world.after(look_gap, [this] { look(); });
+  world.after(check_interval, [this] { check(); });
 }
 
 void Judge::find(int point, std::string what) {
@@ -52,7 +52,7 @@
 
 std::uint64_t Judge::confirmed_until(Micros when) const { return highest_until(confirmed_over_time, when); }
 
-void Judge::told_confirmed(OrderId id, Machine const& machine, Micros arrived) {
+void Judge::confirmed_reported(OrderId id, Machine const& machine, Micros arrived) {
   ++confirmations;
   if (machine.alone_since >= 0 && arrived > machine.alone_since)
     find(1, machine.name + " is cut off and confirmed " + name_of(id));
@@ -79,7 +79,7 @@
   stuck = false;
 }
 
-void Judge::told_stale(OrderId id, Machine const& machine, Micros arrived, std::string const& why) {
+void Judge::stale_reported(OrderId id, Machine const& machine, Micros arrived, std::string const& why) {
   ++refusals;
   if (machine.alone_since >= 0 && arrived > machine.alone_since)
     find(1, machine.name + " is cut off and refused " + name_of(id) + ": " + why);
@@ -90,8 +90,8 @@
   if (item.refused_at < 0) item.refused_at = world.now();
 }
 
-void Judge::told_value(Micros asked, std::uint64_t label, std::string const& text, Machine const& machine,
-                       Micros arrived) {
+void Judge::value_reported(Micros asked, std::uint64_t label, std::string const& text, Machine const& machine,
+                           Micros arrived) {
   ++readings;
   if (machine.alone_since >= 0 && arrived > machine.alone_since)
     find(1, machine.name + " is cut off and answered a reading with " + std::to_string(label));
@@ -125,18 +125,19 @@
   if (serial < view.serial)
     find(4, machine.name + " went back from serial " + std::to_string(view.serial) + " to " + std::to_string(serial));
   if (serial != view.serial) {
-    Configuration const held = in_force_at(*machine.node);
-    if (held.label < view.label)
-      find(4,
-           machine.name + " went back from label " + std::to_string(view.label) + " to " + std::to_string(held.label));
-    view.label = held.label;
-    if (held.label > 0) {
-      std::string& known = text_of_label[held.label];
-      if (known.empty()) known = held.text;
-      if (known != held.text) find(2, "label " + std::to_string(held.label) + " has two texts, one at " + machine.name);
-      std::map<std::string, OrderId>::const_iterator const from = author.find(held.text);
+    Configuration const in_force = in_force_at(*machine.node);
+    if (in_force.label < view.label)
+      find(4, machine.name + " went back from label " + std::to_string(view.label) + " to " +
+                  std::to_string(in_force.label));
+    view.label = in_force.label;
+    if (in_force.label > 0) {
+      std::string& known = text_of_label[in_force.label];
+      if (known.empty()) known = in_force.text;
+      if (known != in_force.text)
+        find(2, "label " + std::to_string(in_force.label) + " has two texts, one at " + machine.name);
+      std::map<std::string, OrderId>::const_iterator const from = author.find(in_force.text);
       if (from == author.end())
-        find(2, machine.name + " has in force what nobody sent under " + std::to_string(held.label));
+        find(2, machine.name + " has in force what nobody sent under " + std::to_string(in_force.label));
       else
         take(from->second);
     }
@@ -159,7 +160,7 @@
   last_progress = world.now();
 }
 
-void Judge::look_progress() {
+void Judge::check_progress() {
   if (!progress || healthy_since < 0 || stuck) return;
   Micros const since = std::max(last_progress, healthy_since);
   if (world.now() - since <= plan.confirm + world.plan.catch_up) return;
@@ -169,19 +170,19 @@
 }
 
 // Every machine that has been calm for its catch-up time has what was confirmed a while ago.
-void Judge::look() {
-  world.after(look_gap, [this] { look(); });
-  bool const healthy = world.in_trouble() <= world.plan.tolerated;
+void Judge::check() {
+  world.after(check_interval, [this] { check(); });
+  bool const healthy = world.has_fault() <= world.plan.tolerated;
   if (!healthy) healthy_since = -1;
   if (healthy && healthy_since < 0) healthy_since = world.now();
-  look_progress();
+  check_progress();
   std::uint64_t const due = confirmed_until(world.now() - plan.spread);
   for (MachineId id = 0; id < world.size(); ++id) {
     Machine const& machine = world.machine(id);
     View& view = views[id];
-    bool const settled = machine.calm() && world.now() - machine.calm_since >= world.plan.catch_up && healthy &&
-                         world.now() - healthy_since >= world.plan.catch_up;
-    bool const behind = settled && due > 0 && (view.label < due || !view.ready);
+    bool const steady = machine.calm() && world.now() - machine.calm_since >= world.plan.catch_up && healthy &&
+                        world.now() - healthy_since >= world.plan.catch_up;
+    bool const behind = steady && due > 0 && (view.label < due || !view.ready);
     if (behind && !view.late) {
       bool const never = view.label < view.floor || !view.ready;
       find(never ? 4 : 1, machine.name + (view.ready ? " has " : " is not ready and has ") +
@@ -219,4 +220,4 @@
   }
 }
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/testing/control_plane_simulator/judge.h
+++ b/testing/control_plane_simulator/judge.h
@@ -9,7 +9,7 @@
 
 #include "testing/control_plane_simulator/world.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 using OrderId = std::size_t;
 
@@ -46,9 +46,10 @@
   void sent(OrderId id);
 
   // What operators and readers were told. 'arrived' is when the machine got the call that is answered.
-  void told_confirmed(OrderId id, Machine const& machine, Micros arrived);
-  void told_stale(OrderId id, Machine const& machine, Micros arrived, std::string const& why);
-  void told_value(Micros asked, std::uint64_t label, std::string const& text, Machine const& machine, Micros arrived);
+  void confirmed_reported(OrderId id, Machine const& machine, Micros arrived);
+  void stale_reported(OrderId id, Machine const& machine, Micros arrived, std::string const& why);
+  void value_reported(Micros asked, std::uint64_t label, std::string const& text, Machine const& machine,
+                      Micros arrived);
 
   void booted(Machine& machine);
   void stepped(Machine& machine);
@@ -78,8 +79,8 @@
     bool late = false;  // a finding of lateness stands
   };
   void find(int point, std::string what);
-  void look();
-  void look_progress();
+  void check();
+  void check_progress();
   void take(OrderId id);
   std::string name_of(OrderId id) const;
 
@@ -100,4 +101,4 @@
   bool stuck = false;
 };
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/testing/control_plane_simulator/main.cc
+++ b/testing/control_plane_simulator/main.cc
@@ -12,12 +12,12 @@
 #include "testing/control_plane_simulator/scenarios.h"
 #include "testing/common/violations.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 namespace {
 
 namespace options = boost::program_options;
 
-struct Sweep {
+struct SeedPlan {
   std::uint64_t from = 1;
   std::uint64_t seeds = 20;
   unsigned jobs = 2;
@@ -29,7 +29,7 @@
 };
 
 // Runs one scenario over its seeds; returns how many had findings.
-std::uint64_t sweep(Scenario const& scenario, Sweep const& plan) {
+std::uint64_t run_seeds(Scenario const& scenario, SeedPlan const& plan) {
   std::atomic<std::uint64_t> next{plan.from};
   std::mutex gate;
   std::uint64_t faulty = 0;
@@ -44,7 +44,7 @@
           bool const other = plan.point >= 0 && item.point != plan.point;
           return other || (!plan.skip.empty() && item.what.find(plan.skip) != std::string::npos);
         });
-        std::lock_guard<std::mutex> const hold(gate);
+        std::lock_guard<std::mutex> const lock(gate);
         sum.confirmations += report.confirmations;
         sum.refusals += report.refusals;
         sum.readings += report.readings;
@@ -79,7 +79,7 @@
 
 int run(int argc, char** argv) {
   std::string name = "all";
-  Sweep plan;
+  SeedPlan plan;
   options::options_description flags(
       "control_plane_simulator: the control plane under virtual time, by scenario and seed");
   flags.add_options()("scenario", options::value(&name), "one of those below, or all")(
@@ -112,11 +112,11 @@
   if (loud) plan.jobs = 1;
   std::uint64_t faulty = 0;
   for (Scenario const& item : scenarios())
-    if (name == "all" || name == item.name) faulty += sweep(item, plan);
-  return !told_violations() && faulty == 0 ? 0 : 1;
+    if (name == "all" || name == item.name) faulty += run_seeds(item, plan);
+  return !report_violations() && faulty == 0 ? 0 : 1;
 }
 
 }  // namespace
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
 
-int main(int argc, char** argv) { return pipit::control_plane::run(argc, argv); }
+int main(int argc, char** argv) { return pipit::control_plane_simulator::run(argc, argv); }
--- a/testing/control_plane_simulator/member_scenarios.cc
+++ b/testing/control_plane_simulator/member_scenarios.cc
@@ -3,7 +3,7 @@
 
 #include "testing/control_plane_simulator/fleet.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 namespace {
 
@@ -24,7 +24,7 @@
   Fleet fleet(plan);
   World& world = fleet.world;
   enum ErrorCode { planned, unplanned, wiped };
-  static char const* const words[] = {"planned", "unplanned", "wiped"};
+  static char const* const names[] = {"planned", "unplanned", "wiped"};
   int const variant = fleet.pick(plan.variant, 6);
   ErrorCode const kind = static_cast<ErrorCode>(variant % 3);
   bool const newest_copy = variant >= 3;
@@ -37,7 +37,7 @@
   std::vector<MachineId> const first(replicas.begin(), replicas.begin() + static_cast<std::ptrdiff_t>(together));
   std::vector<MachineId> const later(replicas.begin() + static_cast<std::ptrdiff_t>(together),
                                      replicas.begin() + static_cast<std::ptrdiff_t>(2 * together));
-  std::string setting = std::string(words[kind]) + (newest_copy ? " of the newest copy" : "");
+  std::string setting = std::string(names[kind]) + (newest_copy ? " of the newest copy" : "");
   std::vector<MachineId> successors;
   if (kind == planned) {
     for (MachineId const id : first) successors.push_back(world.add_successor(id));
@@ -94,8 +94,8 @@
 Report back_in_storm(ScenarioPlan const& plan) {
   Fleet fleet(plan);
   World& world = fleet.world;
-  enum How { restarted, dark, wiped, replaced, plain, thawed };
-  static char const* const words[] = {"restarted", "dark", "wiped", "replaced", "a plain machine", "thawed"};
+  enum How { restarted, unpowered, wiped, replaced, plain, thawed };
+  static char const* const names[] = {"restarted", "dark", "wiped", "replaced", "a plain machine", "thawed"};
   int const how = fleet.pick(plan.variant, 6);
   fleet.judge.expect_progress(true);
   fleet.operators.storm(seconds(45), 12);
@@ -105,7 +105,7 @@
   if (how == plain) target = world.plan.disks;
   Micros const away = fleet.some(millis(100), seconds(5));
   if (how == restarted || how == plain) world.kill(target);
-  if (how == dark || how == wiped) world.power_off(target);
+  if (how == unpowered || how == wiped) world.power_off(target);
   if (how == replaced) world.remove(target);
   if (how == thawed) world.freeze(target, away);
   world.run(away);
@@ -114,7 +114,7 @@
   if (how != thawed) world.boot(target);
   world.run(seconds(20));
   fleet.judge.expect_progress(false);
-  return fleet.finish(std::string(words[how]) + " in a storm, away for " + std::to_string(away / 1000) + " ms");
+  return fleet.finish(std::string(names[how]) + " in a storm, away for " + std::to_string(away / 1000) + " ms");
 }
 
 // A machine starts where no majority can be reached, beside one that serves with what it had.
@@ -143,12 +143,12 @@
 Report all_at_once(ScenarioPlan const& plan) {
   Fleet fleet(plan);
   World& world = fleet.world;
-  bool const dark = fleet.pick(plan.variant, 2) == 1;
+  bool const unpowered = fleet.pick(plan.variant, 2) == 1;
   fleet.operators.storm(seconds(30), 12);
   for (int turn = 0; turn < 3; ++turn) {
     world.run(fleet.some(seconds(2), seconds(4)));
     for (MachineId const id : world.replicas())
-      if (dark)
+      if (unpowered)
         world.power_off(id);
       else
         world.kill(id);
@@ -160,13 +160,13 @@
   fleet.operators.steady(world.now() + seconds(12));
   world.run(seconds(12));
   fleet.judge.expect_progress(false);
-  return fleet.finish(dark ? "all dark at once" : "all killed at once");
+  return fleet.finish(unpowered ? "all dark at once" : "all killed at once");
 }
 
 // ---- points 3 and 4 together
 
-enum class Loss { killed, dark, everything_dark, wiped, wiped_rest_dark };
-constexpr char const* loss_words[] = {"all killed", "all dark", "plain machines dark too", "wiped",
+enum class Loss { killed, unpowered, everything_unpowered, wiped, wiped_rest_unpowered };
+constexpr char const* loss_names[] = {"all killed", "all dark", "plain machines dark too", "wiped",
                                       "wiped, the rest dark"};
 
 // Replicas are replaced one after another while another one is cut off one way or frozen.
@@ -215,11 +215,11 @@
 
 void lose_all(Fleet& fleet, Loss loss, std::vector<MachineId> const& victims, Micros down) {
   World& world = fleet.world;
-  bool const wipes = loss == Loss::wiped || loss == Loss::wiped_rest_dark;
+  bool const wipes = loss == Loss::wiped || loss == Loss::wiped_rest_unpowered;
   for (MachineId id = 0; id < world.size(); ++id) {
     if (!world.machine(id).up()) continue;
     bool const victim = std::count(victims.begin(), victims.end(), id) > 0;
-    bool const goes = world.machine(id).replica || loss == Loss::everything_dark;
+    bool const goes = world.machine(id).replica || loss == Loss::everything_unpowered;
     if (!goes || (loss == Loss::wiped && !victim)) continue;
     if (loss == Loss::killed)
       world.kill(id);
@@ -253,7 +253,7 @@
   if (quiet) fleet.operators.halt();
   Micros const down = fleet.some(millis(100), seconds(2));
   lose_all(fleet, loss, victims, down);
-  setting += std::string(", then ") + loss_words[static_cast<std::size_t>(loss)] + (quiet ? ", no operator" : "");
+  setting += std::string(", then ") + loss_names[static_cast<std::size_t>(loss)] + (quiet ? ", no operator" : "");
   world.run(down);
   if (quiet) {
     world.run(seconds(10));
@@ -286,7 +286,7 @@
     world.wipe(id);
     world.after(down, [&world, id] { world.boot(id); });
   }
-  lose_all(fleet, Loss::everything_dark, {}, down);
+  lose_all(fleet, Loss::everything_unpowered, {}, down);
   world.heal();
   world.run(down + seconds(8));
   return fleet.finish("all dark, " + std::to_string(victims.size()) + " wiped, no operator");
@@ -325,7 +325,7 @@
 Report planned_interrupted(ScenarioPlan const& plan) {
   Fleet fleet(plan);
   World& world = fleet.world;
-  static char const* const words[] = {
+  static char const* const names[] = {
       "killed", "dark", "frozen", "cut off", "beside a full disk", "beside a slow disk"};
   int const how = fleet.pick(plan.variant, 6);
   fleet.judge.expect_progress(true);
@@ -356,9 +356,9 @@
   // A leaving member that is killed is a loss of its own, for as long as any other.
   if (how <= 1) world.run(world.plan.catch_up);
   for (Micros waited = 0; waited < seconds(20); waited += millis(10)) {
-    bool gone = true;
-    for (std::size_t n = 0; n < together; ++n) gone = gone && world.machine(replicas[n]).removed;
-    if (gone && world.lost() == 0) break;
+    bool departed = true;
+    for (std::size_t n = 0; n < together; ++n) departed = departed && world.machine(replicas[n]).removed;
+    if (departed && world.lost() == 0) break;
     world.run(millis(10));
   }
   world.heal();
@@ -371,7 +371,7 @@
   }
   world.run(seconds(14));
   fleet.judge.expect_progress(false);
-  return fleet.finish(std::string("a planned replacement, ") + words[how]);
+  return fleet.finish(std::string("a planned replacement, ") + names[how]);
 }
 
 // The first seconds: machines start in any order, and one that counts is in trouble before, while or after the first
@@ -379,7 +379,7 @@
 Report bootstrap_set(ScenarioPlan const& plan) {
   Fleet fleet(plan, Fleet::Unstarted{}, JudgePlan{});
   World& world = fleet.world;
-  static char const* const words[] = {
+  static char const* const names[] = {
       "late", "killed", "dark", "wiped", "frozen", "cut off", "replaced", "full at its start", "slow disk"};
   int const how = fleet.pick(plan.variant, 9);
   MachineId const target = fleet.random.below(std::min<std::size_t>(3, world.plan.disks));
@@ -404,11 +404,11 @@
   world.run(span);
   world.heal();
   world.run(seconds(8));
-  fleet.operators.drive(fleet.operators.replace(fleet.operators.newest_told(), fleet.operators.next_label()));
+  fleet.operators.drive(fleet.operators.replace(fleet.operators.newest_acknowledged(), fleet.operators.next_label()));
   world.run(seconds(6));
   if (fleet.judge.confirmations == 0)
     fleet.judge.findings.push_back(Finding{3, world.now(), "no first configuration was confirmed"});
-  return fleet.finish("founding, one " + std::string(words[how]) + " at " + std::to_string(moment / 1000) + " ms for " +
+  return fleet.finish("founding, one " + std::string(names[how]) + " at " + std::to_string(moment / 1000) + " ms for " +
                       std::to_string(span / 1000) + " ms");
 }
 
@@ -466,4 +466,4 @@
   return all;
 }
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/testing/control_plane_simulator/node_view.cc
+++ b/testing/control_plane_simulator/node_view.cc
@@ -2,7 +2,7 @@
 
 #include "base/hash.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 Configuration configuration_of(wire::ValueT const& value) { return Configuration{value.label, value.text}; }
 
@@ -43,4 +43,4 @@
   return out;
 }
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/testing/control_plane_simulator/node_view.h
+++ b/testing/control_plane_simulator/node_view.h
@@ -8,7 +8,7 @@
 
 #include "node/node.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 // What an answer of the register brought: the operators' label and the description under it.
 struct Configuration {
@@ -32,4 +32,4 @@
 Change read_change();
 std::string change_id(std::string const& verb, std::uint64_t based_on, std::string const& body);
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/testing/control_plane_simulator/operators.cc
+++ b/testing/control_plane_simulator/operators.cc
@@ -6,7 +6,7 @@
 #include "consensus/register/orders.h"
 #include "testing/control_plane_simulator/node_view.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 namespace {
 constexpr Micros list_lag = seconds(3);  // of the list from which operators pick machines
@@ -64,22 +64,24 @@
   return known.empty() ? 0 : known[random.below(known.size())];
 }
 
-void Operators::send(OrderId id, MachineId machine, Told told) { call(false, id, machine, std::move(told)); }
-void Operators::read(MachineId machine, Told told) { call(true, 0, machine, std::move(told)); }
+void Operators::send(OrderId id, MachineId machine, OnVerdict on_verdict) {
+  call(false, id, machine, std::move(on_verdict));
+}
+void Operators::read(MachineId machine, OnVerdict on_verdict) { call(true, 0, machine, std::move(on_verdict)); }
 
-void Operators::call(bool reading, OrderId order, MachineId machine, Told told) {
+void Operators::call(bool reading, OrderId order, MachineId machine, OnVerdict on_verdict) {
   Call made;
   made.reading = reading;
   made.order = order;
   made.machine = machine;
   made.asked = world.now();
-  made.told = std::move(told);
+  made.on_verdict = std::move(on_verdict);
   if (!reading) judge.sent(order);
   world.after(plan.lag, [this, made] { arrive(made); });
   if (random.chance(plan.doubled)) {
-    Call again = made;
-    again.told = {};
-    world.after(plan.lag + static_cast<Micros>(random.below(millis(1500))), [this, again] { arrive(again); });
+    Call repeated = made;
+    repeated.on_verdict = {};
+    world.after(plan.lag + static_cast<Micros>(random.below(millis(1500))), [this, repeated] { arrive(repeated); });
   }
 }
 
@@ -154,20 +156,20 @@
   world.after(plan.lag + more, [this, call, verdict, why, label, text] {
     Machine const& machine = world.machine(call.machine);
     if (call.reading && verdict == Verdict::confirmed) {
-      judge.told_value(call.asked, label, text, machine, call.arrived);
+      judge.value_reported(call.asked, label, text, machine, call.arrived);
       newest = std::max(newest, label);
     } else if (verdict == Verdict::confirmed) {
-      judge.told_confirmed(call.order, machine, call.arrived);
+      judge.confirmed_reported(call.order, machine, call.arrived);
       newest = std::max(newest, judge.order(call.order).label);
     } else if (verdict == Verdict::stale) {
-      judge.told_stale(call.order, machine, call.arrived, why);
+      judge.stale_reported(call.order, machine, call.arrived, why);
     }
-    if (call.told) call.told(verdict);
+    if (call.on_verdict) call.on_verdict(verdict);
   });
 }
 
 void Operators::fails(Call const& call) {
-  if (call.told) world.after(plan.lag, [call] { call.told(Verdict::unclear); });
+  if (call.on_verdict) world.after(plan.lag, [call] { call.on_verdict(Verdict::unclear); });
 }
 
 void Operators::ended(Machine& machine) {
@@ -183,43 +185,43 @@
 
 // ---- clients
 
-void Operators::drive(OrderId id, Told told) {
+void Operators::drive(OrderId id, OnVerdict on_verdict) {
   std::shared_ptr<Client> const client = std::make_shared<Client>();
   client->order = id;
   client->give_up = world.now() + plan.patience;
-  client->told = std::move(told);
+  client->on_verdict = std::move(on_verdict);
   ++driving;
   attempt(client);
 }
 
-void Operators::drive_reading(Told told) {
+void Operators::drive_reading(OnVerdict on_verdict) {
   std::shared_ptr<Client> const client = std::make_shared<Client>();
   client->reading = true;
   client->give_up = world.now() + plan.patience;
-  client->told = std::move(told);
+  client->on_verdict = std::move(on_verdict);
   ++driving;
   attempt(client);
 }
 
 void Operators::attempt(std::shared_ptr<Client> const& client) {
   if (client->over) return;
-  int const turn = ++client->tries;
-  Told const told = [this, client, turn](Verdict verdict) {
+  int const turn = ++client->attempts;
+  OnVerdict const on_verdict = [this, client, turn](Verdict verdict) {
     if (client->over) return;
-    if (verdict == Verdict::unclear && turn != client->tries) return;
+    if (verdict == Verdict::unclear && turn != client->attempts) return;
     if (verdict == Verdict::unclear && !halted && world.now() < client->give_up) {
       Micros const pause = std::min(pause_most, pause_least << std::min(turn - 1, 5));
-      ++client->tries;
+      ++client->attempts;
       world.after(pause, [this, client] { attempt(client); });
       return;
     }
     client->over = true;
     --driving;
-    if (!client->reading) settled.push_back(client->order);
-    if (client->told) client->told(verdict);
+    if (!client->reading) answered_orders.push_back(client->order);
+    if (client->on_verdict) client->on_verdict(verdict);
   };
-  call(client->reading, client->order, any_machine(), told);
-  world.after(plan.silence, [told] { told(Verdict::unclear); });
+  call(client->reading, client->order, any_machine(), on_verdict);
+  world.after(plan.reply_timeout, [on_verdict] { on_verdict(Verdict::unclear); });
 }
 
 void Operators::storm(Micros span, double rate) { storm_tick(world.now() + span, static_cast<Micros>(1e6 / rate)); }
@@ -240,7 +242,7 @@
 void Operators::steady_turn(Micros until, Micros pause) {
   if (halted || world.now() >= until) return;
   drive(replace(newest, next_label()), [this, until, pause](Verdict verdict) {
-    Told const next = [this, until, pause](Verdict) {
+    OnVerdict const next = [this, until, pause](Verdict) {
       world.after(pause, [this, until, pause] { steady_turn(until, pause); });
     };
     if (verdict == Verdict::confirmed) return next(verdict);
@@ -264,14 +266,14 @@
       std::uint64_t const label = next_label();
       drive(replace(newest, label));
       drive(replace(newest, label));
-    } else if (!settled.empty()) {
+    } else if (!answered_orders.empty()) {
       bool const recent = random.chance(0.5);
-      std::size_t const back = recent ? std::min<std::size_t>(settled.size(), 4) : settled.size();
-      drive(settled[settled.size() - 1 - random.below(back)]);
+      std::size_t const back = recent ? std::min<std::size_t>(answered_orders.size(), 4) : answered_orders.size();
+      drive(answered_orders[answered_orders.size() - 1 - random.below(back)]);
     }
   }
   Micros const wait = static_cast<Micros>(random.below(millis(400)));
   world.after(wait, [this, until, most] { mixed_turn(until, most); });
 }
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/testing/control_plane_simulator/operators.h
+++ b/testing/control_plane_simulator/operators.h
@@ -9,14 +9,14 @@
 #include "testing/control_plane_simulator/judge.h"
 #include "testing/control_plane_simulator/world.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 // What a caller makes of an answer: 200, 412 or 400, and everything else.
 enum class Verdict : std::uint8_t { confirmed, stale, unclear };
 
 struct OperatorPlan {
   Micros lag = millis(3);
-  Micros silence = seconds(1);  // after which a caller tries elsewhere
+  Micros reply_timeout = seconds(1);  // after which a caller tries elsewhere
   Micros patience = seconds(12);
   double lost = 0;     // share of answers that never arrive
   double late = 0;     // and of those that arrive after one to three seconds
@@ -25,17 +25,17 @@
 
 class Operators {
  public:
-  using Told = std::function<void(Verdict)>;
+  using OnVerdict = std::function<void(Verdict)>;
   Operators(World& world_, Judge& judge_, OperatorPlan plan_ = {});
 
   OrderId replace(std::uint64_t base, std::uint64_t label, std::size_t padding = 0);
   OrderId amend(std::uint64_t base, std::uint64_t label);
   // One call at one machine.
-  void send(OrderId id, MachineId machine, Told told = {});
-  void read(MachineId machine, Told told = {});
+  void send(OrderId id, MachineId machine, OnVerdict on_verdict = {});
+  void read(MachineId machine, OnVerdict on_verdict = {});
   // Sends an order, again and elsewhere until its answer is clear or the patience ends.
-  void drive(OrderId id, Told told = {});
-  void drive_reading(Told told = {});
+  void drive(OrderId id, OnVerdict on_verdict = {});
+  void drive_reading(OnVerdict on_verdict = {});
 
   // Orders one after another, each on the newest label that was told, at so many a second.
   void storm(Micros span, double rate);
@@ -48,7 +48,7 @@
   void halt() { halted = true; }
   void resume() { halted = false; }
 
-  std::uint64_t newest_told() const { return newest; }
+  std::uint64_t newest_acknowledged() const { return newest; }
   std::uint64_t next_label() { return ++labels; }
   MachineId any_machine();
   std::size_t open_orders() const { return driving; }
@@ -63,17 +63,17 @@
     Micros asked = 0;
     Micros arrived = 0;
     bool looked = false;  // an amend that has read
-    Told told;
+    OnVerdict on_verdict;
   };
   struct Client {
     bool reading = false;
     OrderId order = 0;
     Micros give_up = 0;
-    int tries = 0;
+    int attempts = 0;
     bool over = false;
-    Told told;
+    OnVerdict on_verdict;
   };
-  void call(bool reading, OrderId order, MachineId machine, Told told);
+  void call(bool reading, OrderId order, MachineId machine, OnVerdict on_verdict);
   void arrive(Call call);
   void start(Call const& call, Change change);
   void answered(Machine& machine, Reply const& reply);
@@ -96,7 +96,7 @@
   std::uint64_t labels = 0;
   std::size_t driving = 0;
   bool halted = false;
-  std::vector<OrderId> settled;  // orders that were driven and have an answer
+  std::vector<OrderId> answered_orders;  // orders that were driven and have an answer
 };
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/testing/control_plane_simulator/overlap_scenarios.cc
+++ b/testing/control_plane_simulator/overlap_scenarios.cc
@@ -4,7 +4,7 @@
 
 #include "testing/control_plane_simulator/fleet.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 namespace {
 
@@ -70,7 +70,7 @@
       world.after(fleet.some(seconds(1), seconds(5)), [&world, lost] { world.boot(lost); });
     }
     Micros const span = fleet.some(seconds(1), seconds(8));
-    for (Micros gone = 0; gone < span; gone += millis(100)) {
+    for (Micros passed = 0; passed < span; passed += millis(100)) {
       fleet.operators.read(fleet.operators.any_machine());
       world.run(millis(100));
     }
@@ -90,4 +90,4 @@
   return all;
 }
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/testing/control_plane_simulator/scenarios.cc
+++ b/testing/control_plane_simulator/scenarios.cc
@@ -4,7 +4,7 @@
 
 #include "testing/control_plane_simulator/fleet.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 namespace {
 
@@ -15,8 +15,8 @@
   Operators& operators = fleet.operators;
   operators.read(target);
   operators.send(operators.replace(base_then, operators.next_label()), target);
-  operators.send(operators.replace(operators.newest_told(), operators.next_label()), target);
-  operators.send(operators.amend(operators.newest_told(), operators.next_label()), target);
+  operators.send(operators.replace(operators.newest_acknowledged(), operators.next_label()), target);
+  operators.send(operators.amend(operators.newest_acknowledged(), operators.next_label()), target);
   operators.send(known, target);
   fleet.world.after(millis(700),
                     [&fleet, target, until, known, base_then] { ask_cut_off(fleet, target, until, known, base_then); });
@@ -31,7 +31,7 @@
   MachineId target = replicas.front();
   if (role == 1) target = replicas[1 + fleet.random.below(replicas.size() - 1)];
   if (role == 2) target = fleet.world.plan.disks + fleet.random.below(fleet.world.plan.plain);
-  OrderId const known = fleet.operators.replace(fleet.operators.newest_told(), fleet.operators.next_label());
+  OrderId const known = fleet.operators.replace(fleet.operators.newest_acknowledged(), fleet.operators.next_label());
   fleet.operators.drive(known);
   fleet.world.run(seconds(2));
   fleet.judge.expect_progress(true);
@@ -39,13 +39,13 @@
   fleet.operators.steady(start + seconds(30));
   fleet.world.run(fleet.some(0, seconds(1)));
   fleet.world.isolate({target}, cut_kinds[kind], cut_ways[way]);
-  ask_cut_off(fleet, target, start + seconds(19), known, fleet.operators.newest_told());
+  ask_cut_off(fleet, target, start + seconds(19), known, fleet.operators.newest_acknowledged());
   fleet.world.run(seconds(20));
   fleet.world.heal();
   fleet.world.run(seconds(10));
   fleet.judge.expect_progress(false);
   static char const* const roles[] = {"the proposing keeper", "a keeper", "a plain machine"};
-  return fleet.finish(std::string(roles[role]) + " cut off, " + kind_words[kind] + " " + way_words[way]);
+  return fleet.finish(std::string(roles[role]) + " cut off, " + kind_names[kind] + " " + way_names[way]);
 }
 
 // A machine stands still; what it was asked meanwhile waits in its sockets until it goes on, at times cut off by then.
@@ -57,7 +57,7 @@
   MachineId target = replicas.front();
   if (role == 1) target = replicas[1 + fleet.random.below(replicas.size() - 1)];
   if (role == 2) target = world.plan.disks + fleet.random.below(world.plan.plain);
-  OrderId const known = fleet.operators.replace(fleet.operators.newest_told(), fleet.operators.next_label());
+  OrderId const known = fleet.operators.replace(fleet.operators.newest_acknowledged(), fleet.operators.next_label());
   fleet.operators.drive(known);
   world.run(seconds(2));
   fleet.judge.expect_progress(true);
@@ -66,7 +66,7 @@
   Micros const span = fleet.some(millis(300), seconds(20));
   bool const cut = fleet.random.chance(0.4);
   world.freeze(target, span);
-  ask_cut_off(fleet, target, world.now() + span + seconds(3), known, fleet.operators.newest_told());
+  ask_cut_off(fleet, target, world.now() + span + seconds(3), known, fleet.operators.newest_acknowledged());
   world.run(span - fleet.some(0, millis(200)));
   if (cut) world.isolate({target}, cut_kinds[fleet.random.below(3)], cut_ways[fleet.random.below(3)]);
   world.run(seconds(4));
@@ -96,7 +96,7 @@
     std::vector<MachineId> group{target};
     if (fleet.random.chance(0.5)) group.push_back(fleet.world.plan.disks);  // with a plain machine
     fleet.world.isolate(group, cut_kinds[kind], cut_ways[way]);
-    setting += std::string(" ") + kind_words[kind] + " " + way_words[way];
+    setting += std::string(" ") + kind_names[kind] + " " + way_names[way];
     fleet.world.run(seconds(3));
     fleet.world.heal();
     fleet.world.run(seconds(5));
@@ -139,7 +139,7 @@
   fleet.operators.plan.late = 0.1;
   fleet.operators.plan.doubled = 0.2;
   for (int round = 0; round < 12; ++round) {
-    std::uint64_t const base = fleet.operators.newest_told();
+    std::uint64_t const base = fleet.operators.newest_acknowledged();
     std::uint64_t const label = fleet.operators.next_label();
     for (int rival = 0; rival < 8; ++rival)
       fleet.operators.drive(rival % 4 == 3 ? fleet.operators.amend(base, label) : fleet.operators.replace(base, label));
@@ -157,7 +157,7 @@
   operators.plan.late = 0.2;
   operators.plan.doubled = 0.2;
   for (int round = 0; round < 10; ++round) {
-    std::uint64_t base = operators.newest_told();
+    std::uint64_t base = operators.newest_acknowledged();
     for (int link = 0; link < 8; ++link) {
       std::uint64_t const label = operators.next_label();
       operators.drive(fleet.random.chance(0.25) ? operators.amend(base, label) : operators.replace(base, label));
@@ -196,24 +196,24 @@
 constexpr int others_counts[] = {0, 1, 63, 64, 65, 66, 200, 500};
 
 // An order that was taken comes again after so many others, at every machine.
-Report sent_again(ScenarioPlan const& plan) {
+Report resent(ScenarioPlan const& plan) {
   Fleet fleet(plan);
   int const others = others_counts[fleet.pick(plan.variant, static_cast<int>(std::size(others_counts)))];
   Operators& operators = fleet.operators;
-  OrderId const whole = operators.replace(operators.newest_told(), operators.next_label());
-  operators.drive(whole);
+  OrderId const full_value = operators.replace(operators.newest_acknowledged(), operators.next_label());
+  operators.drive(full_value);
   fleet.world.run(seconds(1));
-  OrderId const part = operators.amend(operators.newest_told(), operators.next_label());
+  OrderId const part = operators.amend(operators.newest_acknowledged(), operators.next_label());
   operators.drive(part);
   fleet.world.run(seconds(1));
   std::uint64_t const enough = fleet.judge.confirmations + static_cast<std::uint64_t>(others);
   while (fleet.judge.confirmations < enough) {
     if (operators.open_orders() == 0)
-      operators.drive(operators.replace(operators.newest_told(), operators.next_label()));
+      operators.drive(operators.replace(operators.newest_acknowledged(), operators.next_label()));
     fleet.world.run(millis(5));
   }
   for (MachineId id = 0; id < fleet.world.size(); ++id) {
-    operators.send(whole, id);
+    operators.send(full_value, id);
     fleet.world.run(millis(300));
     operators.send(part, id);
     fleet.world.run(millis(300));
@@ -235,8 +235,8 @@
     MachineId const target = fleet.replicas().front();
     Micros const span = fleet.some(millis(300), seconds(2));
     std::uint64_t const how = fleet.random.below(5);
-    static char const* const words[] = {" killed", " dark", " frozen", " cut off", " slow at its disk"};
-    setting += words[how];
+    static char const* const names[] = {" killed", " dark", " frozen", " cut off", " slow at its disk"};
+    setting += names[how];
     if (how == 0) fleet.world.kill(target);
     if (how == 1) fleet.world.power_off(target);
     if (how == 2) fleet.world.freeze(target, span);
@@ -263,7 +263,7 @@
   world.after(millis(500), [&world, id] { leave_when_replaced(world, id); });
 }
 
-void trouble_replica(Fleet& fleet) {
+void fault_replica(Fleet& fleet) {
   World& world = fleet.world;
   std::vector<MachineId> const replicas = fleet.replicas();
   if (replicas.empty()) return;
@@ -324,7 +324,7 @@
   }
 }
 
-void trouble_plain(Fleet& fleet) {
+void fault_plain(Fleet& fleet) {
   World& world = fleet.world;
   MachineId const id = world.plan.disks + fleet.random.below(world.plan.plain);
   Micros const span = fleet.some(millis(100), seconds(4));
@@ -338,7 +338,7 @@
   world.after(span, [&world, id] { world.boot(id); });
 }
 
-void trouble_links(Fleet& fleet) {
+void fault_links(Fleet& fleet) {
   World& world = fleet.world;
   std::vector<MachineId> group;
   std::vector<MachineId> const replicas = fleet.replicas();
@@ -367,21 +367,21 @@
   Micros next_links = world.now() + fleet.some(0, seconds(6));
   while (world.now() < end) {
     world.run(fleet.some(millis(100), millis(2500)));
-    if (fleet.random.chance(0.3)) trouble_plain(fleet);
+    if (fleet.random.chance(0.3)) fault_plain(fleet);
     if (all && fleet.random.chance(0.02)) {
-      bool const dark = fleet.random.chance(0.5);
+      bool const unpowered = fleet.random.chance(0.5);
       for (MachineId const id : fleet.replicas()) {
-        if (dark) world.power_off(id);
-        if (!dark) world.kill(id);
+        if (unpowered) world.power_off(id);
+        if (!unpowered) world.kill(id);
         world.after(seconds(1), [&world, id] { world.boot(id); });
       }
       world.run(seconds(1) + world.plan.catch_up);
     }
     if (world.now() >= next_links && world.lost() < world.plan.tolerated) {
-      trouble_links(fleet);
+      fault_links(fleet);
       next_links = world.now() + fleet.some(seconds(5), seconds(24));
     } else if (world.lost() < world.plan.tolerated && fleet.random.chance(0.6)) {
-      trouble_replica(fleet);
+      fault_replica(fleet);
     }
   }
   fleet.judge.expect_progress(false);
@@ -401,7 +401,7 @@
         {"one_label", 2, "eight rivals under one label, their proposer lost in the middle", one_label},
         {"chained", 2, "orders that build on orders under way, a keeper lost in the middle", chained},
         {"restarted_at_once", 2, "machines end and are back at once while disks are slow", restarted_at_once},
-        {"sent_again", 2, "orders that were taken come again after 0 to 500 others", sent_again},
+        {"sent_again", 2, "orders that were taken come again after 0 to 500 others", resent},
         {"proposer_lost", 2, "the proposing keeper is lost in a storm, four times", proposer_lost},
         {"day", 0, "a day with everything", day},
     };
@@ -418,4 +418,4 @@
   return nullptr;
 }
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/testing/control_plane_simulator/scenarios.h
+++ b/testing/control_plane_simulator/scenarios.h
@@ -6,7 +6,7 @@
 
 #include "testing/control_plane_simulator/judge.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 struct ScenarioPlan {
   std::uint64_t seed = 1;
@@ -35,4 +35,4 @@
 std::vector<Scenario> const& scenarios();
 Scenario const* scenario_of(std::string const& name);
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/testing/control_plane_simulator/world.cc
+++ b/testing/control_plane_simulator/world.cc
@@ -6,7 +6,7 @@
 #include "base/events.h"
 #include "testing/control_plane_simulator/node_view.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 namespace {
 constexpr Micros tick_gap = millis(50);
@@ -14,7 +14,7 @@
 constexpr Micros heed = millis(2600);        // the shell's, before it announces the departure
 constexpr Micros grace_most = millis(7300);  // when the shell ends whatever is under way
 constexpr Micros disk_retry = millis(100);   // of a refused write
-constexpr int open_tries_most = 50;          // of a disk that refuses, before the process ends
+constexpr int open_attempts_most = 50;       // of a disk that refuses, before the process ends
 constexpr Micros restart_pause = seconds(1);
 constexpr std::size_t file_reserved = 4096;
 constexpr std::uint64_t save_steps = 4;  // a write and a sync of both copies
@@ -98,7 +98,7 @@
 }
 
 std::size_t World::lost() { return count_lost(true); }
-std::size_t World::in_trouble() { return count_lost(false); }
+std::size_t World::has_fault() { return count_lost(false); }
 
 MachineId World::add_successor(MachineId of) {
   MachineId const id = add(true);
@@ -107,10 +107,10 @@
   return id;
 }
 
-void World::begin_trouble(Machine& machine) { ++machine.troubles; }
+void World::begin_fault(Machine& machine) { ++machine.faults; }
 
-void World::end_trouble(Machine& machine) {
-  if (machine.troubles > 0) --machine.troubles;
+void World::end_fault(Machine& machine) {
+  if (machine.faults > 0) --machine.faults;
   machine.calm_since = time;
 }
 
@@ -149,9 +149,9 @@
   machine.stop_from = -1;
   machine.announced = false;
   machine.calls_under_way = 0;
-  machine.troubles = (machine.disk_full ? 1 : 0) + (time < machine.stalled_until ? 1 : 0);
+  machine.faults = (machine.disk_full ? 1 : 0) + (time < machine.stalled_until ? 1 : 0);
   for (Barrier const& barrier : barriers)
-    if (barrier.holds(id)) ++machine.troubles;
+    if (barrier.holds(id)) ++machine.faults;
   machine.calm_since = time;
   // What a former process without power left half open is reset at the next word.
   machine.connections.clear();
@@ -163,11 +163,11 @@
 }
 
 // As the shell does it: a disk that refuses or hangs is waited for, then the process ends and is started again.
-void World::open_disk(MachineId id, std::uint64_t process, NodePlan const& made, int tries) {
+void World::open_disk(MachineId id, std::uint64_t process, NodePlan const& made, int attempts) {
   Machine& machine = *machines[id];
   if (machine.opening != process) return;
   if (time < machine.stalled_until) {
-    at(machine.stalled_until, [this, id, process, made, tries] { open_disk(id, process, made, tries); });
+    at(machine.stalled_until, [this, id, process, made, attempts] { open_disk(id, process, made, attempts); });
     return;
   }
   machine.disk->full(machine.disk_full);
@@ -177,11 +177,11 @@
     machine.opening.reset();
     return begin_process(machine, made, std::move(opened.value()));
   }
-  if (!log_is_muted() && tries == 0)
+  if (!log_is_muted() && attempts == 0)
     std::printf("%lld %s waits for its disk: %s\n", static_cast<long long>(time / 1000), machine.name.c_str(),
                 opened.error().why.c_str());
-  if (tries < open_tries_most) {
-    after(disk_retry, [this, id, process, made, tries] { open_disk(id, process, made, tries + 1); });
+  if (attempts < open_attempts_most) {
+    after(disk_retry, [this, id, process, made, attempts] { open_disk(id, process, made, attempts + 1); });
     return;
   }
   machine.opening.reset();
@@ -251,10 +251,10 @@
   machine.stop_from = time;
   enter(id, machine.process, [](Node& node, Micros, NodeEffects&) { node.retire(); });
   std::uint64_t const process = machine.process;
-  after(heed, [this, id, process] { look_stop(id, process); });
+  after(heed, [this, id, process] { check_stop(id, process); });
 }
 
-void World::look_stop(MachineId id, std::uint64_t process) {
+void World::check_stop(MachineId id, std::uint64_t process) {
   Machine& machine = *machines[id];
   if (!machine.up() || machine.process != process) return;
   if (!machine.announced) {
@@ -268,20 +268,20 @@
     machine.removed = true;
     return;
   }
-  after(tick_gap, [this, id, process] { look_stop(id, process); });
+  after(tick_gap, [this, id, process] { check_stop(id, process); });
 }
 
 void World::freeze(MachineId id, Micros span) {
   Machine& machine = *machines[id];
   if (!machine.up() || machine.frozen) return;
   machine.frozen = true;
-  begin_trouble(machine);
+  begin_fault(machine);
   std::uint64_t const process = machine.process;
   after(span, [this, id, process] {
     Machine& item = *machines[id];
     if (!item.up() || item.process != process) return;
     item.frozen = false;
-    end_trouble(item);
+    end_fault(item);
     std::vector<std::function<void()>> const list = std::move(item.deferred);
     item.deferred.clear();
     for (std::function<void()> const& act : list) act();
@@ -350,19 +350,19 @@
   machine.writing = kept;
   MachineId const id = machine.id;
   std::uint64_t const process = machine.process;
-  after(lag(plan.sync_least, plan.sync_most), [this, id, process, kept] { try_save(id, process, kept); });
+  after(lag(plan.sync_least, plan.sync_most), [this, id, process, kept] { attempt_save(id, process, kept); });
 }
 
-void World::try_save(MachineId id, std::uint64_t process, std::shared_ptr<wire::RecordT const> record) {
+void World::attempt_save(MachineId id, std::uint64_t process, std::shared_ptr<wire::RecordT const> record) {
   Machine& machine = *machines[id];
   if (!machine.up() || machine.process != process) return;
   if (time < machine.stalled_until) {
-    at(machine.stalled_until, [this, id, process, record] { try_save(id, process, record); });
+    at(machine.stalled_until, [this, id, process, record] { attempt_save(id, process, record); });
     return;
   }
   machine.disk->full(machine.disk_full);
   if (!machine.store->save(*record)) {
-    after(disk_retry, [this, id, process, record] { try_save(id, process, record); });
+    after(disk_retry, [this, id, process, record] { attempt_save(id, process, record); });
     return;
   }
   machine.writing.reset();
@@ -372,18 +372,18 @@
 void World::stall_disk(MachineId id, Micros span) {
   Machine& machine = *machines[id];
   machine.stalled_until = time + span;
-  begin_trouble(machine);
-  after(span, [this, id] { end_trouble(*machines[id]); });
+  begin_fault(machine);
+  after(span, [this, id] { end_fault(*machines[id]); });
 }
 
 void World::fill_disk(MachineId id, Micros span) {
   Machine& machine = *machines[id];
   if (machine.disk_full) return;
   machine.disk_full = true;
-  begin_trouble(machine);
+  begin_fault(machine);
   after(span, [this, id] {
     machines[id]->disk_full = false;
-    end_trouble(*machines[id]);
+    end_fault(*machines[id]);
   });
 }
 
@@ -409,7 +409,7 @@
   for (MachineId const id : group) {
     Machine& inner = *machines[id];
     if (!log_is_muted()) std::printf("%lld %s is cut off\n", static_cast<long long>(time / 1000), inner.name.c_str());
-    begin_trouble(inner);
+    begin_fault(inner);
     if (minority && inner.alone_since < 0) inner.alone_since = time;
   }
   if (kind == CutKind::silent) return;
@@ -424,14 +424,14 @@
   barriers.push_back(Barrier{one, CutKind::silent, CutWay::both, other});
   barriers.push_back(Barrier{other, CutKind::silent, CutWay::both, one});
   for (std::vector<MachineId> const* const group : {&one, &other})
-    for (MachineId const id : *group) begin_trouble(*machines[id]);
+    for (MachineId const id : *group) begin_fault(*machines[id]);
 }
 
 void World::heal() {
   for (Barrier const& barrier : barriers)
     for (MachineId const id : barrier.group) {
       machines[id]->alone_since = -1;
-      end_trouble(*machines[id]);
+      end_fault(*machines[id]);
     }
   barriers.clear();
   links.erase(
@@ -580,4 +580,4 @@
   });
 }
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/testing/control_plane_simulator/world.h
+++ b/testing/control_plane_simulator/world.h
@@ -15,7 +15,7 @@
 #include "node/node.h"
 #include "testing/control_plane_simulator/disk.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 // How a cut shows itself: nothing arrives, connections are reset, or connections are reset and dials are refused.
 enum class CutKind : std::uint8_t { silent, reset, refused };
@@ -81,13 +81,13 @@
   std::size_t calls_under_way = 0;  // of operators
   std::uint64_t bytes_moved = 0;    // in frames, sent and received
 
-  int troubles = 0;         // that it suffers now
+  int faults = 0;           // that it suffers now
   Micros calm_since = 0;    // the end of the last one
   Micros alone_since = -1;  // since when it is cut off with less than a majority
   bool established = true;  // it was there from the start, or has once had its catch-up time
   std::optional<MachineId> successor;
   bool up() const { return node != nullptr; }
-  bool calm() const { return up() && troubles == 0 && !removed; }
+  bool calm() const { return up() && faults == 0 && !removed; }
 };
 
 class World {
@@ -139,7 +139,7 @@
   // was removed counts until its successor has had its catch-up time.
   std::size_t lost();
   // The same without the catch-up time of those that are back.
-  std::size_t in_trouble();
+  std::size_t has_fault();
 
   RandomSource& chance() { return random; }
   WorldPlan const plan;
@@ -182,9 +182,9 @@
   void tick(MachineId id, std::uint64_t process);
   void obey(Machine& machine, NodeEffects& out);
   void end(Machine& machine, bool silent);
-  void look_stop(MachineId id, std::uint64_t process);
-  void begin_trouble(Machine& machine);
-  void end_trouble(Machine& machine);
+  void check_stop(MachineId id, std::uint64_t process);
+  void begin_fault(Machine& machine);
+  void end_fault(Machine& machine);
   std::vector<std::string> seeds_now(MachineId id) const;
 
   void dial(Machine& machine, std::string const& address);
@@ -197,11 +197,11 @@
   void hang_up(std::shared_ptr<Link> const& link, int side, bool silent);
   void reset_side(std::shared_ptr<Link> const& link, int side);
 
-  void open_disk(MachineId id, std::uint64_t process, NodePlan const& made, int tries);
+  void open_disk(MachineId id, std::uint64_t process, NodePlan const& made, int attempts);
   void begin_process(Machine& machine, NodePlan const& made, std::optional<wire::RecordT> record);
   void interrupt_save(Machine& machine);
   void save(Machine& machine, wire::RecordT record);
-  void try_save(MachineId id, std::uint64_t process, std::shared_ptr<wire::RecordT const> record);
+  void attempt_save(MachineId id, std::uint64_t process, std::shared_ptr<wire::RecordT const> record);
 
   RandomSource random;
   Micros time = 0;
@@ -231,4 +231,4 @@
   Micros latest[2] = {0, 0};
 };
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/testing/cost_simulator/fit.cc
+++ b/testing/cost_simulator/fit.cc
@@ -55,7 +55,7 @@
 
 double Fit::at(double x) const { return base * std::pow(x, low) + slope * std::pow(x, power); }
 
-std::string Fit::words(std::string const& name) const {
+std::string Fit::describe(std::string const& name) const {
   char text[96];
   std::string const what = power == 1 ? name : name + "^" + std::to_string(power);
   std::snprintf(text, sizeof text, "%.4g%s + %.4g %s", base, low == 1 ? (" " + name).c_str() : "", slope, what.c_str());
--- a/testing/cost_simulator/fit.h
+++ b/testing/cost_simulator/fit.h
@@ -14,7 +14,7 @@
   double error = 0;   // the largest distance from a point, as a part of that point
   double ahead = -1;  // how far the line through all but the last point misses the last; -1 with less than four
   double at(double x) const;
-  std::string words(std::string const& name) const;
+  std::string describe(std::string const& name) const;
 };
 
 // Least squares of the relative distances, over the pairs of powers 0,1 0,2 0,3 and 1,2. Points that are 0 do not
--- a/testing/cost_simulator/machine.h
+++ b/testing/cost_simulator/machine.h
@@ -9,7 +9,7 @@
   int region = 0;
   Role role = Role::router;
   std::unique_ptr<Node> node;
-  std::uint64_t life = 0;
+  std::uint64_t process_id = 0;
   bool silent = false;  // without power: it answers no dial
   Micros offset = 0;
   std::optional<wire::RecordT> disk;
@@ -23,11 +23,11 @@
 
 struct Scale::Link {
   int who[2] = {0, 0};
-  std::uint64_t life[2] = {0, 0};
+  std::uint64_t process_id[2] = {0, 0};
   ConnectionId connection[2] = {0, 0};
   bool open = true;
-  Micros last[2] = {0, 0};           // arrival times keep their order
-  std::vector<std::string> held[2];  // what a cut holds back
+  Micros last[2] = {0, 0};              // arrival times keep their order
+  std::vector<std::string> delayed[2];  // what a cut holds back
 };
 
 }  // namespace pipit
--- a/testing/cost_simulator/main.cc
+++ b/testing/cost_simulator/main.cc
@@ -1,5 +1,5 @@
-// hollow: runs fleets of the product's cores at several sizes and prints what they cost, and what that grows with
-// (§10.5, docs/CAPACITY.md).
+// cost_simulator: runs fleets of the product's cores at several sizes and prints what they cost, and what that grows
+// with (§10.5, docs/CAPACITY.md).
 #include <unistd.h>
 
 #include <algorithm>
@@ -72,7 +72,7 @@
   double span = 8, limit = 300;
   std::uint64_t seed = 1;
   int replicas = 3;
-  std::string file, phases = "change,restart,cut,region", far = "12,93,1400";
+  std::string file, phases = "change,restart,cut,region", extrapolated = "12,93,1400";
   options::options_description keys(
       "cost_simulator: what fleets of the product's cores cost under virtual time, by size");
   keys.add_options()("nodes", options::value(&flags[0].text),
@@ -86,8 +86,8 @@
       "keepers", options::value(&replicas), "of the nodes")(
       "phases", options::value(&phases), "what comes after the calm: change, restart, cut, region; calm for no more")(
       "limit", options::value(&limit), "seconds of processor time for each size")(
-      "at", options::value(&far), "where the lines through the list are read off")("plot", options::value(&file),
-                                                                                   "an SVG of the costs")(
+      "at", options::value(&extrapolated), "where the lines through the list are read off")(
+      "plot", options::value(&file), "an SVG of the costs")(
       "all", "kinds of frames in every phase, not in the calm alone")("help", "");
   ScalePlan plan;
   std::vector<double> places;
@@ -98,11 +98,11 @@
     options::notify(map);
     if (map.count("help")) return std::cout << keys, 0;
     all = map.count("all") > 0;
-    for (std::string const& part : parts_of(far)) places.push_back(std::stod(part));
+    for (std::string const& part : parts_of(extrapolated)) places.push_back(std::stod(part));
   } catch (options::error const& bad) {
     return std::fprintf(stderr, "cost_simulator: %s\n", bad.what()), 2;
   } catch (std::exception const&) {
-    return std::fprintf(stderr, "cost_simulator: at: '%s' is no list of numbers\n", far.c_str()), 2;
+    return std::fprintf(stderr, "cost_simulator: at: '%s' is no list of numbers\n", extrapolated.c_str()), 2;
   }
   Flag* swept = &flags[0];
   int lists = 0;
@@ -183,8 +183,8 @@
       std::vector<double> y;
       for (Figures const& figures : found) y.push_back(std::max(0.0, figures.of(row.first)));
       Fit const line = fit(x, y);
-      std::printf("  %-40s %-36s %6.0f%% %6.0f%%", row.first.c_str(), line.words(swept->name).c_str(), line.error * 100,
-                  line.ahead * 100);
+      std::printf("  %-40s %-36s %6.0f%% %6.0f%%", row.first.c_str(), line.describe(swept->name).c_str(),
+                  line.error * 100, line.ahead * 100);
       for (double const place : places) std::printf(" %11.5g", line.at(place));
       std::printf("\n");
     }
@@ -200,7 +200,7 @@
     out << plot(swept->name, x, curves);
     if (!out.flush()) return std::fprintf(stderr, "cost_simulator: '%s' cannot be written\n", file.c_str()), 1;
   }
-  return !told_violations() && whole ? 0 : 1;
+  return !report_violations() && whole ? 0 : 1;
 }
 
 }  // namespace
--- a/testing/cost_simulator/scale.cc
+++ b/testing/cost_simulator/scale.cc
@@ -128,7 +128,7 @@
 void Scale::boot(int who) {
   Machine& m = *machines[static_cast<std::size_t>(who)];
   if (m.up()) return;
-  m.life = ++lives;
+  m.process_id = ++process_count;
   m.silent = false;
   m.connections.clear();
   m.chat_requests = 0;
@@ -144,23 +144,23 @@
     if (i < 3) p.seeds.push_back(machines[static_cast<std::size_t>(i)]->address);
     if (m.role == Role::config_store) p.initial_members.push_back(machines[static_cast<std::size_t>(i)]->name);
   }
-  p.incarnation = 1000 + lives;
-  p.chance = hash_bits(plan.seed * 31 + lives);
+  p.incarnation = 1000 + process_count;
+  p.chance = hash_bits(plan.seed * 31 + process_count);
   std::optional<wire::RecordT> recovered;
   if (m.role == Role::config_store) {
     if (!m.disk) {
       wire::RecordT blank;
       blank.cluster = "pipit";
       blank.name = m.name;
-      blank.disk = hash_bits(plan.seed ^ (lives << 20));
+      blank.disk = hash_bits(plan.seed ^ (process_count << 20));
       m.disk = blank;
     }
     recovered = m.disk;
   }
   m.node = std::make_unique<Node>(p, now + m.offset, recovered);
-  std::uint64_t const life = m.life;
-  after(between(0, tick_gap), [this, who, life] { tick(who, life); });
-  if (m.role == Role::router && plan.rate > 0) after(seconds(2), [this, who, life] { call(who, life); });
+  std::uint64_t const process_id = m.process_id;
+  after(between(0, tick_gap), [this, who, process_id] { tick(who, process_id); });
+  if (m.role == Role::router && plan.rate > 0) after(seconds(2), [this, who, process_id] { call(who, process_id); });
 }
 
 void Scale::halt(int who, bool silent) {
@@ -179,9 +179,9 @@
 
 // Runs one step of a node and counts the processor time of the step alone, not of what carries its effects out.
 template <class F>
-void Scale::enter(int who, std::uint64_t life, Step type, F&& step, int kind) {
+void Scale::enter(int who, std::uint64_t process_id, Step type, F&& step, int kind) {
   Machine& m = *machines[static_cast<std::size_t>(who)];
-  if (!m.up() || m.life != life) return;
+  if (!m.up() || m.process_id != process_id) return;
   NodeEffects out;
   std::int64_t const from = processor();
   step(m, now + m.offset, out);
@@ -199,10 +199,10 @@
       everywhere_after.push_back(now - item.at);
 }
 
-void Scale::tick(int who, std::uint64_t life) {
+void Scale::tick(int who, std::uint64_t process_id) {
   Machine& m = *machines[static_cast<std::size_t>(who)];
-  if (!m.up() || m.life != life) return;
-  enter(who, life, Step::tick, [](Machine& b, Micros t, NodeEffects& out) { b.node->tick(t, out); });
+  if (!m.up() || m.process_id != process_id) return;
+  enter(who, process_id, Step::tick, [](Machine& b, Micros t, NodeEffects& out) { b.node->tick(t, out); });
   for (Kill& kill : kills) {
     if (!kill.pending.count(who)) continue;
     std::map<std::string, Peer>::const_iterator const peer =
@@ -211,20 +211,20 @@
     kill.pending.erase(who);
     detected[kill.silent ? 1 : 0].push_back(now - kill.at);
   }
-  after(tick_gap, [this, who, life] { tick(who, life); });
+  after(tick_gap, [this, who, process_id] { tick(who, process_id); });
 }
 
 void Scale::dial(int who, std::string const& address) {
   Machine& m = *machines[static_cast<std::size_t>(who)];
-  std::uint64_t const life = m.life;
+  std::uint64_t const process_id = m.process_id;
   if (phase != nullptr) ++phase->count[static_cast<std::size_t>(m.role)].dials;
   std::unordered_map<std::string, int>::const_iterator const position = by_address.find(address);
   Machine* const target =
       position == by_address.end() ? nullptr : machines[static_cast<std::size_t>(position->second)].get();
   bool const mute = target == nullptr || target->silent || cut(m, *target);
   if (mute || !target->up()) {
-    after(mute ? seconds(1) : 2 * lag(m, *target), [this, who, life, address, mute] {
-      enter(who, life, Step::connection,
+    after(mute ? seconds(1) : 2 * lag(m, *target), [this, who, process_id, address, mute] {
+      enter(who, process_id, Step::connection,
             [&address, mute](Machine& b, Micros t, NodeEffects& out) { b.node->dial_failed(address, !mute, t, out); });
     });
     return;
@@ -232,27 +232,28 @@
   std::shared_ptr<Link> const link = std::make_shared<Link>();
   link->who[0] = who;
   link->who[1] = position->second;
-  link->life[0] = life;
-  link->life[1] = target->life;
+  link->process_id[0] = process_id;
+  link->process_id[1] = target->process_id;
   Micros const there = lag(m, *target);
   Micros const back = there + lag(m, *target);
   link->last[1] = now + back;  // nothing reaches the dialler before its connection is open
   for (int side = 0; side < 2; ++side)
     after(side == 1 ? there : back, [this, link, side, address] {
       Machine& b = *machines[static_cast<std::size_t>(link->who[side])];
-      if (!b.up() || b.life != link->life[side]) return;
+      if (!b.up() || b.process_id != link->process_id[side]) return;
       if (!link->open) {
         if (side == 0)
-          enter(link->who[0], b.life, Step::connection,
+          enter(link->who[0], b.process_id, Step::connection,
                 [&address](Machine& x, Micros t, NodeEffects& out) { x.node->dial_failed(address, false, t, out); });
         return;
       }
       ConnectionId const id = ++b.next_connection;
       link->connection[side] = id;
       b.connections[id] = {link, side};
-      enter(link->who[side], b.life, Step::connection, [id, side, &address](Machine& x, Micros t, NodeEffects& out) {
-        x.node->opened(id, side == 0, address, t, out);
-      });
+      enter(link->who[side], b.process_id, Step::connection,
+            [id, side, &address](Machine& x, Micros t, NodeEffects& out) {
+              x.node->opened(id, side == 0, address, t, out);
+            });
     });
 }
 
@@ -260,30 +261,30 @@
   if (!link->open) return;
   link->open = false;
   int const to = 1 - from;
-  Machine& near = *machines[static_cast<std::size_t>(link->who[from])];
-  Machine& far = *machines[static_cast<std::size_t>(link->who[to])];
-  if (near.up() && link->connection[from] != 0) near.connections.erase(link->connection[from]);
-  if (cut(near, far)) return;  // the other side finds out by itself
+  Machine& local = *machines[static_cast<std::size_t>(link->who[from])];
+  Machine& remote = *machines[static_cast<std::size_t>(link->who[to])];
+  if (local.up() && link->connection[from] != 0) local.connections.erase(link->connection[from]);
+  if (cut(local, remote)) return;  // the other side finds out by itself
   // What was sent before the end arrives before it.
-  at(std::max(link->last[from] + 1, now + lag(near, far)), [this, link, to] {
+  at(std::max(link->last[from] + 1, now + lag(local, remote)), [this, link, to] {
     Machine& b = *machines[static_cast<std::size_t>(link->who[to])];
-    if (!b.up() || b.life != link->life[to] || link->connection[to] == 0) return;
+    if (!b.up() || b.process_id != link->process_id[to] || link->connection[to] == 0) return;
     b.connections.erase(link->connection[to]);
     ConnectionId const id = link->connection[to];
-    enter(link->who[to], b.life, Step::connection,
+    enter(link->who[to], b.process_id, Step::connection,
           [id](Machine& x, Micros t, NodeEffects& out) { x.node->shut(id, t, out); });
   });
 }
 
 void Scale::pass(std::shared_ptr<Link> const& link, int side, std::string bytes) {
-  Machine const& near = *machines[static_cast<std::size_t>(link->who[side])];
-  Machine const& far = *machines[static_cast<std::size_t>(link->who[1 - side])];
-  if (cut(near, far)) {
-    if (link->held[0].empty() && link->held[1].empty()) stalled.push_back(link);
-    link->held[side].push_back(std::move(bytes));
+  Machine const& local = *machines[static_cast<std::size_t>(link->who[side])];
+  Machine const& remote = *machines[static_cast<std::size_t>(link->who[1 - side])];
+  if (cut(local, remote)) {
+    if (link->delayed[0].empty() && link->delayed[1].empty()) stalled.push_back(link);
+    link->delayed[side].push_back(std::move(bytes));
     return;
   }
-  Micros const when = std::max(link->last[side] + 1, now + lag(near, far));
+  Micros const when = std::max(link->last[side] + 1, now + lag(local, remote));
   link->last[side] = when;
   at(when, [this, link, side, bytes = std::move(bytes)] { arrive(link, side, bytes); });
 }
@@ -291,10 +292,10 @@
 void Scale::arrive(std::shared_ptr<Link> const& link, int side, std::string const& bytes) {
   int const to = link->who[1 - side];
   Machine& b = *machines[static_cast<std::size_t>(to)];
-  if (!link->open || !b.up() || b.life != link->life[1 - side]) return;
+  if (!link->open || !b.up() || b.process_id != link->process_id[1 - side]) return;
   if (cut(*machines[static_cast<std::size_t>(link->who[side])], b)) {
-    if (link->held[0].empty() && link->held[1].empty()) stalled.push_back(link);
-    link->held[side].push_back(bytes);
+    if (link->delayed[0].empty() && link->delayed[1].empty()) stalled.push_back(link);
+    link->delayed[side].push_back(bytes);
     return;
   }
   ConnectionId const id = link->connection[1 - side];
@@ -306,7 +307,7 @@
     count.bytes_in[kind] += bytes.size();
   }
   enter(
-      to, b.life, Step::connection,
+      to, b.process_id, Step::connection,
       [id, &bytes](Machine& x, Micros t, NodeEffects& out) { x.node->bytes(id, bytes, t, out); },
       static_cast<int>(kind));
 }
@@ -317,15 +318,16 @@
       m.connections.find(id);
   if (position == m.connections.end()) return;
   std::pair<std::shared_ptr<Link>, int> const end = position->second;
-  Machine const& far = *machines[static_cast<std::size_t>(end.first->who[1 - end.second])];
-  bool const reborn = far.up() && far.life != end.first->life[1 - end.second];
+  Machine const& remote = *machines[static_cast<std::size_t>(end.first->who[1 - end.second])];
+  bool const reborn = remote.up() && remote.process_id != end.first->process_id[1 - end.second];
   if (!end.first->open || reborn) {
     // The other end is gone, or its machine lives anew and knows nothing of this connection: writing finds that out.
     end.first->open = false;
     m.connections.erase(id);
-    std::uint64_t const life = m.life;
-    after(2 * lag(m, far), [this, who, life, id] {
-      enter(who, life, Step::connection, [id](Machine& x, Micros t, NodeEffects& out) { x.node->shut(id, t, out); });
+    std::uint64_t const process_id = m.process_id;
+    after(2 * lag(m, remote), [this, who, process_id, id] {
+      enter(who, process_id, Step::connection,
+            [id](Machine& x, Micros t, NodeEffects& out) { x.node->shut(id, t, out); });
     });
     return;
   }
@@ -346,22 +348,22 @@
   for (std::weak_ptr<Link> const& item : list)
     if (std::shared_ptr<Link> const link = item.lock())
       for (int side = 0; side < 2; ++side) {
-        std::vector<std::string> const held = std::move(link->held[side]);
-        link->held[side].clear();
+        std::vector<std::string> const delayed = std::move(link->delayed[side]);
+        link->delayed[side].clear();
         if (!link->open) continue;
-        for (std::string const& bytes : held) pass(link, side, bytes);
+        for (std::string const& bytes : delayed) pass(link, side, bytes);
       }
 }
 
 void Scale::obey(int who, NodeEffects& out) {
   Machine& m = *machines[static_cast<std::size_t>(who)];
-  std::uint64_t const life = m.life;
+  std::uint64_t const process_id = m.process_id;
   if (out.save)
-    after(between(500, 6000), [this, who, life, record = std::move(*out.save)] {
+    after(between(500, 6000), [this, who, process_id, record = std::move(*out.save)] {
       Machine& b = *machines[static_cast<std::size_t>(who)];
-      if (!b.up() || b.life != life) return;
+      if (!b.up() || b.process_id != process_id) return;
       b.disk = record;
-      enter(who, life, Step::connection, [](Machine& x, Micros t, NodeEffects& o) { x.node->disk_done(t, o); });
+      enter(who, process_id, Step::connection, [](Machine& x, Micros t, NodeEffects& o) { x.node->disk_done(t, o); });
     });
   for (std::string const& address : out.mesh.dials) dial(who, address);
   for (ConnectionEffects::Send& send : out.mesh.sends) carry(who, send.connection, std::move(send.bytes));
@@ -376,13 +378,13 @@
   for (Start const& start : out.chat.starts) {
     std::uint64_t const chat_request = start.chat_request;
     m.node->chat_attempt_sent(chat_request);
-    after(millis(30), [this, who, life, chat_request] {
+    after(millis(30), [this, who, process_id, chat_request] {
       Machine& b = *machines[static_cast<std::size_t>(who)];
-      if (b.up() && b.life == life) b.node->chat_attempt_began(chat_request);
+      if (b.up() && b.process_id == process_id) b.node->chat_attempt_began(chat_request);
     });
-    after(answer_span, [this, who, life, chat_request] {
+    after(answer_span, [this, who, process_id, chat_request] {
       ++answered;
-      enter(who, life, Step::chat_request, [chat_request](Machine& x, Micros t, NodeEffects& o) {
+      enter(who, process_id, Step::chat_request, [chat_request](Machine& x, Micros t, NodeEffects& o) {
         x.node->chat_attempt_ended(chat_request, ChatAttemptEnd::done, "", 0, t, o);
       });
     });
@@ -402,8 +404,8 @@
   }
   bool const away = !zone_cut.empty() && m.zone == zone_cut;
   if (out.read_list)
-    after(away ? seconds(1) : between(millis(3), millis(40)), [this, who, life, away] {
-      enter(who, life, Step::list, [this, away](Machine& x, Micros t, NodeEffects& o) {
+    after(away ? seconds(1) : between(millis(3), millis(40)), [this, who, process_id, away] {
+      enter(who, process_id, Step::list, [this, away](Machine& x, Micros t, NodeEffects& o) {
         if (away)
           x.node->list(std::nullopt, false, t, o);
         else
@@ -412,21 +414,21 @@
     });
   if (out.checks.empty()) return;
   if (phase != nullptr) phase->count[static_cast<std::size_t>(m.role)].checks += out.checks.size();
-  std::vector<Check> near, far;
+  std::vector<Check> local, remote;
   for (Check& check : out.checks) {
     bool mute = false;
     if (!zone_cut.empty()) {
       std::size_t const n = static_cast<std::size_t>(std::stoi(check.worker.substr(1)) - 1) % zones.size();
       mute = (zones[n] == zone_cut) != (m.zone == zone_cut);
     }
-    (mute ? far : near).push_back(std::move(check));
+    (mute ? remote : local).push_back(std::move(check));
   }
   for (bool const mute : {false, true}) {
-    std::vector<Check>& list = mute ? far : near;
+    std::vector<Check>& list = mute ? remote : local;
     if (list.empty()) continue;
-    after(mute ? seconds(1) : between(millis(1), millis(15)), [this, who, life, mute, list = std::move(list)] {
+    after(mute ? seconds(1) : between(millis(1), millis(15)), [this, who, process_id, mute, list = std::move(list)] {
       for (Check const& check : list)
-        enter(who, life, Step::health, [this, &check, mute](Machine& x, Micros t, NodeEffects& o) {
+        enter(who, process_id, Step::health, [this, &check, mute](Machine& x, Micros t, NodeEffects& o) {
           std::optional<HealthReport> report;
           if (!mute) {
             report.emplace();
@@ -439,11 +441,11 @@
   }
 }
 
-void Scale::call(int who, std::uint64_t life) {
+void Scale::call(int who, std::uint64_t process_id) {
   Machine& m = *machines[static_cast<std::size_t>(who)];
-  if (!m.up() || m.life != life) return;
+  if (!m.up() || m.process_id != process_id) return;
   Micros const gap = static_cast<Micros>(1e6 / plan.rate);
-  after(gap / 2 + between(0, std::max<Micros>(2, gap)), [this, who, life] { call(who, life); });
+  after(gap / 2 + between(0, std::max<Micros>(2, gap)), [this, who, process_id] { call(who, process_id); });
   if (!calling || !m.node->ready() || phase == nullptr) return;
   ++asked;
   Ask ask;
@@ -455,7 +457,7 @@
   ask.path = path(session > 0 ? session % prefixes : random.below(prefixes), session);
   ask.path.push_back(hash_bits(ask.path.back() ^ random.next()));
   std::uint64_t const chat_request = ++m.chat_requests;
-  enter(who, life, Step::chat_request, [chat_request, &ask](Machine& x, Micros t, NodeEffects& out) {
+  enter(who, process_id, Step::chat_request, [chat_request, &ask](Machine& x, Micros t, NodeEffects& out) {
     x.node->chat_request(chat_request, std::move(ask), t, out);
   });
 }
@@ -479,7 +481,7 @@
   for (int i = 0; i < plan.nodes; ++i)
     if (machines[static_cast<std::size_t>(i)]->up()) made.pending.insert(i);
   turns.push_back(std::move(made));
-  enter(who, m.life, Step::operate,
+  enter(who, m.process_id, Step::operate,
         [&item](Machine& x, Micros t, NodeEffects& out) { x.node->operate(1, std::move(item), t, out); });
 }
 
--- a/testing/cost_simulator/scale.h
+++ b/testing/cost_simulator/scale.h
@@ -99,9 +99,9 @@
 
   void boot(int who);
   void halt(int who, bool silent);
-  void tick(int who, std::uint64_t life);
+  void tick(int who, std::uint64_t process_id);
   template <class F>
-  void enter(int who, std::uint64_t life, Step type, F&& step, int kind = -1);
+  void enter(int who, std::uint64_t process_id, Step type, F&& step, int kind = -1);
   void obey(int who, NodeEffects& out);
   void dial(int who, std::string const& address);
   void carry(int who, ConnectionId id, std::string bytes);
@@ -109,9 +109,9 @@
   void arrive(std::shared_ptr<Link> const& link, int side, std::string const& bytes);
   void hang(std::shared_ptr<Link> const& link, int from);
   void heal();
-  void call(int who, std::uint64_t life);
+  void call(int who, std::uint64_t process_id);
   void change();
-  void look();
+  void check_suspicions();
   std::string description(int turn) const;
   Path path(std::uint64_t prefix, std::uint64_t session) const;
   void fill(Machine& machine);
@@ -134,7 +134,7 @@
   RandomSource random;
   Micros now = 0;
   std::uint64_t order = 0;
-  std::uint64_t lives = 0;
+  std::uint64_t process_count = 0;
   std::int64_t started = 0;
   std::int64_t clock_cost = 0;
   std::priority_queue<Event_> events;
--- a/testing/cost_simulator/scale_phases.cc
+++ b/testing/cost_simulator/scale_phases.cc
@@ -11,12 +11,12 @@
 namespace pipit {
 
 namespace {
-constexpr Micros look_gap = millis(100);
+constexpr Micros check_interval = millis(100);
 }  // namespace
 
 // Who holds whom for not alive, every tenth of a second. What was ended, started or cut off a short while ago, or is
 // held so by one that was, is no false suspicion.
-void Scale::look() {
+void Scale::check_suspicions() {
   bool const cut_lately = !zone_cut.empty() || now - healed_at < seconds(6);
   for (int i = 0; i < plan.nodes; ++i) {
     Machine const& m = *machines[static_cast<std::size_t>(i)];
@@ -30,12 +30,13 @@
       }
       unwell_at = now;
       Machine const& other = *machines[static_cast<std::size_t>(j)];
-      bool const told = !other.up() || now - other.troubled < seconds(6) || now - m.troubled < seconds(6) || cut_lately;
-      if (!suspected.insert(pair).second || told) continue;
+      bool const expected =
+          !other.up() || now - other.troubled < seconds(6) || now - m.troubled < seconds(6) || cut_lately;
+      if (!suspected.insert(pair).second || expected) continue;
       ++suspicions;
     }
   }
-  after(look_gap, [this] { look(); });
+  after(check_interval, [this] { check_suspicions(); });
 }
 
 bool Scale::all_ready() const {
@@ -58,7 +59,7 @@
 // processor time of the run is used up.
 bool Scale::go_until(Micros when, std::function<bool()> const& done) {
   std::uint64_t n = 0;
-  Micros next_look = now;
+  Micros next_check = now;
   while (!events.empty() && events.top().at <= when) {
     if (++n % 256 == 0 && processor() - started > plan.limit * 1000) {
       stopped = "its processor time of " + std::to_string(plan.limit / 1000000) + " s is used up";
@@ -68,8 +69,8 @@
     events.pop();
     now = std::max(now, item.at);
     item.act();
-    if (done && now >= next_look) {
-      next_look = now + look_gap;
+    if (done && now >= next_check) {
+      next_check = now + check_interval;
       if (done()) return true;
     }
   }
@@ -87,7 +88,7 @@
 // All nodes start, hold one description and take requests. False when the run cannot go on.
 bool Scale::run_start(Figures& out) {
   for (int i = 0; i < plan.nodes; ++i) after(between(0, seconds(1)), [this, i] { boot(i); });
-  after(look_gap, [this] { look(); });
+  after(check_interval, [this] { check_suspicions(); });
   begin("start");
   bool more = go_until(seconds(180), [this] { return all_ready() && all_alive(); });
   if (more && !all_ready()) stopped = "after 180 s not every node was ready", more = false;
--- a/testing/fake_backend/main.cc
+++ b/testing/fake_backend/main.cc
@@ -1,4 +1,4 @@
-// mimic: stands in for the outside: a model worker, or the platform's list (§10.1). Test side only.
+// fake_backend: stands in for the outside: a model worker, or the platform's list (§10.1). Test side only.
 #include <libsoup/soup.h>
 #include <simdjson.h>
 
@@ -29,12 +29,12 @@
   std::string sort;
   std::string http;
   std::string id = "w";
-  std::string ledger;
+  std::string run_record_path;
   std::uint64_t incarnation = 1;
   std::size_t slots = 60;
   std::size_t blocks = 4096;
   Micros block = 3000;
-  Micros piece = 20000;
+  Micros chunk = 20000;
   Micros report = 1000000;
   Micros lag = 700000;
 };
@@ -71,7 +71,7 @@
 class Worker {
  public:
   explicit Worker(Plan plan_) : plan(std::move(plan_)), cache(plan.blocks), woke(now()) {
-    if (!plan.ledger.empty()) book = std::fopen(plan.ledger.c_str(), "a");
+    if (!plan.run_record_path.empty()) run_record_file = std::fopen(plan.run_record_path.c_str(), "a");
     write("W", std::to_string(plan.incarnation), 0);
   }
 
@@ -88,7 +88,7 @@
     std::string tag;
     std::string name;  // of this run, told in every piece
     Path path;
-    std::int64_t pieces = 0;
+    std::int64_t chunks = 0;
     std::int64_t at = 0;
     bool stream = false;
     bool running = false;
@@ -98,10 +98,10 @@
   };
 
   void write(char const* what, std::string const& tag, std::int64_t n) {
-    if (book == nullptr) return;
-    std::fprintf(book, "%s %s %lld %lld %s\n", what, tag.empty() ? "-" : tag.c_str(), static_cast<long long>(now()),
-                 static_cast<long long>(n), plan.id.c_str());
-    std::fflush(book);
+    if (run_record_file == nullptr) return;
+    std::fprintf(run_record_file, "%s %s %lld %lld %s\n", what, tag.empty() ? "-" : tag.c_str(),
+                 static_cast<long long>(now()), static_cast<long long>(n), plan.id.c_str());
+    std::fflush(run_record_file);
   }
 
   static gboolean on_report(gpointer self) {
@@ -184,12 +184,12 @@
     run->id = id == nullptr ? "none" : id;
     run->tag = ask.value().facts.user;
     run->path = ask.value().path;
-    run->pieces = ask.value().facts.output > 0 ? ask.value().facts.output : 16;
+    run->chunks = ask.value().facts.output > 0 ? ask.value().facts.output : 16;
     run->stream = ask.value().facts.stream;
     run->odd = odd_now;
     run->name = plan.id + "." + std::to_string(plan.incarnation) + "." + std::to_string(++runs);
     g_signal_connect(message, "finished", G_CALLBACK(on_finished), run);
-    write("S", run->tag, run->pieces);
+    write("S", run->tag, run->chunks);
     if (odd_now == "500" || odd_now == "503") {
       run->answered = true;
       return reply(message, odd_now == "500" ? 500 : 503, "application/json", "{}");
@@ -210,13 +210,13 @@
       asked += run->path.size();
       missed += miss;
       Micros const wait = plan.block * static_cast<Micros>(miss + 1);
-      run->timer = g_timeout_add(static_cast<guint>(wait / 1000), on_piece, run);
+      run->timer = g_timeout_add(static_cast<guint>(wait / 1000), on_chunk, run);
     }
   }
 
-  std::string piece_text(Run const& run, std::string const& content, bool chat_chunk) const {
+  std::string chunk_text(Run const& run, std::string const& content, bool chat_chunk) const {
     std::string id = "chatcmpl-" + run.id;
-    if (run.odd == "otherid" || (run.odd == "joinid" && run.at >= run.pieces / 2)) id = "somebody-else";
+    if (run.odd == "otherid" || (run.odd == "joinid" && run.at >= run.chunks / 2)) id = "somebody-else";
     if (run.odd == "subid") id += "7";  // another's, of which this one is a part
     JsonWriter json;
     json.begin_object().key("id").text(id).key("object").text(chat_chunk ? "chat.completion.chunk" : "chat.completion");
@@ -236,10 +236,10 @@
     return json.take();
   }
 
-  static gboolean on_piece(gpointer data) {
+  static gboolean on_chunk(gpointer data) {
     Run& run = *static_cast<Run*>(data);
     run.timer = 0;
-    run.host->piece(run);
+    run.host->chunk(run);
     return G_SOURCE_REMOVE;
   }
 
@@ -249,24 +249,24 @@
     soup_server_message_unpause(run.message);
   }
 
-  void piece(Run& run) {
+  void chunk(Run& run) {
     // What a lying worker says of itself; an honest one tells whose piece it is, of which run, and which of how many.
-    bool const later = run.at >= run.pieces / 2;
+    bool const later = run.at >= run.chunks / 2;
     std::string const name = run.odd == "join" && later ? run.name + "b" : run.name;
     std::string const tag = run.odd == "othertag" ? "somebody" : run.tag;
     std::int64_t said = run.at;
     if (run.odd == "skip" && later) ++said;
     if (run.odd == "repeat" && later) --said;
     if (run.odd == "order" && run.at < 2) said = 1 - run.at;
-    std::string const content = tag + "|" + name + "|" + std::to_string(said) + "|" + std::to_string(run.pieces) + " ";
+    std::string const content = tag + "|" + name + "|" + std::to_string(said) + "|" + std::to_string(run.chunks) + " ";
     if (!run.stream) {
-      if (++run.at < run.pieces) {
-        run.timer = g_timeout_add(static_cast<guint>(plan.piece / 1000), on_piece, &run);
+      if (++run.at < run.chunks) {
+        run.timer = g_timeout_add(static_cast<guint>(plan.chunk / 1000), on_chunk, &run);
         return;
       }
       run.answered = true;
-      write("E", run.tag, run.pieces);
-      std::string body = piece_text(run, run.tag + "|" + run.name + "|" + std::to_string(run.pieces), false);
+      write("E", run.tag, run.chunks);
+      std::string body = chunk_text(run, run.tag + "|" + run.name + "|" + std::to_string(run.chunks), false);
       if (run.odd == "torn") body.resize(body.size() / 2);
       if (run.odd == "err200") body = "{\"error\":{\"message\":\"no\"}}";
       reply(run.message, 200, run.odd == "type" ? "text/plain" : "application/json", body);
@@ -280,7 +280,7 @@
       soup_message_headers_replace(head, "Content-Type", run.odd == "type" ? "text/plain" : "text/event-stream");
       soup_message_body_set_accumulate(soup_server_message_get_response_body(run.message), FALSE);
     }
-    if ((run.odd == "noend" || run.odd == "torn") && run.at >= run.pieces / 2) {
+    if ((run.odd == "noend" || run.odd == "torn") && run.at >= run.chunks / 2) {
       run.answered = true;
       if (run.odd == "noend") {
         soup_message_body_complete(soup_server_message_get_response_body(run.message));
@@ -292,22 +292,22 @@
       return;
     }
     if (run.odd == "early" && later)
-      run.at = run.pieces - 1;
+      run.at = run.chunks - 1;
     else if (run.odd == "err200")
       put(run, "data: {\"error\":{\"message\":\"no\"}}\n\n");
     else
-      put(run, "data: " + piece_text(run, content, true) + "\n\n");
-    if (++run.at < run.pieces) {
+      put(run, "data: " + chunk_text(run, content, true) + "\n\n");
+    if (++run.at < run.chunks) {
       // A fuller worker speaks more slowly.
-      Micros const pause = plan.piece + plan.piece * static_cast<Micros>(active) / static_cast<Micros>(plan.slots);
-      run.timer = g_timeout_add(static_cast<guint>(pause / 1000), on_piece, &run);
+      Micros const pause = plan.chunk + plan.chunk * static_cast<Micros>(active) / static_cast<Micros>(plan.slots);
+      run.timer = g_timeout_add(static_cast<guint>(pause / 1000), on_chunk, &run);
       return;
     }
     run.answered = true;
-    if (run.odd != "ghost") write("E", run.tag, run.pieces);
+    if (run.odd != "ghost") write("E", run.tag, run.chunks);
     put(run, "data: [DONE]\n\n");
     if (run.odd == "twice") put(run, "data: [DONE]\n\n");
-    if (run.odd == "after") put(run, "data: " + piece_text(run, content, true) + "\n\n");
+    if (run.odd == "after") put(run, "data: " + chunk_text(run, content, true) + "\n\n");
     soup_message_body_complete(soup_server_message_get_response_body(run.message));
     soup_server_message_unpause(run.message);
   }
@@ -328,7 +328,7 @@
   Plan const plan;
   Cache cache;
   Micros const woke;
-  std::FILE* book = nullptr;
+  std::FILE* run_record_file = nullptr;
   std::deque<Run*> backlog;
   std::size_t active = 0;
   std::uint64_t runs = 0;
@@ -376,10 +376,10 @@
   options::options_description flags("fake_backend worker|platform: stands in for the outside");
   flags.add_options()("sort", options::value(&plan.sort), "worker or platform")(
       "http", options::value(&plan.http), "IP:port")("id", options::value(&plan.id))(
-      "ledger", options::value(&plan.ledger), "a file to which every run is written")(
+      "ledger", options::value(&plan.run_record_path), "a file to which every run is written")(
       "incarnation", options::value(&plan.incarnation))("slots", options::value(&plan.slots))(
       "blocks", options::value(&plan.blocks))("block-us", options::value(&plan.block))(
-      "piece-us", options::value(&plan.piece))("report-us", options::value(&plan.report), "how often load is taken")(
+      "piece-us", options::value(&plan.chunk))("report-us", options::value(&plan.report), "how often load is taken")(
       "lag-us", options::value(&plan.lag), "how late it is told")("help", "");
   options::positional_options_description spots;
   spots.add("sort", 1);
--- a/testing/fleet_simulator/callers.cc
+++ b/testing/fleet_simulator/callers.cc
@@ -9,22 +9,22 @@
 
 namespace pipit {
 
-void World::hand_up(Hand& hand) {
-  hand.life = hand.row.incarnation;
-  hand.woke = now;
-  hand.frozen = false;
-  hand.cold_starts.clear();
-  hand.history.clear();
+void World::start_process(WorkerProcess& process) {
+  process.process_id = process.row.incarnation;
+  process.woke = now;
+  process.frozen = false;
+  process.cold_starts.clear();
+  process.history.clear();
 }
 
-void World::hand_down(Hand& hand) {
-  hand.life = 0;
-  hand.runs.clear();
+void World::stop_process(WorkerProcess& process) {
+  process.process_id = 0;
+  process.runs.clear();
 }
 
 void World::write_list() {
   std::vector<ListRow> rows;
-  for (std::pair<std::string const, std::unique_ptr<Hand>> const& item : hands) {
+  for (std::pair<std::string const, std::unique_ptr<WorkerProcess>> const& item : processes) {
     if (item.second->state == "gone") continue;
     ListRow row = item.second->row;
     row.leaving = item.second->state == "leaving";
@@ -37,52 +37,53 @@
 // One attempt: the connection opens, the request leaves, the worker runs it, the answer begins and ends.
 void World::attempt(Box& box, Start const& start) {
   std::string const name = box.name;
-  std::uint64_t const life = box.life;
+  std::uint64_t const process_id = box.process_id;
   std::uint64_t const chat_request = start.chat_request;
   int const number = start.attempt;
   std::uint64_t const wish = box.chat_requests.count(chat_request) ? box.chat_requests[chat_request] : 0;
   box.attempts[chat_request] = number;
-  Hand& hand = *hands[start.worker];
-  auto const done = [this, name, life, chat_request, number](ChatAttemptEnd how) {
-    enter(*boxes[name], life, [chat_request, number, how](Box& b, Micros t, NodeEffects& out) {
+  WorkerProcess& process = *processes[start.worker];
+  auto const done = [this, name, process_id, chat_request, number](ChatAttemptEnd how) {
+    enter(*boxes[name], process_id, [chat_request, number, how](Box& b, Micros t, NodeEffects& out) {
       std::map<std::uint64_t, int>::const_iterator const position = b.attempts.find(chat_request);
       if (position == b.attempts.end() || position->second != number) return;
       b.node->chat_attempt_ended(chat_request, how, "", 0, t, out);
     });
   };
-  if (hand.life == 0) return after(lag(), [done] { done(ChatAttemptEnd::unreached); });
+  if (process.process_id == 0) return after(lag(), [done] { done(ChatAttemptEnd::unreached); });
   if (cut(name, start.worker)) return after(seconds(1), [done] { done(ChatAttemptEnd::unreached); });
-  std::uint64_t const hand_life = hand.life;
+  std::uint64_t const worker_process_id = process.process_id;
   std::string const worker = start.worker;
   Micros const answer = start.answer;
   Micros const stall = start.stall;
-  after(lag(), [this, name, life, chat_request, number, worker, hand_life, wish, answer, stall, done] {
+  after(lag(), [this, name, process_id, chat_request, number, worker, worker_process_id, wish, answer, stall, done] {
     Box& item = *boxes[name];
-    if (!item.up() || item.life != life || !item.attempts.count(chat_request) || item.attempts[chat_request] != number)
+    if (!item.up() || item.process_id != process_id || !item.attempts.count(chat_request) ||
+        item.attempts[chat_request] != number)
       return;
-    if (hands[worker]->life != hand_life) return done(ChatAttemptEnd::unreached);
+    if (processes[worker]->process_id != worker_process_id) return done(ChatAttemptEnd::unreached);
     // The connection is open: from here a byte may have left, even if this node is stopped in the very next moment.
     item.node->chat_attempt_sent(chat_request);
-    after(lag(), [this, name, life, chat_request, number, worker, hand_life, wish, stall] {
-      arrive(name, life, chat_request, number, worker, hand_life, wish, stall);
+    after(lag(), [this, name, process_id, chat_request, number, worker, worker_process_id, wish, stall] {
+      arrive(name, process_id, chat_request, number, worker, worker_process_id, wish, stall);
     });
-    after(answer, [this, name, life, chat_request, number, worker, hand_life, wish, done] {
+    after(answer, [this, name, process_id, chat_request, number, worker, worker_process_id, wish, done] {
       Box& late = *boxes[name];
-      if (late.up() && late.life == life && late.attempts.count(chat_request) &&
+      if (late.up() && late.process_id == process_id && late.attempts.count(chat_request) &&
           late.attempts[chat_request] == number &&
           !(late.begun.count(chat_request) && late.begun[chat_request] == number)) {
-        hands[worker]->runs.erase(wish);
+        processes[worker]->runs.erase(wish);
         done(ChatAttemptEnd::silent);
       }
     });
   });
 }
 
-void World::arrive(std::string const& name, std::uint64_t life, std::uint64_t chat_request, int number,
-                   std::string const& worker, std::uint64_t hand_life, std::uint64_t wish, Micros stall) {
-  Hand& hand = *hands[worker];
-  auto const done = [this, name, life, chat_request, number](ChatAttemptEnd how) {
-    enter(*boxes[name], life, [chat_request, number, how](Box& b, Micros t, NodeEffects& out) {
+void World::arrive(std::string const& name, std::uint64_t process_id, std::uint64_t chat_request, int number,
+                   std::string const& worker, std::uint64_t worker_process_id, std::uint64_t wish, Micros stall) {
+  WorkerProcess& process = *processes[worker];
+  auto const done = [this, name, process_id, chat_request, number](ChatAttemptEnd how) {
+    enter(*boxes[name], process_id, [chat_request, number, how](Box& b, Micros t, NodeEffects& out) {
       std::map<std::uint64_t, int>::const_iterator const position = b.attempts.find(chat_request);
       if (position == b.attempts.end() || position->second != number) return;
       if (how == ChatAttemptEnd::done) {
@@ -92,71 +93,72 @@
       b.node->chat_attempt_ended(chat_request, how, "", 0, t, out);
     });
   };
-  if (hand.life != hand_life) return after(lag(), [done] { done(ChatAttemptEnd::broke); });
-  if (hand.refusing) return after(lag(), [done] { done(ChatAttemptEnd::refused); });
+  if (process.process_id != worker_process_id) return after(lag(), [done] { done(ChatAttemptEnd::broke); });
+  if (process.refusing) return after(lag(), [done] { done(ChatAttemptEnd::refused); });
   Wish& item = *wishes[wish];
   if (item.knocked < 0) item.knocked = now;
-  if (hand.frozen) {  // it lies in the worker's socket until the worker wakes
-    after(millis(200), [this, name, life, chat_request, number, worker, hand_life, wish, stall] {
-      arrive(name, life, chat_request, number, worker, hand_life, wish, stall);
+  if (process.frozen) {  // it lies in the worker's socket until the worker wakes
+    after(millis(200), [this, name, process_id, chat_request, number, worker, worker_process_id, wish, stall] {
+      arrive(name, process_id, chat_request, number, worker, worker_process_id, wish, stall);
     });
     return;
   }
   Box& box = *boxes[name];
   // It came when it reached the worker's socket, though the worker may have stood still since.
-  Micros const came = item.knocked;
+  Micros const arrived_at = item.knocked;
   item.knocked = -1;
   ++item.begun;
   ++end.runs;
   note(worker + " runs " + item.tag);
   // The bounds on where requests may go are judged where they arrive.
-  std::map<std::uint64_t, Micros> const& marked = marks[worker];
-  bool const unread = list_down && marked.count(hand.life) && marked.at(hand.life) >= list_down_from - millis(1500);
-  if (marked.count(hand.life) && !unread) {
-    Micros const gap = came - marked.at(hand.life);
-    end.margins.mark = std::max(end.margins.mark, gap);
+  std::map<std::uint64_t, Micros> const& marked = departures[worker];
+  bool const unread =
+      list_down && marked.count(process.process_id) && marked.at(process.process_id) >= list_down_from - millis(1500);
+  if (marked.count(process.process_id) && !unread) {
+    Micros const gap = arrived_at - marked.at(process.process_id);
+    end.margins.departure = std::max(end.margins.departure, gap);
     if (gap > seconds(3))
       fault("N5 " + worker + " got a request from " + name + " " + std::to_string(gap / 1000) + " ms after its mark");
   }
-  for (DrainedZones const& zone : drained_zones[hand.row.zone]) {
-    if (zone.to >= 0 && came >= zone.to) continue;
-    Micros const gap = came - zone.from;
+  for (DrainedZones const& zone : drained_zones[process.row.zone]) {
+    if (zone.to >= 0 && arrived_at >= zone.to) continue;
+    Micros const gap = arrived_at - zone.from;
     end.margins.empty = std::max(end.margins.empty, gap);
     if (gap > seconds(5))
       fault("N6 " + worker + " got a request from " + name + " " + std::to_string(gap / 1000) + " ms after the yes");
   }
-  if (now - hand.woke < seconds(5) && hand.woke > seconds(4)) {
-    hand.cold_starts.push_back(now);
+  if (now - process.woke < seconds(5) && process.woke > seconds(4)) {
+    process.cold_starts.push_back(now);
     int n = 0;
-    for (Micros const t : hand.cold_starts)
+    for (Micros const t : process.cold_starts)
       if (now - t < seconds(1)) ++n;
     end.margins.cold = std::max(end.margins.cold, n);
     if (n > plan.shape->cold)
       fault("N11 " + worker + " got " + std::to_string(n) + " within a second of its cold start");
   }
   // Whoever sent it may be gone already: then its connection is shut and the worker stops at once.
-  if (!box.up() || box.life != life) return;
-  hand.runs.insert(wish);
-  hand.history.emplace_back(now, static_cast<std::int64_t>(hand.runs.size()));
-  if (hand.history.size() > 400) hand.history.erase(hand.history.begin(), hand.history.begin() + 200);
+  if (!box.up() || box.process_id != process_id) return;
+  process.runs.insert(wish);
+  process.history.emplace_back(now, static_cast<std::int64_t>(process.runs.size()));
+  if (process.history.size() > 400) process.history.erase(process.history.begin(), process.history.begin() + 200);
   Micros const first = lag(millis(10), millis(200));
-  Micros const whole = first + lag(millis(100), millis(1500));
-  after(first, [this, name, life, chat_request, number, worker, hand_life, wish, done] {
-    Hand& here = *hands[worker];
-    if (here.life != hand_life || !here.runs.count(wish)) {
-      if (here.life != hand_life) done(ChatAttemptEnd::broke);
+  Micros const complete = first + lag(millis(100), millis(1500));
+  after(first, [this, name, process_id, chat_request, number, worker, worker_process_id, wish, done] {
+    WorkerProcess& here = *processes[worker];
+    if (here.process_id != worker_process_id || !here.runs.count(wish)) {
+      if (here.process_id != worker_process_id) done(ChatAttemptEnd::broke);
       return;
     }
     if (here.frozen) return;  // the answer's time will run out
-    enter(*boxes[name], life, [chat_request, number](Box& b, Micros, NodeEffects&) {
+    enter(*boxes[name], process_id, [chat_request, number](Box& b, Micros, NodeEffects&) {
       if (!b.attempts.count(chat_request) || b.attempts[chat_request] != number) return;
       b.begun[chat_request] = number;
       b.node->chat_attempt_began(chat_request);
     });
   });
-  after(whole, [this, worker, hand_life, wish, stall, done] {
-    Hand& here = *hands[worker];
-    if (here.life != hand_life) return done(ChatAttemptEnd::torn);
+  after(complete, [this, worker, worker_process_id, wish, stall, done] {
+    WorkerProcess& here = *processes[worker];
+    if (here.process_id != worker_process_id) return done(ChatAttemptEnd::torn);
     if (here.frozen) return after(stall, [done] { done(ChatAttemptEnd::torn); });
     if (!here.runs.count(wish)) return;
     here.runs.erase(wish);
@@ -164,7 +166,7 @@
     ++wishes[wish]->ended;
     after(lag(), [this, wish, done] {
       done(ChatAttemptEnd::done);
-      told(wish, "done", 0);
+      request_ended(wish, "done", 0);
     });
   });
 }
@@ -177,7 +179,7 @@
   wish->tag = request_kind.lane;
   wish->opening = std::min(random.below(static_cast<std::uint64_t>(request_kind.openings)),
                            random.below(static_cast<std::uint64_t>(request_kind.openings)));
-  wish->came = now;
+  wish->arrived_at = now;
   std::uint64_t const id = ++wish_count;
   wishes[id] = std::move(wish);
   attempt(id);
@@ -185,14 +187,14 @@
 
 void World::attempt(std::uint64_t id) {
   Wish& wish = *wishes[id];
-  ++wish.tries;
+  ++wish.attempt_count;
   Box* const box = pick([](Box const& b) { return b.role == Role::router; });
-  if (box == nullptr) return after(lag(), [this, id] { told(id, "no", millis(500)); });
-  std::uint64_t const life = box->life;
+  if (box == nullptr) return after(lag(), [this, id] { request_ended(id, "no", millis(500)); });
+  std::uint64_t const process_id = box->process_id;
   std::string const name = box->name;
-  after(lag(), [this, id, name, life] {
+  after(lag(), [this, id, name, process_id] {
     Box& b = *boxes[name];
-    if (!b.up() || b.life != life) return told(id, "lost", 0);
+    if (!b.up() || b.process_id != process_id) return request_ended(id, "lost", 0);
     Ask ask;
     Wish const& item = *wishes[id];
     ask.facts.model = "tribute";
@@ -203,13 +205,13 @@
     ask.path.push_back(hash_bits(hash ^ id));
     std::uint64_t const chat_request = ++b.next_chat_request;
     b.chat_requests[chat_request] = id;
-    enter(b, life, [chat_request, ask](Box& here, Micros t, NodeEffects& out) {
+    enter(b, process_id, [chat_request, ask](Box& here, Micros t, NodeEffects& out) {
       here.node->chat_request(chat_request, ask, t, out);
     });
   });
 }
 
-void World::told(std::uint64_t id, std::string const& what, Micros back) {
+void World::request_ended(std::uint64_t id, std::string const& what, Micros back) {
   if (id == 0) return;
   Wish& wish = *wishes[id];
   if (wish.over) {
@@ -217,7 +219,7 @@
     return;
   }
   note(wish.tag + " told " + what);
-  wish.told = what;
+  wish.outcome = what;
   wish.over = true;
   if (what == "done") {
     ++end.done;
@@ -225,14 +227,14 @@
     if (lost_at >= 0 && back_at < 0 && now > lost_at) back_at = now;
     return;
   }
-  bool const again = what == "no" || (what == "lost" && wish.safe);
+  bool const retry = what == "no" || (what == "lost" && wish.safe);
   if (what == "lost") ++end.lost;
-  if (again && now - wish.came < seconds(12) && !quiet) {
+  if (retry && now - wish.arrived_at < seconds(12) && !quiet) {
     if (what == "no" && back <= 0) fault("contract: a refusal without a time to come back");
     // The next attempt is judged on its own, and with all of its call.
     std::unique_ptr<Wish> next = std::make_unique<Wish>(wish);
     next->over = false;
-    next->told.clear();
+    next->outcome.clear();
     next->begun = next->ended = 0;
     std::uint64_t const fresh = ++wish_count;
     wishes[fresh] = std::move(next);
--- a/testing/fleet_simulator/judge.cc
+++ b/testing/fleet_simulator/judge.cc
@@ -42,9 +42,9 @@
   for (std::pair<std::uint64_t const, std::unique_ptr<Wish>> const& item : wishes) {
     Wish const& wish = *item.second;
     if (!wish.safe) per_call[wish.call] += wish.begun;
-    if (wish.told == "no" && wish.begun > 0) fault("N2 a caller was told no, and it ran (" + wish.tag + ")");
-    if (wish.told == "yes" && wish.begun == 0) fault("N4 a caller was told that it ran, and it did not");
-    if (wish.told.empty()) fault("contract: a caller was never answered (" + wish.tag + ")");
+    if (wish.outcome == "no" && wish.begun > 0) fault("N2 a caller was told no, and it ran (" + wish.tag + ")");
+    if (wish.outcome == "yes" && wish.begun == 0) fault("N4 a caller was told that it ran, and it did not");
+    if (wish.outcome.empty()) fault("contract: a caller was never answered (" + wish.tag + ")");
   }
   for (std::pair<std::uint64_t const, int> const& item : per_call)
     if (item.second > 1) fault("N1 a request that may not repeat ran " + std::to_string(item.second) + " times");
@@ -54,7 +54,7 @@
       resends += item.second->node->chat_dispatcher.tally.resends;
     }
   if (first_sends > 0) end.margins.resend = static_cast<double>(resends) / static_cast<double>(first_sends);
-  if (static_cast<double>(resends) > 0.2 * static_cast<double>(first_sends) + 3.0 * static_cast<double>(lives))
+  if (static_cast<double>(resends) > 0.2 * static_cast<double>(first_sends) + 3.0 * static_cast<double>(process_count))
     fault("N10 " + std::to_string(resends) + " re-sends for " + std::to_string(first_sends) + " sends");
   // After a quiet while everything is whole again: one serial, every node ready, the replica set full.
   std::set<std::uint64_t> serials;
--- a/testing/fleet_simulator/machines.cc
+++ b/testing/fleet_simulator/machines.cc
@@ -24,7 +24,7 @@
 
 void World::boot(Box& box) {
   if (box.up()) return;
-  box.life = ++lives;
+  box.process_id = ++process_count;
   if (!log_is_muted())
     std::printf("default] %lld BOOT %s %s\n", static_cast<long long>(now / 1000), box.name.c_str(),
                 box.address.c_str());
@@ -54,8 +54,8 @@
   p.seeds = box.seeds;
   if (box.role == Role::config_store)
     for (int i = 1; i <= plan.shape->replicas; ++i) p.initial_members.push_back("k" + std::to_string(i));
-  p.incarnation = 1000 + lives;
-  p.chance = hash_bits(plan.seed * 31 + lives);
+  p.incarnation = 1000 + process_count;
+  p.chance = hash_bits(plan.seed * 31 + process_count);
   std::optional<wire::RecordT> recovered;
   if (box.role == Role::config_store) {
     // What was being written when the power went may be there, or not.
@@ -65,15 +65,15 @@
       wire::RecordT blank;
       blank.cluster = "pipit";
       blank.name = box.name;
-      blank.disk = hash_bits(plan.seed ^ (lives << 20));
+      blank.disk = hash_bits(plan.seed ^ (process_count << 20));
       box.disk = blank;
     }
     recovered = box.disk;
   }
   box.node = std::make_unique<Node>(p, clock(box), recovered);
   std::string const name = box.name;
-  std::uint64_t const life = box.life;
-  after(lag(), [this, name, life] { tick(*boxes[name], life); });
+  std::uint64_t const process_id = box.process_id;
+  after(lag(), [this, name, process_id] { tick(*boxes[name], process_id); });
 }
 
 void World::halt(Box& box, bool power) {
@@ -93,8 +93,9 @@
   // Its attempts' connections end with it, so its workers stop; its callers know nothing.
   for (std::pair<std::uint64_t const, std::uint64_t> const& item : box.chat_requests) {
     std::uint64_t const wish = item.second;
-    after(lag(), [this, wish] { told(wish, "lost", 0); });
-    for (std::pair<std::string const, std::unique_ptr<Hand>>& hand : hands) hand.second->runs.erase(wish);
+    after(lag(), [this, wish] { request_ended(wish, "lost", 0); });
+    for (std::pair<std::string const, std::unique_ptr<WorkerProcess>>& process : processes)
+      process.second->runs.erase(wish);
   }
   for (std::pair<std::uint64_t const, std::unique_ptr<Change_>>& item : changes)
     if (item.second->box == box.name) item.second->over = true;
@@ -105,10 +106,10 @@
   box.frozen = true;
   box.troubled = now;
   std::string const name = box.name;
-  std::uint64_t const life = box.life;
-  after(span, [this, name, life] {
+  std::uint64_t const process_id = box.process_id;
+  after(span, [this, name, process_id] {
     Box& item = *boxes[name];
-    if (item.life != life || !item.up()) return;
+    if (item.process_id != process_id || !item.up()) return;
     item.frozen = false;
     item.troubled = now;
     std::vector<std::function<void()>> const list = std::move(item.deferred);
@@ -118,11 +119,11 @@
 }
 
 // Runs one step of a node: later when it is frozen, never when that life has ended.
-void World::enter(Box& box, std::uint64_t life, std::function<void(Box&, Micros, NodeEffects&)> step) {
-  if (!box.up() || box.life != life) return;
+void World::enter(Box& box, std::uint64_t process_id, std::function<void(Box&, Micros, NodeEffects&)> step) {
+  if (!box.up() || box.process_id != process_id) return;
   if (box.frozen) {
     std::string const name = box.name;
-    box.deferred.push_back([this, name, life, step = std::move(step)] { enter(*boxes[name], life, step); });
+    box.deferred.push_back([this, name, process_id, step = std::move(step)] { enter(*boxes[name], process_id, step); });
     return;
   }
   if (!log_is_muted()) log_prefix() = std::to_string(now / 1000) + " " + box.name + " ";
@@ -145,11 +146,11 @@
   if (refused_changes.count(change)) fault("N8 the refused change " + change + " is in force on " + box.name);
 }
 
-void World::tick(Box& box, std::uint64_t life) {
-  if (!box.up() || box.life != life) return;
-  if (!box.frozen) enter(box, life, [](Box& item, Micros t, NodeEffects& out) { item.node->tick(t, out); });
+void World::tick(Box& box, std::uint64_t process_id) {
+  if (!box.up() || box.process_id != process_id) return;
+  if (!box.frozen) enter(box, process_id, [](Box& item, Micros t, NodeEffects& out) { item.node->tick(t, out); });
   std::string const name = box.name;
-  after(millis(50), [this, name, life] { tick(*boxes[name], life); });
+  after(millis(50), [this, name, process_id] { tick(*boxes[name], process_id); });
 }
 
 void World::set_cut(std::string const& a, std::string const& b, bool on) {
@@ -178,15 +179,15 @@
 
 void World::dial(Box& box, std::string const& address) {
   std::string const from = box.name;
-  std::uint64_t const life = box.life;
+  std::uint64_t const process_id = box.process_id;
   Box* target = nullptr;
   for (std::pair<std::string const, std::unique_ptr<Box>>& item : boxes)
     if (item.second->address == address && (item.second->up() || target == nullptr)) target = item.second.get();
   bool const dead_end = target == nullptr || target->power || cut(from, target->name) || cut(target->name, from);
   if (dead_end || !target->up()) {
     // A machine without power, or behind a cut, says nothing; a machine without the process refuses.
-    after(dead_end ? seconds(1) : lag(), [this, from, life, address, dead_end] {
-      enter(*boxes[from], life, [address, dead_end](Box& item, Micros t, NodeEffects& out) {
+    after(dead_end ? seconds(1) : lag(), [this, from, process_id, address, dead_end] {
+      enter(*boxes[from], process_id, [address, dead_end](Box& item, Micros t, NodeEffects& out) {
         item.node->dial_failed(address, !dead_end, t, out);
       });
     });
@@ -196,8 +197,8 @@
   link->id = ++link_count;
   link->name[0] = from;
   link->name[1] = target->name;
-  link->life[0] = life;
-  link->life[1] = target->life;
+  link->process_id[0] = process_id;
+  link->process_id[1] = target->process_id;
   links.push_back(link);
   Micros const there = lag();
   Micros const back = there + lag();
@@ -205,17 +206,17 @@
   for (int side = 0; side < 2; ++side)
     after(side == 1 ? there : back, [this, link, side, address] {
       Box& item = *boxes[link->name[side]];
-      if (!item.up() || item.life != link->life[side]) return;
+      if (!item.up() || item.process_id != link->process_id[side]) return;
       if (!link->open) {  // the other side ended it already
         if (side == 0)
-          enter(item, item.life,
+          enter(item, item.process_id,
                 [address](Box& b, Micros t, NodeEffects& out) { b.node->dial_failed(address, false, t, out); });
         return;
       }
       link->connection[side] = ++item.next_connection;
       item.connections[link->connection[side]] = {link, side};
       ConnectionId const id = link->connection[side];
-      enter(item, item.life, [id, side, address](Box& b, Micros t, NodeEffects& out) {
+      enter(item, item.process_id, [id, side, address](Box& b, Micros t, NodeEffects& out) {
         b.node->opened(id, side == 0, address, t, out);
       });
     });
@@ -230,10 +231,10 @@
   if (cut(link->name[from], link->name[to])) return;  // the other side finds out by itself
   after(lag(), [this, link, to] {
     Box& item = *boxes[link->name[to]];
-    if (!item.up() || item.life != link->life[to] || link->connection[to] == 0) return;
+    if (!item.up() || item.process_id != link->process_id[to] || link->connection[to] == 0) return;
     item.connections.erase(link->connection[to]);
     ConnectionId const id = link->connection[to];
-    enter(item, item.life, [id](Box& b, Micros t, NodeEffects& out) { b.node->shut(id, t, out); });
+    enter(item, item.process_id, [id](Box& b, Micros t, NodeEffects& out) { b.node->shut(id, t, out); });
   });
 }
 
@@ -252,13 +253,13 @@
       return;
     }
     Box& item = *boxes[link->name[to]];
-    if (!item.up() || item.life != link->life[to]) return;
+    if (!item.up() || item.process_id != link->process_id[to]) return;
     if (cut(link->name[side], link->name[to])) {
       link->stalled[side].push_back(bytes);
       return;
     }
     ++end.frames;
-    enter(item, item.life, [this, link, to, bytes](Box& b, Micros t, NodeEffects& out) {
+    enter(item, item.process_id, [this, link, to, bytes](Box& b, Micros t, NodeEffects& out) {
       if (!b.connections.count(link->connection[to])) return;
       if (!b.node->bytes(link->connection[to], bytes, t, out)) fault("frame: a frame did not verify");
     });
@@ -273,9 +274,9 @@
     // A connection whose other end is gone: writing to it finds that out.
     box.connections.erase(id);
     std::string const name = box.name;
-    std::uint64_t const life = box.life;
-    after(lag(), [this, name, life, id] {
-      enter(*boxes[name], life, [id](Box& b, Micros t, NodeEffects& out) { b.node->shut(id, t, out); });
+    std::uint64_t const process_id = box.process_id;
+    after(lag(), [this, name, process_id, id] {
+      enter(*boxes[name], process_id, [id](Box& b, Micros t, NodeEffects& out) { b.node->shut(id, t, out); });
     });
     return;
   }
@@ -285,19 +286,19 @@
 void World::save(Box& box, wire::RecordT record) {
   box.writing = record;
   std::string const name = box.name;
-  std::uint64_t const life = box.life;
-  after(lag(box.disk_low, box.disk_high), [this, name, life, record = std::move(record)] {
+  std::uint64_t const process_id = box.process_id;
+  after(lag(box.disk_low, box.disk_high), [this, name, process_id, record = std::move(record)] {
     Box& item = *boxes[name];
-    if (!item.up() || item.life != life) return;
+    if (!item.up() || item.process_id != process_id) return;
     item.disk = record;
     item.writing.reset();
-    enter(item, life, [](Box& b, Micros t, NodeEffects& out) { b.node->disk_done(t, out); });
+    enter(item, process_id, [](Box& b, Micros t, NodeEffects& out) { b.node->disk_done(t, out); });
   });
 }
 
 void World::obey(Box& box, NodeEffects& out) {
   std::string const name = box.name;
-  std::uint64_t const life = box.life;
+  std::uint64_t const process_id = box.process_id;
   if (out.save) save(box, std::move(*out.save));
   for (std::string const& address : out.mesh.dials) dial(box, address);
   for (ConnectionEffects::Send& send : out.mesh.sends) carry(box, send.connection, std::move(send.bytes));
@@ -318,7 +319,7 @@
     std::string const ran = execution_status_name(verdict.execution);
     Micros const back = verdict.wait;
     ++end.kinds[std::string("answer ") + error_code_row(verdict.error.code).name];
-    after(lag(), [this, wish, ran, back] { told(wish, ran, back); });
+    after(lag(), [this, wish, ran, back] { request_ended(wish, ran, back); });
   }
   for (std::uint64_t const id : out.chat.drops) box.attempts.erase(id);
   for (Reply const& reply : out.replies) answered(box, reply);
@@ -327,39 +328,40 @@
     bool const odd = list_down || random.chance(0.02);
     bool const bad = mute || odd;
     bool const spoke = odd && !mute;  // refused, or an answer that is none
-    after(mute ? seconds(1) : lag(millis(3), millis(40)), [this, name, life, bad, spoke] {
+    after(mute ? seconds(1) : lag(millis(3), millis(40)), [this, name, process_id, bad, spoke] {
       std::optional<std::vector<ListRow>> rows;
       // Readers see the list a little behind the truth.
       if (!bad)
         for (std::pair<Micros, std::vector<ListRow>> const& item : list)
           if (item.first <= now - millis(700) || !rows) rows = item.second;
-      enter(*boxes[name], life, [rows, spoke](Box& b, Micros t, NodeEffects& o) { b.node->list(rows, spoke, t, o); });
+      enter(*boxes[name], process_id,
+            [rows, spoke](Box& b, Micros t, NodeEffects& o) { b.node->list(rows, spoke, t, o); });
     });
   }
   for (Check const& check : out.checks) {
-    Hand* hand = nullptr;
-    for (std::pair<std::string const, std::unique_ptr<Hand>>& item : hands)
-      if (item.second->row.address == check.address) hand = item.second.get();
-    bool const silent = hand == nullptr || hand->frozen || cut(name, hand->row.id);
-    bool const refused = !silent && hand->life == 0;
-    after(silent ? seconds(1) : lag(millis(1), millis(15)), [this, name, life, check, silent, refused] {
+    WorkerProcess* process = nullptr;
+    for (std::pair<std::string const, std::unique_ptr<WorkerProcess>>& item : processes)
+      if (item.second->row.address == check.address) process = item.second.get();
+    bool const silent = process == nullptr || process->frozen || cut(name, process->row.id);
+    bool const refused = !silent && process->process_id == 0;
+    after(silent ? seconds(1) : lag(millis(1), millis(15)), [this, name, process_id, check, silent, refused] {
       std::optional<HealthReport> report;
       bool no = refused;
       if (!silent && !refused)
-        for (std::pair<std::string const, std::unique_ptr<Hand>>& item : hands)
+        for (std::pair<std::string const, std::unique_ptr<WorkerProcess>>& item : processes)
           if (item.second->row.address == check.address) {
-            if (item.second->life == 0) {
+            if (item.second->process_id == 0) {
               no = true;
               break;
             }
             HealthReport v;
-            v.incarnation = item.second->life;
+            v.incarnation = item.second->process_id;
             v.awake = now - item.second->woke;
             for (std::pair<Micros, std::int64_t> const& past : item.second->history)
               if (past.first <= now - seconds(1)) v.demand = past.second;
             report = v;
           }
-      enter(*boxes[name], life,
+      enter(*boxes[name], process_id,
             [check, report, no](Box& b, Micros t, NodeEffects& o) { b.node->health_report(check, report, no, t, o); });
     });
   }
--- a/testing/fleet_simulator/main.cc
+++ b/testing/fleet_simulator/main.cc
@@ -1,4 +1,4 @@
-// augury: runs many seeded worlds, or one, and tells which points were broken (§10.4).
+// fleet_simulator: runs many seeded worlds, or one, and tells which points were broken (§10.4).
 #include <algorithm>
 #include <atomic>
 #include <boost/program_options.hpp>
@@ -36,7 +36,7 @@
                                                            "print events (one seed)")("help", "");
   std::function<void()> const print_help = [&] {
     std::cout << flags << "Troubles:";
-    for (std::string const& name : World::troubles()) std::cout << " " << name;
+    for (std::string const& name : World::fault_types()) std::cout << " " << name;
     std::size_t n = 0;
     GuardRow const* const rows = guard_rows(n);
     std::cout << "\nGuards:\n";
@@ -50,7 +50,7 @@
   std::vector<std::string> kept;
   std::stringstream parts(only);
   std::string part;
-  std::vector<std::string> const all = World::troubles();
+  std::vector<std::string> const all = World::fault_types();
   while (std::getline(parts, part, ',')) {
     if (std::find(all.begin(), all.end(), part) == all.end())
       return std::fprintf(stderr, "fleet_simulator: there is no trouble '%s'\n", part.c_str()), 2;
@@ -68,7 +68,7 @@
   mute_log(!loud);
   std::atomic<std::uint64_t> next{from};
   std::mutex gate;
-  std::uint64_t bad = 0, done = 0, accepted = 0, reads = 0, runs = 0, troubles = 0;
+  std::uint64_t bad = 0, done = 0, accepted = 0, reads = 0, runs = 0, injected_faults = 0;
   Margins worst;
   std::map<std::string, int> kinds;
   std::vector<std::thread> team;
@@ -83,13 +83,13 @@
         plan.length = static_cast<Micros>(length * 1e6);
         World world(plan);
         WorldEnd const end = world.run();
-        std::lock_guard<std::mutex> const hold(gate);
+        std::lock_guard<std::mutex> const lock(gate);
         done += end.done;
         accepted += end.accepted;
         reads += end.reads;
         runs += end.runs;
-        troubles += end.troubles;
-        worst.mark = std::max(worst.mark, end.margins.mark);
+        injected_faults += end.injected_faults;
+        worst.departure = std::max(worst.departure, end.margins.departure);
         worst.empty = std::max(worst.empty, end.margins.empty);
         worst.force = std::max(worst.force, end.margins.force);
         worst.back = std::max(worst.back, end.margins.back);
@@ -109,14 +109,14 @@
               shape_name.c_str(), static_cast<unsigned long long>(count), static_cast<unsigned long long>(bad),
               static_cast<unsigned long long>(done), static_cast<unsigned long long>(runs),
               static_cast<unsigned long long>(accepted), static_cast<unsigned long long>(reads),
-              static_cast<unsigned long long>(troubles));
+              static_cast<unsigned long long>(injected_faults));
   std::printf(
       "worst: after a mark %lld ms, after an empty %lld ms, in force %lld ms, back %lld ms, cold %d, re-sends %.3f\n",
-      static_cast<long long>(worst.mark / 1000), static_cast<long long>(worst.empty / 1000),
+      static_cast<long long>(worst.departure / 1000), static_cast<long long>(worst.empty / 1000),
       static_cast<long long>(worst.force / 1000), static_cast<long long>(worst.back / 1000), worst.cold, worst.resend);
   for (std::pair<std::string const, int> const& item : kinds) std::printf("%s %d, ", item.first.c_str(), item.second);
   std::printf("\n");
-  return !told_violations() && bad == 0 && done > 0 ? 0 : 1;
+  return !report_violations() && bad == 0 && done > 0 ? 0 : 1;
 }
 
 }  // namespace
--- a/testing/fleet_simulator/operators.cc
+++ b/testing/fleet_simulator/operators.cc
@@ -29,7 +29,7 @@
   if (type == Change::Type::refill)
     for (DrainedZones& zone : drained_zones[text])
       if (zone.to < 0) zone.to = now;
-  enter(box, box.life, [this, id, type, text, expected](Box& b, Micros t, NodeEffects& out) {
+  enter(box, box.process_id, [this, id, type, text, expected](Box& b, Micros t, NodeEffects& out) {
     Change change;
     if (type == Change::Type::evict_router) {
       if (b.node->keeps(text)) return;
--- a/testing/fleet_simulator/parts.h
+++ b/testing/fleet_simulator/parts.h
@@ -10,7 +10,7 @@
   std::string seeded_at;
   Role role = Role::router;
   std::unique_ptr<Node> node;
-  std::uint64_t life = 0;
+  std::uint64_t process_id = 0;
   bool frozen = false;
   bool power = false;  // ended without a word on the connection
   std::vector<std::function<void()>> deferred;
@@ -34,16 +34,16 @@
 struct World::Link {
   std::uint64_t id = 0;
   std::string name[2];
-  std::uint64_t life[2] = {0, 0};
+  std::uint64_t process_id[2] = {0, 0};
   ConnectionId connection[2] = {0, 0};
   bool open = true;
   Micros last[2] = {0, 0};  // arrival times keep their order
   std::vector<std::string> stalled[2];
 };
 
-struct World::Hand {
+struct World::WorkerProcess {
   ListRow row;
-  std::uint64_t life = 0;  // 0 while it is down
+  std::uint64_t process_id = 0;  // 0 while it is down
   bool frozen = false;
   bool refusing = false;
   Micros woke = 0;
@@ -58,9 +58,9 @@
   std::uint64_t call = 0;
   bool safe = false;
   std::uint64_t opening = 0;
-  int tries = 0;
-  Micros came = 0;
-  std::string told;
+  int attempt_count = 0;
+  Micros arrived_at = 0;
+  std::string outcome;
   int begun = 0, ended = 0;
   Micros knocked = -1;  // when its attempt reached a worker that has not begun it yet
   bool over = false;
--- a/testing/fleet_simulator/world.cc
+++ b/testing/fleet_simulator/world.cc
@@ -12,7 +12,7 @@
 World::World(WorldPlan plan_) : plan(std::move(plan_)), random(plan.seed * 7919 + 17) {}
 World::~World() = default;
 
-std::vector<std::string> World::troubles() {
+std::vector<std::string> World::fault_types() {
   return {"kill",  "power", "freeze",  "cut",   "split",   "keepers", "blank", "exchange", "slow",
           "hand",  "dark",  "release", "leave", "list",    "race",    "storm", "large",    "loss",
           "group", "stray", "amnesia", "drain", "closing", "crowd",   "refuse"};
@@ -40,27 +40,27 @@
     boot(add("p" + std::to_string(n), "10.0.1." + std::to_string(n) + ":7000", zone, Role::router));
   }
   for (int n = 1; n <= plan.shape->workers; ++n) {
-    std::unique_ptr<Hand> hand = std::make_unique<Hand>();
-    hand->row = ListRow{"w" + std::to_string(n),
-                        "10.0.3." + std::to_string(n) + ":9000",
-                        plan.shape->zones[static_cast<std::size_t>(i++) % plan.shape->zones.size()],
-                        n % 3 == 0 ? "press" : "main",
-                        1,
-                        60,
-                        false};
-    hand_up(*hand);
-    hands[hand->row.id] = std::move(hand);
+    std::unique_ptr<WorkerProcess> process = std::make_unique<WorkerProcess>();
+    process->row = ListRow{"w" + std::to_string(n),
+                           "10.0.3." + std::to_string(n) + ":9000",
+                           plan.shape->zones[static_cast<std::size_t>(i++) % plan.shape->zones.size()],
+                           n % 3 == 0 ? "press" : "main",
+                           1,
+                           60,
+                           false};
+    start_process(*process);
+    processes[process->row.id] = std::move(process);
   }
   write_list();
   at(seconds(3), [this] { operate(Change::Type::apply, description_of(*plan.shape, 0), 0, *boxes["p1"]); });
-  Micros const end_trouble = seconds(5) + plan.length;
+  Micros const faults_end = seconds(5) + plan.length;
   at(seconds(6), [this] { operator_turn(); });
-  at(seconds(7), [this] { trouble(); });
+  at(seconds(7), [this] { inject_fault(); });
   at(seconds(4), [this] { check(); });
   Micros gap = static_cast<Micros>(1e6 / plan.rate);
-  for (Micros t = seconds(5); t < end_trouble + seconds(6); t += gap)
+  for (Micros t = seconds(5); t < faults_end + seconds(6); t += gap)
     at(t + static_cast<Micros>(random.below(static_cast<std::uint64_t>(gap))), [this] { call(); });
-  at(end_trouble, [this] {
+  at(faults_end, [this] {
     quiet = true;
     heal();
     list_up();
@@ -69,24 +69,24 @@
       item.second->disk_low = 500;
       item.second->disk_high = 6000;
       // Entry machines that were exchanged stay away; all else is started again.
-      bool const gone = item.second->address.rfind("10.0.7.", 0) == 0;
-      if (!gone && (item.second->role == Role::config_store || item.second->power || item.first[1] != 'x')) {
+      bool const departed = item.second->address.rfind("10.0.7.", 0) == 0;
+      if (!departed && (item.second->role == Role::config_store || item.second->power || item.first[1] != 'x')) {
         std::string const name = item.first;
         after(seconds(3), [this, name] { boot(*boxes[name]); });
       }
     }
-    for (std::pair<std::string const, std::unique_ptr<Hand>>& item : hands) item.second->frozen = false;
+    for (std::pair<std::string const, std::unique_ptr<WorkerProcess>>& item : processes) item.second->frozen = false;
   });
   if (plan.finale) {
-    at(end_trouble + seconds(24), [this] {
+    at(faults_end + seconds(24), [this] {
       for (std::string const& name : silent)
         if (Box* const box = pick_up()) operate(Change::Type::evict_router, name, 0, *box);
     });
-    at(end_trouble + seconds(30), [this] {
+    at(faults_end + seconds(30), [this] {
       if (Box* const box = pick_up()) operate(Change::Type::empty, plan.shape->zones[0], 0, *box);
     });
   }
-  Micros const last = end_trouble + seconds(plan.finale ? 36 : 28);
+  Micros const last = faults_end + seconds(plan.finale ? 36 : 28);
   while (!events.empty() && events.top().at <= last) {
     Event_ item = events.top();
     events.pop();
--- a/testing/fleet_simulator/world.h
+++ b/testing/fleet_simulator/world.h
@@ -18,19 +18,19 @@
 struct WorldPlan {
   Shape const* shape = nullptr;
   std::uint64_t seed = 1;
-  Micros length = seconds(30);    // of trouble; a quiet end follows
+  Micros length = seconds(30);    // of faults; a quiet end follows
   double rate = 25;               // requests a second
-  std::vector<std::string> only;  // these kinds of trouble, or all
+  std::vector<std::string> only;  // these types of faults, or all
   bool finale = false;            // in the quiet end: what is gone is forgotten, and a zone drained
 };
 
 struct Margins {
-  Micros mark = -1;   // latest start after a mark
-  Micros empty = -1;  // latest start after a yes
-  Micros force = 0;   // slowest description
-  Micros back = -1;   // service after a full loss
-  int cold = 0;       // most starts in a second at a cold worker
-  double resend = 0;  // share of re-sends
+  Micros departure = -1;  // latest start after a mark
+  Micros empty = -1;      // latest start after a yes
+  Micros force = 0;       // slowest description
+  Micros back = -1;       // service after a full loss
+  int cold = 0;           // most starts in a second at a cold worker
+  double resend = 0;      // share of re-sends
 };
 
 struct WorldEnd {
@@ -39,8 +39,8 @@
                 routers = 0;             // registrations in the register, and router nodes that live, at the end
   std::vector<std::string> unconfirmed;  // whom the last 'empty' named, with a finale
   bool drained_zones = false;            // the finale's 'empty' was chosen
-  std::uint64_t done = 0, runs = 0, refused = 0, lost = 0, accepted = 0, reads = 0, troubles = 0, frames = 0;
-  std::map<std::string, int> kinds;  // of trouble that came about
+  std::uint64_t done = 0, runs = 0, refused = 0, lost = 0, accepted = 0, reads = 0, injected_faults = 0, frames = 0;
+  std::map<std::string, int> kinds;  // of faults that were injected
   std::vector<std::string> faults;   // "N1 ...", empty when all held
   Margins margins;
 };
@@ -51,14 +51,26 @@
   ~World();
   WorldEnd run();
 
-  static std::vector<std::string> troubles();
+  static std::vector<std::string> fault_types();
 
  private:
-  struct Box;      // a node with its machine
-  struct Link;     // a connection between two boxes
-  struct Hand;     // a worker
-  struct Wish;     // one attempt of a caller
-  struct Change_;  // an operator's change
+  struct Box;            // a node with its machine
+  struct Link;           // a connection between two boxes
+  struct WorkerProcess;  // a worker
+  struct Wish;           // one attempt of a caller
+  struct Change_;        // an operator's change
+  // Where and for how long a fault strikes, as the seed chose it.
+  struct FaultSite {
+    std::string type;
+    Micros span = 0;
+    std::vector<std::string> names;    // of all nodes
+    Box* box = nullptr;                // a node that is up
+    WorkerProcess* process = nullptr;  // a worker that serves, while enough of them do
+  };
+  struct FaultType {
+    void (World::*inject)(FaultSite const& site);
+    bool needs_worker;
+  };
   struct Event_ {
     Micros at;
     std::uint64_t order;
@@ -79,8 +91,8 @@
   void boot(Box& box);
   void halt(Box& box, bool power);
   void freeze(Box& box, Micros span);
-  void tick(Box& box, std::uint64_t life);
-  void enter(Box& box, std::uint64_t life, std::function<void(Box&, Micros, NodeEffects&)> step);
+  void tick(Box& box, std::uint64_t process_id);
+  void enter(Box& box, std::uint64_t process_id, std::function<void(Box&, Micros, NodeEffects&)> step);
   Micros clock(Box const& box) const;
   void obey(Box& box, NodeEffects& out);
   bool cut(std::string const& a, std::string const& b) const { return cuts.count({a, b}) > 0; }
@@ -94,20 +106,44 @@
 
   // workers and callers
   void attempt(Box& box, Start const& start);
-  void arrive(std::string const& box, std::uint64_t life, std::uint64_t chat_request, int attempt,
-              std::string const& worker, std::uint64_t hand_life, std::uint64_t wish, Micros stall);
-  void hand_up(Hand& hand);
-  void hand_down(Hand& hand);
+  void arrive(std::string const& box, std::uint64_t process_id, std::uint64_t chat_request, int attempt,
+              std::string const& worker, std::uint64_t worker_process_id, std::uint64_t wish, Micros stall);
+  void start_process(WorkerProcess& process);
+  void stop_process(WorkerProcess& process);
   void write_list();
   void call();
   void attempt(std::uint64_t wish);
-  void told(std::uint64_t wish, std::string const& what, Micros back);
+  void request_ended(std::uint64_t wish, std::string const& what, Micros back);
 
-  // operators and trouble
+  // operators and faults
   void operate(Change::Type type, std::string const& text, std::uint64_t expected, Box& box);
   void answered(Box& box, Reply const& reply);
   void operator_turn();
-  void trouble();
+  void inject_fault();
+  static FaultType const* fault_type(std::string const& name);
+  void stop_node(FaultSite const& site);
+  void freeze_node(FaultSite const& site);
+  void cut_off_node(FaultSite const& site);
+  void partition(FaultSite const& site);
+  void replace_disk(FaultSite const& site);
+  void exchange_router(FaultSite const& site);
+  void slow_disk(FaultSite const& site);
+  void restart_worker(FaultSite const& site);
+  void freeze_worker(FaultSite const& site);
+  void restart_workers(FaultSite const& site);
+  void remove_worker(FaultSite const& site);
+  void stop_list(FaultSite const& site);
+  void race_changes(FaultSite const& site);
+  void storm_of_changes(FaultSite const& site);
+  void apply_large_change(FaultSite const& site);
+  void lose_all_nodes(FaultSite const& site);
+  void cut_off_group(FaultSite const& site);
+  void leave_one_router(FaultSite const& site);
+  void lose_accepted_change(FaultSite const& site);
+  void drain_node(FaultSite const& site);
+  void stop_after_accept(FaultSite const& site);
+  void refuse_requests(FaultSite const& site);
+  void crowd_of_requests(FaultSite const& site);
   void check();
   void last_checks();
   Box* pick(std::function<bool(Box const&)> const& fits);
@@ -124,7 +160,7 @@
   std::priority_queue<Event_> events;
   WorldEnd end;
   std::map<std::string, std::unique_ptr<Box>> boxes;
-  std::map<std::string, std::unique_ptr<Hand>> hands;
+  std::map<std::string, std::unique_ptr<WorkerProcess>> processes;
   std::set<std::pair<std::string, std::string>> cuts;
   std::map<std::uint64_t, std::unique_ptr<Wish>> wishes;
   std::map<std::uint64_t, std::unique_ptr<Change_>> changes;
@@ -135,7 +171,7 @@
   std::vector<std::string> silent;  // router nodes that were exchanged and answer no dial
   bool closing = false;             // the next yes is followed by a power cut of every replica
   Micros list_down_from = 0;
-  std::uint64_t lives = 0;
+  std::uint64_t process_count = 0;
   std::uint64_t wish_count = 0;
   std::uint64_t call_count = 0;
   std::uint64_t change_count = 0;
@@ -153,7 +189,7 @@
     Micros to = -1;
   };
   std::map<std::string, std::vector<DrainedZones>> drained_zones;
-  std::map<std::string, std::map<std::uint64_t, Micros>> marks;  // worker, incarnation: when
+  std::map<std::string, std::map<std::uint64_t, Micros>> departures;  // worker, incarnation: when
   Micros lost_at = -1;
   Micros back_at = -1;
   std::uint64_t first_sends = 0, resends = 0;
--- a/testing/fleet_test/actions.cc
+++ b/testing/fleet_test/actions.cc
@@ -10,7 +10,7 @@
 
 namespace pipit {
 
-std::vector<std::string> Scene::names(std::string const& text) {
+std::vector<std::string> FleetTest::names(std::string const& text) {
   std::vector<std::string> out;
   std::stringstream parts(text);
   std::string name;
@@ -18,14 +18,14 @@
   return out;
 }
 
-std::string Scene::others(std::set<std::string> const& but) {
+std::string FleetTest::others(std::set<std::string> const& but) {
   std::string out;
   for (std::pair<std::string const, Actor> const& item : actors)
     if (item.second.node() && !but.count(item.first)) out += (out.empty() ? "" : ",") + item.first;
   return out;
 }
 
-void Scene::cut_off(std::string const& name, std::string const& from, bool in, bool out) {
+void FleetTest::cut_off(std::string const& name, std::string const& from, bool in, bool out) {
   Actor& actor = actors[name];
   // Both sides drop, so that nothing that was under way gets through.
   if (in) arm(name, 1, from);
@@ -33,7 +33,7 @@
   actor.cut = true;
 }
 
-bool Scene::process_step(Step const& item) {
+bool FleetTest::process_step(Step const& item) {
   std::string const& verb = item.verb;
   std::string const name = item.args.empty() ? "" : item.args[0];
   if (verb == "kill") {
@@ -68,7 +68,7 @@
   return true;
 }
 
-bool Scene::disk_or_fleet_step(Step const& item) {
+bool FleetTest::disk_or_fleet_step(Step const& item) {
   std::string const& verb = item.verb;
   std::string const name = item.args.empty() ? "" : item.args[0];
   if (verb == "rollall") {
@@ -84,7 +84,7 @@
     Actor& actor = actors[next] = actors[name];
     actor.name = next;
     actor.last.clear();
-    actor.first_sends = actor.resends = actor.asked = actor.hit = actor.far = 0;
+    actor.first_sends = actor.resends = actor.asked = actor.hit = actor.remote = 0;
     rename(actor, name);
     move(actor, number(5, ++moved));
   } else if (verb == "lossall") {
@@ -101,7 +101,7 @@
   return true;
 }
 
-bool Scene::network_step(Step const& item) {
+bool FleetTest::network_step(Step const& item) {
   std::string const& verb = item.verb;
   std::string const first = item.args.empty() ? "" : item.args[0];
   if (verb == "cut") {
@@ -127,7 +127,7 @@
   return true;
 }
 
-bool Scene::change_step(Step const& item) {
+bool FleetTest::change_step(Step const& item) {
   std::string const& verb = item.verb;
   std::string const what = item.args.empty() ? "" : item.args[0];
   if (verb == "apply") {
@@ -156,7 +156,7 @@
   return true;
 }
 
-bool Scene::drill_step(Step const& item) {
+bool FleetTest::drill_step(Step const& item) {
   // The exit codes that ordeal must end with.
   constexpr int passed = 0;
   constexpr int interrupted = 3;
@@ -184,7 +184,7 @@
   return true;
 }
 
-bool Scene::worker_step(Step const& item) {
+bool FleetTest::worker_step(Step const& item) {
   std::string const& verb = item.verb;
   std::string const name = item.args.empty() ? "" : item.args[0];
   if (verb == "leave" || verb == "gone") {
@@ -204,7 +204,7 @@
   return true;
 }
 
-bool Scene::load_or_fault_step(Step const& item) {
+bool FleetTest::load_or_fault_step(Step const& item) {
   std::string const& verb = item.verb;
   std::string const what = item.args.empty() ? "" : item.args[0];
   constexpr int sync_fails = 10;
@@ -222,7 +222,7 @@
   return true;
 }
 
-void Scene::step(Step const& item) {
+void FleetTest::step(Step const& item) {
   std::printf("%6.1f %s %s\n", clock(), item.verb.c_str(), item.args.empty() ? "" : item.args[0].c_str());
   std::fflush(stdout);
   bool const known = process_step(item) || disk_or_fleet_step(item) || network_step(item) || change_step(item) ||
--- a/testing/fleet_test/changes.cc
+++ b/testing/fleet_test/changes.cc
@@ -6,19 +6,19 @@
 
 namespace pipit {
 
-std::string Scene::door() {
+std::string FleetTest::door() {
   for (Actor* const actor : live_nodes())
     if (!actor->cut && actor->name[0] == 'p') return actor->name;
   return "p1";
 }
 
-bool Scene::apply(std::string const& at, int turn, std::size_t size) {
+bool FleetTest::apply(std::string const& at, int turn, std::size_t size) {
   std::string const text = description_of(shape, turn, size);
   Got const got = fetch("PUT", actors[at].address + ":7080", "/v1/description", text, std::to_string(expected));
   return note_change(got, text);
 }
 
-bool Scene::note_change(Got const& got, std::string const& text) {
+bool FleetTest::note_change(Got const& got, std::string const& text) {
   if (got.status != 200) {
     std::printf("%6.1f change answered %u %s\n", clock(), got.status, got.body.c_str());
     if (got.status == 504 || got.status == 0) unknown.push_back(text);
@@ -35,12 +35,12 @@
   return true;
 }
 
-void Scene::resync() {
+void FleetTest::resync() {
   Got const got = fetch("GET", actors[door()].address + ":7080", "/v1/description", "", "");
   if (got.status == 200) expected = std::strtoull(got.serial.c_str(), nullptr, 10);
 }
 
-void Scene::race() {
+void FleetTest::race() {
   resync();
   std::vector<Actor*> field;
   for (Actor* const actor : live_nodes())
--- a/testing/fleet_test/client.cc
+++ b/testing/fleet_test/client.cc
@@ -7,8 +7,8 @@
 
 namespace pipit {
 
-Scene::Got Scene::fetch(char const* method, std::string const& address, std::string const& path,
-                        std::string const& body, std::string const& match, bool* good) {
+FleetTest::Got FleetTest::fetch(char const* method, std::string const& address, std::string const& path,
+                                std::string const& body, std::string const& match, bool* good) {
   Got out;
   bool over = false;
   ask(method, address, path, body, match, [&out, &over](Got const& got) {
@@ -20,8 +20,8 @@
   return out;
 }
 
-void Scene::ask(char const* method, std::string const& address, std::string const& path, std::string const& body,
-                std::string const& match, std::function<void(Got const&)> done, bool keep) {
+void FleetTest::ask(char const* method, std::string const& address, std::string const& path, std::string const& body,
+                    std::string const& match, std::function<void(Got const&)> done, bool keep) {
   SoupMessage* const message = soup_message_new(method, ("http://" + address + path).c_str());
   if (!keep) soup_message_set_flags(message, SOUP_MESSAGE_NEW_CONNECTION);
   if (!match.empty())
@@ -53,7 +53,7 @@
       new Asked{message, std::move(done)});
 }
 
-bool Scene::all_ready() {
+bool FleetTest::all_ready() {
   for (Actor* const actor : live_nodes()) {
     bool good = false;
     fetch("GET", actor->address + ":7080", "/ready", "", "", &good);
@@ -63,7 +63,7 @@
   return true;
 }
 
-bool Scene::workers_known(Actor const& actor) {
+bool FleetTest::workers_known(Actor const& actor) {
   Got const got = fetch("GET", actor.address + ":7080", "/v1/status", "", "");
   std::size_t n = 0;
   for (std::size_t at = got.body.find("\"dark\":false"); at != std::string::npos;
@@ -72,27 +72,27 @@
   return n >= static_cast<std::size_t>(shape.workers);
 }
 
-bool Scene::all_at(std::uint64_t serial) {
+bool FleetTest::all_at(std::uint64_t serial) {
   for (Actor* const actor : live_nodes())
     if (actor->name[0] == 'p' && !actor->cut && serial_of(*actor) < serial) return false;
   return true;
 }
 
-std::uint64_t Scene::serial_of(Actor& actor) {
+std::uint64_t FleetTest::serial_of(Actor& actor) {
   Got const got = fetch("GET", actor.address + ":7080", "/metrics", "", "");
   take_metrics(actor, got.body);
   return actor.serial;
 }
 
-void Scene::bank(Actor& actor, std::string const& name, std::uint64_t value) {
+void FleetTest::bank(Actor& actor, std::string const& name, std::uint64_t value) {
   if (name == "pipit_first_sends_total") actor.first_sends += value;
   if (name == "pipit_resends_total") actor.resends += value;
   if (name == "pipit_blocks_asked_total") actor.asked += value;
   if (name == "pipit_blocks_hit_total") actor.hit += value;
-  if (name == "pipit_far_sends_total") actor.far += value;
+  if (name == "pipit_far_sends_total") actor.remote += value;
 }
 
-void Scene::take_metrics(Actor& actor, std::string const& text) {
+void FleetTest::take_metrics(Actor& actor, std::string const& text) {
   std::stringstream lines(text);
   std::string line;
   while (std::getline(lines, line)) {
--- a/testing/fleet_test/faults.cc
+++ b/testing/fleet_test/faults.cc
@@ -5,7 +5,7 @@
 
 namespace pipit {
 
-void Scene::arm(std::string const& at, int point, std::string const& arg, int times) {
+void FleetTest::arm(std::string const& at, int point, std::string const& arg, int times) {
   until(seconds(5), [this, &at, point, &arg, times] {
     bool good = false;
     fetch("POST", actors[at].address + ":7080",
@@ -14,7 +14,7 @@
   });
 }
 
-void Scene::crowd(bool hot, std::string const& rate) {
+void FleetTest::crowd(bool hot, std::string const& rate) {
   std::string const name = "crowd" + std::to_string(++crowds);
   Actor& actor = actors[name];
   actor.name = name;
@@ -39,11 +39,11 @@
   start(actor);
 }
 
-void Scene::roll_all() {
+void FleetTest::roll_all() {
   kept_timer = g_timeout_add(
       40,
       [](gpointer self) -> gboolean {
-        static_cast<Scene*>(self)->ask_kept();
+        static_cast<FleetTest*>(self)->ask_kept();
         return G_SOURCE_CONTINUE;
       },
       this);
@@ -67,7 +67,7 @@
   std::printf("%6.1f every node was restarted; %d answers on kept-alive wires\n", clock(), kept_done);
 }
 
-void Scene::one_point(PointPlan const& item) {
+void FleetTest::one_point(PointPlan const& item) {
   std::vector<std::string> at;
   for (std::pair<std::string const, Actor> const& actor : actors)
     if (actor.first == item.at || (std::string(item.at) == "p" && actor.first[0] == 'p' && actor.first != "p4"))
@@ -123,7 +123,7 @@
   if (!fired) fault("points", "point " + std::to_string(item.number) + " did not fire");
 }
 
-void Scene::ask_kept() {
+void FleetTest::ask_kept() {
   std::vector<std::string> doors;
   for (std::pair<std::string const, Actor> const& item : actors)
     if (item.first[0] == 'p' && item.second.pid > 0 && !item.second.unready) doors.push_back(item.second.address);
--- a/testing/fleet_test/fleet.cc
+++ b/testing/fleet_test/fleet.cc
@@ -12,11 +12,11 @@
 
 namespace pipit {
 
-std::string Scene::number(int group, int i) const {
+std::string FleetTest::number(int group, int i) const {
   return "127." + std::to_string(plan.net) + "." + std::to_string(group) + "." + std::to_string(i);
 }
 
-void Scene::build() {
+void FleetTest::build() {
   std::string seeds;
   for (int i = 1; i <= 3; ++i) seeds += (i > 1 ? "," : "") + number(2, i) + ":7000";
   std::string initial_members;
@@ -52,8 +52,8 @@
   }
 }
 
-void Scene::node(std::string const& name, std::string const& address, std::string const& zone, std::string const& seeds,
-                 std::vector<std::string> const& more) {
+void FleetTest::node(std::string const& name, std::string const& address, std::string const& zone,
+                     std::string const& seeds, std::vector<std::string> const& more) {
   Actor actor;
   actor.name = name;
   actor.address = address;
@@ -69,7 +69,7 @@
   actors[name] = actor;
 }
 
-void Scene::worker_args(Actor& actor) {
+void FleetTest::worker_args(Actor& actor) {
   Row const& row = rows[actor.name];
   actor.args = {"fake_backend",  "worker",
                 "--http",        row.address,
@@ -80,7 +80,7 @@
                 "--slots",       std::to_string(plan.slots)};
 }
 
-void Scene::start(Actor& actor) {
+void FleetTest::start(Actor& actor) {
   if (actor.pid > 0) return;
   if (launched == 0) launched = now();
   for (std::pair<std::string const, std::uint64_t>& item : actor.last) bank(actor, item.first, item.second);
@@ -88,7 +88,7 @@
   actor.serial = 0;
   std::string const exe = plan.bin + "/" + actor.args[0];
   std::vector<char*> argv;
-  for (std::string& word : actor.args) argv.push_back(word.data());
+  for (std::string& argument : actor.args) argv.push_back(argument.data());
   argv.push_back(nullptr);
   pid_t const pid = ::fork();
   if (pid == 0) {
@@ -103,7 +103,7 @@
   g_child_watch_add(
       pid,
       [](GPid done, gint status, gpointer self) {
-        for (std::pair<std::string const, Actor>& item : static_cast<Scene*>(self)->actors)
+        for (std::pair<std::string const, Actor>& item : static_cast<FleetTest*>(self)->actors)
           if (item.second.pid == done) {
             item.second.pid = 0;
             item.second.code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
@@ -112,13 +112,13 @@
       this);
 }
 
-void Scene::end(Actor& actor, int signal) {
+void FleetTest::end(Actor& actor, int signal) {
   if (actor.pid <= 0) return;
   ::kill(actor.pid, signal);
   if (signal == SIGKILL) until(seconds(5), [&actor] { return actor.pid == 0; });
 }
 
-void Scene::write_list() {
+void FleetTest::write_list() {
   JsonWriter json;
   json.begin_object().key("workers").begin_list();
   for (std::pair<std::string const, Row> const& item : rows) {
@@ -145,7 +145,7 @@
   put_list();
 }
 
-void Scene::put_list() {
+void FleetTest::put_list() {
   std::string const want = list_text;
   until(seconds(5), [this, &want] {
     bool good = false;
@@ -153,27 +153,28 @@
   });
 }
 
-std::vector<Actor*> Scene::live_nodes() {
+std::vector<Actor*> FleetTest::live_nodes() {
   std::vector<Actor*> out;
   for (std::pair<std::string const, Actor>& item : actors)
     if (item.second.node() && item.second.pid > 0 && !item.second.frozen) out.push_back(&item.second);
   return out;
 }
 
-void Scene::rename(Actor& actor, std::string const& old) {
+void FleetTest::rename(Actor& actor, std::string const& old) {
   std::string const from = plan.folder + "/" + old + ".conf";
   std::string const to = plan.folder + "/" + actor.name + ".conf";
   rewrite(from, to, {{"name", actor.name}, {"log", plan.folder + "/logs/" + actor.name + ".log"}});
   actor.args[2] = to;
 }
 
-void Scene::move(Actor& actor, std::string const& address) {
+void FleetTest::move(Actor& actor, std::string const& address) {
   actor.address = address;
   rewrite(actor.args[2], actor.args[2], {{"mesh", address + ":7000"}, {"http", address + ":7080"}});
   start(actor);
 }
 
-void Scene::rewrite(std::string const& from, std::string const& to, std::map<std::string, std::string> const& fresh) {
+void FleetTest::rewrite(std::string const& from, std::string const& to,
+                        std::map<std::string, std::string> const& fresh) {
   std::ifstream in(from);
   std::string out;
   std::string line;
--- a/testing/fleet_test/fleet_test.cc
+++ b/testing/fleet_test/fleet_test.cc
@@ -10,7 +10,7 @@
 
 namespace pipit {
 
-int Scene::run() {
+int FleetTest::run() {
   loop = g_main_loop_new(nullptr, FALSE);
   session = soup_session_new_with_options("max-conns", 512, "max-conns-per-host", 16, "timeout", 4, "proxy-resolver",
                                           nullptr, nullptr);
@@ -31,7 +31,7 @@
   if (!until(seconds(5), [this] { return all_at(serial_yes); }))
     return fail_now("the first description was not brought to all");
   slowest_force = now() - accepted.begin()->second;
-  settled.insert(accepted.begin()->first);
+  resolved.insert(accepted.begin()->first);
   // Workers that have just woken are cold; what is measured begins when they are warm.
   until(seconds(8), [this] { return now() - launched > seconds(6); });
   if (plan.probe) probe();
@@ -39,7 +39,7 @@
   return finish();
 }
 
-Scene::~Scene() {
+FleetTest::~FleetTest() {
   for (std::pair<std::string const, Actor>& item : actors)
     if (item.second.pid > 0) {
       ::kill(item.second.pid, SIGKILL);
@@ -47,7 +47,7 @@
     }
 }
 
-bool Scene::until(Micros most, std::function<bool()> const& holds) {
+bool FleetTest::until(Micros most, std::function<bool()> const& holds) {
   Micros const end = now() + most;
   while (!holds()) {
     if (now() > end) return false;
@@ -65,7 +65,7 @@
   return true;
 }
 
-void Scene::write_doors() {
+void FleetTest::write_doors() {
   std::ofstream file(plan.folder + "/doors.new");
   for (std::pair<std::string const, Actor> const& item : actors) {
     if (item.first[0] == 'p' && item.second.pid > 0 && !item.second.unready) file << item.second.address << ":7080\n";
@@ -74,7 +74,7 @@
   std::filesystem::rename(plan.folder + "/doors.new", plan.folder + "/doors");
 }
 
-void Scene::perform() {
+void FleetTest::perform() {
   write_doors();
   begin = now();
   Actor callers;
@@ -102,7 +102,7 @@
   guint const timer = g_timeout_add(
       100,
       [](gpointer self) -> gboolean {
-        static_cast<Scene*>(self)->watch();
+        static_cast<FleetTest*>(self)->watch();
         return G_SOURCE_CONTINUE;
       },
       this);
@@ -114,12 +114,12 @@
   until(seconds(900), [this] { return now() - begin >= static_cast<Micros>(plan.seconds * 1e6) + seconds(2); });
   for (std::pair<std::string const, Actor>& item : actors)
     if (item.second.frozen) step(Step{0, "wake", {item.first}});
-  ran_out = !until(static_cast<Micros>(plan.seconds * 1e6) + seconds(60),
-                   [this] { return actors["load_generator"].pid == 0; });
+  timed_out = !until(static_cast<Micros>(plan.seconds * 1e6) + seconds(60),
+                     [this] { return actors["load_generator"].pid == 0; });
   g_source_remove(timer);
 }
 
-int Scene::fail_now(std::string const& why) {
+int FleetTest::fail_now(std::string const& why) {
   std::printf("FAULT %s\n", why.c_str());
   return 1;
 }
--- a/testing/fleet_test/fleet_test.h
+++ b/testing/fleet_test/fleet_test.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "base/micros.h"
-#include "testing/common/books.h"
+#include "testing/common/run_records.h"
 #include "testing/common/shapes.h"
 #include "testing/fleet_test/points.h"
 #include "testing/fleet_test/steps.h"
@@ -55,33 +55,33 @@
   int code = -1;         // as it ended
   Micros off_until = 0;  // bounds on changes do not hold before it was heard again
   std::uint64_t serial = 0;
-  std::uint64_t first_sends = 0, resends = 0, asked = 0, hit = 0, far = 0;  // of lives that ended
-  std::map<std::string, std::uint64_t> last;                                // the last metrics seen of this life
+  std::uint64_t first_sends = 0, resends = 0, asked = 0, hit = 0, remote = 0;  // of lives that ended
+  std::map<std::string, std::uint64_t> last;                                   // the last metrics seen of this life
   bool node() const { return name[0] == 'k' || name[0] == 'p'; }
 };
 
 // What the end of an experiment is judged by, and reported.
 struct Verdict {
-  Micros last_after_mark = -seconds(10);             // the latest start at a worker after it was marked as leaving
+  Micros last_after_departure = -seconds(10);        // the latest start at a worker after it was marked as leaving
   Micros last_after_empty = -seconds(10);            // the latest start in a zone after the yes to emptying it
   Micros first_back = -1;                            // the first answer's end after everything was lost
   int most_cold = 0;                                 // the most starts within one second at a worker that just woke
   std::map<std::string, std::uint64_t> frame_bytes;  // by the kind of frame
   std::map<std::string, std::uint64_t> zone_bytes;   // within a zone and across zones
   std::uint64_t longest_turn_us = 0;
-  std::uint64_t first_sends = 0, resends = 0, asked = 0, hit = 0, far = 0, mesh_bytes = 0;
+  std::uint64_t first_sends = 0, resends = 0, asked = 0, hit = 0, remote = 0, mesh_bytes = 0;
   std::string callers;  // their report
 };
 
-class Scene {
+class FleetTest {
  public:
-  Scene(Plan plan_, Shape const& shape_, std::vector<Step> steps_)
+  FleetTest(Plan plan_, Shape const& shape_, std::vector<Step> steps_)
       : plan(std::move(plan_)), shape(shape_), steps(std::move(steps_)), cast(cast_of(shape)) {}
 
   // Starts the fleet, carries the steps out and judges. Returns the exit code: 0 when no fault was seen.
   int run();
 
-  ~Scene();
+  ~FleetTest();
 
  private:
   std::string number(int group, int i) const;
@@ -163,9 +163,9 @@
   int finish();
   void wake_and_heal();
   void judge_description();
-  void judge_books(Verdict& verdict);
-  void judge_book(std::string const& worker, std::vector<BookLine> const& book, Verdict& verdict);
-  void judge_start(std::string const& worker, BookLine const& line, Verdict& verdict);
+  void judge_run_records(Verdict& verdict);
+  void judge_run_record(std::string const& worker, std::vector<RunRecord> const& run_record, Verdict& verdict);
+  void judge_start(std::string const& worker, RunRecord const& line, Verdict& verdict);
   void count_metrics(Verdict& verdict);
   void judge_counts(Verdict const& verdict);
   void judge_callers(Verdict& verdict);
@@ -199,13 +199,13 @@
   int crowds = 0;
   std::map<std::string, int> wanted;  // exit codes that drills must have
   int probes = 0;
-  bool ran_out = false;
+  bool timed_out = false;
   std::uint64_t expected = 0;
   std::uint64_t serial_yes = 0;
   std::string text_yes;
   std::vector<std::string> unknown;
   std::map<std::uint64_t, Micros> accepted;
-  std::set<std::uint64_t> settled;
+  std::set<std::uint64_t> resolved;
   Micros slowest_force = 0;
   std::set<std::string> watching;
   std::set<std::string> asking;
--- a/testing/fleet_test/main.cc
+++ b/testing/fleet_test/main.cc
@@ -46,7 +46,7 @@
   if (plan.folder.empty())
     plan.folder = std::filesystem::temp_directory_path() / ("fleet-test-" + std::to_string(::getpid()));
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
-  return Scene(plan, *shape, std::move(steps.value())).run();
+  return FleetTest(plan, *shape, std::move(steps.value())).run();
 }
 
 }  // namespace
--- a/testing/fleet_test/probes.cc
+++ b/testing/fleet_test/probes.cc
@@ -8,7 +8,7 @@
 
 namespace pipit {
 
-int Scene::lies() {
+int FleetTest::lies() {
   struct Lie {
     char const* kind;
     char const* point;  // in the callers' report; empty for none
@@ -62,12 +62,13 @@
   return missed == 0 ? 0 : 1;
 }
 
-void Scene::probe() {
+void FleetTest::probe() {
   std::string const http = actors["p2"].address + ":7080";
   std::string const tag = "probe-bad";
-  auto const expect = [this](std::string const& what, Got const& got, unsigned status, std::string const& words) {
+  auto const expect = [this](std::string const& what, Got const& got, unsigned status,
+                             std::string const& expected_text) {
     ++probes;
-    if (got.status != status || got.body.find(words) == std::string::npos)
+    if (got.status != status || got.body.find(expected_text) == std::string::npos)
       fault("probe", what + " was answered " + std::to_string(got.status) + " " + got.body.substr(0, 200));
   };
   std::string const path = "/v1/chat/completions";
@@ -103,7 +104,7 @@
     char const* kind;
     bool stream;
     unsigned status;
-    char const* words;
+    char const* expected_text;
   };
   Odd const odds[] = {{"type", false, 502, "worker_wrong"},      {"type", true, 502, "worker_wrong"},
                       {"torn", false, 502, "\"ran\":\"yes\""},   {"torn", true, 200, "answer_torn"},
@@ -124,11 +125,11 @@
                               (odd.stream ? "true" : "false") + "," + turns + "}",
                           "");
     // A broken stream begins with 200 and ends in an error event; that its body was cut is the callers' to judge.
-    expect(std::string("odd ") + odd.kind, got, odd.status, odd.words);
+    expect(std::string("odd ") + odd.kind, got, odd.status, odd.expected_text);
   }
   for (std::pair<std::string const, Row> const& row : rows)
     fetch("GET", row.second.address, "/odd?times=0&kind=", "", "");
-  for (BookLine const& line : read_books(plan.folder + "/books"))
+  for (RunRecord const& line : read_run_records(plan.folder + "/books"))
     if (line.tag.rfind(tag, 0) == 0) fault("probe", "bad input reached " + line.worker);
   std::printf("%d probes were answered\n", probes);
 }
--- a/testing/fleet_test/steps.cc
+++ b/testing/fleet_test/steps.cc
@@ -71,22 +71,22 @@
   std::stringstream parts(text);
   std::string part;
   while (std::getline(parts, part, ';')) {
-    std::stringstream words(part);
+    std::stringstream fields(part);
     std::string when;
     Step step;
-    if (!(words >> when)) continue;
+    if (!(fields >> when)) continue;
     char* end = nullptr;
     double const seconds_at = std::strtod(when.c_str(), &end);
     if (end == when.c_str() || *end != '\0' || seconds_at < 0 || seconds_at > 900)
       return fail(ErrorCode::bad_request, "'" + when + "' is no time in seconds");
     step.at = static_cast<Micros>(seconds_at * 1e6);
-    if (!(words >> step.verb)) return fail(ErrorCode::bad_request, "a step has no verb");
+    if (!(fields >> step.verb)) return fail(ErrorCode::bad_request, "a step has no verb");
     StepRow const* row = nullptr;
     for (StepRow const& item : rows)
       if (item.verb == step.verb) row = &item;
     if (row == nullptr) return fail(ErrorCode::bad_request, "there is no step '" + step.verb + "'");
     std::string arg;
-    while (words >> arg) step.args.push_back(arg);
+    while (fields >> arg) step.args.push_back(arg);
     if (step.args.size() != row->args.size())
       return fail(ErrorCode::bad_request,
                   "'" + step.verb + "' takes " + std::to_string(row->args.size()) + " arguments");
@@ -96,13 +96,13 @@
       std::string name;
       while (std::getline(names, name, ',')) {
         bool const replica = among(cast.replicas, name);
-        bool const passage = among(cast.routers, name);
+        bool const router = among(cast.routers, name);
         bool const worker = among(cast.workers, name);
         bool good = false;
-        if (type == 'N') good = replica || passage || worker;
-        if (type == 'n') good = replica || passage;
+        if (type == 'N') good = replica || router || worker;
+        if (type == 'n') good = replica || router;
         if (type == 'k') good = replica;
-        if (type == 'p') good = passage;
+        if (type == 'p') good = router;
         if (type == 'w') good = worker;
         if (type == 'z') good = among(cast.zones, name);
         if (type == '#')
--- a/testing/fleet_test/verdict.cc
+++ b/testing/fleet_test/verdict.cc
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr Micros mark_bound = seconds(3);   // N5
-constexpr Micros empty_bound = seconds(5);  // N6
-constexpr Micros cold_time = seconds(5);    // N11
-constexpr Micros back_bound = seconds(12);  // N12
+constexpr Micros departure_bound = seconds(3);  // N5
+constexpr Micros empty_bound = seconds(5);      // N6
+constexpr Micros cold_time = seconds(5);        // N11
+constexpr Micros back_bound = seconds(12);      // N12
 
 // What stands between the first pair of quotes of a metric's labels.
 std::string first_label(std::string const& metric) {
@@ -30,7 +30,7 @@
 }  // namespace
 
 // What is cut or frozen comes back.
-void Scene::wake_and_heal() {
+void FleetTest::wake_and_heal() {
   for (std::pair<std::string const, Actor>& item : actors)
     if (item.second.frozen) {
       ::kill(item.second.pid, SIGCONT);
@@ -40,7 +40,7 @@
 }
 
 // N9: what is read is what was accepted, or one of the changes whose fate is unknown.
-void Scene::judge_description() {
+void FleetTest::judge_description() {
   Got read;
   bool const back = until(seconds(12), [this, &read] {
     read = fetch("GET", actors[door()].address + ":7080", "/v1/description", "", "");
@@ -57,7 +57,7 @@
 }
 
 // N6: a start at a worker whose zone was drained.
-void Scene::judge_start(std::string const& worker, BookLine const& line, Verdict& verdict) {
+void FleetTest::judge_start(std::string const& worker, RunRecord const& line, Verdict& verdict) {
   std::map<std::string, std::pair<Micros, Micros>>::const_iterator const zone = drained_zones.find(rows[worker].zone);
   if (zone == drained_zones.end()) return;
   bool const refilled = zone->second.second != 0 && line.at >= zone->second.second;
@@ -69,13 +69,14 @@
 }
 
 // One worker's book, in the order of time.
-void Scene::judge_book(std::string const& worker, std::vector<BookLine> const& book, Verdict& verdict) {
-  std::int64_t life = 0;
+void FleetTest::judge_run_record(std::string const& worker, std::vector<RunRecord> const& run_record,
+                                 Verdict& verdict) {
+  std::int64_t incarnation = 0;
   Micros woke = 0;
   std::vector<Micros> starts;  // of this life, while it is cold
-  for (BookLine const& line : book) {
+  for (RunRecord const& line : run_record) {
     if (line.what == 'W') {
-      life = std::atoll(line.tag.c_str());
+      incarnation = std::atoll(line.tag.c_str());
       woke = line.at;
       starts.clear();
     }
@@ -83,10 +84,10 @@
         (verdict.first_back < 0 || line.at < verdict.first_back))
       verdict.first_back = line.at;
     if (line.what != 'S') continue;
-    if (marked.count(worker) && marked[worker].second == life) {
+    if (marked.count(worker) && marked[worker].second == incarnation) {
       Micros const after = line.at - marked[worker].first;
-      verdict.last_after_mark = std::max(verdict.last_after_mark, after);
-      if (after > mark_bound)
+      verdict.last_after_departure = std::max(verdict.last_after_departure, after);
+      if (after > departure_bound)
         fault("N5", worker + " got " + line.tag + " " + std::to_string(after / 1000) + " ms after its mark");
     }
     judge_start(worker, line, verdict);
@@ -102,18 +103,19 @@
   }
 }
 
-void Scene::judge_books(Verdict& verdict) {
-  std::map<std::string, std::vector<BookLine>> by_worker;
-  for (BookLine const& line : read_books(plan.folder + "/books")) by_worker[line.worker].push_back(line);
-  for (std::pair<std::string const, std::vector<BookLine>>& item : by_worker) {
-    std::vector<BookLine>& book = item.second;
-    std::stable_sort(book.begin(), book.end(), [](BookLine const& a, BookLine const& b) { return a.at < b.at; });
-    judge_book(item.first, book, verdict);
+void FleetTest::judge_run_records(Verdict& verdict) {
+  std::map<std::string, std::vector<RunRecord>> by_worker;
+  for (RunRecord const& line : read_run_records(plan.folder + "/books")) by_worker[line.worker].push_back(line);
+  for (std::pair<std::string const, std::vector<RunRecord>>& item : by_worker) {
+    std::vector<RunRecord>& run_record = item.second;
+    std::stable_sort(run_record.begin(), run_record.end(),
+                     [](RunRecord const& a, RunRecord const& b) { return a.at < b.at; });
+    judge_run_record(item.first, run_record, verdict);
   }
 }
 
 // Adds up what the nodes counted in all their lives.
-void Scene::count_metrics(Verdict& verdict) {
+void FleetTest::count_metrics(Verdict& verdict) {
   for (std::pair<std::string const, Actor>& item : actors) {
     Actor& actor = item.second;
     if (!actor.node()) continue;
@@ -134,11 +136,11 @@
     verdict.resends += actor.resends;
     verdict.asked += actor.asked;
     verdict.hit += actor.hit;
-    verdict.far += actor.far;
+    verdict.remote += actor.remote;
   }
 }
 
-void Scene::judge_counts(Verdict const& verdict) {
+void FleetTest::judge_counts(Verdict const& verdict) {
   double const resends_allowed = 0.2 * static_cast<double>(verdict.first_sends) + 3.0 * shape.routers;
   if (static_cast<double>(verdict.resends) > resends_allowed)
     fault("N10", std::to_string(verdict.resends) + " re-sends for " + std::to_string(verdict.first_sends) + " sends");
@@ -150,11 +152,11 @@
     fault("N12", "service was not back in time");
 }
 
-void Scene::judge_callers(Verdict& verdict) {
+void FleetTest::judge_callers(Verdict& verdict) {
   std::ifstream file(plan.folder + "/load_generator.json");
   std::string& callers = verdict.callers;
   std::getline(file, callers);
-  if (ran_out || callers.empty()) fault("load_generator", "the callers did not report");
+  if (timed_out || callers.empty()) fault("load_generator", "the callers did not report");
   if (callers.find("\"faults\":{}") == std::string::npos) fault("load_generator", "the callers found faults");
   if (callers.find("\"unanswered\":0,") == std::string::npos) fault("load_generator", "calls were never answered");
   if (callers.find("\"done\":0,") != std::string::npos) fault("load_generator", "no traffic was seen");
@@ -165,9 +167,9 @@
       fault("N12", std::string("a planned stop: callers did not report ") + none);
 }
 
-std::string Scene::report(Verdict const& verdict) const {
+std::string FleetTest::report(Verdict const& verdict) const {
   std::uint64_t const sends = verdict.first_sends + verdict.resends;
-  bool const came_back = lost_back > 0 && verdict.first_back > 0;
+  bool const returned = lost_back > 0 && verdict.first_back > 0;
   JsonWriter json;
   json.begin_object().key("shape").text(shape.name);
   json.key("schedule").text(plan.schedule);
@@ -175,14 +177,14 @@
   json.key("accepted").number(static_cast<std::int64_t>(accepted.size()));
   json.key("races").number(races);
   json.key("in_force_ms").number(slowest_force / 1000);
-  json.key("last_after_mark_ms").number(verdict.last_after_mark / 1000);
+  json.key("last_after_mark_ms").number(verdict.last_after_departure / 1000);
   json.key("last_after_empty_ms").number(verdict.last_after_empty / 1000);
   json.key("cold_most").number(verdict.most_cold);
-  json.key("back_ms").number(came_back ? (verdict.first_back - lost_back) / 1000 : -1);
+  json.key("back_ms").number(returned ? (verdict.first_back - lost_back) / 1000 : -1);
   json.key("first_sends").number(static_cast<std::int64_t>(verdict.first_sends));
   json.key("resends").number(static_cast<std::int64_t>(verdict.resends));
   json.key("hit_percent").number(verdict.asked == 0 ? 0 : static_cast<std::int64_t>(verdict.hit * 100 / verdict.asked));
-  json.key("far_percent").number(sends == 0 ? 0 : static_cast<std::int64_t>(verdict.far * 100 / sends));
+  json.key("far_percent").number(sends == 0 ? 0 : static_cast<std::int64_t>(verdict.remote * 100 / sends));
   json.key("bytes").begin_object();
   for (std::pair<std::string const, std::uint64_t> const& item : verdict.zone_bytes)
     json.key(item.first).number(static_cast<std::int64_t>(item.second));
@@ -198,11 +200,11 @@
   return json.take();
 }
 
-int Scene::finish() {
+int FleetTest::finish() {
   wake_and_heal();
   judge_description();
   Verdict verdict;
-  judge_books(verdict);
+  judge_run_records(verdict);
   count_metrics(verdict);
   judge_counts(verdict);
   judge_callers(verdict);
--- a/testing/fleet_test/watch.cc
+++ b/testing/fleet_test/watch.cc
@@ -6,12 +6,12 @@
 
 namespace pipit {
 
-void Scene::fault(char const* point, std::string const& what) {
+void FleetTest::fault(char const* point, std::string const& what) {
   ++faults[point];
   std::printf("FAULT %s %s\n", point, what.c_str());
 }
 
-void Scene::watch() {
+void FleetTest::watch() {
   for (Actor* const actor : live_nodes()) {
     if (watching.count(actor->name)) continue;
     watching.insert(actor->name);
@@ -39,17 +39,17 @@
   }
   // N7: within two seconds of a yes every node that can be reached has it in force.
   for (std::pair<std::uint64_t const, Micros>& item : accepted) {
-    if (settled.count(item.first)) continue;
+    if (resolved.count(item.first)) continue;
     bool all = true;
     for (Actor* const actor : live_nodes()) {
       bool const excused = actor->cut || now() < actor->off_until;
       if (actor->name[0] == 'p' && !excused && actor->serial < item.first) all = false;
     }
     if (all) {
-      settled.insert(item.first);
+      resolved.insert(item.first);
       slowest_force = std::max(slowest_force, now() - item.second);
     } else if (now() - item.second > millis(2300)) {  // the watch itself looks every 100 ms
-      settled.insert(item.first);
+      resolved.insert(item.first);
       std::string who;
       for (Actor* const actor : live_nodes())
         if (actor->name[0] == 'p' && actor->serial < item.first) who += " " + actor->name;
--- a/testing/fuzz/configurations.cc
+++ b/testing/fuzz/configurations.cc
@@ -22,7 +22,7 @@
     "\",\"shares\":[{\"pool\":\"p\"}],\"public\":true}],\"tenants\":[{\"name\":\"a\",\"keys\":[\"s3cretkey\"],"
     "\"rank\":1,\"counts\":\"tokens\",\"plain_tokens\":7,\"rate\":10,\"burst\":20}]}",
 };
-std::string const words[] = {
+std::string const fragments[] = {
     "\"s3cretkey\"", ",",  "[", "]", "{",  "}",    "null",    "-1",       "1e300", "99999999999999999999",
     "true",          "\"", ":", "7", "\\", "\"\"", "\\u0000", "\"name\"", "0",     "\xc3\x28"};
 
@@ -32,7 +32,7 @@
     std::size_t const at = random.below(out.size() + 1);
     switch (random.below(4)) {
       case 0:
-        out.insert(at, words[random.below(std::size(words))]);
+        out.insert(at, fragments[random.below(std::size(fragments))]);
         break;
       case 1:
         out.erase(at, 1 + random.below(12));
--- a/testing/fuzz/readers.cc
+++ b/testing/fuzz/readers.cc
@@ -30,35 +30,35 @@
     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
     "HTTP/1.1 204 No Content\r\n\r\n",
 };
-std::string const words[] = {"\r\n",
-                             "\r\n\r\n",
-                             "\n",
-                             "\r",
-                             ":",
-                             " ",
-                             "0",
-                             "0\r\n\r\n",
-                             "Content-Length: 3\r\n",
-                             "Transfer-Encoding: chunked\r\n",
-                             "HTTP/1.1 ",
-                             "200",
-                             "20",
-                             "\t",
-                             "Host: x\r\n",
-                             "FFFFFFFFFFFFFFF",
-                             "18446744073709551617",
-                             "-1",
-                             ";",
-                             "\x7f",
-                             "Connection: close\r\n",
-                             "GET / HTTP/1.1\r\n"};
+std::string const fragments[] = {"\r\n",
+                                 "\r\n\r\n",
+                                 "\n",
+                                 "\r",
+                                 ":",
+                                 " ",
+                                 "0",
+                                 "0\r\n\r\n",
+                                 "Content-Length: 3\r\n",
+                                 "Transfer-Encoding: chunked\r\n",
+                                 "HTTP/1.1 ",
+                                 "200",
+                                 "20",
+                                 "\t",
+                                 "Host: x\r\n",
+                                 "FFFFFFFFFFFFFFF",
+                                 "18446744073709551617",
+                                 "-1",
+                                 ";",
+                                 "\x7f",
+                                 "Connection: close\r\n",
+                                 "GET / HTTP/1.1\r\n"};
 
 struct Outcome {
   std::string messages;  // line, fields and body of each that was whole
   std::size_t whole = 0;
   bool refused = false;
-  bool rests = true;       // between messages at the end
-  bool ends_whole = true;  // what the end of the connection makes of the rest
+  bool rests = true;          // between messages at the end
+  bool ends_complete = true;  // what the end of the connection makes of the rest
   bool operator==(Outcome const&) const = default;
 };
 
@@ -101,7 +101,7 @@
     }
   }
   out.rests = reader.idle();
-  out.ends_whole = reader.eof();
+  out.ends_complete = reader.eof();
   return out;
 }
 
@@ -121,7 +121,7 @@
     std::size_t const at = random.below(out.size() + 1);
     switch (random.below(5)) {
       case 0:
-        out.insert(at, words[random.below(std::size(words))]);
+        out.insert(at, fragments[random.below(std::size(fragments))]);
         break;
       case 1:
         out.erase(at, 1 + random.below(6));
@@ -142,10 +142,10 @@
 
 std::string shown(std::string const& text) {
   std::string out;
-  char word[8];
+  char escaped[8];
   for (char const c : text) {
-    std::snprintf(word, sizeof word, c >= 0x20 && c < 0x7f ? "%c" : "\\x%02x", static_cast<unsigned char>(c));
-    out += word;
+    std::snprintf(escaped, sizeof escaped, c >= 0x20 && c < 0x7f ? "%c" : "\\x%02x", static_cast<unsigned char>(c));
+    out += escaped;
   }
   return out;
 }
@@ -174,7 +174,7 @@
   for (std::string const& good : answer_seeds) {
     if (requests || garbage || text != good) continue;
     Outcome const cut = read(false, std::string_view(good).substr(0, good.size() - 1), {});
-    if (cut.whole >= whole.whole || cut.ends_whole) count.fault = "a cut answer looks whole" + where;
+    if (cut.whole >= whole.whole || cut.ends_complete) count.fault = "a cut answer looks whole" + where;
   }
 }
 
--- a/testing/platform_fleet_test/callers.cc
+++ b/testing/platform_fleet_test/callers.cc
@@ -7,7 +7,7 @@
 
 #include "testing/platform_fleet_test/clock.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 constexpr Micros tick_span = millis(10);
@@ -42,9 +42,9 @@
   std::string path;
   std::string body;
   double size = 1;  // of its worth
-  Micros came = 0;
+  Micros arrived_at = 0;
   Micros due = 0;
-  int tries = 0;
+  int attempt_count = 0;
   // The present try.
   Attempt* attempt = nullptr;
   Node* node = nullptr;
@@ -115,19 +115,19 @@
     return true;
   });
   every(millis(50), [this] {
-    sweep();
+    close_overdue();
     return true;
   });
 }
 
-void Callers::perform(Trouble const& trouble) {
+void Callers::perform(Fault const& fault) {
   for (std::size_t of = 0; of < shape.classes.size(); ++of) {
-    if (!trouble.on.empty() && trouble.on != shape.classes[of].name) continue;
+    if (!fault.on.empty() && fault.on != shape.classes[of].name) continue;
     Crowd crowd;
     crowd.of = of;
-    crowd.until = now() + trouble.span;
-    if (trouble.kind == Trouble::Kind::burst) crowd.x = trouble.x;
-    if (trouble.kind == Trouble::Kind::hot) crowd.hot = trouble.share;
+    crowd.until = now() + fault.span;
+    if (fault.kind == Fault::Kind::burst) crowd.x = fault.x;
+    if (fault.kind == Fault::Kind::hot) crowd.hot = fault.share;
     crowds.push_back(crowd);
   }
 }
@@ -189,8 +189,8 @@
   request.body.resize(item.body_bytes);
   double const size = static_cast<double>(request.tokens + 10 * request.events * shape.engine.stride);
   request.size = std::min(4.0, 0.3 + 0.7 * size / mean_size(of));
-  request.came = now();
-  request.due = request.came + item.deadline;
+  request.arrived_at = now();
+  request.due = request.arrived_at + item.deadline;
   ++tally.classes[of].asked;
   requests.emplace(request.id, std::move(made));
   attempt(request);
@@ -208,7 +208,7 @@
   request.sent = request.heard = at;
   request.line.reset();
   // Further tries go out on new connections, and meet other nodes.
-  if (client.keeps && request.tries == 0) {
+  if (client.keeps && request.attempt_count == 0) {
     while (!client.free.empty() && !request.line) {
       std::pair<std::string, std::shared_ptr<Line>> const kept = client.free.back();
       client.free.pop_back();
@@ -220,17 +220,17 @@
     }
   }
   if (!request.line) {
-    request.node = nodes.pick(client.zone, client.hash, request.tries);
+    request.node = nodes.pick(client.zone, client.hash, request.attempt_count);
     if (request.node == nullptr) return finish(request, false);
     request.line = Line::dial(request.node->front(), client.ip, millis(1000));
     ++tally.dialled;
   }
   ++tally.attempts;
-  if (request.tries > 0) ++tally.retries;
+  if (request.attempt_count > 0) ++tally.retries;
   Attempt attempt;
   char id[40];
   std::snprintf(id, sizeof id, "%012llx%04x", static_cast<unsigned long long>(request.id),
-                static_cast<unsigned>(request.tries));
+                static_cast<unsigned>(request.attempt_count));
   attempt.id = id;
   attempt.service = shape.service;
   attempt.target = "POST " + request.path;
@@ -250,7 +250,7 @@
     ++tally.resumes;
     fields += "Last-Event-Id: " + std::to_string(request.reading.last) + "\r\n";
   }
-  ++request.tries;
+  ++request.attempt_count;
   std::uint64_t const number = request.id;
   Line::Callbacks callbacks;
   callbacks.head = [this, number](unsigned status) {
@@ -295,13 +295,13 @@
   RequestClass const& item = shape.classes[request.of];
   Micros const at = now();
   std::shared_ptr<Line> const line = request.line;
-  bool const served = how == Line::End::whole && request.status == 200;
-  bool const by_node = how == Line::End::whole || (how == Line::End::cut && line->any_byte());
+  bool const served = how == Line::End::complete && request.status == 200;
+  bool const by_node = how == Line::End::complete || (how == Line::End::cut && line->any_byte());
   if (!served && by_node && nodes.in_touch(*request.node, request.sent) && nodes.in_touch(*request.node, at) &&
       failed.size() < failed_most)
     failed.push_back({request.attempt->id, request.node->name});
-  if (how == Line::End::whole && request.status == 200) {
-    judge.whole(*request.attempt, request.reading, line->field("x-server-seal"));
+  if (how == Line::End::complete && request.status == 200) {
+    judge.record_complete(*request.attempt, request.reading, line->field("x-server-seal"));
     if (request.client->keeps && line->reusable() && request.client->free.size() < kept_most)
       request.client->free.emplace_back(request.node->name, line);
     return finish(request, true);
@@ -309,7 +309,7 @@
   if (how == Line::End::garbage)
     judge.broken(Promise::mixed,
                  request.attempt->id + " by " + request.attempt->node + " got bytes that are no answer");
-  if (how != Line::End::whole) {
+  if (how != Line::End::complete) {
     char const* const what = how == Line::End::unreached ? "unreached"
                              : request.status == 200     ? "cut in its stream"
                              : line->any_byte()          ? "cut in its head"
@@ -319,7 +319,7 @@
     if (how == Line::End::cut && nodes.planned_end(*request.node, request.sent, at) && !request.attempt->worker_broke &&
         (request.attempt->arrivals > 0 || at - request.sent > millis(200)))
       judge.broken(Promise::lost, request.attempt->id + " by " + request.node->name + ", " + what + " " +
-                                      std::to_string((at - request.node->told_to_end) / 1000) +
+                                      std::to_string((at - request.node->termination_requested_at) / 1000) +
                                       " ms after it was told to end");
     bool const sound = request.attempt->arrivals > 0 && !request.attempt->worker_broke;
     bool const in_touch = nodes.in_touch(*request.node, request.sent) && nodes.in_touch(*request.node, at);
@@ -334,11 +334,12 @@
   bool const promise = request.status == 408 || request.status == 421 || request.status == 429 || request.status == 503;
   if (promise) {
     judge.refused(*request.attempt, request.status);
-    if (request.tries == 1 && at - request.came < item.latency_target / 4 && request.attempt->runs == 0)
+    if (request.attempt_count == 1 && at - request.arrived_at < item.latency_target / 4 && request.attempt->runs == 0)
       request.refused_early = true;
     Micros wait = millis(50 + static_cast<Micros>(jitter.below(100)));
-    std::string const told = line->field("retry-after");
-    if (!told.empty()) wait = std::min(static_cast<Micros>(std::atof(told.c_str()) * 1e6), (request.due - at) / 3);
+    std::string const retry_after = line->field("retry-after");
+    if (!retry_after.empty())
+      wait = std::min(static_cast<Micros>(std::atof(retry_after.c_str()) * 1e6), (request.due - at) / 3);
     if (request.client->impatient) wait = millis(5);
     return retry(request, wait);
   }
@@ -353,7 +354,7 @@
 
 void Callers::retry(Request& request, Micros wait) {
   int const most = 1 + shape.classes[request.of].retries + (request.client->impatient ? 2 : 0);
-  if (request.tries >= most || now() + wait >= request.due) return finish(request, false);
+  if (request.attempt_count >= most || now() + wait >= request.due) return finish(request, false);
   request.waiting = true;
   request.line.reset();
   std::uint64_t const number = request.id;
@@ -363,18 +364,18 @@
   });
 }
 
-void Callers::sweep() {
+void Callers::close_overdue() {
   Micros const at = now();
   std::vector<Request*> over;
   std::vector<Request*> unread;
   for (std::pair<std::uint64_t const, std::unique_ptr<Request>> const& position : requests) {
     Request& request = *position.second;
     RequestClass const& item = shape.classes[request.of];
-    Micros const silence = std::max({seconds(2), item.latency_target * 4, item.gap * 8});
-    if (at >= request.due || (!request.waiting && at - request.heard > silence)) over.push_back(&request);
+    Micros const silence_limit = std::max({seconds(2), item.latency_target * 4, item.gap * 8});
+    if (at >= request.due || (!request.waiting && at - request.heard > silence_limit)) over.push_back(&request);
     // Whoever sent into a process that stands still sees that nothing of it is read.
     else if (!request.waiting && item.resumable && request.node->frozen && !request.line->any_byte() &&
-             request.sent > request.node->last_trouble &&
+             request.sent > request.node->last_fault &&
              at - request.sent > std::min(seconds(1), (request.due - request.sent) / 3))
       unread.push_back(&request);
   }
@@ -406,35 +407,35 @@
 }
 
 void Callers::finish(Request& request, bool served) {
-  ends.emplace_back(request.came, served);
+  ends.emplace_back(request.arrived_at, served);
   RequestClass const& item = shape.classes[request.of];
   ClassTally& own = tally.classes[request.of];
-  double const owed = item.worth * request.size;
+  double const value_due = item.value * request.size;
   double earned = 0;
   if (served) {
-    Micros const first = request.first - request.came;
+    Micros const first = request.first - request.arrived_at;
     own.first.push_back(first);
     bool const within_target = first <= item.latency_target && request.widest <= item.gap;
     if (within_target)
       ++own.within_target;
     else
       ++own.late;
-    earned = within_target ? owed : item.late_worth * request.size;
+    earned = within_target ? value_due : item.late_value * request.size;
     if (!within_target && request.refused_early && request.last > 0 &&
-        first - (request.sent - request.came) <= item.latency_target && request.widest <= item.gap)
-      earned = (item.worth + item.late_worth) / 2 * request.size;
+        first - (request.sent - request.arrived_at) <= item.latency_target && request.widest <= item.gap)
+      earned = (item.value + item.late_value) / 2 * request.size;
   } else {
     ++own.unserved;
   }
-  own.owed += owed;
+  own.value_due += value_due;
   own.earned += earned;
   std::pair<double, double>& zone = tally.zones[request.client->zone];
   zone.first += earned;
-  zone.second += owed;
-  std::pair<double, double>& slice = tally.windows[(request.came - began) / window];
+  zone.second += value_due;
+  std::pair<double, double>& slice = tally.windows[(request.arrived_at - began) / window];
   slice.first += earned;
-  slice.second += owed;
+  slice.second += value_due;
   requests.erase(request.id);
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/callers.h
+++ b/testing/platform_fleet_test/callers.h
@@ -13,16 +13,16 @@
 #include "testing/platform_fleet_test/line.h"
 #include "testing/platform_fleet_test/nodes.h"
 #include "testing/platform_fleet_test/shapes.h"
-#include "testing/platform_fleet_test/troubles.h"
+#include "testing/platform_fleet_test/faults.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 struct ClassTally {
   std::uint64_t asked = 0;
   std::uint64_t within_target = 0;
   std::uint64_t late = 0;  // served, but not in its aim
   std::uint64_t unserved = 0;
-  double owed = 0;
+  double value_due = 0;
   double earned = 0;
   std::vector<Micros> first;  // from the caller's first try to the first event
 };
@@ -49,7 +49,7 @@
   void begin();
   void stop() { stopped = true; }
   bool idle() const { return requests.empty(); }
-  void perform(Trouble const& trouble);
+  void perform(Fault const& fault);
   // The share of the requests that came so long after the beginning or later, and were served; nothing where none came.
   std::optional<double> served_since(Micros span) const;
   CallersTally tally;
@@ -77,7 +77,7 @@
   void on_end(Request& request, Line::End how);
   void retry(Request& request, Micros wait);
   void finish(Request& request, bool served);
-  void sweep();
+  void close_overdue();
   double draw(Spread const& spread);
   double unit();
   std::size_t thing_of(SharedPart const& part, std::size_t of, std::size_t level);
@@ -102,4 +102,4 @@
   std::vector<Crowd> crowds;
 };
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/canonical.cc
+++ b/testing/platform_fleet_test/canonical.cc
@@ -9,7 +9,7 @@
 
 #include "base/json_writer.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 std::string canonical_of(simdjson::dom::element const& item) {
@@ -61,4 +61,4 @@
   return canonical_of(root);
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/clock.h
+++ b/testing/platform_fleet_test/clock.h
@@ -7,7 +7,7 @@
 
 #include "base/micros.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 inline Micros now() { return g_get_monotonic_time(); }
 
@@ -32,4 +32,4 @@
       [](gpointer data) { delete static_cast<std::function<bool()>*>(data); });
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/engine.cc
+++ b/testing/platform_fleet_test/engine.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 bool Engine::before(Running const& a, Running const& b) {
   return a.generation.rank != b.generation.rank ? a.generation.rank < b.generation.rank : a.order < b.order;
@@ -68,7 +68,7 @@
 }
 
 // Parts that nobody uses give way until that many more tokens fit.
-bool Engine::make_room(std::int64_t tokens) {
+bool Engine::evict_for(std::int64_t tokens) {
   std::list<std::uint64_t>::iterator at = recency.begin();
   while (kept_tokens + loose + tokens > shape.cache_tokens && at != recency.end()) {
     std::map<std::uint64_t, Kept>::iterator const kept = parts.find(*at);
@@ -93,9 +93,9 @@
       spared += part.tokens;
       pin(first, part.id);
     }
-    std::int64_t const whole = first.generation.prompt + first.made;
-    std::int64_t const missing = std::max<std::int64_t>(1, whole - spared);
-    if (!make_room(missing)) {
+    std::int64_t const total = first.generation.prompt + first.made;
+    std::int64_t const missing = std::max<std::int64_t>(1, total - spared);
+    if (!evict_for(missing)) {
       release(first);
       return;
     }
@@ -105,7 +105,7 @@
     first.progress = 0;
     first.ready = now + shape.setup;
     loose += missing;
-    tokens_spared += whole - missing;
+    tokens_spared += total - missing;
     std::list<Running>::iterator position = batch.begin();
     while (position != batch.end() && !before(first, *position)) ++position;
     batch.splice(position, queue, queue.begin());
@@ -117,13 +117,13 @@
   step_end = -1;
   if (batch.empty()) return;
   std::int64_t left = shape.chunk;
-  std::int64_t held = 0;
+  std::int64_t resident = 0;
   bool busy = false;
   Micros ready = -1;
   for (Running& running : batch) {
     running.taking = 0;
     running.decoding = running.missing == 0;
-    held += running.generation.prompt + running.made;
+    resident += running.generation.prompt + running.made;
     if (running.missing > 0 && running.ready > now) {
       if (ready < 0 || running.ready < ready) ready = running.ready;
       continue;
@@ -137,7 +137,7 @@
     return;
   }
   double const span = shape.step + shape.step_per_request * static_cast<double>(batch.size()) +
-                      shape.step_per_thousand * static_cast<double>(held) / 1000 +
+                      shape.step_per_thousand * static_cast<double>(resident) / 1000 +
                       static_cast<double>(shape.chunk - left) * 1000 / shape.tokens_per_ms;
   step_end = now + std::max<Micros>(1, static_cast<Micros>(span));
 }
@@ -209,7 +209,7 @@
     item = queue.erase(item);
   }
   // The newest of the least urgent loses its place.
-  while (!make_room(0) && batch.size() > 1) {
+  while (!evict_for(0) && batch.size() > 1) {
     std::list<Running>::iterator const last = std::prev(batch.end());
     release(*last);
     last->missing = 0;
@@ -227,4 +227,4 @@
   }
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
