--- a/testing/platform_fleet_test/engine.h
+++ b/testing/platform_fleet_test/engine.h
@@ -10,7 +10,7 @@
 
 #include "base/micros.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 struct EngineShape {
   std::int64_t slots = 8;
@@ -109,7 +109,7 @@
   void make_token(Running& running, Micros at, std::vector<Happening>& out);
   void pin(Running& running, std::uint64_t part);
   void release(Running& running);
-  bool make_room(std::int64_t tokens);
+  bool evict_for(std::int64_t tokens);
   std::int64_t lead_of(Generation const& generation) const;
 
   EngineShape const shape;
@@ -124,4 +124,4 @@
   Micros step_end = -1;
 };
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/fault_proxy.cc
+++ b/testing/platform_fleet_test/fault_proxy.cc
@@ -9,7 +9,7 @@
 #include "base/ip.h"
 #include "testing/platform_fleet_test/clock.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 constexpr Micros turn_span = millis(2);
@@ -26,8 +26,8 @@
 
 FaultRelay::~FaultRelay() {
   for (std::shared_ptr<Pair> const& pair : pairs) {
-    if (pair->near.link) pair->near.link->close();
-    if (pair->far.link) pair->far.link->close();
+    if (pair->downstream.link) pair->downstream.link->close();
+    if (pair->upstream.link) pair->upstream.link->close();
   }
 }
 
@@ -86,7 +86,7 @@
   pair->to = identify(door.ip);
   pair->port = door.port;
   pair->target = door.target;
-  pair->near.link = std::move(link);
+  pair->downstream.link = std::move(link);
   for (LinkFault const& fault : faults)
     if (fault.kind == LinkFault::Kind::swallow && (fault.port == 0 || fault.port == pair->port) &&
         now() < fault.until && fault.concerns(pair->from, pair->to) && random.chance(fault.chance))
@@ -101,63 +101,63 @@
   // A connection comes up only while both directions are open.
   if (pair->dialled || cut(pair->from, pair->to, pair->port) || cut(pair->to, pair->from, pair->port)) return;
   pair->dialled = true;
-  pair->far.link = Link::dial(pair->target, pair->source, dial_within);
-  if (!pair->far.link->open()) return drop(pair);
+  pair->upstream.link = Link::dial(pair->target, pair->source, dial_within);
+  if (!pair->upstream.link->open()) return drop(pair);
   listen(pair, false);
 }
 
-void FaultRelay::listen(std::shared_ptr<Pair> const& pair, bool near) {
+void FaultRelay::listen(std::shared_ptr<Pair> const& pair, bool downstream) {
   std::weak_ptr<Pair> const weak = pair;
-  Side& side = near ? pair->near : pair->far;
+  Side& side = downstream ? pair->downstream : pair->upstream;
   side.link->listen({[this, weak] {
                        if (std::shared_ptr<Pair> const at = weak.lock()) pump(at);
                      },
-                     [this, weak, near](std::string_view bytes) {
+                     [this, weak, downstream](std::string_view bytes) {
                        std::shared_ptr<Pair> const at = weak.lock();
-                       if (at) arrived(at, near, Piece{0, std::string(bytes), false, false});
+                       if (at) arrived(at, downstream, Chunk{0, std::string(bytes), false, false});
                      },
-                     [this, weak, near](Link::End how) {
+                     [this, weak, downstream](Link::End how) {
                        std::shared_ptr<Pair> const at = weak.lock();
-                       if (at) arrived(at, near, Piece{0, "", true, how != Link::End::closed});
+                       if (at) arrived(at, downstream, Chunk{0, "", true, how != Link::End::closed});
                      },
                      nullptr});
 }
 
 // Bytes, or the end, of one side's machine; they are queued for the other side.
-void FaultRelay::arrived(std::shared_ptr<Pair> const& pair, bool near, Piece piece) {
-  if (!near && pair->lost) {
+void FaultRelay::arrived(std::shared_ptr<Pair> const& pair, bool downstream, Chunk chunk) {
+  if (!downstream && pair->lost) {
     // The answer is lost on its way, and the caller sees nothing at all.
-    if (piece.end) pair->far.link.reset();
+    if (chunk.end) pair->upstream.link.reset();
     return;
   }
-  if (near && pair->lost && piece.end) return drop(pair);
-  carried += piece.bytes.size();
-  Side& other = near ? pair->far : pair->near;
-  std::string const& from = near ? pair->from : pair->to;
-  std::string const& to = near ? pair->to : pair->from;
-  piece.due = now() + delay(from, to, pair->port);
-  if (!other.queue.empty()) piece.due = std::max(piece.due, other.queue.back().due);
-  other.queue.push_back(std::move(piece));
+  if (downstream && pair->lost && chunk.end) return drop(pair);
+  carried += chunk.bytes.size();
+  Side& other = downstream ? pair->upstream : pair->downstream;
+  std::string const& from = downstream ? pair->from : pair->to;
+  std::string const& to = downstream ? pair->to : pair->from;
+  chunk.due = now() + delay(from, to, pair->port);
+  if (!other.queue.empty()) chunk.due = std::max(chunk.due, other.queue.back().due);
+  other.queue.push_back(std::move(chunk));
   pump(pair);
 }
 
 void FaultRelay::pump(std::shared_ptr<Pair> const& pair) {
   if (pairs.count(pair) == 0) return;
-  if (!give(pair, pair->far, pair->from, pair->to)) return;
-  give(pair, pair->near, pair->to, pair->from);
+  if (!give(pair, pair->upstream, pair->from, pair->to)) return;
+  give(pair, pair->downstream, pair->to, pair->from);
 }
 
 // Gives a side what is due for it; false once the connection is no more.
 bool FaultRelay::give(std::shared_ptr<Pair> const& pair, Side& side, std::string const& from, std::string const& to) {
   while (!side.queue.empty() && side.queue.front().due <= now() && !cut(from, to, pair->port)) {
     if (!side.link || !side.link->connected()) return true;
-    Piece const piece = std::move(side.queue.front());
+    Chunk const chunk = std::move(side.queue.front());
     side.queue.pop_front();
-    if (!piece.bytes.empty()) side.link->write(piece.bytes);
-    if (!piece.end) continue;
+    if (!chunk.bytes.empty()) side.link->write(chunk.bytes);
+    if (!chunk.end) continue;
     std::shared_ptr<Link> const link = side.link;
     link->listen({});
-    if (piece.reset)
+    if (chunk.reset)
       link->close(true);
     else
       link->finish();
@@ -169,7 +169,7 @@
 
 void FaultRelay::drop(std::shared_ptr<Pair> const& pair) {
   pairs.erase(pair);
-  for (Side* const side : {&pair->near, &pair->far}) {
+  for (Side* const side : {&pair->downstream, &pair->upstream}) {
     if (!side->link) continue;
     side->link->listen({});
     side->link->close(true);
@@ -182,8 +182,8 @@
   std::vector<std::shared_ptr<Pair>> const all(pairs.begin(), pairs.end());
   for (std::shared_ptr<Pair> const& pair : all) {
     if (!pair->dialled) dial(pair);
-    if (!pair->near.queue.empty() || !pair->far.queue.empty()) pump(pair);
+    if (!pair->downstream.queue.empty() || !pair->upstream.queue.empty()) pump(pair);
   }
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/fault_proxy.h
+++ b/testing/platform_fleet_test/fault_proxy.h
@@ -18,7 +18,7 @@
 #include "base/random.h"
 #include "net/link.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 // What happens to bytes that go from one machine to another.
 struct LinkFault {
@@ -56,7 +56,7 @@
   std::uint64_t resets = 0;
 
  private:
-  struct Piece {
+  struct Chunk {
     Micros due = 0;
     std::string bytes;
     bool end = false;    // the connection ends here
@@ -64,7 +64,7 @@
   };
   struct Side {
     std::shared_ptr<Link> link;
-    std::deque<Piece> queue;  // what this side is still to be given
+    std::deque<Chunk> queue;  // what this side is still to be given
   };
   // One connection: from the machine that dialled to the one that listens.
   struct Pair {
@@ -73,8 +73,8 @@
     unsigned port = 0;
     std::string target;
     std::string source;  // IP number that the onward connection comes from
-    Side near;           // towards the machine that dialled
-    Side far;
+    Side downstream;     // towards the machine that dialled
+    Side upstream;
     bool dialled = false;
     bool lost = false;  // its answers are swallowed
   };
@@ -85,8 +85,8 @@
     unsigned port = 0;
   };
   void take(OpenDoor const& door, std::shared_ptr<Link> link);
-  void listen(std::shared_ptr<Pair> const& pair, bool near);
-  void arrived(std::shared_ptr<Pair> const& pair, bool near, Piece piece);
+  void listen(std::shared_ptr<Pair> const& pair, bool downstream);
+  void arrived(std::shared_ptr<Pair> const& pair, bool downstream, Chunk chunk);
   // Whether bytes may go now, and how much later they come.
   bool cut(std::string const& from, std::string const& to, unsigned port) const;
   Micros delay(std::string const& from, std::string const& to, unsigned port) const;
@@ -104,4 +104,4 @@
   std::shared_ptr<bool> const alive = std::make_shared<bool>(true);
 };
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/troubles.cc
+++ b/testing/platform_fleet_test/faults.cc
@@ -1,10 +1,10 @@
-#include "testing/platform_fleet_test/troubles.h"
+#include "testing/platform_fleet_test/faults.h"
 
 #include <algorithm>
 #include <cstdlib>
 #include <iterator>
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 struct Row {
@@ -17,9 +17,9 @@
   double gap;
 };
 Row const rows[] = {
-#define TROUBLE(name, text, count, share, seconds, x, gap) {#name, text, count, share, seconds, x, gap},
-    STAGE_TROUBLES(TROUBLE)
-#undef TROUBLE
+#define FAULT(name, text, count, share, seconds, x, gap) {#name, text, count, share, seconds, x, gap},
+    PLATFORM_FLEET_FAULTS(FAULT)
+#undef FAULT
 };
 
 std::string trimmed(std::string const& text) {
@@ -33,7 +33,7 @@
   std::size_t at = 0;
   while (at <= text.size()) {
     std::size_t const end = std::min(text.find(by, at), text.size());
-    if (std::string const word = trimmed(text.substr(at, end - at)); !word.empty()) out.push_back(word);
+    if (std::string const token = trimmed(text.substr(at, end - at)); !token.empty()) out.push_back(token);
     at = end + 1;
   }
   return out;
@@ -48,19 +48,19 @@
 Micros micros(double seconds) { return static_cast<Micros>(seconds * 1e6); }
 }  // namespace
 
-bool needs_relay(Trouble::Kind kind) { return kind >= Trouble::Kind::cut; }
+bool needs_relay(Fault::Kind kind) { return kind >= Fault::Kind::cut; }
 
-char const* trouble_name(Trouble::Kind kind) { return rows[static_cast<std::size_t>(kind)].name; }
+char const* fault_name(Fault::Kind kind) { return rows[static_cast<std::size_t>(kind)].name; }
 
-std::string trouble_table() {
+std::string fault_table() {
   std::string out;
   for (Row const& row : rows)
     out += std::string("  ") + row.name + std::string(10 - std::string(row.name).size(), ' ') + row.text + "\n";
   return out;
 }
 
-Result<std::vector<Trouble>> parse_troubles(std::string const& text) {
-  std::vector<Trouble> out;
+Result<std::vector<Fault>> parse_faults(std::string const& text) {
+  std::vector<Fault> out;
   for (std::string const& item : split(text, ';')) {
     std::size_t const at = item.find('@');
     std::size_t const colon = std::min(item.find(':'), item.size());
@@ -71,8 +71,8 @@
     Row const* const row =
         std::find_if(std::begin(rows), std::end(rows), [&name](Row const& r) { return name == r.name; });
     if (row == std::end(rows)) return fail(ErrorCode::bad_settings, "there is no trouble '" + name + "'");
-    Trouble made;
-    made.kind = static_cast<Trouble::Kind>(row - rows);
+    Fault made;
+    made.kind = static_cast<Fault::Kind>(row - rows);
     made.at = micros(when);
     made.count = row->count;
     made.share = row->share;
@@ -102,8 +102,8 @@
     }
     out.push_back(made);
   }
-  std::stable_sort(out.begin(), out.end(), [](Trouble const& a, Trouble const& b) { return a.at < b.at; });
+  std::stable_sort(out.begin(), out.end(), [](Fault const& a, Fault const& b) { return a.at < b.at; });
   return out;
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/troubles.h
+++ b/testing/platform_fleet_test/faults.h
@@ -6,10 +6,10 @@
 #include "base/error.h"
 #include "base/micros.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 // name, what it does, how many (0: by share), part of those there are, seconds, factor, seconds between
-#define STAGE_TROUBLES(X)                                                                   \
+#define PLATFORM_FLEET_FAULTS(X)                                                            \
   X(kill, "nodes are killed and start again", 1, 0, 3, 0, 0)                                \
   X(term, "nodes are told to end, one after the other, and start again", 1, 0, 1, 0, 1.5)   \
   X(freeze, "nodes stand still and wake again", 1, 0, 3, 0, 0)                              \
@@ -39,11 +39,11 @@
   X(lost, "answers to operators and workers are lost", 0, 0.3, 3, 0, 0)                     \
   X(mute, "answers of workers are lost", 0, 0.1, 3, 0, 0)
 
-struct Trouble {
+struct Fault {
   enum class Kind : std::uint8_t {
-#define TROUBLE(name, text, count, share, seconds, x, gap) name,
-    STAGE_TROUBLES(TROUBLE)
-#undef TROUBLE
+#define FAULT(name, text, count, share, seconds, x, gap) name,
+    PLATFORM_FLEET_FAULTS(FAULT)
+#undef FAULT
   };
   Kind kind = Kind::kill;
   Micros at = 0;
@@ -56,9 +56,9 @@
 };
 
 // Whether it needs the relay between machines.
-bool needs_relay(Trouble::Kind kind);
-char const* trouble_name(Trouble::Kind kind);
-std::string trouble_table();
-Result<std::vector<Trouble>> parse_troubles(std::string const& text);
+bool needs_relay(Fault::Kind kind);
+char const* fault_name(Fault::Kind kind);
+std::string fault_table();
+Result<std::vector<Fault>> parse_faults(std::string const& text);
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/figures.cc
+++ b/testing/platform_fleet_test/figures.cc
@@ -9,20 +9,21 @@
 
 #include "base/json_writer.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 std::string number(double value) {
   char text[40];
-  bool const whole = std::fabs(value - std::round(value)) < 1e-9 && std::fabs(value) < 1e15;
-  std::snprintf(text, sizeof text, whole ? "%.0f" : "%.4f", value);
+  bool const is_integer = std::fabs(value - std::round(value)) < 1e-9 && std::fabs(value) < 1e15;
+  std::snprintf(text, sizeof text, is_integer ? "%.0f" : "%.4f", value);
   return text;
 }
 }  // namespace
 
 std::string Figures::print() const {
   std::string out;
-  for (std::pair<std::string, std::string> const& word : words) out += word.first + ": " + word.second + "\n";
+  for (std::pair<std::string, std::string> const& setting : settings)
+    out += setting.first + ": " + setting.second + "\n";
   for (std::pair<std::string, double> const& row : rows) {
     char text[160];
     std::snprintf(text, sizeof text, "%-42s %s\n", row.first.c_str(), number(row.second).c_str());
@@ -35,7 +36,7 @@
 std::string Figures::json() const {
   JsonWriter json;
   json.begin_object().key("words").begin_object();
-  for (std::pair<std::string, std::string> const& word : words) json.key(word.first).text(word.second);
+  for (std::pair<std::string, std::string> const& setting : settings) json.key(setting.first).text(setting.second);
   json.end_object().key("figures").begin_object();
   for (std::pair<std::string, double> const& row : rows) json.key(row.first).raw(number(row.second));
   json.end_object().key("broken").begin_list();
@@ -55,11 +56,11 @@
     double value = 0;
     if (!field.value.get_double().get(value)) out.put(std::string(field.key), value);
   }
-  simdjson::dom::object words;
-  if (!root["words"].get_object().get(words))
-    for (simdjson::dom::key_value_pair const& field : words) {
+  simdjson::dom::object settings;
+  if (!root["words"].get_object().get(settings))
+    for (simdjson::dom::key_value_pair const& field : settings) {
       std::string_view text;
-      if (!field.value.get_string().get(text)) out.words.emplace_back(std::string(field.key), std::string(text));
+      if (!field.value.get_string().get(text)) out.settings.emplace_back(std::string(field.key), std::string(text));
     }
   return out;
 }
@@ -69,11 +70,11 @@
   char text[200];
   std::map<std::string, double> right(b.rows.begin(), b.rows.end());
   std::map<std::string, double> const left(a.rows.begin(), a.rows.end());
-  std::map<std::string, std::string> const words(b.words.begin(), b.words.end());
-  for (std::pair<std::string, std::string> const& word : a.words) {
-    std::map<std::string, std::string>::const_iterator const other = words.find(word.first);
-    if (other != words.end() && other->second != word.second)
-      out += word.first + ": " + word.second + " | " + other->second + "\n";
+  std::map<std::string, std::string> const settings(b.settings.begin(), b.settings.end());
+  for (std::pair<std::string, std::string> const& setting : a.settings) {
+    std::map<std::string, std::string>::const_iterator const other = settings.find(setting.first);
+    if (other != settings.end() && other->second != setting.second)
+      out += setting.first + ": " + setting.second + " | " + other->second + "\n";
   }
   for (std::pair<std::string, double> const& row : a.rows) {
     double const other = right.count(row.first) > 0 ? right[row.first] : 0;
@@ -100,4 +101,4 @@
   return static_cast<double>(values[at]);
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/figures.h
+++ b/testing/platform_fleet_test/figures.h
@@ -7,11 +7,11 @@
 #include "base/error.h"
 #include "base/micros.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 struct Figures {
   std::vector<std::pair<std::string, double>> rows;
-  std::vector<std::pair<std::string, std::string>> words;  // shape, troubles, ...
+  std::vector<std::pair<std::string, std::string>> settings;  // shape, troubles, ...
   std::vector<std::string> broken;
   void put(std::string const& name, double value) { rows.emplace_back(name, value); }
   std::string print() const;
@@ -24,4 +24,4 @@
 // The value that this part of them does not exceed; 0 for none.
 double quantile(std::vector<Micros>& values, double part);
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/judge.cc
+++ b/testing/platform_fleet_test/judge.cc
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <sstream>
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 constexpr std::size_t details_most = 40;
@@ -20,7 +20,7 @@
 std::vector<PromiseRow> const& promise_rows() {
   static std::vector<PromiseRow> const rows = {
 #define PROMISE(name, text) {#name, text},
-      STAGE_PROMISES(PROMISE)
+      PLATFORM_FLEET_PROMISES(PROMISE)
 #undef PROMISE
   };
   return rows;
@@ -71,7 +71,7 @@
   return &attempt;
 }
 
-void Judge::ran(Attempt& attempt, std::uint64_t seal, std::string const& worker) {
+void Judge::record_run(Attempt& attempt, std::uint64_t seal, std::string const& worker) {
   attempt.seals.insert(seal);
   if (++attempt.runs > 1 && !attempt.repeatable) broken(Promise::twice, attempt.id + " at " + worker);
   if (attempt.refused && !attempt.repeatable) broken(Promise::refused_ran, attempt.id + " ran later at " + worker);
@@ -117,7 +117,7 @@
   return out;
 }
 
-void Judge::whole(Attempt const& attempt, Reading const& reading, std::string const& seal) {
+void Judge::record_complete(Attempt const& attempt, Reading const& reading, std::string const& seal) {
   if (reading.bad) return;
   std::uint64_t const run = std::strtoull(seal.c_str(), nullptr, 10);
   if (seal.empty() || attempt.seals.count(run) == 0)
@@ -129,7 +129,7 @@
                                std::to_string(reading.last) + " of " + std::to_string(attempt.events));
 }
 
-void Judge::look_at_retries(double ratio, int extra, Micros window) {
+void Judge::check_retries(double ratio, int extra, Micros window) {
   for (std::pair<std::string const, std::vector<Micros>>& item : repeat_at) {
     std::vector<Micros>& repeats_here = item.second;
     std::vector<Micros>& asked = asked_at[item.first];
@@ -147,4 +147,4 @@
   }
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/judge.h
+++ b/testing/platform_fleet_test/judge.h
@@ -9,9 +9,9 @@
 
 #include "base/micros.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
-#define STAGE_PROMISES(X)                                                              \
+#define PLATFORM_FLEET_PROMISES(X)                                                     \
   X(unasked, "a worker got a request that nobody sent so")                             \
   X(twice, "a request that may not be repeated ran more than once")                    \
   X(refused_ran, "a request was refused, and ran")                                     \
@@ -40,7 +40,7 @@
 
 enum class Promise : std::uint8_t {
 #define PROMISE(name, text) name,
-  STAGE_PROMISES(PROMISE)
+  PLATFORM_FLEET_PROMISES(PROMISE)
 #undef PROMISE
 };
 struct PromiseRow {
@@ -88,15 +88,15 @@
   // A worker got it; nullptr when nobody sent it so.
   Attempt* arrived(std::string const& id, std::string const& target, std::uint64_t body, std::string const& service,
                    std::string const& worker, Micros now);
-  void ran(Attempt& attempt, std::uint64_t seal, std::string const& worker);
+  void record_run(Attempt& attempt, std::uint64_t seal, std::string const& worker);
   // The caller got a status that promises that it has not run.
   void refused(Attempt& attempt, unsigned status);
   // The caller got bytes of a success. True for each whole event that is new.
   std::vector<std::int64_t> read(Attempt const& attempt, Reading& reading, std::string_view bytes, Micros now);
   // The caller got the whole answer, with that seal.
-  void whole(Attempt const& attempt, Reading const& reading, std::string const& seal);
+  void record_complete(Attempt const& attempt, Reading const& reading, std::string const& seal);
   // The budget of repeats, over the whole time.
-  void look_at_retries(double ratio, int extra, Micros window);
+  void check_retries(double ratio, int extra, Micros window);
 
   std::array<std::uint64_t, 32> counts{};
   std::vector<std::string> details;  // the first ones
@@ -113,4 +113,4 @@
 std::string event_text(std::string const& attempt, std::int64_t number, std::uint64_t seal, Micros made,
                        std::size_t size);
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/line.cc
+++ b/testing/platform_fleet_test/line.cc
@@ -6,7 +6,7 @@
 
 #include "testing/platform_fleet_test/clock.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 std::function<void(std::string_view)> Line::stray;
 
@@ -29,7 +29,7 @@
                        std::shared_ptr<Line> const line = weak.lock();
                        if (!line) return;
                        bool const closed = how == Link::End::closed;
-                       if (closed && line->stage == Stage::to_close) return line->finish(End::whole);
+                       if (closed && line->phase == ReadPhase::to_close) return line->finish(End::complete);
                        line->finish(how == Link::End::unreached ? End::unreached : End::cut);
                      },
                      nullptr});
@@ -58,7 +58,7 @@
   busy = true;
   ++exchanges;
   bytes_in = 0;
-  stage = Stage::head;
+  phase = ReadPhase::head;
   status = 0;
   fields.clear();
   in.clear();
@@ -86,13 +86,13 @@
 void Line::finish(End how) {
   if (timer != 0) g_source_remove(timer);
   timer = 0;
-  if (how != End::whole) keep = false;
+  if (how != End::complete) keep = false;
   if (!keep) link->close();
   if (!busy) return;
   busy = false;
-  std::function<void(End)> const say = std::move(callbacks.end);
+  std::function<void(End)> const on_end = std::move(callbacks.end);
   callbacks = {};
-  if (say) say(how);
+  if (on_end) on_end(how);
 }
 
 void Line::take(std::string_view bytes) {
@@ -146,17 +146,17 @@
   }
   std::string const connection = field("connection");
   keep = connection.find("close") == std::string::npos;
-  std::string const told = field("keep-alive");
-  std::size_t const timeout = told.find("timeout=");
-  Micros const idle = timeout == std::string::npos ? seconds(5) : seconds(std::atoll(told.c_str() + timeout + 8));
+  std::string const keep_alive = field("keep-alive");
+  std::size_t const timeout = keep_alive.find("timeout=");
+  Micros const idle = timeout == std::string::npos ? seconds(5) : seconds(std::atoll(keep_alive.c_str() + timeout + 8));
   keep_until = now() + idle - millis(200);
   if (field("transfer-encoding").find("chunked") != std::string::npos) {
-    stage = Stage::chunk_size;
+    phase = ReadPhase::chunk_size;
   } else if (fields.count("content-length") > 0) {
-    stage = Stage::length;
+    phase = ReadPhase::length;
     left = std::strtoull(field("content-length").c_str(), nullptr, 10);
   } else {
-    stage = Stage::to_close;
+    phase = ReadPhase::to_close;
     keep = false;
   }
   if (callbacks.head) callbacks.head(status);
@@ -164,26 +164,26 @@
 }
 
 bool Line::parse() {
-  switch (stage) {
-    case Stage::head:
+  switch (phase) {
+    case ReadPhase::head:
       return parse_head();
-    case Stage::length:
-    case Stage::chunk: {
+    case ReadPhase::length:
+    case ReadPhase::chunk: {
       std::size_t const n = static_cast<std::size_t>(std::min<std::uint64_t>(left, in.size()));
-      std::string const piece = in.substr(0, n);
+      std::string const part = in.substr(0, n);
       in.erase(0, n);
       left -= n;
-      if (n > 0 && callbacks.body) callbacks.body(piece);
+      if (n > 0 && callbacks.body) callbacks.body(part);
       if (!busy) return false;
       if (left > 0) return false;
-      if (stage == Stage::length) {
-        finish(End::whole);
+      if (phase == ReadPhase::length) {
+        finish(End::complete);
         return false;
       }
-      stage = Stage::chunk_end;
+      phase = ReadPhase::chunk_end;
       return true;
     }
-    case Stage::chunk_size: {
+    case ReadPhase::chunk_size: {
       std::size_t const end = in.find("\r\n");
       if (end == std::string::npos) return false;
       char* stop = nullptr;
@@ -193,33 +193,33 @@
         return false;
       }
       in.erase(0, end + 2);
-      stage = left == 0 ? Stage::trailer : Stage::chunk;
+      phase = left == 0 ? ReadPhase::trailer : ReadPhase::chunk;
       return true;
     }
-    case Stage::chunk_end:
+    case ReadPhase::chunk_end:
       if (in.size() < 2) return false;
       if (in.compare(0, 2, "\r\n") != 0) {
         finish(End::garbage);
         return false;
       }
       in.erase(0, 2);
-      stage = Stage::chunk_size;
+      phase = ReadPhase::chunk_size;
       return true;
-    case Stage::trailer: {
+    case ReadPhase::trailer: {
       std::size_t const end = in.find("\r\n");
       if (end == std::string::npos) return false;
       in.erase(0, end + 2);
       if (end > 0) return true;
-      finish(End::whole);
+      finish(End::complete);
       return false;
     }
     default: {
-      std::string const piece = std::move(in);
+      std::string const part = std::move(in);
       in.clear();
-      if (!piece.empty() && callbacks.body) callbacks.body(piece);
+      if (!part.empty() && callbacks.body) callbacks.body(part);
       return false;
     }
   }
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/line.h
+++ b/testing/platform_fleet_test/line.h
@@ -10,12 +10,12 @@
 #include "base/micros.h"
 #include "net/link.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 class Line : public std::enable_shared_from_this<Line> {
  public:
   enum class End : std::uint8_t {
-    whole,      // the answer came to its end
+    complete,   // the answer came to its end
     cut,        // the connection ended before that
     garbage,    // what came is no answer
     unreached,  // no connection came up
@@ -44,7 +44,7 @@
   static std::function<void(std::string_view)> stray;
 
  private:
-  enum class Stage : std::uint8_t { head, length, chunk_size, chunk, chunk_end, trailer, to_close };
+  enum class ReadPhase : std::uint8_t { head, length, chunk_size, chunk, chunk_end, trailer, to_close };
   void take(std::string_view bytes);
   bool parse();  // false: it ended
   bool parse_head();
@@ -59,7 +59,7 @@
   std::uint64_t exchanges = 0;
   std::uint64_t bytes_in = 0;  // of this exchange
   std::string in;
-  Stage stage = Stage::head;
+  ReadPhase phase = ReadPhase::head;
   std::uint64_t left = 0;
   unsigned status = 0;
   std::map<std::string, std::string> fields;
@@ -69,4 +69,4 @@
 std::string request_of(std::string const& method, std::string const& target, std::string const& host,
                        std::string const& fields, std::string const& body);
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/main.cc
+++ b/testing/platform_fleet_test/main.cc
@@ -1,4 +1,5 @@
-// stage: one experiment with real lodge processes among stand-ins of the users' platform, judged by what was promised.
+// platform_fleet_test: one experiment with real node processes among stand-ins of the platform, judged by its promises.
+// was promised.
 #include <unistd.h>
 
 #include <boost/program_options.hpp>
@@ -10,7 +11,7 @@
 #include "testing/common/own_folder.h"
 #include "testing/platform_fleet_test/platform_fleet.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 namespace {
 
 namespace options = boost::program_options;
@@ -20,8 +21,8 @@
   return 2;
 }
 
-int run(int count, char** words) {
-  StagePlan plan;
+int run(int count, char** arguments) {
+  PlatformFleetPlan plan;
   std::string shape = "tiny";
   std::string out;
   std::vector<std::string> pair;
@@ -31,7 +32,7 @@
   put("shape", options::value(&shape), ("what is played: " + shape_names()).c_str());
   put("seconds", options::value(&plan.seconds), "of traffic, 1 to 600");
   put("rate-scale", options::value(&plan.rate_scale), "times the shape's own rate, above 0 to 10");
-  put("troubles", options::value(&plan.troubles_text), "KIND@SECONDS:KEY=VALUE,..; ...");
+  put("troubles", options::value(&plan.faults_text), "KIND@SECONDS:KEY=VALUE,..; ...");
   put("relay", "machines reach each other through a relay that can cut, delay, reset and swallow");
   put("seed", options::value(&plan.seed), "of all chance but that of the processes");
   put("net", options::value(&plan.net), "addresses are 127.NET.x.y, 2 to 254");
@@ -41,13 +42,13 @@
   put("compare", options::value(&pair)->multitoken(), "two reports: prints where they differ");
   options::variables_map given;
   try {
-    options::store(options::command_line_parser(count, words).options(flags).positional({}).run(), given);
+    options::store(options::command_line_parser(count, arguments).options(flags).positional({}).run(), given);
     options::notify(given);
   } catch (options::error const& error) {
     return refuse(error.what());
   }
   if (given.count("help") > 0) {
-    std::cout << flags << "\nTroubles:\n" << trouble_table();
+    std::cout << flags << "\nTroubles:\n" << fault_table();
     return 0;
   }
   if (given.count("compare") > 0) {
@@ -65,27 +66,27 @@
   if (!(plan.seconds >= 1 && plan.seconds <= 600)) return refuse("--seconds: it is not from 1 to 600");
   if (!(plan.rate_scale > 0 && plan.rate_scale <= 10)) return refuse("--rate-scale: it is not above 0 and at most 10");
   if (plan.net < 2 || plan.net > 254) return refuse("--net: it is not from 2 to 254");
-  Result<std::vector<Trouble>> const troubles = parse_troubles(plan.troubles_text);
-  if (!troubles) return refuse("--troubles: " + troubles.error().why);
-  plan.troubles = troubles.value();
+  Result<std::vector<Fault>> const faults = parse_faults(plan.faults_text);
+  if (!faults) return refuse("--troubles: " + faults.error().why);
+  plan.faults = faults.value();
   plan.relayed = given.count("relay") > 0;
-  for (Trouble const& trouble : plan.troubles)
-    if (needs_relay(trouble.kind) && !plan.relayed)
-      return refuse(std::string("--troubles: '") + trouble_name(trouble.kind) + "' needs --relay");
+  for (Fault const& fault : plan.faults)
+    if (needs_relay(fault.kind) && !plan.relayed)
+      return refuse(std::string("--troubles: '") + fault_name(fault.kind) + "' needs --relay");
   if (plan.program.empty()) plan.program = own_folder() + "/pipitspool-node";
   if (::access(plan.program.c_str(), X_OK) != 0) return refuse("--node-program: '" + plan.program + "' cannot be run");
   if (plan.folder.empty()) plan.folder = own_folder() + "/platform-fleet-" + std::to_string(plan.net);
   std::error_code wrong;
   plan.folder = std::filesystem::absolute(plan.folder, wrong).string();
   // Only a folder that an earlier experiment marked as its own is drained.
-  std::string const mark = plan.folder + "/of-platform-fleet";
-  if (std::filesystem::exists(plan.folder, wrong) && !std::filesystem::exists(mark, wrong) &&
+  std::string const marker = plan.folder + "/of-platform-fleet";
+  if (std::filesystem::exists(plan.folder, wrong) && !std::filesystem::exists(marker, wrong) &&
       !std::filesystem::is_empty(plan.folder, wrong))
     return refuse("--folder: '" + plan.folder + "' holds something that is no experiment");
   std::filesystem::remove_all(plan.folder, wrong);
   std::filesystem::create_directories(plan.folder, wrong);
-  if (!std::ofstream(mark)) return refuse("--folder: '" + plan.folder + "' cannot be written");
-  std::unique_ptr<Stage> const stage = std::make_unique<Stage>(plan);
+  if (!std::ofstream(marker)) return refuse("--folder: '" + plan.folder + "' cannot be written");
+  std::unique_ptr<PlatformFleet> const stage = std::make_unique<PlatformFleet>(plan);
   bool const done = stage->run();
   Figures const figures = stage->figures();
   std::cout << figures.print() << std::flush;
@@ -98,6 +99,6 @@
 }
 
 }  // namespace
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
 
-int main(int count, char** words) { return pipit::stage::run(count, words); }
+int main(int count, char** arguments) { return pipit::platform_fleet::run(count, arguments); }
--- a/testing/platform_fleet_test/nodes.cc
+++ b/testing/platform_fleet_test/nodes.cc
@@ -23,7 +23,7 @@
 #include "base/hash.h"
 #include "testing/platform_fleet_test/clock.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 constexpr Micros touch = seconds(3);
@@ -41,7 +41,7 @@
   for (bool const core : {true, false})
     for (Zone const& zone : shape.zones)
       for (int i = 0; i < (core ? zone.core_nodes : zone.plain_nodes); ++i) add(zone.name, core, seeds++ < 3);
-  look_fd = ::socket(AF_NETLINK, SOCK_DGRAM | SOCK_CLOEXEC, NETLINK_SOCK_DIAG);
+  diagnostics_fd = ::socket(AF_NETLINK, SOCK_DGRAM | SOCK_CLOEXEC, NETLINK_SOCK_DIAG);
 }
 
 Node& Nodes::add(std::string const& zone, bool core, bool seed) {
@@ -74,7 +74,7 @@
       ::kill(node->pid, SIGKILL);
       ::waitpid(node->pid, nullptr, 0);
     }
-  if (look_fd >= 0) ::close(look_fd);
+  if (diagnostics_fd >= 0) ::close(diagnostics_fd);
 }
 
 void Nodes::settings(Node const& node, bool first) const {
@@ -127,7 +127,7 @@
   node.frozen = false;
   node.leaving = false;
   node.cpu = 0;
-  node.last_trouble = now();
+  node.last_fault = now();
 }
 
 void Nodes::start_all() {
@@ -188,12 +188,12 @@
 }
 
 void Nodes::troubled(Node& node, Micros until) {
-  node.last_trouble = now();
+  node.last_fault = now();
   node.troubled_until = std::max(node.troubled_until, until);
   unplanned(until);
 }
 
-void Nodes::look_at_metrics(std::function<void()> done) {
+void Nodes::check_metrics(std::function<void()> done) {
   std::shared_ptr<std::size_t> const open = std::make_shared<std::size_t>(1);
   std::function<void()> const one_less = [open, done] {
     if (--*open == 0) done();
@@ -224,20 +224,20 @@
   one_less();
 }
 
-void Nodes::look_at_logs() {
+void Nodes::check_logs() {
   for (std::unique_ptr<Node> const& node : all) {
     std::ifstream file(node->log);
     std::string line;
-    int told = 0;
+    int reported = 0;
     while (std::getline(file, line))
-      if (line.find(" E910 ") != std::string::npos && ++told <= 3)
+      if (line.find(" E910 ") != std::string::npos && ++reported <= 3)
         judge.broken(Promise::invariant, node->name + ": " + line.substr(0, 300));
   }
 }
 
 void Nodes::kill(Node& node, Micros back_after) {
   if (node.pid <= 0 || node.leaving) return;
-  node.last_trouble = now();
+  node.last_fault = now();
   unplanned(now() + back_after);
   node.leaving = true;
   back[node.pid] = now() + back_after;
@@ -247,7 +247,7 @@
 
 void Nodes::term(Node& node, Micros back_after) {
   if (node.pid <= 0 || node.leaving) return;
-  node.last_trouble = node.told_to_end = now();
+  node.last_fault = node.termination_requested_at = now();
   node.leaving = true;
   pid_t const pid = node.pid;
   back[pid] = back_after < 0 ? -1 : now() + back_after;
@@ -255,14 +255,14 @@
   Node* const at = &node;
   after(grace, [this, at, pid] {
     if (at->pid != pid) return;
-    at->last_trouble = now();
+    at->last_fault = now();
     ::kill(pid, SIGKILL);
   });
 }
 
 void Nodes::freeze(Node& node, Micros span) {
   if (node.pid <= 0 || node.leaving || node.frozen) return;
-  node.last_trouble = now();
+  node.last_fault = now();
   unplanned(now() + span);
   node.frozen = true;
   pid_t const pid = node.pid;
@@ -270,7 +270,7 @@
   Node* const at = &node;
   after(span, [at, pid] {
     if (at->pid != pid) return;
-    at->last_trouble = now();
+    at->last_fault = now();
     at->frozen = false;
     ::kill(pid, SIGCONT);
   });
@@ -285,7 +285,7 @@
   }
 }
 
-bool Nodes::all_gone() const {
+bool Nodes::all_ended() const {
   for (std::unique_ptr<Node> const& node : all)
     if (node->pid > 0) return false;
   return true;
@@ -317,7 +317,7 @@
     if (plan.relay != nullptr) plan.relay->shut(node->ip);
     node->cpu_ended += node->cpu;
     node->cpu = 0;
-    node->last_trouble = now();
+    node->last_fault = now();
     if (ending || again < 0) continue;
     after(std::max(restart_delay, again - now()), [this, node] {
       if (!ending && node->pid == 0) start(*node, false);
@@ -333,10 +333,10 @@
   Line::Callbacks callbacks;
   std::shared_ptr<unsigned> const status = std::make_shared<unsigned>(0);
   callbacks.head = [status](unsigned code) { *status = code; };
-  Micros const told = node.leaving ? node.told_to_end : -1;
-  callbacks.end = [this, at, status, began, told](Line::End end) {
-    bool const yes = end == Line::End::whole && *status == 200;
-    if (yes && told >= 0 && began - told > heed_most) judge.broken(Promise::ready_ending, at->name);
+  Micros const reported = node.leaving ? node.termination_requested_at : -1;
+  callbacks.end = [this, at, status, began, reported](Line::End end) {
+    bool const yes = end == Line::End::complete && *status == 200;
+    if (yes && reported >= 0 && began - reported > heed_most) judge.broken(Promise::ready_ending, at->name);
     if (!ending && at->was_ready && in_touch(*at, began) && in_touch(*at, now())) {
       ++polls;
       if (!yes) ++polls_unready;
@@ -387,22 +387,23 @@
 }
 
 bool Nodes::in_touch(Node const& node, Micros at) const {
-  if (at - last_held_up < touch) return false;
-  if (node.pid <= 0 || node.frozen || node.leaving || at - node.last_trouble < touch) return false;
+  if (at - last_loop_delay < touch) return false;
+  if (node.pid <= 0 || node.frozen || node.leaving || at - node.last_fault < touch) return false;
   if (at - node.troubled_until < touch) return false;
   for (std::unique_ptr<Node> const& item : all)
     if (item->core && !item->removed && at - item->troubled_until < touch) return false;
   for (std::unique_ptr<Node> const& item : all)
     if (item->core && !item->removed &&
-        (item->frozen || item->pid <= 0 || item->leaving || at - item->last_trouble < touch))
+        (item->frozen || item->pid <= 0 || item->leaving || at - item->last_fault < touch))
       return false;
   return true;
 }
 
 bool Nodes::planned_end(Node const& node, Micros sent, Micros at) const {
   // Behind half of the grace a worker that is still at work excuses the node.
-  return node.told_to_end >= 0 && at >= node.told_to_end && at < node.told_to_end + grace / 2 &&
-         sent - last_unplanned > touch && sent - last_held_up > touch && at - last_held_up > touch;
+  return node.termination_requested_at >= 0 && at >= node.termination_requested_at &&
+         at < node.termination_requested_at + grace / 2 && sent - last_unplanned > touch &&
+         sent - last_loop_delay > touch && at - last_loop_delay > touch;
 }
 
 bool Nodes::calm(Micros at) const {
@@ -418,11 +419,11 @@
   std::getline(file, line);
   std::size_t const from = line.rfind(')');
   if (from == std::string::npos) return node.cpu;
-  std::stringstream words(line.substr(from + 2));
-  std::string word;
+  std::stringstream fields(line.substr(from + 2));
+  std::string argument;
   double ticks = 0;
-  for (int field = 3; words >> word && field <= 15; ++field)
-    if (field >= 14) ticks += std::atof(word.c_str());
+  for (int field = 3; fields >> argument && field <= 15; ++field)
+    if (field >= 14) ticks += std::atof(argument.c_str());
   return ticks / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 
@@ -442,7 +443,7 @@
 // The kernel tells, of every connection on this machine, how many bytes its peer has acknowledged. Those of
 // connections that end between two looks are partly missed.
 void Nodes::count_mesh() {
-  if (look_fd < 0) return;
+  if (diagnostics_fd < 0) return;
   struct {
     nlmsghdr head;
     inet_diag_req_v2 ask;
@@ -455,11 +456,11 @@
   request.ask.sdiag_protocol = IPPROTO_TCP;
   request.ask.idiag_ext = 1 << (INET_DIAG_INFO - 1);
   request.ask.idiag_states = 1 << 1;  // established
-  if (::send(look_fd, &request, sizeof request, 0) < 0) return;
+  if (::send(diagnostics_fd, &request, sizeof request, 0) < 0) return;
   std::map<std::string, std::uint64_t> fresh;
   static char buffer[1 << 17];
   for (bool more = true; more;) {
-    ssize_t const size = ::recv(look_fd, buffer, sizeof buffer, 0);
+    ssize_t const size = ::recv(diagnostics_fd, buffer, sizeof buffer, 0);
     if (size <= 0) return;
     std::size_t left = static_cast<std::size_t>(size);
     for (nlmsghdr* head = reinterpret_cast<nlmsghdr*>(buffer); NLMSG_OK(head, left); head = NLMSG_NEXT(head, left)) {
@@ -468,9 +469,9 @@
         break;
       }
       inet_diag_msg const& item = *static_cast<inet_diag_msg*>(NLMSG_DATA(head));
-      unsigned const near = ntohs(item.id.idiag_sport);
-      unsigned const far = ntohs(item.id.idiag_dport);
-      if (near != mesh_port && far != mesh_port) continue;
+      unsigned const local_port = ntohs(item.id.idiag_sport);
+      unsigned const remote_port = ntohs(item.id.idiag_dport);
+      if (local_port != mesh_port && remote_port != mesh_port) continue;
       char a[INET_ADDRSTRLEN];
       char b[INET_ADDRSTRLEN];
       inet_ntop(AF_INET, item.id.idiag_src, a, sizeof a);
@@ -478,9 +479,9 @@
       std::map<std::string, std::string>::const_iterator const from = zone_of.find(a);
       std::map<std::string, std::string>::const_iterator const to = zone_of.find(b);
       if (from == zone_of.end() || to == zone_of.end()) continue;
-      std::size_t room = head->nlmsg_len - NLMSG_LENGTH(sizeof item);
-      for (rtattr* part = reinterpret_cast<rtattr*>(const_cast<inet_diag_msg*>(&item) + 1); RTA_OK(part, room);
-           part = RTA_NEXT(part, room)) {
+      std::size_t remaining = head->nlmsg_len - NLMSG_LENGTH(sizeof item);
+      for (rtattr* part = reinterpret_cast<rtattr*>(const_cast<inet_diag_msg*>(&item) + 1); RTA_OK(part, remaining);
+           part = RTA_NEXT(part, remaining)) {
         if (part->rta_type != INET_DIAG_INFO) continue;
         tcp_info info;
         std::memset(&info, 0, sizeof info);
@@ -498,4 +499,4 @@
   acked = std::move(fresh);
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/nodes.h
+++ b/testing/platform_fleet_test/nodes.h
@@ -16,7 +16,7 @@
 #include "testing/platform_fleet_test/line.h"
 #include "testing/platform_fleet_test/shapes.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 struct Node {
   std::string name;
@@ -30,9 +30,9 @@
   pid_t pid = 0;
   bool frozen = false;
   bool leaving = false;  // it was told to end
-  Micros last_trouble = 0;
+  Micros last_fault = 0;
   Micros troubled_until = 0;
-  Micros told_to_end = -1;
+  Micros termination_requested_at = -1;
   // As the platform sees its readiness.
   int misses = 2;
   bool in = false;
@@ -81,19 +81,19 @@
   // The public address of a node's address.
   std::string public_address(std::string const& address) const;
   // The first lines of its logs that tell of a violated invariant.
-  void look_at_logs();
+  void check_logs();
   // The same of the metrics of those that run; 'done' once all have answered, or could not.
-  void look_at_metrics(std::function<void()> done);
+  void check_metrics(std::function<void()> done);
   // Told to end, and ended at last; true once none is there any more.
   void end_all();
-  bool all_gone() const;
+  bool all_ended() const;
   bool all_ready() const;
 
   Node* by_ip(std::string const& ip);
   // Where a new connection of that client goes; nullptr when no node is there at all.
   Node* pick(std::string const& zone, std::uint64_t client, int turn);
-  // This machine, and with it the stage, stood still: for a while nobody is judged by the clock.
-  void held_up(Micros now) { last_held_up = now; }
+  // This machine, and with it the experiment, stood still: for a while nobody is judged by the clock.
+  void loop_delayed(Micros now) { last_loop_delay = now; }
   // Something that nobody planned happens until then.
   void unplanned(Micros until) { last_unplanned = std::max(last_unplanned, until); }
   // That a request sent then ends now is due to nothing but the planned end of its node.
@@ -133,10 +133,10 @@
   std::deque<std::shared_ptr<Line>> metric_lines;
   std::map<std::string, std::string> public_of;  // by private IP number
   Micros next_sample = 0;
-  Micros last_held_up = -seconds(3600);
+  Micros last_loop_delay = -seconds(3600);
   Micros last_unplanned = -seconds(3600);
   std::map<std::string, std::uint64_t> acked;  // of a connection's end, at the last look
-  int look_fd = -1;
+  int diagnostics_fd = -1;
 };
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/operators.cc
+++ b/testing/platform_fleet_test/operators.cc
@@ -10,7 +10,7 @@
 #include "testing/platform_fleet_test/clock.h"
 #include "testing/platform_fleet_test/workers.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 constexpr Micros in_force_within = seconds(2);
@@ -77,7 +77,7 @@
     if (std::shared_ptr<Call> const at = weak.lock()) at->answer.append(bytes);
   };
   callbacks.end = [this, call](Line::End how) {
-    if (how != Line::End::whole) {
+    if (how != Line::End::complete) {
       if (how != Line::End::unreached) call->unclear = true;
       return move(call);
     }
@@ -218,7 +218,7 @@
   callbacks.body = [got](std::string_view bytes) { got->append(bytes); };
   std::string const name = node.name;
   callbacks.end = [this, status, got, name, sent_at](Line::End how) {
-    if (how != Line::End::whole || *status != 200) return;
+    if (how != Line::End::complete || *status != 200) return;
     ++tally.readings;
     std::size_t const at = got->find("\"version\":");
     std::uint64_t const version = at == std::string::npos ? 0 : std::strtoull(got->c_str() + at + 10, nullptr, 10);
@@ -243,14 +243,14 @@
   check(configuration, before);
 }
 
-void Operators::change(int tries, std::function<void()> done) {
+void Operators::change(int attempt_count, std::function<void()> done) {
   Configuration const base = in_force;
   std::string const drop = oldest_idle(base);
   Configuration const made = changed(base, ++last_idle, drop);
   sent[made.version].push_back(made);
   if (!drop.empty()) {
-    IdleRoute& gone = idle_routes[std::atoi(drop.c_str() + 6)];
-    if (gone.removal_sent < 0) gone.removal_sent = now();
+    IdleRoute& dropped = idle_routes[std::atoi(drop.c_str() + 6)];
+    if (dropped.removal_sent < 0) dropped.removal_sent = now();
   }
   bool const amend = random.chance(0.5);
   std::string body = made.text();
@@ -279,7 +279,7 @@
     });
   call(amend ? "POST /Configuration.Amend" : "POST /Configuration.Replace",
        "X-Based-On-Version: " + std::to_string(base.version) + "\r\nContent-Type: application/json\r\n", body,
-       [this, made, began, tries, done, answered](unsigned status, std::string const&) {
+       [this, made, began, attempt_count, done, answered](unsigned status, std::string const&) {
          *answered = status != 0;
          if (status == 200) {
            acknowledged(made, began);
@@ -292,8 +292,8 @@
            ++tally.conflicts;
            refused.insert(canonical(made.text()));
          }
-         adopt([this, tries, done] {
-           if (tries > 0) return change(tries - 1, done);
+         adopt([this, attempt_count, done] {
+           if (attempt_count > 0) return change(attempt_count - 1, done);
            done();
          });
        });
@@ -413,15 +413,15 @@
        });
 }
 
-void Operators::perform(Trouble const& trouble) {
-  int const many = trouble.kind == Trouble::Kind::storm
-                       ? std::max(1, static_cast<int>(trouble.span / std::max<Micros>(1000, trouble.gap)))
-                       : std::max(1, trouble.count);
+void Operators::perform(Fault const& fault) {
+  int const many = fault.kind == Fault::Kind::storm
+                       ? std::max(1, static_cast<int>(fault.span / std::max<Micros>(1000, fault.gap)))
+                       : std::max(1, fault.count);
   for (int i = 0; i < std::min(many, 100); ++i)
-    after(trouble.gap * i, [this, i, kind = trouble.kind] {
+    after(fault.gap * i, [this, i, kind = fault.kind] {
       task([this, i, kind](std::function<void()> done) {
-        if (kind == Trouble::Kind::race) return race(done);
-        if (kind == Trouble::Kind::bad) return invalid(i, done);
+        if (kind == Fault::Kind::race) return race(done);
+        if (kind == Fault::Kind::bad) return invalid(i, done);
         change(2, done);
       });
     });
@@ -488,8 +488,9 @@
   };
   std::weak_ptr<Line> const weak = line;
   callbacks.end = [this, status, kept, reading, where, number, wanted, at, weak](Line::End how) {
-    if (how == Line::End::whole && *status == 200)
-      if (std::shared_ptr<Line> const own = weak.lock()) judge.whole(*kept, *reading, own->field("x-server-seal"));
+    if (how == Line::End::complete && *status == 200)
+      if (std::shared_ptr<Line> const own = weak.lock())
+        judge.record_complete(*kept, *reading, own->field("x-server-seal"));
     if (!nodes.in_touch(*where, at) || !nodes.in_touch(*where, now())) return;
     std::map<int, IdleRoute>::const_iterator const route = idle_routes.find(number);
     if (wanted && *status == 404 && route != idle_routes.end() && route->second.removal_sent < 0)
@@ -524,4 +525,4 @@
   });
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/operators.h
+++ b/testing/platform_fleet_test/operators.h
@@ -14,9 +14,9 @@
 #include "testing/platform_fleet_test/line.h"
 #include "testing/platform_fleet_test/nodes.h"
 #include "testing/platform_fleet_test/shapes.h"
-#include "testing/platform_fleet_test/troubles.h"
+#include "testing/platform_fleet_test/faults.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 struct OperatorsTally {
   std::uint64_t changes = 0;
@@ -38,7 +38,7 @@
   // The first configuration, sent until it is taken.
   void begin();
   bool begun() const { return in_force.version > 0; }
-  void perform(Trouble const& trouble);
+  void perform(Fault const& fault);
   // Readings at any node, until they are stopped.
   void read_all_the_time();
   void stop_reading() { reading_stopped = true; }
@@ -88,7 +88,7 @@
   void send(std::shared_ptr<Call> const& call, std::string const& address);
   void move(std::shared_ptr<Call> const& call);
   Configuration changed(Configuration const& from, int number, std::string const& drop);
-  void change(int tries, std::function<void()> done);
+  void change(int attempt_count, std::function<void()> done);
   void race(std::function<void()> done);
   void invalid(int which, std::function<void()> done);
   void acknowledged(Configuration const& configuration, Micros sent);
@@ -120,4 +120,4 @@
   bool reading_stopped = false;
 };
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/platform_fleet.cc
+++ b/testing/platform_fleet_test/platform_fleet.cc
@@ -12,12 +12,12 @@
 #include "testing/platform_fleet_test/clock.h"
 #include "testing/platform_fleet_test/worker_parts.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 constexpr Micros lag_tick = millis(5);
-constexpr Micros lag_most = millis(150);  // above it the stage itself is no fair judge of time
-constexpr std::size_t trouble_most = 200;
+constexpr Micros lag_most = millis(150);  // above it the experiment itself is no fair judge of time
+constexpr std::size_t max_faults = 200;
 constexpr Micros recovery_within = seconds(12);
 constexpr double recovered_least = 0.25;
 
@@ -29,7 +29,7 @@
 }
 }  // namespace
 
-Stage::Stage(StagePlan plan_)
+PlatformFleet::PlatformFleet(PlatformFleetPlan plan_)
     : plan(std::move(plan_)),
       random(plan.seed),
       relay(plan.relayed ? std::make_unique<FaultRelay>(random.next(),
@@ -48,10 +48,10 @@
   };
 }
 
-Stage::~Stage() { Line::stray = nullptr; }
+PlatformFleet::~PlatformFleet() { Line::stray = nullptr; }
 
 // Runs the loop until it holds, or for so long at most.
-bool Stage::until(Micros most, std::function<bool()> yes) {
+bool PlatformFleet::until(Micros most, std::function<bool()> yes) {
   Micros const end = now() + most;
   while (!interrupted && now() < end) {
     if (yes()) return true;
@@ -60,12 +60,12 @@
   return !interrupted && yes();
 }
 
-bool Stage::run() {
+bool PlatformFleet::run() {
   for (int const signal : {SIGINT, SIGTERM})
     g_unix_signal_add(
         signal,
         [](gpointer data) -> gboolean {
-          static_cast<Stage*>(data)->interrupted = true;
+          static_cast<PlatformFleet*>(data)->interrupted = true;
           return TRUE;
         },
         this);
@@ -78,22 +78,22 @@
     Micros const at = now();
     Micros const late = std::max<Micros>(0, at - last_turn - lag_tick);
     lags.push_back(late);
-    if (late > lag_most) nodes.held_up(at);
+    if (late > lag_most) nodes.loop_delayed(at);
     last_turn = at;
     return true;
   });
   bool const up = until(seconds(20), [this] { return nodes.all_ready() && operators.begun(); });
   ready_after = static_cast<double>(now() - launched) / 1000;
   if (!up) return false;
-  // Troubles count from here on, and what the start unsettled has settled.
+  // Faults count from here on, and what the start unsettled has settled.
   until(std::max<Micros>(0, seconds(4) - (now() - launched)), [] { return false; });
   nodes.polls = nodes.polls_unready = 0;
   lags.clear();
   callers.begin();
   operators.read_all_the_time();
   std::size_t many = 0;
-  for (Trouble const& trouble : plan.troubles)
-    if (++many <= trouble_most) after(trouble.at, [this, trouble] { perform(trouble); });
+  for (Fault const& fault : plan.faults)
+    if (++many <= max_faults) after(fault.at, [this, fault] { perform(fault); });
   until(static_cast<Micros>(plan.seconds * 1e6), [] { return false; });
   callers.stop();
   if (interrupted) return false;  // what was cut short is not judged
@@ -106,35 +106,34 @@
   operators.read_back(seconds(3), [&read] { read = true; });
   if (!until(seconds(16), [&read] { return read; })) judge.broken(Promise::config_lost, "reading back never ended");
   operators.stop_reading();
-  bool told = false;
-  nodes.look_at_metrics([&told] { told = true; });
-  until(seconds(3), [&told] { return told; });
+  bool metrics_checked = false;
+  nodes.check_metrics([&metrics_checked] { metrics_checked = true; });
+  until(seconds(3), [&metrics_checked] { return metrics_checked; });
   nodes.sample();
   workers.quiet();
   nodes.end_all();
-  until(seconds(10), [this] { return nodes.all_gone(); });
+  until(seconds(10), [this] { return nodes.all_ended(); });
   std::uint64_t served = 0;
   for (ClassTally const& item : callers.tally.classes) served += item.within_target + item.late;
   if (served == 0) judge.broken(Promise::unserved, "no request was served");
-  nodes.look_at_logs();
-  look_at_failures();
-  look_at_recovery();
-  judge.look_at_retries(plan.shape.retry_ratio, plan.shape.extra_retries, seconds(10));
+  nodes.check_logs();
+  check_failures();
+  check_recovery();
+  judge.check_retries(plan.shape.retry_ratio, plan.shape.extra_retries, seconds(10));
   return !interrupted;
 }
 
-std::vector<Node*> Stage::some(Trouble const& trouble) {
+std::vector<Node*> PlatformFleet::some(Fault const& fault) {
   std::vector<Node*> up;
   for (std::unique_ptr<Node> const& node : nodes.all) {
     if (node->pid <= 0 || node->leaving || node->frozen || node->removed) continue;
-    if (trouble.on == "core" && !node->core) continue;
-    if (trouble.on == "plain" && node->core) continue;
-    if (trouble.on == "seed" && !node->seed) continue;
+    if (fault.on == "core" && !node->core) continue;
+    if (fault.on == "plain" && node->core) continue;
+    if (fault.on == "seed" && !node->seed) continue;
     up.push_back(node.get());
   }
-  std::size_t want = trouble.count > 0
-                         ? static_cast<std::size_t>(trouble.count)
-                         : static_cast<std::size_t>(trouble.share * static_cast<double>(up.size()) + 0.999);
+  std::size_t want = fault.count > 0 ? static_cast<std::size_t>(fault.count)
+                                     : static_cast<std::size_t>(fault.share * static_cast<double>(up.size()) + 0.999);
   std::vector<Node*> out;
   while (want-- > 0 && !up.empty()) {
     std::size_t const i = random.below(up.size());
@@ -144,70 +143,70 @@
   return out;
 }
 
-void Stage::perform(Trouble const& trouble) {
-  switch (trouble.kind) {
-    case Trouble::Kind::kill:
-    case Trouble::Kind::restart:
-      for (Node* const node : some(trouble)) nodes.kill(*node, trouble.span);
+void PlatformFleet::perform(Fault const& fault) {
+  switch (fault.kind) {
+    case Fault::Kind::kill:
+    case Fault::Kind::restart:
+      for (Node* const node : some(fault)) nodes.kill(*node, fault.span);
       return;
-    case Trouble::Kind::term: {
+    case Fault::Kind::term: {
       Micros when = 0;
-      for (Node* const node : some(trouble)) {
-        after(when, [this, node, trouble] { nodes.term(*node, trouble.span); });
-        when += trouble.gap;
+      for (Node* const node : some(fault)) {
+        after(when, [this, node, fault] { nodes.term(*node, fault.span); });
+        when += fault.gap;
       }
       return;
     }
-    case Trouble::Kind::freeze:
-      for (Node* const node : some(trouble)) nodes.freeze(*node, trouble.span);
+    case Fault::Kind::freeze:
+      for (Node* const node : some(fault)) nodes.freeze(*node, fault.span);
       return;
-    case Trouble::Kind::crash:
-      nodes.unplanned(now() + trouble.span);
-      return workers.crash(trouble);
-    case Trouble::Kind::dark:
-      nodes.unplanned(now() + trouble.span);
-      return workers.dark(trouble);
-    case Trouble::Kind::farewell:
-    case Trouble::Kind::release:
-      return workers.release(trouble);
-    case Trouble::Kind::surplus:
-    case Trouble::Kind::garble:
-      nodes.unplanned(now() + trouble.span);
-      return workers.lie(trouble);
-    case Trouble::Kind::reload:
-      for (Node* const node : some(trouble)) nodes.reload(*node);
+    case Fault::Kind::crash:
+      nodes.unplanned(now() + fault.span);
+      return workers.crash(fault);
+    case Fault::Kind::dark:
+      nodes.unplanned(now() + fault.span);
+      return workers.silence(fault);
+    case Fault::Kind::farewell:
+    case Fault::Kind::release:
+      return workers.release(fault);
+    case Fault::Kind::surplus:
+    case Fault::Kind::garble:
+      nodes.unplanned(now() + fault.span);
+      return workers.lie(fault);
+    case Fault::Kind::reload:
+      for (Node* const node : some(fault)) nodes.reload(*node);
       return;
-    case Trouble::Kind::wipe:
-      for (Node* const node : some(trouble)) nodes.wipe(*node, trouble.span);
+    case Fault::Kind::wipe:
+      for (Node* const node : some(fault)) nodes.wipe(*node, fault.span);
       return;
-    case Trouble::Kind::replace:
-      for (Node* const node : some(trouble)) nodes.replace(*node, trouble.span);
+    case Fault::Kind::replace:
+      for (Node* const node : some(fault)) nodes.replace(*node, fault.span);
       return;
-    case Trouble::Kind::blackout:
-      return blackout(trouble);
-    case Trouble::Kind::rude:
-      return rude.come(trouble.count, trouble.gap);
-    case Trouble::Kind::cut:
-    case Trouble::Kind::deaf:
-    case Trouble::Kind::halves:
-    case Trouble::Kind::delay:
-    case Trouble::Kind::reset:
-    case Trouble::Kind::lost:
-    case Trouble::Kind::mute:
-      return perform_on_links(trouble);
-    case Trouble::Kind::burst:
-    case Trouble::Kind::hot:
-      return callers.perform(trouble);
+    case Fault::Kind::blackout:
+      return blackout(fault);
+    case Fault::Kind::rude:
+      return rude.come(fault.count, fault.gap);
+    case Fault::Kind::cut:
+    case Fault::Kind::deaf:
+    case Fault::Kind::halves:
+    case Fault::Kind::delay:
+    case Fault::Kind::reset:
+    case Fault::Kind::lost:
+    case Fault::Kind::mute:
+      return perform_on_links(fault);
+    case Fault::Kind::burst:
+    case Fault::Kind::hot:
+      return callers.perform(fault);
     default:
-      return operators.perform(trouble);
+      return operators.perform(fault);
   }
 }
 
 // All are killed at one moment, and come back in any order; some of those with a disk come back without it.
-void Stage::blackout(Trouble const& trouble) {
-  int disks = static_cast<int>(trouble.x);
-  for (Node* const node : some(trouble)) {
-    Micros const back = trouble.span + static_cast<Micros>(random.below(300000));
+void PlatformFleet::blackout(Fault const& fault) {
+  int disks = static_cast<int>(fault.x);
+  for (Node* const node : some(fault)) {
+    Micros const back = fault.span + static_cast<Micros>(random.below(300000));
     if (node->core && disks-- > 0)
       nodes.wipe(*node, back);
     else
@@ -215,72 +214,72 @@
   }
 }
 
-void Stage::perform_on_links(Trouble const& trouble) {
+void PlatformFleet::perform_on_links(Fault const& fault) {
   if (!relay) return;
   std::set<std::string> chosen;
-  std::vector<Node*> const some_nodes = some(trouble);
+  std::vector<Node*> const some_nodes = some(fault);
   std::size_t const half = some_nodes.size() / 2;
   for (std::size_t n = 0; n < some_nodes.size(); ++n)
-    if (trouble.kind != Trouble::Kind::halves || n < half) chosen.insert(some_nodes[n]->ip);
+    if (fault.kind != Fault::Kind::halves || n < half) chosen.insert(some_nodes[n]->ip);
   std::set<std::string> core;
   for (std::unique_ptr<Node> const& node : nodes.all)
     if (node->core) core.insert(node->ip);
-  Micros const until = now() + trouble.span;
-  bool const other_way = trouble.x > 0;
+  Micros const until = now() + fault.span;
+  bool const other_way = fault.x > 0;
   // Whoever is cut off from one of the core is not in touch, and lost answers hold up anybody.
-  bool const all_troubled = trouble.kind == Trouble::Kind::lost || trouble.kind == Trouble::Kind::mute ||
-                            trouble.kind == Trouble::Kind::delay || trouble.kind == Trouble::Kind::reset;
+  bool const all_troubled = fault.kind == Fault::Kind::lost || fault.kind == Fault::Kind::mute ||
+                            fault.kind == Fault::Kind::delay || fault.kind == Fault::Kind::reset;
   for (std::unique_ptr<Node> const& node : nodes.all) {
-    bool const halved = trouble.kind == Trouble::Kind::halves && node->core;
+    bool const halved = fault.kind == Fault::Kind::halves && node->core;
     if (all_troubled || halved || chosen.count(node->ip) > 0) nodes.troubled(*node, until);
   }
-  LinkFault fault;
-  fault.until = until;
+  LinkFault link_fault;
+  link_fault.until = until;
   std::function<bool(std::string const&)> const is_node = [this](std::string const& ip) {
     return nodes.by_ip(ip) != nullptr;
   };
-  switch (trouble.kind) {
-    case Trouble::Kind::cut:
-      fault.concerns = [chosen, is_node, other_way](std::string const& from, std::string const& to) {
-        bool const apart = (chosen.count(from) > 0) != (chosen.count(to) > 0);
+  switch (fault.kind) {
+    case Fault::Kind::cut:
+      link_fault.concerns = [chosen, is_node, other_way](std::string const& from, std::string const& to) {
+        bool const separated = (chosen.count(from) > 0) != (chosen.count(to) > 0);
         bool const workers_too = other_way && from.compare(0, 4, "127.") == 0;
-        if (is_node(from) && is_node(to)) return apart;
+        if (is_node(from) && is_node(to)) return separated;
         // Callers and operators reach them all the same.
-        return workers_too && apart && (worker_ip(from) || worker_ip(to));
+        return workers_too && separated && (worker_ip(from) || worker_ip(to));
       };
-      return relay->begin(fault);
-    case Trouble::Kind::deaf:
-      fault.concerns = [chosen, is_node, other_way](std::string const& from, std::string const& to) {
+      return relay->begin(link_fault);
+    case Fault::Kind::deaf:
+      link_fault.concerns = [chosen, is_node, other_way](std::string const& from, std::string const& to) {
         std::string const& deaf = other_way ? from : to;
         std::string const& other = other_way ? to : from;
         return is_node(from) && is_node(to) && chosen.count(deaf) > 0 && chosen.count(other) == 0;
       };
-      return relay->begin(fault);
-    case Trouble::Kind::halves:
-      fault.concerns = [chosen, core](std::string const& from, std::string const& to) {
+      return relay->begin(link_fault);
+    case Fault::Kind::halves:
+      link_fault.concerns = [chosen, core](std::string const& from, std::string const& to) {
         return core.count(from) > 0 && core.count(to) > 0 && (chosen.count(from) > 0) != (chosen.count(to) > 0);
       };
-      return relay->begin(fault);
-    case Trouble::Kind::delay:
-      fault.kind = LinkFault::Kind::delay;
-      fault.span = static_cast<Micros>(trouble.x * 1e6);
-      fault.concerns = [is_node](std::string const& from, std::string const& to) {
+      return relay->begin(link_fault);
+    case Fault::Kind::delay:
+      link_fault.kind = LinkFault::Kind::delay;
+      link_fault.span = static_cast<Micros>(fault.x * 1e6);
+      link_fault.concerns = [is_node](std::string const& from, std::string const& to) {
         return is_node(from) && is_node(to);
       };
-      return relay->begin(fault);
-    case Trouble::Kind::lost:
-    case Trouble::Kind::mute:
-      fault.kind = LinkFault::Kind::swallow;
-      fault.chance = trouble.share;
-      fault.port = trouble.kind == Trouble::Kind::lost ? control_port : worker_port;
-      fault.concerns = [](std::string const&, std::string const&) { return true; };
-      return relay->begin(fault);
+      return relay->begin(link_fault);
+    case Fault::Kind::lost:
+    case Fault::Kind::mute:
+      link_fault.kind = LinkFault::Kind::swallow;
+      link_fault.chance = fault.share;
+      link_fault.port = fault.kind == Fault::Kind::lost ? control_port : worker_port;
+      link_fault.concerns = [](std::string const&, std::string const&) { return true; };
+      return relay->begin(link_fault);
     default:
-      return relay->reset([](std::string const&, std::string const&) { return true; }, trouble.share);
+      return relay->reset([](std::string const&, std::string const&) { return true; }, fault.share);
   }
 }
 
-void Stage::look_at_failures() {
+void PlatformFleet::check_failures() {
   std::map<std::string, std::string> logs;
   for (std::unique_ptr<Node> const& node : nodes.all) {
     std::ifstream file(node->log);
@@ -294,11 +293,11 @@
       judge.broken(Promise::unexplained, item.attempt + " at " + item.node);
 }
 
-// Of what was sent in the last seconds of the experiment at least a quarter is served, where all troubles were over
+// Of what was sent in the last seconds of the experiment at least a quarter is served, where all faults were over
 // long before.
-void Stage::look_at_recovery() {
+void PlatformFleet::check_recovery() {
   Micros last = 0;
-  for (Trouble const& trouble : plan.troubles) last = std::max(last, trouble.at + trouble.span);
+  for (Fault const& fault : plan.faults) last = std::max(last, fault.at + fault.span);
   Micros const length = static_cast<Micros>(plan.seconds * 1e6);
   if (last + recovery_within + seconds(2) > length) return;
   std::optional<double> const share = callers.served_since(last + recovery_within);
@@ -306,51 +305,48 @@
     judge.broken(Promise::unrecovered, std::to_string(*share) + " of the requests long after the last trouble");
 }
 
-Figures Stage::figures() {
-  Figures out;
-  char text[64];
-  out.words.emplace_back("shape", plan.shape.name);
-  std::snprintf(text, sizeof text, "%g", plan.seconds);
-  out.words.emplace_back("seconds", text);
-  std::snprintf(text, sizeof text, "%g", plan.rate_scale);
-  out.words.emplace_back("rate-scale", text);
-  out.words.emplace_back("troubles", plan.troubles_text);
-  out.words.emplace_back("seed", std::to_string(plan.seed));
-  CallersTally& c = callers.tally;
+// What the answers were worth to their callers, over all and at the worst.
+void PlatformFleet::report_value(Figures& out) {
+  CallersTally& calls = callers.tally;
   double earned = 0;
-  double owed = 0;
+  double value_due = 0;
   std::uint64_t asked = 0;
   std::uint64_t unserved = 0;
   double worst_class = 1;
-  for (ClassTally const& item : c.classes) {
+  for (ClassTally const& item : calls.classes) {
     earned += item.earned;
-    owed += item.owed;
+    value_due += item.value_due;
     asked += item.asked;
     unserved += item.unserved;
-    if (item.owed > 0) worst_class = std::min(worst_class, item.earned / item.owed);
+    if (item.value_due > 0) worst_class = std::min(worst_class, item.earned / item.value_due);
   }
   std::vector<double> windows;
   std::vector<double> zones;
-  for (std::pair<std::int64_t const, std::pair<double, double>> const& item : c.windows)
+  for (std::pair<std::int64_t const, std::pair<double, double>> const& item : calls.windows)
     if (item.second.second > 0) windows.push_back(item.second.first / item.second.second);
-  for (std::pair<std::string const, std::pair<double, double>> const& item : c.zones)
+  for (std::pair<std::string const, std::pair<double, double>> const& item : calls.zones)
     if (item.second.second > 0) zones.push_back(item.second.first / item.second.second);
   std::sort(windows.begin(), windows.end());
-  out.put("worth", owed > 0 ? earned / owed : 0);
+  out.put("worth", value_due > 0 ? earned / value_due : 0);
   out.put("worth of the two worst windows", windows.size() < 2 ? 0 : (windows[0] + windows[1]) / 2);
   out.put("worth of the worst class", worst_class);
   out.put("worth of the worst zone", zones.empty() ? 0 : *std::min_element(zones.begin(), zones.end()));
   out.put("requests", static_cast<double>(asked));
   out.put("requests unserved", static_cast<double>(unserved));
+}
+
+// When first events came, by class and over all, and how late events were passed on.
+void PlatformFleet::report_latency(Figures& out) {
+  CallersTally& calls = callers.tally;
   std::vector<Micros> all;
-  for (std::size_t of = 0; of < c.classes.size(); ++of) {
-    ClassTally& item = c.classes[of];
+  for (std::size_t of = 0; of < calls.classes.size(); ++of) {
+    ClassTally& item = calls.classes[of];
     std::string const name = plan.shape.classes[of].name;
     out.put(name + " requests", static_cast<double>(item.asked));
     out.put(name + " in aim", static_cast<double>(item.within_target));
     out.put(name + " late", static_cast<double>(item.late));
     out.put(name + " unserved", static_cast<double>(item.unserved));
-    out.put(name + " worth", item.owed > 0 ? item.earned / item.owed : 0);
+    out.put(name + " worth", item.value_due > 0 ? item.earned / item.value_due : 0);
     out.put(name + " first event p50 ms", quantile(item.first, 0.5) / 1000);
     out.put(name + " first event p95 ms", quantile(item.first, 0.95) / 1000);
     out.put(name + " first event p99 ms", quantile(item.first, 0.99) / 1000);
@@ -364,52 +360,72 @@
   out.put("events passed on later than 120 ms",
           static_cast<double>(
               std::count_if(judge.passing.begin(), judge.passing.end(), [](Micros t) { return t > millis(120); })));
-  out.put("attempts", static_cast<double>(c.attempts));
-  out.put("attempts that are further tries", static_cast<double>(c.retries));
-  out.put("attempts that resume", static_cast<double>(c.resumes));
-  out.put("requests given up by their caller", static_cast<double>(c.gave_up));
-  for (std::pair<std::string const, std::uint64_t> const& item : c.answers)
+}
+
+// How often callers asked, and what they were answered.
+void PlatformFleet::report_attempts(Figures& out) {
+  CallersTally& calls = callers.tally;
+  out.put("attempts", static_cast<double>(calls.attempts));
+  out.put("attempts that are further tries", static_cast<double>(calls.retries));
+  out.put("attempts that resume", static_cast<double>(calls.resumes));
+  out.put("requests given up by their caller", static_cast<double>(calls.gave_up));
+  for (std::pair<std::string const, std::uint64_t> const& item : calls.answers)
     out.put("answer: " + item.first, static_cast<double>(item.second));
-  WorkersTally const w = workers.tally();
-  out.put("arrivals at workers", static_cast<double>(w.arrivals));
+}
+
+// What reached the workers, and what it cost.
+void PlatformFleet::report_workers(Figures& out) {
+  CallersTally& calls = callers.tally;
+  WorkersTally const work = workers.tally();
+  out.put("arrivals at workers", static_cast<double>(work.arrivals));
   out.put("repeats at workers", static_cast<double>(judge.repeats));
-  out.put("declined by full workers", static_cast<double>(w.declined));
-  out.put("declined, another worker was meant", static_cast<double>(w.elsewhere));
-  out.put("broken off while at work", static_cast<double>(w.broken_off));
-  out.put("probes", static_cast<double>(w.probes));
-  out.put("connections to workers", static_cast<double>(w.connections));
-  out.put("connections to workers reset over the limit", static_cast<double>(w.over_limit));
-  out.put("connections of callers", static_cast<double>(c.dialled));
-  out.put("prompt tokens read", static_cast<double>(w.tokens_read));
-  out.put("prompt tokens spared", static_cast<double>(w.tokens_spared));
-  out.put("prompt tokens of parts read again", static_cast<double>(w.tokens_again));
-  out.put("part of tokens read again",
-          w.tokens_read > 0 ? static_cast<double>(w.tokens_again) / static_cast<double>(w.tokens_read) : 0);
-  out.put("requests put back for memory", static_cast<double>(w.put_back));
-  out.put("worker bytes", static_cast<double>(w.bytes));
-  out.put("worker bytes across zones", static_cast<double>(w.bytes_across));
+  out.put("declined by full workers", static_cast<double>(work.declined));
+  out.put("declined, another worker was meant", static_cast<double>(work.elsewhere));
+  out.put("broken off while at work", static_cast<double>(work.broken_off));
+  out.put("probes", static_cast<double>(work.probes));
+  out.put("connections to workers", static_cast<double>(work.connections));
+  out.put("connections to workers reset over the limit", static_cast<double>(work.over_limit));
+  out.put("connections of callers", static_cast<double>(calls.dialled));
+  out.put("prompt tokens read", static_cast<double>(work.tokens_read));
+  out.put("prompt tokens spared", static_cast<double>(work.tokens_spared));
+  out.put("prompt tokens of parts read again", static_cast<double>(work.recomputed_tokens));
+  out.put(
+      "part of tokens read again",
+      work.tokens_read > 0 ? static_cast<double>(work.recomputed_tokens) / static_cast<double>(work.tokens_read) : 0);
+  out.put("requests put back for memory", static_cast<double>(work.put_back));
+  out.put("worker bytes", static_cast<double>(work.bytes));
+  out.put("worker bytes across zones", static_cast<double>(work.bytes_across));
   out.put("mesh bytes", static_cast<double>(nodes.mesh_bytes));
   out.put("mesh bytes across zones", static_cast<double>(nodes.mesh_bytes_across));
-  out.put("bytes across zones", static_cast<double>(w.bytes_across + nodes.mesh_bytes_across));
-  OperatorsTally& o = operators.tally;
-  out.put("configurations acknowledged", static_cast<double>(o.acknowledged));
-  out.put("configuration changes", static_cast<double>(o.changes));
-  out.put("configuration conflicts", static_cast<double>(o.conflicts));
-  out.put("configurations unclear", static_cast<double>(o.unclear));
-  out.put("configuration races", static_cast<double>(o.races));
-  out.put("configurations invalid", static_cast<double>(o.invalid));
-  out.put("configuration checks at nodes", static_cast<double>(o.checks));
+  out.put("bytes across zones", static_cast<double>(work.bytes_across + nodes.mesh_bytes_across));
+}
+
+// What operators asked for and were answered, and what was read to check it.
+void PlatformFleet::report_configuration(Figures& out) {
+  OperatorsTally& changes = operators.tally;
+  out.put("configurations acknowledged", static_cast<double>(changes.acknowledged));
+  out.put("configuration changes", static_cast<double>(changes.changes));
+  out.put("configuration conflicts", static_cast<double>(changes.conflicts));
+  out.put("configurations unclear", static_cast<double>(changes.unclear));
+  out.put("configuration races", static_cast<double>(changes.races));
+  out.put("configurations invalid", static_cast<double>(changes.invalid));
+  out.put("configuration checks at nodes", static_cast<double>(changes.checks));
   out.put("metrics read", static_cast<double>(nodes.metrics_read));
-  out.put("configuration readings at any node", static_cast<double>(o.readings));
+  out.put("configuration readings at any node", static_cast<double>(changes.readings));
   out.put("failed requests looked for in logs", static_cast<double>(callers.failed.size()));
   if (relay) {
     out.put("bytes through the relay", static_cast<double>(relay->carried));
     out.put("answers swallowed", static_cast<double>(relay->swallowed));
     out.put("connections reset", static_cast<double>(relay->resets));
   }
-  out.put("configuration acknowledged p50 ms", quantile(o.acks, 0.5) / 1000);
-  out.put("configuration acknowledged most ms", quantile(o.acks, 1) / 1000);
-  out.put("workers that left unacknowledged", static_cast<double>(w.leaves_unacknowledged));
+  out.put("configuration acknowledged p50 ms", quantile(changes.acks, 0.5) / 1000);
+  out.put("configuration acknowledged most ms", quantile(changes.acks, 1) / 1000);
+}
+
+// Readiness, processor time and memory of the nodes.
+void PlatformFleet::report_nodes(Figures& out) {
+  WorkersTally const work = workers.tally();
+  out.put("workers that left unacknowledged", static_cast<double>(work.unacknowledged_leaves));
   out.put("readiness polls in calm", static_cast<double>(nodes.polls));
   out.put("readiness polls in calm, not ready", static_cast<double>(nodes.polls_unready));
   double cpu = 0;
@@ -422,17 +438,45 @@
   out.put("node processor seconds", cpu);
   out.put("node memory most MB", memory);
   out.put("ready after ms", ready_after);
+}
+
+// How busy the experiment itself was: above its bound it judges no time.
+void PlatformFleet::report_own_load(Figures& out) {
   rusage own;
   getrusage(RUSAGE_SELF, &own);
   out.put("stage processor seconds", static_cast<double>(own.ru_utime.tv_sec + own.ru_stime.tv_sec));
   out.put("stage loop late p99 ms", quantile(lags, 0.99) / 1000);
   out.put("stage loop late most ms", quantile(lags, 1) / 1000);
+}
+
+// What was broken of what was promised.
+void PlatformFleet::report_promises(Figures& out) {
   for (std::size_t i = 0; i < promise_rows().size(); ++i)
     if (judge.counts[i] > 0)
       out.put(std::string("broken promise ") + promise_rows()[i].name, static_cast<double>(judge.counts[i]));
   out.put("broken promises", static_cast<double>(judge.total()));
   out.broken = judge.details;
+}
+
+Figures PlatformFleet::figures() {
+  Figures out;
+  char text[64];
+  out.settings.emplace_back("shape", plan.shape.name);
+  std::snprintf(text, sizeof text, "%g", plan.seconds);
+  out.settings.emplace_back("seconds", text);
+  std::snprintf(text, sizeof text, "%g", plan.rate_scale);
+  out.settings.emplace_back("rate-scale", text);
+  out.settings.emplace_back("troubles", plan.faults_text);
+  out.settings.emplace_back("seed", std::to_string(plan.seed));
+  report_value(out);
+  report_latency(out);
+  report_attempts(out);
+  report_workers(out);
+  report_configuration(out);
+  report_nodes(out);
+  report_own_load(out);
+  report_promises(out);
   return out;
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/platform_fleet.h
+++ b/testing/platform_fleet_test/platform_fleet.h
@@ -1,4 +1,4 @@
-// One experiment from its start to its report: processes, stand-ins, troubles and the judge put together.
+// One experiment from its start to its report: processes, stand-ins, faults and the judge put together.
 #pragma once
 #include <memory>
 #include <string>
@@ -11,25 +11,25 @@
 #include "testing/platform_fleet_test/rude_clients.h"
 #include "testing/platform_fleet_test/workers.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
-struct StagePlan {
+struct PlatformFleetPlan {
   Shape shape;
   double seconds = 20;
   double rate_scale = 1;
-  std::string troubles_text;
-  std::vector<Trouble> troubles;
+  std::string faults_text;
+  std::vector<Fault> faults;
   std::uint64_t seed = 1;
   int net = 60;
   bool relayed = false;  // all machines reach each other through a relay that can fail
   std::string folder;
-  std::string program;  // lodge
+  std::string program;  // of the nodes
 };
 
-class Stage {
+class PlatformFleet {
  public:
-  explicit Stage(StagePlan plan_);
-  ~Stage();
+  explicit PlatformFleet(PlatformFleetPlan plan_);
+  ~PlatformFleet();
   // False when the system did not come up.
   bool run();
   Figures figures();
@@ -37,15 +37,23 @@
 
  private:
   bool until(Micros most, std::function<bool()> yes);
-  void perform(Trouble const& trouble);
-  std::vector<Node*> some(Trouble const& trouble);
-  void perform_on_links(Trouble const& trouble);
-  void blackout(Trouble const& trouble);
+  void perform(Fault const& fault);
+  std::vector<Node*> some(Fault const& fault);
+  void perform_on_links(Fault const& fault);
+  void blackout(Fault const& fault);
   // Every failed request at a node that was in touch stands in that node's log.
-  void look_at_failures();
-  void look_at_recovery();
+  void check_failures();
+  void check_recovery();
+  void report_value(Figures& out);
+  void report_latency(Figures& out);
+  void report_attempts(Figures& out);
+  void report_workers(Figures& out);
+  void report_configuration(Figures& out);
+  void report_nodes(Figures& out);
+  void report_own_load(Figures& out);
+  void report_promises(Figures& out);
 
-  StagePlan const plan;
+  PlatformFleetPlan const plan;
   RandomSource random;
   std::unique_ptr<FaultRelay> relay;
   Nodes nodes;
@@ -53,10 +61,10 @@
   Callers callers;
   Operators operators;
   RudeClients rude;
-  std::vector<Micros> lags;  // by how much the stage's own loop came late
+  std::vector<Micros> lags;  // by how much the loop of the experiment itself came late
   Micros last_turn = 0;
   double ready_after = 0;
   bool interrupted = false;
 };
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/rude_clients.cc
+++ b/testing/platform_fleet_test/rude_clients.cc
@@ -2,7 +2,7 @@
 
 #include "testing/platform_fleet_test/clock.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 constexpr std::size_t links_most = 60;
@@ -14,7 +14,7 @@
 }
 
 // Nothing of it may reach a worker: what is whole goes to a path that no route has.
-std::string RudeClients::words() {
+std::string RudeClients::random_text() {
   std::string const head = "POST /nowhere/ HTTP/1.1\r\nHost: rude.example\r\n";
   switch (random.below(7)) {
     case 0:
@@ -35,23 +35,23 @@
 }
 
 void RudeClients::one() {
-  ++came;
+  ++connected;
   Node& node = nodes.any(random);
-  std::string const from = "127." + std::to_string(net) + ".4." + std::to_string(1 + came % 200);
+  std::string const from = "127." + std::to_string(net) + ".4." + std::to_string(1 + connected % 200);
   std::shared_ptr<Link> const link = Link::dial(node.front(), from, seconds(1));
   links.push_back(link);
   if (links.size() > links_most) links.pop_front();
-  std::string const text = words();
-  bool const leaves = random.chance(0.5);
+  std::string const text = random_text();
+  bool const disconnects = random.chance(0.5);
   bool const resets = random.chance(0.5);
   std::weak_ptr<Link> const weak = link;
-  link->listen({[weak, text, leaves, resets] {
+  link->listen({[weak, text, disconnects, resets] {
                   std::shared_ptr<Link> const at = weak.lock();
                   if (!at) return;
                   at->write(text);
-                  if (leaves) at->close(resets);
+                  if (disconnects) at->close(resets);
                 },
                 nullptr, nullptr, nullptr});
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/rude_clients.h
+++ b/testing/platform_fleet_test/rude_clients.h
@@ -9,18 +9,18 @@
 #include "net/link.h"
 #include "testing/platform_fleet_test/nodes.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 class RudeClients {
  public:
   RudeClients(Nodes& nodes_, int net_, std::uint64_t seed) : nodes(nodes_), net(net_), random(seed) {}
   // So many, one after the other.
   void come(int count, Micros gap);
-  std::uint64_t came = 0;
+  std::uint64_t connected = 0;
 
  private:
   void one();
-  std::string words();
+  std::string random_text();
 
   Nodes& nodes;
   int const net;
@@ -28,4 +28,4 @@
   std::deque<std::shared_ptr<Link>> links;
 };
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/schedule.cc
+++ b/testing/platform_fleet_test/schedule.cc
@@ -7,7 +7,7 @@
 #include "base/hash.h"
 #include "base/random.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 constexpr double first_at = 0.5;
@@ -66,9 +66,9 @@
   return text;
 }
 
-void fill(std::string& text, std::string const& word, double value) {
-  std::size_t const at = text.find(word);
-  if (at != std::string::npos) text.replace(at, word.size(), figure(value));
+void fill(std::string& text, std::string const& token, double value) {
+  std::size_t const at = text.find(token);
+  if (at != std::string::npos) text.replace(at, token.size(), figure(value));
 }
 
 double between(RandomSource& random, double least, double most) {
@@ -99,4 +99,4 @@
   return out;
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/schedule.h
+++ b/testing/platform_fleet_test/schedule.h
@@ -3,10 +3,10 @@
 #include <cstdint>
 #include <string>
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
-// In the notation of troubles.h. All troubles are over 'calm' seconds before the end, so that recovery can be judged;
+// In the notation of faults.h. All faults are over 'calm' seconds before the end, so that recovery can be judged;
 // no more disks are lost than one.
 std::string soak_schedule(std::uint64_t seed, double seconds, double calm);
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/shapes.cc
+++ b/testing/platform_fleet_test/shapes.cc
@@ -1,11 +1,11 @@
 #include "testing/platform_fleet_test/shapes.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 
 RequestClass long_class(std::string name, Micros latency_target, Micros deadline, double events, std::size_t things,
-                        std::size_t openings, double late_worth, double per_second) {
+                        std::size_t openings, double late_value, double per_second) {
   RequestClass out;
   out.name = std::move(name);
   out.host = "long.example";
@@ -13,8 +13,8 @@
   out.latency_target = latency_target;
   out.deadline = deadline;
   out.gap = millis(300);
-  out.worth = 2;
-  out.late_worth = late_worth;
+  out.value = 2;
+  out.late_value = late_value;
   out.priority = 1;
   out.max_attempts = 1;
   out.body_bytes = 12000;
@@ -26,7 +26,7 @@
 }
 
 RequestClass short_class(std::string name, Micros latency_target, double events, std::size_t things,
-                         std::size_t openings, double late_worth, double per_second) {
+                         std::size_t openings, double late_value, double per_second) {
   RequestClass out;
   out.name = std::move(name);
   out.host = "short.example";
@@ -35,8 +35,8 @@
   out.latency_target = latency_target;
   out.deadline = millis(3000);
   out.gap = millis(300);
-  out.worth = 3;
-  out.late_worth = late_worth;
+  out.value = 3;
+  out.late_value = late_value;
   out.priority = 0;
   out.max_attempts = 2;
   out.body_bytes = 2400;
@@ -125,4 +125,4 @@
   return out;
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/shapes.h
+++ b/testing/platform_fleet_test/shapes.h
@@ -6,7 +6,7 @@
 #include "base/micros.h"
 #include "testing/platform_fleet_test/engine.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 // A figure with a mean and a spread (standard deviation over mean), log-normal, never above its most.
 struct Spread {
@@ -30,8 +30,8 @@
   Micros latency_target = 0;
   Micros deadline = 0;
   Micros gap = 0;
-  double worth = 1;
-  double late_worth = 0;
+  double value = 1;
+  double late_value = 0;
   int priority = 0;
   int max_attempts = 1;
   int retries = 1;
@@ -72,4 +72,4 @@
 Shape const* shape_of(std::string const& name);
 std::string shape_names();
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/worker_troubles.cc
+++ b/testing/platform_fleet_test/worker_faults.cc
@@ -3,20 +3,20 @@
 #include "testing/platform_fleet_test/clock.h"
 #include "testing/platform_fleet_test/worker_parts.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 constexpr Micros address_reuse = seconds(2);
 }  // namespace
 
 // Some workers that stand, of the service that gets the traffic.
-std::vector<Workers::Worker*> Workers::some(Trouble const& trouble) {
+std::vector<Workers::Worker*> Workers::some(Fault const& fault) {
   std::vector<Worker*> up;
   for (std::unique_ptr<Worker> const& worker : all)
-    if (worker->state == State::up && !worker->is_dark && worker->service == shape.service) up.push_back(worker.get());
-  std::size_t want = trouble.count > 0
-                         ? static_cast<std::size_t>(trouble.count)
-                         : static_cast<std::size_t>(trouble.share * static_cast<double>(up.size()) + 0.999);
+    if (worker->state == State::up && !worker->is_silent && worker->service == shape.service)
+      up.push_back(worker.get());
+  std::size_t want = fault.count > 0 ? static_cast<std::size_t>(fault.count)
+                                     : static_cast<std::size_t>(fault.share * static_cast<double>(up.size()) + 0.999);
   std::vector<Worker*> out;
   while (want-- > 0 && !up.empty()) {
     std::size_t const i = random.below(up.size());
@@ -35,25 +35,25 @@
   });
 }
 
-void Workers::crash(Trouble const& trouble) {
-  for (Worker* const worker : some(trouble)) {
+void Workers::crash(Fault const& fault) {
+  for (Worker* const worker : some(fault)) {
     end(*worker, true);
     reuse(worker->ip, worker->zone);
-    if (trouble.on == "lost") continue;
+    if (fault.on == "lost") continue;
     std::string const zone = worker->zone;
-    after(trouble.span, [this, zone] {
+    after(fault.span, [this, zone] {
       if (!over) open(zone, shape.service, next_ip());
     });
   }
 }
 
-void Workers::dark(Trouble const& trouble) {
-  for (Worker* const worker : some(trouble)) {
-    worker->is_dark = true;
+void Workers::silence(Fault const& fault) {
+  for (Worker* const worker : some(fault)) {
+    worker->is_silent = true;
     for (std::pair<Conn* const, std::shared_ptr<Conn>> const& conn : worker->conns) conn.second->link->hold(true);
     if (worker->watch != 0) g_source_remove(worker->watch);
     worker->watch = 0;
-    after(trouble.span, [this, worker] {
+    after(fault.span, [this, worker] {
       // What it had under way is lost; it comes back as another, at its old address.
       std::string const ip = worker->ip;
       std::string const zone = worker->zone;
@@ -63,13 +63,13 @@
   }
 }
 
-void Workers::release(Trouble const& trouble) {
+void Workers::release(Fault const& fault) {
   Micros when = 0;
-  for (Worker* const worker : some(trouble)) {
-    after(when, [this, worker, trouble] {
+  for (Worker* const worker : some(fault)) {
+    after(when, [this, worker, fault] {
       if (worker->state != State::up || over) return;
-      if (trouble.x > 0)
-        say_farewell(*worker, 0);
+      if (fault.x > 0)
+        announce_leave(*worker, 0);
       else
         drain(*worker);
       std::string const zone = worker->zone;
@@ -82,16 +82,16 @@
         if (worker->state == State::ended) reuse(ip, zone);
       });
     });
-    when += trouble.gap;
+    when += fault.gap;
   }
 }
 
-void Workers::lie(Trouble const& trouble) {
-  for (Worker* const worker : some(trouble)) {
-    worker->lie = trouble.kind == Trouble::Kind::surplus ? Lie::surplus : Lie::garble;
-    worker->lie_chance = trouble.x;
-    worker->lie_until = now() + trouble.span;
+void Workers::lie(Fault const& fault) {
+  for (Worker* const worker : some(fault)) {
+    worker->lie = fault.kind == Fault::Kind::surplus ? Lie::surplus : Lie::garble;
+    worker->lie_chance = fault.x;
+    worker->lie_until = now() + fault.span;
   }
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/worker_beats.cc
+++ b/testing/platform_fleet_test/worker_heartbeats.cc
@@ -8,7 +8,7 @@
 #include "testing/platform_fleet_test/clock.h"
 #include "testing/platform_fleet_test/worker_parts.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 constexpr Micros linger = millis(1500);
@@ -22,7 +22,7 @@
   callbacks.head = [status](unsigned code) { *status = code; };
   callbacks.body = [got](std::string_view bytes) { got->append(bytes); };
   callbacks.end = [status, got, done](Line::End how) {
-    done(how == Line::End::whole && *status >= 200 && *status < 300 && got->size() <= 4096, *got);
+    done(how == Line::End::complete && *status >= 200 && *status < 300 && got->size() <= 4096, *got);
   };
   worker.line = Line::dial(address, worker.ip, millis(1000));
   worker.line->ask(request_of("POST", target, address, "Content-Type: application/json\r\nConnection: close\r\n", body),
@@ -32,7 +32,7 @@
 void Workers::heartbeat(Worker& worker, int moves) {
   // After its farewell it says nothing more.
   bool const said_farewell = worker.state == State::draining && worker.drain_said < 0;
-  if (over || worker.state == State::ended || worker.is_dark || said_farewell) return;
+  if (over || worker.state == State::ended || worker.is_silent || said_farewell) return;
   std::string const address = !worker.heartbeat_at.empty() ? worker.heartbeat_at : any_node(worker);
   bool const leaving = worker.state == State::draining;
   JsonWriter json;
@@ -83,13 +83,13 @@
   Worker* const at = &worker;
   after(unheard_end, [this, at] {
     if (at->drain_heard >= 0 || at->state == State::ended) return;
-    ++count.leaves_unacknowledged;
+    ++count.unacknowledged_leaves;
     end(*at, false);
   });
 }
 
 // Says farewell at once, and serves on as long as after a word that it drains.
-void Workers::say_farewell(Worker& worker, int moves) {
+void Workers::announce_leave(Worker& worker, int moves) {
   if (worker.state != State::up) return;
   std::string const address = !worker.heartbeat_at.empty() ? worker.heartbeat_at : any_node(worker);
   Worker* const at = &worker;
@@ -98,8 +98,8 @@
          if (!good) {
            at->heartbeat_at.clear();
            ++at->next_node;
-           if (moves < 6) return say_farewell(*at, moves + 1);
-           ++count.leaves_unacknowledged;
+           if (moves < 6) return announce_leave(*at, moves + 1);
+           ++count.unacknowledged_leaves;
            return end(*at, false);
          }
          at->state = State::draining;
@@ -147,4 +147,4 @@
   for (std::pair<Conn* const, std::shared_ptr<Conn>> const& conn : conns) conn.second->link->close(reset);
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/worker_parts.h
+++ b/testing/platform_fleet_test/worker_parts.h
@@ -2,7 +2,7 @@
 #pragma once
 #include "testing/platform_fleet_test/workers.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 constexpr unsigned worker_port = 9000;
 constexpr Micros drain_span = seconds(2);   // between a drain that is acknowledged and the end
@@ -39,7 +39,7 @@
   std::string zone;
   std::string service;
   State state = State::up;
-  bool is_dark = false;
+  bool is_silent = false;
   Engine engine;
   int door = -1;
   unsigned watch = 0;
@@ -58,4 +58,4 @@
   std::deque<std::pair<Micros, std::string>> reports;
 };
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/worker_requests.cc
+++ b/testing/platform_fleet_test/worker_requests.cc
@@ -8,7 +8,7 @@
 #include "testing/platform_fleet_test/clock.h"
 #include "testing/platform_fleet_test/worker_parts.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 constexpr std::size_t event_bytes = 60;
@@ -77,7 +77,7 @@
   generation.out = attempt->events * shape.engine.stride;
   if (generation.events >= attempt->events) {
     // Only the end was lost: there is nothing more to say.
-    judge.ran(*attempt, generation.id, worker.id);
+    judge.record_run(*attempt, generation.id, worker.id);
     return answer(
         worker, conn, 200,
         "Content-Type: text/event-stream\r\n" + carried + "X-Server-Seal: " + std::to_string(generation.id) + "\r\n",
@@ -104,7 +104,7 @@
 
 void Workers::happened(Worker& worker, Happening const& item) {
   if (item.what == Happening::What::read) {
-    if (!read_before.insert(item.id).second) count.tokens_again += item.number;
+    if (!read_before.insert(item.id).second) count.recomputed_tokens += item.number;
     return;
   }
   std::map<std::uint64_t, Job>::iterator const position = worker.jobs.find(item.id);
@@ -116,7 +116,7 @@
   switch (item.what) {
     case Happening::What::began:
       job.began = true;
-      judge.ran(*job.attempt, job.id, worker.id);
+      judge.record_run(*job.attempt, job.id, worker.id);
       return;
     case Happening::What::event: {
       std::string out;
@@ -174,7 +174,7 @@
       bool const headed = job.headed;
       job.attempt->worker_broke = true;
       std::string const seal = "X-Server-Seal: " + std::to_string(job.id) + "\r\n";
-      if (!job.began) judge.ran(*job.attempt, job.id, worker.id);
+      if (!job.began) judge.record_run(*job.attempt, job.id, worker.id);
       worker.jobs.erase(position);
       if (!headed) return answer(worker, conn, 504, carried + seal, "");
       conn.job = 0;  // its end is the worker's own
@@ -188,7 +188,7 @@
   static std::vector<Happening> happenings;
   for (std::size_t i = 0; i < all.size(); ++i) {
     Worker& worker = *all[i];
-    if (worker.state == State::ended || worker.is_dark || worker.engine.next() < 0 || worker.engine.next() > at)
+    if (worker.state == State::ended || worker.is_silent || worker.engine.next() < 0 || worker.engine.next() > at)
       continue;
     happenings.clear();
     worker.engine.advance(at, happenings);
@@ -196,4 +196,4 @@
   }
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/workers.cc
+++ b/testing/platform_fleet_test/workers.cc
@@ -14,7 +14,7 @@
 #include "base/json_writer.h"
 #include "testing/platform_fleet_test/clock.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 constexpr Micros tick = millis(2);
@@ -114,7 +114,7 @@
       json.key("cache_total").number(shape.engine.cache_tokens).key("open_handles").number(0).end_object();
       worker.reports.emplace_back(at, json.take());
       while (worker.reports.size() > 1 && worker.reports[1].first <= at - shape.report_lag) worker.reports.pop_front();
-      if (worker.is_dark) continue;
+      if (worker.is_silent) continue;
       std::vector<Conn*> idle;
       for (std::pair<Conn* const, std::shared_ptr<Conn>> const& conn : worker.conns)
         if (!conn.second->busy && at - conn.second->since > idle_most) idle.push_back(conn.first);
@@ -271,4 +271,4 @@
   keep->link->finish();
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/workers.h
+++ b/testing/platform_fleet_test/workers.h
@@ -14,9 +14,9 @@
 #include "testing/platform_fleet_test/line.h"
 #include "testing/platform_fleet_test/nodes.h"
 #include "testing/platform_fleet_test/shapes.h"
-#include "testing/platform_fleet_test/troubles.h"
+#include "testing/platform_fleet_test/faults.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 constexpr char other_service[] = "other-lm";  // serves the routes that come and go
 
@@ -32,9 +32,9 @@
   std::uint64_t broken_off = 0;  // left by their caller while the worker was at work
   std::int64_t tokens_read = 0;
   std::int64_t tokens_spared = 0;
-  std::int64_t tokens_again = 0;  // of parts that some worker had read before
+  std::int64_t recomputed_tokens = 0;  // of parts that some worker had read before
   std::uint64_t put_back = 0;
-  std::uint64_t leaves_unacknowledged = 0;
+  std::uint64_t unacknowledged_leaves = 0;
 };
 
 class Workers {
@@ -43,10 +43,10 @@
   ~Workers();
 
   void start_all();
-  void crash(Trouble const& trouble);
-  void dark(Trouble const& trouble);
-  void release(Trouble const& trouble);
-  void lie(Trouble const& trouble);
+  void crash(Fault const& fault);
+  void silence(Fault const& fault);
+  void release(Fault const& fault);
+  void lie(Fault const& fault);
   void quiet() { over = true; }  // the experiment ends: no more heartbeats
   WorkersTally tally() const;
 
@@ -77,11 +77,11 @@
             std::function<void(bool good, std::string const& body)> done);
   void drain(Worker& worker);
   void leave(Worker& worker, int moves);
-  void say_farewell(Worker& worker, int moves);
+  void announce_leave(Worker& worker, int moves);
   std::string any_node(Worker& worker);
   void end(Worker& worker, bool reset);
   void reuse(std::string const& ip, std::string const& zone);
-  std::vector<Worker*> some(Trouble const& trouble);
+  std::vector<Worker*> some(Fault const& fault);
   std::string load(Worker const& worker) const;
 
   Shape const& shape;
@@ -100,4 +100,4 @@
   WorkersTally count;
 };
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/testing/quota_simulator/load.cc
+++ b/testing/quota_simulator/load.cc
@@ -9,8 +9,8 @@
 namespace pipit::tenants {
 
 namespace {
-using control_plane::Machine;
-using control_plane::MachineId;
+using control_plane_simulator::Machine;
+using control_plane_simulator::MachineId;
 
 constexpr double window_s = 8;
 constexpr double overshoot = 0.1;
@@ -27,7 +27,7 @@
 
 Load::Load(LoadPlan plan_)
     : world([&plan_] {
-        control_plane::WorldPlan out;
+        control_plane_simulator::WorldPlan out;
         out.seed = plan_.seed;
         out.disks = plan_.disks;
         out.plain = plan_.plain;
@@ -41,8 +41,8 @@
       levels(plan_.tenants, 0),
       levelled(plan_.tenants, 0),
       runs(plan_.tenants),
-      key_gone(plan_.tenants, false),
-      gone_at(plan_.tenants, -1) {
+      key_revoked(plan_.tenants, false),
+      revoked_at(plan_.tenants, -1) {
   for (std::size_t n = 0; n < plan.tenants; ++n)
     limits.push_back(std::max(36000.0, std::floor(plan.rate_most * std::pow(2.0 / 3, static_cast<double>(n)))));
   first_limits = limits;
@@ -79,7 +79,7 @@
   for (std::size_t n = 0; n < plan.tenants; ++n) {
     json.begin_object().key("name").text("tenant-" + std::to_string(n)).key("keys").begin_list();
     json.text(key_of(n, true));
-    if (!key_gone[n]) json.text(key_of(n, false));
+    if (!key_revoked[n]) json.text(key_of(n, false));
     json.end_list().key("counts").text("tokens").key("plain_tokens").number(200);
     json.key("rate").number(n == unlimited() ? 0 : static_cast<std::int64_t>(limits[n]));
     json.key("burst").number(static_cast<std::int64_t>(limits[n])).end_object();
@@ -122,8 +122,8 @@
 }
 
 void Load::revoke(std::size_t tenant) {
-  key_gone[tenant] = true;
-  change([this, tenant] { gone_at[tenant] = world.now(); });
+  key_revoked[tenant] = true;
+  change([this, tenant] { revoked_at[tenant] = world.now(); });
 }
 
 std::vector<MachineId> Load::owners() {
@@ -140,15 +140,15 @@
   for (MachineId id = 0; id < world.size(); ++id) {
     Machine& machine = world.machine(id);
     if (!machine.up()) continue;
-    Heartbeat word;
-    word.id = "w" + std::to_string(id);
-    word.address = "10.9.0." + std::to_string(id + 1) + ":80";
-    word.zone = machine.zone;
-    word.pool = "p";
-    word.slots = 100000;
-    word.order = heartbeat_order;
+    Heartbeat message;
+    message.id = "w" + std::to_string(id);
+    message.address = "10.9.0." + std::to_string(id + 1) + ":80";
+    message.zone = machine.zone;
+    message.pool = "p";
+    message.slots = 100000;
+    message.order = heartbeat_order;
     world.enter(id, machine.process,
-                [word](Node& node, Micros now, NodeEffects& out) { node.heartbeat(word, now, out); });
+                [message](Node& node, Micros now, NodeEffects& out) { node.heartbeat(message, now, out); });
   }
   world.after(heartbeat_interval, [this] { heartbeat(); });
 }
@@ -192,7 +192,7 @@
   sent.tenant = tenant;
   sent.at = world.now();
   sent.count = 500 + static_cast<std::int64_t>(random.below(11000));
-  sent.revoked_key = key_gone[tenant] && random.chance(0.5);
+  sent.revoked_key = key_revoked[tenant] && random.chance(0.5);
   double const limit = std::min(limits[tenant], history[tenant].back().rate);
   levels[tenant] = std::min(limit, levels[tenant] + limit * seconds_of(world.now() - levelled[tenant]));
   levelled[tenant] = world.now();
@@ -209,7 +209,7 @@
   query.path = "/x";
   query.names_tokens = true;
   query.tokens_in = sent.count;
-  query.key = key_digest_of(key_of(tenant, !sent.revoked_key && key_gone[tenant]));
+  query.key = key_digest_of(key_of(tenant, !sent.revoked_key && key_revoked[tenant]));
   query.left = seconds(3);
   world.enter(at, machine.process,
               [id, query](Node& node, Micros now, NodeEffects& out) { node.request(id, query, now, out); });
@@ -262,9 +262,9 @@
   ++of.granted;
   of.tokens += static_cast<double>(sent.count);
   std::string const name = "tenant-" + std::to_string(sent.tenant);
-  bool const gone = sent.revoked_key && gone_at[sent.tenant] >= 0;
-  if (gone && sent.at > gone_at[sent.tenant] + plan.revocation)
-    find(name + ": a request runs that was sent " + std::to_string((sent.at - gone_at[sent.tenant]) / 1000) +
+  bool const revoked = sent.revoked_key && revoked_at[sent.tenant] >= 0;
+  if (revoked && sent.at > revoked_at[sent.tenant] + plan.revocation)
+    find(name + ": a request runs that was sent " + std::to_string((sent.at - revoked_at[sent.tenant]) / 1000) +
          " ms after its key was taken away");
   std::deque<Run>& last = runs[sent.tenant];
   last.push_back(Run{sent.at, world.now(), static_cast<double>(sent.count)});
@@ -283,7 +283,7 @@
   std::uint64_t out = 0;
   for (wire::Body const kind :
        {wire::Body::QuotaRequest, wire::Body::QuotaReply, wire::Body::NewestRequest, wire::Body::NewestReply}) {
-    std::map<wire::Body, control_plane::FrameCount>::const_iterator const position = world.sent.find(kind);
+    std::map<wire::Body, control_plane_simulator::FrameCount>::const_iterator const position = world.sent.find(kind);
     if (position != world.sent.end()) out += position->second.frames;
   }
   return out;
@@ -293,7 +293,7 @@
   std::uint64_t out = 0;
   for (wire::Body const kind :
        {wire::Body::QuotaRequest, wire::Body::QuotaReply, wire::Body::NewestRequest, wire::Body::NewestReply}) {
-    std::map<wire::Body, control_plane::FrameCount>::const_iterator const position = world.sent.find(kind);
+    std::map<wire::Body, control_plane_simulator::FrameCount>::const_iterator const position = world.sent.find(kind);
     if (position != world.sent.end()) out += position->second.bytes;
   }
   return out;
--- a/testing/quota_simulator/load.h
+++ b/testing/quota_simulator/load.h
@@ -49,12 +49,12 @@
   void revoke(std::size_t tenant);
   // The last tenant has no limit: its requests need no owner.
   std::size_t unlimited() const { return plan.tenants - 1; }
-  std::vector<control_plane::MachineId> owners();
-  control_plane::MachineId some_plain();
+  std::vector<control_plane_simulator::MachineId> owners();
+  control_plane_simulator::MachineId some_plain();
   // Callers of machines that are down or not ready go elsewhere; of all others they come by chance, or to one alone.
-  void crowd(std::optional<control_plane::MachineId> at) { crowded = at; }
+  void crowd(std::optional<control_plane_simulator::MachineId> at) { crowded = at; }
 
-  control_plane::World world;
+  control_plane_simulator::World world;
   std::vector<TenantFigures> figures;
   std::vector<std::string> findings;
   std::uint64_t messages() const;
@@ -83,7 +83,7 @@
   void send(std::size_t tenant);
   void next(std::size_t tenant);
   void heartbeat();
-  void took(control_plane::Machine& machine, DispatchEffects& out);
+  void took(control_plane_simulator::Machine& machine, DispatchEffects& out);
   void judge_run(Sent const& sent);
   double allowed(std::size_t tenant, Micros from) const;
   void find(std::string const& what);
@@ -97,11 +97,11 @@
   std::vector<double> levels;  // of a bucket that says what is due
   std::vector<Micros> levelled;
   std::vector<std::deque<Run>> runs;
-  std::vector<bool> key_gone;
-  std::vector<Micros> gone_at;  // when the taking away of a key was acknowledged
+  std::vector<bool> key_revoked;
+  std::vector<Micros> revoked_at;  // when the taking away of a key was acknowledged
   std::map<std::uint64_t, Sent> under_way;
   std::map<std::uint64_t, std::function<void()>> waiting;  // changes, by call
-  std::optional<control_plane::MachineId> crowded;
+  std::optional<control_plane_simulator::MachineId> crowded;
   std::uint64_t next_id = 0;
   std::uint64_t next_call = 1000000;
   std::uint64_t label = 0;
--- a/testing/quota_simulator/scenarios.cc
+++ b/testing/quota_simulator/scenarios.cc
@@ -4,9 +4,9 @@
 namespace pipit::tenants {
 
 namespace {
-using control_plane::CutKind;
-using control_plane::CutWay;
-using control_plane::MachineId;
+using control_plane_simulator::CutKind;
+using control_plane_simulator::CutWay;
+using control_plane_simulator::MachineId;
 
 void calm(Load& load, RandomSource&) { load.run(seconds(30)); }
 
--- a/testing/register_model_checker/main.cc
+++ b/testing/register_model_checker/main.cc
@@ -13,7 +13,7 @@
 namespace {
 
 using namespace pipit;
-using namespace pipit::checker;
+using namespace pipit::register_checker;
 
 char const usage[] =
     "register_model_checker [--scenario NAME]... [--small] [--large] [--directed] [--walked] [--walks N [--length N] "
@@ -152,7 +152,7 @@
   return out;
 }
 
-Finding look(Options const& options, Scenario const& scenario) {
+Finding search_scenario(Options const& options, Scenario const& scenario) {
   if (!options.replay.empty()) {
     Scenario bare = scenario;
     bare.prefix.clear();  // the printed table has it
@@ -164,15 +164,15 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-  Options const options = options_of(std::vector<std::string>(words + 1, words + count));
+int main(int count, char** step_text) {
+  Options const options = options_of(std::vector<std::string>(step_text + 1, step_text + count));
   bool faulty = false;
   for (Scenario const& scenario : options.scenarios) {
-    Finding const finding = look(options, scenario);
+    Finding const finding = search_scenario(options, scenario);
     std::printf("%s\n", summary_of(scenario, finding).c_str());
     if (!finding.fault.empty()) std::printf("%s", table_of(scenario, finding.trace).c_str());
     std::fflush(stdout);
     faulty = faulty || !finding.fault.empty();
   }
-  return told_violations() || faulty ? 1 : 0;
+  return report_violations() || faulty ? 1 : 0;
 }
--- a/testing/register_model_checker/print.cc
+++ b/testing/register_model_checker/print.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace pipit::checker {
+namespace pipit::register_checker {
 
 std::string replica_name(std::size_t index) { return "k" + std::to_string(index + 1); }
 
@@ -38,4 +38,4 @@
 
 std::uint64_t Print::least() const { return *std::min_element(lanes.begin(), lanes.begin() + static_cast<long>(ways)); }
 
-}  // namespace pipit::checker
+}  // namespace pipit::register_checker
--- a/testing/register_model_checker/print.h
+++ b/testing/register_model_checker/print.h
@@ -8,7 +8,7 @@
 
 #include "base/hash.h"
 
-namespace pipit::checker {
+namespace pipit::register_checker {
 
 // Replicas are named k1, k2, ...; a disk's id is a thousand times the replica's number and the number of wipes.
 constexpr std::uint64_t disks_per_replica = 1000;
@@ -67,4 +67,4 @@
   std::array<std::uint64_t, Symmetry::most> lanes{};
 };
 
-}  // namespace pipit::checker
+}  // namespace pipit::register_checker
--- a/testing/register_model_checker/register_view.cc
+++ b/testing/register_model_checker/register_view.cc
@@ -7,7 +7,7 @@
 #include "consensus/register/membership.h"
 #include "consensus/register/orders.h"
 
-namespace pipit::checker {
+namespace pipit::register_checker {
 
 namespace {
 
@@ -361,4 +361,4 @@
   return "";
 }
 
-}  // namespace pipit::checker
+}  // namespace pipit::register_checker
--- a/testing/register_model_checker/register_view.h
+++ b/testing/register_model_checker/register_view.h
@@ -9,7 +9,7 @@
 #include "consensus/register/proposer.h"
 #include "testing/register_model_checker/print.h"
 
-namespace pipit::checker {
+namespace pipit::register_checker {
 
 // --- states
 Print print_of(Acceptor const& acceptor, Symmetry const& symmetry);
@@ -50,4 +50,4 @@
 std::string words_of(wire::ValueT const& value);
 std::string words_of(wire::Ballot const& ballot);
 
-}  // namespace pipit::checker
+}  // namespace pipit::register_checker
--- a/testing/register_model_checker/scenarios.cc
+++ b/testing/register_model_checker/scenarios.cc
@@ -1,6 +1,6 @@
 #include "testing/register_model_checker/scenarios.h"
 
-namespace pipit::checker {
+namespace pipit::register_checker {
 
 namespace {
 
@@ -40,23 +40,23 @@
 class Script {
  public:
   Names lines;
-  Script& say(std::string const& line, int times = 1) {
+  Script& then(std::string const& line, int times = 1) {
     for (int i = 0; i < times; ++i) lines.push_back(line);
     return *this;
   }
   Script& prepare(std::string const& node, std::uint64_t round, Names const& replicas) {
     for (std::string const& replica : replicas)
-      say("deliver prepare " + node + ">" + replica + " in round " + std::to_string(round));
-    for (std::string const& replica : replicas) say("deliver promise " + replica + ">" + node);
+      then("deliver prepare " + node + ">" + replica + " in round " + std::to_string(round));
+    for (std::string const& replica : replicas) then("deliver promise " + replica + ">" + node);
     return *this;
   }
   Script& accept(std::string const& node, std::uint64_t round, Names const& replicas) {
     for (std::string const& replica : replicas)
-      say("deliver accept " + node + ">" + replica + " in round " + std::to_string(round));
+      then("deliver accept " + node + ">" + replica + " in round " + std::to_string(round));
     return *this;
   }
   Script& accepted(std::string const& node, Names const& replicas) {
-    for (std::string const& replica : replicas) say("deliver accepted " + replica + ">" + node);
+    for (std::string const& replica : replicas) then("deliver accepted " + replica + ">" + node);
     return *this;
   }
   Script& round(std::string const& node, std::uint64_t number, Names const& replicas) {
@@ -81,15 +81,15 @@
   for (Order& order : out.orders)
     if (order.type == Type::apply) order.expected = split_serial;
   Script script;
-  script.say("ask 1 " + one.id + " at p1").prepare("p1", 2, {"k1", "k2", "k3"}).accept("p1", 2, {"k1"});
-  script.say("ask 2 " + other.id + " at p2").say("retry p2");
+  script.then("ask 1 " + one.id + " at p1").prepare("p1", 2, {"k1", "k2", "k3"}).accept("p1", 2, {"k1"});
+  script.then("ask 2 " + other.id + " at p2").then("retry p2");
   script.prepare("p2", 3, {"k2", "k3", "k4"}).accept("p2", 3, {"k4"});
-  script.say("ask 4 b at p4").say("retry p4", 2).prepare("p4", 4, {"k2", "k3", "k4"});
-  script.say("ask 3 a at p3").say("retry p3", 3).prepare("p3", 5, {"k1", "k2", "k3"});
-  script.say("retry p3").prepare("p3", 6, first_majority).accept("p3", 6, first_majority);
+  script.then("ask 4 b at p4").then("retry p4", 2).prepare("p4", 4, {"k2", "k3", "k4"});
+  script.then("ask 3 a at p3").then("retry p3", 3).prepare("p3", 5, {"k1", "k2", "k3"});
+  script.then("retry p3").prepare("p3", 6, first_majority).accept("p3", 6, first_majority);
   script.accepted("p3", first_majority);
   // A refusal tells p4 of the higher round, and leaves it the set that it saw.
-  script.say("retry p4").say("deliver prepare p4>k2 in round 5").say("deliver promise k2>p4").say("retry p4");
+  script.then("retry p4").then("deliver prepare p4>k2 in round 5").then("deliver promise k2>p4").then("retry p4");
   script.round("p3", 7, first_majority).round("p3", 8, first_majority);
   script.round("p4", 7, second_majority).round("p4", 8, second_majority).round("p4", 9, second_majority);
   out.prefix = script.lines;
@@ -106,13 +106,13 @@
   out.nodes = {"p1", "p2", "p3", "p4"};
   out.orders = {replace("k1", "k4", "p1"), replace("k2", "k5", "p2"), apply("a", "p3", 1), apply("b", "p4", 1)};
   Script script;
-  script.say("ask 1 " + out.orders[0].id + " at p1").prepare("p1", 2, {"k1", "k3"}).accept("p1", 2, {"k3"});
-  script.say("ask 2 " + out.orders[1].id + " at p2").say("retry p2");
+  script.then("ask 1 " + out.orders[0].id + " at p1").prepare("p1", 2, {"k1", "k3"}).accept("p1", 2, {"k3"});
+  script.then("ask 2 " + out.orders[1].id + " at p2").then("retry p2");
   script.prepare("p2", 3, {"k1", "k2"}).accept("p2", 3, {"k2"});
-  script.say("ask 3 a at p3").say("retry p3", 2).prepare("p3", 4, {"k1", "k3"}).say("retry p3");
+  script.then("ask 3 a at p3").then("retry p3", 2).prepare("p3", 4, {"k1", "k3"}).then("retry p3");
   script.prepare("p3", 5, {"k1", "k3", "k4"}).accept("p3", 5, {"k3", "k4"}).accepted("p3", {"k3", "k4"});
   script.round("p3", 6, {"k3", "k4"}).round("p3", 7, {"k3", "k4"});
-  script.say("ask 4 b at p4").say("retry p4", 7).prepare("p4", 9, {"k1", "k2"}).say("retry p4");
+  script.then("ask 4 b at p4").then("retry p4", 7).prepare("p4", 9, {"k1", "k2"}).then("retry p4");
   script.prepare("p4", 10, {"k1", "k2", "k5"}).accept("p4", 10, {"k1", "k5"}).accepted("p4", {"k1", "k5"});
   script.round("p4", 11, {"k1", "k5"}).round("p4", 12, {"k1", "k5"});
   out.prefix = script.lines;
@@ -128,7 +128,7 @@
   out.nodes = {"p1"};
   out.orders = {replace("k1", "k4", "p1")};
   Script script;
-  script.say("ask 1 " + out.orders[0].id + " at p1").round("p1", 2, {"k2", "k3"});
+  script.then("ask 1 " + out.orders[0].id + " at p1").round("p1", 2, {"k2", "k3"});
   script.prepare("p1", 3, {"k2", "k3"}).accept("p1", 3, {"k1"});
   // k1 lacks the base of the patch and asks for the whole value.
   script.accepted("p1", {"k1"}).accept("p1", 3, {"k1"});
@@ -214,10 +214,10 @@
   same.nodes = {"p1"};
   same.same_chance = true;
   Script script;
-  script.say("ask 1 a at p1");
+  script.then("ask 1 a at p1");
   for (char const* const replica : {"k1", "k2", "k3"})
-    script.say(std::string("deliver prepare p1>") + replica + " in round 2");
-  script.say("repeat promise k1>p1").say("deliver promise k2>p1").say("restart p1");
+    script.then(std::string("deliver prepare p1>") + replica + " in round 2");
+  script.then("repeat promise k1>p1").then("deliver promise k2>p1").then("restart p1");
   same.prefix = script.lines;
   return {same};
 }
@@ -322,4 +322,4 @@
   return false;
 }
 
-}  // namespace pipit::checker
+}  // namespace pipit::register_checker
--- a/testing/register_model_checker/scenarios.h
+++ b/testing/register_model_checker/scenarios.h
@@ -5,7 +5,7 @@
 
 #include "testing/register_model_checker/world.h"
 
-namespace pipit::checker {
+namespace pipit::register_checker {
 
 // Explored to the end in CI; each takes seconds.
 std::vector<Scenario> small_scenarios();
@@ -21,4 +21,4 @@
 // The one with this name; false when there is none.
 bool find_scenario(std::string const& name, Scenario& out);
 
-}  // namespace pipit::checker
+}  // namespace pipit::register_checker
--- a/testing/register_model_checker/search.cc
+++ b/testing/register_model_checker/search.cc
@@ -6,7 +6,7 @@
 #include <set>
 #include <unordered_map>
 
-namespace pipit::checker {
+namespace pipit::register_checker {
 
 namespace {
 
@@ -30,7 +30,7 @@
 World begin(Scenario const& scenario, Symmetry const& symmetry) {
   World world(scenario, symmetry);
   world.lift_bounds(true);
-  for (std::string const& words : scenario.prefix) world.take(words);
+  for (std::string const& step_text : scenario.prefix) world.take(step_text);
   world.lift_bounds(false);
   return world;
 }
@@ -40,12 +40,12 @@
 std::string run(Scenario const& scenario, Symmetry const& symmetry, std::vector<std::string> const& trace, bool recover,
                 std::vector<std::string>* taken) {
   World world = begin(scenario, symmetry);
-  for (std::string const& words : trace) {
+  for (std::string const& step_text : trace) {
     if (!world.fault().empty()) break;
-    if (world.take(words) && taken != nullptr) taken->push_back(words);
+    if (world.take(step_text) && taken != nullptr) taken->push_back(step_text);
   }
   if (!world.fault().empty()) return world.fault();
-  return recover ? world.look_recovery() : "";
+  return recover ? world.check_recovery() : "";
 }
 
 // Leaves out steps one by one, and in runs, while a fault remains.
@@ -102,7 +102,7 @@
   bool recover = false;
   if (fault.empty() && limits.recover_one_in > 0) {
     ++finding.recoveries;
-    fault = path.back().world.look_recovery();
+    fault = path.back().world.check_recovery();
     recover = !fault.empty();
   }
   while (!path.empty() && fault.empty()) {
@@ -130,7 +130,7 @@
     finding.depth = std::max(finding.depth, depth);
     if (fault.empty() && limits.recover_one_in > 0 && print % limits.recover_one_in == 0) {
       ++finding.recoveries;
-      fault = next.look_recovery();
+      fault = next.check_recovery();
       recover = !fault.empty();
     }
     bool const last = bounded && depth >= static_cast<std::size_t>(scenario.bounds.steps);
@@ -139,11 +139,11 @@
   }
   finding.states = seen.size();
   finding.seconds = since(start);
-  finding.whole = !cut && fault.empty();
+  finding.complete = !cut && fault.empty();
   if (!fault.empty()) {
     std::vector<std::string> trace;
     for (std::size_t i = 0; i + 1 < path.size(); ++i)
-      trace.push_back(path[i].world.words(path[i].steps[path[i].next - 1]));
+      trace.push_back(path[i].world.step_text(path[i].steps[path[i].next - 1]));
     report(finding, scenario, symmetry, std::move(trace), fault, recover);
   }
   return finding;
@@ -220,7 +220,7 @@
       }
       Step const step = drawn(steps, random);
       stuck = 0;
-      trace.push_back(world.words(step));
+      trace.push_back(world.step_text(step));
       world.take(step);
       ++finding.steps;
       fault = world.fault();
@@ -228,7 +228,7 @@
     finding.depth = std::max(finding.depth, trace.size());
     if (fault.empty() && limits.recover_one_in > 0) {
       ++finding.recoveries;
-      fault = world.look_recovery();
+      fault = world.check_recovery();
       recover = !fault.empty();
     }
     if (fault.empty()) continue;
@@ -258,8 +258,8 @@
   std::string out = "| step | what happens | what it brings about |\n|---|---|---|\n";
   std::size_t number = 0;
   std::vector<std::pair<std::string, bool>> steps;
-  for (std::string const& words : scenario.prefix) steps.push_back({words, true});
-  for (std::string const& words : trace) steps.push_back({words, false});
+  for (std::string const& step_text : scenario.prefix) steps.push_back({step_text, true});
+  for (std::string const& step_text : trace) steps.push_back({step_text, false});
   for (std::pair<std::string, bool> const& step : steps) {
     world.lift_bounds(step.second);
     if (!world.take(step.first)) continue;
@@ -277,7 +277,7 @@
                 static_cast<unsigned long long>(finding.recoveries), finding.seconds);
   std::string out = text;
   if (!finding.fault.empty()) return out + "FAULT: " + finding.fault;
-  return out + (finding.whole ? "explored to the end" : "no fault, not to the end");
+  return out + (finding.complete ? "explored to the end" : "no fault, not to the end");
 }
 
-}  // namespace pipit::checker
+}  // namespace pipit::register_checker
--- a/testing/register_model_checker/search.h
+++ b/testing/register_model_checker/search.h
@@ -6,7 +6,7 @@
 
 #include "testing/register_model_checker/world.h"
 
-namespace pipit::checker {
+namespace pipit::register_checker {
 
 struct Limits {
   std::uint64_t states = 2000000;
@@ -22,7 +22,7 @@
   std::uint64_t recoveries = 0;    // states whose recovery was tried
   std::size_t depth = 0;           // of the longest path
   double seconds = 0;
-  bool whole = false;  // nothing was left out within the scenario's bounds
+  bool complete = false;  // nothing was left out within the scenario's bounds
 };
 
 // All orders of all steps, depth first, each state once.
@@ -37,4 +37,4 @@
 // One line of figures.
 std::string summary_of(Scenario const& scenario, Finding const& finding);
 
-}  // namespace pipit::checker
+}  // namespace pipit::register_checker
--- a/testing/register_model_checker/world.cc
+++ b/testing/register_model_checker/world.cc
@@ -5,14 +5,14 @@
 
 #include "base/guards.h"
 
-namespace pipit::checker {
+namespace pipit::register_checker {
 
 namespace {
 
 // Rounds end only when the checker says so, so that times need no place in a state.
 constexpr Micros round_time = seconds(1);
 constexpr Micros longest_pause = seconds(1);
-constexpr Micros whole_time = seconds(1000000);
+constexpr Micros complete_time = seconds(1000000);
 constexpr std::uint64_t first_chance = 7;
 // How many rounds a fresh node may need when nothing fails any more.
 constexpr int recovery_turns = 60;
@@ -22,7 +22,7 @@
 
 char const* const type_names[] = {"ask",     "deliver", "repeat", "sync", "retry",
                                   "give up", "restart", "crash",  "wipe", "poll"};
-char const* const stage_words[] = {"waiting", "asked", "chosen", "kept", "refused", "unknown"};
+char const* const progress_names[] = {"waiting", "asked", "chosen", "kept", "refused", "unknown"};
 
 std::string small(std::string text) {
   std::transform(text.begin(), text.end(), text.begin(), [](unsigned char c) { return std::tolower(c); });
@@ -87,9 +87,9 @@
 std::vector<Step> World::steps() const {
   std::vector<Step> out;
   for (std::size_t i = 0; i < states.size(); ++i) {
-    if (states[i].stage != OrderState::Stage::waiting) continue;
+    if (states[i].progress != OrderState::Progress::waiting) continue;
     int const after = scenario->orders[i].after;
-    if (after >= 0 && states[static_cast<std::size_t>(after)].stage <= OrderState::Stage::asked) continue;
+    if (after >= 0 && states[static_cast<std::size_t>(after)].progress <= OrderState::Progress::asked) continue;
     out.push_back({Step::Type::ask, i});
   }
   std::vector<std::uint64_t> seen;
@@ -115,7 +115,7 @@
   return out;
 }
 
-std::string World::words(Step const& step) const {
+std::string World::step_text(Step const& step) const {
   std::string out = type_names[static_cast<std::size_t>(step.type)];
   switch (step.type) {
     case Step::Type::ask:
@@ -146,7 +146,7 @@
 
 bool World::take(std::string const& text) {
   for (Step const& step : steps())
-    if (words(step) == text) {
+    if (step_text(step) == text) {
       take(step);
       return true;
     }
@@ -175,7 +175,7 @@
       break;
     case Step::Type::give_up:
       --left.give_ups;
-      retry(step.index, whole_time);
+      retry(step.index, complete_time);
       break;
     case Step::Type::restart:
       --left.restarts;
@@ -277,7 +277,7 @@
   Node& node = nodes[index];
   ProposerPlan plan;
   plan.phase = round_time;
-  plan.whole = whole_time;
+  plan.whole = complete_time;
   std::uint64_t const chance = first_chance + (scenario->same_chance ? 0 : node.incarnation);
   Proposer proposer(scenario->nodes[index], chance, plan);
   Learner learner;
@@ -292,8 +292,8 @@
 void World::ask(std::size_t index) {
   Order const& order = scenario->orders[index];
   std::size_t const at = static_cast<std::size_t>(node_index(order.node));
-  states[index].stage = OrderState::Stage::asked;
-  states[index].floor = newest_told();
+  states[index].progress = OrderState::Progress::asked;
+  states[index].floor = newest_reported();
   Proposer next = *nodes[at].proposer;
   std::vector<std::pair<std::size_t, Outcome>> got;
   outcomes = &got;
@@ -346,7 +346,7 @@
     proposer.tick(node.now, out);
   }
   for (OutgoingMessage const& item : out)
-    if (wire::AcceptT const* const sent = item.body.AsAccept()) look_ballot(sent->ballot, draft_of(proposer));
+    if (wire::AcceptT const* const sent = item.body.AsAccept()) check_ballot(sent->ballot, draft_of(proposer));
   node.proposer = std::make_shared<Proposer const>(proposer);
   node.learner = std::make_shared<Learner const>(std::move(learner));
   node.print = print_of(*node.proposer, *symmetry);
@@ -374,8 +374,8 @@
 
 void World::restart(std::size_t index) {
   for (std::size_t i = 0; i < states.size(); ++i)
-    if (states[i].stage == OrderState::Stage::asked && scenario->orders[i].node == scenario->nodes[index])
-      states[i].stage = OrderState::Stage::unknown;
+    if (states[i].progress == OrderState::Progress::asked && scenario->orders[i].node == scenario->nodes[index])
+      states[i].progress = OrderState::Progress::unknown;
   ++nodes[index].incarnation;
   start_node(index);
 }
@@ -424,11 +424,11 @@
 // A message that can never again change anything is taken off, which is the same as its loss.
 void World::drop_late() {
   // An answer to one incarnation may pass for one to the next that draws the same chance.
-  bool const lives_repeat = scenario->same_chance;
+  bool const restarts_repeat = scenario->same_chance;
   messages.erase(std::remove_if(messages.begin(), messages.end(),
-                                [this, lives_repeat](std::shared_ptr<Message const> const& item) {
+                                [this, restarts_repeat](std::shared_ptr<Message const> const& item) {
                                   int const node = node_index(item->to);
-                                  if (node < 0 || lives_repeat) return false;
+                                  if (node < 0 || restarts_repeat) return false;
                                   Node const& to = nodes[static_cast<std::size_t>(node)];
                                   return is_late(*to.proposer, item->body) || is_late(*to.learner, item->body);
                                 }),
@@ -450,7 +450,7 @@
 void World::end(std::size_t index, Ending const& ending, Learner& learner, std::vector<OutgoingMessage>& out) {
   Outcome const& outcome = ending.outcome;
   bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
-  look_outcome(ending.order, outcome);
+  check_outcome(ending.order, outcome);
   if (holds || outcome.value.serial > 0) learner.adopt(outcome.value, nodes[index].now);
   if (!holds || !scenario->push) return;
   for (std::string const& name : scenario->nodes) {
@@ -461,15 +461,15 @@
   }
 }
 
-void World::look_outcome(std::size_t index, Outcome const& outcome) {
+void World::check_outcome(std::size_t index, Outcome const& outcome) {
   OrderState& state = states[index];
   Order const& order = scenario->orders[index];
   std::string const who = "order " + std::to_string(index + 1) + " (" + order.id + ")";
-  state.stage = outcome.type == Outcome::Type::chosen    ? OrderState::Stage::chosen
-                : outcome.type == Outcome::Type::kept    ? OrderState::Stage::kept
-                : outcome.type == Outcome::Type::refused ? OrderState::Stage::refused
-                                                         : OrderState::Stage::unknown;
-  note(who + " is " + stage_words[static_cast<std::size_t>(state.stage)] +
+  state.progress = outcome.type == Outcome::Type::chosen    ? OrderState::Progress::chosen
+                   : outcome.type == Outcome::Type::kept    ? OrderState::Progress::kept
+                   : outcome.type == Outcome::Type::refused ? OrderState::Progress::refused
+                                                            : OrderState::Progress::unknown;
+  note(who + " is " + progress_names[static_cast<std::size_t>(state.progress)] +
        (outcome.value.serial > 0 ? ": " + words_of(outcome.value) : ""));
   if (outcome.value.serial > 0) {
     if (revision_of(outcome.value) < state.floor)
@@ -477,7 +477,7 @@
             ", older than revision " + std::to_string(state.floor) + " that was told before it was asked");
     tell(outcome.value, who);
   }
-  if (state.stage == OrderState::Stage::chosen) {
+  if (state.progress == OrderState::Progress::chosen) {
     state.serial = outcome.serial;
     if (order.type == Change::Type::apply && outcome.serial == 0)
       blame(who + " was confirmed, yet it is not in the value");
@@ -485,7 +485,7 @@
       blame(who + " was made on serial " + std::to_string(outcome.serial - 1) + ", not on the expected " +
             std::to_string(order.expected));
     for (std::size_t i = 0; i < states.size(); ++i) {
-      if (i == index || states[i].stage != OrderState::Stage::chosen) continue;
+      if (i == index || states[i].progress != OrderState::Progress::chosen) continue;
       bool const same_id = scenario->orders[i].id == order.id;
       if (same_id && states[i].serial != outcome.serial)
         blame(who + " was taken twice: as serial " + std::to_string(states[i].serial) + " and " +
@@ -495,23 +495,24 @@
               " and " + order.id);
     }
   }
-  if (state.stage == OrderState::Stage::refused)
+  if (state.progress == OrderState::Progress::refused)
     state.may_come = outcome.value.serial == 0 || outcome.value.serial < order.expected;
-  look_refusals();
+  check_refusals();
 }
 
 // A refused order is in no value that is told, nor was it ever.
-void World::look_refusals() {
+void World::check_refusals() {
   for (std::size_t i = 0; i < states.size(); ++i) {
-    if (states[i].stage != OrderState::Stage::refused) continue;
+    if (states[i].progress != OrderState::Progress::refused) continue;
     std::string const& id = scenario->orders[i].id;
     if (states[i].may_come) {
       bool others = false;
       for (std::size_t j = 0; j < states.size(); ++j)
-        others = others || (j != i && scenario->orders[j].id == id && states[j].stage != OrderState::Stage::refused);
+        others =
+            others || (j != i && scenario->orders[j].id == id && states[j].progress != OrderState::Progress::refused);
       if (others) continue;
     }
-    for (std::shared_ptr<Settled const> const& item : settled)
+    for (std::shared_ptr<ReportedValue const> const& item : reported_values)
       if (serial_of_change(*item->value, id) > 0)
         blame("order " + std::to_string(i + 1) + " (" + id + ") was refused, yet it is in the value told by " +
               item->by);
@@ -519,8 +520,8 @@
 }
 
 void World::tell(wire::ValueT const& value, std::string const& by) {
-  std::shared_ptr<Settled> const made = std::make_shared<Settled>();
-  Settled& now = *made;
+  std::shared_ptr<ReportedValue> const made = std::make_shared<ReportedValue>();
+  ReportedValue& now = *made;
   now.revision = revision_of(value);
   now.serial = value.serial;
   now.content = content_of(value);
@@ -529,8 +530,8 @@
   now.change = value.change;
   now.text = value.text;
   now.by = by;
-  for (std::shared_ptr<Settled const> const& told : settled) {
-    Settled const& item = *told;
+  for (std::shared_ptr<ReportedValue const> const& reported : reported_values) {
+    ReportedValue const& item = *reported;
     if (item.revision == now.revision && item.content == now.content) return;
     std::string const both = " were told, by " + item.by + " and by " + by;
     if (item.revision == now.revision)
@@ -541,7 +542,7 @@
             words_of(value));
     if (item.epoch == now.epoch && item.members != now.members)
       blame("two sets of epoch " + std::to_string(now.epoch) + both);
-    Settled const& older = item.revision < now.revision ? item : now;
+    ReportedValue const& older = item.revision < now.revision ? item : now;
     wire::ValueT const& newer = item.revision < now.revision ? value : *item.value;
     if (!older.change.empty() && serial_of_change(newer, older.change) != older.serial)
       blame("the value of revision " + std::to_string(revision_of(newer)) + " does not follow on '" + older.change +
@@ -550,11 +551,11 @@
       blame("serial or epoch went back at revision " + std::to_string(revision_of(newer)));
   }
   now.value = std::make_shared<wire::ValueT const>(value);
-  settled.push_back(made);
-  look_refusals();
+  reported_values.push_back(made);
+  check_refusals();
 }
 
-void World::look_ballot(wire::Ballot const& ballot, wire::ValueT const& value) {
+void World::check_ballot(wire::Ballot const& ballot, wire::ValueT const& value) {
   std::uint64_t const content = content_of(value);
   for (Proposal const& item : proposed) {
     if (!same(item.ballot, ballot)) continue;
@@ -564,9 +565,9 @@
   proposed.push_back({ballot, content});
 }
 
-std::uint64_t World::newest_told() const {
+std::uint64_t World::newest_reported() const {
   std::uint64_t out = 0;
-  for (std::shared_ptr<Settled const> const& item : settled) out = std::max(out, item->revision);
+  for (std::shared_ptr<ReportedValue const> const& item : reported_values) out = std::max(out, item->revision);
   return out;
 }
 
@@ -586,14 +587,14 @@
   for (std::shared_ptr<Message const> const& item : messages) bag.member(item->print);
   out.part(bag);
   for (OrderState const& state : states) {
-    out.number(static_cast<std::uint64_t>(state.stage));
+    out.number(static_cast<std::uint64_t>(state.progress));
     out.number(state.floor);
     out.number(state.serial + (state.may_come ? 1000 : 0));
   }
-  std::uint64_t told = 0;
-  for (std::shared_ptr<Settled const> const& item : settled)
-    told += hash_bits(item->revision * 31 + item->serial) ^ hash_text(item->change);
-  out.number(told);
+  std::uint64_t reported = 0;
+  for (std::shared_ptr<ReportedValue const> const& item : reported_values)
+    reported += hash_bits(item->revision * 31 + item->serial) ^ hash_text(item->change);
+  out.number(reported);
   std::uint64_t sum = 0;
   for (Proposal const& item : proposed) sum += hash_bits(item.ballot.n() + hash_bits(item.ballot.who()) + item.content);
   out.number(sum);
@@ -627,10 +628,10 @@
   lift_bounds(false);
 }
 
-std::string World::look_recovery() const {
+std::string World::check_recovery() const {
   std::vector<std::uint64_t> const disks = disk_ids();
-  for (std::shared_ptr<Settled const> const& item : settled)
-    if (item->revision == newest_told() && !is_quorum(*item->value, disks)) return "";
+  for (std::shared_ptr<ReportedValue const> const& item : reported_values)
+    if (item->revision == newest_reported() && !is_quorum(*item->value, disks)) return "";
   for (Replica const& replica : replicas)
     if (replica.acceptor->held().value && !is_quorum(*replica.acceptor->held().value, disks)) return "";
   World later = *this;
@@ -660,9 +661,9 @@
   later.ask(later.states.size() - 1);
   later.drain(recovery_turns);
   if (!later.wrong.empty()) return "after the end of all faults: " + later.wrong;
-  if (later.states.back().stage <= OrderState::Stage::asked)
+  if (later.states.back().progress <= OrderState::Progress::asked)
     return "after the end of all faults a fresh node cannot read though a quorum is whole";
   return "";
 }
 
-}  // namespace pipit::checker
+}  // namespace pipit::register_checker
--- a/testing/register_model_checker/world.h
+++ b/testing/register_model_checker/world.h
@@ -8,7 +8,7 @@
 
 #include "testing/register_model_checker/register_view.h"
 
-namespace pipit::checker {
+namespace pipit::register_checker {
 
 // What an operator orders. An order with the id of another one is that one sent again.
 struct Order {
@@ -62,7 +62,7 @@
 };
 
 // What operators and readers were told.
-struct Settled {
+struct ReportedValue {
   std::uint64_t revision = 0;
   std::uint64_t serial = 0;
   std::uint64_t content = 0;
@@ -75,8 +75,8 @@
 };
 
 struct OrderState {
-  enum class Stage : std::uint8_t { waiting, asked, chosen, kept, refused, unknown };
-  Stage stage = Stage::waiting;
+  enum class Progress : std::uint8_t { waiting, asked, chosen, kept, refused, unknown };
+  Progress progress = Progress::waiting;
   std::uint64_t floor = 0;   // the newest revision that was told before it was asked
   std::uint64_t serial = 0;  // under which it was chosen
   bool may_come = false;     // refused for an expected serial that was still to come, or for want of a majority
@@ -88,10 +88,10 @@
 
   std::vector<Step> steps() const;
   // The step in words; a trace of these replays.
-  std::string words(Step const& step) const;
+  std::string step_text(Step const& step) const;
   void take(Step const& step);
   // Takes the step with these words; false when it is not possible now.
-  bool take(std::string const& words);
+  bool take(std::string const& step_text);
   // Lifts the bounds for a directed prefix and sets them back.
   void lift_bounds(bool lifted);
 
@@ -104,11 +104,11 @@
 
   // All faults end and everything answers: a fresh node must be able to read, and what it reads must hold all that was
   // confirmed, as long as the disks that are left hold a quorum of every set in use. Empty when it is so.
-  std::string look_recovery() const;
+  std::string check_recovery() const;
   // Delivers everything, retrying, until every order asked has its answer or the turns are over.
   void drain(int turns);
   std::vector<OrderState> const& orders() const { return states; }
-  std::vector<std::shared_ptr<Settled const>> const& told() const { return settled; }
+  std::vector<std::shared_ptr<ReportedValue const>> const& reported() const { return reported_values; }
   Message const& message(std::size_t index) const { return *messages[index]; }
   std::vector<Order> const& asked() const { return scenario->orders; }
 
@@ -157,10 +157,10 @@
   void drop_late();
   void end(std::size_t node, Ending const& ending, Learner& learner, std::vector<OutgoingMessage>& out);
   void tell(wire::ValueT const& value, std::string const& by);
-  void look_outcome(std::size_t order, Outcome const& outcome);
-  void look_refusals();
-  std::uint64_t newest_told() const;
-  void look_ballot(wire::Ballot const& ballot, wire::ValueT const& value);
+  void check_outcome(std::size_t order, Outcome const& outcome);
+  void check_refusals();
+  std::uint64_t newest_reported() const;
+  void check_ballot(wire::Ballot const& ballot, wire::ValueT const& value);
   void blame(std::string const& text);
   void note(std::string const& text);
   int node_index(std::string const& name) const;
@@ -172,7 +172,7 @@
   std::vector<Node> nodes;
   std::vector<std::shared_ptr<Message const>> messages;
   std::vector<OrderState> states;
-  std::vector<std::shared_ptr<Settled const>> settled;
+  std::vector<std::shared_ptr<ReportedValue const>> reported_values;
   std::vector<Proposal> proposed;  // what was proposed at each ballot
   Bounds left;
   Bounds lifted_bounds;
@@ -182,4 +182,4 @@
   bool narrated = false;
 };
 
-}  // namespace pipit::checker
+}  // namespace pipit::register_checker
--- a/testing/request_model_checker/main.cc
+++ b/testing/request_model_checker/main.cc
@@ -16,7 +16,7 @@
     std::cout << "  " << item.first << ": " << item.second << "\n";
   std::size_t n = 0;
   for (std::string const& line : result.fault_trace) std::cout << ++n << "\t" << line << "\n";
-  return pipit::told_violations() || result.faulty > 0 ? 1 : 0;
+  return pipit::report_violations() || result.faulty > 0 ? 1 : 0;
 }
 }  // namespace
 
--- a/testing/request_model_checker/world.cc
+++ b/testing/request_model_checker/world.cc
@@ -18,7 +18,7 @@
 constexpr std::size_t answer_ways = 22;
 constexpr std::size_t world_events = 12;
 
-Dialect words() {
+Dialect dialect() {
   Dialect out;
   out.seal = "X-Seal";
   return out;
@@ -43,7 +43,7 @@
 std::string event_of(std::string const& id, std::size_t n) {
   return "id: " + std::to_string(n) + "\ndata: " + id + "." + std::to_string(n) + "\n\n";
 }
-std::string whole_of(std::string const& id) {
+std::string complete_body(std::string const& id) {
   std::string out;
   for (std::size_t n = 1; n <= events_most; ++n) out += event_of(id, n);
   return out;
@@ -74,7 +74,7 @@
   std::string rest;   // of a request that has been sent in part
   Head head;
   std::string body;
-  bool whole = false;
+  bool complete = false;
   ~CallerSide() {
     if (fd >= 0) ::close(fd);
   }
@@ -87,7 +87,7 @@
   std::string body;
   std::string unread;
   std::string current;  // id of the request that it holds
-  bool ran = false;
+  bool has_run = false;
   std::size_t carried = 0;  // requests that came on it
   std::size_t events = 0;   // of its answer that have been sent, with its head
   std::size_t first = 1;    // event that it begins with
@@ -100,7 +100,7 @@
 struct RequestWorld::Worker {
   std::string address;
   std::string id;
-  int lives = 0;
+  int process_count = 0;
   bool up = true;
   bool elsewhere = false;  // another service holds the address
   std::vector<std::unique_ptr<WorkerSide>> sides;
@@ -123,7 +123,7 @@
     relay->act(out);
   };
   callbacks.gone = [this](std::uint64_t id) { return dispatcher.hung_up(id, loop_time()); };
-  relay = std::make_unique<RequestProxy>(dispatcher, words(), "", std::move(callbacks));
+  relay = std::make_unique<RequestProxy>(dispatcher, dialect(), "", std::move(callbacks));
   relay->upstream.dial_by([this](std::string const& address, std::string const&, Micros) { return dial(address); });
   for (int n = 0; n < 2; ++n) {
     callers.push_back(std::make_unique<CallerSide>());
@@ -173,21 +173,21 @@
   if (!socket_pair(ends)) return fault("no sockets");
   caller.fd = ends[0];
   caller.reader = std::make_unique<Reader>(false);
-  caller.whole = false;
+  caller.complete = false;
   caller.reader->callbacks.head = [&caller](Head& head) {
     caller.head = head;
     caller.body.clear();
     return true;
   };
   caller.reader->callbacks.body = [&caller](std::string_view bytes) { caller.body.append(bytes); };
-  caller.reader->callbacks.whole = [&caller] { caller.whole = true; };
+  caller.reader->callbacks.whole = [&caller] { caller.complete = true; };
   relay->server.adopt(Link::adopt(ends[1]));
 }
 
 void RequestWorld::send_request(CallerSide& caller, std::size_t kind) {
   if (caller.fd < 0) connect(caller);
-  Try item;
-  item.id = "r" + std::to_string(tries.size() + 1);
+  Attempt item;
+  item.id = "r" + std::to_string(attempts.size() + 1);
   item.kind = kinds[kind];
   item.repeatable = item.kind == "safe" || item.kind == "flow";
   item.body = "body of " + item.id;
@@ -199,7 +199,7 @@
   caller.rest = text.substr(cut);
   item.sent = caller.rest.empty();
   order.push_back(item.id);
-  tries.emplace(item.id, item);
+  attempts.emplace(item.id, item);
   if (::send(caller.fd, text.data(), cut, MSG_NOSIGNAL) < 0) lose_caller(caller, true);
 }
 
@@ -209,7 +209,7 @@
   ::close(caller.fd);
   caller.fd = -1;
   if (!caller.waits.empty()) {
-    tries.at(caller.waits).broken = true;
+    attempts.at(caller.waits).broken = true;
     ++seen["break"];
     note(caller.name + " sees its connection end while " + caller.waits + " waits");
   }
@@ -233,8 +233,8 @@
       break;
     }
     rest.remove_prefix(std::min(took, rest.size()));
-    if (!caller.whole) continue;
-    caller.whole = false;
+    if (!caller.complete) continue;
+    caller.complete = false;
     caller.reader->next();
     judge_answer(caller);
   }
@@ -246,7 +246,7 @@
 }
 
 void RequestWorld::judge_answer(CallerSide& caller) {
-  Try& item = tries.at(caller.waits);
+  Attempt& item = attempts.at(caller.waits);
   unsigned const status = caller.head.status;
   std::string const seal = caller.head.get("X-Seal");
   note(caller.name + " gets " + std::to_string(status) + " for " + item.id);
@@ -256,13 +256,14 @@
   item.answered = true;
   if (status >= 200 && status < 300) {
     if (caller.head.get("X-Pipit-Attempt") != item.id) fault(item.id + " gets an answer to another");
-    if (caller.body != whole_of(item.id)) fault(item.id + " gets another body than its own whole one: " + caller.body);
+    if (caller.body != complete_body(item.id))
+      fault(item.id + " gets another body than its own whole one: " + caller.body);
     if (item.runs == 0) fault(item.id + " has a success and did not run");
-    if (seal.empty() || item.ran_at.count(seal) == 0) fault(item.id + " has a success without its worker's seal");
+    if (seal.empty() || item.run_seals.count(seal) == 0) fault(item.id + " has a success without its worker's seal");
     return;
   }
   if (!seal.empty()) {
-    if (item.ran_at.count(seal) == 0) fault(item.id + " bears the seal of a worker that did not run it");
+    if (item.run_seals.count(seal) == 0) fault(item.id + " bears the seal of a worker that did not run it");
     if (std::count(item.failures.begin(), item.failures.end(), status) == 0)
       fault(item.id + " bears a seal and a status that no worker gave");
     if (caller.body != "failed " + item.id) fault(item.id + " gets another failure's body: " + caller.body);
@@ -275,7 +276,7 @@
 void RequestWorld::caller_event() {
   CallerSide& caller = *callers[choose(callers.size())];
   if (caller.waits.empty()) return send_request(caller, choose(std::size(kinds)));
-  Try& item = tries.at(caller.waits);
+  Attempt& item = attempts.at(caller.waits);
   if (!caller.rest.empty()) {
     note(caller.name + " sends the rest of " + caller.waits);
     std::string const rest = std::move(caller.rest);
@@ -316,15 +317,15 @@
 }
 
 void RequestWorld::heartbeat(Worker const& worker, bool leaving) {
-  Heartbeat word;
-  word.id = worker.id;
-  word.address = worker.address;
-  word.zone = "a";
-  word.pool = "p";
-  word.slots = 8;
-  word.order = ++heartbeats;
-  word.leaving = leaving;
-  registry.heartbeat(word, loop_time());
+  Heartbeat message;
+  message.id = worker.id;
+  message.address = worker.address;
+  message.zone = "a";
+  message.pool = "p";
+  message.slots = 8;
+  message.order = ++heartbeats;
+  message.leaving = leaving;
+  registry.heartbeat(message, loop_time());
 }
 
 void RequestWorld::crash(Worker& worker) {
@@ -336,7 +337,7 @@
   worker.sides.clear();
   worker.up = true;
   worker.elsewhere = elsewhere;
-  worker.id = (elsewhere ? "x" : "w") + worker.address.substr(7, 1) + "-" + std::to_string(++worker.lives);
+  worker.id = (elsewhere ? "x" : "w") + worker.address.substr(7, 1) + "-" + std::to_string(++worker.process_count);
 }
 
 void RequestWorld::send(WorkerSide& side, std::string const& bytes) {
@@ -366,10 +367,10 @@
 void RequestWorld::arrive(Worker& worker, WorkerSide& side, Head const& head, std::string const& body) {
   std::string const id = head.get("X-Pipit-Attempt");
   note(worker.id + " has " + id);
-  std::map<std::string, Try>::iterator const position = tries.find(id);
-  if (position == tries.end() || !position->second.sent)
+  std::map<std::string, Attempt>::iterator const position = attempts.find(id);
+  if (position == attempts.end() || !position->second.sent)
     return fault(worker.id + " gets " + id + ", which nobody sent");
-  Try& item = position->second;
+  Attempt& item = position->second;
   if (body != item.body || head.target != "/" + item.kind + "/x" || head.method != "POST")
     fault(id + " arrives changed");
   if (++item.arrivals > attempts_most) fault(id + " comes to more workers than its route allows");
@@ -380,7 +381,7 @@
   }
   side.current = id;
   ++side.carried;
-  side.ran = false;
+  side.has_run = false;
   side.headed = false;
   side.events = 0;
   std::string const after = head.get("Last-Event-Id");
@@ -390,11 +391,11 @@
 }
 
 void RequestWorld::run(Worker& worker, WorkerSide& side) {
-  if (side.ran) return;
-  side.ran = true;
-  Try& item = tries.at(side.current);
+  if (side.has_run) return;
+  side.has_run = true;
+  Attempt& item = attempts.at(side.current);
   ++item.runs;
-  item.ran_at.insert("s-" + worker.id);
+  item.run_seals.insert("s-" + worker.id);
   ++seen["run"];
   note(worker.id + " runs " + item.id);
   if (worker.elsewhere) fault("another service runs " + item.id);
@@ -402,126 +403,160 @@
   if (item.refused) fault(item.id + " runs after it was promised not to");
 }
 
-std::string RequestWorld::success_head(Worker const& worker, Try const& item) const {
+std::string RequestWorld::success_head(Worker const& worker, Attempt const& item) const {
   return "HTTP/1.1 200 OK\r\nX-Pipit-Attempt: " + item.id + "\r\nX-Seal: s-" + worker.id + "\r\n";
 }
 
-// The ways in which a worker may answer what it holds, good and bad.
-void RequestWorld::answer(Worker& worker, WorkerSide& side, std::size_t way) {
-  Try& item = tries.at(side.current);
-  std::string const id = "X-Pipit-Attempt: " + item.id + "\r\n";
-  std::string const seal = "X-Seal: s-" + worker.id + "\r\n";
-  std::string const chunked = "Transfer-Encoding: chunked\r\n\r\n";
+// Every event from the first that is asked for, as one body.
+std::string RequestWorld::rest_of_body(Attempt const& item, WorkerSide const& side) {
   std::string body;
   for (std::size_t n = side.first; n <= events_most; ++n) body += event_of(item.id, n);
-  std::string const whole =
-      success_head(worker, item) + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-  std::string const failure =
-      id + seal + "Content-Length: " + std::to_string(7 + item.id.size()) + "\r\n\r\nfailed " + item.id;
-  bool over_now = true;
-  note(worker.id + " answers " + item.id + " in way " + std::to_string(way));
-  if (side.headed && way > 2 && way != 17 && way < 21) way = 0;
-  if (side.ran && (way == 3 || way == 4)) way = 0;  // no worker says that it did not run what it ran
+  return body;
+}
+
+std::string RequestWorld::full_answer(Worker const& worker, Attempt const& item, std::string const& body) const {
+  return success_head(worker, item) + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+}
+
+// The whole answer (way 0), or its next part. True when it is over.
+bool RequestWorld::answer_properly(Worker& worker, WorkerSide& side, std::size_t way) {
+  Attempt& item = attempts.at(side.current);
+  run(worker, side);
+  if (!side.headed && way == 0) {
+    send(side, full_answer(worker, item, rest_of_body(item, side)));
+    return true;
+  }
+  if (!side.headed) {
+    side.headed = true;
+    side.events = side.first - 1;
+    send(side, success_head(worker, item) + "Transfer-Encoding: chunked\r\n\r\n");
+  }
+  while (side.events < events_most) {
+    ++side.events;
+    send(side, chunk_text(event_of(item.id, side.events)));
+    if (way > 0) break;
+  }
+  if (way == 0) send(side, "0\r\n\r\n");
+  return way == 0;
+}
+
+// A refusal that names the request, one that does not, or a failure after it ran.
+void RequestWorld::answer_failure(Worker& worker, WorkerSide& side, std::size_t way) {
+  Attempt& item = attempts.at(side.current);
+  std::string const id = "X-Pipit-Attempt: " + item.id + "\r\n";
+  if (way == 3) return send(side, "HTTP/1.1 503 Busy\r\n" + id + "X-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+  if (way == 4) return send(side, "HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 4\r\n\r\nbusy");
+  unsigned const status = way == 5 ? 500 : way == 6 ? 429 : 503;
+  run(worker, side);
+  item.failures.push_back(status);
+  send(side, "HTTP/1.1 " + std::to_string(status) + " Odd\r\n" + id + "X-Seal: s-" + worker.id +
+                 "\r\nContent-Length: " + std::to_string(7 + item.id.size()) + "\r\n\r\nfailed " + item.id);
+}
+
+// An answer to an earlier request comes first (way 8), and perhaps alone. True when its own answer is over.
+bool RequestWorld::answer_late(Worker& worker, WorkerSide& side, std::size_t way) {
+  Attempt const& item = attempts.at(side.current);
+  Attempt const& other = attempts.at(order[choose(order.size())]);
+  if (other.id == item.id || other.run_seals.count("s-" + worker.id) == 0) return false;
+  send(side, full_answer(worker, other, complete_body(other.id)));
+  run(worker, side);
+  if (way == 8) send(side, full_answer(worker, item, rest_of_body(item, side)));
+  return way == 8;
+}
+
+// An answer that breaks the protocol, after the request ran. Its text, from the answer as it should be.
+std::string RequestWorld::malformed_answer(Worker const& worker, Attempt const& item, std::string const& body,
+                                           std::size_t way) const {
+  std::string const answer = full_answer(worker, item, body);
+  std::string const length = "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+  switch (way) {
+    case 10:
+      return answer + answer;
+    case 11:
+      return "HTTP/1.1 20 OK\r\n\r\n" + answer;
+    case 12:
+      return "HTTP/1.1 200 OK\r\nX-Seal: s-" + worker.id + "\r\n" + length;
+    case 13:
+      return "HTTP/1.1 200 OK\r\nX-Pipit-Attempt: " + item.id + "\r\n" + length;
+    case 14:
+      return "HTTP/1.1 100 Continue\r\n\r\n" + answer;
+    case 16:  // a part, less than was announced
+      return answer.substr(0, answer.size() - 4);
+    default:
+      return answer;
+  }
+}
+
+// No length: the end of the connection ends the answer, perhaps too early (way 20).
+void RequestWorld::answer_without_length(Worker& worker, WorkerSide& side, std::size_t way) {
+  Attempt const& item = attempts.at(side.current);
+  std::string const body = rest_of_body(item, side);
+  run(worker, side);
+  ++seen["answer without length"];
+  // Of what is no stream nobody could tell that it stopped in the middle.
+  bool const stops = way == 20 && (item.kind == "live" || item.kind == "flow");
+  send(side, success_head(worker, item) + "\r\n" + (stops ? body.substr(0, body.size() - 3) : body));
+  shut(side);
+}
+
+// The request runs, and an answer comes that is malformed or has something before it.
+void RequestWorld::answer_malformed(Worker& worker, WorkerSide& side, std::size_t way) {
+  Attempt const& item = attempts.at(side.current);
+  run(worker, side);
+  // A late refusal of an earlier request, which does not name it.
+  if (way == 18 && side.carried > 1) send(side, "HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+  send(side, malformed_answer(worker, item, rest_of_body(item, side), way));
+  if (way == 16) shut(side);
+}
+
+// Answers in one of the ways and tells whether the answer is over.
+bool RequestWorld::answer_in_way(Worker& worker, WorkerSide& side, std::size_t way) {
   switch (way) {
     case 0:
     case 1:
-    case 2:  // the whole answer, or its next part
-      run(worker, side);
-      if (!side.headed && way == 0) {
-        send(side, whole);
-        break;
-      }
-      if (!side.headed) {
-        side.headed = true;
-        side.events = side.first - 1;
-        send(side, success_head(worker, item) + chunked);
-      }
-      over_now = way == 0;
-      while (side.events < events_most) {
-        ++side.events;
-        send(side, chunk_text(event_of(item.id, side.events)));
-        if (way > 0) break;
-      }
-      if (way == 0) send(side, "0\r\n\r\n");
-      break;
+    case 2:
+      return answer_properly(worker, side, way);
     case 3:
-      send(side, "HTTP/1.1 503 Busy\r\n" + id + "X-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
-      break;
     case 4:
-      send(side, "HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 4\r\n\r\nbusy");
-      break;
     case 5:
     case 6:
-    case 7: {
-      unsigned const status = way == 5 ? 500 : way == 6 ? 429 : 503;
-      run(worker, side);
-      item.failures.push_back(status);
-      send(side, "HTTP/1.1 " + std::to_string(status) + " Odd\r\n" + failure);
-      break;
-    }
+    case 7:
+      answer_failure(worker, side, way);
+      return true;
     case 8:
-    case 9: {  // an answer to an earlier request comes first, and perhaps alone
-      Try const& other = tries.at(order[choose(order.size())]);
-      over_now = false;
-      if (other.id == item.id || other.ran_at.count("s-" + worker.id) == 0) break;
-      std::string const late = whole_of(other.id);
-      send(side, success_head(worker, other) + "Content-Length: " + std::to_string(late.size()) + "\r\n\r\n" + late);
-      run(worker, side);
-      if (way == 8) send(side, whole);
-      over_now = way == 8;
-      break;
-    }
+    case 9:
+      return answer_late(worker, side, way);
     case 10:
-      run(worker, side);
-      send(side, whole + whole);
-      break;
     case 11:
-      run(worker, side);
-      send(side, "HTTP/1.1 20 OK\r\n\r\n" + whole);
-      break;
     case 12:
-      run(worker, side);
-      send(side, "HTTP/1.1 200 OK\r\n" + seal + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
-      break;
     case 13:
-      run(worker, side);
-      send(side, "HTTP/1.1 200 OK\r\n" + id + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
-      break;
     case 14:
-      run(worker, side);
-      send(side, "HTTP/1.1 100 Continue\r\n\r\n" + whole);
-      break;
+    case 16:
+    case 18:
+      answer_malformed(worker, side, way);
+      return true;
     case 15:  // it runs and says nothing yet
       run(worker, side);
-      over_now = false;
-      break;
-    case 16:  // a part, less than was announced, and the end
-      run(worker, side);
-      send(side, whole.substr(0, whole.size() - 4));
-      shut(side);
-      break;
+      return false;
     case 17:
       send(side, "\x01garbage\r\n\r\n");
-      break;
-    case 18:  // a late refusal of an earlier request, which does not name it
-      run(worker, side);
-      if (side.carried > 1) send(side, "HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
-      send(side, whole);
-      break;
-    case 19:  // no length: the end of the connection ends it
-    case 20: {
-      run(worker, side);
-      ++seen["answer without length"];
-      // Of what is no stream nobody could tell that it stopped in the middle.
-      bool const stops = way == 20 && (item.kind == "live" || item.kind == "flow");
-      send(side, success_head(worker, item) + "\r\n" + (stops ? body.substr(0, body.size() - 3) : body));
-      shut(side);
-      break;
-    }
+      return true;
+    case 19:
+    case 20:
+      answer_without_length(worker, side, way);
+      return true;
     default:
       shut(side);
+      return true;
   }
-  if (!over_now) return;
+}
+
+// The ways in which a worker may answer what it holds, good and bad.
+void RequestWorld::answer(Worker& worker, WorkerSide& side, std::size_t way) {
+  note(worker.id + " answers " + side.current + " in way " + std::to_string(way));
+  if (side.headed && way > 2 && way != 17 && way < 21) way = 0;
+  if (side.has_run && (way == 3 || way == 4)) way = 0;  // no worker says that it did not run what it ran
+  if (!answer_in_way(worker, side, way)) return;
   side.current.clear();
   side.headed = false;
 }
@@ -540,9 +575,9 @@
       return shut(side);
     case 1: {
       if (order.empty()) return;
-      Try const& other = tries.at(order[choose(order.size())]);
-      if (other.ran_at.count("s-" + worker.id) == 0) return;
-      std::string const late = whole_of(other.id);
+      Attempt const& other = attempts.at(order[choose(order.size())]);
+      if (other.run_seals.count("s-" + worker.id) == 0) return;
+      std::string const late = complete_body(other.id);
       note(worker.id + " answers " + other.id + " unasked");
       return send(side,
                   success_head(worker, other) + "Content-Length: " + std::to_string(late.size()) + "\r\n\r\n" + late);
@@ -600,9 +635,9 @@
       note("configuration " + std::to_string(description));
       return dispatcher.in_force(descriptions[description]);
     case 9:
-      held = !held;
-      note(held ? "placing is held" : "placing goes on");
-      return dispatcher.hold(held);
+      placing_held = !placing_held;
+      note(placing_held ? "placing is held" : "placing goes on");
+      return dispatcher.hold(placing_held);
     case 10:
       if (worker.elsewhere || !worker.up) return;
       note(worker.id + " says farewell and serves on");
@@ -663,9 +698,9 @@
   for (std::pair<std::string const, Instance> const& item : registry.all)
     if (item.second.running != 0 || item.second.held != 0) fault(item.first + " is held to be busy");
   double extra = 0;
-  for (std::pair<std::string const, Try> const& item : tries)
+  for (std::pair<std::string const, Attempt> const& item : attempts)
     extra += static_cast<double>(item.second.arrivals > 1 ? item.second.arrivals - 1 : 0);
-  if (extra > budget_ratio * static_cast<double>(tries.size()) + budget_store)
+  if (extra > budget_ratio * static_cast<double>(attempts.size()) + budget_store)
     fault("more is sent again than the budget holds");
   seen["sent again"] += static_cast<std::size_t>(extra);
 }
--- a/testing/request_model_checker/world.h
+++ b/testing/request_model_checker/world.h
@@ -36,7 +36,7 @@
 
  private:
   // One try of a caller, which bears an id of its own.
-  struct Try {
+  struct Attempt {
     std::string id;
     std::string kind;
     std::string body;
@@ -47,7 +47,7 @@
     bool given_up = false;
     bool refused = false;  // promised not to have run, and never to
     std::size_t runs = 0;
-    std::set<std::string> ran_at;
+    std::set<std::string> run_seals;
     std::size_t arrivals = 0;
     std::vector<unsigned> failures;  // the statuses of failures that workers gave
   };
@@ -68,6 +68,16 @@
   void arrive(Worker& worker, WorkerSide& side, Head const& head, std::string const& body);
   void run(Worker& worker, WorkerSide& side);
   void answer(Worker& worker, WorkerSide& side, std::size_t way);
+  bool answer_in_way(Worker& worker, WorkerSide& side, std::size_t way);
+  bool answer_properly(Worker& worker, WorkerSide& side, std::size_t way);
+  void answer_failure(Worker& worker, WorkerSide& side, std::size_t way);
+  bool answer_late(Worker& worker, WorkerSide& side, std::size_t way);
+  void answer_malformed(Worker& worker, WorkerSide& side, std::size_t way);
+  void answer_without_length(Worker& worker, WorkerSide& side, std::size_t way);
+  static std::string rest_of_body(Attempt const& item, WorkerSide const& side);
+  std::string full_answer(Worker const& worker, Attempt const& item, std::string const& body) const;
+  std::string malformed_answer(Worker const& worker, Attempt const& item, std::string const& body,
+                               std::size_t way) const;
   void send(WorkerSide& side, std::string const& bytes);
   void shut(WorkerSide& side);
   void crash(Worker& worker);
@@ -77,7 +87,7 @@
   void fault(std::string const& text);
   void note(std::string const& text);
   std::shared_ptr<Link> dial(std::string const& address);
-  std::string success_head(Worker const& worker, Try const& item) const;
+  std::string success_head(Worker const& worker, Attempt const& item) const;
 
   Choose choose;
   ManualTime time{seconds(1000)};
@@ -87,13 +97,13 @@
   Dispatcher dispatcher{"n1", "a", index_sync, registry, exchange};
   std::shared_ptr<Description const> descriptions[2];
   std::unique_ptr<RequestProxy> relay;
-  std::map<std::string, Try> tries;
+  std::map<std::string, Attempt> attempts;
   std::vector<std::string> order;  // of the tries
   std::vector<std::unique_ptr<CallerSide>> callers;
   std::vector<std::unique_ptr<Worker>> workers;
   std::uint64_t heartbeats = 0;
   std::size_t description = 0;
-  bool held = false;
+  bool placing_held = false;
   bool stopping = false;
 };
 
--- a/testing/soak/main.cc
+++ b/testing/soak/main.cc
@@ -1,5 +1,6 @@
-// soak: many experiments of `stage` with real processes and real sockets, each with a schedule of overlapping troubles
-// drawn from its seed. What breaks a promise or an invariant keeps its seed, its schedule and all logs (docs/soak.md).
+// soak: many experiments of platform_fleet_test with real processes and real sockets, each with a schedule of
+// overlapping faults drawn from its seed. What breaks a promise or an invariant keeps its seed, its schedule and all
+// logs (docs/soak.md).
 #include <fcntl.h>
 #include <signal.h>
 #include <sys/prctl.h>
@@ -18,7 +19,7 @@
 #include "testing/common/own_folder.h"
 #include "testing/platform_fleet_test/schedule.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 namespace {
 
 namespace options = boost::program_options;
@@ -36,8 +37,8 @@
   int net = 120;
   std::string shape = "soak";
   std::string folder;
-  std::string stage;
-  std::string troubles;  // instead of drawn ones
+  std::string program;
+  std::string faults;  // instead of drawn ones
 };
 
 struct Run {
@@ -50,18 +51,18 @@
   Run run;
   run.seed = seed;
   run.folder = plan.folder + "/seed-" + std::to_string(seed);
-  run.schedule = plan.troubles.empty() ? soak_schedule(seed, plan.seconds, plan.calm) : plan.troubles;
+  run.schedule = plan.faults.empty() ? soak_schedule(seed, plan.seconds, plan.calm) : plan.faults;
   std::error_code wrong;
   std::filesystem::remove_all(run.folder, wrong);
   std::filesystem::create_directories(run.folder, wrong);
   std::ofstream(run.folder + "/schedule") << "--seed " << seed << " --troubles \"" << run.schedule << "\"\n";
-  std::vector<std::string> const words = {plan.stage,   "--relay",
-                                          "--shape",    plan.shape,
-                                          "--seconds",  std::to_string(plan.seconds),
-                                          "--seed",     std::to_string(seed),
-                                          "--net",      std::to_string(plan.net + static_cast<int>(job)),
-                                          "--folder",   run.folder + "/nodes",
-                                          "--troubles", run.schedule};
+  std::vector<std::string> const command = {plan.program, "--relay",
+                                            "--shape",    plan.shape,
+                                            "--seconds",  std::to_string(plan.seconds),
+                                            "--seed",     std::to_string(seed),
+                                            "--net",      std::to_string(plan.net + static_cast<int>(job)),
+                                            "--folder",   run.folder + "/nodes",
+                                            "--troubles", run.schedule};
   std::string const report = run.folder + "/report";
   pid_t const parent = ::getpid();
   made = ::fork();
@@ -72,7 +73,7 @@
   ::dup2(fd, 1);
   ::dup2(fd, 2);
   std::vector<char*> arguments;
-  for (std::string const& word : words) arguments.push_back(const_cast<char*>(word.c_str()));
+  for (std::string const& argument : command) arguments.push_back(const_cast<char*>(argument.c_str()));
   arguments.push_back(nullptr);
   ::execv(arguments[0], arguments.data());
   ::_exit(127);
@@ -84,10 +85,10 @@
               run.schedule.c_str());
   std::ifstream file(run.folder + "/report");
   std::string line;
-  int told = 0;
+  int printed = 0;
   while (std::getline(file, line))
     if (line.find("broken") != std::string::npos || line.find(": ") != std::string::npos)
-      if (++told <= 12) std::printf("  %s\n", line.substr(0, 400).c_str());
+      if (++printed <= 12) std::printf("  %s\n", line.substr(0, 400).c_str());
   std::printf("  kept in %s\n", run.folder.c_str());
 }
 
@@ -130,7 +131,7 @@
   return failed.empty() ? 0 : 1;
 }
 
-int run(int count, char** words) {
+int run(int count, char** command) {
   SoakPlan plan;
   options::options_description flags("soak: experiments with overlapping troubles, one for each seed");
   flags.add_options()("help", "this text")("from", options::value(&plan.from), "the first seed")(
@@ -140,12 +141,12 @@
       "net", options::value(&plan.net), "addresses are 127.NET.x.y, one NET for each job, from this on")(
       "shape", options::value(&plan.shape))("folder", options::value(&plan.folder),
                                             "for logs; what failed is kept there")(
-      "platform-fleet-test", options::value(&plan.stage), "the program; beside this one if not given")(
-      "troubles", options::value(&plan.troubles), "the same for every seed, instead of drawn ones")(
+      "platform-fleet-test", options::value(&plan.program), "the program; beside this one if not given")(
+      "troubles", options::value(&plan.faults), "the same for every seed, instead of drawn ones")(
       "show", "prints the schedules alone");
   options::variables_map given;
   try {
-    options::store(options::command_line_parser(count, words).options(flags).positional({}).run(), given);
+    options::store(options::command_line_parser(count, command).options(flags).positional({}).run(), given);
     options::notify(given);
   } catch (options::error const& error) {
     return std::fprintf(stderr, "soak: %s\n", error.what()), 2;
@@ -161,12 +162,12 @@
       std::cout << seed << ": " << soak_schedule(seed, plan.seconds, plan.calm) << "\n";
     return 0;
   }
-  if (plan.stage.empty()) plan.stage = own_folder() + "/platform_fleet_test";
+  if (plan.program.empty()) plan.program = own_folder() + "/platform_fleet_test";
   if (plan.folder.empty()) plan.folder = own_folder() + "/soak-runs";
   return soak(plan);
 }
 
 }  // namespace
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
 
-int main(int count, char** words) { return pipit::stage::run(count, words); }
+int main(int count, char** command) { return pipit::platform_fleet::run(count, command); }
--- a/tests/change_traffic.cc
+++ b/tests/change_traffic.cc
@@ -14,11 +14,11 @@
 namespace pipit {
 
 namespace {
-using control_plane::FrameCount;
-using control_plane::Machine;
-using control_plane::MachineId;
-using control_plane::World;
-using control_plane::WorldPlan;
+using control_plane_simulator::FrameCount;
+using control_plane_simulator::Machine;
+using control_plane_simulator::MachineId;
+using control_plane_simulator::World;
+using control_plane_simulator::WorldPlan;
 
 // One change moves the weights of a route and the time-out of another, and adds or takes away a third: what the users'
 // operators do.
@@ -76,10 +76,10 @@
     Edit edit;
     edit.version = ++version;
     edit.routes = routes;
-    Change const change = control_plane::replace_change(confirmed, version, description_of(edit));
+    Change const change = control_plane_simulator::replace_change(confirmed, version, description_of(edit));
     MachineId const machine = next_machine();
     bool const reads = version % 2 == 1;
-    std::uint64_t const id = operate(machine, reads ? control_plane::read_change() : change);
+    std::uint64_t const id = operate(machine, reads ? control_plane_simulator::read_change() : change);
     if (reads) readings[id] = change;
   }
 
@@ -151,7 +151,7 @@
   std::size_t orders = 400;
   Micros gap = millis(40);
   bool cut = false;
-  control_plane::CutWay way = control_plane::CutWay::outbound;
+  control_plane_simulator::CutWay way = control_plane_simulator::CutWay::outbound;
 };
 
 StormCost storm_cost(StormPlan const& storm_plan) {
@@ -167,7 +167,7 @@
   world.between_zones.clear();
   for (std::size_t n = 0; n < storm_plan.orders; ++n) {
     if (storm_plan.cut && n == 100)
-      world.isolate({proposing_replica(world)}, control_plane::CutKind::silent, storm_plan.way);
+      world.isolate({proposing_replica(world)}, control_plane_simulator::CutKind::silent, storm_plan.way);
     storm.order();
     world.run(storm_plan.gap);
   }
@@ -196,7 +196,8 @@
 // The same when the replica that proposes for all is cut off one way, and others propose for themselves: 49,187 and
 // 50,895 bytes a change with patches of one stretch.
 TEST(ChangeTraffic, a_storm_without_the_proposing_replica_moves_what_differs) {
-  for (control_plane::CutWay const way : {control_plane::CutWay::inbound, control_plane::CutWay::outbound}) {
+  for (control_plane_simulator::CutWay const way :
+       {control_plane_simulator::CutWay::inbound, control_plane_simulator::CutWay::outbound}) {
     StormPlan plan;
     plan.orders = 1200;
     plan.cut = true;
--- a/tests/control_plane.cc
+++ b/tests/control_plane.cc
@@ -7,7 +7,7 @@
 #include "base/events.h"
 #include "testing/control_plane_simulator/scenarios.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 namespace {
 void expect_clean(char const* name, ScenarioPlan const& plan) {
@@ -17,8 +17,8 @@
   Report const report = scenario->run(plan);
   EXPECT_GT(report.confirmations, 0u);
   // The first findings tell the story; the rest follow from them.
-  std::size_t const told = std::min<std::size_t>(3, report.findings.size());
-  for (std::size_t n = 0; n < told; ++n)
+  std::size_t const shown = std::min<std::size_t>(3, report.findings.size());
+  for (std::size_t n = 0; n < shown; ++n)
     ADD_FAILURE() << name << " seed " << plan.seed << " (" << report.setting << ") at " << report.findings[n].at / 1000
                   << " ms, point " << report.findings[n].point << ": " << report.findings[n].what;
 }
@@ -182,4 +182,4 @@
   for (std::size_t const disks : {3u, 4u, 8u}) expect_clean("halves", disks, -1, 1, 3);
 }
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/tests/engine.cc
+++ b/tests/engine.cc
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 namespace {
 
 EngineShape small() {
@@ -190,4 +190,4 @@
   EXPECT_TRUE(of(until(engine, seconds(1)), Happening::What::began, 1).empty());
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/tests/fault_relay.cc
+++ b/tests/fault_relay.cc
@@ -8,7 +8,7 @@
 #include "testing/platform_fleet_test/fault_proxy.h"
 #include "tests/loopback.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 
 namespace {
 constexpr char caller[] = "127.0.0.2";
@@ -149,4 +149,4 @@
   EXPECT_TRUE(until([this, &refused] { return ended == Link::End::unreached || !refused->open(); }));
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/tests/fleet_traffic.cc
+++ b/tests/fleet_traffic.cc
@@ -12,11 +12,11 @@
 namespace pipit {
 
 namespace {
-using control_plane::FrameCount;
-using control_plane::Machine;
-using control_plane::MachineId;
-using control_plane::World;
-using control_plane::WorldPlan;
+using control_plane_simulator::FrameCount;
+using control_plane_simulator::Machine;
+using control_plane_simulator::MachineId;
+using control_plane_simulator::World;
+using control_plane_simulator::WorldPlan;
 
 constexpr std::size_t workers_each = 10;
 constexpr Micros heartbeat_interval = millis(1200);
@@ -198,7 +198,7 @@
     for (int n = 0; n < 80; ++n)
       text += R"(,{"name":"filler-)" + std::to_string(n) + R"(","model":"some-model-of-a-service","slots":48})";
     text += R"(,{"name":"at-)" + std::to_string(label) + R"(","model":"m"}],"lanes":[]})";
-    Change const made = control_plane::replace_change(confirmed, label, text);
+    Change const made = control_plane_simulator::replace_change(confirmed, label, text);
     asked[label] = world.now();
     MachineId const id = world.chance().below(plan.nodes);
     if (!world.machine(id).up()) return;
@@ -282,7 +282,7 @@
   plan.requests = false;
   LoadedFleet fleet(plan);
   World& world = fleet.machines();
-  world.isolate({21, 22, 23, 24, 25}, control_plane::CutKind::silent, control_plane::CutWay::both);
+  world.isolate({21, 22, 23, 24, 25}, control_plane_simulator::CutKind::silent, control_plane_simulator::CutWay::both);
   world.run(seconds(2));
   fleet.end_worker(30);
   fleet.end_worker(36);
--- a/tests/operators.cc
+++ b/tests/operators.cc
@@ -11,7 +11,7 @@
 #include "testing/control_plane_simulator/node_view.h"
 #include "testing/control_plane_simulator/world.h"
 
-namespace pipit::control_plane {
+namespace pipit::control_plane_simulator {
 
 namespace {
 constexpr std::uint64_t first_order = 1;
@@ -122,4 +122,4 @@
   }
 }
 
-}  // namespace pipit::control_plane
+}  // namespace pipit::control_plane_simulator
--- a/tests/stage.cc
+++ b/tests/platform_fleet.cc
@@ -4,9 +4,9 @@
 #include "testing/platform_fleet_test/figures.h"
 #include "testing/platform_fleet_test/judge.h"
 #include "testing/platform_fleet_test/operators.h"
-#include "testing/platform_fleet_test/troubles.h"
+#include "testing/platform_fleet_test/faults.h"
 
-namespace pipit::stage {
+namespace pipit::platform_fleet {
 namespace {
 
 Attempt attempt_of(std::string id, bool repeatable, std::int64_t events = 3) {
@@ -30,7 +30,7 @@
   Judge judge;
   Attempt& attempt = judge.sent(attempt_of("a", false));
   ASSERT_EQ(judge.arrived("a", "POST /a", 7, "s", "w", 2000), &attempt);
-  judge.ran(attempt, 5, "w");
+  judge.record_run(attempt, 5, "w");
   Reading reading;
   std::string text;
   for (std::int64_t n = 1; n <= 3; ++n) text += event_text("a", n, 5, 2000, 60);
@@ -38,7 +38,7 @@
   for (char const c : text) judge.read(attempt, reading, std::string_view(&c, 1), 3000);
   EXPECT_EQ(reading.last, 3);
   EXPECT_EQ(reading.slowest, 1000);
-  judge.whole(attempt, reading, "5");
+  judge.record_complete(attempt, reading, "5");
   EXPECT_EQ(judge.total(), 0u);
 }
 
@@ -54,22 +54,22 @@
 TEST(Judge, what_may_not_be_repeated_runs_once_and_what_was_refused_never) {
   Judge judge;
   Attempt& once = judge.sent(attempt_of("a", false));
-  judge.ran(once, 1, "w");
+  judge.record_run(once, 1, "w");
   EXPECT_EQ(judge.total(), 0u);
-  judge.ran(once, 2, "v");
+  judge.record_run(once, 2, "v");
   EXPECT_EQ(broken(judge, Promise::twice), 1u);
   Attempt& after = judge.sent(attempt_of("b", false));
   judge.refused(after, 503);
   EXPECT_EQ(broken(judge, Promise::refused_ran), 0u);
-  judge.ran(after, 3, "w");
+  judge.record_run(after, 3, "w");
   EXPECT_EQ(broken(judge, Promise::refused_ran), 1u);
   Attempt& before = judge.sent(attempt_of("c", false));
-  judge.ran(before, 4, "w");
+  judge.record_run(before, 4, "w");
   judge.refused(before, 429);
   EXPECT_EQ(broken(judge, Promise::refused_ran), 2u);
   Attempt& often = judge.sent(attempt_of("d", true));
-  judge.ran(often, 5, "w");
-  judge.ran(often, 6, "v");
+  judge.record_run(often, 5, "w");
+  judge.record_run(often, 6, "v");
   judge.refused(often, 503);
   EXPECT_EQ(broken(judge, Promise::twice), 1u);
   EXPECT_EQ(broken(judge, Promise::refused_ran), 2u);
@@ -98,7 +98,7 @@
     Reading reading;
     for (std::pair<std::int64_t, std::uint64_t> const& event : row.events)
       judge.read(attempt, reading, event_text("a", event.first, event.second, 0, 60), 10);
-    judge.whole(attempt, reading, "5");
+    judge.record_complete(attempt, reading, "5");
     EXPECT_EQ(broken(judge, row.promise), row.times) << row.what;
     EXPECT_EQ(judge.total(), row.times) << row.what;
   }
@@ -113,11 +113,11 @@
   EXPECT_EQ(broken(judge, Promise::mixed), 1u);
   Reading half;
   judge.read(attempt, half, event_text("a", 1, 5, 0, 60) + "id: 2", 10);
-  judge.whole(attempt, half, "5");
+  judge.record_complete(attempt, half, "5");
   EXPECT_EQ(broken(judge, Promise::mixed), 2u);
   Reading good;
   judge.read(attempt, good, event_text("a", 1, 5, 0, 60), 10);
-  judge.whole(attempt, good, "");
+  judge.record_complete(attempt, good, "");
   EXPECT_EQ(broken(judge, Promise::mixed), 3u);
 }
 
@@ -127,17 +127,16 @@
     for (int i = 0; i < 10; ++i) judge.sent(attempt_of("a" + std::to_string(i), true));
     for (int i = 0; i < 10; ++i) judge.arrived("a" + std::to_string(i), "POST /a", 7, "s", "w", 2000);
     for (int i = 0; i < repeats; ++i) judge.arrived("a" + std::to_string(i), "POST /a", 7, "s", "w", 3000);
-    judge.look_at_retries(0.2, 1, seconds(10));
+    judge.check_retries(0.2, 1, seconds(10));
     EXPECT_EQ(broken(judge, Promise::too_many_retries), repeats > 3 ? 1u : 0u);
   }
 }
 
-TEST(Stage, troubles_are_read_with_their_defaults_in_order_of_time) {
-  Result<std::vector<Trouble>> const made =
-      parse_troubles(" burst@6:x=2,on=note ; kill@1.5:on=core;; crash@2:share=0.5 ");
+TEST(PlatformFleet, troubles_are_read_with_their_defaults_in_order_of_time) {
+  Result<std::vector<Fault>> const made = parse_faults(" burst@6:x=2,on=note ; kill@1.5:on=core;; crash@2:share=0.5 ");
   ASSERT_TRUE(made);
   ASSERT_EQ(made.value().size(), 3u);
-  EXPECT_EQ(made.value()[0].kind, Trouble::Kind::kill);
+  EXPECT_EQ(made.value()[0].kind, Fault::Kind::kill);
   EXPECT_EQ(made.value()[0].at, 1500000);
   EXPECT_EQ(made.value()[0].on, "core");
   EXPECT_EQ(made.value()[0].count, 1);
@@ -145,10 +144,10 @@
   EXPECT_EQ(made.value()[2].x, 2);
   for (char const* const bad :
        {"rain@1", "kill", "kill@", "kill@x", "kill@1:count", "kill@1:count=x", "kill@-1", "kill@1:a=2"})
-    EXPECT_FALSE(parse_troubles(bad)) << bad;
+    EXPECT_FALSE(parse_faults(bad)) << bad;
 }
 
-TEST(Stage, configurations_that_mean_the_same_read_the_same) {
+TEST(PlatformFleet, configurations_that_mean_the_same_read_the_same) {
   EXPECT_EQ(canonical("{\"a\":1,\"b\":[{\"name\":\"x\"},{\"name\":\"y\",\"z\":true}]}"),
             canonical("{ \"b\":[{\"z\":true,\"name\":\"y\"},{\"name\":\"x\"}], \"a\":1.0 }"));
   EXPECT_NE(canonical("{\"a\":[1,2]}"), canonical("{\"a\":[2,1]}"));
@@ -156,7 +155,7 @@
   EXPECT_EQ(canonical("{\"a\":"), "");
 }
 
-TEST(Stage, two_reports_are_compared_row_by_row) {
+TEST(PlatformFleet, two_reports_are_compared_row_by_row) {
   Figures a;
   a.put("worth", 0.5);
   a.put("same", 3);
@@ -169,4 +168,4 @@
   EXPECT_EQ(compare(a, a), "no difference\n");
 }
 
-}  // namespace pipit::stage
+}  // namespace pipit::platform_fleet
--- a/tests/record_store.cc
+++ b/tests/record_store.cc
@@ -8,7 +8,7 @@
 
 namespace pipit {
 
-using control_plane::SimulatedDisk;
+using control_plane_simulator::SimulatedDisk;
 
 namespace {
 constexpr std::size_t small_file = 2048;
--- a/tests/checker.cc
+++ b/tests/register_model_checker.cc
@@ -11,7 +11,7 @@
 #include "testing/register_model_checker/scenarios.h"
 #include "testing/register_model_checker/search.h"
 
-namespace pipit::checker {
+namespace pipit::register_checker {
 
 // How a failed test names its scenario.
 void PrintTo(Scenario const& scenario, std::ostream* out) { *out << scenario.name << ": " << scenario.about; }
@@ -64,7 +64,7 @@
   Finding const finding = explore(GetParam(), limits_of(5000000, longest_search));
   std::printf("%s\n", summary_of(GetParam(), finding).c_str());
   EXPECT_EQ(finding.fault, "") << words_of(GetParam(), finding);
-  EXPECT_TRUE(finding.whole);
+  EXPECT_TRUE(finding.complete);
   EXPECT_GT(finding.recoveries, 0u);
 }
 INSTANTIATE_TEST_SUITE_P(checker, SmallWorld, testing::ValuesIn(small_scenarios()), name_of);
@@ -87,19 +87,19 @@
 
 // The checker sees what each guard guards: with it off there is a trace, and the trace replays.
 namespace {
-void expect_fault(Guard guard, Scenario const& scenario, Finding const& finding, std::string const& words) {
+void expect_fault(Guard guard, Scenario const& scenario, Finding const& finding, std::string const& step_text) {
   EXPECT_NE(finding.fault, "") << words_of(scenario, finding);
-  EXPECT_NE(finding.fault.find(words), std::string::npos) << words_of(scenario, finding);
+  EXPECT_NE(finding.fault.find(step_text), std::string::npos) << words_of(scenario, finding);
   EXPECT_EQ(replay(scenario, finding.trace).fault, finding.fault);
   guard_off() = Guard::none;
   EXPECT_EQ(replay(scenario, finding.trace).fault, "") << "the same steps with the guard on";
   guard_off() = guard;
 }
 
-void expect_explored_fault(Guard guard, std::string const& name, std::string const& words) {
+void expect_explored_fault(Guard guard, std::string const& name, std::string const& step_text) {
   Unguarded const off(guard);
   Scenario const scenario = named(name);
-  expect_fault(guard, scenario, explore(scenario, limits_of(1000000, longest_search)), words);
+  expect_fault(guard, scenario, explore(scenario, limits_of(1000000, longest_search)), step_text);
 }
 }  // namespace
 
@@ -153,4 +153,4 @@
   EXPECT_EQ(one.steps, other.steps);
 }
 
-}  // namespace pipit::checker
+}  // namespace pipit::register_checker
--- a/tests/world.cc
+++ b/tests/world.cc
@@ -39,15 +39,15 @@
 class Worlds : public testing::TestWithParam<char const*> {};
 
 TEST_P(Worlds, the_points_hold) {
-  std::uint64_t troubles = 0;
+  std::uint64_t injected_faults = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     WorldEnd const end = see(GetParam(), seed);
     for (std::string const& fault : end.faults) ADD_FAILURE() << "seed " << seed << " " << fault;
     EXPECT_GT(end.done, 0u);
     EXPECT_GT(end.accepted, 0u);
-    troubles += end.troubles;
+    injected_faults += end.injected_faults;
   }
-  EXPECT_GT(troubles, 60u);
+  EXPECT_GT(injected_faults, 60u);
 }
 
 TEST_P(Worlds, a_seed_replays) {
