--- a/src/mesh/mesh_frames.cc
+++ b/src/mesh/mesh_frames.cc
@@ -1,108 +1,144 @@
-// The mesh: what it does with a frame of a peer (§3.2 to §3.6).
-#include <algorithm>
-
+// The mesh's handlers, one for each message (§3.2 to §3.6).
 #include "base/events.h"
 #include "mesh/mesh.h"
 
 namespace pipit {
 
-std::string Mesh::frame(ConnectionId id, wire::FrameT& frame, Micros now, ConnectionEffects& out) {
-  std::map<ConnectionId, Connection>::iterator const position = connections_.find(id);
-  if (position == connections_.end()) return "";
-  ++frames_in;
-  position->second.heard = now;
+std::string Mesh::handle_frame(ConnectionId id, wire::FrameT& frame, Micros now, ConnectionEffects& out) {
+  Connection* const connection = connections_.find(id);
+  if (connection == nullptr) return "";
+  ++frames_received;
+  connection->last_received = now;
+  std::string const from = connection->peer;
   if (wire::HelloT const* const hello = frame.body.AsHello()) {
-    if (position->second.peer.empty()) greet(id, *hello, now, out);
+    if (from.empty()) handle_hello(id, *hello, now, out);
     return "";
   }
-  std::string const name = position->second.peer;
-  if (name.empty()) {
+  if (from.empty()) {
     log_event(Event::malformed_frame, "a frame before the greeting");
-    drop(id, now, out);
+    connections_.close(id, now, out);
     return "";
   }
   switch (frame.body.type) {
-    case wire::Body::Ping: {
-      wire::PingT const& ping = *frame.body.AsPing();
-      take_table(ping.table, now, out);
-      heard(name, ping.revision, ping.serial, ping.ready);
-      wire::PongT pong;
-      pong.seq = ping.seq;
-      pong.digest = members.digest();
-      pong.entry_digest = entry_table.digest();
-      pong.revision = members.self.revision;
-      pong.serial = members.self.serial;
-      pong.ready = members.self.ready;
-      // §3.6: whoever knows something else is told everything, and answers with what it knows besides.
-      pong.whole = !wide() || table_repair_.due(pong.digest, ping.digest, now);
-      pong.table = !wide() ? table_for(id, false) : pong.whole ? members.table() : rumours();
-      repair_entries(name, ping.entry_digest, now, out);
-      out.sends.push_back({id, encode_body(std::move(pong))});
+    case wire::Body::Ping:
+      handle_ping(id, from, *frame.body.AsPing(), now, out);
       return "";
-    }
-    case wire::Body::Pong: {
-      wire::PongT const& pong = *frame.body.AsPong();
-      take_table(pong.table, now, out);
-      heard(name, pong.revision, pong.serial, pong.ready);
-      if (wide() && pong.whole && pong.digest != members.digest()) {
-        wire::MembershipUpdateT update;
-        update.table = members.table();
-        post(name, std::move(update), out);
-      }
-      repair_entries(name, pong.entry_digest, now, out);
-      probe_done(pong.seq, now);
-      std::map<std::uint64_t, Relay>::iterator const relay = relays_.find(pong.seq);
-      if (relay != relays_.end()) {
-        wire::IndirectPongT res;
-        res.seq = relay->second.seq;
-        res.target = name;
-        res.ok = true;
-        if (connections_.count(relay->second.asker))
-          out.sends.push_back({relay->second.asker, encode_body(std::move(res))});
-        relays_.erase(relay);
-      }
+    case wire::Body::Pong:
+      handle_pong(from, *frame.body.AsPong(), now, out);
       return "";
-    }
-    case wire::Body::IndirectPing: {
-      wire::IndirectPingT const& request_id = *frame.body.AsIndirectPing();
-      std::map<std::string, Peer>::const_iterator const target = members.peers.find(request_id.target);
-      if (target == members.peers.end() || target->second.connection == 0) return "";
-      std::uint64_t const seq = ++next_seq_;
-      wire::PingT ping;
-      ping.seq = seq;
-      ping.table = wide() ? rumours() : table_for(target->second.connection, false);
-      ping.digest = members.digest();
-      ping.entry_digest = entry_table.digest();
-      ping.revision = members.self.revision;
-      ping.serial = members.self.serial;
-      ping.ready = members.self.ready;
-      if (post(request_id.target, std::move(ping), out)) relays_[seq] = Relay{id, request_id.seq, now + plan_.probe};
+    case wire::Body::IndirectPing:
+      failure_detector_.handle_indirect_ping(id, *frame.body.AsIndirectPing(), now, out);
       return "";
-    }
-    case wire::Body::IndirectPong: {
-      wire::IndirectPongT const& res = *frame.body.AsIndirectPong();
-      if (res.ok) probe_done(res.seq, now);
+    case wire::Body::IndirectPong:
+      failure_detector_.handle_indirect_pong(*frame.body.AsIndirectPong(), now);
       return "";
-    }
     case wire::Body::MembershipUpdate:
-      take_table(frame.body.AsMembershipUpdate()->table, now, out);
+      gossip_.merge(frame.body.AsMembershipUpdate()->table, now, out);
       return "";
-    case wire::Body::Entries: {
-      wire::EntriesT const& list = *frame.body.AsEntries();
-      for (std::unique_ptr<wire::EntryT> const& item : list.list)
-        if (entry_table.merge(name, *item, now)) fresh.push_back(item->key);
-      wire::EntriesAckT ack;
-      ack.batch = list.batch;
-      out.sends.push_back({id, encode_body(std::move(ack))});
-      if (!fresh.empty()) flush_entries(out);
+    case wire::Body::Entries:
+      handle_entries(id, from, *frame.body.AsEntries(), now, out);
       return "";
-    }
     case wire::Body::EntriesAck:
-      entry_table.acked(name, frame.body.AsEntriesAck()->batch);
+      entry_replication.acknowledge(from, frame.body.AsEntriesAck()->batch);
       return "";
     default:
-      return name;
+      return from;
+  }
+}
+
+// Whether a greeting comes from another node of this cluster that speaks the same version of the frames.
+bool Mesh::is_acceptable(wire::HelloT const& hello) const {
+  if (hello.format != frame_format) {
+    log_event(Event::foreign_cluster, "frames of format " + std::to_string(hello.format));
+    return false;
+  }
+  if (hello.cluster != settings_.cluster || !hello.self || hello.self->name.empty() ||
+      hello.self->name == members.self.name) {
+    log_event(Event::foreign_cluster, hello.cluster);
+    return false;
+  }
+  return true;
+}
+
+void Mesh::handle_hello(ConnectionId id, wire::HelloT const& hello, Micros now, ConnectionEffects& out) {
+  if (!is_acceptable(hello)) return connections_.close(id, now, out);
+  std::string const& name = hello.self->name;
+  Connection& connection = *connections_.find(id);
+  connection.peer = name;
+  connection.peer_incarnation = hello.self->incarnation;
+  members.readmit(name);
+  if (members.merge(*hello.self, now) == MemberTable::MergeResult::changed) gossip_.spread_finding(*hello.self, out);
+  Peer& peer = members.peers.at(name);
+  peer.set_dial_refused(false, now);
+  if (!connections_.bind(id, peer, now, out)) return;
+  failure_detector_.peer_greeted(name);
+  entry_replication.add_peer(name);
+  enqueue_entries_for(name, hello);
+  gossip_.answer_hello(id, hello, out);
+  flush_entries(out);
+}
+
+// Where many meet a node that has just started, or that was cut off, not each of them sends it everything: its seeds do
+// when it knows nothing yet, and every node sends what it owns. What an owner that has left wrote is repaired by
+// digests.
+void Mesh::enqueue_entries_for(std::string const& name, wire::HelloT const& hello) {
+  if (!is_large_fleet() || hello.entries == 0) {
+    entry_replication.enqueue_all(name);
+  } else if (hello.entry_digest != entry_table.digest()) {
+    entry_replication.enqueue_own(name);
   }
 }
 
+void Mesh::handle_ping(ConnectionId id, std::string const& from, wire::PingT const& ping, Micros now,
+                       ConnectionEffects& out) {
+  gossip_.merge(ping.table, now, out);
+  members.update_status(from, ping.revision, ping.serial, ping.ready);
+  wire::PongT pong;
+  pong.seq = ping.seq;
+  pong.digest = members.digest();
+  pong.entry_digest = entry_table.digest();
+  pong.revision = members.self.revision;
+  pong.serial = members.self.serial;
+  pong.ready = members.self.ready;
+  // §3.6: in a large fleet a peer that knows something else is sent everything, and answers with what it knows besides.
+  bool const repairs = is_large_fleet() && member_repair_.admit(pong.digest, ping.digest, now);
+  pong.whole = !is_large_fleet() || repairs;
+  pong.table = repairs ? members.records_since() : gossip_.records_for_ping(id);
+  repair_entries(from, ping.entry_digest, now, out);
+  out.outgoing_frames.push_back({id, encode_body(std::move(pong))});
+}
+
+void Mesh::handle_pong(std::string const& from, wire::PongT const& pong, Micros now, ConnectionEffects& out) {
+  gossip_.merge(pong.table, now, out);
+  members.update_status(from, pong.revision, pong.serial, pong.ready);
+  if (is_large_fleet() && pong.whole && pong.digest != members.digest()) {
+    wire::MembershipUpdateT update;
+    update.table = members.records_since();
+    send(from, std::move(update), out);
+  }
+  repair_entries(from, pong.entry_digest, now, out);
+  failure_detector_.handle_pong(from, pong, now, out);
+}
+
+void Mesh::handle_entries(ConnectionId id, std::string const& from, wire::EntriesT const& batch, Micros now,
+                          ConnectionEffects& out) {
+  for (std::unique_ptr<wire::EntryT> const& entry : batch.list) {
+    if (!entry_table.merge(*entry, now)) continue;
+    entry_replication.enqueue_forwarded(from, *entry);
+    updated_entry_keys.push_back(entry->key);
+  }
+  wire::EntriesAckT ack;
+  ack.batch = batch.batch;
+  out.outgoing_frames.push_back({id, encode_body(std::move(ack))});
+  if (!updated_entry_keys.empty()) flush_entries(out);
+}
+
+// In a large fleet, entries that a peer may lack are all sent again when its digest differs.
+void Mesh::repair_entries(std::string const& peer, std::uint64_t peer_digest, Micros now, ConnectionEffects& out) {
+  if (!is_large_fleet() || !entry_repair_.admit(entry_table.digest(), peer_digest, now)) return;
+  entry_replication.enqueue_all(peer);
+  wire::EntriesT batch = entry_replication.next_batch(peer, false);
+  if (!batch.list.empty()) send(peer, std::move(batch), out);
+}
+
 }  // namespace pipit
--- a/src/node/handed.cc
+++ b/src/node/handed.cc
@@ -59,7 +59,7 @@
   std::uint64_t const request_id = ++next_request_id_;
   wire::ForwardedChangeT ask = proposal(request_id, change, learner.revision());
   put_text(change.text, ask);
-  if (!mesh.post(replica, std::move(ask), out.mesh)) return false;
+  if (!mesh.send(replica, std::move(ask), out.mesh)) return false;
   handed_[request_id] = Handed{id, replica, change, now + answer_within};
   return true;
 }
@@ -91,7 +91,7 @@
     wire::ForwardedChangeReplyT ans;
     ans.request_id = ask.request_id;
     ans.need_text = true;
-    mesh.post(from, std::move(ans), out.mesh);
+    mesh.send(from, std::move(ans), out.mesh);
     return;
   }
   Change change;
@@ -109,7 +109,7 @@
 void Node::send_text(std::string const& to, std::uint64_t request_id, Change const& change, NodeEffects& out) {
   wire::ForwardedChangeT ask = proposal(request_id, change, learner.revision());
   ask.text = change.text;
-  mesh.post(to, std::move(ask), out.mesh);
+  mesh.send(to, std::move(ask), out.mesh);
 }
 
 void Node::take_answer(std::string const& from, wire::ForwardedChangeReplyT const& ans, Micros now, NodeEffects& out) {
@@ -158,7 +158,7 @@
     if (read) ans.revision = outcome.value.revision;
     if (read && who->second.revision < outcome.value.revision)
       ans.value = std::make_unique<wire::ValueT>(outcome.value);
-    mesh.post(who->second.from, std::move(ans), out.mesh);
+    mesh.send(who->second.from, std::move(ans), out.mesh);
     asked_by_.erase(who);
     it = out.replies.erase(it);
   }
--- a/src/node/listed.cc
+++ b/src/node/listed.cc
@@ -105,7 +105,7 @@
   for (std::pair<std::string const, Worker> const& item : fleet.workers)
     if (rendezvous(item.first, names) == plan.name) mine.insert(item.first);
   bool any = false;
-  for (wire::EntryT& entry : fleet.entries_for(mine)) any = mesh.entry_table.put(std::move(entry), now) || any;
+  for (wire::EntryT& entry : fleet.entries_for(mine)) any = mesh.put_entry(std::move(entry), now) || any;
   // §4.3: the owner may have missed a mark that this node read. Then this node says so under a key of its own.
   std::set<std::string> marked;
   for (std::pair<std::string const, Worker> const& item : fleet.workers) {
@@ -116,7 +116,7 @@
   }
   for (wire::EntryT& entry : fleet.entries_for(marked)) {
     entry.key += "!" + plan.name;
-    any = mesh.entry_table.put(std::move(entry), now) || any;
+    any = mesh.put_entry(std::move(entry), now) || any;
   }
   if (any) mesh.flush_entries(out.mesh);
 }
@@ -172,7 +172,7 @@
       wire::WorkerSuspectedT word;
       word.worker = suspect.first;
       word.incarnation = suspect.second;
-      mesh.post(name, std::move(word), out.mesh);
+      mesh.send(name, std::move(word), out.mesh);
     }
   }
   out.chat.suspects.clear();
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -39,12 +39,12 @@
   out.replica = plan.replica;
   return out;
 }
-MeshPlan mesh_of(NodePlan const& plan) {
-  MeshPlan out;
+MeshSettings mesh_of(NodePlan const& plan) {
+  MeshSettings out;
   out.cluster = plan.cluster;
   out.seeds = plan.seeds;
   // §3.6 needs owners that tell entries themselves and revisions on pings, as where workers register.
-  if (!plan.registered) out.wide = SIZE_MAX;
+  if (!plan.registered) out.large_fleet_size = SIZE_MAX;
   return out;
 }
 // A initial member whose incarnation ended before the first set was written goes on waiting for it, with the seeds of
@@ -162,7 +162,7 @@
         log_event(Event::frame_too_large, item.to + " " + std::to_string(bytes.size()));
         continue;
       }
-      out.mesh.sends.push_back({peer->second.connection, std::move(bytes)});
+      out.mesh.outgoing_frames.push_back({peer->second.connection, std::move(bytes)});
     }
   }
 }
@@ -324,7 +324,7 @@
   else
     update.value = std::make_unique<wire::ValueT>(value);
   if (!guard(Guard::spread)) return;
-  if (plan.registered && mesh.wide()) {
+  if (plan.registered && mesh.is_large_fleet()) {
     // §12.7: to those that keep, who bring it to the rest of their zones.
     update.origin = plan.name;
     update.hops = 1;
@@ -333,17 +333,17 @@
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       if (item.second.connection == 0 || !item.second.member.replica) continue;
       reached.insert(item.second.member.zone);
-      out.mesh.sends.push_back({item.second.connection, far});
+      out.mesh.outgoing_frames.push_back({item.second.connection, far});
     }
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
       if (item.second.connection != 0 && !reached.count(item.second.member.zone))
-        out.mesh.sends.push_back({item.second.connection, far});
+        out.mesh.outgoing_frames.push_back({item.second.connection, far});
     if (plan.replica) forward(update, out);
     return;
   }
   std::string const bytes = encode_body(std::move(update));
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-    if (item.second.connection != 0) out.mesh.sends.push_back({item.second.connection, bytes});
+    if (item.second.connection != 0) out.mesh.outgoing_frames.push_back({item.second.connection, bytes});
 }
 
 // The value held here grew newer: it comes into force.
@@ -377,12 +377,12 @@
 
 void Node::opened(ConnectionId id, bool outbound, std::string const& address, Micros now, NodeEffects& out) {
   watch_clock(now);
-  mesh.opened(id, outbound, address, now, out.mesh);
+  mesh.connection_opened(id, outbound, address, now, out.mesh);
 }
 
 void Node::shut(ConnectionId id, Micros now, NodeEffects& out) {
   watch_clock(now);
-  mesh.shut(id, now, out.mesh);
+  mesh.connection_closed(id, now, out.mesh);
 }
 
 void Node::dial_failed(std::string const& address, bool refused, Micros now, NodeEffects& out) {
@@ -402,17 +402,17 @@
   bool const greeting = frame.value()->body.type == wire::Body::Hello;
   std::string const hello_name =
       greeting && frame.value()->body.AsHello()->self ? frame.value()->body.AsHello()->self->name : "";
-  std::string const from = mesh.frame(id, *frame.value(), now, out.mesh);
+  std::string const from = mesh.handle_frame(id, *frame.value(), now, out.mesh);
   take_fresh(now);
   if (greeting) {
     // §5.5: a peer that comes with an older serial is told the chosen value at once. Where many would do so, it asks:
     // its polls and the turns that its peers tell bring the value from one.
     std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(hello_name);
-    if (!mesh.wide() && peer != mesh.members.peers.end() && peer->second.connection == id && learner.value &&
+    if (!mesh.is_large_fleet() && peer != mesh.members.peers.end() && peer->second.connection == id && learner.value &&
         peer->second.member.revision < learner.revision()) {
       wire::ChosenT update;
       update.value = std::make_unique<wire::ValueT>(*learner.value);
-      mesh.post(hello_name, std::move(update), out.mesh);
+      mesh.send(hello_name, std::move(update), out.mesh);
     }
     return true;
   }
@@ -425,15 +425,15 @@
 }
 
 void Node::take_fresh(Micros now) {
-  for (std::string const& key : mesh.fresh) {
+  for (std::string const& key : mesh.updated_entry_keys) {
     std::map<std::string, wire::EntryT>::const_iterator const entry = mesh.entry_table.all().find(key);
     if (entry == mesh.entry_table.all().end()) continue;
     if (!plan.registered)
       fleet.take_entry(entry->second, now);
     else if (std::optional<wire::EntryT> word = registry.take_entry(entry->second, now))
-      mesh.entry_table.put(std::move(*word), now);
+      mesh.put_entry(std::move(*word), now);
   }
-  mesh.fresh.clear();
+  mesh.updated_entry_keys.clear();
   for (std::string const& id : registry.ended) index_sync.forget(id);
   registry.ended.clear();
   for (std::string const& name : fleet.reborn) index_sync.forget(name);
--- a/src/node/registered.cc
+++ b/src/node/registered.cc
@@ -16,7 +16,7 @@
 }  // namespace
 
 void Node::put_entry(wire::EntryT entry, Micros now, NodeEffects& out) {
-  if (mesh.entry_table.put(std::move(entry), now)) mesh.flush_entries(out.mesh);
+  if (mesh.put_entry(std::move(entry), now)) mesh.flush_entries(out.mesh);
 }
 
 bool Node::heartbeat(Heartbeat const& word, Micros now, NodeEffects& out) {
@@ -73,7 +73,7 @@
 
 Paths Node::paths() const {
   Paths out;
-  out.wide = mesh.wide();
+  out.wide = mesh.is_large_fleet();
   std::set<std::string> zones;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     Peer const& peer = item.second;
@@ -97,7 +97,7 @@
 }
 
 void Node::exchange_now(Micros now, NodeEffects& out) {
-  if (mesh.wide()) return;  // words of many nodes wait for the tick, so that more of them go together
+  if (mesh.is_large_fleet()) return;  // words of many nodes wait for the tick, so that more of them go together
   std::vector<OutgoingMessage> outgoing;
   exchange.tick(now, paths(), outgoing);
   dispatch(outgoing, now, out);
@@ -123,12 +123,12 @@
     if (peer.connection == 0 || peer.member.replica || item.first == update.origin) continue;
     if (peer.member.zone == plan.zone &&
         rendezvous(item.first, std::set<std::string>(hands.begin(), hands.end())) == plan.name)
-      out.mesh.sends.push_back({peer.connection, bytes});
+      out.mesh.outgoing_frames.push_back({peer.connection, bytes});
   }
 }
 
 Micros Node::poll_span() const {
-  if (!plan.registered || !mesh.wide()) return poll_gap;
+  if (!plan.registered || !mesh.is_large_fleet()) return poll_gap;
   if (!ready_now_ || stale_from_ >= 0) return poll_gap;
   return acceptor ? poll_wide : poll_rare;
 }
@@ -147,7 +147,8 @@
     std::map<std::string, Peer>::const_iterator const owner = mesh.members.peers.find(at.owner);
     bool const met = owner != mesh.members.peers.end();
     // A node that is new has not met everybody yet.
-    Micros const gone_for = met ? now - owner->second.since : now - std::max(started_at_, at.known) - strange_owner;
+    Micros const gone_for =
+        met ? now - owner->second.state_since : now - std::max(started_at_, at.known) - strange_owner;
     if (gone_for < plan.heartbeat_interval * 2) continue;
     if (rendezvous(item.first, here) != plan.name) continue;
     put_entry(registry.adopt(item.first, now), now, out);
@@ -157,9 +158,9 @@
 void Node::tick_registered(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out) {
   Paths const ways = paths();
   // §12.7: an owner tells every peer itself; a hub tells its zone besides, for pairs that have no connection.
-  mesh.entry_table.passes_on = !ways.wide;
-  mesh.entry_table.pass_to.clear();
-  if (ways.hub) mesh.entry_table.pass_to.insert(ways.zone.begin(), ways.zone.end());
+  mesh.entry_replication.forward_to_all = !ways.wide;
+  mesh.entry_replication.forward_to.clear();
+  if (ways.hub) mesh.entry_replication.forward_to.insert(ways.zone.begin(), ways.zone.end());
   if (now >= next_round_) {
     next_round_ = now + seconds(1);
     index_sync.round(
@@ -176,7 +177,7 @@
   if (now >= next_adoption_) adopt_workers(now, out);
   take_fresh(now);
   settle_ends(now, out);
-  dispatcher.nodes(routers(true).size(), mesh.wide());
+  dispatcher.nodes(routers(true).size(), mesh.is_large_fleet());
   update_readiness(now, out);
   renew_lease(now, outgoing);
   tick_quota(now, outgoing);
--- a/src/node/seats.cc
+++ b/src/node/seats.cc
@@ -111,7 +111,7 @@
   bool const known = peer != mesh.members.peers.end();
   // That it left, or refuses a dial, says nothing of a later incarnation.
   if (registration != nullptr && (!known || peer->second.member.incarnation < registration->incarnation)) return true;
-  return !mesh.gone(name);
+  return !mesh.members.cannot_be_serving(name);
 }
 
 std::optional<Error> Node::keeps(std::string const& name) const {
@@ -131,8 +131,9 @@
     if (position == mesh.members.peers.end() || position->second.member.incarnation > registration->incarnation)
       continue;
     Peer const& peer = position->second;
-    bool const left = peer.state() == State::leaving && now - std::max(peer.since, peer.bare_since) > evict_after;
-    bool const dead = peer.refused && now - peer.refused_at > evict_after;
+    bool const left =
+        peer.state() == State::leaving && now - std::max(peer.state_since, peer.disconnected_since) > evict_after;
+    bool const dead = peer.dial_refused && now - peer.dial_refused_at > evict_after;
     if (peer.connection != 0 || (!left && !dead)) continue;
     change.type = Change::Type::evict_router;
     change.registration = *registration;
@@ -145,7 +146,7 @@
 // so that nobody can have read any more: its own address says so, or half of all members have no news either. That
 // holds on from what was known before; a node that was alone must first hear from half of them for a while.
 bool Node::is_up_to_date(Micros now) {
-  Micros const half_at = mesh.half_heard(now);
+  Micros const half_at = mesh.last_heard_from_half(now);
   bool const half = half_at >= 0 && now - half_at <= alone_after;
   if (!half)
     half_since_ = -1;
--- a/src/node/worker_ends.cc
+++ b/src/node/worker_ends.cc
@@ -17,7 +17,7 @@
   std::size_t all = 1;
   std::size_t reached = 1;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
-    if (mesh.gone(item.first)) continue;
+    if (mesh.members.cannot_be_serving(item.first)) continue;
     ++all;
     if (item.second.connection != 0) ++reached;
   }
@@ -29,7 +29,7 @@
   return std::all_of(mesh.members.peers.begin(), mesh.members.peers.end(),
                      [&](std::pair<std::string const, Peer> const& item) {
                        bool const reached = item.second.connection != 0 && item.second.state() == State::alive;
-                       return !reached || mesh.entry_table.told(item.first, worker);
+                       return !reached || mesh.entry_replication.is_replicated(item.first, worker);
                      });
 }
 
@@ -41,16 +41,17 @@
     std::size_t all = 1;
     std::size_t told = 1;
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
-      if (mesh.gone(item.first)) continue;
+      if (mesh.members.cannot_be_serving(item.first)) continue;
       ++all;
-      if (mesh.entry_table.told(item.first, worker)) ++told;
+      if (mesh.entry_replication.is_replicated(item.first, worker)) ++told;
     }
     return told * 2 > all;
   }
   Voters told;
   for (std::vector<wire::ReplicaT> const* const part : {&members.replicas, &members.former})
     for (wire::ReplicaT const& replica : *part)
-      if (replica.name == plan.name || mesh.entry_table.told(replica.name, worker)) told[replica.name] = replica.disk;
+      if (replica.name == plan.name || mesh.entry_replication.is_replicated(replica.name, worker))
+        told[replica.name] = replica.disk;
   return members.quorum(told);
 }
 
@@ -79,8 +80,8 @@
   bool alone = true;
   bool told = false;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
-    alone = alone && mesh.gone(item.first);
-    told = told || mesh.entry_table.told(item.first, worker);
+    alone = alone && mesh.members.cannot_be_serving(item.first);
+    told = told || mesh.entry_replication.is_replicated(item.first, worker);
   }
   check_invariant(alone || told, Invariant::end_is_known, [&] {
     return worker + ", " + std::to_string(mesh.members.peers.size()) + " peers, " +
--- a/src/routing/fleet/fleet.cc
+++ b/src/routing/fleet/fleet.cc
@@ -137,7 +137,8 @@
 void Fleet::take_entry(wire::EntryT const& entry, Micros now) {
   // "w2!p3" is what p3 says of w2 besides its owner: only an end counts (§4.3).
   std::string const id = worker_of(entry.key);
-  if (id.empty() || (beside_owner(entry.key) && entry.state == static_cast<std::uint8_t>(WorkerState::serving))) return;
+  if (id.empty() || (is_secondary_report(entry.key) && entry.state == static_cast<std::uint8_t>(WorkerState::serving)))
+    return;
   Worker& worker = workers[id];
   WorkerState const said = static_cast<WorkerState>(entry.state);
   bool const first = worker.row.id.empty();
--- a/src/routing/registry/registry.cc
+++ b/src/routing/registry/registry.cc
@@ -105,7 +105,8 @@
 }
 
 std::optional<wire::EntryT> Registry::take_entry(wire::EntryT const& entry, Micros now) {
-  if (beside_owner(entry.key) || entry.state > static_cast<std::uint8_t>(WorkerState::ended)) return std::nullopt;
+  if (is_secondary_report(entry.key) || entry.state > static_cast<std::uint8_t>(WorkerState::ended))
+    return std::nullopt;
   WorkerState const said = static_cast<WorkerState>(entry.state);
   Instance& item = all[entry.key];
   bool const first = item.id.empty();
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -175,8 +175,8 @@
 // The executor: obeys what the core decided.
 void Host::act(NodeEffects& out) {
   if (out.save) disk_->save(std::move(*out.save));
-  for (std::string const& address : out.mesh.dials) connections_->dial(address);
-  for (ConnectionEffects::Send& send : out.mesh.sends) {
+  for (std::string const& address : out.mesh.dial_addresses) connections_->dial(address);
+  for (ConnectionEffects::OutgoingFrame& send : out.mesh.outgoing_frames) {
     if (settings_.faults && dropped_out(send.connection, send.bytes)) continue;
     connection_bytes_ += send.bytes.size();
     mesh_to_[node_->mesh.zone_of(send.connection)] += send.bytes.size();
@@ -185,7 +185,7 @@
       for (std::size_t i = 4; i < send.bytes.size(); ++i) send.bytes[i] = static_cast<char>(send.bytes[i] ^ 0x5a);
     connections_->send(send.connection, send.bytes);
   }
-  for (ConnectionId const id : out.mesh.shuts) {
+  for (ConnectionId const id : out.mesh.closed_connections) {
     connection_names_.erase(id);
     connections_->shut(id);
   }
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -74,7 +74,7 @@
   text.counter("pipit_blocks_hit_total", t.blocks_hit);
   text.counter("pipit_far_sends_total", t.far_sends);
   text.counter("pipit_wire_bytes_total", connection_bytes_);
-  text.counter("pipit_frames_in_total", node_->mesh.frames_in);
+  text.counter("pipit_frames_in_total", node_->mesh.frames_received);
   text.counter("pipit_deltas_dropped_total", node_->index_sync.dropped);
   text.counter("pipit_tree_pulls_total", node_->index_sync.pulls);
   text.counter("pipit_tree_stalls_total", node_->index_sync.stalls);
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -123,9 +123,10 @@
 // The executor: obeys what the core decided.
 void NodeServer::act(NodeEffects& out) {
   if (out.save && disk_) disk_->save(std::move(*out.save));
-  for (std::string const& address : out.mesh.dials) connections_->dial(address);
-  for (ConnectionEffects::Send& send : out.mesh.sends) connections_->send(send.connection, send.bytes);
-  for (ConnectionId const id : out.mesh.shuts) connections_->shut(id);
+  for (std::string const& address : out.mesh.dial_addresses) connections_->dial(address);
+  for (ConnectionEffects::OutgoingFrame& send : out.mesh.outgoing_frames)
+    connections_->send(send.connection, send.bytes);
+  for (ConnectionId const id : out.mesh.closed_connections) connections_->shut(id);
   if (!out.dispatch.empty()) proxy_->act(out.dispatch);
   std::vector<Reply> const replies = std::move(out.replies);
   for (Reply const& item : replies) {
--- a/src/server/node_server.h
+++ b/src/server/node_server.h
@@ -57,7 +57,7 @@
   // False when no worker of that name is known here.
   bool worker_left(std::string const& id, std::uint64_t order);
   void operate(Change change, Done done);
-  void reseed(std::vector<std::string> const& addresses) { node_->mesh.reseed(addresses); }
+  void reseed(std::vector<std::string> const& addresses) { node_->mesh.set_seeds(addresses); }
   // The description in force here, with the operators' own number for it.
   std::shared_ptr<Description const> const& description() const { return node_->dispatcher.description(); }
   std::uint64_t label() const { return node_->learner.value ? node_->learner.value->label : 0; }
--- a/src/server/node_server_status.cc
+++ b/src/server/node_server_status.cc
@@ -142,7 +142,7 @@
   text.counter("pipit_far_sends_total", t.far_sends);
   text.counter("pipit_connections_dialled_total", proxy_->upstream.dialled);
   text.counter("pipit_connections_reused_total", proxy_->upstream.reused);
-  text.counter("pipit_frames_in_total", node_->mesh.frames_in);
+  text.counter("pipit_frames_in_total", node_->mesh.frames_received);
   text.counter("pipit_deltas_dropped_total", node_->index_sync.dropped);
   text.counter("pipit_tree_pulls_total", node_->index_sync.pulls);
   text.counter("pipit_clock_jumps_total", node_->jumps);
--- a/testing/control_plane_simulator/world.cc
+++ b/testing/control_plane_simulator/world.cc
@@ -311,14 +311,14 @@
 
 void World::obey(Machine& machine, NodeEffects& out) {
   if (out.save) save(machine, std::move(*out.save));
-  for (std::string const& address : out.mesh.dials) dial(machine, address);
-  for (ConnectionEffects::Send& item : out.mesh.sends) {
+  for (std::string const& address : out.mesh.dial_addresses) dial(machine, address);
+  for (ConnectionEffects::OutgoingFrame& item : out.mesh.outgoing_frames) {
     std::map<ConnectionId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const position =
         machine.connections.find(item.connection);
     if (position != machine.connections.end())
       send(position->second.first, position->second.second, std::move(item.bytes), false);
   }
-  for (ConnectionId const connection : out.mesh.shuts) {
+  for (ConnectionId const connection : out.mesh.closed_connections) {
     std::map<ConnectionId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const position =
         machine.connections.find(connection);
     if (position == machine.connections.end()) continue;
@@ -554,7 +554,7 @@
         [this, link, to, connection, bytes = std::move(frame.bytes)](Node& node, Micros now, NodeEffects& out) {
           Machine& machine = *machines[link->end[to]];
           if (machine.connections.count(connection) == 0) return;
-          if (!node.bytes(connection, bytes, now, out)) out.mesh.shuts.push_back(connection);
+          if (!node.bytes(connection, bytes, now, out)) out.mesh.closed_connections.push_back(connection);
         });
 }
 
--- a/testing/cost_simulator/scale.cc
+++ b/testing/cost_simulator/scale.cc
@@ -363,9 +363,10 @@
       b.disk = record;
       enter(who, life, Step::connection, [](Machine& x, Micros t, NodeEffects& o) { x.node->disk_done(t, o); });
     });
-  for (std::string const& address : out.mesh.dials) dial(who, address);
-  for (ConnectionEffects::Send& send : out.mesh.sends) carry(who, send.connection, std::move(send.bytes));
-  for (ConnectionId const id : out.mesh.shuts) {
+  for (std::string const& address : out.mesh.dial_addresses) dial(who, address);
+  for (ConnectionEffects::OutgoingFrame& send : out.mesh.outgoing_frames)
+    carry(who, send.connection, std::move(send.bytes));
+  for (ConnectionId const id : out.mesh.closed_connections) {
     std::unordered_map<ConnectionId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const position =
         m.connections.find(id);
     if (position == m.connections.end()) continue;
--- a/testing/fleet_simulator/judge.cc
+++ b/testing/fleet_simulator/judge.cc
@@ -74,7 +74,7 @@
                         static_cast<unsigned long long>(item.second->node->learner.serial()), peer.first.c_str(),
                         peer.second.member.address.c_str(), state_name(peer.second.state()),
                         static_cast<unsigned long long>(peer.second.connection), peer.second.dialling,
-                        peer.second.refused);
+                        peer.second.dial_refused);
   if (serials.size() != 1)
     fault("N7 nodes differ in serial after a quiet while");
   else if (*serials.begin() < yes_serial)
--- a/testing/fleet_simulator/machines.cc
+++ b/testing/fleet_simulator/machines.cc
@@ -299,9 +299,10 @@
   std::string const name = box.name;
   std::uint64_t const life = box.life;
   if (out.save) save(box, std::move(*out.save));
-  for (std::string const& address : out.mesh.dials) dial(box, address);
-  for (ConnectionEffects::Send& send : out.mesh.sends) carry(box, send.connection, std::move(send.bytes));
-  for (ConnectionId const id : out.mesh.shuts) {
+  for (std::string const& address : out.mesh.dial_addresses) dial(box, address);
+  for (ConnectionEffects::OutgoingFrame& send : out.mesh.outgoing_frames)
+    carry(box, send.connection, std::move(send.bytes));
+  for (ConnectionId const id : out.mesh.closed_connections) {
     std::map<ConnectionId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const position =
         box.connections.find(id);
     if (position == box.connections.end()) continue;
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -48,7 +48,7 @@
   wire::HelloT older = hello("pipit", "b");
   older.format = frame_format - 1;
   node.bytes(1, encode_body(std::move(older)), 0, out);
-  EXPECT_EQ(out.mesh.shuts, std::vector<ConnectionId>{1});
+  EXPECT_EQ(out.mesh.closed_connections, std::vector<ConnectionId>{1});
   EXPECT_EQ(node.mesh.members.peers.count("b"), 0u);
 }
 
@@ -83,7 +83,7 @@
   NodeEffects out;
   node.opened(1, false, "", 0, out);
   node.bytes(1, encode_body(hello("other", "b")), 0, out);
-  EXPECT_EQ(out.mesh.shuts, std::vector<ConnectionId>{1});
+  EXPECT_EQ(out.mesh.closed_connections, std::vector<ConnectionId>{1});
   EXPECT_TRUE(node.mesh.members.peers.empty());
 }
 
@@ -98,7 +98,7 @@
   node.opened(2, false, "", millis(10), out);
   node.bytes(2, encode_body(std::move(next)), millis(10), out);
   EXPECT_EQ(node.mesh.members.peers.at("b").connection, 2u);
-  EXPECT_EQ(out.mesh.shuts, std::vector<ConnectionId>{1});
+  EXPECT_EQ(out.mesh.closed_connections, std::vector<ConnectionId>{1});
 }
 
 TEST(Mesh, a_peer_that_moves_while_it_is_dialled_is_dialled_anew) {
@@ -123,7 +123,8 @@
   node.dial_failed("10.0.0.2:1", false, millis(900), out);
   out = NodeEffects();
   node.tick(millis(1500), out);
-  EXPECT_NE(std::find(out.mesh.dials.begin(), out.mesh.dials.end(), "10.0.0.9:1"), out.mesh.dials.end());
+  EXPECT_NE(std::find(out.mesh.dial_addresses.begin(), out.mesh.dial_addresses.end(), "10.0.0.9:1"),
+            out.mesh.dial_addresses.end());
 }
 
 TEST(MemberTable, a_node_contradicts_update_of_its_end) {
@@ -147,20 +148,20 @@
   self.incarnation = 5;
   MemberTable members(self);
   wire::MemberT peer = *hello("c", "b").self;
-  EXPECT_EQ(members.merge(peer, 0), MemberTable::MergeResult::fresh);
+  EXPECT_EQ(members.merge(peer, 0), MemberTable::MergeResult::changed);
   std::uint64_t const first = members.version;
-  EXPECT_EQ(members.table().size(), 2u);
-  EXPECT_EQ(members.table(first).size(), 1u) << "its own record alone";
+  EXPECT_EQ(members.records_since().size(), 2u);
+  EXPECT_EQ(members.records_since(first).size(), 1u) << "its own record alone";
   ++peer.bump;
   peer.revision = 9;
-  EXPECT_EQ(members.merge(peer, 0), MemberTable::MergeResult::fresh);
-  EXPECT_EQ(members.table(first).size(), 1u) << "a newer revision is told by the peer itself";
-  members.mark(members.peers.at("b"), State::suspected, 1);
-  ASSERT_EQ(members.table(first).size(), 2u);
+  EXPECT_EQ(members.merge(peer, 0), MemberTable::MergeResult::changed);
+  EXPECT_EQ(members.records_since(first).size(), 1u) << "a newer revision is told by the peer itself";
+  members.set_state(members.peers.at("b"), State::suspected, 1);
+  ASSERT_EQ(members.records_since(first).size(), 2u);
   std::uint64_t const second = members.version;
   ++peer.bump;
-  EXPECT_EQ(members.merge(peer, 2), MemberTable::MergeResult::fresh);
-  EXPECT_EQ(members.table(second).size(), 2u) << "a contradicted suspicion gets round";
+  EXPECT_EQ(members.merge(peer, 2), MemberTable::MergeResult::changed);
+  EXPECT_EQ(members.records_since(second).size(), 2u) << "a contradicted suspicion gets round";
 }
 
 TEST(Rendezvous, the_first_name_is_the_one_of_rank_0) {
--- /dev/null
+++ b/tests/mesh/failure_detector.cc
@@ -0,0 +1,139 @@
+// The failure detector by itself: probes, indirect probes, suspicion, and probes that are relayed.
+#include "mesh/membership/failure_detector.h"
+
+#include <gtest/gtest.h>
+
+#include "base/events.h"
+
+namespace pipit {
+
+namespace {
+wire::MemberT member(std::string const& name) {
+  wire::MemberT out;
+  out.name = name;
+  out.address = name + ":1";
+  out.incarnation = 1;
+  return out;
+}
+
+// This node is "a"; "b" has connection 1 and "c" connection 2.
+struct FailureDetectorTest : testing::Test {
+  MeshSettings settings;
+  MemberTable members{member("a")};
+  EntryTable entries{"a"};
+  EntryReplication replication{entries};
+  RandomSource random{1};
+  ConnectionTable connections{settings, members, replication};
+  MembershipGossip gossip{settings, members, connections, random};
+  FailureDetector detector{settings, members, entries, connections, gossip, random};
+  ConnectionEffects out;
+
+  FailureDetectorTest() {
+    mute_log(true);
+    connect("b", 1);
+    connect("c", 2);
+  }
+  void connect(std::string const& name, ConnectionId id) {
+    members.merge(member(name), 0);
+    connections.add(id, false, "", 0);
+    connections.find(id)->peer = name;
+    ASSERT_TRUE(connections.bind(id, members.peers.at(name), 0, out));
+  }
+  State state(std::string const& name) const { return members.peers.at(name).state(); }
+  // The messages of one type that were sent on a connection.
+  std::vector<std::unique_ptr<wire::FrameT>> sent(ConnectionId id, wire::Body type) const {
+    std::vector<std::unique_ptr<wire::FrameT>> found;
+    for (ConnectionEffects::OutgoingFrame const& item : out.outgoing_frames) {
+      if (item.connection != id) continue;
+      std::unique_ptr<wire::FrameT> frame = std::move(decode(item.bytes).value());
+      if (frame->body.type == type) found.push_back(std::move(frame));
+    }
+    return found;
+  }
+};
+}  // namespace
+
+TEST_F(FailureDetectorTest, one_probe_of_a_member_is_under_way_at_a_time) {
+  detector.probe(members.peers.at("b"), 0, out);
+  detector.probe(members.peers.at("b"), 1, out);
+  EXPECT_EQ(sent(1, wire::Body::Ping).size(), 1u);
+}
+
+TEST_F(FailureDetectorTest, a_member_that_does_not_answer_is_probed_through_others_and_then_suspected) {
+  detector.probe(members.peers.at("b"), 0, out);
+  detector.expire_probes(settings.probe_timeout - 1, out);
+  EXPECT_TRUE(sent(2, wire::Body::IndirectPing).empty());
+  detector.expire_probes(settings.probe_timeout, out);
+  ASSERT_EQ(sent(2, wire::Body::IndirectPing).size(), 1u);
+  EXPECT_EQ(sent(2, wire::Body::IndirectPing).front()->body.AsIndirectPing()->target, "b");
+  EXPECT_EQ(state("b"), State::alive);
+  detector.expire_probes(2 * settings.probe_timeout, out);
+  EXPECT_EQ(state("b"), State::suspected);
+}
+
+TEST_F(FailureDetectorTest, a_suspected_member_whose_probe_fails_is_down_and_its_connection_closed) {
+  members.set_state(members.peers.at("b"), State::suspected, 0);
+  detector.probe(members.peers.at("b"), 0, out);
+  detector.expire_probes(settings.probe_timeout, out);
+  detector.expire_probes(2 * settings.probe_timeout, out);
+  EXPECT_EQ(state("b"), State::down);
+  EXPECT_EQ(out.closed_connections, std::vector<ConnectionId>{1});
+  EXPECT_EQ(sent(2, wire::Body::MembershipUpdate).size(), 1u) << "the others are told";
+}
+
+TEST_F(FailureDetectorTest, a_pong_or_an_indirect_pong_ends_the_probe) {
+  for (bool const indirect : {false, true}) {
+    out = ConnectionEffects();
+    detector.probe(members.peers.at("b"), 0, out);
+    ASSERT_EQ(sent(1, wire::Body::Ping).size(), 1u);
+    std::uint64_t const seq = sent(1, wire::Body::Ping).front()->body.AsPing()->seq;
+    wire::PongT pong;
+    pong.seq = seq;
+    wire::IndirectPongT indirect_pong;
+    indirect_pong.seq = seq;
+    indirect_pong.ok = true;
+    if (indirect)
+      detector.handle_indirect_pong(indirect_pong, 1);
+    else
+      detector.handle_pong("b", pong, 1, out);
+    detector.expire_probes(seconds(10), out);
+    EXPECT_EQ(state("b"), State::alive);
+  }
+}
+
+TEST_F(FailureDetectorTest, a_probe_is_relayed_and_its_answer_goes_to_the_requester) {
+  wire::IndirectPingT request;
+  request.seq = 77;
+  request.target = "b";
+  detector.handle_indirect_ping(2, request, 0, out);
+  ASSERT_EQ(sent(1, wire::Body::Ping).size(), 1u);
+  wire::PongT pong;
+  pong.seq = sent(1, wire::Body::Ping).front()->body.AsPing()->seq;
+  detector.handle_pong("b", pong, 1, out);
+  ASSERT_EQ(sent(2, wire::Body::IndirectPong).size(), 1u);
+  EXPECT_EQ(sent(2, wire::Body::IndirectPong).front()->body.AsIndirectPong()->seq, 77u);
+  detector.handle_pong("b", pong, 2, out);
+  EXPECT_EQ(sent(2, wire::Body::IndirectPong).size(), 1u) << "each relayed probe is answered once";
+}
+
+TEST_F(FailureDetectorTest, a_refused_dial_is_a_failed_probe) {
+  members.merge(member("d"), 0);
+  detector.dial_failed("d:1", false, 0, out);
+  EXPECT_EQ(state("d"), State::alive) << "a dial that ran out of time proves nothing";
+  detector.dial_failed("d:1", true, 0, out);
+  EXPECT_EQ(state("d"), State::suspected);
+  detector.dial_failed("d:1", true, 0, out);
+  EXPECT_EQ(state("d"), State::down);
+  EXPECT_TRUE(members.cannot_be_serving("d"));
+}
+
+TEST_F(FailureDetectorTest, a_silent_connection_is_probed) {
+  detector.probe_silent(settings.inactivity_limit, out);
+  EXPECT_TRUE(sent(1, wire::Body::Ping).empty());
+  connections.find(2)->last_received = settings.inactivity_limit;
+  detector.probe_silent(settings.inactivity_limit + 1, out);
+  EXPECT_EQ(sent(1, wire::Body::Ping).size(), 1u);
+  EXPECT_TRUE(sent(2, wire::Body::Ping).empty());
+}
+
+}  // namespace pipit
--- /dev/null
+++ b/tests/mesh/gossip.cc
@@ -0,0 +1,88 @@
+// Dissemination of member records in a small and in a large fleet.
+#include "mesh/membership/gossip.h"
+
+#include <gtest/gtest.h>
+
+#include "base/events.h"
+
+namespace pipit {
+
+namespace {
+wire::MemberT member(std::string const& name) {
+  wire::MemberT out;
+  out.name = name;
+  out.address = name + ":1";
+  out.incarnation = 1;
+  return out;
+}
+
+struct MembershipGossipTest : testing::Test {
+  MeshSettings settings;
+  MemberTable members{member("a")};
+  EntryTable entries{"a"};
+  EntryReplication replication{entries};
+  RandomSource random{1};
+  ConnectionTable connections{settings, members, replication};
+  MembershipGossip gossip{settings, members, connections, random};
+  ConnectionEffects out;
+
+  // Connects this node with so many peers, which are named p1, p2 and so on.
+  void connect(std::size_t peers) {
+    mute_log(true);
+    for (ConnectionId id = 1; id <= peers; ++id) {
+      std::string const name = "p" + std::to_string(id);
+      members.merge(member(name), 0);
+      connections.add(id, false, "", 0);
+      connections.find(id)->peer = name;
+      connections.find(id)->peer_incarnation = 1;
+      ASSERT_TRUE(connections.bind(id, members.peers.at(name), 0, out));
+    }
+  }
+};
+}  // namespace
+
+TEST_F(MembershipGossipTest, a_small_fleet_broadcasts_a_finding) {
+  connect(5);
+  gossip.spread_finding(members.peers.at("p1").member, out);
+  EXPECT_EQ(out.outgoing_frames.size(), 5u);
+  EXPECT_TRUE(gossip.take_piggybacked().empty());
+}
+
+TEST_F(MembershipGossipTest, a_large_fleet_sends_a_finding_to_some_and_piggybacks_it_for_a_while) {
+  connect(30);
+  gossip.spread_finding(members.peers.at("p1").member, out);
+  EXPECT_EQ(out.outgoing_frames.size(), settings.gossip_fanout);
+  int sends = 0;
+  while (!gossip.take_piggybacked().empty()) ++sends;
+  EXPECT_EQ(sends, 18) << "3 and 3 more for each of the five doublings up to 30 members";
+}
+
+TEST_F(MembershipGossipTest, a_connection_is_sent_what_changed_since) {
+  connect(3);
+  EXPECT_EQ(gossip.records_for_ping(1).size(), 4u);
+  EXPECT_EQ(gossip.records_for_ping(1).size(), 1u) << "its own record alone";
+  members.set_state(members.peers.at("p2"), State::suspected, 1);
+  EXPECT_EQ(gossip.records_for_ping(1).size(), 2u);
+}
+
+TEST_F(MembershipGossipTest, a_record_of_a_newer_incarnation_closes_the_connection_to_the_former) {
+  connect(2);
+  MemberRecords records;
+  records.push_back(std::make_unique<wire::MemberT>(member("p2")));
+  records.front()->incarnation = 2;
+  gossip.merge(records, 1, out);
+  EXPECT_EQ(out.closed_connections, std::vector<ConnectionId>{2});
+  EXPECT_EQ(members.peers.at("p2").connection, 0u);
+}
+
+TEST_F(MembershipGossipTest, a_wrong_record_of_this_node_is_refuted_to_all) {
+  connect(2);
+  MemberRecords records;
+  records.push_back(std::make_unique<wire::MemberT>(members.self));
+  records.front()->state = static_cast<std::uint8_t>(State::down);
+  gossip.merge(records, 1, out);
+  EXPECT_EQ(out.outgoing_frames.size(), 2u);
+  EXPECT_EQ(members.self.bump, 1u);
+}
+
+}  // namespace pipit
--- a/tests/wide.cc
+++ b/tests/wide.cc
@@ -67,15 +67,15 @@
 
   void act(std::size_t from, NodeEffects& out) {
     if (out.save) saves.push_back(from);
-    for (std::string const& address : out.mesh.dials) dial(from, address);
-    for (ConnectionEffects::Send& send : out.mesh.sends) {
+    for (std::string const& address : out.mesh.dial_addresses) dial(from, address);
+    for (ConnectionEffects::OutgoingFrame& send : out.mesh.outgoing_frames) {
       std::map<ConnectionId, std::pair<std::size_t, std::size_t>>::const_iterator const position =
           ends.find(send.connection);
       if (position == ends.end()) continue;
       std::size_t const to = position->second.first == from ? position->second.second : position->second.first;
       mail.push_back({now + way, to, send.connection, std::move(send.bytes)});
     }
-    for (ConnectionId const id : out.mesh.shuts) shut(id, from);
+    for (ConnectionId const id : out.mesh.closed_connections) shut(id, from);
     for (Reply& item : out.replies) replies[from].push_back(std::move(item));
     while (!saves.empty()) {
       std::size_t const who = saves.back();
--- a/tests/worker_ends.cc
+++ b/tests/worker_ends.cc
@@ -63,9 +63,10 @@
   void step(std::function<void(NodeEffects&)> const& act) {
     NodeEffects out;
     act(out);
-    for (std::string const& to : out.mesh.dials) connections->dial(to);
-    for (ConnectionEffects::Send& send : out.mesh.sends) connections->send(send.connection, send.bytes);
-    for (ConnectionId const id : out.mesh.shuts) connections->shut(id);
+    for (std::string const& to : out.mesh.dial_addresses) connections->dial(to);
+    for (ConnectionEffects::OutgoingFrame& send : out.mesh.outgoing_frames)
+      connections->send(send.connection, send.bytes);
+    for (ConnectionId const id : out.mesh.closed_connections) connections->shut(id);
   }
 
   std::unique_ptr<Node> node;
