--- a/programs/pipitspoolctl/main.cc
+++ b/programs/pipitspoolctl/main.cc
@@ -94,7 +94,7 @@
     Result<std::shared_ptr<Description const>> const made = read_description(text);
     if (!made) {
       std::fprintf(stderr, "pipitspoolctl: %s: %s: %s\n", error_code_row(made.error().code).name,
-                   made.error().place.c_str(), made.error().why.c_str());
+                   made.error().where.c_str(), made.error().what.c_str());
       return 2;
     }
     std::printf("good: %zu pools, %zu lanes\n", made.value()->pools.size(), made.value()->lanes.size());
--- a/src/base/digest.h
+++ b/src/base/digest.h
@@ -6,6 +6,7 @@
 
 namespace pipit {
 
+// A 128-bit digest as two halves; ordered, for use as a key.
 struct Digest {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -13,6 +14,7 @@
   bool operator<(Digest const& other) const { return high != other.high ? high < other.high : low < other.low; }
 };
 
+// The digest of a text, equal in every process.
 Digest digest_of(std::string_view text);
 // 32 hexadecimal digits.
 std::string to_text(Digest const& digest);
--- a/src/base/error.cc
+++ b/src/base/error.cc
@@ -25,19 +25,19 @@
   }
 }
 
-ErrorCodeRow const& error_code_row(ErrorCode kind) { return rows[static_cast<std::size_t>(kind)]; }
+ErrorCodeRow const& error_code_row(ErrorCode code) { return rows[static_cast<std::size_t>(code)]; }
 std::size_t error_code_count() { return std::size(rows); }
 
 Answer answer_for(Error const& error, ExecutionStatus execution, Micros wait) {
   ErrorCodeRow const& row = error_code_row(error.code);
   Answer out;
   out.status = row.status;
-  // §7.2: only what certainly did not run is offered again.
+  // Only a request that certainly did not run may be retried (§7.2).
   out.wait = execution == ExecutionStatus::no ? wait : 0;
   JsonWriter json;
   json.begin_object().key("error").begin_object();
-  json.key("kind").text(row.name).key("message").text(error.why.empty() ? row.text : error.why);
-  if (!error.place.empty()) json.key("place").text(error.place);
+  json.key("kind").text(row.name).key("message").text(error.what.empty() ? row.text : error.what);
+  if (!error.where.empty()) json.key("place").text(error.where);
   json.key("ran").text(execution_status_name(execution));
   if (out.wait > 0) json.key("retry_after_ms").number(out.wait / 1000);
   json.end_object().end_object();
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -1,4 +1,5 @@
-// The one closed list of error kinds, with the table from kind to answer (§7.2).
+// Errors: the one closed list of codes, the typed failure that a Result carries, and the answer that a caller gets for
+// it (§7.2). All functions here may be called from any thread.
 #pragma once
 #include <boost/outcome.hpp>
 #include <cstdint>
@@ -9,10 +10,13 @@
 
 namespace pipit {
 
+// Whether a request ran on a worker, as far as this node knows.
 enum class ExecutionStatus : std::uint8_t { no, unknown, yes };
+// The name that answers bear: "no", "unknown" or "yes".
 char const* execution_status_name(ExecutionStatus execution);
 
-// KIND(name, status, ran, wait before asking again in ms (0: do not), sentence)
+// ERROR_CODE(name, HTTP status, whether the request ran, milliseconds to wait before a retry (0: no retry), sentence).
+// Names, statuses and sentences are part of the answers that callers see.
 #define PIPIT_ERROR_CODES(ERROR_CODE)                                                             \
   ERROR_CODE(bad_json, 400, no, 0, "the body is not well-formed JSON")                            \
   ERROR_CODE(bad_request, 400, no, 0, "the request lacks something or has it in the wrong form")  \
@@ -60,36 +64,42 @@
 #undef ERROR_CODE
 };
 
+// One row of the table above.
 struct ErrorCodeRow {
   char const* name;
-  unsigned status;
+  unsigned status;  // of HTTP
   ExecutionStatus execution;
-  Micros wait;
+  Micros wait;  // microseconds before a retry; 0 for no retry
   char const* text;
 };
-ErrorCodeRow const& error_code_row(ErrorCode kind);
+ErrorCodeRow const& error_code_row(ErrorCode code);
+// How many codes there are; they are numbered from 0.
 std::size_t error_code_count();
 
-// A failure: its kind, where it is, and why.
+// A failure: its code, what is wrong, and where.
 struct Error {
   ErrorCode code = ErrorCode::internal;
-  std::string why;
-  std::string place;
+  std::string what;   // a sentence for the caller; empty for the code's own sentence
+  std::string where;  // the field or line of the input that is wrong; empty when there is none
 };
 
+// A value or an Error.
 template <class T>
 using Result = boost::outcome_v2::unchecked<T, Error>;
-inline boost::outcome_v2::failure_type<Error> fail(ErrorCode kind, std::string why, std::string place = "") {
-  return boost::outcome_v2::failure(Error{kind, std::move(why), std::move(place)});
+// What a function with a Result returns when it fails.
+inline boost::outcome_v2::failure_type<Error> fail(ErrorCode code, std::string what, std::string where = "") {
+  return boost::outcome_v2::failure(Error{code, std::move(what), std::move(where)});
 }
 
-// What a failure looks like to whoever asked.
+// A failure as the HTTP answer to whoever asked.
 struct Answer {
   unsigned status = 500;
-  Micros wait = 0;
-  std::string body;
+  Micros wait = 0;   // microseconds before a retry; 0 for no retry
+  std::string body;  // JSON
 };
+// The answer to a request of which it is known whether it ran; 'wait' is dropped unless it certainly did not.
 Answer answer_for(Error const& error, ExecutionStatus execution, Micros wait);
+// The same with the code's own execution status and wait.
 Answer answer_for(Error const& error);
 
 }  // namespace pipit
--- a/src/base/events.cc
+++ b/src/base/events.cc
@@ -14,7 +14,7 @@
     PIPIT_EVENTS(EVENT)
 #undef EVENT
 };
-bool quiet_now = false;
+bool log_muted = false;
 }  // namespace
 
 EventRow const* event_rows(std::size_t& count) {
@@ -22,27 +22,27 @@
   return rows;
 }
 
-void open_log(std::string const& who, std::string const& file) {
+void open_log(std::string const& node, std::string const& file) {
   el::Configurations conf;
   conf.setToDefault();
-  conf.setGlobally(el::ConfigurationType::Format, "%datetime{%Y-%M-%dT%H:%m:%s.%g} " + who + " %level %msg");
+  conf.setGlobally(el::ConfigurationType::Format, "%datetime{%Y-%M-%dT%H:%m:%s.%g} " + node + " %level %msg");
   conf.setGlobally(el::ConfigurationType::ToFile, file.empty() ? "false" : "true");
   if (!file.empty()) conf.setGlobally(el::ConfigurationType::Filename, file);
   conf.setGlobally(el::ConfigurationType::ToStandardOutput, file.empty() ? "true" : "false");
   el::Loggers::reconfigureLogger("default", conf);
 }
 
-bool log_is_muted() { return quiet_now; }
+bool log_is_muted() { return log_muted; }
 
 std::string& log_prefix() {
-  thread_local std::string who;
-  return who;
+  thread_local std::string prefix;
+  return prefix;
 }
 
-void mute_log(bool quiet) { quiet_now = quiet; }
+void mute_log(bool muted) { log_muted = muted; }
 
 void log_event(Event event, std::string const& detail) {
-  if (!quiet_now) log_always(event, detail);
+  if (!log_muted) log_always(event, detail);
 }
 
 void log_always(Event event, std::string const& detail) {
--- a/src/base/events.h
+++ b/src/base/events.h
@@ -1,4 +1,5 @@
-// Numbered log events; docs/events.md is the catalogue and a test holds the two together (§9.1).
+// The log: numbered events, one line each. docs/events.md lists them, and a test compares the two (§9.1). All functions
+// may be called from any thread, except open_log() and mute_log(), which belong to the start of a program.
 #pragma once
 #include <string>
 
@@ -75,21 +76,26 @@
 #undef EVENT
 };
 
+// One row of the table above.
 struct EventRow {
   unsigned number;
   char const* name;
   char const* level;
   char const* text;
 };
+// The first row; 'count' is set to their number.
 EventRow const* event_rows(std::size_t& count);
 
-void open_log(std::string const& who, std::string const& file);
+// Opens the log: 'node' stands in each line; an empty 'file' means standard output.
+void open_log(std::string const& node, std::string const& file);
+// Logs an event unless the log is muted; the detail follows the event's sentence.
 void log_event(Event event, std::string const& detail);
-// Also while the log is muted: for what must never go unseen.
+// Logs an event even while the log is muted, for what must never go unseen.
 void log_always(Event event, std::string const& detail);
-void mute_log(bool quiet);
+// Simulators and tests mute the log.
+void mute_log(bool muted);
 bool log_is_muted();
-// Put before each event of this thread: the simulator's word for who speaks, and when.
+// Text before each event of this thread; simulators set it to the simulated node and time.
 std::string& log_prefix();
 
 }  // namespace pipit
--- a/src/base/fault_points.cc
+++ b/src/base/fault_points.cc
@@ -14,25 +14,26 @@
     PIPIT_FAULTS(FAULT)
 #undef FAULT
 };
-struct Armed {
+struct ArmedFault {
   std::string arg;
-  std::uint64_t left = 0;
-  bool endless = false;
-  bool on = false;
+  std::uint64_t times_left = 0;
+  bool unlimited = false;
+  bool armed = false;
   std::uint64_t fired = 0;
 };
-std::mutex gate;
-std::map<unsigned, Armed> table;
-std::atomic<bool> any{false};
+std::mutex table_mutex;
+std::map<unsigned, ArmedFault> table;  // by number; guarded by table_mutex
+std::atomic<bool> any_armed{false};    // stays true once a point was armed, so that the product never takes the lock
 
+// Fires an armed point; with a name only when the argument lists it.
 bool fire(FaultPoint point, std::string const* name) {
-  if (!any.load(std::memory_order_relaxed)) return false;
-  std::lock_guard<std::mutex> const hold(gate);
-  std::map<unsigned, Armed>::iterator const position = table.find(static_cast<unsigned>(point));
-  if (position == table.end() || !position->second.on) return false;
-  Armed& item = position->second;
+  if (!any_armed.load(std::memory_order_relaxed)) return false;
+  std::lock_guard<std::mutex> const lock(table_mutex);
+  std::map<unsigned, ArmedFault>::iterator const position = table.find(static_cast<unsigned>(point));
+  if (position == table.end() || !position->second.armed) return false;
+  ArmedFault& item = position->second;
   if (name != nullptr && (("," + item.arg + ",").find("," + *name + ",") == std::string::npos)) return false;
-  if (!item.endless && --item.left == 0) item.on = false;
+  if (!item.unlimited && --item.times_left == 0) item.armed = false;
   ++item.fired;
   if (item.fired == 1) log_event(Event::fault_fired, std::to_string(position->first));
   return true;
@@ -47,10 +48,10 @@
 bool arm_fault(unsigned number, std::string const& arg, std::uint64_t times) {
   for (FaultRow const& row : rows) {
     if (row.number != number) continue;
-    std::lock_guard<std::mutex> const hold(gate);
-    Armed& item = table[number];
-    item = Armed{arg, times, times == 0, true, 0};
-    any = true;
+    std::lock_guard<std::mutex> const lock(table_mutex);
+    ArmedFault& item = table[number];
+    item = ArmedFault{arg, times, times == 0, true, 0};
+    any_armed = true;
     log_event(Event::fault_armed, std::to_string(number) + " " + arg);
     return true;
   }
@@ -58,10 +59,10 @@
 }
 
 bool disarm_fault(unsigned number) {
-  std::lock_guard<std::mutex> const hold(gate);
-  std::map<unsigned, Armed>::iterator const position = table.find(number);
+  std::lock_guard<std::mutex> const lock(table_mutex);
+  std::map<unsigned, ArmedFault>::iterator const position = table.find(number);
   if (position == table.end()) return false;
-  position->second.on = false;
+  position->second.armed = false;
   return true;
 }
 
@@ -69,14 +70,14 @@
 bool fires_for(FaultPoint point, std::string const& name) { return fire(point, &name); }
 
 std::string fault_arg(FaultPoint point) {
-  std::lock_guard<std::mutex> const hold(gate);
-  std::map<unsigned, Armed>::const_iterator const position = table.find(static_cast<unsigned>(point));
+  std::lock_guard<std::mutex> const lock(table_mutex);
+  std::map<unsigned, ArmedFault>::const_iterator const position = table.find(static_cast<unsigned>(point));
   return position == table.end() ? "" : position->second.arg;
 }
 
 std::uint64_t fault_count(FaultPoint point) {
-  std::lock_guard<std::mutex> const hold(gate);
-  std::map<unsigned, Armed>::const_iterator const position = table.find(static_cast<unsigned>(point));
+  std::lock_guard<std::mutex> const lock(table_mutex);
+  std::map<unsigned, ArmedFault>::const_iterator const position = table.find(static_cast<unsigned>(point));
   return position == table.end() ? 0 : position->second.fired;
 }
 
--- a/src/base/fault_points.h
+++ b/src/base/fault_points.h
@@ -1,4 +1,5 @@
-// Numbered fault points (§9.2). They do nothing unless the settings allow faults and one is armed.
+// Numbered fault points: places in the code where a test makes the product fail (§9.2). They do nothing unless the
+// settings allow faults and one is armed. All functions may be called from any thread.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -37,21 +38,26 @@
 #undef FAULT
 };
 
+// One row of the table above.
 struct FaultRow {
   unsigned number;
   char const* name;
   char const* text;
 };
+// The first row; 'count' is set to their number.
 FaultRow const* fault_rows(std::size_t& count);
 
-// Arms a point: 'times' firings (0: until disarmed), with an argument. False for an unknown number.
+// Arms a point to fire 'times' times (0: until disarmed), with an argument. Returns false for an unknown number.
 bool arm_fault(unsigned number, std::string const& arg, std::uint64_t times);
+// Disarms a point. Returns false for one that was never armed.
 bool disarm_fault(unsigned number);
-// True when the point fires now.
+// Whether the point fires now; a firing is counted and uses up one of its times.
 bool fires(FaultPoint point);
 // As fires(), for points whose argument is a list of names: true when 'name' is among them.
 bool fires_for(FaultPoint point, std::string const& name);
+// The argument that the point was last armed with; empty for one that was never armed.
 std::string fault_arg(FaultPoint point);
+// How often the point fired since it was last armed.
 std::uint64_t fault_count(FaultPoint point);
 
 }  // namespace pipit
--- a/src/base/invariants.cc
+++ b/src/base/invariants.cc
@@ -17,7 +17,7 @@
 };
 static_assert(std::size(rows) <= 64, "ExpectedViolations keeps 64 counts");
 
-constexpr std::uint64_t told_most = 100;  // of one invariant: the first ones explain it, the rest is counted
+constexpr std::uint64_t log_limit = 100;  // lines for one invariant: the first ones explain it, the rest is counted
 
 std::atomic<std::uint64_t> counts[std::size(rows)];
 }  // namespace
@@ -31,7 +31,7 @@
   // A proof that switches a guard off brings violations about on purpose; the product never does.
   if (guard_off() != Guard::none || request_guard_off() != RequestGuard::none) return;
   std::size_t const index = static_cast<std::size_t>(invariant);
-  if (++counts[index] > told_most) return;
+  if (++counts[index] > log_limit) return;
   log_always(Event::invariant_violated, std::string(rows[index].name) + " (" + rows[index].text + "): " + detail);
 }
 
--- a/src/base/invariants.h
+++ b/src/base/invariants.h
@@ -1,5 +1,5 @@
 // Invariants: promises that the product checks while it runs (docs/invariants.md). A violation changes no behaviour; it
-// is counted by name, told in the metrics and logged with what explains it. Tests, simulations and soaks fail on any.
+// is counted by name, shown in the metrics and logged with what explains it. Tests, simulations and soaks fail on any.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace pipit {
 
-// INVARIANT(name, promises that it guards, sentence)
+// INVARIANT(name, names in docs/promises.md of the promises that it guards, sentence)
 #define PIPIT_INVARIANTS(INVARIANT)                                                                              \
   INVARIANT(single_run, "TWICE N1", "what may not be repeated is sent again only when no attempt may have run")  \
   INVARIANT(true_refusal, "REFUSED N2", "what may have run is not refused with a promise that it has not")       \
@@ -33,11 +33,13 @@
 #undef INVARIANT
 };
 
+// One row of the table above.
 struct InvariantRow {
   char const* name;
   char const* promises;
   char const* text;
 };
+// The first row; 'count' is set to their number.
 InvariantRow const* invariant_rows(std::size_t& count);
 
 // Counts a violation and logs it, also where the log is muted. 'detail' names what is needed to explain it.
--- a/src/base/ip.cc
+++ b/src/base/ip.cc
@@ -15,12 +15,12 @@
   }
   if (n == 0 || n > 65535) return false;
   port = static_cast<std::uint16_t>(n);
-  unsigned char room[16];
+  unsigned char buffer[16];
   if (host.size() > 2 && host.front() == '[' && host.back() == ']') {
     host = host.substr(1, host.size() - 2);
-    return inet_pton(AF_INET6, host.c_str(), room) == 1;
+    return inet_pton(AF_INET6, host.c_str(), buffer) == 1;
   }
-  return inet_pton(AF_INET, host.c_str(), room) == 1;
+  return inet_pton(AF_INET, host.c_str(), buffer) == 1;
 }
 
 bool good_address(std::string const& text) {
--- a/src/base/json_writer.h
+++ b/src/base/json_writer.h
@@ -12,35 +12,41 @@
 // Builds one JSON text from left to right; it puts in the commas.
 class JsonWriter {
  public:
+  // Objects and lists; each begin needs its end.
   JsonWriter& begin_object() { return begin('{'); }
   JsonWriter& end_object() { return end('}'); }
   JsonWriter& begin_list() { return begin('['); }
   JsonWriter& end_list() { return end(']'); }
+  // The key of the next value in an object.
   JsonWriter& key(std::string_view name) {
-    gap();
+    separate();
     out_ += json_text(name);
     out_ += ':';
-    bare_ = true;
+    after_key_ = true;
     return *this;
   }
+  // Values.
   JsonWriter& text(std::string_view raw) { return put(json_text(raw)); }
   JsonWriter& number(std::int64_t n) { return put(std::to_string(n)); }
   JsonWriter& boolean(bool yes) { return put(yes ? "true" : "false"); }
+  // A value that is JSON already; it is not checked.
   JsonWriter& raw(std::string_view json) { return put(json); }
+  // The finished text; the writer is not to be used after it.
   std::string take() { return std::move(out_); }
 
  private:
-  void gap() {
-    if (!bare_ && !out_.empty() && out_.back() != '{' && out_.back() != '[') out_ += ',';
-    bare_ = false;
+  // Puts a comma before an item that is not the first.
+  void separate() {
+    if (!after_key_ && !out_.empty() && out_.back() != '{' && out_.back() != '[') out_ += ',';
+    after_key_ = false;
   }
   JsonWriter& put(std::string_view text) {
-    gap();
+    separate();
     out_ += text;
     return *this;
   }
   JsonWriter& begin(char c) {
-    gap();
+    separate();
     out_ += c;
     return *this;
   }
@@ -49,7 +55,7 @@
     return *this;
   }
   std::string out_;
-  bool bare_ = false;
+  bool after_key_ = false;
 };
 
 }  // namespace pipit
--- a/src/base/key_digest.cc
+++ b/src/base/key_digest.cc
@@ -8,12 +8,12 @@
 
 namespace {
 constexpr std::size_t sha256_bytes = 32;
-constexpr std::size_t word_bytes = 8;
+constexpr std::size_t integer_bytes = 8;
 constexpr std::size_t short_digits = 8;
 
-std::uint64_t word_at(std::array<guint8, sha256_bytes> const& bytes, std::size_t from) {
+std::uint64_t integer_at(std::array<guint8, sha256_bytes> const& bytes, std::size_t from) {
   std::uint64_t out = 0;
-  for (std::size_t i = 0; i < word_bytes; ++i) out = out << 8 | bytes[from + i];
+  for (std::size_t i = 0; i < integer_bytes; ++i) out = out << 8 | bytes[from + i];
   return out;
 }
 }  // namespace
@@ -26,8 +26,8 @@
   g_checksum_get_digest(checksum, bytes.data(), &size);
   g_checksum_free(checksum);
   Digest out;
-  out.high = word_at(bytes, 0);
-  out.low = word_at(bytes, word_bytes);
+  out.high = integer_at(bytes, 0);
+  out.low = integer_at(bytes, integer_bytes);
   return out;
 }
 
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -15,6 +15,22 @@
 namespace options = boost::program_options;
 
 namespace {
+constexpr std::size_t name_limit = 64;  // characters
+constexpr std::size_t seed_limit = 3;
+constexpr std::int64_t span_limit = 600;    // seconds
+constexpr std::int64_t body_limit = 65536;  // KiB
+
+// Values that are converted after they were read: lists with commas between, seconds, KiB.
+struct RawValues {
+  std::string seeds;
+  std::string models;
+  std::string initial_members;
+  std::int64_t grace = 2;
+  std::int64_t drain = 10;
+  std::int64_t body = 4096;
+};
+
+// The items of a list with commas between, without spaces around them; empty items are left out.
 std::vector<std::string> split(std::string const& text) {
   std::vector<std::string> out;
   std::stringstream lines(text);
@@ -27,58 +43,60 @@
   return out;
 }
 
+// Whether a text may be the name of a node, zone or cluster.
 bool good_name(std::string const& text) {
-  if (text.empty() || text.size() > 64) return false;
+  if (text.empty() || text.size() > name_limit) return false;
   for (char const c : text)
     if (!((c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' || c == '_' ||
           c == '.'))
       return false;
   return true;
 }
-}  // namespace
-
-Result<Settings> read_settings(int argc, char const* const* argv, bool replica) {
-  Settings out;
-  std::string seeds;
-  std::string models;
-  std::string initial_members;
-  std::int64_t grace = 2;
-  std::int64_t drain = 10;
-  std::int64_t body = 4096;
+// The keys of one program, which write into 'settings' and 'raw' when they are read.
+options::options_description describe_keys(Settings& settings, RawValues& raw, bool replica) {
   options::options_description keys(
       replica ? "pipitspool-config-store: a keeper of the description. Keys, as flags or in the settings file"
               : "pipitspool-router: a router node. Keys, as flags or in the settings file");
-  keys.add_options()("name", options::value(&out.name), "the node's name, unique in the cluster")(
-      "cluster", options::value(&out.cluster)->default_value("pipit"), "the cluster's name")(
-      "zone", options::value(&out.zone), "the zone it stands in")(
-      "mesh", options::value(&out.mesh), "IP:port on which peers reach it")("http", options::value(&out.http),
-                                                                            "IP:port for callers and operators")(
-      "seeds", options::value(&seeds), "up to three IP:port of other nodes, with commas between")(
-      "log", options::value(&out.log), "a file for the log; standard output without it")(
-      "grace", options::value(&grace)->default_value(2),
+  keys.add_options()("name", options::value(&settings.name), "the node's name, unique in the cluster")(
+      "cluster", options::value(&settings.cluster)->default_value("pipit"), "the cluster's name")(
+      "zone", options::value(&settings.zone), "the zone it stands in")(
+      "mesh", options::value(&settings.mesh), "IP:port on which peers reach it")("http", options::value(&settings.http),
+                                                                                 "IP:port for callers and operators")(
+      "seeds", options::value(&raw.seeds), "up to three IP:port of other nodes, with commas between")(
+      "log", options::value(&settings.log), "a file for the log; standard output without it")(
+      "grace", options::value(&raw.grace)->default_value(2),
       "seconds after SIGTERM in which /ready says no and requests are still taken")(
-      "drain", options::value(&drain)->default_value(10), "seconds that a planned stop gives work in flight")(
-      "body", options::value(&body)->default_value(4096), "the largest body of a request, in KiB")(
-      "faults", options::value(&out.faults)->default_value(false), "allow fault points to be armed (tests only)");
+      "drain", options::value(&raw.drain)->default_value(10), "seconds that a planned stop gives work in flight")(
+      "body", options::value(&raw.body)->default_value(4096), "the largest body of a request, in KiB")(
+      "faults", options::value(&settings.faults)->default_value(false), "allow fault points to be armed (tests only)");
   if (replica) {
-    keys.add_options()("data", options::value(&out.data), "the data folder")(
-        "founders", options::value(&initial_members), "names of the first keepers, with commas between");
+    keys.add_options()("data", options::value(&settings.data), "the data folder")(
+        "founders", options::value(&raw.initial_members), "names of the first keepers, with commas between");
   } else {
-    keys.add_options()("platform", options::value(&out.platform), "IP:port of the platform's list of workers")(
-        "models", options::value(&models), "models that it serves, with commas between; all without it");
+    keys.add_options()("platform", options::value(&settings.platform), "IP:port of the platform's list of workers")(
+        "models", options::value(&raw.models), "models that it serves, with commas between; all without it");
   }
+  return keys;
+}
+
+std::string help_text_of(options::options_description const& keys) {
+  std::stringstream text;
+  text << keys << "  --settings arg        the settings file\n";
+  return text.str();
+}
+
+// Reads the flags, then the settings file for the keys that no flag names.
+Result<void> parse(int argc, char const* const* argv, options::options_description const& keys, Settings& settings) {
   options::options_description flags;
   flags.add(keys);
-  flags.add_options()("settings", options::value(&out.file), "the settings file")("help", "this text");
+  flags.add_options()("settings", options::value(&settings.file), "the settings file")("help", "this text");
   options::variables_map map;
   try {
     options::store(options::parse_command_line(argc, argv, flags), map);
     if (map.count("help")) {
-      out.help = true;
-      std::stringstream text;
-      text << keys << "  --settings arg        the settings file\n";
-      out.help_text = text.str();
-      return out;
+      settings.help = true;
+      settings.help_text = help_text_of(keys);
+      return boost::outcome_v2::success();
     }
     if (map.count("settings")) {
       std::string const path = map["settings"].as<std::string>();
@@ -90,49 +108,79 @@
   } catch (options::error const& bad) {
     return fail(ErrorCode::bad_settings, bad.what());
   }
-  out.seeds = split(seeds);
-  out.models = split(models);
-  out.initial_members = split(initial_members);
-  if (!good_name(out.name))
-    return fail(ErrorCode::bad_settings, "name: letters, digits, '-', '_' and '.', at most 64, are needed");
-  if (!good_name(out.zone))
-    return fail(ErrorCode::bad_settings, "zone: letters, digits, '-', '_' and '.', at most 64, are needed");
-  if (!good_name(out.cluster))
-    return fail(ErrorCode::bad_settings, "cluster: letters, digits, '-', '_' and '.', at most 64, are needed");
-  struct Row {
-    char const* key;
-    std::string const& value;
-    bool needed;
-  };
-  for (Row const& row :
-       {Row{"mesh", out.mesh, true}, Row{"http", out.http, true}, Row{"platform", out.platform, !replica}}) {
-    if (row.value.empty() && !row.needed) continue;
-    if (!good_address(row.value))
-      return fail(ErrorCode::bad_settings,
-                  std::string(row.key) + ": '" + row.value + "' is not an IP number with a port from 1 to 65535");
-  }
-  if (out.seeds.size() > 3) return fail(ErrorCode::bad_settings, "seeds: at most three are taken");
-  for (std::string const& seed : out.seeds)
-    if (!good_address(seed))
-      return fail(ErrorCode::bad_settings, "seeds: '" + seed + "' is not an IP number with a port from 1 to 65535");
-  if (grace < 0 || grace > 600) return fail(ErrorCode::bad_settings, "grace: from 0 to 600 seconds");
-  if (drain < 0 || drain > 600) return fail(ErrorCode::bad_settings, "drain: from 0 to 600 seconds");
-  if (body < 1 || body > 65536) return fail(ErrorCode::bad_settings, "body: from 1 to 65536 KiB");
-  out.grace = seconds(grace);
-  out.drain = seconds(drain);
-  out.body = static_cast<std::size_t>(body) << 10;
-  if (replica) {
-    struct stat info;
-    if (out.data.empty()) return fail(ErrorCode::bad_settings, "data: the data folder is needed");
-    if (::stat(out.data.c_str(), &info) != 0 && ::mkdir(out.data.c_str(), 0755) != 0)
-      return fail(ErrorCode::bad_settings, "data: the folder " + out.data + " is not there and cannot be made");
-    if (::access(out.data.c_str(), W_OK | X_OK) != 0 || ::stat(out.data.c_str(), &info) != 0 || !S_ISDIR(info.st_mode))
-      return fail(ErrorCode::bad_settings, "data: the folder " + out.data + " cannot be written");
-    std::set<std::string> const unique(out.initial_members.begin(), out.initial_members.end());
-    if (unique.size() != out.initial_members.size())
-      return fail(ErrorCode::bad_settings, "founders: a name stands twice");
-  }
-  return out;
+  return boost::outcome_v2::success();
+}
+
+Result<void> check_name(std::string const& key, std::string const& value) {
+  if (good_name(value)) return boost::outcome_v2::success();
+  return fail(ErrorCode::bad_settings, key + ": letters, digits, '-', '_' and '.', at most 64, are needed");
+}
+
+Result<void> check_address(std::string const& key, std::string const& value) {
+  if (good_address(value)) return boost::outcome_v2::success();
+  return fail(ErrorCode::bad_settings, key + ": '" + value + "' is not an IP number with a port from 1 to 65535");
+}
+
+Result<void> check_names(Settings const& settings) {
+  if (Result<void> checked = check_name("name", settings.name); !checked) return checked;
+  if (Result<void> checked = check_name("zone", settings.zone); !checked) return checked;
+  return check_name("cluster", settings.cluster);
+}
+
+Result<void> check_addresses(Settings const& settings, bool replica) {
+  if (Result<void> checked = check_address("mesh", settings.mesh); !checked) return checked;
+  if (Result<void> checked = check_address("http", settings.http); !checked) return checked;
+  if (!replica || !settings.platform.empty())
+    if (Result<void> checked = check_address("platform", settings.platform); !checked) return checked;
+  if (settings.seeds.size() > seed_limit) return fail(ErrorCode::bad_settings, "seeds: at most three are taken");
+  for (std::string const& seed : settings.seeds)
+    if (Result<void> checked = check_address("seeds", seed); !checked) return checked;
+  return boost::outcome_v2::success();
+}
+
+// Checks the numbers and converts them to microseconds and bytes.
+Result<void> convert_numbers(RawValues const& raw, Settings& settings) {
+  if (raw.grace < 0 || raw.grace > span_limit) return fail(ErrorCode::bad_settings, "grace: from 0 to 600 seconds");
+  if (raw.drain < 0 || raw.drain > span_limit) return fail(ErrorCode::bad_settings, "drain: from 0 to 600 seconds");
+  if (raw.body < 1 || raw.body > body_limit) return fail(ErrorCode::bad_settings, "body: from 1 to 65536 KiB");
+  settings.grace = seconds(raw.grace);
+  settings.drain = seconds(raw.drain);
+  settings.body = static_cast<std::size_t>(raw.body) << 10;
+  return boost::outcome_v2::success();
+}
+
+// Checks the settings of a replica alone; its data folder is made when it is not there.
+Result<void> check_replica(Settings const& settings) {
+  std::string const& folder = settings.data;
+  struct stat info;
+  if (folder.empty()) return fail(ErrorCode::bad_settings, "data: the data folder is needed");
+  if (::stat(folder.c_str(), &info) != 0 && ::mkdir(folder.c_str(), 0755) != 0)
+    return fail(ErrorCode::bad_settings, "data: the folder " + folder + " is not there and cannot be made");
+  bool const usable = ::access(folder.c_str(), W_OK | X_OK) == 0 && ::stat(folder.c_str(), &info) == 0;
+  if (!usable || !S_ISDIR(info.st_mode))
+    return fail(ErrorCode::bad_settings, "data: the folder " + folder + " cannot be written");
+  std::set<std::string> const unique(settings.initial_members.begin(), settings.initial_members.end());
+  if (unique.size() != settings.initial_members.size())
+    return fail(ErrorCode::bad_settings, "founders: a name stands twice");
+  return boost::outcome_v2::success();
+}
+}  // namespace
+
+Result<Settings> read_settings(int argc, char const* const* argv, bool replica) {
+  Settings settings;
+  RawValues raw;
+  options::options_description const keys = describe_keys(settings, raw, replica);
+  if (Result<void> parsed = parse(argc, argv, keys, settings); !parsed) return parsed.error();
+  if (settings.help) return settings;
+  settings.seeds = split(raw.seeds);
+  settings.models = split(raw.models);
+  settings.initial_members = split(raw.initial_members);
+  if (Result<void> checked = check_names(settings); !checked) return checked.error();
+  if (Result<void> checked = check_addresses(settings, replica); !checked) return checked.error();
+  if (Result<void> converted = convert_numbers(raw, settings); !converted) return converted.error();
+  if (!replica) return settings;
+  if (Result<void> checked = check_replica(settings); !checked) return checked.error();
+  return settings;
 }
 
 }  // namespace pipit
--- a/src/config/description/description.cc
+++ b/src/config/description/description.cc
@@ -261,7 +261,7 @@
            std::string code;
            if (!reader.text(v, p, code)) return false;
            Result<Binding> made = compile_binding(code);
-           if (!made) return reader.wrong(p + ": " + made.error().place, made.error().why, ErrorCode::bad_language);
+           if (!made) return reader.wrong(p + ": " + made.error().where, made.error().what, ErrorCode::bad_language);
            lane.binding = std::move(made.value());
            return true;
          }},
@@ -270,7 +270,7 @@
            std::string code;
            if (!reader.text(v, p, code)) return false;
            Result<Policy> made = compile_policy(code);
-           if (!made) return reader.wrong(p + ": " + made.error().place, made.error().why, ErrorCode::bad_language);
+           if (!made) return reader.wrong(p + ": " + made.error().where, made.error().what, ErrorCode::bad_language);
            lane.policy = made.value();
            return true;
          }},
--- a/src/consensus/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -192,7 +192,7 @@
   step_ = Step::change;
   if (set_.joint()) {
     // A joint set that was found is first made chosen, and settled only then.
-    bool const agreed = joint_chosen_ == set_.fingerprint() || !guard(Guard::settle_chosen);
+    bool const agreed = joint_chosen_ == set_.fingerprint() || !guard(Guard::joint_chosen);
     step_ = agreed ? Step::settle : Step::confirm_joint;
     if (!agreed) return true;
     draft_.former.clear();
--- a/src/node/handed.cc
+++ b/src/node/handed.cc
@@ -127,7 +127,7 @@
   reply.change = item.change.id;
   reply.outcome.type = static_cast<Outcome::Type>(ans.type);
   reply.outcome.error.code = static_cast<ErrorCode>(ans.kind);
-  reply.outcome.error.why = ans.why;
+  reply.outcome.error.what = ans.why;
   reply.outcome.serial = ans.serial;
   // What a majority chose is known here too from now on.
   if (ans.value && learner.adopt(*ans.value, now)) after_value(now, out);
@@ -151,7 +151,7 @@
     ans.request_id = who->second.request_id;
     ans.type = static_cast<std::uint8_t>(outcome.type);
     ans.kind = static_cast<std::uint8_t>(outcome.error.code);
-    ans.why = outcome.error.why;
+    ans.why = outcome.error.what;
     ans.serial = outcome.serial;
     // Changes get round by themselves; a reading brings the value, unless the asker holds it already.
     bool const read = outcome.type == Outcome::Type::kept;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -356,7 +356,7 @@
     if (!value.text.empty()) {
       Result<std::shared_ptr<Description const>> made = plan.read(value.text);
       if (!made) {
-        log_event(Event::configuration_rejected, "serial " + std::to_string(value.serial) + " " + made.error().why);
+        log_event(Event::configuration_rejected, "serial " + std::to_string(value.serial) + " " + made.error().what);
         description = chat_dispatcher.description();
       } else {
         description = made.value();
@@ -396,7 +396,7 @@
   watch_clock(now);
   Result<std::unique_ptr<wire::FrameT>> frame = decode(bytes);
   if (!frame) {
-    log_event(Event::malformed_frame, frame.error().why);
+    log_event(Event::malformed_frame, frame.error().what);
     return false;
   }
   bool const greeting = frame.value()->body.type == wire::Body::Hello;
--- a/src/routing/chat/chat_dispatcher.cc
+++ b/src/routing/chat/chat_dispatcher.cc
@@ -328,7 +328,7 @@
     execution = ExecutionStatus::unknown;
     kind = ErrorCode::worker_broke;
   }
-  if (!guard(Guard::honest_ran) && execution == ExecutionStatus::unknown) execution = ExecutionStatus::no;
+  if (!guard(Guard::honest_execution_status) && execution == ExecutionStatus::unknown) execution = ExecutionStatus::no;
   chat_request.execution = std::max(chat_request.execution, execution);
   // §6.6: a broken connection may mean that the worker ended; it is asked before it gets anything more.
   Worker const* const worker = fleet_.find(chat_request.worker);
--- a/src/routing/dispatch/retry_decision.cc
+++ b/src/routing/dispatch/retry_decision.cc
@@ -10,7 +10,7 @@
   if (progress == AttemptProgress::answering)
     return t.resumable && another && end != AttemptEnd::failed ? RetryDecision::again : RetryDecision::cut;
   // Whether it may be told that it has not run: a request that may repeat loses nothing by being asked for again.
-  bool const clean = t.repeatable || !t.may_have_run || !guard(Guard::honest_ran);
+  bool const clean = t.repeatable || !t.may_have_run || !guard(Guard::honest_execution_status);
   switch (end) {
     case AttemptEnd::unreached:
       // Nothing has left: another worker costs nobody anything.
@@ -25,7 +25,7 @@
       if (progress == AttemptProgress::none)
         return t.time ? RetryDecision::again : clean ? RetryDecision::refuse : RetryDecision::fail;
       if (!guard(Guard::never_repeat) && another) return RetryDecision::again;
-      if (!guard(Guard::honest_ran) && !another) return RetryDecision::refuse;
+      if (!guard(Guard::honest_execution_status) && !another) return RetryDecision::refuse;
       return t.repeatable ? (another ? RetryDecision::again : RetryDecision::refuse) : RetryDecision::fail;
   }
 }
--- a/src/routing/tenants/quota_shares.cc
+++ b/src/routing/tenants/quota_shares.cc
@@ -14,7 +14,7 @@
 
 void QuotaShares::note(Membership const& members, Micros now) {
   if (members.empty() || (known_ && members.fingerprint() == fingerprint_)) return;
-  Micros const until = guard(Guard::quota_fence) ? now + fence_ : now;
+  Micros const until = guard(Guard::quota_handover) ? now + fence_ : now;
   for (Part& part : parts_)
     if (part.until < 0) part.until = until;
   // What was in force before this process began is not known: it may have had no part.
--- a/src/runtime/disk/disk_task.cc
+++ b/src/runtime/disk/disk_task.cc
@@ -143,12 +143,12 @@
     // §5.6: nobody was answered for it yet, and a record is always written whole to files that hold no newer one, so
     // trying again is as safe as the first try. Told once, not each time.
     for (int tries = 0; !saved && patient_; ++tries) {
-      if (tries == 0) log_event(Event::disk_write_retried, saved.error().why);
+      if (tries == 0) log_event(Event::disk_write_retried, saved.error().what);
       g_usleep(100000);
       saved = store_->save(job->record);
     }
     if (saved && fires(FaultPoint::end_after_sync)) ::_exit(43);
-    Done* const word = new Done{done_, static_cast<bool>(saved), saved ? "" : saved.error().why};
+    Done* const word = new Done{done_, static_cast<bool>(saved), saved ? "" : saved.error().what};
     g_idle_add_full(
         G_PRIORITY_HIGH,
         [](gpointer data) -> gboolean {
--- a/src/runtime/host.cc
+++ b/src/runtime/host.cc
@@ -296,7 +296,7 @@
   Result<Settings> fresh = read_settings(2, argv, role_ == Role::config_store);
   std::string why;
   if (!fresh) {
-    why = fresh.error().why;
+    why = fresh.error().what;
   } else {
     Settings const& s = fresh.value();
     // What a process is cannot change while it incarnations; what it allows can.
@@ -370,7 +370,7 @@
   Result<Settings> settings = read_settings(argc, argv, replica);
   if (!settings) {
     std::fprintf(stderr, "%s: %s\n", replica ? "pipitspool-config-store" : "pipitspool-router",
-                 settings.error().why.c_str());
+                 settings.error().what.c_str());
     return 2;
   }
   if (settings.value().help) {
@@ -389,7 +389,7 @@
     std::uint64_t const fresh = random_seed();
     Result<wire::RecordT> opened = locked ? store->open(fresh, blank) : Result<wire::RecordT>(locked.as_failure());
     if (!opened) {
-      std::fprintf(stderr, "pipitspool-config-store: data: %s\n", opened.error().why.c_str());
+      std::fprintf(stderr, "pipitspool-config-store: data: %s\n", opened.error().what.c_str());
       return 2;
     }
     recovered = std::move(opened.value());
@@ -400,7 +400,7 @@
   Result<void> const listening = host.listen();
   if (!listening) {
     std::fprintf(stderr, "%s: %s\n", replica ? "pipitspool-config-store" : "pipitspool-router",
-                 listening.error().why.c_str());
+                 listening.error().what.c_str());
     return 2;
   }
   return host.run();
--- a/src/runtime/mesh/connections.cc
+++ b/src/runtime/mesh/connections.cc
@@ -23,7 +23,7 @@
     made->link = std::move(link);
     adopt(made, false);
   });
-  if (!open) return fail(ErrorCode::bad_settings, "mesh: " + open.error().why);
+  if (!open) return fail(ErrorCode::bad_settings, "mesh: " + open.error().what);
   return boost::outcome_v2::success();
 }
 
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -68,7 +68,7 @@
         return refuse(call.id, Error{ErrorCode::bad_request, "If-Match with the expected serial is needed", ""});
       Result<std::shared_ptr<Description const>> const made = read_description(call.body);
       if (!made) {
-        log_event(Event::change_rejected, made.error().why);
+        log_event(Event::change_rejected, made.error().what);
         return refuse(call.id, made.error());
       }
       change.type = Change::Type::apply;
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -42,7 +42,7 @@
     // A disk that is full or hangs when the process starts is waited for: without it the node is no replica.
     Result<wire::RecordT> opened = ring->open(fresh, blank);
     for (int tries = 0; !opened && opened.error().code == ErrorCode::bad_disk && tries < 50; ++tries) {
-      if (tries == 0) log_event(Event::disk_write_retried, opened.error().why);
+      if (tries == 0) log_event(Event::disk_write_retried, opened.error().what);
       g_usleep(100000);
       opened = ring->open(fresh, blank);
     }
@@ -115,7 +115,7 @@
   // A node without its metrics still serves: somebody else may listen there.
   if (done && !plan_.metrics.empty())
     if (Result<void> const told = metrics_server_->listen(plan_.metrics); !told)
-      log_event(Event::metrics_listen_failed, told.error().why);
+      log_event(Event::metrics_listen_failed, told.error().what);
   if (done && !plan_.front.empty()) done = proxy_->listen(plan_.front);
   return done;
 }
--- a/src/server/request_proxy.cc
+++ b/src/server/request_proxy.cc
@@ -275,7 +275,7 @@
   }
   bool const not_run = head.find(dialect_.not_run) != nullptr;
   caller.elsewhere = head.status == 421;
-  caller.declined = not_run || caller.elsewhere || (head.status == 429 && !guard(RequestGuard::promise_mark));
+  caller.declined = not_run || caller.elsewhere || (head.status == 429 && !guard(RequestGuard::not_run_proof));
   caller.failing = !caller.declined && head.status >= 300;
   caller.unsaid = caller.failing && promises(head.status);
   // A refusal may come without the id, but then only where nothing was asked before: it might be a late one for that.
--- a/testing/control_plane_simulator/operators.cc
+++ b/testing/control_plane_simulator/operators.cc
@@ -123,7 +123,7 @@
   if (outcome.type == Outcome::Type::chosen) return answer(call, Verdict::confirmed, "", 0, "");
   unsigned const status = outcome.type == Outcome::Type::kept ? 504 : error_code_row(outcome.error.code).status;
   bool const clear = outcome.type == Outcome::Type::refused && status < 500 && status != 429;
-  answer(call, clear ? Verdict::stale : Verdict::unclear, outcome.error.why, 0, "");
+  answer(call, clear ? Verdict::stale : Verdict::unclear, outcome.error.what, 0, "");
 }
 
 // As the shell does it: what an amend builds on is read from the register, then the whole is proposed.
@@ -137,7 +137,7 @@
   if (standing == OrderStanding::taken) return answer(call, Verdict::confirmed, "", 0, "");
   if (unknown_outcome_of_order(outcome.value, standing)) return answer(call, Verdict::unclear, "", 0, "");
   if (standing == OrderStanding::outdated)
-    return answer(call, Verdict::stale, outdated_error(outcome.value, true).why, 0, "");
+    return answer(call, Verdict::stale, outdated_error(outcome.value, true).what, 0, "");
   Configuration const found = configuration_of(outcome.value);
   std::string const text = text_of(call.order, found.text);
   judge.makes(call.order, text);
--- a/testing/control_plane_simulator/world.cc
+++ b/testing/control_plane_simulator/world.cc
@@ -179,7 +179,7 @@
   }
   if (!log_is_muted() && tries == 0)
     std::printf("%lld %s waits for its disk: %s\n", static_cast<long long>(time / 1000), machine.name.c_str(),
-                opened.error().why.c_str());
+                opened.error().what.c_str());
   if (tries < open_tries_most) {
     after(disk_retry, [this, id, process, made, tries] { open_disk(id, process, made, tries + 1); });
     return;
--- a/testing/fleet_test/main.cc
+++ b/testing/fleet_test/main.cc
@@ -41,7 +41,7 @@
     return std::fprintf(stderr, "fleet_test: there is no schedule '%s'\n", plan.schedule.c_str()), 2;
   if (plan.net < 2 || plan.net > 250) return std::fprintf(stderr, "fleet_test: net is from 2 to 250\n"), 2;
   Result<std::vector<Step>> steps = read_steps(plan.steps.empty() ? schedule->steps : plan.steps, cast_of(*shape));
-  if (!steps) return std::fprintf(stderr, "fleet_test: %s\n", steps.error().why.c_str()), 2;
+  if (!steps) return std::fprintf(stderr, "fleet_test: %s\n", steps.error().what.c_str()), 2;
   if (plan.seconds <= 0) plan.seconds = schedule->seconds;
   if (plan.folder.empty())
     plan.folder = std::filesystem::temp_directory_path() / ("fleet-test-" + std::to_string(::getpid()));
--- a/testing/fuzz/configurations.cc
+++ b/testing/fuzz/configurations.cc
@@ -49,7 +49,7 @@
 
 // What two readings of one text must have in common.
 std::string gist(Result<std::shared_ptr<Description const>> const& read) {
-  if (!read) return read.error().place + " " + read.error().why;
+  if (!read) return read.error().where + " " + read.error().what;
   std::string out = std::to_string(read.value()->routes.size());
   for (Tenant const& tenant : read.value()->tenants)
     out += " " + tenant.name + std::to_string(tenant.keys.size()) + "," + std::to_string(tenant.rate);
@@ -67,8 +67,8 @@
   if (gist(read) != gist(platform::read_configuration(text))) count.fault = "it is read otherwise again" + where;
   // A name that was made out of a key by chance is no key.
   bool const named = text.find("\"name\":\"s3cretkey") != std::string::npos;
-  if (!read && !named && (read.error().why + read.error().place).find(secret) != std::string::npos)
-    count.fault = "a fault shows a key: " + read.error().why + where;
+  if (!read && !named && (read.error().what + read.error().where).find(secret) != std::string::npos)
+    count.fault = "a fault shows a key: " + read.error().what + where;
   if (platform::whole_of(text) && !read) count.fault = "what was accepted cannot be read" + where;
 }
 
--- a/testing/platform_fleet_test/fault_proxy.cc
+++ b/testing/platform_fleet_test/fault_proxy.cc
@@ -42,7 +42,7 @@
   OpenDoor const* const at = door.get();
   Result<void> const done =
       door->door.open(public_address, [this, at](std::shared_ptr<Link> link) { take(*at, std::move(link)); });
-  if (!done) g_error("platform_fleet_test: %s", done.error().why.c_str());
+  if (!done) g_error("platform_fleet_test: %s", done.error().what.c_str());
 }
 
 void FaultRelay::shut(std::string const& public_ip) {
--- a/testing/platform_fleet_test/main.cc
+++ b/testing/platform_fleet_test/main.cc
@@ -53,9 +53,9 @@
   if (given.count("compare") > 0) {
     if (pair.size() != 2) return refuse("--compare: two reports are needed");
     Result<Figures> const a = Figures::read(pair[0]);
-    if (!a) return refuse("--compare: " + a.error().why);
+    if (!a) return refuse("--compare: " + a.error().what);
     Result<Figures> const b = Figures::read(pair[1]);
-    if (!b) return refuse("--compare: " + b.error().why);
+    if (!b) return refuse("--compare: " + b.error().what);
     std::cout << compare(a.value(), b.value());
     return 0;
   }
@@ -66,7 +66,7 @@
   if (!(plan.rate_scale > 0 && plan.rate_scale <= 10)) return refuse("--rate-scale: it is not above 0 and at most 10");
   if (plan.net < 2 || plan.net > 254) return refuse("--net: it is not from 2 to 254");
   Result<std::vector<Trouble>> const troubles = parse_troubles(plan.troubles_text);
-  if (!troubles) return refuse("--troubles: " + troubles.error().why);
+  if (!troubles) return refuse("--troubles: " + troubles.error().what);
   plan.troubles = troubles.value();
   plan.relayed = given.count("relay") > 0;
   for (Trouble const& trouble : plan.troubles)
--- a/tests/checker.cc
+++ b/tests/checker.cc
@@ -124,7 +124,7 @@
 }
 
 TEST(CheckerSees, a_joint_set_settled_before_it_was_chosen) {
-  expect_explored_fault(Guard::settle_chosen, "split-replace", "");
+  expect_explored_fault(Guard::joint_chosen, "split-replace", "");
 }
 
 // Found by a walk (walk-growth, seed 1, its 745th path) and kept as its trace, since a search for it takes too long
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -17,7 +17,7 @@
       "{\"format\":1,\"lanes\":[],\"pools\":[{\"name\":\"p\",\"model\":\"m\"},{\"name\":\"q\",\"model\":\"m\"}],"
       "\"routes\":[" +
       routes + "]}");
-  EXPECT_TRUE(made) << made.error().place << " " << made.error().why;
+  EXPECT_TRUE(made) << made.error().where << " " << made.error().what;
   return made ? made.value() : std::make_shared<Description const>();
 }
 
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -79,7 +79,7 @@
   fields["bounds.grace_s"] = "2.5";
   fields["beat_interval_ms"] = "700";
   Result<NodeServerPlan> const plan = plan_from(fields);
-  ASSERT_TRUE(plan) << plan.error().why;
+  ASSERT_TRUE(plan) << plan.error().what;
   EXPECT_EQ(plan.value().node.name, "n1");
   EXPECT_EQ(plan.value().node.address, "127.0.0.1:7100");
   EXPECT_EQ(plan.value().front, "127.0.0.1:7001");
@@ -133,7 +133,7 @@
   for (char const* const bad : {"zone=a\nwords", "=x"}) {
     Result<SettingsFile> const odd = SettingsFile::parse(bad);
     ASSERT_FALSE(odd) << bad;
-    EXPECT_NE(odd.error().why.find("line "), std::string::npos) << odd.error().why;
+    EXPECT_NE(odd.error().what.find("line "), std::string::npos) << odd.error().what;
   }
 }
 
@@ -143,8 +143,8 @@
     fields.erase(key);
     Result<NodeServerPlan> const plan = plan_from(fields);
     ASSERT_FALSE(plan) << key;
-    EXPECT_NE(plan.error().why.find(key), std::string::npos) << plan.error().why;
-    EXPECT_EQ(plan.error().why.find('\n'), std::string::npos);
+    EXPECT_NE(plan.error().what.find(key), std::string::npos) << plan.error().what;
+    EXPECT_EQ(plan.error().what.find('\n'), std::string::npos);
   }
 }
 
@@ -187,14 +187,14 @@
     ASSERT_FALSE(plan) << row.key << "=" << row.value;
     std::string const group =
         std::string(row.key).substr(0, std::string(row.key).rfind("listen_addresses.") == 0 ? 16 : 64);
-    EXPECT_NE(plan.error().why.find(group), std::string::npos) << row.key << ": " << plan.error().why;
+    EXPECT_NE(plan.error().what.find(group), std::string::npos) << row.key << ": " << plan.error().what;
     EXPECT_EQ(plan.error().code, ErrorCode::bad_settings);
   }
 }
 
 TEST(Configurations, a_whole_one_becomes_a_description) {
   Result<Configuration> const made = whole_of(base);
-  ASSERT_TRUE(made) << made.error().place << " " << made.error().why;
+  ASSERT_TRUE(made) << made.error().where << " " << made.error().what;
   EXPECT_EQ(made.value().version, 4u);
   EXPECT_EQ(source_of(made.value().text), base) << "what was sent is kept word for word";
   std::shared_ptr<Description const> const description = compiled_description(made.value());
@@ -236,7 +236,7 @@
       "\"host\":\"h\",\"prefix\":\"/\",\"shares\":[{\"pool\":\"s-a\"}]}],"
       "\"source\":\"{\\\"version\\\":3,\\\"routes\\\":[],\\\"services\\\":[]}\"}";
   Result<std::shared_ptr<Description const>> const read = read_configuration(old);
-  ASSERT_TRUE(read) << read.error().why;
+  ASSERT_TRUE(read) << read.error().what;
   EXPECT_NE(read.value()->route("h", "/x"), nullptr);
   EXPECT_EQ(source_of(old), sent);
 }
@@ -278,8 +278,8 @@
   for (std::string const& row : rows) {
     Result<Configuration> const made = whole_of(row);
     ASSERT_FALSE(made) << row;
-    EXPECT_EQ(answer_for(made.error()).status, 400u) << made.error().why << "\n" << row;
-    EXPECT_FALSE(made.error().why.empty());
+    EXPECT_EQ(answer_for(made.error()).status, 400u) << made.error().what << "\n" << row;
+    EXPECT_FALSE(made.error().what.empty());
   }
 }
 
@@ -297,7 +297,7 @@
               "\"timeout_ms\":2000.50}],"
               "\"services\": [{\"name\": \"tiny\"}], \"limits\": {\"max_header_bytes\": 4096}},"
               "\"remove\": {\"routes\": [\"embed\"], \"services\": [\"small\", \"nobody\"]}}");
-  ASSERT_TRUE(made) << made.error().place << " " << made.error().why;
+  ASSERT_TRUE(made) << made.error().where << " " << made.error().what;
   EXPECT_EQ(made.value().version, 5u);
   std::string const source = source_of(made.value().text);
   for (char const* const kept : {"\"timeout_ms\": 260000.0,", "\"cache_tokens\": 260000.0,",
@@ -322,7 +322,7 @@
 
 TEST(Configurations, amending_with_nothing_changes_the_version_alone) {
   Result<Configuration> const made = amended(base, "{\"version\": 9}");
-  ASSERT_TRUE(made) << made.error().place << " " << made.error().why;
+  ASSERT_TRUE(made) << made.error().where << " " << made.error().what;
   Result<Configuration> const again = amended(source_of(made.value().text), "{\"version\": 9}");
   ASSERT_TRUE(again);
   EXPECT_EQ(source_of(again.value().text), source_of(made.value().text));
@@ -335,7 +335,7 @@
       amended(none,
               "{\"version\":1,\"upsert\":{\"services\":[{\"name\":\"s\"}],\"routes\":[{\"name\":\"r\",\"host\":\"h\","
               "\"path_prefix\":\"/\",\"service\":\"s\",\"timeout_ms\":10}]}}");
-  ASSERT_TRUE(made) << made.error().place << " " << made.error().why;
+  ASSERT_TRUE(made) << made.error().where << " " << made.error().what;
   EXPECT_EQ(compiled_description(made.value())->routes.size(), 1u);
 }
 
@@ -350,7 +350,7 @@
         "{\"version\":5,\"upsert\":{\"routes\":{}}}", "{\"version\":5,\"upsert\":{\"labels\":[{\"name\":\"x\"}]}}"}) {
     Result<Configuration> const made = amended(base, bad);
     ASSERT_FALSE(made) << bad;
-    EXPECT_EQ(answer_for(made.error()).status, 400u) << bad << ": " << made.error().why;
+    EXPECT_EQ(answer_for(made.error()).status, 400u) << bad << ": " << made.error().what;
   }
 }
 
--- a/tests/record_store.cc
+++ b/tests/record_store.cc
@@ -56,7 +56,7 @@
   bool blank = false;
   Result<wire::RecordT> const opened = store.open(first_disk_id + disk.steps(), blank);
   if (!opened) {
-    EXPECT_TRUE(disk.died()) << opened.error().why;
+    EXPECT_TRUE(disk.died()) << opened.error().what;
     return disk.died();
   }
   std::uint64_t const serial = opened.value().value ? opened.value().value->serial : 0;
@@ -95,7 +95,7 @@
     disk.writes_left = -1;
     RecordStore second(disk, "c", "k1");
     Result<wire::RecordT> const back = second.open(8, blank);
-    ASSERT_TRUE(back) << "cut " << cut << ": " << back.error().why;
+    ASSERT_TRUE(back) << "cut " << cut << ": " << back.error().what;
     EXPECT_FALSE(blank);
     EXPECT_EQ(back.value().disk, 7u);
     std::uint64_t const serial = back.value().value ? back.value().value->serial : 0;
@@ -199,7 +199,7 @@
         disk.lose_power(random, seed % 3 == 0);
         RecordStore again(disk, "c", "k1", small_file);
         Result<wire::RecordT> const back = again.open(first_disk_id + 1, blank);
-        ASSERT_TRUE(back) << back.error().why;
+        ASSERT_TRUE(back) << back.error().what;
         std::uint64_t const serial = back.value().value ? back.value().value->serial : 0;
         ASSERT_GE(serial, synced);
         ASSERT_LE(serial, synced + 1);
--- a/tests/requests.cc
+++ b/tests/requests.cc
@@ -67,7 +67,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Off, RequestGuards,
                          testing::Values(GuardAway{"answer_id", RequestGuard::answer_id, Guard::none},
-                                         GuardAway{"promise_mark", RequestGuard::promise_mark, Guard::none},
+                                         GuardAway{"not_run_proof", RequestGuard::not_run_proof, Guard::none},
                                          GuardAway{"torn_visible", RequestGuard::torn_visible, Guard::none},
                                          GuardAway{"attempts", RequestGuard::attempts, Guard::none},
                                          GuardAway{"instance", RequestGuard::instance, Guard::none},
@@ -75,7 +75,8 @@
                                          GuardAway{"event_order", RequestGuard::event_order, Guard::none},
                                          GuardAway{"event_end", RequestGuard::event_end, Guard::none},
                                          GuardAway{"never_repeat", RequestGuard::none, Guard::never_repeat},
-                                         GuardAway{"honest_ran", RequestGuard::none, Guard::honest_ran},
+                                         GuardAway{"honest_execution_status", RequestGuard::none,
+                                                   Guard::honest_execution_status},
                                          GuardAway{"bucket", RequestGuard::none, Guard::bucket}),
                          [](testing::TestParamInfo<GuardAway> const& info) { return std::string(info.param.name); });
 
--- a/tests/rules.cc
+++ b/tests/rules.cc
@@ -22,7 +22,7 @@
   };
   for (Row const& row : rows) {
     Result<Binding> const made = compile_binding("match " + std::string(row.code) + "; pool p");
-    ASSERT_TRUE(made) << row.code << ": " << made.error().why;
+    ASSERT_TRUE(made) << row.code << ": " << made.error().what;
     Facts facts;
     facts.model = "tribute";
     facts.size = 10;
@@ -54,7 +54,7 @@
   for (Row const& row : bindings) {
     Result<Binding> const made = compile_binding(row.code);
     ASSERT_FALSE(made) << row.code;
-    EXPECT_EQ(made.error().place, row.place) << row.code << ": " << made.error().why;
+    EXPECT_EQ(made.error().where, row.place) << row.code << ": " << made.error().what;
     EXPECT_EQ(made.error().code, ErrorCode::bad_language);
   }
   for (char const* const code : {"wait 2", "wait 0s", "urgency 10", "repeat maybe", "wait 1s; wait 2s", "colour red",
@@ -94,7 +94,7 @@
     Result<std::shared_ptr<Description const>> const made = read_description(row.text);
     ASSERT_FALSE(made) << row.text;
     EXPECT_EQ(made.error().code, row.kind) << row.text;
-    EXPECT_EQ(made.error().place, row.place) << row.text << ": " << made.error().why;
+    EXPECT_EQ(made.error().where, row.place) << row.text << ": " << made.error().what;
   }
   EXPECT_EQ(read_description(std::string(description_limit + 1, ' ')).error().code, ErrorCode::too_large);
 }
--- a/tests/stored_data.cc
+++ b/tests/stored_data.cc
@@ -146,7 +146,7 @@
   bool blank = true;
   Result<wire::RecordT> record = store.open(unused_disk_id, blank);
   EXPECT_FALSE(blank);
-  EXPECT_TRUE(record) << record.error().why;
+  EXPECT_TRUE(record) << record.error().what;
   return record ? std::move(record.value()) : wire::RecordT();
 }
 
@@ -220,7 +220,7 @@
     RecordStore store(disk, cluster_of(format), "k1");
     bool blank = true;
     Result<wire::RecordT> record = store.open(unused_disk_id, blank);
-    ASSERT_TRUE(record) << record.error().why;
+    ASSERT_TRUE(record) << record.error().what;
     Acceptor acceptor(std::move(record.value()));
     wire::PrepareT prepare;
     prepare.ballot = wire::Ballot(17, 79);
--- a/tests/tenants.cc
+++ b/tests/tenants.cc
@@ -69,7 +69,7 @@
       "[{\"name\":\"kaje80\",\"api_keys\":[\"one\",\"two\"],\"priority\":1,\"counting_unit\":\"by_tokens\","
       "\"uncached_tokens\":200,\"requests_per_s\":926801,\"burst_size\":5},{\"name\":\"free\",\"api_keys\":[\"three\"]}"
       "]");
-  ASSERT_TRUE(read) << read.error().why;
+  ASSERT_TRUE(read) << read.error().what;
   Description const& made = *read.value();
   EXPECT_TRUE(made.keys_required);
   Tenant const* const tenant = made.tenant_of(key_digest_of("two"));
@@ -94,7 +94,7 @@
       head +
       "[{\"name\":\"t\",\"keys\":[\"one\"],\"rank\":2,\"counts\":\"tokens\",\"plain_tokens\":7,\"rate\":10,"
       "\"burst\":20}]}");
-  ASSERT_TRUE(read) << read.error().why;
+  ASSERT_TRUE(read) << read.error().what;
   Tenant const* const tenant = read.value()->tenant_of(key_digest_of("one"));
   ASSERT_NE(tenant, nullptr);
   EXPECT_EQ(tenant->rank, 2);
@@ -136,7 +136,7 @@
     Result<std::shared_ptr<Description const>> const read = with_tenants(bad);
     ASSERT_FALSE(read) << bad;
     EXPECT_EQ(answer_for(read.error()).status, 400u);
-    EXPECT_EQ((read.error().why + read.error().place).find("secretkey"), std::string::npos) << read.error().why;
+    EXPECT_EQ((read.error().what + read.error().where).find("secretkey"), std::string::npos) << read.error().what;
   }
   // The same key twice in one tenant's own list harms nobody; a field that is not known is left alone.
   EXPECT_TRUE(with_tenants("[{\"name\":\"t\",\"api_keys\":[\"k\",\"k\"],\"colour\":\"red\"}]"));
@@ -147,7 +147,7 @@
   for (int n = 0; n < 10000; ++n) keys += ",\"key-" + std::to_string(n) + "\"";
   Result<std::shared_ptr<Description const>> const read =
       with_tenants("[{\"name\":\"t\",\"api_keys\":[" + keys + "]}]");
-  ASSERT_TRUE(read) << read.error().why;
+  ASSERT_TRUE(read) << read.error().what;
   EXPECT_NE(read.value()->tenant_of(key_digest_of(std::string(8192, 'k'))), nullptr);
   EXPECT_NE(read.value()->tenant_of(key_digest_of("key-9999")), nullptr);
 }
@@ -289,7 +289,7 @@
 }
 
 TEST(QuotaShares, without_their_fence_would_be_handed_out_twice) {
-  guard_off() = Guard::quota_fence;
+  guard_off() = Guard::quota_handover;
   QuotaShares old_one("a", seconds(5));
   QuotaShares fresh("b", seconds(5));
   old_one.note(set_of(1, {"a"}), 0);
--- a/tests/wire_frames.cc
+++ b/tests/wire_frames.cc
@@ -508,7 +508,7 @@
     BodyCheck const* const check = check_of(written.name);
     ASSERT_NE(check, nullptr);
     Result<std::unique_ptr<wire::FrameT>> const frame = decode(written.bytes);
-    ASSERT_TRUE(frame) << frame.error().why;
+    ASSERT_TRUE(frame) << frame.error().what;
     EXPECT_EQ(static_cast<unsigned>(frame.value()->body.type), check->number);
     FieldChecks checks(written.variant);
     check->expect(frame.value()->body, checks);
@@ -518,7 +518,7 @@
 TEST(WireFrames, of_the_former_program_are_written_with_the_same_bytes) {
   for (WrittenFrame const& written : written_frames()) {
     Result<std::unique_ptr<wire::FrameT>> const frame = decode(written.bytes);
-    ASSERT_TRUE(frame) << written.name << ": " << frame.error().why;
+    ASSERT_TRUE(frame) << written.name << ": " << frame.error().what;
     EXPECT_TRUE(encode(*frame.value()) == written.bytes) << written.name << " " << written.variant;
   }
 }
--- a/tests/world.cc
+++ b/tests/world.cc
@@ -104,7 +104,7 @@
 
 std::vector<Missing> const missing = {
     {Guard::never_repeat, "N1", "coop", 1, 12, {}},
-    {Guard::honest_ran, "N2", "coop", 1, 12, {}},
+    {Guard::honest_execution_status, "N2", "coop", 1, 12, {}},
     {Guard::local_veto, "N5", "coop", 1, 12, {"leave"}},
     {Guard::fresh_start, "N5", "utility", 1, 20, {"freeze", "leave"}},
     {Guard::zone_veto, "N6", "coop", 1, 12, {}},
