--- a/src/config/description/description_reader.cc
+++ b/src/config/description/description_reader.cc
@@ -104,7 +104,7 @@
   if (!reader_.text(value, path, code)) return false;
   Result<Binding> compiled = compile_binding(code);
   if (!compiled)
-    return reader_.fail_at(path + ": " + compiled.error().place, compiled.error().why, ErrorCode::bad_language);
+    return reader_.fail_at(path + ": " + compiled.error().where, compiled.error().what, ErrorCode::bad_language);
   out = std::move(compiled.value());
   return true;
 }
@@ -114,7 +114,7 @@
   if (!reader_.text(value, path, code)) return false;
   Result<Policy> compiled = compile_policy(code);
   if (!compiled)
-    return reader_.fail_at(path + ": " + compiled.error().place, compiled.error().why, ErrorCode::bad_language);
+    return reader_.fail_at(path + ": " + compiled.error().where, compiled.error().what, ErrorCode::bad_language);
   out = compiled.value();
   return true;
 }
--- a/src/consensus/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -193,7 +193,7 @@
 }
 
 void Proposer::make_draft_of_joint() {
-  bool const is_chosen = chosen_joint_fingerprint_ == membership_.fingerprint() || !guard(Guard::settle_chosen);
+  bool const is_chosen = chosen_joint_fingerprint_ == membership_.fingerprint() || !guard(Guard::joint_chosen);
   draft_type_ = is_chosen ? DraftType::leave_joint : DraftType::confirm_joint;
   if (!is_chosen) return;
   draft_.former.clear();
--- a/src/node/change_forwarder.cc
+++ b/src/node/change_forwarder.cc
@@ -50,7 +50,7 @@
   std::uint64_t const request_id = actions_.next_request_id();
   wire::ForwardedChangeT request = message_of(request_id, change, learner_.revision());
   put_text(change.text, request);
-  if (!mesh_.post(to, std::move(request), out.mesh)) return false;
+  if (!mesh_.send(to, std::move(request), out.mesh)) return false;
   forwarded_[request_id] = Forwarded{id, to, change, now + answer_within};
   return true;
 }
@@ -95,7 +95,7 @@
   wire::ForwardedChangeReplyT reply;
   reply.request_id = request_id;
   reply.need_text = true;
-  mesh_.post(from, std::move(reply), out.mesh);
+  mesh_.send(from, std::move(reply), out.mesh);
 }
 
 // The replica took nothing of a change whose text it could not make out: it is sent again, with all of its text.
@@ -103,7 +103,7 @@
                                 NodeEffects& out) {
   wire::ForwardedChangeT request = message_of(request_id, change, learner_.revision());
   request.text = change.text;
-  mesh_.post(to, std::move(request), out.mesh);
+  mesh_.send(to, std::move(request), out.mesh);
 }
 
 void ChangeForwarder::take_reply(std::string const& from, wire::ForwardedChangeReplyT const& reply, Micros now,
@@ -128,7 +128,7 @@
   answer.change = item.change.id;
   answer.outcome.type = static_cast<Outcome::Type>(reply.type);
   answer.outcome.error.code = static_cast<ErrorCode>(reply.kind);
-  answer.outcome.error.why = reply.why;
+  answer.outcome.error.what = reply.why;
   answer.outcome.serial = reply.serial;
   // What a majority chose is known here too from now on.
   if (reply.value) actions_.adopt_value(*reply.value, now, out);
@@ -163,13 +163,13 @@
   reply.request_id = requester.request_id;
   reply.type = static_cast<std::uint8_t>(outcome.type);
   reply.kind = static_cast<std::uint8_t>(outcome.error.code);
-  reply.why = outcome.error.why;
+  reply.why = outcome.error.what;
   reply.serial = outcome.serial;
   // Changes get round by themselves; a reading brings the value, unless the requester holds it already.
   bool const read = outcome.type == Outcome::Type::kept;
   if (read) reply.revision = outcome.value.revision;
   if (read && requester.revision < outcome.value.revision) reply.value = std::make_unique<wire::ValueT>(outcome.value);
-  mesh_.post(requester.name, std::move(reply), out.mesh);
+  mesh_.send(requester.name, std::move(reply), out.mesh);
 }
 
 void ChangeForwarder::propose_overdue(Micros now, NodeEffects& out) {
--- a/src/node/exchange_topology.cc
+++ b/src/node/exchange_topology.cc
@@ -30,7 +30,7 @@
 
 Paths ExchangeTopology::compute_paths() const {
   Paths out;
-  out.wide = mesh_.wide();
+  out.wide = mesh_.is_large_fleet();
   std::set<std::string> other_zones;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
     if (!is_reachable(item.second)) continue;
--- a/src/node/node_plan.h
+++ b/src/node/node_plan.h
@@ -6,7 +6,7 @@
 
 #include "base/micros.h"
 #include "config/description/description.h"
-#include "mesh/members/member_table.h"
+#include "mesh/membership/member_table.h"
 #include "routing/tenants/quota_budget.h"
 
 namespace pipit {
--- a/src/node/replica_directory.cc
+++ b/src/node/replica_directory.cc
@@ -44,7 +44,8 @@
 }
 
 bool ReplicaDirectory::is_reachable(wire::ReplicaT const& replica) const {
-  if (replica.name == plan_.name) return acceptor_ && acceptor_->durable_state().disk == replica.disk && !status_.leaving();
+  if (replica.name == plan_.name)
+    return acceptor_ && acceptor_->durable_state().disk == replica.disk && !status_.leaving();
   std::map<std::string, Learner::Observation>::const_iterator const observation =
       learner_.observations.find(replica.name);
   if (observation != learner_.observations.end() && observation->second.disk != replica.disk) return false;
--- a/src/node/router_registrations.cc
+++ b/src/node/router_registrations.cc
@@ -4,6 +4,7 @@
 
 #include "base/events.h"
 #include "base/guards.h"
+#include "consensus/register/router_registrations.h"
 
 namespace pipit {
 
@@ -91,7 +92,7 @@
   bool const known = peer != mesh_.members.peers.end();
   // That it left, or refuses a dial, says nothing of a later incarnation.
   if (registration != nullptr && (!known || peer->second.member.incarnation < registration->incarnation)) return true;
-  return !mesh_.gone(name);
+  return !mesh_.members.cannot_be_serving(name);
 }
 
 std::optional<Error> RouterRegistrations::eviction_refusal(std::string const& name) const {
--- a/src/node/router_registrations.h
+++ b/src/node/router_registrations.h
@@ -11,6 +11,7 @@
 #include <string>
 
 #include "base/micros.h"
+#include "consensus/register/change.h"
 #include "consensus/register/learner.h"
 #include "mesh/mesh.h"
 
--- a/src/node/worker_departures.cc
+++ b/src/node/worker_departures.cc
@@ -41,7 +41,7 @@
   std::size_t all = 1;
   std::size_t connected = 1;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
-    if (mesh_.gone(item.first)) continue;
+    if (mesh_.members.cannot_be_serving(item.first)) continue;
     ++all;
     if (item.second.connection != 0) ++connected;
   }
@@ -52,7 +52,7 @@
   return std::all_of(mesh_.members.peers.begin(), mesh_.members.peers.end(),
                      [&](std::pair<std::string const, Peer> const& item) {
                        bool const connected = item.second.connection != 0 && item.second.state() == State::alive;
-                       return !connected || mesh_.entry_table.told(item.first, worker);
+                       return !connected || mesh_.entry_replication.is_replicated(item.first, worker);
                      });
 }
 
@@ -63,7 +63,8 @@
   Voters voters;
   for (std::vector<wire::ReplicaT> const* const part : {&members.replicas, &members.former})
     for (wire::ReplicaT const& replica : *part)
-      if (replica.name == self_ || mesh_.entry_table.told(replica.name, worker)) voters[replica.name] = replica.disk;
+      if (replica.name == self_ || mesh_.entry_replication.is_replicated(replica.name, worker))
+        voters[replica.name] = replica.disk;
   return members.quorum(voters);
 }
 
@@ -71,9 +72,9 @@
   std::size_t all = 1;
   std::size_t informed = 1;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
-    if (mesh_.gone(item.first)) continue;
+    if (mesh_.members.cannot_be_serving(item.first)) continue;
     ++all;
-    if (mesh_.entry_table.told(item.first, worker)) ++informed;
+    if (mesh_.entry_replication.is_replicated(item.first, worker)) ++informed;
   }
   return informed * 2 > all;
 }
@@ -82,8 +83,8 @@
   bool alone = true;
   bool informed = false;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
-    alone = alone && mesh_.gone(item.first);
-    informed = informed || mesh_.entry_table.told(item.first, worker);
+    alone = alone && mesh_.members.cannot_be_serving(item.first);
+    informed = informed || mesh_.entry_replication.is_replicated(item.first, worker);
   }
   check_invariant(alone || informed, Invariant::end_is_known, [&] {
     return worker + ", " + std::to_string(mesh_.members.peers.size()) + " peers, " +
--- a/src/routing/chat/chat_dispatcher.cc
+++ b/src/routing/chat/chat_dispatcher.cc
@@ -353,7 +353,7 @@
     execution = ExecutionStatus::unknown;
     kind = ErrorCode::worker_broke;
   }
-  if (!guard(Guard::honest_ran) && execution == ExecutionStatus::unknown) execution = ExecutionStatus::no;
+  if (!guard(Guard::honest_execution_status) && execution == ExecutionStatus::unknown) execution = ExecutionStatus::no;
   chat_request.execution = std::max(chat_request.execution, execution);
   // §6.6: a broken connection may mean that the worker ended; it is asked before it gets anything more.
   Worker const* const worker = fleet_.find(chat_request.worker);
@@ -364,9 +364,10 @@
     out.suspects.emplace_back(chat_request.worker, chat_request.incarnation);
   log_event(Event::chat_attempt_failed, chat_request.worker + " " + error_code_row(kind).name + " " + why);
   bool const may_repeat = chat_request.safe || !chat_request.sent || !guard(Guard::never_repeat);
-  bool const retry =
-      !chat_request.begun && may_repeat && !draining_ && chat_request.attempts < chat_request.lane->policy.max_attempts &&
-      now < chat_request.due + chat_request.lane->policy.answer && (bucket_ >= 1.0 || !guard(Guard::bucket));
+  bool const retry = !chat_request.begun && may_repeat && !draining_ &&
+                     chat_request.attempts < chat_request.lane->policy.max_attempts &&
+                     now < chat_request.due + chat_request.lane->policy.answer &&
+                     (bucket_ >= 1.0 || !guard(Guard::bucket));
   if (retry) {
     Choice const choice = select(chat_request, 0, now, true);
     if (choice.decision == PlacementDecision::place) return start_attempt(chat_request, choice, now, out);
--- a/src/routing/dispatch/dispatcher.cc
+++ b/src/routing/dispatch/dispatcher.cc
@@ -127,7 +127,8 @@
   if (!authorize(request, now, out)) return;
   request.tree = request.pool->name + "/" + request.query.model;
   Micros const remaining = request.query.remaining > 0 ? request.query.remaining : request.route->request_timeout;
-  request.due = request.arrived_at - request.query.read_for + std::min(remaining, request.route->request_timeout) - way_back;
+  request.due =
+      request.arrived_at - request.query.read_for + std::min(remaining, request.route->request_timeout) - way_back;
   if (request.due <= now) return reject(request, ErrorCode::expired, millis(100), now, out);
   request.give_up = request.arrived_at + std::min(request.route->latency_target / 5, remaining / 4);
   if (now - started_at_ < begin_span) request.give_up = request.arrived_at + std::min(begin_wait, remaining / 4);
--- a/src/runtime/router_host.cc
+++ b/src/runtime/router_host.cc
@@ -176,8 +176,8 @@
 // The executor: obeys what the core decided.
 void RouterHost::act(NodeEffects& out) {
   if (out.save) disk_->save(std::move(*out.save));
-  for (std::string const& address : out.mesh.dials) connections_->dial(address);
-  for (ConnectionEffects::Send& send : out.mesh.sends) {
+  for (std::string const& address : out.mesh.dial_addresses) connections_->dial(address);
+  for (ConnectionEffects::OutgoingFrame& send : out.mesh.outgoing_frames) {
     if (settings_.faults && dropped_out(send.connection, send.bytes)) continue;
     connection_bytes_ += send.bytes.size();
     mesh_to_[node_->mesh.zone_of(send.connection)] += send.bytes.size();
@@ -186,7 +186,7 @@
       for (std::size_t i = 4; i < send.bytes.size(); ++i) send.bytes[i] = static_cast<char>(send.bytes[i] ^ 0x5a);
     connections_->send(send.connection, send.bytes);
   }
-  for (ConnectionId const id : out.mesh.shuts) {
+  for (ConnectionId const id : out.mesh.closed_connections) {
     connection_names_.erase(id);
     connections_->shut(id);
   }
@@ -297,7 +297,7 @@
   Result<Settings> fresh = read_settings(2, argv, role_ == Role::config_store);
   std::string why;
   if (!fresh) {
-    why = fresh.error().why;
+    why = fresh.error().what;
   } else {
     Settings const& s = fresh.value();
     // What a process is cannot change while it incarnations; what it allows can.
@@ -371,7 +371,7 @@
   Result<Settings> settings = read_settings(argc, argv, replica);
   if (!settings) {
     std::fprintf(stderr, "%s: %s\n", replica ? "pipitspool-config-store" : "pipitspool-router",
-                 settings.error().why.c_str());
+                 settings.error().what.c_str());
     return 2;
   }
   if (settings.value().help) {
@@ -390,7 +390,7 @@
     std::uint64_t const fresh = random_seed();
     Result<wire::RecordT> opened = locked ? store->open(fresh, blank) : Result<wire::RecordT>(locked.as_failure());
     if (!opened) {
-      std::fprintf(stderr, "pipitspool-config-store: data: %s\n", opened.error().why.c_str());
+      std::fprintf(stderr, "pipitspool-config-store: data: %s\n", opened.error().what.c_str());
       return 2;
     }
     recovered = std::move(opened.value());
@@ -401,7 +401,7 @@
   Result<void> const listening = host.listen();
   if (!listening) {
     std::fprintf(stderr, "%s: %s\n", replica ? "pipitspool-config-store" : "pipitspool-router",
-                 listening.error().why.c_str());
+                 listening.error().what.c_str());
     return 2;
   }
   return host.run();
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -42,7 +42,7 @@
     // A disk that is full or hangs when the process starts is waited for: without it the node is no replica.
     Result<wire::RecordT> opened = ring->open(fresh, blank);
     for (int attempts = 0; !opened && opened.error().code == ErrorCode::bad_disk && attempts < 50; ++attempts) {
-      if (attempts == 0) log_event(Event::disk_write_retried, opened.error().why);
+      if (attempts == 0) log_event(Event::disk_write_retried, opened.error().what);
       g_usleep(100000);
       opened = ring->open(fresh, blank);
     }
@@ -115,7 +115,7 @@
   // A node without its metrics still serves: somebody else may listen there.
   if (done && !plan_.metrics.empty())
     if (Result<void> const listening = metrics_server_->listen(plan_.metrics); !listening)
-      log_event(Event::metrics_listen_failed, listening.error().why);
+      log_event(Event::metrics_listen_failed, listening.error().what);
   if (done && !plan_.front.empty()) done = proxy_->listen(plan_.front);
   return done;
 }
@@ -123,9 +123,10 @@
 // The executor: obeys what the core decided.
 void NodeServer::act(NodeEffects& out) {
   if (out.save && disk_) disk_->save(std::move(*out.save));
-  for (std::string const& address : out.mesh.dials) connections_->dial(address);
-  for (ConnectionEffects::Send& send : out.mesh.sends) connections_->send(send.connection, send.bytes);
-  for (ConnectionId const id : out.mesh.shuts) connections_->shut(id);
+  for (std::string const& address : out.mesh.dial_addresses) connections_->dial(address);
+  for (ConnectionEffects::OutgoingFrame& send : out.mesh.outgoing_frames)
+    connections_->send(send.connection, send.bytes);
+  for (ConnectionId const id : out.mesh.closed_connections) connections_->shut(id);
   if (!out.dispatch.empty()) proxy_->act(out.dispatch);
   std::vector<Reply> const replies = std::move(out.replies);
   for (Reply const& item : replies) {
--- a/testing/platform_fleet_test/main.cc
+++ b/testing/platform_fleet_test/main.cc
@@ -54,9 +54,9 @@
   if (given.count("compare") > 0) {
     if (pair.size() != 2) return refuse("--compare: two reports are needed");
     Result<Figures> const a = Figures::read(pair[0]);
-    if (!a) return refuse("--compare: " + a.error().why);
+    if (!a) return refuse("--compare: " + a.error().what);
     Result<Figures> const b = Figures::read(pair[1]);
-    if (!b) return refuse("--compare: " + b.error().why);
+    if (!b) return refuse("--compare: " + b.error().what);
     std::cout << compare(a.value(), b.value());
     return 0;
   }
@@ -67,7 +67,7 @@
   if (!(plan.rate_scale > 0 && plan.rate_scale <= 10)) return refuse("--rate-scale: it is not above 0 and at most 10");
   if (plan.net < 2 || plan.net > 254) return refuse("--net: it is not from 2 to 254");
   Result<std::vector<Fault>> const faults = parse_faults(plan.faults_text);
-  if (!faults) return refuse("--troubles: " + faults.error().why);
+  if (!faults) return refuse("--troubles: " + faults.error().what);
   plan.faults = faults.value();
   plan.relayed = given.count("relay") > 0;
   for (Fault const& fault : plan.faults)
--- a/testing/platform_fleet_test/worker_faults.cc
+++ b/testing/platform_fleet_test/worker_faults.cc
@@ -50,7 +50,8 @@
 void Workers::silence(Fault const& fault) {
   for (Worker* const worker : some(fault)) {
     worker->is_silent = true;
-    for (std::pair<Conn* const, std::shared_ptr<Conn>> const& conn : worker->conns) conn.second->link->pause_reading(true);
+    for (std::pair<Conn* const, std::shared_ptr<Conn>> const& conn : worker->conns)
+      conn.second->link->pause_reading(true);
     if (worker->watch != 0) g_source_remove(worker->watch);
     worker->watch = 0;
     after(fault.span, [this, worker] {
--- a/tests/node/change_forwarder.cc
+++ b/tests/node/change_forwarder.cc
@@ -43,9 +43,9 @@
   // The bodies that were sent since the last call.
   std::vector<wire::BodyUnion> sent() {
     std::vector<wire::BodyUnion> bodies;
-    for (ConnectionEffects::Send const& send : out.mesh.sends)
+    for (ConnectionEffects::OutgoingFrame const& send : out.mesh.outgoing_frames)
       bodies.push_back(std::move(decode(send.bytes).value()->body));
-    out.mesh.sends.clear();
+    out.mesh.outgoing_frames.clear();
     return bodies;
   }
 
@@ -93,7 +93,7 @@
   fixture.plan.name = "m";
   fixture.plan.registered = false;
   EXPECT_FALSE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
-  EXPECT_TRUE(fixture.out.mesh.sends.empty());
+  EXPECT_TRUE(fixture.out.mesh.outgoing_frames.empty());
 }
 
 TEST(ChangeForwarder, WithoutAQuorumAsksRoutersInTurn) {
@@ -104,10 +104,10 @@
   fixture.add_peer("r2", State::alive, 22).member.replica = false;
   for (int count = 0; count < 3; ++count)
     ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), later, fixture.out));
-  ASSERT_EQ(fixture.out.mesh.sends.size(), 3u);
-  EXPECT_EQ(fixture.out.mesh.sends[0].connection, 21u);
-  EXPECT_EQ(fixture.out.mesh.sends[1].connection, 22u);
-  EXPECT_EQ(fixture.out.mesh.sends[2].connection, 21u);
+  ASSERT_EQ(fixture.out.mesh.outgoing_frames.size(), 3u);
+  EXPECT_EQ(fixture.out.mesh.outgoing_frames[0].connection, 21u);
+  EXPECT_EQ(fixture.out.mesh.outgoing_frames[1].connection, 22u);
+  EXPECT_EQ(fixture.out.mesh.outgoing_frames[2].connection, 21u);
 }
 
 TEST(ChangeForwarder, PassesTheAnswerOnOnce) {
--- a/tests/node/configuration_authority.cc
+++ b/tests/node/configuration_authority.cc
@@ -11,7 +11,7 @@
 class ConfigurationAuthorityTest : public testing::Test {
  protected:
   ConfigurationAuthorityTest()
-      : mesh(MeshPlan{}, wire::MemberT(), 1),
+      : mesh(MeshSettings{}, wire::MemberT(), 1),
         authority({quota_span, millis(500), quota_span}, mesh, learner, rotation, [this] { return ++last_request; }) {}
 
   void connect(std::string const& name, bool replica) {
--- a/tests/node/exchange_topology.cc
+++ b/tests/node/exchange_topology.cc
@@ -11,9 +11,9 @@
   ExchangeTopologyTest() : mesh(mesh_plan(), wire::MemberT(), 1) {}
 
   // Four peers make the mesh wide.
-  static MeshPlan mesh_plan() {
-    MeshPlan out;
-    out.wide = 4;
+  static MeshSettings mesh_plan() {
+    MeshSettings out;
+    out.large_fleet_size = 4;
     return out;
   }
   void add(std::string const& name, std::string const& zone, bool replica = false) {
--- a/tests/node/list_freshness.cc
+++ b/tests/node/list_freshness.cc
@@ -11,7 +11,7 @@
 
 class ListFreshnessTest : public testing::Test {
  protected:
-  ListFreshnessTest() : mesh(MeshPlan{}, wire::MemberT(), 1), freshness(mesh) {}
+  ListFreshnessTest() : mesh(MeshSettings{}, wire::MemberT(), 1), freshness(mesh) {}
 
   // Two of three members are never heard.
   void cut_off() {
--- a/tests/node/quota_authority.cc
+++ b/tests/node/quota_authority.cc
@@ -12,7 +12,7 @@
 class QuotaAuthorityTest : public testing::Test {
  protected:
   QuotaAuthorityTest()
-      : mesh(MeshPlan{}, wire::MemberT(), 1),
+      : mesh(MeshSettings{}, wire::MemberT(), 1),
         index_sync(1),
         registry("n1"),
         exchange("n1"),
--- a/tests/node/replica_fixture.h
+++ b/tests/node/replica_fixture.h
@@ -79,7 +79,7 @@
   }
 
   NodePlan plan;
-  Mesh mesh{MeshPlan(), wire::MemberT(), 1};
+  Mesh mesh{MeshSettings(), wire::MemberT(), 1};
   Learner learner;
   std::optional<Acceptor> acceptor;
   bool leaving = false;
--- a/tests/node/replica_set_manager.cc
+++ b/tests/node/replica_set_manager.cc
@@ -42,7 +42,7 @@
     for (wire::ReplicaT const& grantor : grantors) {
       wire::LeaseReplyT reply;
       reply.request_id = outgoing.front().body.AsLeaseRequest()->request_id;
-      reply.duty = outgoing.front().body.AsLeaseRequest()->duty;
+      reply.role = outgoing.front().body.AsLeaseRequest()->role;
       reply.ok = true;
       reply.disk = grantor.disk;
       manager.take_lease_reply(grantor.name, reply, now);
@@ -167,7 +167,7 @@
   Peer& router = fixture.add_peer("r", State::down, 0);
   router.member.replica = false;
   router.member.incarnation = 5;
-  router.refuse(true, settled - seconds(20));
+  router.set_dial_refused(true, settled - seconds(20));
   fixture.grant_lease(fixture.set, settled);
   EXPECT_FALSE(fixture.manager.next_change(settled).has_value());
   std::optional<Change> const change = fixture.manager.next_change(settled + 1);
--- a/tests/node/router_registrations.cc
+++ b/tests/node/router_registrations.cc
@@ -18,7 +18,7 @@
 class RouterRegistrationsTest : public testing::Test {
  protected:
   RouterRegistrationsTest()
-      : mesh(MeshPlan{}, own_member(), 1), registrations({"n1", "127.1.1.1:7000", true, true}, mesh, learner) {}
+      : mesh(MeshSettings{}, own_member(), 1), registrations({"n1", "127.1.1.1:7000", true, true}, mesh, learner) {}
 
   static std::unique_ptr<wire::RouterRegistrationT> registration(std::string const& name, std::uint64_t incarnation) {
     std::unique_ptr<wire::RouterRegistrationT> out = std::make_unique<wire::RouterRegistrationT>();
@@ -104,11 +104,11 @@
   EXPECT_TRUE(registrations.must_confirm("n2")) << "never met";
   mesh.members.peers["n2"].member.name = "n2";
   mesh.members.peers["n2"].member.incarnation = 2;
-  mesh.members.peers["n2"].refused = true;
+  mesh.members.peers["n2"].dial_refused = true;
   EXPECT_FALSE(registrations.must_confirm("n2")) << "its address refuses connections";
   apply({{"n2", 3}}, {}, 0);
   mesh.members.peers["n2"].member.incarnation = 2;
-  mesh.members.peers["n2"].refused = true;
+  mesh.members.peers["n2"].dial_refused = true;
   EXPECT_TRUE(registrations.must_confirm("n2")) << "a later incarnation is registered";
   mesh.members.peers["n2"].member.incarnation = 3;
   EXPECT_FALSE(registrations.must_confirm("n2"));
--- a/tests/node/worker_departures.cc
+++ b/tests/node/worker_departures.cc
@@ -19,7 +19,7 @@
 class WorkerDeparturesTest : public testing::Test {
  protected:
   WorkerDeparturesTest()
-      : mesh(MeshPlan{}, member_named("n1"), 1),
+      : mesh(MeshSettings{}, member_named("n1"), 1),
         departures("n1", mesh, learner, [this](Micros) { return has_quorum; }) {}
 
   // A peer with an open connection, which every new entry is sent to.
@@ -27,20 +27,20 @@
     Peer& peer = mesh.members.peers[name];
     peer.member = member_named(name);
     peer.connection = ++last_connection;
-    mesh.entry_table.meet(name);
+    mesh.entry_replication.add_peer(name);
   }
   void disconnect(std::string const& name, bool refused) {
     mesh.members.peers[name].connection = 0;
-    mesh.members.peers[name].refused = refused;
+    mesh.members.peers[name].dial_refused = refused;
   }
   void write_end() {
     wire::EntryT entry;
     entry.key = worker;
     entry.state = static_cast<std::uint8_t>(WorkerState::ended);
-    mesh.entry_table.put(entry, 0);
+    mesh.put_entry(entry, 0);
   }
   // The peer acknowledges everything that it was sent.
-  void acknowledge(std::string const& name) { mesh.entry_table.acked(name, mesh.entry_table.batch(name, true).batch); }
+  void acknowledge(std::string const& name) { mesh.entry_replication.acknowledge(name, mesh.entry_replication.next_batch(name, true).batch); }
   // The register's set of replicas, with disks 1, 2, ...
   void set_replicas(std::vector<std::string> const& names) {
     Membership members;
