--- a/src/node/replica_set_manager.cc
+++ b/src/node/replica_set_manager.cc
@@ -161,7 +161,8 @@
   Peer const& peer = position->second;
   // A later incarnation is there, and is about to register.
   if (peer.connection != 0 || peer.member.incarnation > registration.incarnation) return false;
-  bool const left = peer.state() == State::leaving && now - std::max(peer.state_since, peer.disconnected_since) > evict_after;
+  bool const left =
+      peer.state() == State::leaving && now - std::max(peer.state_since, peer.disconnected_since) > evict_after;
   bool const refuses = peer.dial_refused && now - peer.dial_refused_at > evict_after;
   return left || refuses;
 }
--- a/testing/fleet_simulator/world.h
+++ b/testing/fleet_simulator/world.h
@@ -59,7 +59,7 @@
   struct WorkerProcess;  // a worker
   struct Wish;           // one attempt of a caller
   struct Change_;        // an operator's change
-  // Where and for how long a fault strikes, as the seed chose it.
+  // Where and for how long a fault acts, as the seed chose it.
   struct FaultSite {
     std::string type;
     Micros span = 0;
--- a/tests/node/worker_departures.cc
+++ b/tests/node/worker_departures.cc
@@ -40,7 +40,9 @@
     mesh.put_entry(entry, 0);
   }
   // The peer acknowledges everything that it was sent.
-  void acknowledge(std::string const& name) { mesh.entry_replication.acknowledge(name, mesh.entry_replication.next_batch(name, true).batch); }
+  void acknowledge(std::string const& name) {
+    mesh.entry_replication.acknowledge(name, mesh.entry_replication.next_batch(name, true).batch);
+  }
   // The register's set of replicas, with disks 1, 2, ...
   void set_replicas(std::vector<std::string> const& names) {
     Membership members;
