--- a/programs/zone_drill/main.cc
+++ b/programs/zone_drill/main.cc
@@ -1,6 +1,6 @@
-// ordeal: the drill. Takes a zone out of a live fleet, watches the promises, and puts the zone back (§8.3).
-// Exit codes: 0 passed, 1 a promise was broken, 2 bad usage, 3 interrupted (the zone was put back),
-// 4 refused to begin, 5 the zone could not be put back.
+// pipitspool-zone-drill: the drill. Takes a zone out of a live fleet, watches the promises, and puts the zone back
+// (§8.3). Exit codes: 0 passed, 1 a promise was broken, 2 bad usage, 3 interrupted (the zone was put back), 4 refused
+// to begin, 5 the zone could not be put back.
 #include <glib.h>
 #include <signal.h>
 #include <simdjson.h>
--- a/src/config/description/description.h
+++ b/src/config/description/description.h
@@ -116,8 +116,8 @@
 // Makes a description of a text that the register holds.
 using DescriptionReader = std::function<Result<std::shared_ptr<Description const>>(std::string_view)>;
 
-// Reads and checks the JSON text of a description: the check of `decree check` and of every node that proposes or
-// learns one. Errors are too_large, bad_json, bad_description and bad_language, with the place of the fault.
+// Reads and checks the JSON text of a description: the check of `pipitspoolctl check` and of every node that proposes
+// or learns one. Errors are too_large, bad_json, bad_description and bad_language, with the place of the fault.
 Result<std::shared_ptr<Description const>> read_description(std::string_view text);
 
 }  // namespace pipit
--- a/src/node/node_plan.h
+++ b/src/node/node_plan.h
@@ -19,7 +19,7 @@
   std::string http;
   Role role = Role::router;
   std::vector<std::string> seeds;
-  std::vector<std::string> models;           // those that a passage serves; none means all
+  std::vector<std::string> models;           // those that a router serves; none means all
   std::vector<std::string> initial_members;  // names of the first replicas
   std::uint64_t incarnation = 1;
   std::uint64_t chance = 1;
--- a/testing/fleet_test/actions.cc
+++ b/testing/fleet_test/actions.cc
@@ -157,7 +157,7 @@
 }
 
 bool FleetTest::drill_step(Step const& item) {
-  // The exit codes that ordeal must end with.
+  // The exit codes that the zone drill must end with.
   constexpr int passed = 0;
   constexpr int interrupted = 3;
   constexpr int refused = 4;
