--- a/tests/mesh/failure_detector.cc
+++ b/tests/mesh/failure_detector.cc
@@ -4,18 +4,11 @@
 #include <gtest/gtest.h>
 
 #include "base/events.h"
+#include "tests/mesh/member_record.h"
 
 namespace pipit {
 
 namespace {
-wire::MemberT member(std::string const& name) {
-  wire::MemberT out;
-  out.name = name;
-  out.address = name + ":1";
-  out.incarnation = 1;
-  return out;
-}
-
 // This node is "a"; "b" has connection 1 and "c" connection 2.
 struct FailureDetectorTest : testing::Test {
   MeshSettings settings;
