--- a/src/node/node.h
+++ b/src/node/node.h
@@ -134,7 +134,7 @@
                   std::vector<OutgoingMessage>& outgoing) const;
   void settle(std::uint64_t id, Change const& change, Outcome const& outcome, Micros now, NodeEffects& out);
   void settle_ended(Micros now, NodeEffects& out);
-  // Invariants of what operators are told, and of the values that come into force (core/checks.cc).
+  // Invariants of what operators are told, and of the values that come into force (node/node_invariants.cc).
   void note_call(std::uint64_t id, Change const& change);
   void check_replies(NodeEffects const& out);
   void check_reply(Reply const& reply);
--- a/src/node/peer_selection.h
+++ b/src/node/peer_selection.h
@@ -1,7 +1,6 @@
-// Selection of the peers that a question goes to: which are reachable, and whose turn it is.
+// Selection of the peers that this node sends requests to: reachability, and rotation over several candidates.
 //
-// PeerRotation owns one counter. The parts of a node that ask peers in turn share it, so that their questions spread
-// over the peers together. Not synchronized: used by the node's loop only.
+// Not synchronized: used by the node's loop only.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -14,16 +13,19 @@
 
 // Whether the peer has an open connection and is alive.
 inline bool is_reachable(Peer const& peer) { return peer.connection != 0 && peer.state() == State::alive; }
+// The same by name; false for a peer that the mesh does not know.
 inline bool is_reachable(Mesh const& mesh, std::string const& name) {
   std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
   return peer != mesh.members.peers.end() && is_reachable(peer->second);
 }
 
+// Round-robin choice of a peer. The parts of a node that send requests to one peer at a time share one rotation, so
+// that their requests together spread over the peers.
 class PeerRotation {
  public:
-  // Begins the next turn.
+  // Moves to the next peer.
   void advance() { ++turn_; }
-  // The peer whose turn it is; 'peers' must not be empty.
+  // The current peer; 'peers' must not be empty.
   std::string const& current(std::vector<std::string> const& peers) const { return peers[turn_ % peers.size()]; }
 
  private:
