--- a/src/node/catch_up.cc
+++ b/src/node/catch_up.cc
@@ -8,33 +8,33 @@
 namespace pipit {
 
 namespace {
-constexpr std::size_t early_limit = 16;  // patches
-constexpr Micros stuck_after = millis(100);
-constexpr Micros answer_within = seconds(1);  // the first question; each further one gets as much more
-constexpr int patience_limit = 4;
+constexpr std::size_t max_early_patches = 16;  // patches
+constexpr Micros stuck_timeout = millis(100);
+constexpr Micros answer_timeout = seconds(1);  // the first question; each further one gets as much more
+constexpr int max_timeout_multiplier = 4;
 
-std::uint64_t base_of(wire::ChosenT const& update) { return update.patch->base_revision; }
+std::uint64_t base_revision_of(wire::ChosenT const& update) { return update.patch->base_revision; }
 }  // namespace
 
-void CatchUp::keep(std::string const& from, wire::ChosenT const& update, Micros now) {
+void CatchUp::buffer_patch(std::string const& from, wire::ChosenT const& update, Micros now) {
   if (!update.patch) return;
-  if (early_.size() >= early_limit) early_.pop_front();
-  early_.push_back(EarlyPatch{from, update, now});
+  if (early_patches_.size() >= max_early_patches) early_patches_.pop_front();
+  early_patches_.push_back(EarlyPatch{from, update, now});
 }
 
-std::optional<CatchUp::EarlyPatch> CatchUp::take_next(std::uint64_t held_revision) {
+std::optional<CatchUp::EarlyPatch> CatchUp::take_applicable_patch(std::uint64_t held_revision) {
   std::deque<EarlyPatch>::iterator const position =
-      std::find_if(early_.begin(), early_.end(),
-                   [held_revision](EarlyPatch const& item) { return base_of(item.update) <= held_revision; });
-  if (position == early_.end()) return std::nullopt;
+      std::find_if(early_patches_.begin(), early_patches_.end(),
+                   [held_revision](EarlyPatch const& item) { return base_revision_of(item.update) <= held_revision; });
+  if (position == early_patches_.end()) return std::nullopt;
   EarlyPatch out = std::move(*position);
-  early_.erase(position);
+  early_patches_.erase(position);
   return out;
 }
 
 bool CatchUp::is_stuck(Micros now) const {
-  return std::any_of(early_.begin(), early_.end(),
-                     [now](EarlyPatch const& item) { return now - item.came_at >= stuck_after; });
+  return std::any_of(early_patches_.begin(), early_patches_.end(),
+                     [now](EarlyPatch const& item) { return now - item.received_at >= stuck_timeout; });
 }
 
 // Replicas come first, those of this zone before others: they have the links for it and are told of every change. Of
@@ -57,25 +57,25 @@
   return out;
 }
 
-std::string CatchUp::next_peer(std::uint64_t held_revision, Micros now) {
-  Micros const patience = answer_within * std::min(unanswered_ + 1, patience_limit);
-  if (asked_at_ >= 0 && now - asked_at_ < patience) return "";
-  if (asked_at_ >= 0) ++unanswered_;
-  asked_at_ = -1;
+std::string CatchUp::select_peer(std::uint64_t held_revision, Micros now) {
+  Micros const timeout = answer_timeout * std::min(unanswered_ + 1, max_timeout_multiplier);
+  if (requested_at_ >= 0 && now - requested_at_ < timeout) return "";
+  if (requested_at_ >= 0) ++unanswered_;
+  requested_at_ = -1;
   std::vector<std::string> const names = candidates(held_revision);
   // Who was asked in vain is not asked first again.
   std::string out = names.empty() ? "" : names[static_cast<std::size_t>(unanswered_) % names.size()];
-  if (out.empty() && !early_.empty()) {
-    EarlyPatch const& newest = early_.back();
+  if (out.empty() && !early_patches_.empty()) {
+    EarlyPatch const& newest = early_patches_.back();
     std::string const& origin = newest.update.origin.empty() ? newest.from : newest.update.origin;
     if (is_reachable(mesh_, origin)) out = origin;
   }
-  if (!out.empty()) asked_at_ = now;
+  if (!out.empty()) requested_at_ = now;
   return out;
 }
 
-void CatchUp::value_came() {
-  asked_at_ = -1;
+void CatchUp::value_adopted() {
+  requested_at_ = -1;
   unanswered_ = 0;
 }
 
--- a/src/node/change_forwarder.cc
+++ b/src/node/change_forwarder.cc
@@ -43,7 +43,7 @@
 }
 
 bool ChangeForwarder::forward_change(std::uint64_t id, Change const& change, Micros now, NodeEffects& out) {
-  if (!plan_.registered || id == 0 || (id & requested_mark) != 0) return false;
+  if (!plan_.workers_self_register || id == 0 || (id & requested_mark) != 0) return false;
   if (!may_be_forwarded(change.type)) return false;
   std::string const to = directory_.hears_quorum(now) ? directory_.proposing_replica() : next_relaying_peer();
   if (to.empty() || to == plan_.name) return false;
@@ -117,15 +117,15 @@
   // A replica that is cut off proposed nothing; this node may still hear a quorum.
   if (static_cast<ErrorCode>(reply.kind) == ErrorCode::no_majority && directory_.hears_quorum(now))
     return actions_.propose(item.id, std::move(item.change), now, out);
-  Reply answer = reply_to_caller(item, reply, now, out);
+  ChangeReply answer = reply_to_caller(item, reply, now, out);
   out.replies.push_back(std::move(answer));
 }
 
-Reply ChangeForwarder::reply_to_caller(Forwarded const& item, wire::ForwardedChangeReplyT const& reply, Micros now,
-                                       NodeEffects& out) {
-  Reply answer;
+ChangeReply ChangeForwarder::reply_to_caller(Forwarded const& item, wire::ForwardedChangeReplyT const& reply,
+                                             Micros now, NodeEffects& out) {
+  ChangeReply answer;
   answer.id = item.id;
-  answer.change = item.change.id;
+  answer.change_id = item.change.id;
   answer.outcome.type = static_cast<Outcome::Type>(reply.type);
   answer.outcome.error.code = static_cast<ErrorCode>(reply.kind);
   answer.outcome.error.what = reply.why;
@@ -146,7 +146,7 @@
 }
 
 void ChangeForwarder::answer_requesters(NodeEffects& out) {
-  for (std::vector<Reply>::iterator it = out.replies.begin(); it != out.replies.end();) {
+  for (std::vector<ChangeReply>::iterator it = out.replies.begin(); it != out.replies.end();) {
     std::map<std::uint64_t, Requester>::iterator const requester = requesters_.find(it->id);
     if (requester == requesters_.end()) {
       ++it;
--- a/src/node/change_forwarder.h
+++ b/src/node/change_forwarder.h
@@ -65,7 +65,8 @@
   std::optional<std::string> text_of(wire::ForwardedChangeT const& request) const;
   void ask_for_text(std::string const& from, std::uint64_t request_id, NodeEffects& out);
   void send_text(std::string const& to, std::uint64_t request_id, Change const& change, NodeEffects& out);
-  Reply reply_to_caller(Forwarded const& item, wire::ForwardedChangeReplyT const& reply, Micros now, NodeEffects& out);
+  ChangeReply reply_to_caller(Forwarded const& item, wire::ForwardedChangeReplyT const& reply, Micros now,
+                              NodeEffects& out);
   void answer_requester(Requester const& requester, Outcome const& outcome, NodeEffects& out);
   void answer_requesters(NodeEffects& out);
   void propose_overdue(Micros now, NodeEffects& out);
--- a/src/node/list_freshness.cc
+++ b/src/node/list_freshness.cc
@@ -5,8 +5,8 @@
 namespace pipit {
 
 namespace {
-constexpr Micros isolated_after = millis(1700);
-constexpr Micros rejoin_span = millis(1500);  // for which a node that was isolated must hear half of all members
+constexpr Micros isolation_timeout = millis(1700);
+constexpr Micros rejoin_duration = millis(1500);  // for which a node that was isolated must hear half of all members
 }  // namespace
 
 void ListFreshness::note_reading(Micros began_at) { read_at_ = std::max(read_at_, began_at); }
@@ -16,7 +16,7 @@
 }
 
 bool ListFreshness::update_half_heard(Micros half_heard_at, Micros now) {
-  bool const half = half_heard_at >= 0 && now - half_heard_at <= isolated_after;
+  bool const half = half_heard_at >= 0 && now - half_heard_at <= isolation_timeout;
   if (!half)
     half_heard_since_ = -1;
   else if (half_heard_since_ < 0)
@@ -32,10 +32,10 @@
   bool const half = update_half_heard(half_heard_at, now);
   up_to_date_at_ = std::max(up_to_date_at_, read_at_);
   Micros const unchanged_at = std::max(half_heard_at, source_failed_at_);
-  bool const continuous = up_to_date_at_ >= 0 && unchanged_at - up_to_date_at_ <= isolated_after;
-  bool const rejoined = half && now - half_heard_since_ > rejoin_span;
+  bool const continuous = up_to_date_at_ >= 0 && unchanged_at - up_to_date_at_ <= isolation_timeout;
+  bool const rejoined = half && now - half_heard_since_ > rejoin_duration;
   if (continuous || rejoined) up_to_date_at_ = std::max(up_to_date_at_, unchanged_at);
-  return now - up_to_date_at_ <= isolated_after;
+  return now - up_to_date_at_ <= isolation_timeout;
 }
 
 }  // namespace pipit
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -10,8 +10,8 @@
 namespace pipit {
 
 namespace {
-constexpr Micros jump = seconds(1);
-constexpr Micros fresh_bound = seconds(3);
+constexpr Micros clock_jump_threshold = seconds(1);
+constexpr Micros majority_timeout = seconds(3);
 constexpr int spare_number_bits = 8;  // request numbers begin below this share of their range, and only rise
 
 // Seeds for one incarnation of one node. A shell may have made 'chance' of the incarnation and the name, so none of
@@ -21,41 +21,43 @@
 std::uint64_t incarnation_seed(NodePlan const& plan, SeedUse use) {
   std::uint64_t const incarnation =
       hash_bits(plan.incarnation + static_cast<std::uint64_t>(use)) + hash_text(plan.name);
-  return hash_bits(hash_bits(incarnation) ^ plan.chance);
+  return hash_bits(hash_bits(incarnation) ^ plan.random_seed);
 }
 
 // By which set of replicas limits are handed out is never older than this.
-constexpr Micros owner_span = millis(4700);
-Micros owner_span_of(NodePlan const& plan) { return plan.revocation > 0 ? plan.revocation : owner_span; }
+constexpr Micros quota_owner_max_age = millis(4700);
+Micros quota_owner_max_age_of(NodePlan const& plan) {
+  return plan.revocation_bound > 0 ? plan.revocation_bound : quota_owner_max_age;
+}
 
 QuotaAuthorityPlan quota_plan_of(NodePlan const& plan, std::optional<wire::RecordT> const& recovered) {
   QuotaAuthorityPlan out;
   out.self = plan.name;
-  out.terms = plan.quota;
+  out.terms = plan.quota_terms;
   out.first_request = incarnation_seed(plan, SeedUse::quota) >> spare_number_bits;
-  out.fence = owner_span_of(plan);
+  out.fence = quota_owner_max_age_of(plan);
   out.settled_members = recovered ? recovered->quota_members : 0;
   return out;
 }
 
-wire::MemberT self_of(NodePlan const& plan) {
+wire::MemberT self_member_of(NodePlan const& plan) {
   wire::MemberT out;
   out.name = plan.name;
   out.address = plan.address;
-  out.http = plan.http;
+  out.http = plan.http_address;
   out.role = static_cast<std::uint8_t>(plan.role);
   out.zone = plan.zone;
   out.incarnation = plan.incarnation;
   out.models = plan.models;
-  out.replica = plan.replica;
+  out.replica = plan.is_replica;
   return out;
 }
-MeshSettings mesh_of(NodePlan const& plan) {
+MeshSettings mesh_settings_of(NodePlan const& plan) {
   MeshSettings out;
   out.cluster = plan.cluster;
   out.seeds = plan.seeds;
   // §3.6 needs owners that tell entries themselves and revisions on pings, as where workers register.
-  if (!plan.registered) out.large_fleet_size = SIZE_MAX;
+  if (!plan.workers_self_register) out.large_fleet_size = SIZE_MAX;
   return out;
 }
 // A initial member whose incarnation ended before the first set was written goes on waiting for it, with the seeds of
@@ -71,10 +73,10 @@
 
 Node::Node(NodePlan initial_plan, Micros now, std::optional<wire::RecordT> recovered)
     : plan(with_bootstrap(std::move(initial_plan), recovered)),
-      mesh(mesh_of(plan), self_of(plan), plan.chance),
+      mesh(mesh_settings_of(plan), self_member_of(plan), plan.random_seed),
       proposer(plan.name, incarnation_seed(plan, SeedUse::ballots)),
       learner(incarnation_seed(plan, SeedUse::polls) >> spare_number_bits),
-      index_sync(plan.chance + 1),
+      index_sync(plan.random_seed + 1),
       chat_dispatcher(plan.name, plan.zone, index_sync, fleet),
       registry(plan.name),
       exchange(plan.name),
@@ -89,24 +91,25 @@
       last_tick_(now),
       next_request_id_(incarnation_seed(plan, SeedUse::requests) >> spare_number_bits),
       worker_departures_(plan.name, mesh, learner, [this](Micros at) { return replica_directory_.hears_quorum(at); }),
-      router_registrations_({plan.name, plan.address, plan.role == Role::router, !plan.registered}, mesh, learner),
+      router_registrations_({plan.name, plan.address, plan.role == Role::router, !plan.workers_self_register}, mesh,
+                            learner),
       list_freshness_(mesh),
-      exchange_topology_({plan.name, plan.zone, plan.replica}, mesh),
+      exchange_topology_({plan.name, plan.zone, plan.is_replica}, mesh),
       catch_up_(plan.name, plan.zone, mesh),
-      configuration_authority_({plan.revocation, plan.in_force, owner_span_of(plan)}, mesh, learner, peer_rotation_,
-                               [this] { return ++next_request_id_; }),
+      configuration_authority_({plan.revocation_bound, plan.in_force_bound, quota_owner_max_age_of(plan)}, mesh,
+                               learner, peer_rotation_, [this] { return ++next_request_id_; }),
       quota_authority_(quota_plan_of(plan, recovered),
                        {mesh, learner, acceptor, configuration_authority_, peer_rotation_, dispatcher}) {
   if (recovered) acceptor.emplace(std::move(*recovered));
   register_bootstrap_.mark_disk(acceptor);
   registry.span(plan.heartbeat_interval);
-  if (plan.registered) dispatcher.begun(now);
-  dispatcher.budget(plan.resend_ratio, plan.resend_store);
+  if (plan.workers_self_register) dispatcher.begun(now);
+  dispatcher.budget(plan.retry_budget_ratio, plan.retry_budget_limit);
   dispatcher.lease_on(key_lease());
 }
 
 ReplicaDirectory::Status Node::replica_status() {
-  return {[this] { return leaving_; }, [this] { return retiring_; }, [this] { return poll_span(); }};
+  return {[this] { return draining_; }, [this] { return retiring_; }, [this] { return poll_interval(); }};
 }
 
 ChangeForwarder::Actions Node::forwarder_actions() {
@@ -116,7 +119,7 @@
     propose(id, std::move(change), now, out);
   };
   actions.adopt_value = [this](wire::ValueT const& value, Micros now, NodeEffects& out) {
-    if (learner.adopt(value, now)) after_value(now, out);
+    if (learner.adopt(value, now)) apply_adopted_value(now, out);
   };
   return actions;
 }
@@ -126,28 +129,29 @@
   std::vector<OutgoingMessage> outgoing;
   replica_set_manager_.renew_lease(now, outgoing);
   // This node's own answer counts before the manager decides what it may do.
-  dispatch(outgoing, now, out);
-  if (std::optional<Change> change = replica_set_manager_.next_change(now)) operate(0, std::move(*change), now, out);
+  send_messages(outgoing, now, out);
+  if (std::optional<Change> change = replica_set_manager_.next_change(now))
+    submit_change(0, std::move(*change), now, out);
 }
 
-void Node::watch_clock(Micros now) {
-  if (now - last_tick_ > jump && guard(Guard::fresh_start)) {
-    ++jumps;
-    stale_from_ = now;
-    update_hold();
+void Node::detect_clock_jump(Micros now) {
+  if (now - last_tick_ > clock_jump_threshold && guard(Guard::fresh_start)) {
+    ++clock_jumps;
+    stale_since_ = now;
+    update_dispatch_hold();
     registry.stood_still(now);
-    list_flying_ = false;
+    list_read_in_flight_ = false;
     log_event(Event::clock_jumped, std::to_string((now - last_tick_) / 1000) + " ms");
   }
   last_tick_ = now;
 }
 
-std::set<std::string> Node::routers(bool all) const {
+std::set<std::string> Node::known_routers(bool include_down) const {
   std::set<std::string> out;
   if (plan.role == Role::router) out.insert(plan.name);
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     State const state = item.second.state();
-    if (item.second.role() == Role::router && (all || state == State::alive || state == State::suspected))
+    if (item.second.role() == Role::router && (include_down || state == State::alive || state == State::suspected))
       out.insert(item.first);
   }
   return out;
@@ -161,13 +165,13 @@
   return out;
 }
 
-Index::Bounds Node::bounds(std::string const& model) const {
+Index::Bounds Node::index_bounds(std::string const& model) const {
   Index::Bounds out;
   for (Pool const& pool : chat_dispatcher.description()->pools)
     if (pool.model == model) {
       out.blocks = static_cast<std::size_t>(pool.cache_blocks);
       out.age = pool.cache_age;
-    } else if (plan.registered && model.compare(0, pool.name.size() + 1, pool.name + "/") == 0) {
+    } else if (plan.workers_self_register && model.compare(0, pool.name.size() + 1, pool.name + "/") == 0) {
       // A tree of routed requests is a pool's and a model's; its parts weigh their tokens (§12.5).
       out.blocks = static_cast<std::size_t>(pool.cache_tokens > 0 ? pool.cache_tokens : pool.cache_blocks);
       out.age = pool.cache_age;
@@ -176,13 +180,13 @@
 }
 
 // Carries messages until none is left: to this node itself at once, to others by the mesh.
-void Node::dispatch(std::vector<OutgoingMessage>& outgoing, Micros now, NodeEffects& out) {
+void Node::send_messages(std::vector<OutgoingMessage>& outgoing, Micros now, NodeEffects& out) {
   while (!outgoing.empty()) {
     std::vector<OutgoingMessage> batch;
     batch.swap(outgoing);
     for (OutgoingMessage& item : batch) {
       if (item.to == plan.name) {
-        deliver(plan.name, item.body, now, out);
+        handle_message(plan.name, item.body, now, out);
         continue;
       }
       std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(item.to);
@@ -199,7 +203,7 @@
   }
 }
 
-void Node::deliver(std::string const& from, wire::BodyUnion& body, Micros now, NodeEffects& out) {
+void Node::handle_message(std::string const& from, wire::BodyUnion& body, Micros now, NodeEffects& out) {
   std::vector<OutgoingMessage> outgoing;
   switch (body.type) {
     case wire::Body::Prepare:
@@ -207,11 +211,11 @@
     case wire::Body::Bootstrap:
       if (acceptor) {
         acceptor->enqueue(from, std::move(body));
-        if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
+        if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.record_to_sync = std::move(save);
       }
       break;
     case wire::Body::ReadRequest:
-      take_list_age(body.AsReadRequest()->age, now);
+      note_peer_list_age(body.AsReadRequest()->age, now);
       if (acceptor) {
         wire::ReadReplyT ans = read_reply(acceptor->durable_state(), *body.AsReadRequest());
         ans.age = list_freshness_.age(now);
@@ -222,28 +226,29 @@
     case wire::Body::Promise:
     case wire::Body::Accepted:
       proposer.handle_reply(from, body, now, outgoing);
-      settle_ended(now, out);
+      finish_ended_changes(now, out);
       break;
     case wire::Body::ReadReply:
-      take_list_age(body.AsReadReply()->age, now);
-      if (learner.handle_reply(from, *body.AsReadReply(), now, outgoing)) after_value(now, out);
+      note_peer_list_age(body.AsReadReply()->age, now);
+      if (learner.handle_reply(from, *body.AsReadReply(), now, outgoing)) apply_adopted_value(now, out);
       proposer.adopt_membership(learner.membership());
       update_readiness(now, out);
       break;
     case wire::Body::Chosen:
-      take_chosen(from, *body.AsChosen(), now, outgoing, out);
+      handle_chosen(from, *body.AsChosen(), now, outgoing, out);
       break;
     case wire::Body::CatchUpRequest:
-      send_whole(from, *body.AsCatchUpRequest(), outgoing);
+      send_full_value(from, *body.AsCatchUpRequest(), outgoing);
       break;
     case wire::Body::ChosenAck: {
-      std::map<std::uint64_t, Waiting>::iterator const position = waiting_.find(body.AsChosenAck()->request_id);
-      if (position != waiting_.end() && body.AsChosenAck()->serial >= position->second.serial) {
-        position->second.sure.insert(from);
+      std::map<std::uint64_t, PendingConfirmation>::iterator const position =
+          pending_confirmations_.find(body.AsChosenAck()->request_id);
+      if (position != pending_confirmations_.end() && body.AsChosenAck()->serial >= position->second.serial) {
+        position->second.confirmed.insert(from);
         for (std::string const& name : body.AsChosenAck()->routers)
-          if (name != plan.name && guard(Guard::confirm_all)) position->second.owe.insert(name);
+          if (name != plan.name && guard(Guard::confirm_all)) position->second.unconfirmed.insert(name);
       }
-      settle_waiting(now, out);
+      complete_confirmations(now, out);
       break;
     }
     case wire::Body::LeaseRequest:
@@ -261,8 +266,8 @@
       replica_set_manager_.take_lease_reply(from, *body.AsLeaseReply(), now);
       break;
     case wire::Body::Loads:
-      take_list_age(body.AsLoads()->age, now);
-      if (plan.registered) {
+      note_peer_list_age(body.AsLoads()->age, now);
+      if (plan.workers_self_register) {
         registry.peer_loads(*body.AsLoads(), now);
         exchange.pass(from, *body.AsLoads());
       } else
@@ -291,74 +296,75 @@
     case wire::Body::WorkerSuspected:
       // Asked at once; a worker that is well is back in a moment.
       if (fleet.suspect(body.AsWorkerSuspected()->worker, body.AsWorkerSuspected()->incarnation, now))
-        check_now(body.AsWorkerSuspected()->worker, now, out);
+        start_health_check(body.AsWorkerSuspected()->worker, now, out);
       break;
     case wire::Body::Deltas:
     case wire::Body::TreeRequest:
     case wire::Body::TreePage:
       if (plan.role == Role::router)
         index_sync.take(
-            from, body, now, [this](std::string const& model) { return bounds(model); },
+            from, body, now, [this](std::string const& model) { return index_bounds(model); },
             [this] { return index_peers(); }, outgoing);
-      if (plan.registered && body.type == wire::Body::Deltas) exchange.pass(*body.AsDeltas());
+      if (plan.workers_self_register && body.type == wire::Body::Deltas) exchange.pass(*body.AsDeltas());
       break;
     default:
       break;
   }
-  dispatch(outgoing, now, out);
+  send_messages(outgoing, now, out);
 }
 
-void Node::take_chosen(std::string const& from, wire::ChosenT const& update, Micros now,
-                       std::vector<OutgoingMessage>& outgoing, NodeEffects& out) {
+void Node::handle_chosen(std::string const& from, wire::ChosenT const& update, Micros now,
+                         std::vector<OutgoingMessage>& outgoing, NodeEffects& out) {
   if (!update.value && !update.patch) return;
   std::uint64_t const revision = update.value         ? update.value->revision
                                  : update.patch->rest ? update.patch->rest->revision
                                                       : 0;
   bool const fresh = update.value ? learner.adopt(*update.value, now) : learner.adopt(*update.patch, now);
-  if (fresh) after_value(now, out);
+  if (fresh) apply_adopted_value(now, out);
   proposer.adopt_membership(learner.membership());
-  if (update.hops > 0) forward(update, out);
+  if (update.hops > 0) forward_to_zone(update, out);
   if (learner.revision() < revision) {
     // The patch has another base than what is held here. The base may be on its way on another connection.
-    catch_up_.keep(from, update, now);
+    catch_up_.buffer_patch(from, update, now);
     return;
   }
-  confirm_value(from, update, outgoing);
+  acknowledge_value(from, update, outgoing);
   apply_early_patches(now, outgoing, out);
   update_readiness(now, out);
 }
 
 void Node::apply_early_patches(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out) {
-  while (std::optional<CatchUp::EarlyPatch> const early = catch_up_.take_next(learner.revision())) {
-    if (learner.adopt(*early->update.patch, now)) after_value(now, out);
+  while (std::optional<CatchUp::EarlyPatch> const early = catch_up_.take_applicable_patch(learner.revision())) {
+    if (learner.adopt(*early->update.patch, now)) apply_adopted_value(now, out);
     std::uint64_t const revision = early->update.patch->rest ? early->update.patch->rest->revision : 0;
-    if (learner.revision() >= revision) confirm_value(early->from, early->update, outgoing);
+    if (learner.revision() >= revision) acknowledge_value(early->from, early->update, outgoing);
   }
 }
 
-void Node::confirm_value(std::string const& from, wire::ChosenT const& update, std::vector<OutgoingMessage>& outgoing) {
+void Node::acknowledge_value(std::string const& from, wire::ChosenT const& update,
+                             std::vector<OutgoingMessage>& outgoing) {
   if (update.request_id == 0) return;
   wire::ChosenAckT ok;
   ok.request_id = update.request_id;
   ok.serial = learner.serial();
   // Router nodes that hold no registration may serve by this node's word alone (§6.7): who asks must hear of them.
-  for (std::string const& name : plan.registered ? std::set<std::string>() : routers(true))
+  for (std::string const& name : plan.workers_self_register ? std::set<std::string>() : known_routers(true))
     if (!learner.value || registration_of(*learner.value, name) == nullptr) ok.routers.push_back(name);
   outgoing.push_back(message_to(update.origin.empty() ? from : update.origin, std::move(ok)));
 }
 
-void Node::send_whole(std::string const& to, wire::CatchUpRequestT const& ask,
-                      std::vector<OutgoingMessage>& outgoing) const {
-  if (!learner.value || learner.revision() <= ask.revision) return;
+void Node::send_full_value(std::string const& to, wire::CatchUpRequestT const& request,
+                           std::vector<OutgoingMessage>& outgoing) const {
+  if (!learner.value || learner.revision() <= request.revision) return;
   wire::ChosenT update;
-  update.request_id = ask.request_id;
-  update.origin = ask.origin;
+  update.request_id = request.request_id;
+  update.origin = request.origin;
   update.value = std::make_unique<wire::ValueT>(*learner.value);
   outgoing.push_back(message_to(to, std::move(update)));
 }
 
-void Node::spread(wire::ValueT const& value, std::optional<wire::ValueT> const& base, std::uint64_t request_id,
-                  NodeEffects& out) {
+void Node::broadcast_value(wire::ValueT const& value, std::optional<wire::ValueT> const& base, std::uint64_t request_id,
+                           NodeEffects& out) {
   wire::ChosenT update;
   update.request_id = request_id;
   if (base && base->revision < value.revision)
@@ -366,12 +372,12 @@
   else
     update.value = std::make_unique<wire::ValueT>(value);
   if (!guard(Guard::spread)) return;
-  if (plan.registered && mesh.is_large_fleet()) {
+  if (plan.workers_self_register && mesh.is_large_fleet()) {
     // §12.7: to those that keep, who bring it to the rest of their zones.
     update.origin = plan.name;
     update.hops = 1;
     std::string const far = encode_body(wire::ChosenT(update));
-    std::set<std::string> reached{plan.replica ? plan.zone : std::string()};
+    std::set<std::string> reached{plan.is_replica ? plan.zone : std::string()};
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       if (item.second.connection == 0 || !item.second.member.replica) continue;
       reached.insert(item.second.member.zone);
@@ -380,7 +386,7 @@
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
       if (item.second.connection != 0 && !reached.count(item.second.member.zone))
         out.mesh.outgoing_frames.push_back({item.second.connection, far});
-    if (plan.replica) forward(update, out);
+    if (plan.is_replica) forward_to_zone(update, out);
     return;
   }
   std::string const bytes = encode_body(std::move(update));
@@ -389,15 +395,15 @@
 }
 
 // The value held here grew newer: it comes into force.
-void Node::after_value(Micros now, NodeEffects& out) {
+void Node::apply_adopted_value(Micros now, NodeEffects& out) {
   wire::ValueT const& value = *learner.value;
-  catch_up_.value_came();
+  catch_up_.value_adopted();
   check_value(value);
   // A registration raises the revision alone; what the description says was compiled when its serial came.
   if (value.serial != mesh.members.self.serial) {
     std::shared_ptr<Description const> description = std::make_shared<Description>();
     if (!value.text.empty()) {
-      Result<std::shared_ptr<Description const>> made = plan.read(value.text);
+      Result<std::shared_ptr<Description const>> made = plan.parse_description(value.text);
       if (!made) {
         log_event(Event::configuration_rejected, "serial " + std::to_string(value.serial) + " " + made.error().what);
         description = chat_dispatcher.description();
@@ -415,28 +421,28 @@
   configuration_authority_.update_confirmations();
   update_registration(now, out);
   // Among nodes whose workers register, pings carry revisions; a bump of the record is not needed for them (§3.6).
-  if (!plan.registered) mesh.announce_self(out.mesh);
+  if (!plan.workers_self_register) mesh.announce_self(out.mesh);
 }
 
-void Node::opened(ConnectionId id, bool outbound, std::string const& address, Micros now, NodeEffects& out) {
-  watch_clock(now);
+void Node::connection_opened(ConnectionId id, bool outbound, std::string const& address, Micros now, NodeEffects& out) {
+  detect_clock_jump(now);
   mesh.connection_opened(id, outbound, address, now, out.mesh);
 }
 
-void Node::shut(ConnectionId id, Micros now, NodeEffects& out) {
-  watch_clock(now);
+void Node::connection_closed(ConnectionId id, Micros now, NodeEffects& out) {
+  detect_clock_jump(now);
   mesh.connection_closed(id, now, out.mesh);
 }
 
 void Node::dial_failed(std::string const& address, bool refused, Micros now, NodeEffects& out) {
-  watch_clock(now);
+  detect_clock_jump(now);
   mesh.dial_failed(address, refused, now, out.mesh);
-  settle_waiting(now, out);
+  complete_confirmations(now, out);
   check_replies(out);
 }
 
-bool Node::bytes(ConnectionId id, std::string_view bytes, Micros now, NodeEffects& out) {
-  watch_clock(now);
+bool Node::receive_frame(ConnectionId id, std::string_view bytes, Micros now, NodeEffects& out) {
+  detect_clock_jump(now);
   Result<std::unique_ptr<wire::FrameT>> frame = decode(bytes);
   if (!frame) {
     log_event(Event::malformed_frame, frame.error().what);
@@ -446,7 +452,7 @@
   std::string const hello_name =
       greeting && frame.value()->body.AsHello()->self ? frame.value()->body.AsHello()->self->name : "";
   std::string const from = mesh.handle_frame(id, *frame.value(), now, out.mesh);
-  take_fresh(now);
+  apply_updated_entries(now);
   if (greeting) {
     // §5.5: a peer that comes with an older serial is told the chosen value at once. Where many would do so, it asks:
     // its polls and the turns that its peers tell bring the value from one.
@@ -459,19 +465,19 @@
     }
     return true;
   }
-  if (!from.empty()) deliver(from, frame.value()->body, now, out);
-  if (!waiting_.empty()) settle_waiting(now, out);
+  if (!from.empty()) handle_message(from, frame.value()->body, now, out);
+  if (!pending_confirmations_.empty()) complete_confirmations(now, out);
   change_forwarder_.advance(now, out);
   worker_departures_.answer_calls(now, out.end_answers);
   check_replies(out);
   return true;
 }
 
-void Node::take_fresh(Micros now) {
+void Node::apply_updated_entries(Micros now) {
   for (std::string const& key : mesh.updated_entry_keys) {
     std::map<std::string, wire::EntryT>::const_iterator const entry = mesh.entry_table.all().find(key);
     if (entry == mesh.entry_table.all().end()) continue;
-    if (!plan.registered)
+    if (!plan.workers_self_register)
       fleet.take_entry(entry->second, now);
     else if (std::optional<wire::EntryT> word = registry.take_entry(entry->second, now))
       mesh.put_entry(std::move(*word), now);
@@ -483,34 +489,35 @@
   fleet.reborn.clear();
 }
 
-void Node::disk_done(Micros now, NodeEffects& out) {
+void Node::record_synced(Micros now, NodeEffects& out) {
   std::vector<OutgoingMessage> outgoing;
   acceptor->synced(outgoing);
-  if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
-  dispatch(outgoing, now, out);
+  if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.record_to_sync = std::move(save);
+  send_messages(outgoing, now, out);
   change_forwarder_.advance(now, out);
   check_replies(out);
 }
 
 void Node::update_readiness(Micros now, NodeEffects& out) {
   // What must be known: a majority's word on the register, and the list; both after the last jump.
-  Micros const from = stale_from_ >= 0 ? stale_from_ : started_at_;
+  Micros const from = stale_since_ >= 0 ? stale_since_ : started_at_;
   bool const word = learner.confirmed_at >= from;  // of a majority
   // Where replicas are many enough for the losses that are allowed, nothing else will do (docs/control.md).
-  if (plan.registered && !word && !ready_now_) return;
+  if (plan.workers_self_register && !word && !ready_) return;
   bool sure = word;
   if (word && plan.role == Role::router && !router_registrations_.is_registered()) {
     // §5.9: nothing is placed before this incarnation of the node has its registration; while a majority answers, by
     // nobody's word.
     request_registration(now, out);
-    if (!ready_now_) return;
+    if (!ready_) return;
   }
   // Where workers register: a description, and the word of workers, or time enough for any to have called.
-  bool const told = plan.registered && learner.serial() > 0 && (!registry.all.empty() || now - from > seconds(2));
-  bool const listed = plan.role == Role::config_store || listed_at_ >= from || told;
-  if (!word && now - from > fresh_bound) {
+  bool const told =
+      plan.workers_self_register && learner.serial() > 0 && (!registry.all.empty() || now - from > seconds(2));
+  bool const listed = plan.role == Role::config_store || last_list_read_at_ >= from || told;
+  if (!word && now - from > majority_timeout) {
     // §6.7: no majority answers. A node that was serving goes on; a new one may take the word of one that serves.
-    if (ready_now_) sure = true;
+    if (ready_) sure = true;
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       Peer const& peer = item.second;
       if (peer.connection != 0 && peer.state() == State::alive && peer.role() == Role::router && peer.member.ready &&
@@ -518,15 +525,15 @@
         sure = true;
     }
   }
-  if (!sure || !(listed || (ready_now_ && now - from > fresh_bound))) return;
-  if (stale_from_ >= 0) {
-    stale_from_ = -1;
-    update_hold();
+  if (!sure || !(listed || (ready_ && now - from > majority_timeout))) return;
+  if (stale_since_ >= 0) {
+    stale_since_ = -1;
+    update_dispatch_hold();
     chat_dispatcher.work(now, out.chat);
   }
-  if (!ready_now_ && router_registrations_.is_newcomer(now)) return;
-  if (!ready_now_) {
-    ready_now_ = true;
+  if (!ready_ && router_registrations_.is_newcomer(now)) return;
+  if (!ready_) {
+    ready_ = true;
     log_event(Event::node_ready, "revision " + std::to_string(learner.revision()) + ", " +
                                      std::to_string((now - started_at_) / 1000) + " ms after its start");
     chat_dispatcher.ready(true);
@@ -536,40 +543,40 @@
 }
 
 void Node::tick(Micros now, NodeEffects& out) {
-  watch_clock(now);
+  detect_clock_jump(now);
   mesh.tick(now, out.mesh);
-  take_fresh(now);
+  apply_updated_entries(now);
   std::vector<OutgoingMessage> outgoing;
   if (now >= next_poll_ && (guard(Guard::spread) || learner.confirmed_at < 0 || plan.role == Role::config_store)) {
-    next_poll_ = now + poll_span();
+    next_poll_ = now + poll_interval();
     learner.poll(now, replica_directory_.connected_replicas(), list_freshness_.age(now), outgoing);
     register_bootstrap_.propose_initial_set(now, outgoing);
   }
   if (acceptor)
-    if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
+    if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.record_to_sync = std::move(save);
   apply_early_patches(now, outgoing, out);
-  ask_newer(now, outgoing);
+  request_newer_value(now, outgoing);
   proposer.adopt_membership(learner.membership());
   proposer.suggest_membership(learner.newest_seen_membership());
-  if (plan.registered && !replica_directory_.hears_quorum(now)) proposer.give_up_unsent();
+  if (plan.workers_self_register && !replica_directory_.hears_quorum(now)) proposer.give_up_unsent();
   proposer.tick(now, outgoing);
-  settle_ended(now, out);
-  if (plan.registered) {
-    tick_registered(now, outgoing, out);
+  finish_ended_changes(now, out);
+  if (plan.workers_self_register) {
+    tick_registered_workers(now, outgoing, out);
   } else if (plan.role == Role::router) {
-    tick_listed(now, outgoing, out);
+    tick_worker_list(now, outgoing, out);
   } else {
     update_readiness(now, out);
   }
-  dispatch(outgoing, now, out);
+  send_messages(outgoing, now, out);
   manage_replica_set(now, out);
-  settle_waiting(now, out);
+  complete_confirmations(now, out);
   change_forwarder_.advance(now, out);
   check_replies(out);
-  tell_waiting(now);
+  log_not_ready(now);
 }
 
-bool Node::may_end(Micros now) const {
+bool Node::may_stop(Micros now) const {
   if (!acceptor || !acceptor->durable_state().formed) return true;
   if (!learner.membership().concerns(plan.name, acceptor->durable_state().disk)) return true;
   // Who hears no quorum cannot know whether a replica is here to take its place: it waits for the end of its grace.
@@ -578,11 +585,11 @@
 }
 
 void Node::drain(Micros now, NodeEffects& out) {
-  if (leaving_) return;
-  leaving_ = true;
+  if (draining_) return;
+  draining_ = true;
   std::vector<OutgoingMessage> outgoing;
   replica_set_manager_.release_lease(outgoing);
-  dispatch(outgoing, now, out);
+  send_messages(outgoing, now, out);
   chat_dispatcher.drain();
   mesh.members.self.ready = false;
   mesh.leave(out.mesh);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,4 +1,8 @@
-// One node without its I/O: the planes put together. Programs and the simulator drive the same code (§2.2).
+// The core of a router node or configuration replica, without I/O: it owns the mesh, the register, the worker tables
+// and the dispatchers, and connects them. Programs and the simulators drive the same code (§2.2).
+//
+// Every call takes the time of a monotonic clock in microseconds and appends the work that results to a NodeEffects.
+// Not synchronized: used by the node's loop only.
 #pragma once
 #include <functional>
 #include <map>
@@ -34,145 +38,174 @@
 
 namespace pipit {
 
+// A node of the fleet. The process around it owns sockets, disk and timers, and carries out the effects of each call.
 class Node {
  public:
+  // 'recovered' is the replica's record from its disk; without one this node is no replica.
   Node(NodePlan initial_plan, Micros now, std::optional<wire::RecordT> recovered);
 
+  // Runs everything that is due. Called every few milliseconds.
   void tick(Micros now, NodeEffects& out);
-  // A node that was stopped for a while learns it here, before anything else it does (§6.7).
-  void watch_clock(Micros now);
+  // Notices that the process was suspended: what the node knew is then out of date until it is confirmed again (§6.7).
+  // The other calls do this themselves before anything else.
+  void detect_clock_jump(Micros now);
 
-  void opened(ConnectionId id, bool outbound, std::string const& address, Micros now, NodeEffects& out);
-  void shut(ConnectionId id, Micros now, NodeEffects& out);
+  // A connection to a peer was opened; 'address' is the one that was dialled, empty for an inbound connection.
+  void connection_opened(ConnectionId id, bool outbound, std::string const& address, Micros now, NodeEffects& out);
+  void connection_closed(ConnectionId id, Micros now, NodeEffects& out);
+  // 'refused': the peer's host answered that nothing listens at the address.
   void dial_failed(std::string const& address, bool refused, Micros now, NodeEffects& out);
-  // False when the frame was no frame: the shell then shuts the connection.
-  bool bytes(ConnectionId id, std::string_view frame, Micros now, NodeEffects& out);
+  // Handles a frame from a peer. False if the bytes are not a valid frame; the caller then closes the connection.
+  bool receive_frame(ConnectionId id, std::string_view frame, Micros now, NodeEffects& out);
 
-  void disk_done(Micros now, NodeEffects& out);
-  // 'answered': a failed reading whose fault is the list's own, since its address refused or answered oddly.
-  void list(std::optional<std::vector<ListRow>> const& rows, bool answered, Micros now, NodeEffects& out);
-  void health_report(Check const& check, std::optional<HealthReport> const& report, bool refused, Micros now,
-                     NodeEffects& out);
+  // The record of NodeEffects::record_to_sync is on disk.
+  void record_synced(Micros now, NodeEffects& out);
+  // Takes the result of reading the platform's list of workers, nullopt if that failed. 'source_failed': it failed
+  // because the list's own address refused the connection or gave a malformed answer.
+  void handle_worker_list(std::optional<std::vector<ListRow>> const& rows, bool source_failed, Micros now,
+                          NodeEffects& out);
+  // Takes the result of a health check, nullopt if it failed. 'refused': the worker's host refused the connection.
+  void handle_health_report(HealthCheck const& check, std::optional<HealthReport> const& report, bool refused,
+                            Micros now, NodeEffects& out);
 
-  // Operators. The description was checked by the caller of operate().
-  void operate(std::uint64_t id, Change change, Micros now, NodeEffects& out);
-  bool zone_known(std::string const& zone) const;
-  // Why a router node cannot be forgotten; nothing when it can (§5.9).
+  // Proposes an operator's change or read, or forwards it to a replica; the ChangeReply carries 'id'. 'id' 0 is for
+  // changes that the node itself needs, which get no reply. The caller has validated the description.
+  void submit_change(std::uint64_t id, Change change, Micros now, NodeEffects& out);
+  // Whether any known node, worker or drain is in this zone.
+  bool is_known_zone(std::string const& zone) const;
+  // Why this router node cannot be evicted from the register; nullopt if it can (§5.9).
   std::optional<Error> eviction_refusal(std::string const& name) const {
     return router_registrations_.eviction_refusal(name);
   }
 
-  // Routed requests, and workers that register themselves (§12). An answer to a worker's word may be given at once.
-  void request(std::uint64_t id, Query query, Micros now, NodeEffects& out);
+  // Routed requests and self-registered workers (§12).
+  void start_request(std::uint64_t id, Query query, Micros now, NodeEffects& out);
+  // An attempt of a routed request ended; 'elsewhere': the next attempt must go to another worker.
   void attempt_ended(std::uint64_t id, AttemptEnd end, bool elsewhere, Micros now, NodeEffects& out);
-  // False when this node cannot tell the others: the worker is to call another node, though its word counts here.
-  bool heartbeat(Heartbeat const& word, Micros now, NodeEffects& out);
-  // Answers 'id' once it is settled whether the others know of the worker's end (docs/control.md, "Ends of workers").
-  void await_end(std::uint64_t id, std::string const& worker, Micros now, NodeEffects& out);
-  void worker_left(std::string const& id, std::uint64_t order, Micros now, NodeEffects& out);
+  // Takes a worker's heartbeat. False if this node cannot pass it on to the others: the worker should call another
+  // node, although the heartbeat may count here.
+  bool handle_heartbeat(Heartbeat const& heartbeat, Micros now, NodeEffects& out);
+  // Answers the call 'id', at once or later, when it is settled whether the other nodes know of the worker's end
+  // (docs/control.md, "Ends of workers").
+  void await_worker_end(std::uint64_t id, std::string const& worker, Micros now, NodeEffects& out);
+  // A worker reported that it leaves; 'call_sequence' orders its calls.
+  void worker_left(std::string const& id, std::uint64_t call_sequence, Micros now, NodeEffects& out);
 
   // Chat requests.
-  void chat_request(std::uint64_t id, Ask ask, Micros now, NodeEffects& out);
+  void start_chat_request(std::uint64_t id, Ask ask, Micros now, NodeEffects& out);
   void chat_attempt_sent(std::uint64_t id) { chat_dispatcher.sent(id); }
   void chat_attempt_began(std::uint64_t id) { chat_dispatcher.began(id); }
-  void chat_attempt_ended(std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros back, Micros now,
+  // 'retry_after': the delay that the worker asked for.
+  void chat_attempt_ended(std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros retry_after, Micros now,
                           NodeEffects& out);
-  void hung_up(std::uint64_t id, Micros now, NodeEffects& out);
+  // The client of a chat request closed its connection.
+  void client_disconnected(std::uint64_t id, Micros now, NodeEffects& out);
 
-  // A planned stop is near: a replica asks to be replaced while it still holds its copy.
+  // A planned stop is near: from now on a replica has itself replaced while it still holds its copy.
   void retire() { retiring_ = true; }
-  // Whether nothing is lost when this node ends now: it keeps no more, or nobody is here to take its place.
-  bool may_end(Micros now) const;
+  // Whether the node can stop without a loss of replicated data: it holds no replica any more, or no node could replace
+  // it.
+  bool may_stop(Micros now) const;
+  // Accepts no further requests, gives up its lease and announces that it leaves.
   void drain(Micros now, NodeEffects& out);
-  bool ready() const { return ready_now_; }
-  // Ready, and not without the lease that keys need.
-  bool takes_requests(Micros now) const {
-    return ready_now_ && (!dispatcher.description()->keys_required || key_lease().holds(now));
+  bool is_ready() const { return ready_; }
+  // Ready, and holding the configuration lease if the description requires API keys.
+  bool accepts_requests(Micros now) const {
+    return ready_ && (!dispatcher.description()->keys_required || key_lease().holds(now));
   }
-  bool draining() const { return leaving_; }
-  // The lease on the configuration that requests with keys need.
+  bool is_draining() const { return draining_; }
+  // The lease on the configuration; API keys are accepted only while it is held.
   ConfigurationLease const& key_lease() const { return configuration_authority_.key_lease(); }
-  // This node's part in asking for and handing out tenants' quota.
+  // This node's part in requesting and granting tenants' quota.
   QuotaAuthority const& quota_authority() const { return quota_authority_; }
-  std::size_t under_way() const { return chat_dispatcher.under_way(); }
+  std::size_t chat_requests_in_flight() const { return chat_dispatcher.under_way(); }
 
   NodePlan const plan;
   Mesh mesh;
   Proposer proposer;
   Learner learner;
-  std::optional<Acceptor> acceptor;
+  std::optional<Acceptor> acceptor;  // replicas only
   IndexSync index_sync;
   Fleet fleet;
   ChatDispatcher chat_dispatcher;
   Registry registry;
   Exchange exchange;
   Dispatcher dispatcher;
-  std::uint64_t jumps = 0;
+  std::uint64_t clock_jumps = 0;  // since the start
 
  private:
-  struct Waiting {  // an 'empty' that waits for confirmations
-    Reply reply;
-    std::set<std::string> owe;
-    std::uint64_t half = 0;      // or one of an 'apply': the revision that half of the router nodes must have
-    std::set<std::string> sure;  // those that confirmed
-    std::uint64_t serial = 0;
-    Micros due = 0;
+  // A chosen change whose reply waits for confirmations by other nodes.
+  struct PendingConfirmation {
+    ChangeReply reply;
+    std::set<std::string> unconfirmed;  // of an 'empty': nodes that must confirm it
+    std::uint64_t spread_revision = 0;  // of an 'apply': half of the router nodes must hold this revision; else 0
+    std::set<std::string> confirmed;    // nodes that have confirmed it
+    std::uint64_t serial = 0;           // that a confirmation must have at least
+    Micros deadline = 0;
   };
-  void deliver(std::string const& from, wire::BodyUnion& body, Micros now, NodeEffects& out);
-  void dispatch(std::vector<OutgoingMessage>& outgoing, Micros now, NodeEffects& out);
-  void after_value(Micros now, NodeEffects& out);
-  // Tells all peers of a chosen value, as a patch of 'base' where that is given.
-  void spread(wire::ValueT const& value, std::optional<wire::ValueT> const& base, std::uint64_t request_id,
-              NodeEffects& out);
-  void take_chosen(std::string const& from, wire::ChosenT const& update, Micros now,
-                   std::vector<OutgoingMessage>& outgoing, NodeEffects& out);
-  // Applies patches that came before their base, as far as that is held by now.
+  void handle_message(std::string const& from, wire::BodyUnion& body, Micros now, NodeEffects& out);
+  // Sends all messages, also those that follow from them: to this node itself by a direct call, to others by the mesh.
+  void send_messages(std::vector<OutgoingMessage>& outgoing, Micros now, NodeEffects& out);
+  // Brings a newer value, just adopted by the learner, into force.
+  void apply_adopted_value(Micros now, NodeEffects& out);
+  // Sends a chosen value to all peers, as a patch of 'base' if one is given.
+  void broadcast_value(wire::ValueT const& value, std::optional<wire::ValueT> const& base, std::uint64_t request_id,
+                       NodeEffects& out);
+  void handle_chosen(std::string const& from, wire::ChosenT const& update, Micros now,
+                     std::vector<OutgoingMessage>& outgoing, NodeEffects& out);
+  // Applies patches that arrived before their base, as soon as the base is held.
   void apply_early_patches(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out);
-  // Tells who spread a value that this node holds it.
-  void confirm_value(std::string const& from, wire::ChosenT const& update, std::vector<OutgoingMessage>& outgoing);
-  void send_whole(std::string const& to, wire::CatchUpRequestT const& ask,
-                  std::vector<OutgoingMessage>& outgoing) const;
-  void settle(std::uint64_t id, Change const& change, Outcome const& outcome, Micros now, NodeEffects& out);
-  void settle_ended(Micros now, NodeEffects& out);
-  // Invariants of what operators are told, and of the values that come into force (node/node_invariants.cc).
-  void note_call(std::uint64_t id, Change const& change);
+  // Confirms to the sender or origin of a value that this node holds it.
+  void acknowledge_value(std::string const& from, wire::ChosenT const& update, std::vector<OutgoingMessage>& outgoing);
+  void send_full_value(std::string const& to, wire::CatchUpRequestT const& request,
+                       std::vector<OutgoingMessage>& outgoing) const;
+  void finish_change(std::uint64_t id, Change const& change, Outcome const& outcome, Micros now, NodeEffects& out);
+  void finish_ended_changes(Micros now, NodeEffects& out);
+  // Invariants of replies to operators and of values that come into force (node/node_invariants.cc).
+  void record_call(std::uint64_t id, Change const& change);
   void check_replies(NodeEffects const& out);
-  void check_reply(Reply const& reply);
+  void check_reply(ChangeReply const& reply);
   void check_value(wire::ValueT const& value);
-  // Says now and then why this node does not take requests yet.
-  void tell_waiting(Micros now);
-  std::string waits_for(Micros now) const;
-  void settle_waiting(Micros now, NodeEffects& out);
+  // Logs at intervals why this node is not ready yet.
+  void log_not_ready(Micros now);
+  std::string not_ready_reason(Micros now) const;
+  // Replies to the pending changes that are confirmed or past their deadline.
+  void complete_confirmations(Micros now, NodeEffects& out);
   void update_readiness(Micros now, NodeEffects& out);
-  void own_entries(Micros now, NodeEffects& out);
+  // Publishes the entries of the workers that this node owns.
+  void publish_own_entries(Micros now, NodeEffects& out);
   void manage_replica_set(Micros now, NodeEffects& out);
-  // Lets the quota authority work on what the dispatcher needs.
+  // Lets the quota authority serve the dispatcher's needs.
   void process_quota(Micros now, NodeEffects& out);
-  void tick_listed(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out);
-  void tick_registered(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out);
-  void put_entry(wire::EntryT entry, Micros now, NodeEffects& out);
+  void tick_worker_list(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out);
+  void tick_registered_workers(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out);
+  void publish_entry(wire::EntryT entry, Micros now, NodeEffects& out);
   void adopt_workers(Micros now, NodeEffects& out);
-  void exchange_now(Micros now, NodeEffects& out);
-  void forward(wire::ChosenT const& update, NodeEffects& out);
+  void send_reports(Micros now, NodeEffects& out);
+  void forward_to_zone(wire::ChosenT const& update, NodeEffects& out);
   void propose(std::uint64_t id, Change change, Micros now, NodeEffects& out);
-  void refuse_now(std::uint64_t id, Change const& change, ErrorCode kind, NodeEffects& out);
-  Micros poll_span() const;
-  bool half_has(std::uint64_t revision) const;
-  void ask_newer(Micros now, std::vector<OutgoingMessage>& outgoing);
-  void update_hold();
+  void refuse_change(std::uint64_t id, Change const& change, ErrorCode code, NodeEffects& out);
+  Micros poll_interval() const;
+  bool is_on_half_of_routers(std::uint64_t revision) const;
+  void request_newer_value(Micros now, std::vector<OutgoingMessage>& outgoing);
+  // Holds or releases the dispatchers, by what this node knows at present.
+  void update_dispatch_hold();
   void request_registration(Micros now, NodeEffects& out);
   void update_registration(Micros now, NodeEffects& out);
   // Whether an 'empty' still waits for this node's confirmation.
-  bool is_unconfirmed(Waiting const& item, std::string const& name) const;
-  // Takes the age of a peer's knowledge of the list (§4.3).
-  void take_list_age(Micros age, Micros now);
-  void take_fresh(Micros now);
-  void tell_loads(Micros now, std::vector<OutgoingMessage>& outgoing);
-  void check_now(std::string const& id, Micros now, NodeEffects& out);
-  void check_asked(Micros now, NodeEffects& out);
+  bool is_unconfirmed(PendingConfirmation const& pending, std::string const& name) const;
+  // Takes the age of a peer's knowledge of the list of workers (§4.3).
+  void note_peer_list_age(Micros age, Micros now);
+  // Passes entries that gossip has updated to the tables of workers.
+  void apply_updated_entries(Micros now);
+  void send_loads(Micros now, std::vector<OutgoingMessage>& outgoing);
+  void start_health_check(std::string const& id, Micros now, NodeEffects& out);
+  void start_requested_health_checks(Micros now, NodeEffects& out);
+  // Connected, alive router nodes.
   std::vector<std::string> index_peers() const;
-  std::set<std::string> routers(bool all) const;
-  Index::Bounds bounds(std::string const& model) const;
+  // This node, if it is a router, and the router nodes that are alive or suspected; with 'include_down' also others.
+  std::set<std::string> known_routers(bool include_down) const;
+  Index::Bounds index_bounds(std::string const& model) const;
 
   ReplicaDirectory::Status replica_status();
   ChangeForwarder::Actions forwarder_actions();
@@ -185,29 +218,29 @@
   Micros started_at_;
   Micros last_tick_;
   Micros next_poll_ = 0;
-  Micros next_list_ = 0;
-  Micros next_round_ = 0;
+  Micros next_list_read_ = 0;
+  Micros next_index_round_ = 0;
   Micros next_reconcile_ = 0;
   Micros next_adoption_ = 0;
   Micros next_loads_ = 0;
-  Micros loads_told_ = 0;
-  std::string loads_last_;
-  bool list_flying_ = false;
-  Micros list_flew_ = 0;
-  Micros listed_at_ = -1;
-  bool list_bad_ = false;
-  std::set<std::string> checking_;
-  std::map<std::string, Micros> check_due_;
-  bool ready_now_ = false;
+  Micros loads_sent_at_ = 0;
+  std::string last_sent_loads_;
+  bool list_read_in_flight_ = false;
+  Micros list_read_started_at_ = 0;
+  Micros last_list_read_at_ = -1;  // start of the last successful reading of the list; -1: none
+  bool list_failing_ = false;
+  std::set<std::string> health_checks_in_flight_;    // workers
+  std::map<std::string, Micros> next_health_check_;  // by worker
+  bool ready_ = false;
   bool isolated_ = false;
-  Micros behind_since_ = -1;
-  bool leaving_ = false;
+  Micros behind_since_ = -1;  // since when a peer has a newer revision; -1: none has
+  bool draining_ = false;
   bool retiring_ = false;
-  Micros stale_from_ = -1;  // since when a jump of the clock waits for fresh knowledge
+  Micros stale_since_ = -1;  // the last clock jump, until knowledge is confirmed again; -1 otherwise
   std::uint64_t change_count_ = 0;
   std::uint64_t next_request_id_;  // begins at another number in each incarnation: an answer to a former incarnation
                                    // finds no request
-  std::map<std::uint64_t, Waiting> waiting_;
+  std::map<std::uint64_t, PendingConfirmation> pending_confirmations_;  // by request id
   WorkerDepartures worker_departures_;
   RouterRegistrations router_registrations_;
   ListFreshness list_freshness_;
@@ -216,20 +249,22 @@
   CatchUp catch_up_;
   ConfigurationAuthority configuration_authority_;
   QuotaAuthority quota_authority_;
-  struct OpenCall {  // of an operator, until it is answered
+  // An operator's call that has no reply yet.
+  struct OpenCall {
     Change::Type type = Change::Type::read;
-    std::string change;
-    std::uint64_t revision = 0;  // that was known here when it was asked
+    std::string change_id;
+    std::uint64_t revision = 0;  // that this node held when the call arrived
   };
   std::map<std::uint64_t, OpenCall> open_calls_;
-  std::size_t settled_size_ = 0;  // of the last settled set of replicas that was in force here
-  Micros next_waiting_ = 0;
-  struct Ended {
+  std::size_t settled_set_size_ = 0;  // of the last replica set in force here that was not joint
+  Micros next_not_ready_log_ = 0;
+  // A change whose outcome the proposer has reported.
+  struct EndedChange {
     std::uint64_t id;
     Change change;
     Outcome outcome;
   };
-  std::vector<Ended> ended_;
+  std::vector<EndedChange> ended_changes_;
 };
 
 }  // namespace pipit
--- a/src/node/node_changes.cc
+++ b/src/node/node_changes.cc
@@ -8,28 +8,28 @@
 namespace pipit {
 
 namespace {
-constexpr Micros confirm_bound = millis(2000);
-constexpr Micros half_bound = millis(1200);
+constexpr Micros confirmation_timeout = millis(2000);
+constexpr Micros spread_timeout = millis(1200);
 }  // namespace
 
-void Node::operate(std::uint64_t id, Change change, Micros now, NodeEffects& out) {
-  watch_clock(now);
+void Node::submit_change(std::uint64_t id, Change change, Micros now, NodeEffects& out) {
+  detect_clock_jump(now);
   if (change.id.empty())
     change.id = plan.name + "-" + std::to_string(plan.incarnation) + "-" + std::to_string(++change_count_);
-  note_call(id, change);
+  record_call(id, change);
   if (change_forwarder_.forward_change(id, change, now, out)) return;
-  if (plan.registered && id != 0 && !replica_directory_.hears_quorum(now))
-    return refuse_now(id, change, ErrorCode::no_majority, out);
+  if (plan.workers_self_register && id != 0 && !replica_directory_.hears_quorum(now))
+    return refuse_change(id, change, ErrorCode::no_majority, out);
   propose(id, std::move(change), now, out);
   check_replies(out);
 }
 
-void Node::refuse_now(std::uint64_t id, Change const& change, ErrorCode kind, NodeEffects& out) {
-  Reply reply;
+void Node::refuse_change(std::uint64_t id, Change const& change, ErrorCode code, NodeEffects& out) {
+  ChangeReply reply;
   reply.id = id;
-  reply.change = change.id;
+  reply.change_id = change.id;
   reply.outcome.type = change.proposed_elsewhere ? Outcome::Type::unknown : Outcome::Type::refused;
-  reply.outcome.error.code = change.proposed_elsewhere ? ErrorCode::change_unknown : kind;
+  reply.outcome.error.code = change.proposed_elsewhere ? ErrorCode::change_unknown : code;
   out.replies.push_back(std::move(reply));
 }
 
@@ -38,31 +38,31 @@
   bool const taken = proposer.submit(
       std::move(change),
       [this, id, kept](Outcome const& outcome) {
-        ended_.push_back({id, kept, outcome});
+        ended_changes_.push_back({id, kept, outcome});
       },
       now);
   if (!taken) {
-    refuse_now(id, kept, ErrorCode::too_many_changes, out);
+    refuse_change(id, kept, ErrorCode::too_many_changes, out);
     return;
   }
   std::vector<OutgoingMessage> outgoing;
   proposer.tick(now, outgoing);
-  dispatch(outgoing, now, out);
-  settle_ended(now, out);
+  send_messages(outgoing, now, out);
+  finish_ended_changes(now, out);
 }
 
-void Node::settle_ended(Micros now, NodeEffects& out) {
-  while (!ended_.empty()) {
-    Ended const item = std::move(ended_.front());
-    ended_.erase(ended_.begin());
-    settle(item.id, item.change, item.outcome, now, out);
+void Node::finish_ended_changes(Micros now, NodeEffects& out) {
+  while (!ended_changes_.empty()) {
+    EndedChange const item = std::move(ended_changes_.front());
+    ended_changes_.erase(ended_changes_.begin());
+    finish_change(item.id, item.change, item.outcome, now, out);
   }
 }
 
-void Node::settle(std::uint64_t id, Change const& change, Outcome const& outcome, Micros now, NodeEffects& out) {
-  Reply reply;
+void Node::finish_change(std::uint64_t id, Change const& change, Outcome const& outcome, Micros now, NodeEffects& out) {
+  ChangeReply reply;
   reply.id = id;
-  reply.change = change.id;
+  reply.change_id = change.id;
   reply.outcome = outcome;
   bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
   std::uint64_t const request_id = ++next_request_id_;
@@ -70,15 +70,15 @@
     log_event(Event::value_chosen,
               "serial " + std::to_string(outcome.value.serial) + " change " + outcome.value.change);
     bool const fresh = learner.adopt(outcome.value, now);
-    if (fresh) after_value(now, out);
+    if (fresh) apply_adopted_value(now, out);
     // Also when a poll brought it here first: the others may hear of it from nobody else.
     if (fresh || outcome.type == Outcome::Type::chosen || change.type >= Change::Type::empty)
-      spread(outcome.value, fresh ? learner.previous_value : std::nullopt, request_id, out);
+      broadcast_value(outcome.value, fresh ? learner.previous_value : std::nullopt, request_id, out);
     update_readiness(now, out);
   } else {
     log_event(outcome.type == Outcome::Type::unknown ? Event::change_outcome_unknown : Event::change_rejected,
               change.id + " " + error_code_row(outcome.error.code).name);
-    if (outcome.value.serial > 0 && learner.adopt(outcome.value, now)) after_value(now, out);
+    if (outcome.value.serial > 0 && learner.adopt(outcome.value, now)) apply_adopted_value(now, out);
   }
   if (id == 0) {
     if (change.type == Change::Type::register_router)
@@ -88,55 +88,57 @@
     return;
   }
   if (change.type == Change::Type::empty && holds) {
-    Waiting wait;
+    PendingConfirmation wait;
     wait.serial = outcome.serial > 0 ? outcome.serial : outcome.value.serial;
-    wait.due = now + confirm_bound;
+    wait.deadline = now + confirmation_timeout;
     // Whoever may serve: router nodes that are heard of, and every one that has a registration (§5.9).
-    for (std::string const& name : routers(true))
-      if (guard(Guard::confirm_all)) wait.owe.insert(name);
+    for (std::string const& name : known_routers(true))
+      if (guard(Guard::confirm_all)) wait.unconfirmed.insert(name);
     for (std::unique_ptr<wire::RouterRegistrationT> const& registration : outcome.value.registrations)
-      if (guard(Guard::registrations) && guard(Guard::confirm_all)) wait.owe.insert(registration->name);
-    wait.owe.erase(plan.name);
+      if (guard(Guard::registrations) && guard(Guard::confirm_all)) wait.unconfirmed.insert(registration->name);
+    wait.unconfirmed.erase(plan.name);
     wait.reply = std::move(reply);
-    waiting_.emplace(request_id, std::move(wait));
-    settle_waiting(now, out);
+    pending_confirmations_.emplace(request_id, std::move(wait));
+    complete_confirmations(now, out);
     return;
   }
   if (outcome.type == Outcome::Type::chosen && guard(Guard::spread)) {
     // §5.5: yes is said once half of the router nodes have it, so that it gets round whatever happens to the rest.
-    Waiting wait;
-    wait.half = outcome.value.revision;
-    wait.due = now + (plan.registered ? millis(700) : half_bound);
+    PendingConfirmation wait;
+    wait.spread_revision = outcome.value.revision;
+    wait.deadline = now + (plan.workers_self_register ? millis(700) : spread_timeout);
     wait.reply = std::move(reply);
-    waiting_.emplace(request_id, std::move(wait));
-    settle_waiting(now, out);
+    pending_confirmations_.emplace(request_id, std::move(wait));
+    complete_confirmations(now, out);
     return;
   }
   out.replies.push_back(std::move(reply));
 }
 
-void Node::settle_waiting(Micros now, NodeEffects& out) {
-  for (std::map<std::uint64_t, Waiting>::iterator it = waiting_.begin(); it != waiting_.end();) {
-    Waiting& item = it->second;
+void Node::complete_confirmations(Micros now, NodeEffects& out) {
+  for (std::map<std::uint64_t, PendingConfirmation>::iterator it = pending_confirmations_.begin();
+       it != pending_confirmations_.end();) {
+    PendingConfirmation& item = it->second;
     std::set<std::string> owe;
-    for (std::string const& name : item.owe)
+    for (std::string const& name : item.unconfirmed)
       if (is_unconfirmed(item, name)) owe.insert(name);
-    bool const half = plan.registered ? (item.sure.size() + 1) * 2 >= routers(false).size() : half_has(item.half);
-    bool const more = item.half > 0 ? !half : !owe.empty();
-    if (more && now < item.due) {
+    bool const half = plan.workers_self_register ? (item.confirmed.size() + 1) * 2 >= known_routers(false).size()
+                                                 : is_on_half_of_routers(item.spread_revision);
+    bool const more = item.spread_revision > 0 ? !half : !owe.empty();
+    if (more && now < item.deadline) {
       ++it;
       continue;
     }
-    item.reply.missing.assign(owe.begin(), owe.end());
+    item.reply.unconfirmed.assign(owe.begin(), owe.end());
     out.replies.push_back(std::move(item.reply));
-    it = waiting_.erase(it);
+    it = pending_confirmations_.erase(it);
   }
 }
 
-bool Node::half_has(std::uint64_t revision) const {
+bool Node::is_on_half_of_routers(std::uint64_t revision) const {
   std::size_t all = 0;
   std::size_t have = 0;
-  for (std::string const& name : routers(false)) {
+  for (std::string const& name : known_routers(false)) {
     ++all;
     std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
     if ((peer == mesh.members.peers.end() ? learner.revision() : peer->second.member.revision) >= revision) ++have;
@@ -144,7 +146,7 @@
   return have > 0 && have * 2 >= all;
 }
 
-bool Node::zone_known(std::string const& zone) const {
+bool Node::is_known_zone(std::string const& zone) const {
   if (zone == plan.zone) return true;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.member.zone == zone) return true;
--- a/src/node/node_effects.h
+++ b/src/node/node_effects.h
@@ -1,4 +1,4 @@
-// What a node wants done by whoever runs it: frames to send, a record to sync, answers to callers.
+// Work that a node hands to the process that runs it: frames to send, a record to sync, answers to callers.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -13,30 +13,35 @@
 
 namespace pipit {
 
-// What an operator asked, answered.
-struct Reply {
-  std::uint64_t id = 0;
+// The answer to an operator's change or read.
+struct ChangeReply {
+  std::uint64_t id = 0;  // of the operator's call, as given to Node::submit_change()
   Outcome outcome;
-  std::vector<std::string> missing;  // nodes that have not confirmed, of an 'empty'
-  std::string change;
+  std::vector<std::string> unconfirmed;  // for an 'empty': nodes that have not confirmed it
+  std::string change_id;
 };
 
-struct Check {
+// A request for a worker's health report.
+struct HealthCheck {
   std::string worker;
-  std::string address;
+  std::string address;  // of the worker, from the platform's list
   std::uint64_t incarnation = 0;
-  Micros asked = 0;
+  Micros sent_at = 0;
 };
 
+// What one call of a Node asks its process to do. The process carries out everything in it after the call.
 struct NodeEffects {
   ConnectionEffects mesh;
-  std::optional<wire::RecordT> save;
-  std::vector<Reply> replies;
+  // To be synced to disk; Node::record_synced() is called afterwards.
+  std::optional<wire::RecordT> record_to_sync;
+  std::vector<ChangeReply> replies;
   std::vector<EndAnswer> end_answers;
   ChatEffects chat;
   DispatchEffects dispatch;
+  // The platform's list of workers is to be read; the result goes to Node::handle_worker_list().
   bool read_list = false;
-  std::vector<Check> checks;
+  // Each result goes to Node::handle_health_report().
+  std::vector<HealthCheck> health_checks;
 };
 
 }  // namespace pipit
--- a/src/node/node_registered_workers.cc
+++ b/src/node/node_registered_workers.cc
@@ -8,69 +8,71 @@
 namespace pipit {
 
 namespace {
-constexpr Micros poll_gap = millis(500);
-constexpr Micros poll_wide = seconds(1);
-constexpr Micros poll_rare = seconds(3);  // where pings bring news of revisions already
-constexpr Micros adopt_gap = seconds(1);
-constexpr Micros strange_owner = seconds(10);  // longer than a node needs to meet all others
+constexpr Micros default_poll_interval = millis(500);
+constexpr Micros large_fleet_replica_poll_interval = seconds(1);
+constexpr Micros large_fleet_poll_interval = seconds(3);  // where pings bring news of revisions already
+constexpr Micros adoption_interval = seconds(1);
+constexpr Micros unknown_owner_grace = seconds(10);  // longer than a node needs to meet all others
 }  // namespace
 
-void Node::put_entry(wire::EntryT entry, Micros now, NodeEffects& out) {
+void Node::publish_entry(wire::EntryT entry, Micros now, NodeEffects& out) {
   if (mesh.put_entry(std::move(entry), now)) mesh.flush_entries(out.mesh);
 }
 
-bool Node::heartbeat(Heartbeat const& word, Micros now, NodeEffects& out) {
-  watch_clock(now);
+bool Node::handle_heartbeat(Heartbeat const& heartbeat, Micros now, NodeEffects& out) {
+  detect_clock_jump(now);
   bool const heard = worker_departures_.is_connected(now);
   // The others know the worker by another node, which goes on hearing it: nothing of that is taken over here, where
   // nobody would hear of it.
-  if (!heard && !word.leaving && registry.hear(word, now)) return false;
-  if (std::optional<wire::EntryT> entry = registry.heartbeat(word, now)) put_entry(std::move(*entry), now, out);
-  take_fresh(now);
+  if (!heard && !heartbeat.leaving && registry.hear(heartbeat, now)) return false;
+  if (std::optional<wire::EntryT> entry = registry.heartbeat(heartbeat, now))
+    publish_entry(std::move(*entry), now, out);
+  apply_updated_entries(now);
   update_readiness(now, out);
   return heard;
 }
 
-void Node::worker_left(std::string const& id, std::uint64_t order, Micros now, NodeEffects& out) {
-  watch_clock(now);
-  if (std::optional<wire::EntryT> entry = registry.leave(id, order, now)) put_entry(std::move(*entry), now, out);
-  take_fresh(now);
+void Node::worker_left(std::string const& id, std::uint64_t call_sequence, Micros now, NodeEffects& out) {
+  detect_clock_jump(now);
+  if (std::optional<wire::EntryT> entry = registry.leave(id, call_sequence, now))
+    publish_entry(std::move(*entry), now, out);
+  apply_updated_entries(now);
 }
 
-void Node::await_end(std::uint64_t id, std::string const& worker, Micros now, NodeEffects& out) {
+void Node::await_worker_end(std::uint64_t id, std::string const& worker, Micros now, NodeEffects& out) {
   worker_departures_.add_call(id, worker, now, out.end_answers);
 }
 
-void Node::request(std::uint64_t id, Query query, Micros now, NodeEffects& out) {
-  watch_clock(now);
+void Node::start_request(std::uint64_t id, Query query, Micros now, NodeEffects& out) {
+  detect_clock_jump(now);
   configuration_authority_.update_confirmations();
   dispatcher.fresh(id, std::move(query), now, out.dispatch);
   process_quota(now, out);
-  exchange_now(now, out);
+  send_reports(now, out);
 }
 
 void Node::process_quota(Micros now, NodeEffects& out) {
   std::vector<OutgoingMessage> outgoing;
   quota_authority_.process_needs(out.dispatch, now, outgoing);
-  dispatch(outgoing, now, out);
+  send_messages(outgoing, now, out);
 }
 
 void Node::attempt_ended(std::uint64_t id, AttemptEnd end, bool elsewhere, Micros now, NodeEffects& out) {
-  watch_clock(now);
+  detect_clock_jump(now);
   dispatcher.ended(id, end, elsewhere, now, out.dispatch);
   process_quota(now, out);
 }
 
-void Node::exchange_now(Micros now, NodeEffects& out) {
+void Node::send_reports(Micros now, NodeEffects& out) {
   if (mesh.is_large_fleet()) return;  // words of many nodes wait for the tick, so that more of them go together
   std::vector<OutgoingMessage> outgoing;
   exchange.tick(now, exchange_topology_.compute_paths(), outgoing);
-  dispatch(outgoing, now, out);
+  send_messages(outgoing, now, out);
 }
 
 // §12.7: a replica brings a chosen value to its part of its zone's other nodes.
-void Node::forward(wire::ChosenT const& update, NodeEffects& out) {
-  if (!plan.replica) return;
+void Node::forward_to_zone(wire::ChosenT const& update, NodeEffects& out) {
+  if (!plan.is_replica) return;
   std::vector<std::string> hands{plan.name};
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.member.replica && item.second.member.zone == plan.zone && item.second.connection != 0 &&
@@ -92,10 +94,10 @@
   }
 }
 
-Micros Node::poll_span() const {
-  if (!plan.registered || !mesh.is_large_fleet()) return poll_gap;
-  if (!ready_now_ || stale_from_ >= 0) return poll_gap;
-  return acceptor ? poll_wide : poll_rare;
+Micros Node::poll_interval() const {
+  if (!plan.workers_self_register || !mesh.is_large_fleet()) return default_poll_interval;
+  if (!ready_ || stale_since_ >= 0) return default_poll_interval;
+  return acceptor ? large_fleet_replica_poll_interval : large_fleet_poll_interval;
 }
 
 // A worker whose owner is gone would stay for good if it is lost too: the first of the nodes that are there, in the
@@ -103,9 +105,9 @@
 // another node meanwhile, which owns it by then. Whoever hears too few others takes nothing over: it may be the one
 // that is gone.
 void Node::adopt_workers(Micros now, NodeEffects& out) {
-  next_adoption_ = now + adopt_gap;
-  if (leaving_ || !worker_departures_.is_connected(now)) return;
-  std::set<std::string> const here = routers(false);
+  next_adoption_ = now + adoption_interval;
+  if (draining_ || !worker_departures_.is_connected(now)) return;
+  std::set<std::string> const here = known_routers(false);
   for (std::pair<std::string const, Instance> const& item : registry.all) {
     Instance const& at = item.second;
     if (at.standing == WorkerState::ended || here.count(at.owner) > 0) continue;
@@ -113,23 +115,23 @@
     bool const met = owner != mesh.members.peers.end();
     // A node that is new has not met everybody yet.
     Micros const gone_for =
-        met ? now - owner->second.state_since : now - std::max(started_at_, at.known) - strange_owner;
+        met ? now - owner->second.state_since : now - std::max(started_at_, at.known) - unknown_owner_grace;
     if (gone_for < plan.heartbeat_interval * 2) continue;
     if (rendezvous(item.first, here) != plan.name) continue;
-    put_entry(registry.adopt(item.first, now), now, out);
+    publish_entry(registry.adopt(item.first, now), now, out);
   }
 }
 
-void Node::tick_registered(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out) {
+void Node::tick_registered_workers(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out) {
   Paths const ways = exchange_topology_.compute_paths();
   // §12.7: an owner tells every peer itself; a hub tells its zone besides, for pairs that have no connection.
   mesh.entry_replication.forward_to_all = !ways.wide;
   mesh.entry_replication.forward_to.clear();
   if (ways.hub) mesh.entry_replication.forward_to.insert(ways.zone.begin(), ways.zone.end());
-  if (now >= next_round_) {
-    next_round_ = now + seconds(1);
+  if (now >= next_index_round_) {
+    next_index_round_ = now + seconds(1);
     index_sync.round(
-        now, {}, [this](std::string const& model) { return bounds(model); }, outgoing);
+        now, {}, [this](std::string const& model) { return index_bounds(model); }, outgoing);
   }
   index_sync.tick(now, index_peers(), outgoing);
   if (now >= next_reconcile_) {
@@ -138,11 +140,11 @@
     for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.all())
       if (registry.find(item.first) == nullptr) registry.take_entry(item.second, now);
   }
-  for (wire::EntryT& entry : registry.silent(now)) put_entry(std::move(entry), now, out);
+  for (wire::EntryT& entry : registry.silent(now)) publish_entry(std::move(entry), now, out);
   if (now >= next_adoption_) adopt_workers(now, out);
-  take_fresh(now);
+  apply_updated_entries(now);
   worker_departures_.answer_calls(now, out.end_answers);
-  dispatcher.nodes(routers(true).size(), mesh.is_large_fleet());
+  dispatcher.nodes(known_routers(true).size(), mesh.is_large_fleet());
   update_readiness(now, out);
   configuration_authority_.renew_leases(dispatcher.description()->keys_required, now, outgoing);
   quota_authority_.tick(now, outgoing);
--- a/src/node/node_registration.cc
+++ b/src/node/node_registration.cc
@@ -9,22 +9,22 @@
 namespace pipit {
 
 namespace {
-constexpr Micros behind_gap = millis(300);
+constexpr Micros behind_grace = millis(300);
 }  // namespace
 
 void Node::request_registration(Micros now, NodeEffects& out) {
-  if (leaving_) return;
+  if (draining_) return;
   if (std::optional<Change> change = router_registrations_.next_registration(now))
-    operate(0, std::move(*change), now, out);
+    submit_change(0, std::move(*change), now, out);
 }
 
 void Node::update_registration(Micros now, NodeEffects& out) {
-  if (router_registrations_.apply_register(now, out.mesh)) update_hold();
+  if (router_registrations_.apply_register(now, out.mesh)) update_dispatch_hold();
 }
 
 // §5.5: peers announce a newer revision than is held here, or a patch waits for its base, and no push or poll has
 // brought it: one of them is asked, so that a chosen value gets round though its proposer and the replicas are gone.
-void Node::ask_newer(Micros now, std::vector<OutgoingMessage>& outgoing) {
+void Node::request_newer_value(Micros now, std::vector<OutgoingMessage>& outgoing) {
   bool const behind = std::any_of(
       mesh.members.peers.begin(), mesh.members.peers.end(), [this](std::pair<std::string const, Peer> const& item) {
         return item.second.connection != 0 && item.second.member.revision > learner.revision();
@@ -32,29 +32,29 @@
   if (!guard(Guard::spread)) return;
   if (!behind) behind_since_ = -1;
   if (behind && behind_since_ < 0) behind_since_ = now;
-  bool const overdue = behind && now - behind_since_ > behind_gap;
+  bool const overdue = behind && now - behind_since_ > behind_grace;
   if (!overdue && !catch_up_.is_stuck(now)) return;
-  std::string const peer = catch_up_.next_peer(learner.revision(), now);
+  std::string const peer = catch_up_.select_peer(learner.revision(), now);
   if (peer.empty()) return;
   wire::CatchUpRequestT ask;
   ask.revision = learner.revision();
   outgoing.push_back(message_to(peer, std::move(ask)));
 }
 
-void Node::update_hold() {
+void Node::update_dispatch_hold() {
   if (plan.role != Role::router) return;
-  dispatcher.hold(stale_from_ >= 0);
-  bool const lost = ready_now_ && router_registrations_.is_evicted();
-  chat_dispatcher.hold(stale_from_ >= 0 || lost);
+  dispatcher.hold(stale_since_ >= 0);
+  bool const lost = ready_ && router_registrations_.is_evicted();
+  chat_dispatcher.hold(stale_since_ >= 0 || lost);
 }
 
-bool Node::is_unconfirmed(Waiting const& item, std::string const& name) const {
-  return item.sure.count(name) == 0 && router_registrations_.must_confirm(name);
+bool Node::is_unconfirmed(PendingConfirmation const& pending, std::string const& name) const {
+  return pending.confirmed.count(name) == 0 && router_registrations_.must_confirm(name);
 }
 
-void Node::take_list_age(Micros age, Micros now) {
+void Node::note_peer_list_age(Micros age, Micros now) {
   // What lay in a connection while this node stood still is older than it says.
-  if (stale_from_ < 0) list_freshness_.note_peer_age(age, now);
+  if (stale_since_ < 0) list_freshness_.note_peer_age(age, now);
 }
 
 }  // namespace pipit
--- a/src/node/node_worker_list.cc
+++ b/src/node/node_worker_list.cc
@@ -9,98 +9,99 @@
 namespace pipit {
 
 namespace {
-constexpr Micros list_gap = millis(300);
-constexpr Micros check_gap = millis(500);
-constexpr Micros load_gap = millis(200);
+constexpr Micros list_read_interval = millis(300);
+constexpr Micros health_check_interval = millis(500);
+constexpr Micros load_report_interval = millis(200);
 }  // namespace
 
 // What a router node does each turn where the platform has a list of workers.
-void Node::tick_listed(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out) {
-  if (now >= next_round_) {
-    next_round_ = now + seconds(1);
+void Node::tick_worker_list(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out) {
+  if (now >= next_index_round_) {
+    next_index_round_ = now + seconds(1);
     std::vector<std::pair<std::string, std::vector<std::string>>> peers;
     for (std::string const& name : index_peers()) peers.emplace_back(name, mesh.members.peers.at(name).member.models);
     index_sync.round(
-        now, peers, [this](std::string const& model) { return bounds(model); }, outgoing);
-    own_entries(now, out);
+        now, peers, [this](std::string const& model) { return index_bounds(model); }, outgoing);
+    publish_own_entries(now, out);
   }
   index_sync.tick(now, index_peers(), outgoing);
   if (now >= next_reconcile_) {
     next_reconcile_ = now + seconds(30);
     fleet.reconcile(mesh.entry_table.all(), now);
   }
-  if (list_flying_ && now - list_flew_ > seconds(3)) list_flying_ = false;
-  if (now >= next_list_ && !list_flying_) {
-    next_list_ = now + list_gap;
-    list_flying_ = true;
-    list_flew_ = now;
+  if (list_read_in_flight_ && now - list_read_started_at_ > seconds(3)) list_read_in_flight_ = false;
+  if (now >= next_list_read_ && !list_read_in_flight_) {
+    next_list_read_ = now + list_read_interval;
+    list_read_in_flight_ = true;
+    list_read_started_at_ = now;
     out.read_list = true;
   }
   for (std::pair<std::string const, Worker> const& item : fleet.workers) {
     Worker const& worker = item.second;
-    if (worker.standing == WorkerState::ended || checking_.count(item.first)) continue;
-    if (now >= check_due_[item.first]) check_now(item.first, now, out);
+    if (worker.standing == WorkerState::ended || health_checks_in_flight_.count(item.first)) continue;
+    if (now >= next_health_check_[item.first]) start_health_check(item.first, now, out);
   }
   // §6.6: the share of a cold worker's bound counts every node that is known, DOWN ones too, so that a cut never
   // raises the sum.
-  std::set<std::string> names = routers(true);
+  std::set<std::string> names = known_routers(true);
   if (learner.value)
     for (std::unique_ptr<wire::RouterRegistrationT> const& registration : learner.value->registrations)
       names.insert(registration->name);
   chat_dispatcher.nodes(std::move(names), router_registrations_.is_newcomer(now));
   update_registration(now, out);
-  tell_loads(now, outgoing);
-  std::set<std::string> senders = routers(false);
+  send_loads(now, outgoing);
+  std::set<std::string> senders = known_routers(false);
   senders.erase(plan.name);
   fleet.sum_others(senders, now);
   update_readiness(now, out);
   bool const alone = guard(Guard::isolation) && !list_freshness_.update(now);
-  if (ready_now_ && alone != isolated_) {
+  if (ready_ && alone != isolated_) {
     isolated_ = alone;
     log_event(alone ? Event::node_isolated : Event::node_rejoined, "");
   }
-  chat_dispatcher.ready(ready_now_ && !isolated_);
+  chat_dispatcher.ready(ready_ && !isolated_);
   chat_dispatcher.work(now, out.chat);
-  check_asked(now, out);
+  start_requested_health_checks(now, out);
 }
 
-void Node::list(std::optional<std::vector<ListRow>> const& rows, bool answered, Micros now, NodeEffects& out) {
-  watch_clock(now);
-  list_flying_ = false;
+void Node::handle_worker_list(std::optional<std::vector<ListRow>> const& rows, bool source_failed, Micros now,
+                              NodeEffects& out) {
+  detect_clock_jump(now);
+  list_read_in_flight_ = false;
   if (!rows) {
     // A failed reading is no departure.
-    if (answered) list_freshness_.note_source_failure(now);
-    if (!list_bad_) log_event(Event::list_failed, "");
-    list_bad_ = true;
+    if (source_failed) list_freshness_.note_source_failure(now);
+    if (!list_failing_) log_event(Event::list_failed, "");
+    list_failing_ = true;
     return;
   }
-  if (list_bad_) log_event(Event::list_recovered, "");
-  list_bad_ = false;
+  if (list_failing_) log_event(Event::list_recovered, "");
+  list_failing_ = false;
   fleet.take_list(*rows, now);
   // What this reading began before a jump of the clock says nothing about the time after it.
-  if (stale_from_ < 0 || list_flew_ >= stale_from_) {
-    listed_at_ = list_flew_;
-    list_freshness_.note_reading(listed_at_);
+  if (stale_since_ < 0 || list_read_started_at_ >= stale_since_) {
+    last_list_read_at_ = list_read_started_at_;
+    list_freshness_.note_reading(last_list_read_at_);
   }
-  take_fresh(now);
-  own_entries(now, out);
+  apply_updated_entries(now);
+  publish_own_entries(now, out);
   update_readiness(now, out);
   chat_dispatcher.work(now, out.chat);
 }
 
-void Node::health_report(Check const& check, std::optional<HealthReport> const& report, bool refused, Micros now,
-                         NodeEffects& out) {
-  watch_clock(now);
-  checking_.erase(check.worker);
-  fleet.health_report(check.worker, check.incarnation, check.asked, report, refused, now);
-  take_fresh(now);
+void Node::handle_health_report(HealthCheck const& check, std::optional<HealthReport> const& report, bool refused,
+                                Micros now, NodeEffects& out) {
+  detect_clock_jump(now);
+  health_checks_in_flight_.erase(check.worker);
+  fleet.health_report(check.worker, check.incarnation, check.sent_at, report, refused, now);
+  apply_updated_entries(now);
   chat_dispatcher.work(now, out.chat);
-  check_asked(now, out);
+  start_requested_health_checks(now, out);
 }
 
-void Node::own_entries(Micros now, NodeEffects& out) {
-  if (plan.role != Role::router || listed_at_ < 0 || now - listed_at_ > seconds(5) || leaving_) return;
-  std::set<std::string> const names = routers(false);
+void Node::publish_own_entries(Micros now, NodeEffects& out) {
+  if (plan.role != Role::router || last_list_read_at_ < 0 || now - last_list_read_at_ > seconds(5) || draining_) return;
+  std::set<std::string> const names = known_routers(false);
   std::set<std::string> mine;
   for (std::pair<std::string const, Worker> const& item : fleet.workers)
     if (rendezvous(item.first, names) == plan.name) mine.insert(item.first);
@@ -121,53 +122,53 @@
   if (any) mesh.flush_entries(out.mesh);
 }
 
-void Node::chat_request(std::uint64_t id, Ask ask, Micros now, NodeEffects& out) {
-  watch_clock(now);
+void Node::start_chat_request(std::uint64_t id, Ask ask, Micros now, NodeEffects& out) {
+  detect_clock_jump(now);
   ask.facts.zone = plan.zone;
   chat_dispatcher.fresh(id, std::move(ask), now, out.chat);
-  check_asked(now, out);
+  start_requested_health_checks(now, out);
 }
 
 // Peers hear how many attempts this node has at each worker, soon when that changed, and now and then when not.
-void Node::tell_loads(Micros now, std::vector<OutgoingMessage>& outgoing) {
+void Node::send_loads(Micros now, std::vector<OutgoingMessage>& outgoing) {
   if (now < next_loads_) return;
-  next_loads_ = now + load_gap;
+  next_loads_ = now + load_report_interval;
   wire::LoadsT loads = fleet.own_loads();
   loads.age = list_freshness_.age(now);
   std::string print;
   for (std::unique_ptr<wire::LoadT> const& item : loads.list)
     print += item->worker + " " + std::to_string(item->attempts) + " ";
-  if (print == loads_last_ && now - loads_told_ < millis(500)) return;
-  loads_last_ = print;
-  loads_told_ = now;
+  if (print == last_sent_loads_ && now - loads_sent_at_ < millis(500)) return;
+  last_sent_loads_ = print;
+  loads_sent_at_ = now;
   for (std::string const& name : index_peers()) outgoing.push_back(message_to(name, wire::LoadsT(loads)));
 }
 
-void Node::check_now(std::string const& id, Micros now, NodeEffects& out) {
+void Node::start_health_check(std::string const& id, Micros now, NodeEffects& out) {
   Worker const* const worker = fleet.find(id);
   if (worker == nullptr) return;
-  check_due_[id] = now + check_gap;
-  checking_.insert(id);
-  out.checks.push_back(Check{id, worker->row.address, worker->row.incarnation, now});
+  next_health_check_[id] = now + health_check_interval;
+  health_checks_in_flight_.insert(id);
+  out.health_checks.push_back(HealthCheck{id, worker->row.address, worker->row.incarnation, now});
 }
 
 // Placing waits for a worker's word: it is asked once, and again when that was lost.
-void Node::check_asked(Micros now, NodeEffects& out) {
+void Node::start_requested_health_checks(Micros now, NodeEffects& out) {
   for (std::string const& id : out.chat.asks) {
     Worker* const worker = fleet.find(id);
     if (worker == nullptr || worker->asked >= 0) continue;
     worker->asked = now;
-    check_now(id, now, out);
+    start_health_check(id, now, out);
   }
   out.chat.asks.clear();
 }
 
-void Node::chat_attempt_ended(std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros back, Micros now,
-                              NodeEffects& out) {
-  watch_clock(now);
-  chat_dispatcher.ended(id, end, why, back, now, out.chat);
+void Node::chat_attempt_ended(std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros retry_after,
+                              Micros now, NodeEffects& out) {
+  detect_clock_jump(now);
+  chat_dispatcher.ended(id, end, why, retry_after, now, out.chat);
   for (std::pair<std::string, std::uint64_t> const& suspect : out.chat.suspects) {
-    check_now(suspect.first, now, out);
+    start_health_check(suspect.first, now, out);
     for (std::string const& name : index_peers()) {
       wire::WorkerSuspectedT word;
       word.worker = suspect.first;
@@ -177,11 +178,11 @@
   }
   out.chat.suspects.clear();
   chat_dispatcher.work(now, out.chat);
-  check_asked(now, out);
+  start_requested_health_checks(now, out);
 }
 
-void Node::hung_up(std::uint64_t id, Micros now, NodeEffects& out) {
-  watch_clock(now);
+void Node::client_disconnected(std::uint64_t id, Micros now, NodeEffects& out) {
+  detect_clock_jump(now);
   chat_dispatcher.hung_up(id, now, out.chat);
   chat_dispatcher.work(now, out.chat);
 }
--- a/src/node/replica_set_manager.cc
+++ b/src/node/replica_set_manager.cc
@@ -196,8 +196,8 @@
 
 // §5.8, §12.3: an odd number of all replicas, so that no disk more makes the set no stronger; seven at most.
 std::size_t ReplicaSetManager::replicas_wanted() const {
-  if (!plan_.registered) return std::max<std::size_t>(1, plan_.initial_members.size());
-  std::size_t all = plan_.replica && !directory_.is_leaving(plan_.name) ? 1 : 0;
+  if (!plan_.workers_self_register) return std::max<std::size_t>(1, plan_.initial_members.size());
+  std::size_t all = plan_.is_replica && !directory_.is_leaving(plan_.name) ? 1 : 0;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
     State const state = item.second.state();
     bool const stays = (state == State::alive || state == State::suspected) && !directory_.is_leaving(item.first);
@@ -210,7 +210,7 @@
 // So many members that a majority is left when as many disks are lost as are tolerated: whoever is merely without power
 // comes back with what was acknowledged, so that nothing smaller may ever hold it alone.
 std::size_t ReplicaSetManager::replicas_needed() const {
-  return std::clamp(2 * plan_.tolerated + 1, least_replicas, most_replicas);
+  return std::clamp(2 * plan_.tolerated_losses + 1, least_replicas, most_replicas);
 }
 
 // Whether the set has more members than are wanted: then one that is lost need not be replaced.
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -20,7 +20,7 @@
   if (call.path == "/health" && get) return chat_server_->answer(call.id, 200, "application/json", "{\"ok\":true}");
   if (call.path == "/ready" && get) {
     if (grace_until_ >= 0) return refuse(call.id, Error{ErrorCode::draining, "", ""});
-    if (!node_->ready()) return refuse(call.id, Error{ErrorCode::not_ready, "", ""});
+    if (!node_->is_ready()) return refuse(call.id, Error{ErrorCode::not_ready, "", ""});
     return chat_server_->answer(call.id, 200, "application/json", "{\"ready\":true}");
   }
   if (call.path == "/metrics" && get) return chat_server_->answer(call.id, 200, "text/plain; version=0.0.4", metrics());
@@ -54,7 +54,7 @@
   caller.arrived_at = now();
   callers_.emplace(call.id, std::move(caller));
   NodeEffects out;
-  node_->chat_request(call.id, std::move(ask.value()), now(), out);
+  node_->start_chat_request(call.id, std::move(ask.value()), now(), out);
   act(out);
 }
 
@@ -90,7 +90,7 @@
     else
       return refuse(call.id, Error{ErrorCode::not_found, "", ""});
     if (call.method != "POST") return refuse(call.id, Error{ErrorCode::bad_method, "", ""});
-    if (!node_->zone_known(change.text))
+    if (!node_->is_known_zone(change.text))
       return refuse(call.id, Error{ErrorCode::unknown_zone, "nothing is known of the zone '" + change.text + "'", ""});
   } else if (call.path.rfind("/v1/nodes/", 0) == 0) {
     std::string const rest = call.path.substr(10);
@@ -106,18 +106,18 @@
     change.type = Change::Type::read;
     asked_[call.id] = {change.type, call.path.substr(12)};
     NodeEffects out;
-    node_->operate(call.id, std::move(change), now(), out);
+    node_->submit_change(call.id, std::move(change), now(), out);
     return act(out);
   } else {
     return refuse(call.id, Error{ErrorCode::not_found, "", ""});
   }
   asked_[call.id] = {change.type, ""};
   NodeEffects out;
-  node_->operate(call.id, std::move(change), now(), out);
+  node_->submit_change(call.id, std::move(change), now(), out);
   act(out);
 }
 
-void RouterHost::reply(Reply const& item) {
+void RouterHost::reply(ChangeReply const& item) {
   std::map<std::uint64_t, std::pair<Change::Type, std::string>>::iterator const position = asked_.find(item.id);
   if (position == asked_.end()) return;
   std::pair<Change::Type, std::string> const what = position->second;
@@ -127,7 +127,7 @@
     ++kinds_[error_code_row(outcome.error.code).name];
     ErrorCodeRow const& row = error_code_row(outcome.error.code);
     Answer const out = answer_for(outcome.error);
-    std::map<std::string, std::string> more = {{"X-Pipit-Change", item.change}};
+    std::map<std::string, std::string> more = {{"X-Pipit-Change", item.change_id}};
     if (row.wait > 0) more["Retry-After"] = std::to_string((row.wait + seconds(1) - 1) / seconds(1));
     return chat_server_->answer(item.id, out.status, "application/json", out.body, more);
   }
@@ -157,15 +157,15 @@
       .key("serial")
       .number(static_cast<std::int64_t>(outcome.serial > 0 ? outcome.serial : value.serial))
       .key("change")
-      .text(item.change);
+      .text(item.change_id);
   json.key("changed").boolean(outcome.type == Outcome::Type::chosen);
   if (what.first == Change::Type::empty) {
     json.key("unconfirmed").begin_list();
-    for (std::string const& name : item.missing) json.text(name);
+    for (std::string const& name : item.unconfirmed) json.text(name);
     json.end_list();
   }
   json.end_object();
-  chat_server_->answer(item.id, item.missing.empty() ? 200 : 202, "application/json", json.take());
+  chat_server_->answer(item.id, item.unconfirmed.empty() ? 200 : 202, "application/json", json.take());
 }
 
 void RouterHost::on_fault(ChatServer::Call const& call) {
--- a/src/runtime/router_host.cc
+++ b/src/runtime/router_host.cc
@@ -27,25 +27,25 @@
   plan.name = settings_.name;
   plan.zone = settings_.zone;
   plan.address = settings_.mesh;
-  plan.http = settings_.http;
+  plan.http_address = settings_.http;
   plan.role = role_;
   plan.seeds = settings_.seeds;
   plan.models = settings_.models;
   plan.initial_members = settings_.initial_members;
   plan.incarnation = static_cast<std::uint64_t>(g_get_real_time());
-  plan.chance = random_seed();
+  plan.random_seed = random_seed();
   node_ = std::make_unique<Node>(plan, now(), std::move(recovered));
 
   Connections::Callbacks we;
   we.opened = [this](ConnectionId id, bool outbound, std::string const& address) {
     NodeEffects out;
-    node_->opened(id, outbound, address, now(), out);
+    node_->connection_opened(id, outbound, address, now(), out);
     act(out);
   };
   we.shut = [this](ConnectionId id) {
     NodeEffects out;
     connection_names_.erase(id);
-    node_->shut(id, now(), out);
+    node_->connection_closed(id, now(), out);
     act(out);
   };
   we.failed = [this](std::string const& address, bool refused) {
@@ -57,7 +57,7 @@
     connection_bytes_ += frame.size();
     if (settings_.faults && dropped_in(id, frame)) return true;
     NodeEffects out;
-    bool const good = node_->bytes(id, frame, now(), out);
+    bool const good = node_->receive_frame(id, frame, now(), out);
     if (good) traffic_.count_received(kind_of(frame), frame.size());
     act(out);
     return good;
@@ -102,7 +102,7 @@
     asked_.erase(id);
     if (callers_.erase(id) == 0) return;
     NodeEffects out;
-    node_->hung_up(id, now(), out);
+    node_->client_disconnected(id, now(), out);
     act(out);
   };
   chat_server_ =
@@ -118,7 +118,7 @@
         return;
       }
       NodeEffects out;
-      node_->disk_done(now(), out);
+      node_->record_synced(now(), out);
       act(out);
     });
 }
@@ -176,7 +176,7 @@
 
 // The executor: obeys what the core decided.
 void RouterHost::act(NodeEffects& out) {
-  if (out.save) disk_->save(std::move(*out.save));
+  if (out.record_to_sync) disk_->save(std::move(*out.record_to_sync));
   for (std::string const& address : out.mesh.dial_addresses) connections_->dial(address);
   for (ConnectionEffects::OutgoingFrame& send : out.mesh.outgoing_frames) {
     if (settings_.faults && dropped_out(send.connection, send.bytes)) continue;
@@ -201,11 +201,11 @@
   }
   for (Verdict const& verdict : out.chat.ends) finish(verdict);
   for (std::uint64_t const id : out.chat.drops) attempts_->cut(id);
-  for (Reply const& item : out.replies) reply(item);
+  for (ChangeReply const& item : out.replies) reply(item);
   if (out.read_list) {
     if (fires(FaultPoint::list_fail)) {
       NodeEffects more;
-      node_->list(std::nullopt, true, now(), more);
+      node_->handle_worker_list(std::nullopt, true, now(), more);
       act(more);
     } else {
       attempts_->get(settings_.platform, "/workers", seconds(1),
@@ -217,15 +217,15 @@
                          if (read) rows = std::move(read.value());
                        }
                        NodeEffects more;
-                       node_->list(rows, refused || !body.empty(), now(), more);
+                       node_->handle_worker_list(rows, refused || !body.empty(), now(), more);
                        act(more);
                      });
     }
   }
-  for (Check const& check : out.checks) {
+  for (HealthCheck const& check : out.health_checks) {
     if (fires_for(FaultPoint::cut_workers, check.worker) || fires(FaultPoint::health_check_fail)) {
       NodeEffects more;
-      node_->health_report(check, std::nullopt, false, now(), more);
+      node_->handle_health_report(check, std::nullopt, false, now(), more);
       act(more);
       continue;
     }
@@ -237,7 +237,7 @@
                        if (read) report = read.value();
                      }
                      NodeEffects more;
-                     node_->health_report(check, report, refused, now(), more);
+                     node_->handle_health_report(check, report, refused, now(), more);
                      act(more);
                    });
   }
@@ -285,7 +285,8 @@
     node_->drain(now(), out);
     act(out);
   }
-  if ((node_->under_way() == 0 && chat_server_->open() == 0) || now() >= drain_until_) g_main_loop_quit(loop_);
+  if ((node_->chat_requests_in_flight() == 0 && chat_server_->open() == 0) || now() >= drain_until_)
+    g_main_loop_quit(loop_);
 }
 
 void RouterHost::reload() {
--- a/src/runtime/router_host.h
+++ b/src/runtime/router_host.h
@@ -40,7 +40,7 @@
   void on_fault(ChatServer::Call const& call);
   void refuse(std::uint64_t id, Error const& error);
   void finish(Verdict const& verdict);
-  void reply(Reply const& reply);
+  void reply(ChangeReply const& reply);
   std::string status() const;
   std::string metrics() const;
   void begin_drain();
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -8,7 +8,12 @@
 std::string RouterHost::status() const {
   JsonWriter json;
   json.begin_object().key("name").text(settings_.name).key("role").text(role_ == Role::router ? "passage" : "accord");
-  json.key("zone").text(settings_.zone).key("ready").boolean(node_->ready()).key("draining").boolean(grace_until_ >= 0);
+  json.key("zone")
+      .text(settings_.zone)
+      .key("ready")
+      .boolean(node_->is_ready())
+      .key("draining")
+      .boolean(grace_until_ >= 0);
   json.key("serial").number(static_cast<std::int64_t>(node_->learner.serial()));
   json.key("emptied").begin_list();
   for (std::string const& zone : node_->chat_dispatcher.drained_zones()) json.text(zone);
@@ -49,7 +54,7 @@
     json.key("demand").number(worker.guess()).end_object();
   }
   json.end_list().key("backlog").number(static_cast<std::int64_t>(node_->chat_dispatcher.waiting()));
-  json.key("under_way").number(static_cast<std::int64_t>(node_->under_way())).end_object();
+  json.key("under_way").number(static_cast<std::int64_t>(node_->chat_requests_in_flight())).end_object();
   return json.take();
 }
 
@@ -72,12 +77,12 @@
   text.counter("pipit_deltas_dropped_total", node_->index_sync.dropped);
   text.counter("pipit_tree_pulls_total", node_->index_sync.pulls);
   text.counter("pipit_tree_stalls_total", node_->index_sync.stalls);
-  text.counter("pipit_clock_jumps_total", node_->jumps);
+  text.counter("pipit_clock_jumps_total", node_->clock_jumps);
   text.gauge("pipit_longest_turn_us", static_cast<std::uint64_t>(longest_turn_));
   text.gauge("pipit_serial", node_->learner.serial());
-  text.gauge("pipit_ready", node_->ready() ? 1u : 0u);
+  text.gauge("pipit_ready", node_->is_ready() ? 1u : 0u);
   text.gauge("pipit_backlog", node_->chat_dispatcher.waiting());
-  text.gauge("pipit_under_way", node_->under_way());
+  text.gauge("pipit_under_way", node_->chat_requests_in_flight());
   text.gauge("pipit_wires", node_->mesh.open_connections());
   text.counters("pipit_mesh_bytes_total", "zone", mesh_to_);
   text.gauge("pipit_mesh_backlog_bytes", connections_->backlog_bytes());
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -56,12 +56,12 @@
   Connections::Callbacks we;
   we.opened = [this](ConnectionId id, bool outbound, std::string const& address) {
     NodeEffects out;
-    node_->opened(id, outbound, address, now(), out);
+    node_->connection_opened(id, outbound, address, now(), out);
     act(out);
   };
   we.shut = [this](ConnectionId id) {
     NodeEffects out;
-    node_->shut(id, now(), out);
+    node_->connection_closed(id, now(), out);
     act(out);
   };
   we.failed = [this](std::string const& address, bool refused) {
@@ -71,7 +71,7 @@
   };
   we.frame = [this](ConnectionId id, std::string_view frame) {
     NodeEffects out;
-    bool const good = node_->bytes(id, frame, now(), out);
+    bool const good = node_->receive_frame(id, frame, now(), out);
     if (good) traffic_.count_received(kind_of(frame), frame.size());
     act(out);
     return good;
@@ -81,7 +81,7 @@
   RequestProxy::Callbacks proxy_callbacks;
   proxy_callbacks.request = [this](std::uint64_t id, Query query) {
     NodeEffects out;
-    node_->request(id, std::move(query), now(), out);
+    node_->start_request(id, std::move(query), now(), out);
     act(out);
   };
   proxy_callbacks.ended = [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
@@ -106,7 +106,7 @@
         std::move(posix), std::move(ring),
         [this](bool, std::string const&) {
           NodeEffects out;
-          node_->disk_done(now(), out);
+          node_->record_synced(now(), out);
           act(out);
         },
         true);
@@ -123,7 +123,7 @@
 
 // The executor: obeys what the core decided.
 void NodeServer::act(NodeEffects& out) {
-  if (out.save && disk_) disk_->save(std::move(*out.save));
+  if (out.record_to_sync && disk_) disk_->save(std::move(*out.record_to_sync));
   for (std::string const& address : out.mesh.dial_addresses) connections_->dial(address);
   for (ConnectionEffects::OutgoingFrame const& send : out.mesh.outgoing_frames) {
     traffic_.count_sent(kind_of(send.bytes), send.bytes.size());
@@ -131,8 +131,8 @@
   }
   for (ConnectionId const id : out.mesh.closed_connections) connections_->shut(id);
   if (!out.dispatch.empty()) proxy_->act(out.dispatch);
-  std::vector<Reply> const replies = std::move(out.replies);
-  for (Reply const& item : replies) {
+  std::vector<ChangeReply> const replies = std::move(out.replies);
+  for (ChangeReply const& item : replies) {
     std::map<std::uint64_t, Done>::iterator const position = asked_.find(item.id);
     if (position == asked_.end()) continue;
     Done const done = std::move(position->second);
@@ -155,7 +155,7 @@
 
 bool NodeServer::heartbeat(Heartbeat const& heartbeat) {
   NodeEffects out;
-  bool const heard = node_->heartbeat(heartbeat, now(), out);
+  bool const heard = node_->handle_heartbeat(heartbeat, now(), out);
   act(out);
   return heard;
 }
@@ -164,7 +164,7 @@
   std::uint64_t const id = ++next_ask_;
   ends_asked_.emplace(id, std::move(done));
   NodeEffects out;
-  node_->await_end(id, worker, now(), out);
+  node_->await_worker_end(id, worker, now(), out);
   act(out);
 }
 
@@ -181,7 +181,7 @@
   std::uint64_t const id = ++next_ask_;
   asked_.emplace(id, std::move(done));
   NodeEffects out;
-  node_->operate(id, std::move(change), now(), out);
+  node_->submit_change(id, std::move(change), now(), out);
   act(out);
 }
 
@@ -201,7 +201,7 @@
 
 void NodeServer::on_ready(Server::Call&& call) {
   bool const path = call.head.target == plan_.ready_path;
-  bool const yes = node_->takes_requests(now()) && stop_from_ < 0;
+  bool const yes = node_->accepts_requests(now()) && stop_from_ < 0;
   Head head;
   head.status = !path ? 404 : yes ? 200 : 503;
   ready_server_->answer(call.id, head, "");
@@ -251,7 +251,7 @@
   // What a slow caller has not taken yet would end with the process too. A replica stays until another one has its
   // place, where one is here to take it.
   bool const finished = proxy_->server.calls() == 0 && proxy_->server.finishing() == 0;
-  bool const idle = finished && asked_.empty() && ends_asked_.empty() && node_->may_end(at);
+  bool const idle = finished && asked_.empty() && ends_asked_.empty() && node_->may_stop(at);
   if (idle || span >= plan_.grace - last_moment) g_main_loop_quit(loop_);
 }
 
--- a/src/server/node_server.h
+++ b/src/server/node_server.h
@@ -36,7 +36,7 @@
  public:
   // A call at the control address. False: it is not one of the caller's own paths.
   using Control = std::function<bool(Server::Call&)>;
-  using Done = std::function<void(Reply const&)>;
+  using Done = std::function<void(ChangeReply const&)>;
   using PeriodicCheck = std::function<void()>;
 
   explicit NodeServer(NodeServerPlan plan);
--- a/src/server/node_server_status.cc
+++ b/src/server/node_server_status.cc
@@ -49,9 +49,9 @@
   JsonWriter json;
   json.begin_object().key("name").text(plan_.node.name).key("role").text("passage").key("zone").text(plan_.node.zone);
   json.key("keeper")
-      .boolean(plan_.node.replica)
+      .boolean(plan_.node.is_replica)
       .key("ready")
-      .boolean(node_->ready())
+      .boolean(node_->is_ready())
       .key("draining")
       .boolean(stop_from_ >= 0);
   json.key("serial").number(static_cast<std::int64_t>(node_->learner.serial()));
@@ -145,14 +145,14 @@
   text.counter("pipit_frames_in_total", node_->mesh.frames_received);
   text.counter("pipit_deltas_dropped_total", node_->index_sync.dropped);
   text.counter("pipit_tree_pulls_total", node_->index_sync.pulls);
-  text.counter("pipit_clock_jumps_total", node_->jumps);
+  text.counter("pipit_clock_jumps_total", node_->clock_jumps);
   text.gauge("pipit_serial", node_->learner.serial());
   text.gauge("pipit_revision", node_->learner.revision());
   text.gauge("pipit_label", label());
   text.gauge("pipit_keepers", node_->learner.membership().replicas.size());
   text.gauge("pipit_keepers_epoch", node_->learner.membership().epoch);
   text.gauge("pipit_quorum_heard_ms_ago", age_ms(node_->learner.last_quorum_at(), now()));
-  text.gauge("pipit_ready", node_->ready() ? 1u : 0u);
+  text.gauge("pipit_ready", node_->is_ready() ? 1u : 0u);
   text.gauge("pipit_stopping", stop_from_ >= 0 ? 1u : 0u);
   text.gauge("pipit_under_way", node_->dispatcher.under_way());
   text.gauge("pipit_oldest_request_ms", static_cast<std::uint64_t>(node_->dispatcher.oldest(now()) / 1000));
--- a/testing/control_plane_simulator/judge.cc
+++ b/testing/control_plane_simulator/judge.cc
@@ -143,7 +143,7 @@
     }
   }
   view.serial = serial;
-  bool const ready = machine.node->ready();
+  bool const ready = machine.node->is_ready();
   if (ready && !view.ready) {
     if (view.label < view.floor)
       find(4, machine.name + " turned ready with " + std::to_string(view.label) + " though " +
@@ -207,7 +207,7 @@
     if (views[id].label != newest)
       find(4, machine.name + " ends with " + std::to_string(views[id].label) + " in force, others with " +
                   std::to_string(newest));
-    if (!machine.node->ready()) find(4, machine.name + " ends without being ready");
+    if (!machine.node->is_ready()) find(4, machine.name + " ends without being ready");
   }
   // A refusal needs a taken change that its order did not build on.
   for (OrderId id = 0; id < orders.size(); ++id) {
--- a/testing/control_plane_simulator/node_view.cc
+++ b/testing/control_plane_simulator/node_view.cc
@@ -20,7 +20,7 @@
 
 std::uint64_t epoch_known_to(Node const& node) { return node.learner.membership().epoch; }
 
-bool may_end(Node const& node, Micros now) { return node.may_end(now); }
+bool may_end(Node const& node, Micros now) { return node.may_stop(now); }
 
 std::string change_id(std::string const& verb, std::uint64_t based_on, std::string const& body) {
   return verb + "-" + std::to_string(based_on) + "-" + std::to_string(hash_text(body)) + "-" +
--- a/testing/control_plane_simulator/operators.cc
+++ b/testing/control_plane_simulator/operators.cc
@@ -25,7 +25,7 @@
 
 Operators::Operators(World& world_, Judge& judge_, OperatorPlan plan_)
     : plan(plan_), world(world_), judge(judge_), random(hash_bits(world_.plan.seed) ^ 0x0b5e55ed) {
-  world.on_reply = [this](Machine& machine, Reply const& reply) { answered(machine, reply); };
+  world.on_reply = [this](Machine& machine, ChangeReply const& reply) { answered(machine, reply); };
   world.on_end = [this](Machine& machine) { ended(machine); };
 }
 
@@ -104,11 +104,11 @@
   calls[id] = call;
   ++world.machine(call.machine).calls_under_way;
   world.enter(call.machine, call.process, [id, change = std::move(change)](Node& node, Micros now, NodeEffects& out) {
-    node.operate(id, change, now, out);
+    node.submit_change(id, change, now, out);
   });
 }
 
-void Operators::answered(Machine& machine, Reply const& reply) {
+void Operators::answered(Machine& machine, ChangeReply const& reply) {
   std::map<std::uint64_t, Call>::iterator const position = calls.find(reply.id);
   if (position == calls.end() || position->second.process != machine.process) return;
   Call const call = std::move(position->second);
@@ -129,7 +129,7 @@
 }
 
 // As the shell does it: what an amend builds on is read from the register, then the whole is proposed.
-void Operators::amend_read(Call call, Reply const& reply) {
+void Operators::amend_read(Call call, ChangeReply const& reply) {
   Outcome const& outcome = reply.outcome;
   if (outcome.type == Outcome::Type::refused || outcome.type == Outcome::Type::unknown)
     return answer(call, Verdict::unclear, "", 0, "");
--- a/testing/control_plane_simulator/operators.h
+++ b/testing/control_plane_simulator/operators.h
@@ -76,8 +76,8 @@
   void call(bool reading, OrderId order, MachineId machine, OnVerdict on_verdict);
   void arrive(Call call);
   void start(Call const& call, Change change);
-  void answered(Machine& machine, Reply const& reply);
-  void amend_read(Call call, Reply const& reply);
+  void answered(Machine& machine, ChangeReply const& reply);
+  void amend_read(Call call, ChangeReply const& reply);
   void answer(Call const& call, Verdict verdict, std::string const& why, std::uint64_t label, std::string const& text);
   void fails(Call const& call);
   void attempt(std::shared_ptr<Client> const& client);
--- a/testing/control_plane_simulator/world.cc
+++ b/testing/control_plane_simulator/world.cc
@@ -134,13 +134,13 @@
   made.zone = machine.zone;
   made.address = machine.address;
   made.seeds = seeds_now(id);
-  made.registered = true;
+  made.workers_self_register = true;
   made.first_start = first_start;
-  made.replica = machine.replica;
-  made.tolerated = plan.tolerated;
+  made.is_replica = machine.replica;
+  made.tolerated_losses = plan.tolerated;
   machine.process = ++processes;
   made.incarnation = static_cast<std::uint64_t>(seconds(1000000) + time + machine.wall_offset + 1);
-  made.chance = made.incarnation ^ hash_text(machine.name) ^ hash_bits(plan.seed);
+  made.random_seed = made.incarnation ^ hash_text(machine.name) ^ hash_bits(plan.seed);
   if (on_plan) on_plan(made);
   machine.powered = true;
   machine.frozen = false;
@@ -310,7 +310,7 @@
 }
 
 void World::obey(Machine& machine, NodeEffects& out) {
-  if (out.save) save(machine, std::move(*out.save));
+  if (out.record_to_sync) save(machine, std::move(*out.record_to_sync));
   for (std::string const& address : out.mesh.dial_addresses) dial(machine, address);
   for (ConnectionEffects::OutgoingFrame& item : out.mesh.outgoing_frames) {
     std::map<ConnectionId, std::pair<std::shared_ptr<Link>, int>>::const_iterator const position =
@@ -329,7 +329,7 @@
   if (on_dispatch && !out.dispatch.empty()) on_dispatch(machine, out.dispatch);
   if (!on_reply) return;
   std::uint64_t const process = machine.process;
-  for (Reply const& reply : out.replies)
+  for (ChangeReply const& reply : out.replies)
     if (machine.up() && machine.process == process) on_reply(machine, reply);
 }
 
@@ -366,7 +366,7 @@
     return;
   }
   machine.writing.reset();
-  enter(id, process, [](Node& node, Micros now, NodeEffects& out) { node.disk_done(now, out); });
+  enter(id, process, [](Node& node, Micros now, NodeEffects& out) { node.record_synced(now, out); });
 }
 
 void World::stall_disk(MachineId id, Micros span) {
@@ -504,7 +504,7 @@
   machine.connections[link->connection[side]] = {link, side};
   ConnectionId const connection = link->connection[side];
   enter(machine.id, machine.process, [connection, side, address](Node& node, Micros now, NodeEffects& out) {
-    node.opened(connection, side == 0, side == 0 ? address : "", now, out);
+    node.connection_opened(connection, side == 0, side == 0 ? address : "", now, out);
   });
 }
 
@@ -554,7 +554,7 @@
         [this, link, to, connection, bytes = std::move(frame.bytes)](Node& node, Micros now, NodeEffects& out) {
           Machine& machine = *machines[link->end[to]];
           if (machine.connections.count(connection) == 0) return;
-          if (!node.bytes(connection, bytes, now, out)) out.mesh.closed_connections.push_back(connection);
+          if (!node.receive_frame(connection, bytes, now, out)) out.mesh.closed_connections.push_back(connection);
         });
 }
 
@@ -575,7 +575,8 @@
   after(lag(), [this, link, side, connection] {
     enter(link->end[side], link->process[side],
           [this, link, side, connection](Node& node, Micros now, NodeEffects& out) {
-            if (machines[link->end[side]]->connections.erase(connection) > 0) node.shut(connection, now, out);
+            if (machines[link->end[side]]->connections.erase(connection) > 0)
+              node.connection_closed(connection, now, out);
           });
   });
 }
--- a/testing/control_plane_simulator/world.h
+++ b/testing/control_plane_simulator/world.h
@@ -145,7 +145,7 @@
   WorldPlan const plan;
   // Called after every step, for every answer to an operator, at the end of a process, and at the start of one.
   std::function<void(Machine&)> on_step;
-  std::function<void(Machine&, Reply const&)> on_reply;
+  std::function<void(Machine&, ChangeReply const&)> on_reply;
   std::function<void(Machine&)> on_end;
   std::function<void(Machine&)> on_boot;
   // Completes the plan of a node before its process begins, and takes what its dispatcher decided.
--- a/testing/cost_simulator/scale.cc
+++ b/testing/cost_simulator/scale.cc
@@ -138,14 +138,14 @@
   p.name = m.name;
   p.zone = m.zone;
   p.address = m.address;
-  p.http = m.address.substr(0, m.address.find(':')) + ":7080";
+  p.http_address = m.address.substr(0, m.address.find(':')) + ":7080";
   p.role = m.role;
   for (int i = 0; i < plan.replicas; ++i) {
     if (i < 3) p.seeds.push_back(machines[static_cast<std::size_t>(i)]->address);
     if (m.role == Role::config_store) p.initial_members.push_back(machines[static_cast<std::size_t>(i)]->name);
   }
   p.incarnation = 1000 + process_count;
-  p.chance = hash_bits(plan.seed * 31 + process_count);
+  p.random_seed = hash_bits(plan.seed * 31 + process_count);
   std::optional<wire::RecordT> recovered;
   if (m.role == Role::config_store) {
     if (!m.disk) {
@@ -252,7 +252,7 @@
       b.connections[id] = {link, side};
       enter(link->who[side], b.process_id, Step::connection,
             [id, side, &address](Machine& x, Micros t, NodeEffects& out) {
-              x.node->opened(id, side == 0, address, t, out);
+              x.node->connection_opened(id, side == 0, address, t, out);
             });
     });
 }
@@ -272,7 +272,7 @@
     b.connections.erase(link->connection[to]);
     ConnectionId const id = link->connection[to];
     enter(link->who[to], b.process_id, Step::connection,
-          [id](Machine& x, Micros t, NodeEffects& out) { x.node->shut(id, t, out); });
+          [id](Machine& x, Micros t, NodeEffects& out) { x.node->connection_closed(id, t, out); });
   });
 }
 
@@ -308,7 +308,7 @@
   }
   enter(
       to, b.process_id, Step::connection,
-      [id, &bytes](Machine& x, Micros t, NodeEffects& out) { x.node->bytes(id, bytes, t, out); },
+      [id, &bytes](Machine& x, Micros t, NodeEffects& out) { x.node->receive_frame(id, bytes, t, out); },
       static_cast<int>(kind));
 }
 
@@ -327,7 +327,7 @@
     std::uint64_t const process_id = m.process_id;
     after(2 * lag(m, remote), [this, who, process_id, id] {
       enter(who, process_id, Step::connection,
-            [id](Machine& x, Micros t, NodeEffects& out) { x.node->shut(id, t, out); });
+            [id](Machine& x, Micros t, NodeEffects& out) { x.node->connection_closed(id, t, out); });
     });
     return;
   }
@@ -358,12 +358,13 @@
 void Scale::obey(int who, NodeEffects& out) {
   Machine& m = *machines[static_cast<std::size_t>(who)];
   std::uint64_t const process_id = m.process_id;
-  if (out.save)
-    after(between(500, 6000), [this, who, process_id, record = std::move(*out.save)] {
+  if (out.record_to_sync)
+    after(between(500, 6000), [this, who, process_id, record = std::move(*out.record_to_sync)] {
       Machine& b = *machines[static_cast<std::size_t>(who)];
       if (!b.up() || b.process_id != process_id) return;
       b.disk = record;
-      enter(who, process_id, Step::connection, [](Machine& x, Micros t, NodeEffects& o) { x.node->disk_done(t, o); });
+      enter(who, process_id, Step::connection,
+            [](Machine& x, Micros t, NodeEffects& o) { x.node->record_synced(t, o); });
     });
   for (std::string const& address : out.mesh.dial_addresses) dial(who, address);
   for (ConnectionEffects::OutgoingFrame& send : out.mesh.outgoing_frames)
@@ -391,10 +392,10 @@
     });
   }
   for (Verdict const& verdict : out.chat.ends) ++refused[error_code_row(verdict.error.code).name];
-  for (Reply const& reply : out.replies) {
+  for (ChangeReply const& reply : out.replies) {
     bool const holds = reply.outcome.type == Outcome::Type::chosen;
     for (std::vector<Turn>::iterator it = turns.begin(); it != turns.end();) {
-      if (it->yes >= 0 || reply.change != it->id) {
+      if (it->yes >= 0 || reply.change_id != it->id) {
         ++it;
         continue;
       }
@@ -408,15 +409,15 @@
     after(away ? seconds(1) : between(millis(3), millis(40)), [this, who, process_id, away] {
       enter(who, process_id, Step::list, [this, away](Machine& x, Micros t, NodeEffects& o) {
         if (away)
-          x.node->list(std::nullopt, false, t, o);
+          x.node->handle_worker_list(std::nullopt, false, t, o);
         else
-          x.node->list(*rows, true, t, o);
+          x.node->handle_worker_list(*rows, true, t, o);
       });
     });
-  if (out.checks.empty()) return;
-  if (phase != nullptr) phase->count[static_cast<std::size_t>(m.role)].checks += out.checks.size();
-  std::vector<Check> local, remote;
-  for (Check& check : out.checks) {
+  if (out.health_checks.empty()) return;
+  if (phase != nullptr) phase->count[static_cast<std::size_t>(m.role)].checks += out.health_checks.size();
+  std::vector<HealthCheck> local, remote;
+  for (HealthCheck& check : out.health_checks) {
     bool mute = false;
     if (!zone_cut.empty()) {
       std::size_t const n = static_cast<std::size_t>(std::stoi(check.worker.substr(1)) - 1) % zones.size();
@@ -425,10 +426,10 @@
     (mute ? remote : local).push_back(std::move(check));
   }
   for (bool const mute : {false, true}) {
-    std::vector<Check>& list = mute ? remote : local;
+    std::vector<HealthCheck>& list = mute ? remote : local;
     if (list.empty()) continue;
     after(mute ? seconds(1) : between(millis(1), millis(15)), [this, who, process_id, mute, list = std::move(list)] {
-      for (Check const& check : list)
+      for (HealthCheck const& check : list)
         enter(who, process_id, Step::health, [this, &check, mute](Machine& x, Micros t, NodeEffects& o) {
           std::optional<HealthReport> report;
           if (!mute) {
@@ -436,7 +437,7 @@
             report->incarnation = 1;
             report->awake = now + seconds(3600);
           }
-          x.node->health_report(check, report, false, t, o);
+          x.node->handle_health_report(check, report, false, t, o);
         });
     });
   }
@@ -447,7 +448,7 @@
   if (!m.up() || m.process_id != process_id) return;
   Micros const gap = static_cast<Micros>(1e6 / plan.rate);
   after(gap / 2 + between(0, std::max<Micros>(2, gap)), [this, who, process_id] { call(who, process_id); });
-  if (!calling || !m.node->ready() || phase == nullptr) return;
+  if (!calling || !m.node->is_ready() || phase == nullptr) return;
   ++asked;
   Ask ask;
   ask.facts.model = "tribute";
@@ -459,7 +460,7 @@
   ask.path.push_back(hash_bits(ask.path.back() ^ random.next()));
   std::uint64_t const chat_request = ++m.chat_requests;
   enter(who, process_id, Step::chat_request, [chat_request, &ask](Machine& x, Micros t, NodeEffects& out) {
-    x.node->chat_request(chat_request, std::move(ask), t, out);
+    x.node->start_chat_request(chat_request, std::move(ask), t, out);
   });
 }
 
@@ -483,7 +484,7 @@
     if (machines[static_cast<std::size_t>(i)]->up()) made.pending.insert(i);
   turns.push_back(std::move(made));
   enter(who, m.process_id, Step::operate,
-        [&item](Machine& x, Micros t, NodeEffects& out) { x.node->operate(1, std::move(item), t, out); });
+        [&item](Machine& x, Micros t, NodeEffects& out) { x.node->submit_change(1, std::move(item), t, out); });
 }
 
 }  // namespace pipit
--- a/testing/cost_simulator/scale_phases.cc
+++ b/testing/cost_simulator/scale_phases.cc
@@ -41,7 +41,7 @@
 
 bool Scale::all_ready() const {
   for (std::unique_ptr<Machine> const& m : machines)
-    if (!m->up() || !m->node->ready()) return false;
+    if (!m->up() || !m->node->is_ready()) return false;
   return true;
 }
 
--- a/testing/fleet_simulator/callers.cc
+++ b/testing/fleet_simulator/callers.cc
@@ -206,7 +206,7 @@
     std::uint64_t const chat_request = ++b.next_chat_request;
     b.chat_requests[chat_request] = id;
     enter(b, process_id, [chat_request, ask](Box& here, Micros t, NodeEffects& out) {
-      here.node->chat_request(chat_request, ask, t, out);
+      here.node->start_chat_request(chat_request, ask, t, out);
     });
   });
 }
--- a/testing/fleet_simulator/faults.cc
+++ b/testing/fleet_simulator/faults.cc
@@ -260,7 +260,7 @@
       if (!departed) after(lag(millis(200), millis(600)), [this, name] { boot(*boxes[name]); });
     }
     after(seconds(5), [this, stray] {
-      Box* const at_box = pick([&stray](Box const& b) { return b.name != stray && b.node->ready(); });
+      Box* const at_box = pick([&stray](Box const& b) { return b.name != stray && b.node->is_ready(); });
       if (at_box != nullptr && !quiet && at_box->node->chat_dispatcher.drained_zones().empty())
         operate(Change::Type::empty, plan.shape->zones[random.below(plan.shape->zones.size())], 0, *at_box);
     });
--- a/testing/fleet_simulator/judge.cc
+++ b/testing/fleet_simulator/judge.cc
@@ -63,7 +63,7 @@
   for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes) {
     if (!item.second->up()) continue;
     serials.insert(item.second->node->learner.serial());
-    if (!item.second->node->ready()) fault("N12 " + item.first + " is not ready after a quiet while");
+    if (!item.second->node->is_ready()) fault("N12 " + item.first + " is not ready after a quiet while");
   }
   if (serials.size() != 1 && !log_is_muted())
     for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
--- a/testing/fleet_simulator/machines.cc
+++ b/testing/fleet_simulator/machines.cc
@@ -55,7 +55,7 @@
   if (box.role == Role::config_store)
     for (int i = 1; i <= plan.shape->replicas; ++i) p.initial_members.push_back("k" + std::to_string(i));
   p.incarnation = 1000 + process_count;
-  p.chance = hash_bits(plan.seed * 31 + process_count);
+  p.random_seed = hash_bits(plan.seed * 31 + process_count);
   std::optional<wire::RecordT> recovered;
   if (box.role == Role::config_store) {
     // What was being written when the power went may be there, or not.
@@ -217,7 +217,7 @@
       item.connections[link->connection[side]] = {link, side};
       ConnectionId const id = link->connection[side];
       enter(item, item.process_id, [id, side, address](Box& b, Micros t, NodeEffects& out) {
-        b.node->opened(id, side == 0, address, t, out);
+        b.node->connection_opened(id, side == 0, address, t, out);
       });
     });
 }
@@ -234,7 +234,7 @@
     if (!item.up() || item.process_id != link->process_id[to] || link->connection[to] == 0) return;
     item.connections.erase(link->connection[to]);
     ConnectionId const id = link->connection[to];
-    enter(item, item.process_id, [id](Box& b, Micros t, NodeEffects& out) { b.node->shut(id, t, out); });
+    enter(item, item.process_id, [id](Box& b, Micros t, NodeEffects& out) { b.node->connection_closed(id, t, out); });
   });
 }
 
@@ -261,7 +261,7 @@
     ++end.frames;
     enter(item, item.process_id, [this, link, to, bytes](Box& b, Micros t, NodeEffects& out) {
       if (!b.connections.count(link->connection[to])) return;
-      if (!b.node->bytes(link->connection[to], bytes, t, out)) fault("frame: a frame did not verify");
+      if (!b.node->receive_frame(link->connection[to], bytes, t, out)) fault("frame: a frame did not verify");
     });
   });
 }
@@ -276,7 +276,8 @@
     std::string const name = box.name;
     std::uint64_t const process_id = box.process_id;
     after(lag(), [this, name, process_id, id] {
-      enter(*boxes[name], process_id, [id](Box& b, Micros t, NodeEffects& out) { b.node->shut(id, t, out); });
+      enter(*boxes[name], process_id,
+            [id](Box& b, Micros t, NodeEffects& out) { b.node->connection_closed(id, t, out); });
     });
     return;
   }
@@ -292,14 +293,14 @@
     if (!item.up() || item.process_id != process_id) return;
     item.disk = record;
     item.writing.reset();
-    enter(item, process_id, [](Box& b, Micros t, NodeEffects& out) { b.node->disk_done(t, out); });
+    enter(item, process_id, [](Box& b, Micros t, NodeEffects& out) { b.node->record_synced(t, out); });
   });
 }
 
 void World::obey(Box& box, NodeEffects& out) {
   std::string const name = box.name;
   std::uint64_t const process_id = box.process_id;
-  if (out.save) save(box, std::move(*out.save));
+  if (out.record_to_sync) save(box, std::move(*out.record_to_sync));
   for (std::string const& address : out.mesh.dial_addresses) dial(box, address);
   for (ConnectionEffects::OutgoingFrame& send : out.mesh.outgoing_frames)
     carry(box, send.connection, std::move(send.bytes));
@@ -323,7 +324,7 @@
     after(lag(), [this, wish, ran, back] { request_ended(wish, ran, back); });
   }
   for (std::uint64_t const id : out.chat.drops) box.attempts.erase(id);
-  for (Reply const& reply : out.replies) answered(box, reply);
+  for (ChangeReply const& reply : out.replies) answered(box, reply);
   if (out.read_list) {
     bool const mute = (list_down && list_silent) || cut(name, "list");
     bool const odd = list_down || random.chance(0.02);
@@ -336,10 +337,10 @@
         for (std::pair<Micros, std::vector<ListRow>> const& item : list)
           if (item.first <= now - millis(700) || !rows) rows = item.second;
       enter(*boxes[name], process_id,
-            [rows, spoke](Box& b, Micros t, NodeEffects& o) { b.node->list(rows, spoke, t, o); });
+            [rows, spoke](Box& b, Micros t, NodeEffects& o) { b.node->handle_worker_list(rows, spoke, t, o); });
     });
   }
-  for (Check const& check : out.checks) {
+  for (HealthCheck const& check : out.health_checks) {
     WorkerProcess* process = nullptr;
     for (std::pair<std::string const, std::unique_ptr<WorkerProcess>>& item : processes)
       if (item.second->row.address == check.address) process = item.second.get();
@@ -362,8 +363,9 @@
               if (past.first <= now - seconds(1)) v.demand = past.second;
             report = v;
           }
-      enter(*boxes[name], process_id,
-            [check, report, no](Box& b, Micros t, NodeEffects& o) { b.node->health_report(check, report, no, t, o); });
+      enter(*boxes[name], process_id, [check, report, no](Box& b, Micros t, NodeEffects& o) {
+        b.node->handle_health_report(check, report, no, t, o);
+      });
     });
   }
 }
--- a/testing/fleet_simulator/operators.cc
+++ b/testing/fleet_simulator/operators.cc
@@ -40,31 +40,31 @@
     change.text = text;
     change.expected = expected;
     change.id = "c" + std::to_string(id);
-    b.node->operate(id, change, t, out);
+    b.node->submit_change(id, change, t, out);
   });
 }
 
-void World::answered(Box& box, Reply const& reply) {
+void World::answered(Box& box, ChangeReply const& reply) {
   std::map<std::uint64_t, std::unique_ptr<Change_>>::iterator const position = changes.find(reply.id);
   if (position == changes.end() || position->second->over) return;
   Change_& change = *position->second;
   change.over = true;
   change.answered = now;
   Outcome const& outcome = reply.outcome;
-  note(reply.change + " answered " + std::to_string(static_cast<int>(outcome.type)));
+  note(reply.change_id + " answered " + std::to_string(static_cast<int>(outcome.type)));
   bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
   if (outcome.type == Outcome::Type::refused) {
-    refused_changes.insert(reply.change);
+    refused_changes.insert(reply.change_id);
     for (std::pair<std::uint64_t const, std::string> const& seen : serial_change)
-      if (seen.second == reply.change)
-        fault("N8 the refused change " + reply.change + " was in force before its refusal");
+      if (seen.second == reply.change_id)
+        fault("N8 the refused change " + reply.change_id + " was in force before its refusal");
   }
   if (!holds) return;
   std::uint64_t const serial = outcome.value.serial;
   std::uint64_t const own = outcome.serial;
   // Whatever is read or chosen is not older than what was accepted before it was asked for.
   if (serial < change.floor)
-    fault("N9 " + reply.change + " saw serial " + std::to_string(serial) + " after " + std::to_string(change.floor) +
+    fault("N9 " + reply.change_id + " saw serial " + std::to_string(serial) + " after " + std::to_string(change.floor) +
           " was accepted");
   std::map<std::uint64_t, std::string>::const_iterator const seen = serial_change.find(serial);
   if (seen != serial_change.end() && seen->second != outcome.value.change)
@@ -102,9 +102,9 @@
   }
   if (change.type == Change::Type::empty && quiet) {
     end.drained_zones = true;
-    end.unconfirmed = reply.missing;
+    end.unconfirmed = reply.unconfirmed;
   }
-  if (change.type == Change::Type::empty && reply.missing.empty()) {
+  if (change.type == Change::Type::empty && reply.unconfirmed.empty()) {
     // Not when a refill was under way: it may have come after. One of unknown outcome may still come.
     bool undone = false;
     for (std::pair<std::uint64_t const, std::unique_ptr<Change_>> const& other : changes)
--- a/testing/fleet_simulator/world.h
+++ b/testing/fleet_simulator/world.h
@@ -117,7 +117,7 @@
 
   // operators and faults
   void operate(Change::Type type, std::string const& text, std::uint64_t expected, Box& box);
-  void answered(Box& box, Reply const& reply);
+  void answered(Box& box, ChangeReply const& reply);
   void operator_turn();
   void inject_fault();
   static FaultType const* fault_type(std::string const& name);
--- a/testing/quota_simulator/load.cc
+++ b/testing/quota_simulator/load.cc
@@ -48,13 +48,13 @@
   first_limits = limits;
   for (double const limit : limits) history.push_back({Limits{0, limit}});
   world.on_plan = [this](NodePlan& made) {
-    made.revocation = plan.revocation - millis(300);
-    made.quota.window = static_cast<Micros>(window_s * 1e6);
-    made.quota.overshoot = overshoot;
-    made.quota.slack = slack;
+    made.revocation_bound = plan.revocation - millis(300);
+    made.quota_terms.window = static_cast<Micros>(window_s * 1e6);
+    made.quota_terms.overshoot = overshoot;
+    made.quota_terms.slack = slack;
   };
   world.on_dispatch = [this](Machine& machine, DispatchEffects& out) { took(machine, out); };
-  world.on_reply = [this](Machine&, Reply const& reply) {
+  world.on_reply = [this](Machine&, ChangeReply const& reply) {
     std::map<std::uint64_t, std::function<void()>>::iterator const position = waiting.find(reply.id);
     if (position == waiting.end()) return;
     std::function<void()> const done = std::move(position->second);
@@ -100,7 +100,7 @@
   Machine& machine = world.machine(target);
   if (machine.up()) change.expected = machine.node->learner.serial();
   world.enter(target, machine.process,
-              [call, change](Node& node, Micros now, NodeEffects& out) { node.operate(call, change, now, out); });
+              [call, change](Node& node, Micros now, NodeEffects& out) { node.submit_change(call, change, now, out); });
   world.after(seconds(3), [this, call] {
     std::map<std::uint64_t, std::function<void()>>::iterator const position = waiting.find(call);
     if (position == waiting.end()) return;
@@ -148,7 +148,7 @@
     message.slots = 100000;
     message.order = heartbeat_order;
     world.enter(id, machine.process,
-                [message](Node& node, Micros now, NodeEffects& out) { node.heartbeat(message, now, out); });
+                [message](Node& node, Micros now, NodeEffects& out) { node.handle_heartbeat(message, now, out); });
   }
   world.after(heartbeat_interval, [this] { heartbeat(); });
 }
@@ -187,7 +187,7 @@
   MachineId at = random.below(world.size());
   if (crowded && random.chance(0.9)) at = *crowded;
   Machine& machine = world.machine(at);
-  if (!machine.up() || machine.removed || !machine.node->ready()) return;
+  if (!machine.up() || machine.removed || !machine.node->is_ready()) return;
   Sent sent;
   sent.tenant = tenant;
   sent.at = world.now();
@@ -212,7 +212,7 @@
   query.key = key_digest_of(key_of(tenant, !sent.revoked_key && key_revoked[tenant]));
   query.remaining = seconds(3);
   world.enter(at, machine.process,
-              [id, query](Node& node, Micros now, NodeEffects& out) { node.request(id, query, now, out); });
+              [id, query](Node& node, Micros now, NodeEffects& out) { node.start_request(id, query, now, out); });
 }
 
 void Load::took(Machine& machine, DispatchEffects& out) {
--- a/tests/change_traffic.cc
+++ b/tests/change_traffic.cc
@@ -69,7 +69,7 @@
 class Storm {
  public:
   Storm(World& world_, std::size_t routes_) : world(world_), routes(routes_) {
-    world.on_reply = [this](Machine& machine, Reply const& reply) { answered(machine, reply); };
+    world.on_reply = [this](Machine& machine, ChangeReply const& reply) { answered(machine, reply); };
   }
 
   void order() {
@@ -93,11 +93,11 @@
     std::uint64_t const id = ++calls;
     labels[id] = change.label;
     world.enter(machine, world.machine(machine).process,
-                [id, change](Node& node, Micros now, NodeEffects& out) { node.operate(id, change, now, out); });
+                [id, change](Node& node, Micros now, NodeEffects& out) { node.submit_change(id, change, now, out); });
     return id;
   }
 
-  void answered(Machine& machine, Reply const& reply) {
+  void answered(Machine& machine, ChangeReply const& reply) {
     std::map<std::uint64_t, Change>::iterator const reading = readings.find(reply.id);
     if (reading != readings.end()) {
       Change const change = reading->second;
--- a/tests/fleet_traffic.cc
+++ b/tests/fleet_traffic.cc
@@ -38,7 +38,7 @@
  public:
   explicit LoadedFleet(FleetPlan const& plan_) : plan(plan_), world(world_of(plan_)) {
     mute_log(true);
-    world.on_reply = [this](Machine&, Reply const& reply) {
+    world.on_reply = [this](Machine&, ChangeReply const& reply) {
       if (reply.outcome.type != Outcome::Type::chosen) return;
       slowest = std::max(slowest, world.now() - asked[reply.id]);
       ++changes;
@@ -152,7 +152,7 @@
     word.slots = 48;
     word.order = ++worker.order;
     world.enter(worker.home, world.machine(worker.home).process,
-                [word](Node& node, Micros now, NodeEffects& out) { node.heartbeat(word, now, out); });
+                [word](Node& node, Micros now, NodeEffects& out) { node.handle_heartbeat(word, now, out); });
     world.after(heartbeat_interval, [this, number] { heartbeat(number); });
   }
 
@@ -203,7 +203,7 @@
     MachineId const id = world.chance().below(plan.nodes);
     if (!world.machine(id).up()) return;
     world.enter(id, world.machine(id).process,
-                [label, made](Node& node, Micros now, NodeEffects& out) { node.operate(label, made, now, out); });
+                [label, made](Node& node, Micros now, NodeEffects& out) { node.submit_change(label, made, now, out); });
   }
   void changing() {
     change();
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -44,10 +44,10 @@
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeEffects out;
-  node.opened(1, false, "", 0, out);
+  node.connection_opened(1, false, "", 0, out);
   wire::HelloT older = hello("pipit", "b");
   older.format = frame_format - 1;
-  node.bytes(1, encode_body(std::move(older)), 0, out);
+  node.receive_frame(1, encode_body(std::move(older)), 0, out);
   EXPECT_EQ(out.mesh.closed_connections, std::vector<ConnectionId>{1});
   EXPECT_EQ(node.mesh.members.peers.count("b"), 0u);
 }
@@ -70,9 +70,9 @@
       bad[4 + random.below(bad.size() - 4)] = static_cast<char>(random.next());
     Node node(plan(), 0, std::nullopt);
     NodeEffects out;
-    node.opened(1, false, "", 0, out);
-    ASSERT_TRUE(node.bytes(1, encode_body(hello("pipit", "b")), 0, out));
-    if (node.bytes(1, bad, 1, out)) ++taken;  // what still verifies is handled like any frame
+    node.connection_opened(1, false, "", 0, out);
+    ASSERT_TRUE(node.receive_frame(1, encode_body(hello("pipit", "b")), 0, out));
+    if (node.receive_frame(1, bad, 1, out)) ++taken;  // what still verifies is handled like any frame
   }
   EXPECT_LT(taken, 4000);
 }
@@ -81,8 +81,8 @@
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeEffects out;
-  node.opened(1, false, "", 0, out);
-  node.bytes(1, encode_body(hello("other", "b")), 0, out);
+  node.connection_opened(1, false, "", 0, out);
+  node.receive_frame(1, encode_body(hello("other", "b")), 0, out);
   EXPECT_EQ(out.mesh.closed_connections, std::vector<ConnectionId>{1});
   EXPECT_TRUE(node.mesh.members.peers.empty());
 }
@@ -91,12 +91,12 @@
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeEffects out;
-  node.opened(1, true, "10.0.0.2:1", 0, out);  // 'a' sorts first, so its own connection would be kept
-  node.bytes(1, encode_body(hello("pipit", "b")), 0, out);
+  node.connection_opened(1, true, "10.0.0.2:1", 0, out);  // 'a' sorts first, so its own connection would be kept
+  node.receive_frame(1, encode_body(hello("pipit", "b")), 0, out);
   wire::HelloT next = hello("pipit", "b");
   next.self->incarnation = 6;
-  node.opened(2, false, "", millis(10), out);
-  node.bytes(2, encode_body(std::move(next)), millis(10), out);
+  node.connection_opened(2, false, "", millis(10), out);
+  node.receive_frame(2, encode_body(std::move(next)), millis(10), out);
   EXPECT_EQ(node.mesh.members.peers.at("b").connection, 2u);
   EXPECT_EQ(out.mesh.closed_connections, std::vector<ConnectionId>{1});
 }
@@ -105,9 +105,9 @@
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeEffects out;
-  node.opened(1, false, "", 0, out);
-  node.bytes(1, encode_body(hello("pipit", "b")), 0, out);
-  node.shut(1, millis(10), out);
+  node.connection_opened(1, false, "", 0, out);
+  node.receive_frame(1, encode_body(hello("pipit", "b")), 0, out);
+  node.connection_closed(1, millis(10), out);
   out = NodeEffects();
   node.tick(millis(20), out);
   wire::HelloT moved = hello("pipit", "b");
@@ -117,9 +117,9 @@
   update.table.push_back(std::make_unique<wire::MemberT>(*moved.self));
   wire::HelloT third = hello("pipit", "c");
   third.self->address = "10.0.0.3:1";
-  node.opened(2, false, "", millis(30), out);
-  node.bytes(2, encode_body(std::move(third)), millis(30), out);
-  node.bytes(2, encode_body(std::move(update)), millis(40), out);
+  node.connection_opened(2, false, "", millis(30), out);
+  node.receive_frame(2, encode_body(std::move(third)), millis(30), out);
+  node.receive_frame(2, encode_body(std::move(update)), millis(40), out);
   node.dial_failed("10.0.0.2:1", false, millis(900), out);
   out = NodeEffects();
   node.tick(millis(1500), out);
--- a/tests/node/change_forwarder.cc
+++ b/tests/node/change_forwarder.cc
@@ -91,7 +91,7 @@
   fixture.plan.name = "b";  // the proposing replica itself
   EXPECT_FALSE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
   fixture.plan.name = "m";
-  fixture.plan.registered = false;
+  fixture.plan.workers_self_register = false;
   EXPECT_FALSE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
   EXPECT_TRUE(fixture.out.mesh.outgoing_frames.empty());
 }
@@ -120,7 +120,7 @@
   fixture.forwarder.take_reply("b", reply, 0, fixture.out);
   ASSERT_EQ(fixture.out.replies.size(), 1u);
   EXPECT_EQ(fixture.out.replies[0].id, 7u);
-  EXPECT_EQ(fixture.out.replies[0].change, "change-1");
+  EXPECT_EQ(fixture.out.replies[0].change_id, "change-1");
   EXPECT_EQ(fixture.out.replies[0].outcome.type, Outcome::Type::chosen);
 }
 
@@ -170,9 +170,9 @@
   EXPECT_EQ(fixture.proposed[0].change.id, "theirs");
   // What was proposed for another node is never forwarded again.
   EXPECT_FALSE(fixture.forwarder.forward_change(fixture.proposed[0].id, apply_text("new"), 0, fixture.out));
-  Reply own;
+  ChangeReply own;
   own.id = 7;
-  Reply theirs;
+  ChangeReply theirs;
   theirs.id = fixture.proposed[0].id;
   theirs.outcome.type = Outcome::Type::chosen;
   fixture.out.replies = {own, theirs};
--- a/tests/node/list_freshness.cc
+++ b/tests/node/list_freshness.cc
@@ -6,8 +6,8 @@
 namespace pipit {
 
 namespace {
-constexpr Micros isolated_after = millis(1700);
-constexpr Micros rejoin_span = millis(1500);
+constexpr Micros isolation_timeout = millis(1700);
+constexpr Micros rejoin_duration = millis(1500);
 
 class ListFreshnessTest : public testing::Test {
  protected:
@@ -40,8 +40,8 @@
 TEST_F(ListFreshnessTest, NodeThatIsCutOffIsUpToDateForAWhileAfterAReading) {
   cut_off();
   freshness.note_reading(seconds(10));
-  EXPECT_TRUE(freshness.update(seconds(10) + isolated_after));
-  EXPECT_FALSE(freshness.update(seconds(10) + isolated_after + 1));
+  EXPECT_TRUE(freshness.update(seconds(10) + isolation_timeout));
+  EXPECT_FALSE(freshness.update(seconds(10) + isolation_timeout + 1));
   freshness.note_peer_age(0, seconds(20));
   EXPECT_TRUE(freshness.update(seconds(20)));
 }
@@ -51,16 +51,16 @@
   freshness.note_reading(seconds(10));
   freshness.note_source_failure(seconds(11));
   EXPECT_TRUE(freshness.update(seconds(11)));
-  EXPECT_TRUE(freshness.update(seconds(11) + isolated_after));
-  EXPECT_FALSE(freshness.update(seconds(11) + isolated_after + 1));
+  EXPECT_TRUE(freshness.update(seconds(11) + isolation_timeout));
+  EXPECT_FALSE(freshness.update(seconds(11) + isolation_timeout + 1));
   freshness.note_source_failure(seconds(13));
   EXPECT_FALSE(freshness.update(seconds(13))) << "marks may have been missed in between";
 }
 
 TEST_F(ListFreshnessTest, NodeThatHearsHalfOfTheMembersForAWhileIsUpToDateWithoutAReading) {
   EXPECT_FALSE(freshness.update(seconds(10)));
-  EXPECT_FALSE(freshness.update(seconds(10) + rejoin_span));
-  EXPECT_TRUE(freshness.update(seconds(10) + rejoin_span + 1));
+  EXPECT_FALSE(freshness.update(seconds(10) + rejoin_duration));
+  EXPECT_TRUE(freshness.update(seconds(10) + rejoin_duration + 1));
 }
 
 TEST_F(ListFreshnessTest, TimeOfHearingHalfBeginsAgainAfterACut) {
@@ -69,8 +69,8 @@
   EXPECT_FALSE(freshness.update(seconds(11)));
   mesh.members.peers.clear();
   EXPECT_FALSE(freshness.update(seconds(12)));
-  EXPECT_FALSE(freshness.update(seconds(12) + rejoin_span));
-  EXPECT_TRUE(freshness.update(seconds(12) + rejoin_span + 1));
+  EXPECT_FALSE(freshness.update(seconds(12) + rejoin_duration));
+  EXPECT_TRUE(freshness.update(seconds(12) + rejoin_duration + 1));
 }
 
 }  // namespace pipit
--- a/tests/node/replica_fixture.h
+++ b/tests/node/replica_fixture.h
@@ -23,8 +23,8 @@
   explicit ReplicaFixture(bool registered = true) {
     plan.name = "a";
     plan.address = "host-a";
-    plan.registered = registered;
-    plan.replica = true;
+    plan.workers_self_register = registered;
+    plan.is_replica = true;
     wire::RecordT record;
     record.disk = 1;
     acceptor.emplace(std::move(record));
--- a/tests/operators.cc
+++ b/tests/operators.cc
@@ -26,7 +26,7 @@
     plan.seed = seed;
     world.emplace(plan);
     answers.clear();
-    world->on_reply = [this](Machine&, Reply const& reply) { answers[reply.id] = reply.outcome; };
+    world->on_reply = [this](Machine&, ChangeReply const& reply) { answers[reply.id] = reply.outcome; };
     world->boot_all(true);
     world->run_until(seconds(8));
     send(first_order, plain_machine, replace_change(0, 1, text_of("first")));
@@ -40,7 +40,7 @@
 
   void send(std::uint64_t id, MachineId machine, Change const& change) {
     world->enter(machine, world->machine(machine).process,
-                 [id, change](Node& node, Micros now, NodeEffects& out) { node.operate(id, change, now, out); });
+                 [id, change](Node& node, Micros now, NodeEffects& out) { node.submit_change(id, change, now, out); });
   }
 
   void restart(MachineId machine) {
@@ -58,7 +58,7 @@
   NodePlan plan;
   plan.name = name;
   plan.incarnation = incarnation;
-  plan.chance = incarnation ^ hash_text(name);  // as the shells have it
+  plan.random_seed = incarnation ^ hash_text(name);  // as the shells have it
   Node node(plan, 0, std::nullopt);
   Membership members;
   members.epoch = 1;
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -87,27 +87,27 @@
   EXPECT_EQ(plan.value().node.seeds, (std::vector<std::string>{"127.0.0.2:7100", "127.0.0.3:7100"}));
   EXPECT_EQ(plan.value().grace, millis(2500));
   EXPECT_EQ(plan.value().node.heartbeat_interval, millis(700));
-  EXPECT_LE(plan.value().node.resend_ratio, 0.4);
-  EXPECT_LE(plan.value().node.resend_store, 10);
-  EXPECT_FALSE(plan.value().node.replica);
+  EXPECT_LE(plan.value().node.retry_budget_ratio, 0.4);
+  EXPECT_LE(plan.value().node.retry_budget_limit, 10);
+  EXPECT_FALSE(plan.value().node.is_replica);
   fields["data_directory"] = "/anywhere";
-  EXPECT_TRUE(plan_from(fields).value().node.replica);
+  EXPECT_TRUE(plan_from(fields).value().node.is_replica);
 }
 
 TEST(Settings, keys_and_limits_have_the_deployments_bounds) {
   Fields fields = good_fields();
   fields["bounds.revocation_ms"] = "5000";
-  EXPECT_EQ(plan_from(fields).value().node.revocation, 0) << "only where it binds machines that are cut off";
+  EXPECT_EQ(plan_from(fields).value().node.revocation_bound, 0) << "only where it binds machines that are cut off";
   fields["bounds.revocation_closed"] = "true";
   fields["bounds.quota_window_s"] = "8";
   fields["bounds.quota_overshoot"] = "0.1";
   fields["bounds.quota_slack"] = "140000";
   NodePlan const node = plan_from(fields).value().node;
-  EXPECT_GT(node.revocation, seconds(4));
-  EXPECT_LT(node.revocation, seconds(5));
-  EXPECT_EQ(node.quota.window, seconds(8));
-  EXPECT_EQ(node.quota.overshoot, 0.1);
-  EXPECT_EQ(node.quota.slack, 140000);
+  EXPECT_GT(node.revocation_bound, seconds(4));
+  EXPECT_LT(node.revocation_bound, seconds(5));
+  EXPECT_EQ(node.quota_terms.window, seconds(8));
+  EXPECT_EQ(node.quota_terms.overshoot, 0.1);
+  EXPECT_EQ(node.quota_terms.slack, 140000);
 }
 
 // The platform reads the port in the deploy file, the process listens at the one in its words.
--- a/tests/station.cc
+++ b/tests/station.cc
@@ -13,7 +13,7 @@
     NodeServerPlan plan;
     plan.node.name = "n1";
     plan.node.zone = "a";
-    plan.node.registered = true;
+    plan.node.workers_self_register = true;
     plan.node.address = free_address();
     plan.node.seeds = {plan.node.address};
     plan.control = free_address();
--- a/tests/wide.cc
+++ b/tests/wide.cc
@@ -23,13 +23,13 @@
       plan.zone = "z" + std::to_string(i % zones);
       plan.address = "10.0.0." + std::to_string(i + 1) + ":7000";
       for (std::size_t s = 0; s < 3; ++s) plan.seeds.push_back("10.0.0." + std::to_string(s + 1) + ":7000");
-      plan.registered = true;
+      plan.workers_self_register = true;
       plan.first_start = true;
-      plan.replica = i < replicas;
-      plan.chance = i + 1;
+      plan.is_replica = i < replicas;
+      plan.random_seed = i + 1;
       plan.incarnation = 1000 + i;
       std::optional<wire::RecordT> recovered;
-      if (plan.replica) {
+      if (plan.is_replica) {
         recovered.emplace();
         recovered->cluster = plan.cluster;
         recovered->name = plan.name;
@@ -52,7 +52,7 @@
         ++frames;
         bytes += item.bytes.size();
         NodeEffects out;
-        if (!nodes[item.to]->bytes(item.connection, item.bytes, now, out)) shut(item.connection);
+        if (!nodes[item.to]->receive_frame(item.connection, item.bytes, now, out)) shut(item.connection);
         act(item.to, out);
       }
       now = next;
@@ -66,7 +66,7 @@
   }
 
   void act(std::size_t from, NodeEffects& out) {
-    if (out.save) saves.push_back(from);
+    if (out.record_to_sync) saves.push_back(from);
     for (std::string const& address : out.mesh.dial_addresses) dial(from, address);
     for (ConnectionEffects::OutgoingFrame& send : out.mesh.outgoing_frames) {
       std::map<ConnectionId, std::pair<std::size_t, std::size_t>>::const_iterator const position =
@@ -76,19 +76,19 @@
       mail.push_back({now + way, to, send.connection, std::move(send.bytes)});
     }
     for (ConnectionId const id : out.mesh.closed_connections) shut(id, from);
-    for (Reply& item : out.replies) replies[from].push_back(std::move(item));
+    for (ChangeReply& item : out.replies) replies[from].push_back(std::move(item));
     while (!saves.empty()) {
       std::size_t const who = saves.back();
       saves.pop_back();
       NodeEffects more;
-      nodes[who]->disk_done(now, more);
+      nodes[who]->record_synced(now, more);
       act(who, more);
     }
   }
 
   void heartbeat(std::size_t node, Heartbeat const& word) {
     NodeEffects out;
-    nodes[node]->heartbeat(word, now, out);
+    nodes[node]->handle_heartbeat(word, now, out);
     act(node, out);
   }
 
@@ -106,14 +106,14 @@
     NodePlan plan = nodes[node]->plan;
     plan.first_start = false;
     plan.incarnation += 1000;
-    plan.chance += 1000;
+    plan.random_seed += 1000;
     nodes[node] = std::make_unique<Node>(plan, now, std::nullopt);
     removed.erase(node);
   }
 
   Micros now = seconds(10);
   std::vector<std::unique_ptr<Node>> nodes;
-  std::vector<std::vector<Reply>> replies;
+  std::vector<std::vector<ChangeReply>> replies;
   // Puts an empty configuration in force.
   void configure(std::uint64_t label) {
     Change change;
@@ -122,7 +122,7 @@
     change.label = label;
     change.id = "configure-" + std::to_string(label);
     NodeEffects out;
-    nodes[0]->operate(label, change, now, out);
+    nodes[0]->submit_change(label, change, now, out);
     act(0, out);
   }
 
@@ -146,10 +146,10 @@
     }
     ConnectionId const id = ++connections;
     ends[id] = {from, to->second};
-    nodes[from]->opened(id, true, address, now, out);
+    nodes[from]->connection_opened(id, true, address, now, out);
     act(from, out);
     NodeEffects other;
-    nodes[to->second]->opened(id, false, "", now, other);
+    nodes[to->second]->connection_opened(id, false, "", now, other);
     act(to->second, other);
   }
   void shut(ConnectionId id, std::size_t but = SIZE_MAX) {
@@ -160,7 +160,7 @@
     for (std::size_t const who : {both.first, both.second}) {
       if (who == but) continue;
       NodeEffects out;
-      nodes[who]->shut(id, now, out);
+      nodes[who]->connection_closed(id, now, out);
       act(who, out);
     }
   }
@@ -269,7 +269,7 @@
   change.expected = 0;
   change.label = 7;
   NodeEffects out;
-  field.nodes[31]->operate(1, change, field.now, out);
+  field.nodes[31]->submit_change(1, change, field.now, out);
   field.act(31, out);
   field.run(millis(900));
   ASSERT_EQ(field.replies[31].size(), 1u);
@@ -294,7 +294,7 @@
     change.label = 10 + n;
     change.id = "change-" + std::to_string(n);
     NodeEffects out;
-    field.nodes[9 + n]->operate(1, change, field.now, out);
+    field.nodes[9 + n]->submit_change(1, change, field.now, out);
     field.act(9 + n, out);
   }
   field.run(millis(900));
@@ -311,7 +311,7 @@
   change.label = 100;
   change.id = "later";
   NodeEffects out;
-  field.nodes[20]->operate(2, change, field.now, out);
+  field.nodes[20]->submit_change(2, change, field.now, out);
   field.act(20, out);
   field.run(millis(1800));
   ASSERT_EQ(field.replies[20].size(), 1u);
@@ -335,7 +335,7 @@
   change.label = 2;
   change.id = "order";
   NodeEffects out;
-  node.operate(7, change, field.now, out);
+  node.submit_change(7, change, field.now, out);
   field.act(20, out);
   field.run(millis(500));  // before the node would propose it by itself
   ASSERT_EQ(field.replies[20].size(), 1u);
@@ -361,11 +361,12 @@
     field.heartbeat(1, word_of("w", order));
   }
   NodeEffects out;
-  EXPECT_FALSE(field.nodes[5]->heartbeat(word_of("w", 6), field.now, out)) << "the worker is to call the next node";
+  EXPECT_FALSE(field.nodes[5]->handle_heartbeat(word_of("w", 6), field.now, out))
+      << "the worker is to call the next node";
   EXPECT_EQ(field.nodes[5]->registry.find("w")->owner, field.nodes[1]->plan.name);
   EXPECT_EQ(field.nodes[5]->registry.find("w")->standing, WorkerState::serving) << "its own callers are served on";
   NodeEffects other;
-  EXPECT_TRUE(field.nodes[2]->heartbeat(word_of("w", 7), field.now, other));
+  EXPECT_TRUE(field.nodes[2]->handle_heartbeat(word_of("w", 7), field.now, other));
 }
 
 // A worker and the node that heard it are lost together: nobody else counts its heartbeats, and requests went there for
@@ -404,7 +405,7 @@
   field.run(seconds(2));
   field.restart(8);
   field.run(seconds(1));
-  EXPECT_TRUE(field.nodes[8]->ready());
+  EXPECT_TRUE(field.nodes[8]->is_ready());
 }
 
 }  // namespace pipit
--- a/tests/worker_ends.cc
+++ b/tests/worker_ends.cc
@@ -18,23 +18,23 @@
     NodePlan plan;
     plan.name = "n2";
     plan.zone = "a";
-    plan.registered = true;
+    plan.workers_self_register = true;
     plan.address = address;
     plan.seeds = {seed};
-    plan.chance = 5;
+    plan.random_seed = 5;
     node = std::make_unique<Node>(plan, g_get_monotonic_time(), std::nullopt);
     Connections::Callbacks callbacks;
     callbacks.opened = [this](ConnectionId id, bool outbound, std::string const& to) {
-      step([&](NodeEffects& out) { node->opened(id, outbound, to, g_get_monotonic_time(), out); });
+      step([&](NodeEffects& out) { node->connection_opened(id, outbound, to, g_get_monotonic_time(), out); });
     };
     callbacks.shut = [this](ConnectionId id) {
-      step([&](NodeEffects& out) { node->shut(id, g_get_monotonic_time(), out); });
+      step([&](NodeEffects& out) { node->connection_closed(id, g_get_monotonic_time(), out); });
     };
     callbacks.failed = [this](std::string const& to, bool refused) {
       step([&](NodeEffects& out) { node->dial_failed(to, refused, g_get_monotonic_time(), out); });
     };
     callbacks.frame = [this](ConnectionId id, std::string_view frame) {
-      if (!deaf) step([&](NodeEffects& out) { node->bytes(id, frame, g_get_monotonic_time(), out); });
+      if (!deaf) step([&](NodeEffects& out) { node->receive_frame(id, frame, g_get_monotonic_time(), out); });
       return true;
     };
     connections = std::make_unique<Connections>(std::move(callbacks));
@@ -81,10 +81,10 @@
     NodeServerPlan plan;
     plan.node.name = "n1";
     plan.node.zone = "a";
-    plan.node.registered = true;
+    plan.node.workers_self_register = true;
     plan.node.address = free_address();
     plan.node.seeds = {plan.node.address, peer_address};
-    plan.node.chance = 3;
+    plan.node.random_seed = 3;
     plan.control = free_address();
     address = plan.control;
     peer = std::make_unique<PeerNode>(peer_address, plan.node.address);
