--- a/src/node/node.h
+++ b/src/node/node.h
@@ -44,7 +44,7 @@
   // 'recovered' is the replica's record from its disk; without one this node is no replica.
   Node(NodePlan initial_plan, Micros now, std::optional<wire::RecordT> recovered);
 
-  // Runs everything that is due. Called every few milliseconds.
+  // Runs everything that is due; to be called several times a second.
   void tick(Micros now, NodeEffects& out);
   // Notices that the process was suspended: what the node knew is then out of date until it is confirmed again (§6.7).
   // The other calls do this themselves before anything else.
@@ -53,16 +53,16 @@
   // A connection to a peer was opened; 'address' is the one that was dialled, empty for an inbound connection.
   void connection_opened(ConnectionId id, bool outbound, std::string const& address, Micros now, NodeEffects& out);
   void connection_closed(ConnectionId id, Micros now, NodeEffects& out);
-  // 'refused': the peer's host answered that nothing listens at the address.
+  // 'refused': the peer's host refused the connection.
   void dial_failed(std::string const& address, bool refused, Micros now, NodeEffects& out);
   // Handles a frame from a peer. False if the bytes are not a valid frame; the caller then closes the connection.
   bool receive_frame(ConnectionId id, std::string_view frame, Micros now, NodeEffects& out);
 
   // The record of NodeEffects::record_to_sync is on disk.
   void record_synced(Micros now, NodeEffects& out);
-  // Takes the result of reading the platform's list of workers, nullopt if that failed. 'source_failed': it failed
-  // because the list's own address refused the connection or gave a malformed answer.
-  void handle_worker_list(std::optional<std::vector<ListRow>> const& rows, bool source_failed, Micros now,
+  // Takes the result of reading the platform's list of workers, nullopt if that failed. 'source_answered': the list's
+  // address refused the connection or sent something, so that a failure is the list's own, not that of a cut network.
+  void handle_worker_list(std::optional<std::vector<ListRow>> const& rows, bool source_answered, Micros now,
                           NodeEffects& out);
   // Takes the result of a health check, nullopt if it failed. 'refused': the worker's host refused the connection.
   void handle_health_report(HealthCheck const& check, std::optional<HealthReport> const& report, bool refused,
@@ -80,8 +80,8 @@
 
   // Routed requests and self-registered workers (§12).
   void start_request(std::uint64_t id, Query query, Micros now, NodeEffects& out);
-  // An attempt of a routed request ended; 'elsewhere': the next attempt must go to another worker.
-  void attempt_ended(std::uint64_t id, AttemptEnd end, bool elsewhere, Micros now, NodeEffects& out);
+  // An attempt of a routed request ended; 'wrong_instance': another instance answers at the worker's address.
+  void attempt_ended(std::uint64_t id, AttemptEnd end, bool wrong_instance, Micros now, NodeEffects& out);
   // Takes a worker's heartbeat. False if this node cannot pass it on to the others: the worker should call another
   // node, although the heartbeat may count here.
   bool handle_heartbeat(Heartbeat const& heartbeat, Micros now, NodeEffects& out);
@@ -95,7 +95,7 @@
   void start_chat_request(std::uint64_t id, Ask ask, Micros now, NodeEffects& out);
   void chat_attempt_sent(std::uint64_t id) { chat_dispatcher.sent(id); }
   void chat_attempt_began(std::uint64_t id) { chat_dispatcher.began(id); }
-  // 'retry_after': the delay that the worker asked for.
+  // 'why' describes a failure for the log; 'retry_after' is the delay that the worker named in its refusal.
   void chat_attempt_ended(std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros retry_after, Micros now,
                           NodeEffects& out);
   // The client of a chat request closed its connection.
--- a/src/node/node_registered_workers.cc
+++ b/src/node/node_registered_workers.cc
@@ -1,4 +1,5 @@
-// A node whose workers register themselves: their words, routed requests, and what nodes tell of both (§12).
+// Methods of Node for workers that register themselves: heartbeats, routed requests, quota, and the reports on both
+// that nodes exchange (§12).
 #include <algorithm>
 
 #include "base/events.h"
@@ -10,9 +11,9 @@
 namespace {
 constexpr Micros default_poll_interval = millis(500);
 constexpr Micros large_fleet_replica_poll_interval = seconds(1);
-constexpr Micros large_fleet_poll_interval = seconds(3);  // where pings bring news of revisions already
+constexpr Micros large_fleet_poll_interval = seconds(3);  // pings announce revisions already
 constexpr Micros adoption_interval = seconds(1);
-constexpr Micros unknown_owner_grace = seconds(10);  // longer than a node needs to meet all others
+constexpr Micros unknown_owner_grace = seconds(10);  // longer than a node needs to connect to all others
 }  // namespace
 
 void Node::publish_entry(wire::EntryT entry, Micros now, NodeEffects& out) {
@@ -21,15 +22,15 @@
 
 bool Node::handle_heartbeat(Heartbeat const& heartbeat, Micros now, NodeEffects& out) {
   detect_clock_jump(now);
-  bool const heard = worker_departures_.is_connected(now);
-  // The others know the worker by another node, which goes on hearing it: nothing of that is taken over here, where
-  // nobody would hear of it.
-  if (!heard && !heartbeat.leaving && registry.hear(heartbeat, now)) return false;
+  bool const connected = worker_departures_.is_connected(now);
+  // Another node owns the worker and still receives its heartbeats. A node that is cut off does not take the worker
+  // over, since the others would not learn of it.
+  if (!connected && !heartbeat.leaving && registry.hear(heartbeat, now)) return false;
   if (std::optional<wire::EntryT> entry = registry.heartbeat(heartbeat, now))
     publish_entry(std::move(*entry), now, out);
   apply_updated_entries(now);
   update_readiness(now, out);
-  return heard;
+  return connected;
 }
 
 void Node::worker_left(std::string const& id, std::uint64_t call_sequence, Micros now, NodeEffects& out) {
@@ -57,28 +58,29 @@
   send_messages(outgoing, now, out);
 }
 
-void Node::attempt_ended(std::uint64_t id, AttemptEnd end, bool elsewhere, Micros now, NodeEffects& out) {
+void Node::attempt_ended(std::uint64_t id, AttemptEnd end, bool wrong_instance, Micros now, NodeEffects& out) {
   detect_clock_jump(now);
-  dispatcher.ended(id, end, elsewhere, now, out.dispatch);
+  dispatcher.ended(id, end, wrong_instance, now, out.dispatch);
   process_quota(now, out);
 }
 
 void Node::send_reports(Micros now, NodeEffects& out) {
-  if (mesh.is_large_fleet()) return;  // words of many nodes wait for the tick, so that more of them go together
+  if (mesh.is_large_fleet()) return;  // reports wait for the tick, so that more of them share a message
   std::vector<OutgoingMessage> outgoing;
   exchange.tick(now, exchange_topology_.compute_paths(), outgoing);
   send_messages(outgoing, now, out);
 }
 
-// §12.7: a replica brings a chosen value to its part of its zone's other nodes.
+// §12.7: the replicas of a zone divide the zone's other nodes among themselves; each forwards a chosen value to its
+// share.
 void Node::forward_to_zone(wire::ChosenT const& update, NodeEffects& out) {
   if (!plan.is_replica) return;
-  std::vector<std::string> hands{plan.name};
+  std::vector<std::string> forwarders{plan.name};
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.member.replica && item.second.member.zone == plan.zone && item.second.connection != 0 &&
         item.second.state() == State::alive)
-      hands.push_back(item.first);
-  std::sort(hands.begin(), hands.end());
+      forwarders.push_back(item.first);
+  std::sort(forwarders.begin(), forwarders.end());
   wire::ChosenT copy;
   copy.request_id = update.request_id;
   copy.origin = update.origin;
@@ -89,7 +91,7 @@
     Peer const& peer = item.second;
     if (peer.connection == 0 || peer.member.replica || item.first == update.origin) continue;
     if (peer.member.zone == plan.zone &&
-        rendezvous(item.first, std::set<std::string>(hands.begin(), hands.end())) == plan.name)
+        rendezvous(item.first, std::set<std::string>(forwarders.begin(), forwarders.end())) == plan.name)
       out.mesh.outgoing_frames.push_back({peer.connection, bytes});
   }
 }
@@ -100,34 +102,35 @@
   return acceptor ? large_fleet_replica_poll_interval : large_fleet_poll_interval;
 }
 
-// A worker whose owner is gone would stay for good if it is lost too: the first of the nodes that are there, in the
-// worker's rendezvous order, takes it over, and ends it if it says nothing there either. One that is alive calls
-// another node meanwhile, which owns it by then. Whoever hears too few others takes nothing over: it may be the one
-// that is gone.
+// A worker that is lost together with its owner would stay in the table for good. The first alive node in the worker's
+// rendezvous order therefore adopts it, and ends it if no heartbeat arrives there either. A worker that is alive calls
+// another node meanwhile, which then owns it. A node that is connected to too few others adopts nothing: it may itself
+// be the one that is cut off.
 void Node::adopt_workers(Micros now, NodeEffects& out) {
   next_adoption_ = now + adoption_interval;
   if (draining_ || !worker_departures_.is_connected(now)) return;
-  std::set<std::string> const here = known_routers(false);
+  std::set<std::string> const alive = known_routers(false);
   for (std::pair<std::string const, Instance> const& item : registry.all) {
     Instance const& at = item.second;
-    if (at.standing == WorkerState::ended || here.count(at.owner) > 0) continue;
+    if (at.standing == WorkerState::ended || alive.count(at.owner) > 0) continue;
     std::map<std::string, Peer>::const_iterator const owner = mesh.members.peers.find(at.owner);
-    bool const met = owner != mesh.members.peers.end();
-    // A node that is new has not met everybody yet.
-    Micros const gone_for =
-        met ? now - owner->second.state_since : now - std::max(started_at_, at.known) - unknown_owner_grace;
-    if (gone_for < plan.heartbeat_interval * 2) continue;
-    if (rendezvous(item.first, here) != plan.name) continue;
+    bool const owner_known = owner != mesh.members.peers.end();
+    // A node that has just started is not connected to all others yet, and may not know the owner.
+    Micros const absent_for =
+        owner_known ? now - owner->second.state_since : now - std::max(started_at_, at.known) - unknown_owner_grace;
+    if (absent_for < plan.heartbeat_interval * 2) continue;
+    if (rendezvous(item.first, alive) != plan.name) continue;
     publish_entry(registry.adopt(item.first, now), now, out);
   }
 }
 
 void Node::tick_registered_workers(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out) {
-  Paths const ways = exchange_topology_.compute_paths();
-  // §12.7: an owner tells every peer itself; a hub tells its zone besides, for pairs that have no connection.
-  mesh.entry_replication.forward_to_all = !ways.wide;
+  Paths const paths = exchange_topology_.compute_paths();
+  // §12.7: an owner sends its entries to every peer itself; a hub also forwards them within its zone, for pairs of
+  // nodes that have no connection.
+  mesh.entry_replication.forward_to_all = !paths.wide;
   mesh.entry_replication.forward_to.clear();
-  if (ways.hub) mesh.entry_replication.forward_to.insert(ways.zone.begin(), ways.zone.end());
+  if (paths.hub) mesh.entry_replication.forward_to.insert(paths.zone.begin(), paths.zone.end());
   if (now >= next_index_round_) {
     next_index_round_ = now + seconds(1);
     index_sync.round(
@@ -135,7 +138,7 @@
   }
   index_sync.tick(now, index_peers(), outgoing);
   if (now >= next_reconcile_) {
-    // §4.4: what the entry table holds and the table lost.
+    // §4.4: restores workers that are in the entry table but missing from the registry.
     next_reconcile_ = now + seconds(30);
     for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.all())
       if (registry.find(item.first) == nullptr) registry.take_entry(item.second, now);
@@ -150,7 +153,7 @@
   quota_authority_.tick(now, outgoing);
   dispatcher.tick(now, out.dispatch);
   process_quota(now, out);
-  exchange.tick(now, ways, outgoing);
+  exchange.tick(now, paths, outgoing);
 }
 
 }  // namespace pipit
--- a/src/node/node_registration.cc
+++ b/src/node/node_registration.cc
@@ -1,4 +1,5 @@
-// Registrations of router nodes in the register (§5.9), and how old a node's knowledge of the list is (§4.3).
+// Methods of Node for its registration as a router node (§5.9), for catching up on newer values (§5.5) and for the age
+// of its knowledge of the list of workers (§4.3).
 #include <algorithm>
 
 #include "base/events.h"
@@ -22,8 +23,9 @@
   if (router_registrations_.apply_register(now, out.mesh)) update_dispatch_hold();
 }
 
-// §5.5: peers announce a newer revision than is held here, or a patch waits for its base, and no push or poll has
-// brought it: one of them is asked, so that a chosen value gets round though its proposer and the replicas are gone.
+// §5.5: requests the newer value from one peer if peers announce a newer revision than this node holds, or a patch
+// waits for its base, and neither a push nor a poll has brought it. A chosen value thus reaches all nodes even if its
+// proposer and the replicas are down.
 void Node::request_newer_value(Micros now, std::vector<OutgoingMessage>& outgoing) {
   bool const behind = std::any_of(
       mesh.members.peers.begin(), mesh.members.peers.end(), [this](std::pair<std::string const, Peer> const& item) {
@@ -36,16 +38,16 @@
   if (!overdue && !catch_up_.is_stuck(now)) return;
   std::string const peer = catch_up_.select_peer(learner.revision(), now);
   if (peer.empty()) return;
-  wire::CatchUpRequestT ask;
-  ask.revision = learner.revision();
-  outgoing.push_back(message_to(peer, std::move(ask)));
+  wire::CatchUpRequestT request;
+  request.revision = learner.revision();
+  outgoing.push_back(message_to(peer, std::move(request)));
 }
 
 void Node::update_dispatch_hold() {
   if (plan.role != Role::router) return;
   dispatcher.hold(stale_since_ >= 0);
-  bool const lost = ready_ && router_registrations_.is_evicted();
-  chat_dispatcher.hold(stale_since_ >= 0 || lost);
+  bool const evicted = ready_ && router_registrations_.is_evicted();
+  chat_dispatcher.hold(stale_since_ >= 0 || evicted);
 }
 
 bool Node::is_unconfirmed(PendingConfirmation const& pending, std::string const& name) const {
@@ -53,7 +55,7 @@
 }
 
 void Node::note_peer_list_age(Micros age, Micros now) {
-  // What lay in a connection while this node stood still is older than it says.
+  // A message that waited in a connection while this process was suspended is older than the age that it states.
   if (stale_since_ < 0) list_freshness_.note_peer_age(age, now);
 }
 
--- a/src/node/node_worker_list.cc
+++ b/src/node/node_worker_list.cc
@@ -1,5 +1,5 @@
-// A router node where the platform has a list of workers (§4): readings of the list, workers' health, entries that this
-// node owns, and requests of callers in its chat requests.
+// Methods of Node for router nodes whose platform has a list of workers (§4): reading the list, health checks, the
+// entries that this node owns, and chat requests.
 #include <algorithm>
 
 #include "base/events.h"
@@ -14,7 +14,7 @@
 constexpr Micros load_report_interval = millis(200);
 }  // namespace
 
-// What a router node does each turn where the platform has a list of workers.
+// The periodic work of a router node whose platform has a list of workers.
 void Node::tick_worker_list(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out) {
   if (now >= next_index_round_) {
     next_index_round_ = now + seconds(1);
@@ -41,8 +41,8 @@
     if (worker.standing == WorkerState::ended || health_checks_in_flight_.count(item.first)) continue;
     if (now >= next_health_check_[item.first]) start_health_check(item.first, now, out);
   }
-  // §6.6: the share of a cold worker's bound counts every node that is known, DOWN ones too, so that a cut never
-  // raises the sum.
+  // §6.6: a cold worker's limit is divided among all known nodes, including those that are down, so that a network
+  // partition never raises the sum of the shares.
   std::set<std::string> names = known_routers(true);
   if (learner.value)
     for (std::unique_ptr<wire::RouterRegistrationT> const& registration : learner.value->registrations)
@@ -54,23 +54,23 @@
   senders.erase(plan.name);
   fleet.sum_others(senders, now);
   update_readiness(now, out);
-  bool const alone = guard(Guard::isolation) && !list_freshness_.update(now);
-  if (ready_ && alone != isolated_) {
-    isolated_ = alone;
-    log_event(alone ? Event::node_isolated : Event::node_rejoined, "");
+  bool const isolated = guard(Guard::isolation) && !list_freshness_.update(now);
+  if (ready_ && isolated != isolated_) {
+    isolated_ = isolated;
+    log_event(isolated ? Event::node_isolated : Event::node_rejoined, "");
   }
   chat_dispatcher.ready(ready_ && !isolated_);
   chat_dispatcher.work(now, out.chat);
   start_requested_health_checks(now, out);
 }
 
-void Node::handle_worker_list(std::optional<std::vector<ListRow>> const& rows, bool source_failed, Micros now,
+void Node::handle_worker_list(std::optional<std::vector<ListRow>> const& rows, bool source_answered, Micros now,
                               NodeEffects& out) {
   detect_clock_jump(now);
   list_read_in_flight_ = false;
   if (!rows) {
-    // A failed reading is no departure.
-    if (source_failed) list_freshness_.note_source_failure(now);
+    // A failed reading does not mean that workers have left.
+    if (source_answered) list_freshness_.note_source_failure(now);
     if (!list_failing_) log_event(Event::list_failed, "");
     list_failing_ = true;
     return;
@@ -78,7 +78,7 @@
   if (list_failing_) log_event(Event::list_recovered, "");
   list_failing_ = false;
   fleet.take_list(*rows, now);
-  // What this reading began before a jump of the clock says nothing about the time after it.
+  // A reading that began before a clock jump does not show the list as it was after the jump.
   if (stale_since_ < 0 || list_read_started_at_ >= stale_since_) {
     last_list_read_at_ = list_read_started_at_;
     list_freshness_.note_reading(last_list_read_at_);
@@ -102,24 +102,27 @@
 void Node::publish_own_entries(Micros now, NodeEffects& out) {
   if (plan.role != Role::router || last_list_read_at_ < 0 || now - last_list_read_at_ > seconds(5) || draining_) return;
   std::set<std::string> const names = known_routers(false);
-  std::set<std::string> mine;
+  std::set<std::string> owned;
   for (std::pair<std::string const, Worker> const& item : fleet.workers)
-    if (rendezvous(item.first, names) == plan.name) mine.insert(item.first);
-  bool any = false;
-  for (wire::EntryT& entry : fleet.entries_for(mine)) any = mesh.put_entry(std::move(entry), now) || any;
-  // §4.3: the owner may have missed a mark that this node read. Then this node says so under a key of its own.
+    if (rendezvous(item.first, names) == plan.name) owned.insert(item.first);
+  bool changed = false;
+  for (wire::EntryT& entry : fleet.entries_for(owned)) changed = mesh.put_entry(std::move(entry), now) || changed;
+  // §4.3: the owner may have missed a departure mark that this node read. This node then publishes the mark under a
+  // separate key.
   std::set<std::string> marked;
   for (std::pair<std::string const, Worker> const& item : fleet.workers) {
-    std::map<std::string, wire::EntryT>::const_iterator const said = mesh.entry_table.all().find(item.first);
-    bool const told = said != mesh.entry_table.all().end() && said->second.incarnation >= item.second.row.incarnation &&
-                      said->second.state != static_cast<std::uint8_t>(WorkerState::serving);
-    if (item.second.standing != WorkerState::serving && !told && !mine.count(item.first)) marked.insert(item.first);
+    std::map<std::string, wire::EntryT>::const_iterator const entry = mesh.entry_table.all().find(item.first);
+    bool const published = entry != mesh.entry_table.all().end() &&
+                           entry->second.incarnation >= item.second.row.incarnation &&
+                           entry->second.state != static_cast<std::uint8_t>(WorkerState::serving);
+    if (item.second.standing != WorkerState::serving && !published && !owned.count(item.first))
+      marked.insert(item.first);
   }
   for (wire::EntryT& entry : fleet.entries_for(marked)) {
     entry.key += "!" + plan.name;
-    any = mesh.put_entry(std::move(entry), now) || any;
+    changed = mesh.put_entry(std::move(entry), now) || changed;
   }
-  if (any) mesh.flush_entries(out.mesh);
+  if (changed) mesh.flush_entries(out.mesh);
 }
 
 void Node::start_chat_request(std::uint64_t id, Ask ask, Micros now, NodeEffects& out) {
@@ -129,17 +132,18 @@
   start_requested_health_checks(now, out);
 }
 
-// Peers hear how many attempts this node has at each worker, soon when that changed, and now and then when not.
+// Reports to the peers how many attempts this node has in flight at each worker: at the next report interval after a
+// change, and otherwise every 500 ms.
 void Node::send_loads(Micros now, std::vector<OutgoingMessage>& outgoing) {
   if (now < next_loads_) return;
   next_loads_ = now + load_report_interval;
   wire::LoadsT loads = fleet.own_loads();
   loads.age = list_freshness_.age(now);
-  std::string print;
+  std::string fingerprint;
   for (std::unique_ptr<wire::LoadT> const& item : loads.list)
-    print += item->worker + " " + std::to_string(item->attempts) + " ";
-  if (print == last_sent_loads_ && now - loads_sent_at_ < millis(500)) return;
-  last_sent_loads_ = print;
+    fingerprint += item->worker + " " + std::to_string(item->attempts) + " ";
+  if (fingerprint == last_sent_loads_ && now - loads_sent_at_ < millis(500)) return;
+  last_sent_loads_ = fingerprint;
   loads_sent_at_ = now;
   for (std::string const& name : index_peers()) outgoing.push_back(message_to(name, wire::LoadsT(loads)));
 }
@@ -152,7 +156,8 @@
   out.health_checks.push_back(HealthCheck{id, worker->row.address, worker->row.incarnation, now});
 }
 
-// Placing waits for a worker's word: it is asked once, and again when that was lost.
+// Starts the health checks that the chat dispatcher waits for before it places a request. One check per worker is in
+// flight; a lost one is repeated.
 void Node::start_requested_health_checks(Micros now, NodeEffects& out) {
   for (std::string const& id : out.chat.asks) {
     Worker* const worker = fleet.find(id);
@@ -170,10 +175,10 @@
   for (std::pair<std::string, std::uint64_t> const& suspect : out.chat.suspects) {
     start_health_check(suspect.first, now, out);
     for (std::string const& name : index_peers()) {
-      wire::WorkerSuspectedT word;
-      word.worker = suspect.first;
-      word.incarnation = suspect.second;
-      mesh.send(name, std::move(word), out.mesh);
+      wire::WorkerSuspectedT message;
+      message.worker = suspect.first;
+      message.incarnation = suspect.second;
+      mesh.send(name, std::move(message), out.mesh);
     }
   }
   out.chat.suspects.clear();
