--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -12,11 +12,12 @@
 namespace {
 constexpr Micros clock_jump_threshold = seconds(1);
 constexpr Micros majority_timeout = seconds(3);
-constexpr int spare_number_bits = 8;  // request numbers begin below this share of their range, and only rise
+// Request numbers only rise; they start in the lowest 1/256 of their range, so that they do not overflow.
+constexpr int spare_number_bits = 8;
 
-// Seeds for one incarnation of one node. A shell may have made 'chance' of the incarnation and the name, so none of
-// them is merely combined with another: they could cancel out, and all nodes and incarnations would draw the same
-// numbers.
+// Random seeds for one incarnation of one node. The process may have derived 'random_seed' from the incarnation and the
+// name, so these three are hashed and not just combined: they could cancel out, and all nodes and incarnations would
+// draw the same numbers.
 enum class SeedUse : std::uint64_t { ballots = 1, polls, requests, lease, quota };
 std::uint64_t incarnation_seed(NodePlan const& plan, SeedUse use) {
   std::uint64_t const incarnation =
@@ -24,7 +25,7 @@
   return hash_bits(hash_bits(incarnation) ^ plan.random_seed);
 }
 
-// By which set of replicas limits are handed out is never older than this.
+// Maximum age of the replica set by which quota is granted.
 constexpr Micros quota_owner_max_age = millis(4700);
 Micros quota_owner_max_age_of(NodePlan const& plan) {
   return plan.revocation_bound > 0 ? plan.revocation_bound : quota_owner_max_age;
@@ -52,16 +53,19 @@
   out.replica = plan.is_replica;
   return out;
 }
+
 MeshSettings mesh_settings_of(NodePlan const& plan) {
   MeshSettings out;
   out.cluster = plan.cluster;
   out.seeds = plan.seeds;
-  // §3.6 needs owners that tell entries themselves and revisions on pings, as where workers register.
+  // §3.6 requires that owners send their entries themselves and that pings carry revisions. Both hold only where
+  // workers register themselves.
   if (!plan.workers_self_register) out.large_fleet_size = SIZE_MAX;
   return out;
 }
-// A initial member whose incarnation ended before the first set was written goes on waiting for it, with the seeds of
-// the first start.
+
+// An initial member that restarts before the first replica set was written keeps waiting for that set, with the seed
+// addresses of its first start.
 NodePlan with_bootstrap(NodePlan plan, std::optional<wire::RecordT> const& recovered) {
   if (recovered && !recovered->bootstrap_seeds.empty())
     plan.bootstrap_seeds = recovered->bootstrap_seeds;
@@ -128,7 +132,7 @@
   if (!acceptor) return;
   std::vector<OutgoingMessage> outgoing;
   replica_set_manager_.renew_lease(now, outgoing);
-  // This node's own answer counts before the manager decides what it may do.
+  // This node's own lease reply must be counted before the manager decides.
   send_messages(outgoing, now, out);
   if (std::optional<Change> change = replica_set_manager_.next_change(now))
     submit_change(0, std::move(*change), now, out);
@@ -172,14 +176,13 @@
       out.blocks = static_cast<std::size_t>(pool.cache_blocks);
       out.age = pool.cache_age;
     } else if (plan.workers_self_register && model.compare(0, pool.name.size() + 1, pool.name + "/") == 0) {
-      // A tree of routed requests is a pool's and a model's; its parts weigh their tokens (§12.5).
+      // Routed requests have one prefix tree for each pool and model; its blocks are counted in tokens (§12.5).
       out.blocks = static_cast<std::size_t>(pool.cache_tokens > 0 ? pool.cache_tokens : pool.cache_blocks);
       out.age = pool.cache_age;
     }
   return out;
 }
 
-// Carries messages until none is left: to this node itself at once, to others by the mesh.
 void Node::send_messages(std::vector<OutgoingMessage>& outgoing, Micros now, NodeEffects& out) {
   while (!outgoing.empty()) {
     std::vector<OutgoingMessage> batch;
@@ -217,10 +220,10 @@
     case wire::Body::ReadRequest:
       note_peer_list_age(body.AsReadRequest()->age, now);
       if (acceptor) {
-        wire::ReadReplyT ans = read_reply(acceptor->durable_state(), *body.AsReadRequest());
-        ans.age = list_freshness_.age(now);
-        ans.retiring = retiring_;
-        outgoing.push_back(message_to(from, std::move(ans)));
+        wire::ReadReplyT reply = read_reply(acceptor->durable_state(), *body.AsReadRequest());
+        reply.age = list_freshness_.age(now);
+        reply.retiring = retiring_;
+        outgoing.push_back(message_to(from, std::move(reply)));
       }
       break;
     case wire::Body::Promise:
@@ -253,13 +256,13 @@
     }
     case wire::Body::LeaseRequest:
       if (acceptor) {
-        wire::LeaseRequestT const& ask = *body.AsLeaseRequest();
-        wire::LeaseReplyT ans;
-        ans.request_id = ask.request_id;
-        ans.role = ask.role;
-        ans.disk = acceptor->durable_state().disk;
-        ans.ok = lease_grantor_.handle_request(from, ask.role, ask.term, now);
-        outgoing.push_back(message_to(from, std::move(ans)));
+        wire::LeaseRequestT const& request = *body.AsLeaseRequest();
+        wire::LeaseReplyT reply;
+        reply.request_id = request.request_id;
+        reply.role = request.role;
+        reply.disk = acceptor->durable_state().disk;
+        reply.ok = lease_grantor_.handle_request(from, request.role, request.term, now);
+        outgoing.push_back(message_to(from, std::move(reply)));
       }
       break;
     case wire::Body::LeaseReply:
@@ -294,7 +297,7 @@
       change_forwarder_.take_reply(from, *body.AsForwardedChangeReply(), now, out);
       break;
     case wire::Body::WorkerSuspected:
-      // Asked at once; a worker that is well is back in a moment.
+      // Checked at once, so that a healthy worker is available again soon.
       if (fleet.suspect(body.AsWorkerSuspected()->worker, body.AsWorkerSuspected()->incarnation, now))
         start_health_check(body.AsWorkerSuspected()->worker, now, out);
       break;
@@ -319,12 +322,12 @@
   std::uint64_t const revision = update.value         ? update.value->revision
                                  : update.patch->rest ? update.patch->rest->revision
                                                       : 0;
-  bool const fresh = update.value ? learner.adopt(*update.value, now) : learner.adopt(*update.patch, now);
-  if (fresh) apply_adopted_value(now, out);
+  bool const newer = update.value ? learner.adopt(*update.value, now) : learner.adopt(*update.patch, now);
+  if (newer) apply_adopted_value(now, out);
   proposer.adopt_membership(learner.membership());
   if (update.hops > 0) forward_to_zone(update, out);
   if (learner.revision() < revision) {
-    // The patch has another base than what is held here. The base may be on its way on another connection.
+    // The patch's base is not the value held here. It may still arrive on another connection.
     catch_up_.buffer_patch(from, update, now);
     return;
   }
@@ -344,13 +347,14 @@
 void Node::acknowledge_value(std::string const& from, wire::ChosenT const& update,
                              std::vector<OutgoingMessage>& outgoing) {
   if (update.request_id == 0) return;
-  wire::ChosenAckT ok;
-  ok.request_id = update.request_id;
-  ok.serial = learner.serial();
-  // Router nodes that hold no registration may serve by this node's word alone (§6.7): who asks must hear of them.
+  wire::ChosenAckT acknowledgement;
+  acknowledgement.request_id = update.request_id;
+  acknowledgement.serial = learner.serial();
+  // Router nodes without a registration may have become ready because of this node alone (§6.7): the proposer must
+  // learn of them.
   for (std::string const& name : plan.workers_self_register ? std::set<std::string>() : known_routers(true))
-    if (!learner.value || registration_of(*learner.value, name) == nullptr) ok.routers.push_back(name);
-  outgoing.push_back(message_to(update.origin.empty() ? from : update.origin, std::move(ok)));
+    if (!learner.value || registration_of(*learner.value, name) == nullptr) acknowledgement.routers.push_back(name);
+  outgoing.push_back(message_to(update.origin.empty() ? from : update.origin, std::move(acknowledgement)));
 }
 
 void Node::send_full_value(std::string const& to, wire::CatchUpRequestT const& request,
@@ -373,19 +377,20 @@
     update.value = std::make_unique<wire::ValueT>(value);
   if (!guard(Guard::spread)) return;
   if (plan.workers_self_register && mesh.is_large_fleet()) {
-    // §12.7: to those that keep, who bring it to the rest of their zones.
+    // §12.7: sent to the replicas, which forward it within their zones, and to every node of a zone without a connected
+    // replica.
     update.origin = plan.name;
     update.hops = 1;
-    std::string const far = encode_body(wire::ChosenT(update));
-    std::set<std::string> reached{plan.is_replica ? plan.zone : std::string()};
+    std::string const bytes = encode_body(wire::ChosenT(update));
+    std::set<std::string> covered_zones{plan.is_replica ? plan.zone : std::string()};
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       if (item.second.connection == 0 || !item.second.member.replica) continue;
-      reached.insert(item.second.member.zone);
-      out.mesh.outgoing_frames.push_back({item.second.connection, far});
+      covered_zones.insert(item.second.member.zone);
+      out.mesh.outgoing_frames.push_back({item.second.connection, bytes});
     }
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-      if (item.second.connection != 0 && !reached.count(item.second.member.zone))
-        out.mesh.outgoing_frames.push_back({item.second.connection, far});
+      if (item.second.connection != 0 && !covered_zones.count(item.second.member.zone))
+        out.mesh.outgoing_frames.push_back({item.second.connection, bytes});
     if (plan.is_replica) forward_to_zone(update, out);
     return;
   }
@@ -394,21 +399,20 @@
     if (item.second.connection != 0) out.mesh.outgoing_frames.push_back({item.second.connection, bytes});
 }
 
-// The value held here grew newer: it comes into force.
 void Node::apply_adopted_value(Micros now, NodeEffects& out) {
   wire::ValueT const& value = *learner.value;
   catch_up_.value_adopted();
   check_value(value);
-  // A registration raises the revision alone; what the description says was compiled when its serial came.
+  // A registration raises only the revision; the description was parsed when its serial was adopted.
   if (value.serial != mesh.members.self.serial) {
     std::shared_ptr<Description const> description = std::make_shared<Description>();
     if (!value.text.empty()) {
-      Result<std::shared_ptr<Description const>> made = plan.parse_description(value.text);
-      if (!made) {
-        log_event(Event::configuration_rejected, "serial " + std::to_string(value.serial) + " " + made.error().what);
+      Result<std::shared_ptr<Description const>> parsed = plan.parse_description(value.text);
+      if (!parsed) {
+        log_event(Event::configuration_rejected, "serial " + std::to_string(value.serial) + " " + parsed.error().what);
         description = chat_dispatcher.description();
       } else {
-        description = made.value();
+        description = parsed.value();
       }
     }
     dispatcher.in_force(description);
@@ -420,7 +424,7 @@
   mesh.members.self.revision = value.revision;
   configuration_authority_.update_confirmations();
   update_registration(now, out);
-  // Among nodes whose workers register, pings carry revisions; a bump of the record is not needed for them (§3.6).
+  // Where workers register themselves, pings carry revisions, and the member record need not be announced again (§3.6).
   if (!plan.workers_self_register) mesh.announce_self(out.mesh);
 }
 
@@ -448,14 +452,14 @@
     log_event(Event::malformed_frame, frame.error().what);
     return false;
   }
-  bool const greeting = frame.value()->body.type == wire::Body::Hello;
+  bool const is_hello = frame.value()->body.type == wire::Body::Hello;
   std::string const hello_name =
-      greeting && frame.value()->body.AsHello()->self ? frame.value()->body.AsHello()->self->name : "";
+      is_hello && frame.value()->body.AsHello()->self ? frame.value()->body.AsHello()->self->name : "";
   std::string const from = mesh.handle_frame(id, *frame.value(), now, out.mesh);
   apply_updated_entries(now);
-  if (greeting) {
-    // §5.5: a peer that comes with an older serial is told the chosen value at once. Where many would do so, it asks:
-    // its polls and the turns that its peers tell bring the value from one.
+  if (is_hello) {
+    // §5.5: a peer that connects with an older revision is sent the chosen value at once. In a large fleet too many
+    // nodes would send it; there the peer polls, or requests the value from one peer that announces a newer revision.
     std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(hello_name);
     if (!mesh.is_large_fleet() && peer != mesh.members.peers.end() && peer->second.connection == id && learner.value &&
         peer->second.member.revision < learner.revision()) {
@@ -479,8 +483,8 @@
     if (entry == mesh.entry_table.all().end()) continue;
     if (!plan.workers_self_register)
       fleet.take_entry(entry->second, now);
-    else if (std::optional<wire::EntryT> word = registry.take_entry(entry->second, now))
-      mesh.put_entry(std::move(*word), now);
+    else if (std::optional<wire::EntryT> refutation = registry.take_entry(entry->second, now))
+      mesh.put_entry(std::move(*refutation), now);
   }
   mesh.updated_entry_keys.clear();
   for (std::string const& id : registry.ended) index_sync.forget(id);
@@ -499,33 +503,35 @@
 }
 
 void Node::update_readiness(Micros now, NodeEffects& out) {
-  // What must be known: a majority's word on the register, and the list; both after the last jump.
+  // Two things must be known since the start or the last clock jump: the register's value, confirmed by a majority, and
+  // the workers.
   Micros const from = stale_since_ >= 0 ? stale_since_ : started_at_;
-  bool const word = learner.confirmed_at >= from;  // of a majority
-  // Where replicas are many enough for the losses that are allowed, nothing else will do (docs/control.md).
-  if (plan.workers_self_register && !word && !ready_) return;
-  bool sure = word;
-  if (word && plan.role == Role::router && !router_registrations_.is_registered()) {
-    // §5.9: nothing is placed before this incarnation of the node has its registration; while a majority answers, by
-    // nobody's word.
+  bool const majority_confirmed = learner.confirmed_at >= from;
+  // Where workers register themselves there are enough replicas for the tolerated losses, so a node does not become
+  // ready without a majority (docs/control.md).
+  if (plan.workers_self_register && !majority_confirmed && !ready_) return;
+  bool value_confirmed = majority_confirmed;
+  if (majority_confirmed && plan.role == Role::router && !router_registrations_.is_registered()) {
+    // §5.9: no request is placed before this incarnation of the node is registered; while a majority answers, no
+    // serving peer can stand in for the registration.
     request_registration(now, out);
     if (!ready_) return;
   }
-  // Where workers register: a description, and the word of workers, or time enough for any to have called.
-  bool const told =
+  // Where workers register themselves: a description is in force, and a worker is known or has had 2 s to call.
+  bool const workers_reported =
       plan.workers_self_register && learner.serial() > 0 && (!registry.all.empty() || now - from > seconds(2));
-  bool const listed = plan.role == Role::config_store || last_list_read_at_ >= from || told;
-  if (!word && now - from > majority_timeout) {
-    // §6.7: no majority answers. A node that was serving goes on; a new one may take the word of one that serves.
-    if (ready_) sure = true;
+  bool const workers_known = plan.role == Role::config_store || last_list_read_at_ >= from || workers_reported;
+  if (!majority_confirmed && now - from > majority_timeout) {
+    // §6.7: no majority answers. A node that was ready stays so; a new node may rely on the value of a ready peer.
+    if (ready_) value_confirmed = true;
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       Peer const& peer = item.second;
       if (peer.connection != 0 && peer.state() == State::alive && peer.role() == Role::router && peer.member.ready &&
           learner.value && learner.serial() >= peer.member.serial)
-        sure = true;
+        value_confirmed = true;
     }
   }
-  if (!sure || !(listed || (ready_ && now - from > majority_timeout))) return;
+  if (!value_confirmed || !(workers_known || (ready_ && now - from > majority_timeout))) return;
   if (stale_since_ >= 0) {
     stale_since_ = -1;
     update_dispatch_hold();
@@ -579,8 +585,8 @@
 bool Node::may_stop(Micros now) const {
   if (!acceptor || !acceptor->durable_state().formed) return true;
   if (!learner.membership().concerns(plan.name, acceptor->durable_state().disk)) return true;
-  // Who hears no quorum cannot know whether a replica is here to take its place: it waits for the end of its grace.
-  // Nor does one end that the set can do without: it is taken out first.
+  // Without a quorum a replica cannot know whether another node can replace it, and waits until its grace period ends.
+  // A member that the set does not need waits as well: it is removed from the set first.
   return replica_directory_.hears_quorum(now) && replica_set_manager_.lacks_successor(now);
 }
 
