--- a/src/node/catch_up.cc
+++ b/src/node/catch_up.cc
@@ -8,9 +8,9 @@
 namespace pipit {
 
 namespace {
-constexpr std::size_t max_early_patches = 16;  // patches
+constexpr std::size_t max_early_patches = 16;
 constexpr Micros stuck_timeout = millis(100);
-constexpr Micros answer_timeout = seconds(1);  // the first question; each further one gets as much more
+constexpr Micros answer_timeout = seconds(1);  // of the first request; each unanswered one adds as much
 constexpr int max_timeout_multiplier = 4;
 
 std::uint64_t base_revision_of(wire::ChosenT const& update) { return update.patch->base_revision; }
@@ -37,8 +37,8 @@
                      [now](EarlyPatch const& item) { return now - item.received_at >= stuck_timeout; });
 }
 
-// Replicas come first, those of this zone before others: they have the links for it and are told of every change. Of
-// several each node asks another one.
+// Peers with a newer value, in order of preference. Replicas come first, those of this zone before others: they have
+// the bandwidth and are sent every change. Within a class the order differs from node to node, to spread the requests.
 std::vector<std::string> CatchUp::candidates(std::uint64_t held_revision) const {
   std::vector<std::string> classes[3];
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
@@ -63,7 +63,7 @@
   if (requested_at_ >= 0) ++unanswered_;
   requested_at_ = -1;
   std::vector<std::string> const names = candidates(held_revision);
-  // Who was asked in vain is not asked first again.
+  // After an unanswered request the next candidate is selected.
   std::string out = names.empty() ? "" : names[static_cast<std::size_t>(unanswered_) % names.size()];
   if (out.empty() && !early_patches_.empty()) {
     EarlyPatch const& newest = early_patches_.back();
--- a/src/node/catch_up.h
+++ b/src/node/catch_up.h
@@ -1,10 +1,11 @@
-// How a node that lacks the newest value gets it: patches that came too early, and questions for the whole value.
+// Catching up on the register's newest value: patches that arrived before their base, and requests for the full value.
 //
-// Job: keeps patches whose base is not held yet until that comes; chooses which peer is asked for a whole value, and
-// sees to it that one question at a time is open. A whole value may be half a megabyte, and the link of a node may
-// carry one a second: nodes that are behind together must neither ask again and again nor all ask the same peer. State:
-// the early patches; the open question. Thread: the node's loop only. Invariants: at most one question is open; at most
-// 'max_early_patches' patches are kept.
+// CatchUp buffers up to 'max_early_patches' patches until their base is held, and selects the peer to request the full
+// value from, with at most one request open at a time. A full value may be half a megabyte, and a node's link may carry
+// one a second: nodes that are behind together must neither repeat their requests quickly nor all send them to the same
+// peer.
+//
+// Not synchronized: used by the node's loop only.
 #pragma once
 #include <deque>
 #include <optional>
@@ -17,26 +18,30 @@
 
 namespace pipit {
 
+// Buffer of early patches, and choice of the peer that sends the full value.
 class CatchUp {
  public:
-  // A message about a chosen value that could not be applied when it came.
+  // A message with a patch of the chosen value that could not be applied when it arrived.
   struct EarlyPatch {
     std::string from;
     wire::ChosenT update;
     Micros received_at = 0;
   };
+  // 'self' and 'zone' are this node's. The mesh must outlive this object.
   CatchUp(std::string self, std::string zone, Mesh const& mesh)
       : self_(std::move(self)), zone_(std::move(zone)), mesh_(mesh) {}
 
+  // Buffers the update's patch, in place of the oldest one if the buffer is full; ignores an update without a patch.
   void buffer_patch(std::string const& from, wire::ChosenT const& update, Micros now);
-  // The kept patch that can be applied to this revision, or whose result it already holds; nothing when there is none.
+  // Removes and returns a buffered patch whose base is this revision or an older one; nullopt if there is none.
   std::optional<EarlyPatch> take_applicable_patch(std::uint64_t held_revision);
-  // Whether a patch has waited for its base for so long that the base will hardly come by itself.
+  // Whether a patch has waited for its base for so long that the base is unlikely to arrive without a request.
   bool is_stuck(Micros now) const;
-  // The peer that is to be asked for a whole value newer than this revision; empty while a question is open, or when
-  // nobody is known to have one. A question stays open until its value comes or for a while, longer each time.
+  // Opens a request and returns the peer to send it to, which holds a newer value than this revision. Empty while a
+  // request is open, and if no peer is known to hold a newer value. A request is open until a newer value is adopted or
+  // its timeout passes; the timeout grows with each unanswered request.
   std::string select_peer(std::uint64_t held_revision, Micros now);
-  // A newer value is held from now on.
+  // A newer value was adopted: closes the open request and resets the timeout.
   void value_adopted();
 
  private:
@@ -46,8 +51,8 @@
   std::string const zone_;
   Mesh const& mesh_;
   std::deque<EarlyPatch> early_patches_;
-  Micros requested_at_ = -1;  // when the open question was asked; -1 when there is none
-  int unanswered_ = 0;        // questions in a row that brought nothing
+  Micros requested_at_ = -1;  // when the open request was sent; -1: none is open
+  int unanswered_ = 0;        // consecutive requests without an answer
 };
 
 }  // namespace pipit
--- a/src/node/exchange_topology.cc
+++ b/src/node/exchange_topology.cc
@@ -29,28 +29,28 @@
 }
 
 Paths ExchangeTopology::compute_paths() const {
-  Paths out;
-  out.wide = mesh_.is_large_fleet();
+  Paths paths;
+  paths.wide = mesh_.is_large_fleet();
   std::set<std::string> other_zones;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
     if (!is_reachable(item.second)) continue;
     std::string const& zone = item.second.member.zone;
-    if (!out.wide)
-      out.all.push_back(item.first);
+    if (!paths.wide)
+      paths.all.push_back(item.first);
     else if (zone == plan_.zone)
-      out.zone.push_back(item.first);
+      paths.zone.push_back(item.first);
     else
       other_zones.insert(zone);
   }
-  if (!out.wide) return out;
+  if (!paths.wide) return paths;
   std::string const own_hub = select_hub(plan_.zone);
-  out.hub = own_hub == plan_.name;
-  if (!out.hub) {
-    out.own_hub = own_hub;
-    return out;
+  paths.hub = own_hub == plan_.name;
+  if (!paths.hub) {
+    paths.own_hub = own_hub;
+    return paths;
   }
-  for (std::string const& zone : other_zones) out.hubs.push_back(select_hub(zone));
-  return out;
+  for (std::string const& zone : other_zones) paths.hubs.push_back(select_hub(zone));
+  return paths;
 }
 
 }  // namespace pipit
--- a/src/node/exchange_topology.h
+++ b/src/node/exchange_topology.h
@@ -1,8 +1,9 @@
-// Topology of the exchange between nodes (§12.7): to whom this node sends what it knows of workers. Few nodes all talk
-// to each other; many talk within their zone, and one hub of each zone talks to those of the other zones.
+// Topology of the exchange of worker reports between nodes (§12.7). In a small fleet every node sends to all peers. In
+// a large one nodes send within their zone, and one hub of each zone exchanges reports with the hubs of the other
+// zones.
 //
-// Owns nothing but this node's place: every answer is computed from the mesh's members as they are. Nodes that see the
-// same members choose the same hubs.
+// Stateless apart from this node's identity: each result is computed from the mesh's current members. Nodes that see
+// the same members select the same hubs.
 //
 // Not synchronized: used by the node's loop only.
 #pragma once
@@ -13,22 +14,23 @@
 
 namespace pipit {
 
-// This node's place in the topology.
+// This node's identity in the topology.
 struct TopologyPlan {
   std::string name;
   std::string zone;
   bool is_replica = false;
 };
 
+// Selects hubs and the peers that this node sends its reports to.
 class ExchangeTopology {
  public:
   // The mesh must outlive this object.
   ExchangeTopology(TopologyPlan plan, Mesh const& mesh);
 
-  // Whom this node sends to at present.
+  // The peers that this node sends to at present.
   Paths compute_paths() const;
-  // The name of the zone's hub: the first of its replicas that is reachable, else the first of all its nodes that are;
-  // empty where none is.
+  // The name of the zone's hub: the first reachable replica by name, else the first reachable node; empty if none is
+  // reachable.
   std::string select_hub(std::string const& zone) const;
 
  private:
--- a/src/node/list_freshness.cc
+++ b/src/node/list_freshness.cc
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr Micros isolation_timeout = millis(1700);
-constexpr Micros rejoin_duration = millis(1500);  // for which a node that was isolated must hear half of all members
+constexpr Micros rejoin_duration = millis(1500);  // of contact with half of all members, after isolation
 }  // namespace
 
 void ListFreshness::note_reading(Micros began_at) { read_at_ = std::max(read_at_, began_at); }
@@ -24,9 +24,9 @@
   return half;
 }
 
-// Where the list itself is down, nobody can have read any more: its own address says so, or half of all members know
-// no later reading either. That holds on from what was known before; a node that was isolated must first hear from
-// half of them for a while.
+// While the list itself is down, no node can have read anything newer: its own address refuses, or half of all members
+// know of no later reading either. Knowledge that was up to date then stays so. A node that was isolated must first be
+// in contact with half of all members for 'rejoin_duration'.
 bool ListFreshness::update(Micros now) {
   Micros const half_heard_at = mesh_.last_heard_from_half(now);
   bool const half = update_half_heard(half_heard_at, now);
