--- a/tests/operators.cc
+++ b/tests/forwarded_changes.cc
@@ -1,5 +1,5 @@
-// Operators' orders at whole nodes under virtual time: what a node answers for an order that it handed on, and after it
-// was started again (docs/control.md, points 1 and 2).
+// Operators' changes at nodes under virtual time: the reply to a change that a node forwarded to a replica, also after
+// the node restarted (docs/control.md, points 1 and 2).
 #include <gtest/gtest.h>
 
 #include <map>
@@ -14,11 +14,11 @@
 namespace pipit::control_plane_simulator {
 
 namespace {
-constexpr std::uint64_t first_order = 1;
+constexpr std::uint64_t first_call = 1;
 constexpr MachineId plain_machine = 3;  // the first one without a disk
 
 // A fleet of three machines with disks and three without, its first configuration (label 1) in force.
-class OrdersAtNodes : public ::testing::Test {
+class ForwardedChanges : public ::testing::Test {
  protected:
   void start(std::uint64_t seed) {
     mute_log(true);
@@ -29,9 +29,9 @@
     world->on_reply = [this](Machine&, ChangeReply const& reply) { answers[reply.id] = reply.outcome; };
     world->boot_all(true);
     world->run_until(seconds(8));
-    send(first_order, plain_machine, replace_change(0, 1, text_of("first")));
+    send(first_call, plain_machine, replace_change(0, 1, text_of("first")));
     world->run(seconds(2));
-    ASSERT_EQ(answers[first_order].type, Outcome::Type::chosen);
+    ASSERT_EQ(answers[first_call].type, Outcome::Type::chosen);
   }
 
   static std::string text_of(std::string const& name) {
@@ -58,7 +58,7 @@
   NodePlan plan;
   plan.name = name;
   plan.incarnation = incarnation;
-  plan.random_seed = incarnation ^ hash_text(name);  // as the shells have it
+  plan.random_seed = incarnation ^ hash_text(name);  // as the programs derive it
   Node node(plan, 0, std::nullopt);
   Membership members;
   members.epoch = 1;
@@ -75,8 +75,8 @@
 }
 }  // namespace
 
-// Two proposers of one owner could write two values at one ballot (the checker's world same-chance).
-TEST(Lives, no_two_nodes_and_no_two_lives_share_ballots_or_request_numbers) {
+// Two proposers with the same ballots could write two values at one ballot (the model checker's world 'same-chance').
+TEST(IncarnationSeeds, nodes_and_incarnations_use_distinct_ballots_and_request_numbers) {
   wire::PrepareT const one = first_prepare_of("a", 1000);
   wire::PrepareT const other_node = first_prepare_of("b", 1000);
   wire::PrepareT const other_incarnation = first_prepare_of("a", 1001);
@@ -87,38 +87,38 @@
   EXPECT_NE(one.request_id, other_incarnation.request_id);
 }
 
-// The replica took the order, its answer was lost, and then the node lost the quorum.
-TEST_F(OrdersAtNodes, a_handed_order_without_an_answer_ends_as_unclear) {
+// The replica takes the change, its reply is lost, and the node loses the quorum.
+TEST_F(ForwardedChanges, a_forwarded_change_without_a_reply_has_an_unknown_outcome) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     start(seed);
     send(2, plain_machine, replace_change(1, 2, text_of("second")));
     world->run(millis(1));
     world->isolate({plain_machine}, CutKind::silent, CutWay::both);
     world->run(seconds(5));
-    ASSERT_EQ(label_at(0), 2u) << "it was taken";
-    ASSERT_TRUE(answers.count(2)) << seed;
-    EXPECT_EQ(answers[2].type, Outcome::Type::unknown) << seed;
-    EXPECT_EQ(answers[2].error.code, ErrorCode::change_unknown) << seed;
+    ASSERT_EQ(label_at(0), 2u) << "the replica did not take the change, seed " << seed;
+    ASSERT_TRUE(answers.count(2)) << "no reply, seed " << seed;
+    EXPECT_EQ(answers[2].type, Outcome::Type::unknown) << "seed " << seed;
+    EXPECT_EQ(answers[2].error.code, ErrorCode::change_unknown) << "seed " << seed;
   }
 }
 
-// An order of a former incarnation is taken late; its answer must not pass for that of the order which this incarnation
-// handed on.
-TEST_F(OrdersAtNodes, an_answer_to_a_former_life_answers_nothing) {
+// A change of a former incarnation is taken late; its reply must not count as that to the change which this incarnation
+// forwarded.
+TEST_F(ForwardedChanges, a_reply_to_a_former_incarnation_is_ignored) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     start(seed);
     restart(plain_machine);
     world->run(seconds(6));
     for (MachineId const replica : world->replicas()) world->stall_disk(replica, millis(1500));
-    send(2, plain_machine, replace_change(1, 2, text_of("of the former life")));
+    send(2, plain_machine, replace_change(1, 2, text_of("former incarnation")));
     world->run(millis(20));
     restart(plain_machine);
     world->run(millis(900));
-    send(3, plain_machine, replace_change(1, 3, text_of("of this life")));
+    send(3, plain_machine, replace_change(1, 3, text_of("this incarnation")));
     world->run(seconds(6));
-    ASSERT_EQ(label_at(0), 2u) << "the former one was taken, seed " << seed;
-    ASSERT_TRUE(answers.count(3)) << seed;
-    EXPECT_NE(answers[3].type, Outcome::Type::chosen) << "confirmed and not in force, seed " << seed;
+    ASSERT_EQ(label_at(0), 2u) << "the former change was not taken, seed " << seed;
+    ASSERT_TRUE(answers.count(3)) << "no reply, seed " << seed;
+    EXPECT_NE(answers[3].type, Outcome::Type::chosen) << "the change was confirmed but is not in force, seed " << seed;
   }
 }
 
--- a/tests/worker_ends.cc
+++ b/tests/worker_end_acknowledgement.cc
@@ -1,5 +1,5 @@
-// The end of a worker is acknowledged for all nodes: a node that cannot tell the others says 503, and the worker calls
-// the next one. Two nodes on loopback, one of which can be made deaf.
+// The acknowledgement of a worker's end holds for all nodes: a node that cannot inform the others answers 503, and the
+// worker calls the next node. Two nodes on loopback; one can be made to ignore all frames.
 #include <gtest/gtest.h>
 
 #include "platform/control.h"
@@ -11,7 +11,7 @@
 constexpr char draining[] = "draining";
 constexpr char available[] = "available";
 
-// A peer: the product's core behind sockets, without callers or control.
+// A peer: a Node with sockets, but without a listener for clients or operators.
 class PeerNode {
  public:
   PeerNode(std::string const& address, std::string const& seed) {
@@ -34,7 +34,7 @@
       step([&](NodeEffects& out) { node->dial_failed(to, refused, g_get_monotonic_time(), out); });
     };
     callbacks.frame = [this](ConnectionId id, std::string_view frame) {
-      if (!deaf) step([&](NodeEffects& out) { node->receive_frame(id, frame, g_get_monotonic_time(), out); });
+      if (!ignores_frames) step([&](NodeEffects& out) { node->receive_frame(id, frame, g_get_monotonic_time(), out); });
       return true;
     };
     connections = std::make_unique<Connections>(std::move(callbacks));
@@ -43,21 +43,21 @@
         20,
         [](gpointer data) -> gboolean {
           PeerNode& self = *static_cast<PeerNode*>(data);
-          if (!self.deaf) self.step([&](NodeEffects& out) { self.node->tick(g_get_monotonic_time(), out); });
+          if (!self.ignores_frames) self.step([&](NodeEffects& out) { self.node->tick(g_get_monotonic_time(), out); });
           return G_SOURCE_CONTINUE;
         },
         this);
   }
   ~PeerNode() { g_source_remove(ticker); }
 
-  // Whether it knows that this worker leaves or is gone.
+  // Whether this node's registry shows the worker as leaving or ended.
   bool knows_end(std::string const& worker) const {
     Instance const* const at = node->registry.find(worker);
     return at != nullptr && at->standing != WorkerState::serving;
   }
   bool connected() const { return node->mesh.open_connections() > 0 && !node->mesh.members.peers.empty(); }
 
-  bool deaf = false;
+  bool ignores_frames = false;
 
  private:
   void step(std::function<void(NodeEffects&)> const& act) {
@@ -74,9 +74,9 @@
   unsigned ticker = 0;
 };
 
-class WorkerEnds : public testing::Test {
+class WorkerEndAcknowledgement : public testing::Test {
  protected:
-  WorkerEnds() {
+  WorkerEndAcknowledgement() {
     std::string const peer_address = free_address();
     NodeServerPlan plan;
     plan.node.name = "n1";
@@ -95,13 +95,13 @@
     ticker = g_timeout_add(
         20,
         [](gpointer data) -> gboolean {
-          static_cast<WorkerEnds*>(data)->node_server->tick();
+          static_cast<WorkerEndAcknowledgement*>(data)->node_server->tick();
           return G_SOURCE_CONTINUE;
         },
         this);
     EXPECT_TRUE(until([this] { return peer->connected(); }));
   }
-  ~WorkerEnds() override { g_source_remove(ticker); }
+  ~WorkerEndAcknowledgement() override { g_source_remove(ticker); }
 
   std::string post(std::string const& path, std::string const& body) {
     LoopbackStream connection(address);
@@ -129,26 +129,26 @@
 };
 }  // namespace
 
-TEST_F(WorkerEnds, what_is_acknowledged_is_known_to_the_others_by_then) {
+TEST_F(WorkerEndAcknowledgement, an_acknowledged_end_is_known_to_the_peer) {
   EXPECT_EQ(heartbeat(available), "HTTP/1.1 200");
   EXPECT_EQ(heartbeat(draining), "HTTP/1.1 200");
-  EXPECT_TRUE(peer->knows_end("i-1")) << "its requests would go on";
+  EXPECT_TRUE(peer->knows_end("i-1")) << "the peer would go on sending requests to the worker";
 }
 
-TEST_F(WorkerEnds, a_node_whose_peers_hear_nothing_acknowledges_no_draining) {
+TEST_F(WorkerEndAcknowledgement, a_node_with_unresponsive_peers_does_not_acknowledge_draining) {
   EXPECT_EQ(heartbeat(available), "HTTP/1.1 200");
-  peer->deaf = true;
-  EXPECT_EQ(heartbeat(draining), "HTTP/1.1 503") << "the worker is to tell the next node";
-  peer->deaf = false;
+  peer->ignores_frames = true;
+  EXPECT_EQ(heartbeat(draining), "HTTP/1.1 503") << "the worker must report to another node";
+  peer->ignores_frames = false;
   EXPECT_EQ(heartbeat(draining), "HTTP/1.1 200");
   EXPECT_TRUE(peer->knows_end("i-1"));
 }
 
-TEST_F(WorkerEnds, a_node_whose_peers_hear_nothing_acknowledges_no_farewell) {
+TEST_F(WorkerEndAcknowledgement, a_node_with_unresponsive_peers_does_not_acknowledge_a_departure) {
   EXPECT_EQ(heartbeat(available), "HTTP/1.1 200");
-  peer->deaf = true;
+  peer->ignores_frames = true;
   EXPECT_EQ(leave(), "HTTP/1.1 503");
-  peer->deaf = false;
+  peer->ignores_frames = false;
   EXPECT_EQ(leave(), "HTTP/1.1 200");
   EXPECT_TRUE(peer->knows_end("i-1"));
 }
