--- a/tests/fleet_simulation.cc
+++ b/tests/fleet_simulation.cc
@@ -20,6 +20,7 @@
   plan.only = std::move(only);
   return World(plan).run();
 }
+
 // Router nodes are replaced one after another. Those whose address refuses connections are evicted by the replica that
 // manages the set, those that do not answer by an operator. Afterwards no confirmation is awaited from a replaced node
 // and no share of a limit is reserved for it (§5.9).
--- a/tests/node/exchange_topology.cc
+++ b/tests/node/exchange_topology.cc
@@ -1,4 +1,4 @@
-// Whom a node exchanges with, by the number of members, their zones and roles. Without sockets.
+// The peers that a node exchanges reports with, by the number of members, their zones and roles. Without sockets.
 #include "node/exchange_topology.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
  protected:
   ExchangeTopologyTest() : mesh(mesh_plan(), wire::MemberT(), 1) {}
 
-  // Four peers make the mesh wide.
+  // Four peers make a large fleet.
   static MeshSettings mesh_plan() {
     MeshSettings out;
     out.large_fleet_size = 4;
@@ -31,17 +31,17 @@
 };
 }  // namespace
 
-TEST_F(ExchangeTopologyTest, FewNodesAllTalkToEachOther) {
+TEST_F(ExchangeTopologyTest, nodes_of_a_small_fleet_send_to_all_peers) {
   add("n2", "a");
   add("n3", "b");
   add("n4", "b");
   mesh.members.peers["n4"].connection = 0;
   Paths const paths = topology("n1", "a").compute_paths();
   EXPECT_FALSE(paths.wide);
-  EXPECT_EQ(paths.all, std::vector<std::string>({"n2", "n3"})) << "n4 has no connection";
+  EXPECT_EQ(paths.all, std::vector<std::string>({"n2", "n3"})) << "n4 has no connection and must be left out";
 }
 
-TEST_F(ExchangeTopologyTest, HubIsTheFirstReachableReplicaElseTheFirstNode) {
+TEST_F(ExchangeTopologyTest, the_hub_is_the_first_reachable_replica_or_else_the_first_node) {
   add("n2", "a");
   add("n3", "b");
   add("n4", "b", true);
@@ -57,7 +57,7 @@
   EXPECT_EQ(topology("n1", "a").select_hub("c"), "");
 }
 
-TEST_F(ExchangeTopologyTest, HubTalksToItsZoneAndToTheOtherHubs) {
+TEST_F(ExchangeTopologyTest, a_hub_sends_to_its_zone_and_to_the_other_hubs) {
   add("n2", "a");
   add("n3", "b");
   add("n4", "b", true);
@@ -69,7 +69,7 @@
   EXPECT_EQ(paths.hubs, std::vector<std::string>({"n4", "n5"}));
 }
 
-TEST_F(ExchangeTopologyTest, OthersTalkToTheirZoneAndItsHub) {
+TEST_F(ExchangeTopologyTest, other_nodes_send_to_their_zone_and_its_hub) {
   add("n2", "a", true);
   add("n3", "a");
   add("n4", "b");
--- a/tests/node/list_freshness.cc
+++ b/tests/node/list_freshness.cc
@@ -1,4 +1,4 @@
-// How old a node's knowledge of the list is, and when it is too old to place work. Without sockets.
+// Age of a node's knowledge of the list of workers, and when it is too old to place requests. Without sockets.
 #include "node/list_freshness.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
  protected:
   ListFreshnessTest() : mesh(MeshSettings{}, wire::MemberT(), 1), freshness(mesh) {}
 
-  // Two of three members are never heard.
+  // Adds two members, of three in all, that have no connection.
   void cut_off() {
     mesh.members.peers["n2"].member.name = "n2";
     mesh.members.peers["n3"].member.name = "n3";
@@ -24,20 +24,20 @@
 };
 }  // namespace
 
-TEST_F(ListFreshnessTest, AgeIsThatOfTheLatestReadingOfAnyNode) {
+TEST_F(ListFreshnessTest, age_is_that_of_the_latest_reading_by_any_node) {
   EXPECT_EQ(freshness.age(seconds(5)), -1);
   freshness.note_peer_age(-1, seconds(5));
-  EXPECT_EQ(freshness.age(seconds(5)), -1) << "the peer knew of none";
+  EXPECT_EQ(freshness.age(seconds(5)), -1) << "the peer knew of no reading";
   freshness.note_reading(seconds(1));
   EXPECT_EQ(freshness.age(seconds(5)), seconds(4));
   freshness.note_peer_age(seconds(3), seconds(5));
   EXPECT_EQ(freshness.age(seconds(5)), seconds(3));
   freshness.note_peer_age(seconds(4), seconds(5));
   freshness.note_reading(0);
-  EXPECT_EQ(freshness.age(seconds(5)), seconds(3)) << "it never goes back";
+  EXPECT_EQ(freshness.age(seconds(5)), seconds(3)) << "the time of the latest reading went back";
 }
 
-TEST_F(ListFreshnessTest, NodeThatIsCutOffIsUpToDateForAWhileAfterAReading) {
+TEST_F(ListFreshnessTest, an_isolated_node_is_up_to_date_until_its_timeout_after_a_reading) {
   cut_off();
   freshness.note_reading(seconds(10));
   EXPECT_TRUE(freshness.update(seconds(10) + isolation_timeout));
@@ -46,7 +46,7 @@
   EXPECT_TRUE(freshness.update(seconds(20)));
 }
 
-TEST_F(ListFreshnessTest, FailureOfTheListItselfKeepsWhatWasKnownBefore) {
+TEST_F(ListFreshnessTest, a_failure_of_the_list_itself_keeps_knowledge_up_to_date) {
   cut_off();
   freshness.note_reading(seconds(10));
   freshness.note_source_failure(seconds(11));
@@ -54,16 +54,16 @@
   EXPECT_TRUE(freshness.update(seconds(11) + isolation_timeout));
   EXPECT_FALSE(freshness.update(seconds(11) + isolation_timeout + 1));
   freshness.note_source_failure(seconds(13));
-  EXPECT_FALSE(freshness.update(seconds(13))) << "marks may have been missed in between";
+  EXPECT_FALSE(freshness.update(seconds(13))) << "departure marks may have been missed in between";
 }
 
-TEST_F(ListFreshnessTest, NodeThatHearsHalfOfTheMembersForAWhileIsUpToDateWithoutAReading) {
+TEST_F(ListFreshnessTest, a_node_in_contact_with_half_of_the_members_becomes_up_to_date_without_a_reading) {
   EXPECT_FALSE(freshness.update(seconds(10)));
   EXPECT_FALSE(freshness.update(seconds(10) + rejoin_duration));
   EXPECT_TRUE(freshness.update(seconds(10) + rejoin_duration + 1));
 }
 
-TEST_F(ListFreshnessTest, TimeOfHearingHalfBeginsAgainAfterACut) {
+TEST_F(ListFreshnessTest, the_contact_time_restarts_after_a_partition) {
   EXPECT_FALSE(freshness.update(seconds(10)));
   cut_off();
   EXPECT_FALSE(freshness.update(seconds(11)));
