--- a/programs/router/main.cc
+++ b/programs/router/main.cc
@@ -1,4 +1,4 @@
 // pipitspool-router: a router node (§2.1).
 #include "runtime/router_host.h"
 
-int main(int argc, char** argv) { return pipit::run_node(argc, argv, pipit::Role::router); }
+int main(int argc, char** argv) { return pipit::run_node(argc, argv, pipit::MemberRole::router); }
--- a/src/mesh/anti_entropy.cc
+++ b/src/mesh/anti_entropy.cc
@@ -3,17 +3,17 @@
 namespace pipit {
 
 namespace {
-constexpr Micros calm = seconds(1);
-constexpr Micros gap = millis(1500);
+constexpr Micros quiet_period = seconds(1);
+constexpr Micros min_interval_while_changing = millis(1500);
 }  // namespace
 
-bool AntiEntropyLimiter::admit(std::uint64_t own, std::uint64_t theirs, Micros now) {
-  if (own != digest_) {
-    digest_ = own;
+bool AntiEntropyLimiter::allow_exchange(std::uint64_t own_digest, std::uint64_t peer_digest, Micros now) {
+  if (own_digest != digest_) {
+    digest_ = own_digest;
     changed_at_ = now;
   }
-  if (own == theirs || now - last_exchange_ < calm) return false;
-  if (now - changed_at_ < calm && now - last_exchange_ < gap) return false;
+  if (own_digest == peer_digest || now - last_exchange_ < quiet_period) return false;
+  if (now - changed_at_ < quiet_period && now - last_exchange_ < min_interval_while_changing) return false;
   last_exchange_ = now;
   return true;
 }
--- a/src/mesh/anti_entropy.h
+++ b/src/mesh/anti_entropy.h
@@ -14,8 +14,8 @@
 
 class AntiEntropyLimiter {
  public:
-  // Whether to exchange everything now with a peer of digest 'theirs'; if so, the time counts as the last exchange.
-  bool admit(std::uint64_t own, std::uint64_t theirs, Micros now);
+  // Whether to exchange everything now with a peer of digest 'peer_digest'; if so, the time counts as the last exchange.
+  bool allow_exchange(std::uint64_t own_digest, std::uint64_t peer_digest, Micros now);
 
  private:
   std::uint64_t digest_ = 0;
--- a/src/mesh/connections/connection_table.cc
+++ b/src/mesh/connections/connection_table.cc
@@ -8,7 +8,7 @@
 namespace pipit {
 
 namespace {
-constexpr Micros greeting_timeout = seconds(5);
+constexpr Micros hello_timeout = seconds(5);
 constexpr Micros backoff_per_peer = millis(50);  // of a large fleet, so that dials to lost peers stay a steady trickle
 }  // namespace
 
@@ -66,20 +66,20 @@
 void ConnectionTable::close_idle(Micros now, ConnectionEffects& out) {
   std::vector<ConnectionId> idle;
   for (std::pair<ConnectionId const, Connection> const& item : connections_) {
-    bool const ungreeted = item.second.peer.empty() && now - item.second.opened_at > greeting_timeout;
-    if (ungreeted || now - item.second.last_received > settings_.idle_timeout) idle.push_back(item.first);
+    bool const awaits_hello = item.second.peer.empty() && now - item.second.opened_at > hello_timeout;
+    if (awaits_hello || now - item.second.last_received > settings_.idle_timeout) idle.push_back(item.first);
   }
   for (ConnectionId const id : idle) close(id, now, out);
 }
 
-void ConnectionTable::erase_and_close(ConnectionId id, ConnectionEffects& out) {
+void ConnectionTable::drop_duplicate(ConnectionId id, ConnectionEffects& out) {
   out.closed_connections.push_back(id);
   connections_.erase(id);
 }
 
 // §3.2: of two connections the one stays that the name sorting first opened. Of two by the same opener only the opener
 // closes one: the two sides may have seen them in different orders.
-bool ConnectionTable::keep_one(ConnectionId id, Peer& peer, Micros now, ConnectionEffects& out) {
+bool ConnectionTable::resolve_duplicate(ConnectionId id, Peer& peer, Micros now, ConnectionEffects& out) {
   Connection const& present = connections_.at(peer.connection);
   Connection const& added = connections_.at(id);
   // A peer dials only when it has no connection. So an older one is left from a former incarnation or from a cut,
@@ -87,23 +87,23 @@
   bool const stale =
       present.peer_incarnation != added.peer_incarnation || now - present.opened_at > settings_.probe_interval;
   if (stale) {
-    erase_and_close(peer.connection, out);
+    drop_duplicate(peer.connection, out);
     return true;
   }
   if (present.outbound == added.outbound) {
-    if (added.outbound) erase_and_close(peer.connection, out);
+    if (added.outbound) drop_duplicate(peer.connection, out);
     return true;
   }
   bool const self_first = members_.self.name < peer.member.name;
   bool const keeps_present = present.outbound == self_first;
-  erase_and_close(keeps_present ? id : peer.connection, out);
+  drop_duplicate(keeps_present ? id : peer.connection, out);
   return !keeps_present;
 }
 
 bool ConnectionTable::bind(ConnectionId id, Peer& peer, Micros now, ConnectionEffects& out) {
   if (peer.connection == 0 || peer.connection == id)
     log_event(Event::connection_opened, peer.member.name);
-  else if (!keep_one(id, peer, now, out))
+  else if (!resolve_duplicate(id, peer, now, out))
     return false;
   peer.connection = id;
   peer.dial_backoff = 0;
@@ -135,8 +135,8 @@
 void ConnectionTable::dial_missing(Micros now, ConnectionEffects& out) {
   for (std::pair<std::string const, Peer>& item : members_.peers) {
     Peer& peer = item.second;
-    if (peer.connection != 0 || peer.state() == State::leaving) continue;
-    if (peer.state() == State::down && !guard(Guard::redial)) continue;
+    if (peer.connection != 0 || peer.state() == MemberState::leaving) continue;
+    if (peer.state() == MemberState::down && !guard(Guard::redial)) continue;
     // The name that sorts first opens the pair's connection; the other dials when none has come in time (§3.2).
     bool const is_opener = members_.self.name < item.first;
     if (is_opener || now - peer.disconnected_since > settings_.probe_interval) dial(peer, now, out);
@@ -148,7 +148,7 @@
 bool ConnectionTable::is_seed_reachable(std::string const& address) const {
   for (std::pair<std::string const, Peer> const& item : members_.peers) {
     if (item.second.member.address != address) continue;
-    if (item.second.state() != State::leaving || item.second.dialling) return true;
+    if (item.second.state() != MemberState::leaving || item.second.dialling) return true;
   }
   for (std::pair<ConnectionId const, Connection> const& item : connections_)
     if (item.second.outbound && item.second.address == address) return true;
@@ -188,16 +188,16 @@
   return peer == members_.peers.end() ? "" : peer->second.member.zone;
 }
 
-Micros ConnectionTable::last_heard_from_half(Micros now) const {
-  std::vector<Micros> heard{now};
+Micros ConnectionTable::last_contact_with_half(Micros now) const {
+  std::vector<Micros> contact_times{now};
   for (std::pair<std::string const, Peer> const& item : members_.peers) {
     if (members_.cannot_be_serving(item.first)) continue;
     std::map<ConnectionId, Connection>::const_iterator const connection = connections_.find(item.second.connection);
     bool const connected = item.second.connection != 0 && connection != connections_.end();
-    heard.push_back(connected ? connection->second.last_received : -1);
+    contact_times.push_back(connected ? connection->second.last_received : -1);
   }
-  std::sort(heard.rbegin(), heard.rend());
-  return heard[(heard.size() + 1) / 2 - 1];
+  std::sort(contact_times.rbegin(), contact_times.rend());
+  return contact_times[(contact_times.size() + 1) / 2 - 1];
 }
 
 }  // namespace pipit
--- a/src/mesh/connections/connection_table.h
+++ b/src/mesh/connections/connection_table.h
@@ -59,7 +59,7 @@
   bool send(std::string const& peer, T&& body, ConnectionEffects& out) const {
     std::map<std::string, Peer>::const_iterator const position = members_.peers.find(peer);
     if (position == members_.peers.end() || position->second.connection == 0) return false;
-    out.outgoing_frames.push_back({position->second.connection, encode_body(std::forward<T>(body))});
+    out.outgoing_frames.push_back({position->second.connection, encode_message(std::forward<T>(body))});
     return true;
   }
 
@@ -73,7 +73,7 @@
   std::string zone_of(ConnectionId id) const;
   // The latest time at which at least half of all members that may be serving, this node with them, had been heard; -1
   // when half of them have no connection here (§4.3).
-  Micros last_heard_from_half(Micros now) const;
+  Micros last_contact_with_half(Micros now) const;
 
  private:
   struct Seed {
@@ -83,8 +83,8 @@
     bool dialling = false;
   };
 
-  void erase_and_close(ConnectionId id, ConnectionEffects& out);
-  bool keep_one(ConnectionId id, Peer& peer, Micros now, ConnectionEffects& out);
+  void drop_duplicate(ConnectionId id, ConnectionEffects& out);
+  bool resolve_duplicate(ConnectionId id, Peer& peer, Micros now, ConnectionEffects& out);
   Micros max_peer_backoff() const;
   bool is_seed_reachable(std::string const& address) const;
   void dial_seeds(Micros now, ConnectionEffects& out);
--- a/src/mesh/entries/entry_replication.cc
+++ b/src/mesh/entries/entry_replication.cc
@@ -31,7 +31,7 @@
       if (item.first != from) item.second.pending[entry.key] = PendingEntry{entry.stamp, false};
     return;
   }
-  for (std::string const& name : forward_to) {
+  for (std::string const& name : forward_targets) {
     if (name == from || name == entry.owner) continue;
     std::map<std::string, PeerQueue>::iterator const position = queues_.find(name);
     if (position != queues_.end()) position->second.pending[entry.key] = PendingEntry{entry.stamp, false};
--- a/src/mesh/entries/entry_replication.h
+++ b/src/mesh/entries/entry_replication.h
@@ -43,7 +43,7 @@
   // Whether entries of other nodes are forwarded to all peers. In a large fleet they are not: their owners send them,
   // and digests repair what is missing (§3.6).
   bool forward_to_all = true;
-  std::set<std::string> forward_to;  // names of peers that are forwarded to all the same
+  std::set<std::string> forward_targets;  // names of peers that are forwarded to all the same
 
  private:
   struct PendingEntry {
--- a/src/mesh/entries/entry_table.cc
+++ b/src/mesh/entries/entry_table.cc
@@ -42,9 +42,9 @@
 
 void EntryTable::store(wire::EntryT entry, Micros now) {
   if (expires(entry))
-    expiring_since_[entry.key] = now;
+    expirable_since_[entry.key] = now;
   else
-    expiring_since_.erase(entry.key);
+    expirable_since_.erase(entry.key);
   std::string const key = entry.key;
   entries_[key] = std::move(entry);
 }
@@ -52,16 +52,16 @@
 std::uint64_t EntryTable::digest() const {
   std::uint64_t out = 0;
   for (std::pair<std::string const, wire::EntryT> const& item : entries_)
-    if (!expiring_since_.count(item.first))
+    if (!expirable_since_.count(item.first))
       out ^= hash_text(item.first, hash_bits(item.second.stamp ^ hash_text(item.second.owner)));
   return out;
 }
 
 void EntryTable::forget(Micros now, Micros age) {
-  for (std::map<std::string, Micros>::iterator it = expiring_since_.begin(); it != expiring_since_.end();) {
+  for (std::map<std::string, Micros>::iterator it = expirable_since_.begin(); it != expirable_since_.end();) {
     if (now - it->second > age) {
       entries_.erase(it->first);
-      it = expiring_since_.erase(it);
+      it = expirable_since_.erase(it);
     } else {
       ++it;
     }
--- a/src/mesh/entries/entry_table.h
+++ b/src/mesh/entries/entry_table.h
@@ -42,7 +42,7 @@
   std::string const self_;  // this node's name
   std::uint64_t clock_ = 0;
   std::map<std::string, wire::EntryT> entries_;
-  std::map<std::string, Micros> expiring_since_;  // keys of entries that are forgotten after a while
+  std::map<std::string, Micros> expirable_since_;  // keys of entries that are forgotten after a while
 };
 
 }  // namespace pipit
--- a/src/mesh/frame.cc
+++ b/src/mesh/frame.cc
@@ -4,25 +4,25 @@
 
 namespace pipit {
 
-std::string encode(wire::FrameT const& frame) {
+std::string encode_frame(wire::FrameT const& frame) {
   flatbuffers::FlatBufferBuilder space(512);
   space.FinishSizePrefixed(wire::Frame::Pack(space, &frame));
   return std::string(reinterpret_cast<char const*>(space.GetBufferPointer()), space.GetSize());
 }
 
-std::size_t announced(std::string_view head) {
+std::size_t announced_length(std::string_view head) {
   if (head.size() < 4) return 0;
   std::size_t size = 0;
   for (int i = 3; i >= 0; --i) size = (size << 8) | static_cast<unsigned char>(head[static_cast<std::size_t>(i)]);
-  return size >= 8 && size <= frame_limit ? size : 0;
+  return size >= 8 && size <= max_frame_bytes ? size : 0;
 }
 
-wire::Body kind_of(std::string_view bytes) {
+wire::Body body_type_of(std::string_view bytes) {
   return flatbuffers::GetSizePrefixedRoot<wire::Frame>(bytes.data())->body_type();
 }
 
-Result<std::unique_ptr<wire::FrameT>> decode(std::string_view bytes) {
-  std::size_t const size = announced(bytes);
+Result<std::unique_ptr<wire::FrameT>> decode_frame(std::string_view bytes) {
+  std::size_t const size = announced_length(bytes);
   if (size == 0 || size + 4 != bytes.size()) return fail(ErrorCode::bad_request, "the frame's length is wrong");
   // A frame that came behind another lies at any address; numbers are read from their own alignment only.
   std::string aligned;
--- a/src/mesh/membership/failure_detector.cc
+++ b/src/mesh/membership/failure_detector.cc
@@ -42,18 +42,18 @@
 void FailureDetector::probe_round(Micros now, ConnectionEffects& out) {
   std::vector<Peer*> alive;
   for (std::pair<std::string const, Peer>& item : members_.peers) {
-    State const state = item.second.state();
-    if (state == State::alive) alive.push_back(&item.second);
-    if (state == State::suspected) probe(item.second, now, out);
+    MemberState const state = item.second.state();
+    if (state == MemberState::alive) alive.push_back(&item.second);
+    if (state == MemberState::suspected) probe(item.second, now, out);
   }
   if (!alive.empty()) probe(*alive[random_.below(alive.size())], now, out);
 }
 
-void FailureDetector::probe_silent(Micros now, ConnectionEffects& out) {
+void FailureDetector::probe_inactive(Micros now, ConnectionEffects& out) {
   Micros const limit = inactivity_limit();
   for (std::pair<std::string const, Peer>& item : members_.peers) {
     Peer& peer = item.second;
-    if (peer.connection == 0 || peer.state() != State::alive) continue;
+    if (peer.connection == 0 || peer.state() != MemberState::alive) continue;
     if (now - connections_.last_received(peer.connection) > limit) probe(peer, now, out);
   }
 }
@@ -62,7 +62,7 @@
 bool FailureDetector::probe_indirectly(std::string const& name, std::uint64_t seq, ConnectionEffects& out) {
   std::vector<std::string> candidates;
   for (std::pair<std::string const, Peer> const& item : members_.peers)
-    if (item.first != name && item.second.connection != 0 && item.second.state() == State::alive)
+    if (item.first != name && item.second.connection != 0 && item.second.state() == MemberState::alive)
       candidates.push_back(item.first);
   int asked = 0;
   while (!candidates.empty() && asked < indirect_probe_limit) {
@@ -78,7 +78,7 @@
 }
 
 // §3.4: a connection that stayed silent through a direct probe is given up and dialled anew, while others probe too.
-void FailureDetector::close_silent_connection(std::string const& name, Micros now, ConnectionEffects& out) {
+void FailureDetector::close_inactive_connection(std::string const& name, Micros now, ConnectionEffects& out) {
   std::map<std::string, Peer>::const_iterator const position = members_.peers.find(name);
   if (position == members_.peers.end() || position->second.connection == 0) return;
   ConnectionId const id = position->second.connection;
@@ -95,7 +95,7 @@
     if (!it->second.indirect) {
       it->second.indirect = true;
       it->second.deadline = now + settings_.probe_timeout;
-      close_silent_connection(name, now, out);
+      close_inactive_connection(name, now, out);
       if (probe_indirectly(name, it->first, out)) {
         ++it;
         continue;
@@ -121,15 +121,15 @@
   std::map<std::string, Peer>::iterator const position = members_.peers.find(name);
   if (position == members_.peers.end()) return;
   Peer& peer = position->second;
-  if (peer.state() == State::alive) {
-    members_.set_state(peer, State::suspected, now);
-  } else if (peer.state() == State::suspected) {
-    members_.set_state(peer, State::down, now);
+  if (peer.state() == MemberState::alive) {
+    members_.set_state(peer, MemberState::suspected, now);
+  } else if (peer.state() == MemberState::suspected) {
+    members_.set_state(peer, MemberState::down, now);
     if (peer.connection != 0) connections_.close(peer.connection, now, out);
   } else {
     return;
   }
-  gossip_.spread_finding(peer.member, out);
+  gossip_.disseminate(peer.member, out);
 }
 
 void FailureDetector::cancel_probes(std::string const& name) {
@@ -148,7 +148,7 @@
     reply.seq = relayed->second.requester_seq;
     reply.target = from;
     reply.ok = true;
-    out.outgoing_frames.push_back({requester, encode_body(std::move(reply))});
+    out.outgoing_frames.push_back({requester, encode_message(std::move(reply))});
   }
   relayed_.erase(relayed);
 }
@@ -173,7 +173,7 @@
     peer.dialling = false;
     if (peer.connection != 0) continue;
     peer.set_dial_refused(refused, now);
-    if (!refused || (peer.state() != State::alive && peer.state() != State::suspected)) continue;
+    if (!refused || (peer.state() != MemberState::alive && peer.state() != MemberState::suspected)) continue;
     cancel_probes(item.first);
     fail_probe(item.first, now, out);
   }
--- a/src/mesh/membership/failure_detector.h
+++ b/src/mesh/membership/failure_detector.h
@@ -32,7 +32,7 @@
   // One round: each suspected member and a random one of those that are alive.
   void probe_round(Micros now, ConnectionEffects& out);
   // Probes the members that are alive and whose connection is silent.
-  void probe_silent(Micros now, ConnectionEffects& out);
+  void probe_inactive(Micros now, ConnectionEffects& out);
   // Ends the probes that were not answered in time: a direct one goes on through others, an indirect one has failed.
   void expire_probes(Micros now, ConnectionEffects& out);
 
@@ -41,7 +41,7 @@
   void handle_indirect_ping(ConnectionId id, wire::IndirectPingT const& request, Micros now, ConnectionEffects& out);
   void handle_indirect_pong(wire::IndirectPongT const& reply, Micros now);
   // A member greeted this node, which answers any probe of it.
-  void peer_greeted(std::string const& name) { cancel_probes(name); }
+  void handle_hello(std::string const& name) { cancel_probes(name); }
   // A dial failed; a refused one shows that no process is there, so that the member's probe fails at once.
   void dial_failed(std::string const& address, bool refused, Micros now, ConnectionEffects& out);
 
@@ -59,7 +59,7 @@
 
   wire::PingT make_ping(std::uint64_t seq, ConnectionId id);
   bool probe_indirectly(std::string const& name, std::uint64_t seq, ConnectionEffects& out);
-  void close_silent_connection(std::string const& name, Micros now, ConnectionEffects& out);
+  void close_inactive_connection(std::string const& name, Micros now, ConnectionEffects& out);
   void complete_probe(std::uint64_t seq, Micros now);
   void fail_probe(std::string const& name, Micros now, ConnectionEffects& out);
   void cancel_probes(std::string const& name);
--- a/src/mesh/membership/gossip.cc
+++ b/src/mesh/membership/gossip.cc
@@ -7,9 +7,9 @@
 namespace {
 constexpr std::uint64_t full_table_interval = 16;  // one in so many tables of pings and pongs holds all records
 constexpr std::size_t piggyback_limit = 12;        // records with one ping or pong
-constexpr int finding_sends_base = 3;              // a finding is piggybacked so often, and
-constexpr int finding_sends_per_doubling = 3;      // so much more for each doubling of the fleet
-constexpr int relayed_sends = 6;                   // a record that a peer sent is piggybacked so often
+constexpr int observed_change_sends_base = 3;              // a finding is piggybacked so often, and
+constexpr int observed_change_sends_per_doubling = 3;      // so much more for each doubling of the fleet
+constexpr int received_record_sends = 6;                   // a record that a peer sent is piggybacked so often
 }  // namespace
 
 void MembershipGossip::broadcast(wire::MemberT const& record, ConnectionEffects& out) {
@@ -23,10 +23,10 @@
 
 // §3.6: many nodes find the same at the same time; if each of them broadcast it, the messages would grow with the
 // square of the fleet.
-void MembershipGossip::spread_finding(wire::MemberT const& record, ConnectionEffects& out) {
+void MembershipGossip::disseminate(wire::MemberT const& record, ConnectionEffects& out) {
   if (!is_large_fleet()) return broadcast(record, out);
-  int sends = finding_sends_base;
-  for (std::size_t n = members_.peers.size(); n > 0; n >>= 1) sends += finding_sends_per_doubling;
+  int sends = observed_change_sends_base;
+  for (std::size_t n = members_.peers.size(); n > 0; n >>= 1) sends += observed_change_sends_per_doubling;
   piggybacked_[record.name] = sends;
   std::vector<std::string> candidates;
   for (std::pair<std::string const, Peer> const& item : members_.peers)
@@ -41,7 +41,7 @@
   }
 }
 
-MemberRecords MembershipGossip::take_piggybacked() {
+MemberRecords MembershipGossip::next_piggybacked_records() {
   MemberRecords out;
   std::map<std::string, int>::iterator it = piggybacked_.begin();
   while (it != piggybacked_.end() && out.size() < piggyback_limit) {
@@ -57,13 +57,13 @@
 MemberRecords MembershipGossip::records_for(ConnectionId id, bool all) {
   Connection* const connection = connections_.find(id);
   if (connection == nullptr) return members_.records_since();
-  std::uint64_t const since = all || ++tables_sent_ % full_table_interval == 0 ? 0 : connection->sent_version;
+  std::uint64_t const since = all || ++ping_tables_sent_ % full_table_interval == 0 ? 0 : connection->sent_version;
   connection->sent_version = members_.version;
   return members_.records_since(since);
 }
 
 MemberRecords MembershipGossip::records_for_ping(ConnectionId id) {
-  return is_large_fleet() ? take_piggybacked() : records_for(id, false);
+  return is_large_fleet() ? next_piggybacked_records() : records_for(id, false);
 }
 
 void MembershipGossip::answer_hello(ConnectionId id, wire::HelloT const& hello, ConnectionEffects& out) {
@@ -71,7 +71,7 @@
   std::string const& name = hello.self->name;
   bool const all = !is_large_fleet() || hello.members < members_.peers.size() / 2;
   wire::MembershipUpdateT update;
-  update.table = all ? records_for(id, true) : take_piggybacked();
+  update.table = all ? records_for(id, true) : next_piggybacked_records();
   if (!all) update.table.push_back(std::make_unique<wire::MemberT>(members_.peers.at(name).member));
   connections_.send(name, std::move(update), out);
 }
@@ -82,7 +82,7 @@
     if (result == MemberTable::MergeResult::refuted) broadcast(members_.self, out);
     if (result != MemberTable::MergeResult::changed) continue;
     // A table of more records is an exchange of everything; what it brings is known to most already.
-    if (is_large_fleet() && records.size() <= piggyback_limit) piggybacked_[record->name] = relayed_sends;
+    if (is_large_fleet() && records.size() <= piggyback_limit) piggybacked_[record->name] = received_record_sends;
     std::map<std::string, Peer>::const_iterator const position = members_.peers.find(record->name);
     if (position == members_.peers.end() || position->second.connection == 0) continue;
     // A peer that started anew cannot have the connection of its former incarnation.
--- a/src/mesh/membership/gossip.h
+++ b/src/mesh/membership/gossip.h
@@ -28,12 +28,12 @@
   // Sends a record to all connected peers.
   void broadcast(wire::MemberT const& record, ConnectionEffects& out);
   // Spreads what this node found out about another: to all, or in a large fleet to some and to the rest with pings.
-  void spread_finding(wire::MemberT const& record, ConnectionEffects& out);
+  void disseminate(wire::MemberT const& record, ConnectionEffects& out);
   // The records for a ping or pong on a connection: what changed since the last ones on it, now and then all; in a
   // large fleet those that are piggybacked.
   MemberRecords records_for_ping(ConnectionId id);
   // The piggybacked records, at most twelve; each call uses up one of their turns.
-  MemberRecords take_piggybacked();
+  MemberRecords next_piggybacked_records();
   // Answers a peer's greeting with what it may not know; it contradicts what is wrong about itself (§3.3).
   void answer_hello(ConnectionId id, wire::HelloT const& hello, ConnectionEffects& out);
   // Merges records that a peer sent, and closes connections to former incarnations.
@@ -47,7 +47,7 @@
   MemberTable& members_;
   ConnectionTable& connections_;
   RandomSource& random_;
-  std::uint64_t tables_sent_ = 0;
+  std::uint64_t ping_tables_sent_ = 0;
   std::map<std::string, int> piggybacked_;  // names, with how many more times each is sent
 };
 
--- a/src/mesh/membership/member_table.cc
+++ b/src/mesh/membership/member_table.cc
@@ -8,7 +8,7 @@
 
 namespace pipit {
 
-char const* state_name(State state) {
+char const* state_name(MemberState state) {
   static char const* const names[] = {"alive", "suspected", "down", "leaving"};
   return names[static_cast<std::size_t>(state) & 3];
 }
@@ -20,18 +20,18 @@
 std::uint64_t fingerprint(wire::MemberT const& record) {
   return hash_text(record.name, hash_bits(record.incarnation ^ hash_bits((record.bump << 2) + record.state)));
 }
-void log_state(std::string const& name, State state) {
+void log_state(std::string const& name, MemberState state) {
   switch (state) {
-    case State::alive:
+    case MemberState::alive:
       log_event(Event::peer_alive, name);
       break;
-    case State::suspected:
+    case MemberState::suspected:
       log_event(Event::peer_suspected, name);
       break;
-    case State::down:
+    case MemberState::down:
       log_event(Event::peer_down, name);
       break;
-    case State::leaving:
+    case MemberState::leaving:
       log_event(Event::peer_leaving, name);
       break;
   }
@@ -57,12 +57,12 @@
   peer.disconnected_since = now;
   peer.version = ++version;
   peers.emplace(record.name, std::move(peer));
-  log_state(record.name, static_cast<State>(record.state));
+  log_state(record.name, static_cast<MemberState>(record.state));
   return MergeResult::changed;
 }
 
 MemberTable::MergeResult MemberTable::merge(wire::MemberT const& record, Micros now) {
-  if (record.name.empty() || record.state > static_cast<std::uint8_t>(State::leaving)) return MergeResult::unchanged;
+  if (record.name.empty() || record.state > static_cast<std::uint8_t>(MemberState::leaving)) return MergeResult::unchanged;
   if (record.name == self.name) return merge_self(record);
   std::map<std::string, std::uint64_t>::const_iterator const eviction = evicted.find(record.name);
   if (eviction != evicted.end() && record.incarnation <= eviction->second) return MergeResult::unchanged;
@@ -70,7 +70,7 @@
   if (position == peers.end()) return add(record, now);
   Peer& peer = position->second;
   if (precedence(record) <= precedence(peer.member)) return MergeResult::unchanged;
-  State const old = peer.state();
+  MemberState const old = peer.state();
   if (record.incarnation > peer.member.incarnation) peer.set_dial_refused(false, now);
   // A higher bump alone, as with each change of the register, is sent by the peer itself to whom it has a connection.
   if (record.incarnation != peer.member.incarnation || record.state != peer.member.state ||
@@ -88,7 +88,7 @@
   return MergeResult::changed;
 }
 
-void MemberTable::set_state(Peer& peer, State state, Micros now) {
+void MemberTable::set_state(Peer& peer, MemberState state, Micros now) {
   if (peer.state() == state) return;
   peer.member.state = static_cast<std::uint8_t>(state);
   peer.state_since = now;
@@ -96,7 +96,7 @@
   log_state(peer.member.name, state);
 }
 
-void MemberTable::register_router(wire::RouterRegistrationT const& registration, Micros now) {
+void MemberTable::apply_registration(wire::RouterRegistrationT const& registration, Micros now) {
   if (registration.name == self.name) return;
   std::map<std::string, Peer>::iterator const position = peers.find(registration.name);
   if (position != peers.end() && position->second.member.incarnation >= registration.incarnation) return;
@@ -106,8 +106,8 @@
   if (added || peer.connection == 0 || peer.member.address != registration.address) peer.version = ++version;
   if (added) {
     peer.member.name = registration.name;
-    peer.member.role = static_cast<std::uint8_t>(Role::router);
-    peer.member.state = static_cast<std::uint8_t>(State::down);
+    peer.member.role = static_cast<std::uint8_t>(MemberRole::router);
+    peer.member.state = static_cast<std::uint8_t>(MemberState::down);
     peer.state_since = peer.disconnected_since = now;
   }
   if (peer.member.address != registration.address) {
@@ -116,14 +116,14 @@
     peer.dialling = false;
   }
   if (peer.connection == 0) {
-    if (peer.state() == State::leaving) set_state(peer, State::down, now);
+    if (peer.state() == MemberState::leaving) set_state(peer, MemberState::down, now);
     peer.member.incarnation = registration.incarnation;
     peer.member.bump = 0;
     peer.set_dial_refused(false, now);
   }
 }
 
-void MemberTable::evict(std::vector<std::unique_ptr<wire::RouterRegistrationT>> const& list) {
+void MemberTable::apply_evictions(std::vector<std::unique_ptr<wire::RouterRegistrationT>> const& list) {
   evicted.clear();
   for (std::unique_ptr<wire::RouterRegistrationT> const& item : list) {
     std::map<std::string, Peer>::iterator const position = peers.find(item->name);
@@ -153,7 +153,7 @@
 void MemberTable::forget(Micros now, Micros age) {
   for (std::map<std::string, Peer>::iterator it = peers.begin(); it != peers.end();) {
     Peer const& peer = it->second;
-    bool const ended = peer.state() == State::down || peer.state() == State::leaving;
+    bool const ended = peer.state() == MemberState::down || peer.state() == MemberState::leaving;
     if (ended && peer.connection == 0 && now - peer.state_since > age)
       it = peers.erase(it);
     else
@@ -174,11 +174,11 @@
   std::map<std::string, Peer>::const_iterator const position = peers.find(name);
   if (position == peers.end()) return false;
   Peer const& peer = position->second;
-  return peer.connection == 0 && (peer.dial_refused || peer.state() == State::leaving);
+  return peer.connection == 0 && (peer.dial_refused || peer.state() == MemberState::leaving);
 }
 
-std::size_t MemberTable::count(Role role) const {
-  std::size_t n = static_cast<Role>(self.role) == role ? 1 : 0;
+std::size_t MemberTable::count(MemberRole role) const {
+  std::size_t n = static_cast<MemberRole>(self.role) == role ? 1 : 0;
   for (std::pair<std::string const, Peer> const& item : peers)
     if (item.second.role() == role) ++n;
   return n;
--- a/src/mesh/membership/member_table.h
+++ b/src/mesh/membership/member_table.h
@@ -16,10 +16,10 @@
 
 namespace pipit {
 
-enum class State : std::uint8_t { alive, suspected, down, leaving };
-enum class Role : std::uint8_t { router, config_store };
+enum class MemberState : std::uint8_t { alive, suspected, down, leaving };
+enum class MemberRole : std::uint8_t { router, config_store };
 // The state's name in status pages and metrics.
-char const* state_name(State state);
+char const* state_name(MemberState state);
 
 // A peer as this node knows it. Times are in microseconds on this node's clock.
 struct Peer {
@@ -38,8 +38,8 @@
     if (refused != dial_refused) dial_refused_at = now;
     dial_refused = refused;
   }
-  State state() const { return static_cast<State>(member.state); }
-  Role role() const { return static_cast<Role>(member.role); }
+  MemberState state() const { return static_cast<MemberState>(member.state); }
+  MemberRole role() const { return static_cast<MemberRole>(member.role); }
 };
 
 class MemberTable {
@@ -54,7 +54,7 @@
   // Takes one record that a peer sent; a malformed one changes nothing.
   MergeResult merge(wire::MemberT const& record, Micros now);
   // This node's own finding about a peer.
-  void set_state(Peer& peer, State state, Micros now);
+  void set_state(Peer& peer, MemberState state, Micros now);
   // What a peer reports of itself with pings and pongs; nothing for a name that is not in the table.
   void update_status(std::string const& name, std::uint64_t revision, std::uint64_t serial, bool ready);
   // This node's own record, and those of peers whose incarnation, state or address changed here after a version; 0
@@ -65,15 +65,15 @@
   // Removes peers that have been down or leaving for longer than 'age'.
   void forget(Micros now, Micros age);
   // Takes a router's registration in the register; a newer incarnation than the one known is dialled (§5.9).
-  void register_router(wire::RouterRegistrationT const& registration, Micros now);
+  void apply_registration(wire::RouterRegistrationT const& registration, Micros now);
   // Takes the register's list of evicted routers and removes those that are not connected.
-  void evict(std::vector<std::unique_ptr<wire::RouterRegistrationT>> const& list);
+  void apply_evictions(std::vector<std::unique_ptr<wire::RouterRegistrationT>> const& list);
   // An evicted router greeted this node: it is here after all.
-  void readmit(std::string const& name) { evicted.erase(name); }
+  void clear_eviction(std::string const& name) { evicted.erase(name); }
   // Whether a member is known not to serve: it left, or its address refuses a dial (§5.5). False for an unknown name.
   bool cannot_be_serving(std::string const& name) const;
   // How many nodes of a role are known, this one with them, whatever their state.
-  std::size_t count(Role role) const;
+  std::size_t count(MemberRole role) const;
 
   wire::MemberT self;
   std::uint64_t version = 0;  // counts changes of a peer's incarnation, state or address
--- a/src/mesh/mesh.cc
+++ b/src/mesh/mesh.cc
@@ -20,7 +20,7 @@
 
 void Mesh::tick(Micros now, ConnectionEffects& out) {
   failure_detector_.expire_probes(now, out);
-  failure_detector_.probe_silent(now, out);
+  failure_detector_.probe_inactive(now, out);
   if (now >= next_round_) run_round(now, out);
   connections_.dial_missing(now, out);
 }
@@ -41,19 +41,19 @@
   hello.digest = members.digest();
   hello.entry_digest = entry_table.digest();
   hello.cluster = settings_.cluster;
-  hello.format = frame_format;
+  hello.format = frame_format_version;
   hello.members = static_cast<std::uint32_t>(members.peers.size());
   hello.entries = static_cast<std::uint32_t>(entry_table.all().size());
   hello.self = std::make_unique<wire::MemberT>(members.self);
-  out.outgoing_frames.push_back({id, encode_body(std::move(hello))});
+  out.outgoing_frames.push_back({id, encode_message(std::move(hello))});
 }
 
 void Mesh::connection_closed(ConnectionId id, Micros now, ConnectionEffects& out) {
   std::string const name = connections_.remove(id, now);
   std::map<std::string, Peer>::iterator const position = members.peers.find(name);
   if (position == members.peers.end() || position->second.connection != 0) return;
-  State const state = position->second.state();
-  if (state == State::alive || state == State::suspected) failure_detector_.probe(position->second, now, out);
+  MemberState const state = position->second.state();
+  if (state == MemberState::alive || state == MemberState::suspected) failure_detector_.probe(position->second, now, out);
 }
 
 void Mesh::dial_failed(std::string const& address, bool refused, Micros now, ConnectionEffects& out) {
@@ -67,7 +67,7 @@
 }
 
 void Mesh::leave(ConnectionEffects& out) {
-  members.self.state = static_cast<std::uint8_t>(State::leaving);
+  members.self.state = static_cast<std::uint8_t>(MemberState::leaving);
   announce_self(out);
 }
 
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -62,7 +62,7 @@
   bool is_large_fleet() const { return settings_.is_large_fleet(members.peers.size()); }
   // The latest time at which at least half of all members that may be serving had been heard; -1 when half of them have
   // no connection here (§4.3).
-  Micros last_heard_from_half(Micros now) const { return connections_.last_heard_from_half(now); }
+  Micros last_contact_with_half(Micros now) const { return connections_.last_contact_with_half(now); }
   // The zone of a connection's peer; empty before it greeted.
   std::string zone_of(ConnectionId id) const { return connections_.zone_of(id); }
   std::uint64_t open_connections() const { return connections_.size(); }
--- a/src/mesh/mesh_frames.cc
+++ b/src/mesh/mesh_frames.cc
@@ -48,7 +48,7 @@
 
 // Whether a greeting comes from another node of this cluster that speaks the same version of the frames.
 bool Mesh::is_acceptable(wire::HelloT const& hello) const {
-  if (hello.format != frame_format) {
+  if (hello.format != frame_format_version) {
     log_event(Event::foreign_cluster, "frames of format " + std::to_string(hello.format));
     return false;
   }
@@ -66,12 +66,12 @@
   Connection& connection = *connections_.find(id);
   connection.peer = name;
   connection.peer_incarnation = hello.self->incarnation;
-  members.readmit(name);
-  if (members.merge(*hello.self, now) == MemberTable::MergeResult::changed) gossip_.spread_finding(*hello.self, out);
+  members.clear_eviction(name);
+  if (members.merge(*hello.self, now) == MemberTable::MergeResult::changed) gossip_.disseminate(*hello.self, out);
   Peer& peer = members.peers.at(name);
   peer.set_dial_refused(false, now);
   if (!connections_.bind(id, peer, now, out)) return;
-  failure_detector_.peer_greeted(name);
+  failure_detector_.handle_hello(name);
   entry_replication.add_peer(name);
   enqueue_entries_for(name, hello);
   gossip_.answer_hello(id, hello, out);
@@ -101,11 +101,11 @@
   pong.serial = members.self.serial;
   pong.ready = members.self.ready;
   // §3.6: in a large fleet a peer that knows something else is sent everything, and answers with what it knows besides.
-  bool const repairs = is_large_fleet() && member_repair_.admit(pong.digest, ping.digest, now);
+  bool const repairs = is_large_fleet() && member_repair_.allow_exchange(pong.digest, ping.digest, now);
   pong.whole = !is_large_fleet() || repairs;
   pong.table = repairs ? members.records_since() : gossip_.records_for_ping(id);
   repair_entries(from, ping.entry_digest, now, out);
-  out.outgoing_frames.push_back({id, encode_body(std::move(pong))});
+  out.outgoing_frames.push_back({id, encode_message(std::move(pong))});
 }
 
 void Mesh::handle_pong(std::string const& from, wire::PongT const& pong, Micros now, ConnectionEffects& out) {
@@ -129,13 +129,13 @@
   }
   wire::EntriesAckT ack;
   ack.batch = batch.batch;
-  out.outgoing_frames.push_back({id, encode_body(std::move(ack))});
+  out.outgoing_frames.push_back({id, encode_message(std::move(ack))});
   if (!updated_entry_keys.empty()) flush_entries(out);
 }
 
 // In a large fleet, entries that a peer may lack are all sent again when its digest differs.
 void Mesh::repair_entries(std::string const& peer, std::uint64_t peer_digest, Micros now, ConnectionEffects& out) {
-  if (!is_large_fleet() || !entry_repair_.admit(entry_table.digest(), peer_digest, now)) return;
+  if (!is_large_fleet() || !entry_repair_.allow_exchange(entry_table.digest(), peer_digest, now)) return;
   entry_replication.enqueue_all(peer);
   wire::EntriesT batch = entry_replication.next_batch(peer, false);
   if (!batch.list.empty()) send(peer, std::move(batch), out);
--- a/src/node/change_forwarder.h
+++ b/src/node/change_forwarder.h
@@ -40,18 +40,18 @@
   // Asks another node to propose a change; false when this node is to propose it itself.
   bool forward_change(std::uint64_t id, Change const& change, Micros now, NodeEffects& out);
   // Proposes a change for the node that forwarded it.
-  void take_change(std::string const& from, wire::ForwardedChangeT const& request, Micros now, NodeEffects& out);
+  void handle_forwarded_change(std::string const& from, wire::ForwardedChangeT const& request, Micros now, NodeEffects& out);
   // What became of a change that was forwarded.
-  void take_reply(std::string const& from, wire::ForwardedChangeReplyT const& reply, Micros now, NodeEffects& out);
+  void handle_reply(std::string const& from, wire::ForwardedChangeReplyT const& reply, Micros now, NodeEffects& out);
   // Sends the replies in 'out' that other nodes wait for, and proposes what was not answered in time.
-  void advance(Micros now, NodeEffects& out);
+  void tick(Micros now, NodeEffects& out);
 
  private:
-  struct Forwarded {
+  struct PendingForward {
     std::uint64_t id = 0;
     std::string proposer;  // the node that was asked
     Change change;
-    Micros due = 0;
+    Micros deadline = 0;
   };
   struct Requester {
     std::string name;
@@ -60,23 +60,23 @@
   };
 
   // The peer that is asked next when this node hears no quorum; empty when there is none.
-  std::string next_relaying_peer();
-  void put_text(std::string const& text, wire::ForwardedChangeT& request) const;
-  std::optional<std::string> text_of(wire::ForwardedChangeT const& request) const;
-  void ask_for_text(std::string const& from, std::uint64_t request_id, NodeEffects& out);
-  void send_text(std::string const& to, std::uint64_t request_id, Change const& change, NodeEffects& out);
-  Reply reply_to_caller(Forwarded const& item, wire::ForwardedChangeReplyT const& reply, Micros now, NodeEffects& out);
+  std::string next_relay_peer();
+  void encode_text(std::string const& text, wire::ForwardedChangeT& request) const;
+  std::optional<std::string> decode_text(wire::ForwardedChangeT const& request) const;
+  void request_full_text(std::string const& from, std::uint64_t request_id, NodeEffects& out);
+  void send_full_text(std::string const& to, std::uint64_t request_id, Change const& change, NodeEffects& out);
+  Reply reply_to_caller(PendingForward const& item, wire::ForwardedChangeReplyT const& reply, Micros now, NodeEffects& out);
   void answer_requester(Requester const& requester, Outcome const& outcome, NodeEffects& out);
   void answer_requesters(NodeEffects& out);
-  void propose_overdue(Micros now, NodeEffects& out);
+  void propose_timed_out(Micros now, NodeEffects& out);
 
   NodePlan const& plan_;
   Mesh& mesh_;
   Learner const& learner_;
   ReplicaDirectory const& directory_;
   Actions const actions_;
-  std::uint64_t relay_turn_ = 0;
-  std::map<std::uint64_t, Forwarded> forwarded_;   // by request number
+  std::uint64_t relay_rotation_ = 0;
+  std::map<std::uint64_t, PendingForward> pending_forwards_;   // by request number
   std::map<std::uint64_t, Requester> requesters_;  // by the id under which this node proposes
 };
 
--- a/src/node/changes.cc
+++ b/src/node/changes.cc
@@ -18,7 +18,7 @@
     change.id = plan.name + "-" + std::to_string(plan.incarnation) + "-" + std::to_string(++change_count_);
   note_call(id, change);
   if (change_forwarder_.forward_change(id, change, now, out)) return;
-  if (plan.registered && id != 0 && !replica_directory_.hears_quorum(now))
+  if (plan.registered && id != 0 && !replica_directory_.has_quorum_contact(now))
     return refuse_now(id, change, ErrorCode::no_majority, out);
   propose(id, std::move(change), now, out);
   check_replies(out);
@@ -84,7 +84,7 @@
     if (change.type == Change::Type::register_router)
       router_registrations_.finish_registration();
     else
-      replica_set_manager_.change_ended();
+      replica_set_manager_.finish_change();
     return;
   }
   if (change.type == Change::Type::empty && holds) {
--- a/src/node/configuration_authority.cc
+++ b/src/node/configuration_authority.cc
@@ -11,15 +11,15 @@
 constexpr std::size_t max_confirmed_revisions = 16;
 }  // namespace
 
-ConfigurationAuthority::ConfigurationAuthority(ConfigurationSpans const& spans, Mesh const& mesh,
+ConfigurationAuthority::ConfigurationAuthority(ConfigurationLeaseDurations const& durations, Mesh const& mesh,
                                                Learner const& learner, PeerRotation& rotation,
                                                std::function<std::uint64_t()> next_request_id)
     : mesh_(mesh),
       learner_(learner),
       rotation_(rotation),
       next_request_id_(std::move(next_request_id)),
-      key_lease_(spans.revocation, spans.in_force),
-      quota_lease_(spans.quota) {}
+      key_lease_(durations.revocation, durations.in_force),
+      quota_lease_(durations.quota) {}
 
 // Both leases rest on the same facts.
 void ConfigurationAuthority::confirm_leases(Micros at) {
@@ -44,7 +44,7 @@
   std::erase_if(open_requests_, [now](std::pair<std::uint64_t const, Micros> const& item) {
     return now - item.second > request_timeout;
   });
-  for (std::string const& target : select_targets(now)) {
+  for (std::string const& target : select_peers_to_query(now)) {
     wire::NewestRequestT request;
     request.request_id = next_request_id_();
     open_requests_[request.request_id] = now;
@@ -52,7 +52,7 @@
   }
 }
 
-std::vector<std::string> ConfigurationAuthority::select_targets(Micros now) {
+std::vector<std::string> ConfigurationAuthority::select_peers_to_query(Micros now) {
   std::vector<std::string> replicas;
   std::vector<std::string> others;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
@@ -76,7 +76,7 @@
 
 // The peer's moment lies 'age' before its reply, and its reply after this node's question: reckoned from the question,
 // it can only be taken for an earlier one than it was.
-void ConfigurationAuthority::take_reply(std::string const& from, wire::NewestReplyT const& reply, Micros now,
+void ConfigurationAuthority::handle_reply(std::string const& from, wire::NewestReplyT const& reply, Micros now,
                                         std::vector<OutgoingMessage>& outgoing) {
   std::map<std::uint64_t, Micros>::iterator const request = open_requests_.find(reply.request_id);
   if (request == open_requests_.end()) return;
--- a/src/node/configuration_authority.h
+++ b/src/node/configuration_authority.h
@@ -23,7 +23,7 @@
 namespace pipit {
 
 // How long a confirmation of the configuration holds, in microseconds.
-struct ConfigurationSpans {
+struct ConfigurationLeaseDurations {
   Micros revocation = 0;  // for keys; 0: they need no lease
   Micros in_force = 0;    // for refusing for good what the configuration does not know
   Micros quota = 0;       // for handing out quota
@@ -32,7 +32,7 @@
 class ConfigurationAuthority {
  public:
   // 'next_request_id' numbers the questions to peers. The references must outlive this object.
-  ConfigurationAuthority(ConfigurationSpans const& spans, Mesh const& mesh, Learner const& learner,
+  ConfigurationAuthority(ConfigurationLeaseDurations const& durations, Mesh const& mesh, Learner const& learner,
                          PeerRotation& rotation, std::function<std::uint64_t()> next_request_id);
 
   // The lease that requests with keys need.
@@ -47,12 +47,12 @@
   // Answers a peer's question: the revision held here, and how long ago it was confirmed as the newest.
   wire::NewestReplyT answer_request(std::uint64_t request_id, Micros now) const;
   // Takes a peer's reply; may append a request for the newer value that the peer holds.
-  void take_reply(std::string const& from, wire::NewestReplyT const& reply, Micros now,
+  void handle_reply(std::string const& from, wire::NewestReplyT const& reply, Micros now,
                   std::vector<OutgoingMessage>& outgoing);
 
  private:
   // Whom to ask in the present turn: a replica, and another peer where that is urgent or no replica is reachable.
-  std::vector<std::string> select_targets(Micros now);
+  std::vector<std::string> select_peers_to_query(Micros now);
   void confirm_leases(Micros at);
 
   Mesh const& mesh_;
--- a/src/node/list_freshness.cc
+++ b/src/node/list_freshness.cc
@@ -28,7 +28,7 @@
 // no later reading either. That holds on from what was known before; a node that was isolated must first hear from
 // half of them for a while.
 bool ListFreshness::update(Micros now) {
-  Micros const half_heard_at = mesh_.last_heard_from_half(now);
+  Micros const half_heard_at = mesh_.last_contact_with_half(now);
   bool const half = update_half_heard(half_heard_at, now);
   up_to_date_at_ = std::max(up_to_date_at_, read_at_);
   Micros const unchanged_at = std::max(half_heard_at, source_failed_at_);
--- a/src/node/listed.cc
+++ b/src/node/listed.cc
@@ -99,7 +99,7 @@
 }
 
 void Node::own_entries(Micros now, NodeEffects& out) {
-  if (plan.role != Role::router || listed_at_ < 0 || now - listed_at_ > seconds(5) || leaving_) return;
+  if (plan.role != MemberRole::router || listed_at_ < 0 || now - listed_at_ > seconds(5) || leaving_) return;
   std::set<std::string> const names = routers(false);
   std::set<std::string> mine;
   for (std::pair<std::string const, Worker> const& item : fleet.workers)
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -28,13 +28,13 @@
 constexpr Micros owner_span = millis(4700);
 Micros owner_span_of(NodePlan const& plan) { return plan.revocation > 0 ? plan.revocation : owner_span; }
 
-QuotaAuthorityPlan quota_plan_of(NodePlan const& plan, std::optional<wire::RecordT> const& recovered) {
-  QuotaAuthorityPlan out;
+QuotaAuthorityOptions quota_plan_of(NodePlan const& plan, std::optional<wire::RecordT> const& recovered) {
+  QuotaAuthorityOptions out;
   out.self = plan.name;
   out.terms = plan.quota;
-  out.first_request = incarnation_seed(plan, SeedUse::quota) >> spare_number_bits;
+  out.first_request_id = incarnation_seed(plan, SeedUse::quota) >> spare_number_bits;
   out.fence = owner_span_of(plan);
-  out.settled_members = recovered ? recovered->quota_members : 0;
+  out.settled_membership = recovered ? recovered->quota_members : 0;
   return out;
 }
 
@@ -88,8 +88,10 @@
       started_at_(now),
       last_tick_(now),
       next_request_id_(incarnation_seed(plan, SeedUse::requests) >> spare_number_bits),
-      worker_departures_(plan.name, mesh, learner, [this](Micros at) { return replica_directory_.hears_quorum(at); }),
-      router_registrations_({plan.name, plan.address, plan.role == Role::router, !plan.registered}, mesh, learner),
+      worker_departures_(plan.name, mesh, learner,
+                         [this](Micros at) { return replica_directory_.has_quorum_contact(at); }),
+      router_registrations_({plan.name, plan.address, plan.role == MemberRole::router, !plan.registered}, mesh,
+                            learner),
       list_freshness_(mesh),
       exchange_topology_({plan.name, plan.zone, plan.replica}, mesh),
       catch_up_(plan.name, plan.zone, mesh),
@@ -98,14 +100,14 @@
       quota_authority_(quota_plan_of(plan, recovered),
                        {mesh, learner, acceptor, configuration_authority_, peer_rotation_, dispatcher}) {
   if (recovered) acceptor.emplace(std::move(*recovered));
-  register_bootstrap_.mark_disk(acceptor);
+  register_bootstrap_.mark_awaiting_bootstrap(acceptor);
   registry.span(plan.heartbeat_interval);
   if (plan.registered) dispatcher.begun(now);
   dispatcher.budget(plan.resend_ratio, plan.resend_store);
   dispatcher.lease_on(key_lease());
 }
 
-ReplicaDirectory::Status Node::replica_status() {
+ReplicaDirectory::LocalStatus Node::replica_status() {
   return {[this] { return leaving_; }, [this] { return retiring_; }, [this] { return poll_span(); }};
 }
 
@@ -144,10 +146,11 @@
 
 std::set<std::string> Node::routers(bool all) const {
   std::set<std::string> out;
-  if (plan.role == Role::router) out.insert(plan.name);
+  if (plan.role == MemberRole::router) out.insert(plan.name);
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
-    State const state = item.second.state();
-    if (item.second.role() == Role::router && (all || state == State::alive || state == State::suspected))
+    MemberState const state = item.second.state();
+    if (item.second.role() == MemberRole::router &&
+        (all || state == MemberState::alive || state == MemberState::suspected))
       out.insert(item.first);
   }
   return out;
@@ -156,7 +159,8 @@
 std::vector<std::string> Node::index_peers() const {
   std::vector<std::string> out;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-    if (item.second.role() == Role::router && item.second.connection != 0 && item.second.state() == State::alive)
+    if (item.second.role() == MemberRole::router && item.second.connection != 0 &&
+        item.second.state() == MemberState::alive)
       out.push_back(item.first);
   return out;
 }
@@ -189,8 +193,8 @@
       if (peer == mesh.members.peers.end() || peer->second.connection == 0) continue;
       wire::FrameT frame;
       frame.body = std::move(item.body);
-      std::string bytes = encode(frame);
-      if (bytes.size() > frame_limit) {
+      std::string bytes = encode_frame(frame);
+      if (bytes.size() > max_frame_bytes) {
         log_event(Event::frame_too_large, item.to + " " + std::to_string(bytes.size()));
         continue;
       }
@@ -258,7 +262,7 @@
       }
       break;
     case wire::Body::LeaseReply:
-      replica_set_manager_.take_lease_reply(from, *body.AsLeaseReply(), now);
+      replica_set_manager_.handle_lease_reply(from, *body.AsLeaseReply(), now);
       break;
     case wire::Body::Loads:
       take_list_age(body.AsLoads()->age, now);
@@ -273,20 +277,20 @@
           message_to(from, configuration_authority_.answer_request(body.AsNewestRequest()->request_id, now)));
       break;
     case wire::Body::NewestReply:
-      configuration_authority_.take_reply(from, *body.AsNewestReply(), now, outgoing);
+      configuration_authority_.handle_reply(from, *body.AsNewestReply(), now, outgoing);
       break;
     case wire::Body::QuotaRequest:
-      quota_authority_.take_request(from, *body.AsQuotaRequest(), now, outgoing);
+      quota_authority_.handle_request(from, *body.AsQuotaRequest(), now, outgoing);
       break;
     case wire::Body::QuotaReply:
-      quota_authority_.take_reply(from, *body.AsQuotaReply(), now, outgoing);
+      quota_authority_.handle_reply(from, *body.AsQuotaReply(), now, outgoing);
       process_quota(now, out);
       break;
     case wire::Body::ForwardedChange:
-      change_forwarder_.take_change(from, *body.AsForwardedChange(), now, out);
+      change_forwarder_.handle_forwarded_change(from, *body.AsForwardedChange(), now, out);
       break;
     case wire::Body::ForwardedChangeReply:
-      change_forwarder_.take_reply(from, *body.AsForwardedChangeReply(), now, out);
+      change_forwarder_.handle_reply(from, *body.AsForwardedChangeReply(), now, out);
       break;
     case wire::Body::WorkerSuspected:
       // Asked at once; a worker that is well is back in a moment.
@@ -296,7 +300,7 @@
     case wire::Body::Deltas:
     case wire::Body::TreeRequest:
     case wire::Body::TreePage:
-      if (plan.role == Role::router)
+      if (plan.role == MemberRole::router)
         index_sync.take(
             from, body, now, [this](std::string const& model) { return bounds(model); },
             [this] { return index_peers(); }, outgoing);
@@ -370,7 +374,7 @@
     // §12.7: to those that keep, who bring it to the rest of their zones.
     update.origin = plan.name;
     update.hops = 1;
-    std::string const far = encode_body(wire::ChosenT(update));
+    std::string const far = encode_message(wire::ChosenT(update));
     std::set<std::string> reached{plan.replica ? plan.zone : std::string()};
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       if (item.second.connection == 0 || !item.second.member.replica) continue;
@@ -383,7 +387,7 @@
     if (plan.replica) forward(update, out);
     return;
   }
-  std::string const bytes = encode_body(std::move(update));
+  std::string const bytes = encode_message(std::move(update));
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.connection != 0) out.mesh.outgoing_frames.push_back({item.second.connection, bytes});
 }
@@ -437,7 +441,7 @@
 
 bool Node::bytes(ConnectionId id, std::string_view bytes, Micros now, NodeEffects& out) {
   watch_clock(now);
-  Result<std::unique_ptr<wire::FrameT>> frame = decode(bytes);
+  Result<std::unique_ptr<wire::FrameT>> frame = decode_frame(bytes);
   if (!frame) {
     log_event(Event::malformed_frame, frame.error().what);
     return false;
@@ -461,7 +465,7 @@
   }
   if (!from.empty()) deliver(from, frame.value()->body, now, out);
   if (!waiting_.empty()) settle_waiting(now, out);
-  change_forwarder_.advance(now, out);
+  change_forwarder_.tick(now, out);
   worker_departures_.answer_calls(now, out.end_answers);
   check_replies(out);
   return true;
@@ -488,7 +492,7 @@
   acceptor->synced(outgoing);
   if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
   dispatch(outgoing, now, out);
-  change_forwarder_.advance(now, out);
+  change_forwarder_.tick(now, out);
   check_replies(out);
 }
 
@@ -499,7 +503,7 @@
   // Where replicas are many enough for the losses that are allowed, nothing else will do (docs/control.md).
   if (plan.registered && !word && !ready_now_) return;
   bool sure = word;
-  if (word && plan.role == Role::router && !router_registrations_.is_registered()) {
+  if (word && plan.role == MemberRole::router && !router_registrations_.is_registered()) {
     // §5.9: nothing is placed before this incarnation of the node has its registration; while a majority answers, by
     // nobody's word.
     request_registration(now, out);
@@ -507,14 +511,14 @@
   }
   // Where workers register: a description, and the word of workers, or time enough for any to have called.
   bool const told = plan.registered && learner.serial() > 0 && (!registry.all.empty() || now - from > seconds(2));
-  bool const listed = plan.role == Role::config_store || listed_at_ >= from || told;
+  bool const listed = plan.role == MemberRole::config_store || listed_at_ >= from || told;
   if (!word && now - from > fresh_bound) {
     // §6.7: no majority answers. A node that was serving goes on; a new one may take the word of one that serves.
     if (ready_now_) sure = true;
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       Peer const& peer = item.second;
-      if (peer.connection != 0 && peer.state() == State::alive && peer.role() == Role::router && peer.member.ready &&
-          learner.value && learner.serial() >= peer.member.serial)
+      if (peer.connection != 0 && peer.state() == MemberState::alive && peer.role() == MemberRole::router &&
+          peer.member.ready && learner.value && learner.serial() >= peer.member.serial)
         sure = true;
     }
   }
@@ -540,10 +544,11 @@
   mesh.tick(now, out.mesh);
   take_fresh(now);
   std::vector<OutgoingMessage> outgoing;
-  if (now >= next_poll_ && (guard(Guard::spread) || learner.confirmed_at < 0 || plan.role == Role::config_store)) {
+  if (now >= next_poll_ &&
+      (guard(Guard::spread) || learner.confirmed_at < 0 || plan.role == MemberRole::config_store)) {
     next_poll_ = now + poll_span();
     learner.poll(now, replica_directory_.connected_replicas(), list_freshness_.age(now), outgoing);
-    register_bootstrap_.propose_initial_set(now, outgoing);
+    register_bootstrap_.propose_initial_membership(now, outgoing);
   }
   if (acceptor)
     if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
@@ -551,12 +556,12 @@
   ask_newer(now, outgoing);
   proposer.adopt_membership(learner.membership());
   proposer.suggest_membership(learner.newest_seen_membership());
-  if (plan.registered && !replica_directory_.hears_quorum(now)) proposer.give_up_unsent();
+  if (plan.registered && !replica_directory_.has_quorum_contact(now)) proposer.give_up_unsent();
   proposer.tick(now, outgoing);
   settle_ended(now, out);
   if (plan.registered) {
     tick_registered(now, outgoing, out);
-  } else if (plan.role == Role::router) {
+  } else if (plan.role == MemberRole::router) {
     tick_listed(now, outgoing, out);
   } else {
     update_readiness(now, out);
@@ -564,7 +569,7 @@
   dispatch(outgoing, now, out);
   manage_replica_set(now, out);
   settle_waiting(now, out);
-  change_forwarder_.advance(now, out);
+  change_forwarder_.tick(now, out);
   check_replies(out);
   tell_waiting(now);
 }
@@ -574,7 +579,7 @@
   if (!learner.membership().concerns(plan.name, acceptor->durable_state().disk)) return true;
   // Who hears no quorum cannot know whether a replica is here to take its place: it waits for the end of its grace.
   // Nor does one end that the set can do without: it is taken out first.
-  return replica_directory_.hears_quorum(now) && replica_set_manager_.lacks_successor(now);
+  return replica_directory_.has_quorum_contact(now) && replica_set_manager_.lacks_replacement(now);
 }
 
 void Node::drain(Micros now, NodeEffects& out) {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -174,7 +174,7 @@
   std::set<std::string> routers(bool all) const;
   Index::Bounds bounds(std::string const& model) const;
 
-  ReplicaDirectory::Status replica_status();
+  ReplicaDirectory::LocalStatus replica_status();
   ChangeForwarder::Actions forwarder_actions();
 
   ReplicaDirectory replica_directory_;
--- a/src/node/node_effects.h
+++ b/src/node/node_effects.h
@@ -32,7 +32,7 @@
   ConnectionEffects mesh;
   std::optional<wire::RecordT> save;
   std::vector<Reply> replies;
-  std::vector<EndAnswer> end_answers;
+  std::vector<DepartureAnswer> end_answers;
   ChatEffects chat;
   DispatchEffects dispatch;
   bool read_list = false;
--- a/src/node/node_plan.h
+++ b/src/node/node_plan.h
@@ -17,7 +17,7 @@
   std::string zone;
   std::string address;  // of the mesh
   std::string http;
-  Role role = Role::router;
+  MemberRole role = MemberRole::router;
   std::vector<std::string> seeds;
   std::vector<std::string> models;           // those that a router serves; none means all
   std::vector<std::string> initial_members;  // names of the first replicas
--- a/src/node/peer_selection.h
+++ b/src/node/peer_selection.h
@@ -13,7 +13,7 @@
 namespace pipit {
 
 // Whether the peer has an open connection and is alive.
-inline bool is_reachable(Peer const& peer) { return peer.connection != 0 && peer.state() == State::alive; }
+inline bool is_reachable(Peer const& peer) { return peer.connection != 0 && peer.state() == MemberState::alive; }
 inline bool is_reachable(Mesh const& mesh, std::string const& name) {
   std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
   return peer != mesh.members.peers.end() && is_reachable(peer->second);
--- a/src/node/quota_authority.cc
+++ b/src/node/quota_authority.cc
@@ -5,19 +5,19 @@
 
 namespace pipit {
 
-QuotaAuthority::QuotaAuthority(QuotaAuthorityPlan plan, QuotaCollaborators const& collaborators)
-    : plan_(std::move(plan)),
-      collaborators_(collaborators),
-      owner_(plan_.terms),
-      client_(plan_.self, plan_.first_request),
-      shares_(plan_.self, plan_.fence, plan_.settled_members) {}
+QuotaAuthority::QuotaAuthority(QuotaAuthorityOptions options, QuotaDependencies const& dependencies)
+    : options_(std::move(options)),
+      dependencies_(dependencies),
+      owner_(options_.terms),
+      client_(options_.self, options_.first_request_id),
+      shares_(options_.self, options_.fence, options_.settled_membership) {}
 
 QuotaPeers QuotaAuthority::select_peers() const {
-  Mesh const& mesh = collaborators_.mesh;
+  Mesh const& mesh = dependencies_.mesh;
   QuotaPeers out;
   out.owner_count = shares_.owners().size();
   for (std::string const& name : shares_.owners())
-    if (name == plan_.self || is_reachable(mesh, name)) out.owners.push_back(name);
+    if (name == options_.self || is_reachable(mesh, name)) out.owners.push_back(name);
   if (!out.owners.empty()) return out;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (is_reachable(mesh, item.first) && !item.second.member.replica) out.others.push_back(item.first);
@@ -25,21 +25,21 @@
 }
 
 void QuotaAuthority::tick(Micros now, std::vector<OutgoingMessage>& outgoing) {
-  shares_.note(collaborators_.learner.membership(), now);
-  if (!collaborators_.dispatcher.description()->keys_required) return;
+  shares_.note(dependencies_.learner.membership(), now);
+  if (!dependencies_.dispatcher.description()->keys_required) return;
   std::uint64_t const settled = shares_.settled(now);
-  std::optional<Acceptor>& acceptor = collaborators_.acceptor;
-  if (acceptor && settled != 0 && collaborators_.configuration.may_issue_quota(now))
+  std::optional<Acceptor>& acceptor = dependencies_.acceptor;
+  if (acceptor && settled != 0 && dependencies_.configuration.may_issue_quota(now))
     acceptor->note_quota_members(settled);
   owner_.forget(now);
   if (client_.waiting() > 0) client_.tick(select_peers(), now, outgoing);
 }
 
-void QuotaAuthority::process_needs(DispatchEffects& effects, Micros now, std::vector<OutgoingMessage>& outgoing) {
+void QuotaAuthority::process_dispatch_effects(DispatchEffects& effects, Micros now, std::vector<OutgoingMessage>& outgoing) {
   std::vector<QuotaNeed> const needs = std::move(effects.quota_needs);
   effects.quota_needs.clear();
   if (!needs.empty()) {
-    shares_.note(collaborators_.learner.membership(), now);
+    shares_.note(dependencies_.learner.membership(), now);
     QuotaPeers const peers = select_peers();
     for (QuotaNeed const& need : needs) begin_request(need, peers, now, outgoing);
   }
@@ -47,7 +47,7 @@
   effects.quota_drops.clear();
   std::vector<QuotaResult> const results = std::move(client_.results);
   client_.results.clear();
-  for (QuotaResult const& result : results) collaborators_.dispatcher.quota_result(result, now, effects);
+  for (QuotaResult const& result : results) dependencies_.dispatcher.quota_result(result, now, effects);
 }
 
 void QuotaAuthority::begin_request(QuotaNeed const& need, QuotaPeers const& peers, Micros now,
@@ -56,19 +56,19 @@
     client_.debit(need.tenant, need.count, peers, outgoing);
     return;
   }
-  Tenant const* const tenant = collaborators_.dispatcher.description()->tenant(need.tenant);
+  Tenant const* const tenant = dependencies_.dispatcher.description()->tenant(need.tenant);
   double const owners = static_cast<double>(std::max<std::size_t>(1, peers.owner_count));
-  double const depth = tenant == nullptr ? 0 : QuotaBudget::of(*tenant, plan_.terms).depth;
-  std::int64_t const piece = static_cast<std::int64_t>(depth / owners);
-  client_.begin(QuotaRequest{need.request, need.tenant, need.count, need.due}, piece, peers, now, outgoing);
+  double const depth = tenant == nullptr ? 0 : QuotaBudget::of(*tenant, options_.terms).depth;
+  std::int64_t const per_owner = static_cast<std::int64_t>(depth / owners);
+  client_.begin(QuotaRequest{need.request, need.tenant, need.count, need.due}, per_owner, peers, now, outgoing);
 }
 
 QuotaDecision QuotaAuthority::decide_request(wire::QuotaRequestT const& request, Micros now) {
-  shares_.note(collaborators_.learner.membership(), now);
-  collaborators_.configuration.update_confirmations();
-  Tenant const* const tenant = collaborators_.dispatcher.description()->tenant(request.tenant);
+  shares_.note(dependencies_.learner.membership(), now);
+  dependencies_.configuration.update_confirmations();
+  Tenant const* const tenant = dependencies_.dispatcher.description()->tenant(request.tenant);
   double const share = shares_.share(now);
-  bool const confirmed = collaborators_.configuration.may_issue_quota(now);
+  bool const confirmed = dependencies_.configuration.may_issue_quota(now);
   if (tenant == nullptr || share <= 0 || !confirmed || request.count < 0) return QuotaDecision{};
   Micros const since = shares_.active_since(now);
   switch (static_cast<QuotaPurpose>(request.purpose)) {
@@ -85,25 +85,25 @@
 
 bool QuotaAuthority::is_owner() const {
   std::vector<std::string> const& owners = shares_.owners();
-  return std::find(owners.begin(), owners.end(), plan_.self) != owners.end();
+  return std::find(owners.begin(), owners.end(), options_.self) != owners.end();
 }
 
 // The asker reaches no owner; this node may. The question goes on once only.
-bool QuotaAuthority::pass_on(wire::QuotaRequestT const& request, std::vector<OutgoingMessage>& outgoing) {
+bool QuotaAuthority::forward_to_owner(wire::QuotaRequestT const& request, std::vector<OutgoingMessage>& outgoing) {
   if (is_owner() || request.hops == 0) return false;
   QuotaPeers const peers = select_peers();
   if (peers.owners.empty()) return false;
-  wire::QuotaRequestT passed = request;
-  passed.hops = 0;
-  collaborators_.rotation.advance();
-  outgoing.push_back(message_to(collaborators_.rotation.current(peers.owners), std::move(passed)));
+  wire::QuotaRequestT forwarded = request;
+  forwarded.hops = 0;
+  dependencies_.rotation.advance();
+  outgoing.push_back(message_to(dependencies_.rotation.current(peers.owners), std::move(forwarded)));
   return true;
 }
 
-void QuotaAuthority::take_request(std::string const& from, wire::QuotaRequestT const& request, Micros now,
+void QuotaAuthority::handle_request(std::string const& from, wire::QuotaRequestT const& request, Micros now,
                                   std::vector<OutgoingMessage>& outgoing) {
   bool const expects_reply = request.purpose == static_cast<std::uint8_t>(QuotaPurpose::ask);
-  if (expects_reply && pass_on(request, outgoing)) return;
+  if (expects_reply && forward_to_owner(request, outgoing)) return;
   QuotaDecision const decision = decide_request(request, now);
   if (!expects_reply) return;
   wire::QuotaReplyT reply;
@@ -116,9 +116,9 @@
   outgoing.push_back(message_to(from, std::move(reply)));
 }
 
-void QuotaAuthority::take_reply(std::string const& from, wire::QuotaReplyT& reply, Micros now,
+void QuotaAuthority::handle_reply(std::string const& from, wire::QuotaReplyT& reply, Micros now,
                                 std::vector<OutgoingMessage>& outgoing) {
-  if (!reply.origin.empty() && reply.origin != plan_.self) {
+  if (!reply.origin.empty() && reply.origin != options_.self) {
     std::string const origin = reply.origin;
     outgoing.push_back(message_to(origin, std::move(reply)));
     return;
--- a/src/node/quota_authority.h
+++ b/src/node/quota_authority.h
@@ -3,7 +3,7 @@
 //
 // Owns the client, the buckets of this node's part and the shares by which the replicas divide the limits. Quota is
 // only granted while the configuration is confirmed and this node's share is above 0; every question is answered,
-// passed on once, or granted by nobody.
+// forwarded on once, or granted by nobody.
 //
 // Not synchronized: used by the node's loop only.
 #pragma once
@@ -25,16 +25,16 @@
 
 namespace pipit {
 
-struct QuotaAuthorityPlan {
+struct QuotaAuthorityOptions {
   std::string self;  // this node's name
   QuotaTerms terms;
-  std::uint64_t first_request = 0;    // numbers the client's questions of this incarnation
+  std::uint64_t first_request_id = 0;    // numbers the client's questions of this incarnation
   Micros fence = 0;                   // for how long a node may go by a set of replicas that was left behind
-  std::uint64_t settled_members = 0;  // fingerprint of the set that an earlier incarnation saw settled, 0 for none
+  std::uint64_t settled_membership = 0;  // fingerprint of the set that an earlier incarnation saw settled, 0 for none
 };
 
 // The other parts of the node that quota needs; they must outlive the QuotaAuthority.
-struct QuotaCollaborators {
+struct QuotaDependencies {
   Mesh const& mesh;
   Learner const& learner;
   std::optional<Acceptor>& acceptor;
@@ -45,7 +45,7 @@
 
 class QuotaAuthority {
  public:
-  QuotaAuthority(QuotaAuthorityPlan plan, QuotaCollaborators const& collaborators);
+  QuotaAuthority(QuotaAuthorityOptions options, QuotaDependencies const& dependencies);
 
   QuotaOwner const& owner() const { return owner_; }
   QuotaClient const& client() const { return client_; }
@@ -54,25 +54,25 @@
   void tick(Micros now, std::vector<OutgoingMessage>& outgoing);
   // Asks for what the dispatcher needs, gives back what it needs no more, and brings it the results. The needs and
   // drops are removed from 'effects'; what the results lead to is added to it.
-  void process_needs(DispatchEffects& effects, Micros now, std::vector<OutgoingMessage>& outgoing);
+  void process_dispatch_effects(DispatchEffects& effects, Micros now, std::vector<OutgoingMessage>& outgoing);
   // Takes a peer's question: decides it, or passes it on to an owner that this node reaches.
-  void take_request(std::string const& from, wire::QuotaRequestT const& request, Micros now,
+  void handle_request(std::string const& from, wire::QuotaRequestT const& request, Micros now,
                     std::vector<OutgoingMessage>& outgoing);
   // Takes a reply to this node's client, or passes it on to the node that asked.
-  void take_reply(std::string const& from, wire::QuotaReplyT& reply, Micros now,
+  void handle_reply(std::string const& from, wire::QuotaReplyT& reply, Micros now,
                   std::vector<OutgoingMessage>& outgoing);
 
  private:
   QuotaPeers select_peers() const;
   void begin_request(QuotaNeed const& need, QuotaPeers const& peers, Micros now,
                      std::vector<OutgoingMessage>& outgoing);
-  // Whether the question was passed on to an owner, since this node is none.
-  bool pass_on(wire::QuotaRequestT const& request, std::vector<OutgoingMessage>& outgoing);
+  // Whether the question was forwarded on to an owner, since this node is none.
+  bool forward_to_owner(wire::QuotaRequestT const& request, std::vector<OutgoingMessage>& outgoing);
   QuotaDecision decide_request(wire::QuotaRequestT const& request, Micros now);
   bool is_owner() const;
 
-  QuotaAuthorityPlan const plan_;
-  QuotaCollaborators const collaborators_;
+  QuotaAuthorityOptions const options_;
+  QuotaDependencies const dependencies_;
   QuotaOwner owner_;
   QuotaClient client_;
   QuotaShares shares_;
--- a/src/node/register_bootstrap.h
+++ b/src/node/register_bootstrap.h
@@ -26,17 +26,17 @@
                     std::optional<Acceptor> const& acceptor, ReplicaDirectory const& directory, Micros started_at);
 
   // Marks a blank disk of an initial member as waiting for the first set. Called once, before anything is answered.
-  void mark_disk(std::optional<Acceptor>& acceptor);
+  void mark_awaiting_bootstrap(std::optional<Acceptor>& acceptor);
   // Adds a proposal of the first set to every member of it, when this node may make one now.
-  void propose_initial_set(Micros now, std::vector<OutgoingMessage>& outgoing) const;
+  void propose_initial_membership(Micros now, std::vector<OutgoingMessage>& outgoing) const;
 
  private:
   // The first set that this node saw somewhere, or that it may write itself; nothing while it may not.
-  std::optional<Membership> initial_set(Micros now) const;
+  std::optional<Membership> initial_membership(Micros now) const;
   // The set of these members; nothing unless all of them answered lately from blank disks.
-  std::optional<Membership> blank_set(std::vector<std::string> const& names, Micros now) const;
+  std::optional<Membership> membership_of_blank_replicas(std::vector<std::string> const& names, Micros now) const;
   // The names of those whose replicas are the first set; empty while that cannot be said.
-  std::vector<std::string> initial_replicas(Micros now) const;
+  std::vector<std::string> initial_replica_names(Micros now) const;
 
   NodePlan const& plan_;
   Mesh const& mesh_;
@@ -44,7 +44,7 @@
   std::optional<Acceptor> const& acceptor_;
   ReplicaDirectory const& directory_;
   Micros const started_at_;
-  bool resumes_ = false;
+  bool restarted_ = false;
 };
 
 }  // namespace pipit
--- a/src/node/registered.cc
+++ b/src/node/registered.cc
@@ -51,7 +51,7 @@
 
 void Node::process_quota(Micros now, NodeEffects& out) {
   std::vector<OutgoingMessage> outgoing;
-  quota_authority_.process_needs(out.dispatch, now, outgoing);
+  quota_authority_.process_dispatch_effects(out.dispatch, now, outgoing);
   dispatch(outgoing, now, out);
 }
 
@@ -74,7 +74,7 @@
   std::vector<std::string> hands{plan.name};
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.member.replica && item.second.member.zone == plan.zone && item.second.connection != 0 &&
-        item.second.state() == State::alive)
+        item.second.state() == MemberState::alive)
       hands.push_back(item.first);
   std::sort(hands.begin(), hands.end());
   wire::ChosenT copy;
@@ -82,7 +82,7 @@
   copy.origin = update.origin;
   if (update.value) copy.value = std::make_unique<wire::ValueT>(*update.value);
   if (update.patch) copy.patch = std::make_unique<wire::ValuePatchT>(*update.patch);
-  std::string const bytes = encode_body(std::move(copy));
+  std::string const bytes = encode_message(std::move(copy));
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     Peer const& peer = item.second;
     if (peer.connection == 0 || peer.member.replica || item.first == update.origin) continue;
@@ -124,8 +124,8 @@
   Paths const ways = exchange_topology_.compute_paths();
   // §12.7: an owner tells every peer itself; a hub tells its zone besides, for pairs that have no connection.
   mesh.entry_replication.forward_to_all = !ways.wide;
-  mesh.entry_replication.forward_to.clear();
-  if (ways.hub) mesh.entry_replication.forward_to.insert(ways.zone.begin(), ways.zone.end());
+  mesh.entry_replication.forward_targets.clear();
+  if (ways.hub) mesh.entry_replication.forward_targets.insert(ways.zone.begin(), ways.zone.end());
   if (now >= next_round_) {
     next_round_ = now + seconds(1);
     index_sync.round(
--- a/src/node/replica_directory.cc
+++ b/src/node/replica_directory.cc
@@ -7,12 +7,12 @@
 namespace pipit {
 
 namespace {
-constexpr Micros answer_slack = millis(300);   // beyond a poll, for an answer on its way
-constexpr Micros contact_slack = millis(300);  // beyond two polls, for answers on their way
+constexpr Micros reply_margin = millis(300);   // beyond a poll, for an answer on its way
+constexpr Micros contact_margin = millis(300);  // beyond two polls, for answers on their way
 }  // namespace
 
 ReplicaDirectory::ReplicaDirectory(NodePlan const& plan, Mesh const& mesh, Learner const& learner,
-                                   std::optional<Acceptor> const& acceptor, Status status)
+                                   std::optional<Acceptor> const& acceptor, LocalStatus status)
     : plan_(plan), mesh_(mesh), learner_(learner), acceptor_(acceptor), status_(std::move(status)) {}
 
 std::string ReplicaDirectory::address_of(std::string const& name) const {
@@ -23,15 +23,15 @@
 std::vector<std::string> ReplicaDirectory::connected_replicas() const {
   std::set<std::string> out;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers)
-    if ((item.second.role() == Role::config_store || item.second.member.replica) && item.second.connection != 0)
+    if ((item.second.role() == MemberRole::config_store || item.second.member.replica) && item.second.connection != 0)
       out.insert(item.first);
   if (acceptor_) out.insert(plan_.name);
   return std::vector<std::string>(out.begin(), out.end());
 }
 
-std::optional<std::uint64_t> ReplicaDirectory::recent_disk(std::string const& name, Micros within, Micros now) const {
+std::optional<std::uint64_t> ReplicaDirectory::recent_disk(std::string const& name, Micros max_age, Micros now) const {
   std::map<std::string, Learner::Observation>::const_iterator const observation = learner_.observations.find(name);
-  if (observation == learner_.observations.end() || now - observation->second.at >= within) return std::nullopt;
+  if (observation == learner_.observations.end() || now - observation->second.at >= max_age) return std::nullopt;
   return observation->second.disk;
 }
 
@@ -40,7 +40,7 @@
   std::map<std::string, Learner::Observation>::const_iterator const observation = learner_.observations.find(name);
   if (observation != learner_.observations.end() && observation->second.retiring) return true;
   std::map<std::string, Peer>::const_iterator const peer = mesh_.members.peers.find(name);
-  return peer != mesh_.members.peers.end() && peer->second.state() == State::leaving;
+  return peer != mesh_.members.peers.end() && peer->second.state() == MemberState::leaving;
 }
 
 bool ReplicaDirectory::is_reachable(wire::ReplicaT const& replica) const {
@@ -50,13 +50,13 @@
       learner_.observations.find(replica.name);
   if (observation != learner_.observations.end() && observation->second.disk != replica.disk) return false;
   std::map<std::string, Peer>::const_iterator const peer = mesh_.members.peers.find(replica.name);
-  return peer != mesh_.members.peers.end() && peer->second.connection != 0 && peer->second.state() == State::alive;
+  return peer != mesh_.members.peers.end() && peer->second.connection != 0 && peer->second.state() == MemberState::alive;
 }
 
-bool ReplicaDirectory::majority_answered(std::vector<wire::ReplicaT> const& replicas, Micros within, Micros now) const {
+bool ReplicaDirectory::majority_answered(std::vector<wire::ReplicaT> const& replicas, Micros max_age, Micros now) const {
   std::size_t answered = 0;
   for (wire::ReplicaT const& replica : replicas) {
-    std::optional<std::uint64_t> const disk = recent_disk(replica.name, within, now);
+    std::optional<std::uint64_t> const disk = recent_disk(replica.name, max_age, now);
     if (disk && *disk == replica.disk) ++answered;
   }
   return answered >= replicas.size() / 2 + 1;
@@ -64,21 +64,21 @@
 
 bool ReplicaDirectory::all_members_answered(Micros now) const {
   std::vector<wire::ReplicaT> const& replicas = learner_.membership().replicas;
-  Micros const within = status_.poll_interval() + answer_slack;
-  return std::all_of(replicas.begin(), replicas.end(), [this, within, now](wire::ReplicaT const& replica) {
-    std::optional<std::uint64_t> const disk = recent_disk(replica.name, within, now);
+  Micros const max_age = status_.poll_interval() + reply_margin;
+  return std::all_of(replicas.begin(), replicas.end(), [this, max_age, now](wire::ReplicaT const& replica) {
+    std::optional<std::uint64_t> const disk = recent_disk(replica.name, max_age, now);
     return disk && *disk == replica.disk;
   });
 }
 
-bool ReplicaDirectory::hears_quorum(Micros now) const {
-  Micros const within = 2 * status_.poll_interval() + contact_slack;
-  if (learner_.last_quorum_at() < 0 || now - learner_.last_quorum_at() > within) return false;
+bool ReplicaDirectory::has_quorum_contact(Micros now) const {
+  Micros const max_age = 2 * status_.poll_interval() + contact_margin;
+  if (learner_.last_quorum_at() < 0 || now - learner_.last_quorum_at() > max_age) return false;
   Voters connected;
   for (wire::ReplicaT const& replica : learner_.membership().replicas) {
     std::map<std::string, Peer>::const_iterator const peer = mesh_.members.peers.find(replica.name);
-    bool const here = replica.name == plan_.name || (peer != mesh_.members.peers.end() && peer->second.connection != 0);
-    if (here) connected[replica.name] = replica.disk;
+    bool const connected_here = replica.name == plan_.name || (peer != mesh_.members.peers.end() && peer->second.connection != 0);
+    if (connected_here) connected[replica.name] = replica.disk;
   }
   return learner_.membership().empty() || connected.size() >= learner_.membership().majority();
 }
--- a/src/node/replica_set_manager.cc
+++ b/src/node/replica_set_manager.cc
@@ -10,17 +10,17 @@
 namespace pipit {
 
 namespace {
-constexpr char const* repair_duty = "mend";  // the role's name in lease requests
-constexpr Micros repair_gap = seconds(3);
-constexpr Micros replica_lost = seconds(3);
-constexpr Micros repair_calm = seconds(1);   // without a change, before copies that differ are repaired
-constexpr Micros spare_seen = seconds(2);    // how lately a replica must have answered to be given a place
-constexpr Micros evict_after = seconds(20);  // since a router node left, or since its address refuses
-constexpr Micros unsure_for = seconds(1);    // how long a majority may show no newest value before copies are repaired
-constexpr std::size_t least_replicas = 3;    // a set of more than these may shrink
-constexpr std::size_t most_replicas = 7;
-
-Change reading() {
+constexpr char const* lease_name = "mend";  // the role's name in lease requests
+constexpr Micros min_repair_interval = seconds(3);
+constexpr Micros lost_replica_timeout = seconds(3);
+constexpr Micros quiet_period_before_repair = seconds(1);   // without a change, before copies that differ are repaired
+constexpr Micros max_spare_answer_age = seconds(2);    // how lately a replica must have answered to be given a place
+constexpr Micros eviction_delay = seconds(20);  // since a router node left, or since its address refuses
+constexpr Micros unconfirmed_timeout = seconds(1);    // how long a majority may show no newest value before copies are repaired
+constexpr std::size_t min_replicas = 3;    // a set of more than these may shrink
+constexpr std::size_t max_replicas = 7;
+
+Change make_read_change() {
   Change out;
   out.type = Change::Type::read;
   return out;
@@ -43,7 +43,7 @@
 
 ReplicaSetManager::ReplicaSetManager(NodePlan const& plan, Mesh const& mesh, Learner const& learner,
                                      std::optional<Acceptor> const& acceptor, ReplicaDirectory const& directory,
-                                     ReplicaDirectory::Status status, Micros started_at, std::uint64_t seed)
+                                     ReplicaDirectory::LocalStatus status, Micros started_at, std::uint64_t seed)
     : plan_(plan),
       mesh_(mesh),
       learner_(learner),
@@ -51,7 +51,7 @@
       directory_(directory),
       status_(std::move(status)),
       started_at_(started_at),
-      lease_(repair_duty, seed) {}
+      lease_(lease_name, seed) {}
 
 void ReplicaSetManager::renew_lease(Micros now, std::vector<OutgoingMessage>& outgoing) {
   // A member that holds nothing yet gets no lease, but the others may wait for it to read the register.
@@ -59,7 +59,7 @@
   lease_.tick(now, learner_.membership(), outgoing);
 }
 
-void ReplicaSetManager::take_lease_reply(std::string const& from, wire::LeaseReplyT const& reply, Micros now) {
+void ReplicaSetManager::handle_lease_reply(std::string const& from, wire::LeaseReplyT const& reply, Micros now) {
   lease_.handle_reply(from, reply, now, learner_.membership());
 }
 
@@ -69,21 +69,21 @@
 
 std::optional<Change> ReplicaSetManager::next_change(Micros now) {
   bool const has_lease = lease_.holds(now);
-  if (has_lease != had_lease_) log_event(has_lease ? Event::lease_acquired : Event::lease_released, repair_duty);
+  if (has_lease != had_lease_) log_event(has_lease ? Event::lease_acquired : Event::lease_released, lease_name);
   had_lease_ = has_lease;
-  if (change_under_way_) return std::nullopt;
+  if (change_in_flight_) return std::nullopt;
   std::optional<Change> change;
-  if (has_lease) change = change_by_lease(now);
-  if (!change) change = read_without_lease(now);
-  change_under_way_ = change.has_value();
+  if (has_lease) change = next_change_with_lease(now);
+  if (!change) change = next_read_without_lease(now);
+  change_in_flight_ = change.has_value();
   return change;
 }
 
-bool ReplicaSetManager::lacks_successor(Micros now) const { return !spare_replica(now) && !set_may_shrink(); }
+bool ReplicaSetManager::lacks_replacement(Micros now) const { return !spare_replica(now) && !set_may_shrink(); }
 
-std::optional<Change> ReplicaSetManager::change_by_lease(Micros now) {
+std::optional<Change> ReplicaSetManager::next_change_with_lease(Micros now) {
   // A joint set that was left behind is completed by any change (docs/control.md).
-  if (learner_.membership().joint()) return reading();
+  if (learner_.membership().joint()) return make_read_change();
   if (std::optional<Change> members = change_members(now)) {
     log_event(Event::replica_set_changed, describe(*members) + " epoch " + std::to_string(members->expected));
     return members;
@@ -98,22 +98,22 @@
 // Not oftener than once in a gap: each round outbids what others have under way, and a slow disk never catches up with
 // a storm. Nor while changes go by: each of them rewrites the copies, and a second proposer only delays them.
 std::optional<Change> ReplicaSetManager::repair_copies(Micros now) {
-  bool const calm = learner_.changed_at < 0 || now - learner_.changed_at > repair_calm;
-  if (!learner_.replicas_differ || !calm || now - repaired_at_ <= repair_gap) return std::nullopt;
+  bool const calm = learner_.changed_at < 0 || now - learner_.changed_at > quiet_period_before_repair;
+  if (!learner_.replicas_differ || !calm || now - repaired_at_ <= min_repair_interval) return std::nullopt;
   repaired_at_ = now;
   log_event(Event::replicas_repaired, "epoch " + std::to_string(learner_.membership().epoch));
-  return reading();
+  return make_read_change();
 }
 
 // Copies that differ after a loss leave no ballot that a majority shows; then nobody gets ready by polls alone. The
 // replica that proposes for all reads the register, which repairs them.
-std::optional<Change> ReplicaSetManager::read_without_lease(Micros now) {
-  Micros const unsure = now - std::max(started_at_, learner_.confirmed_at);
-  if (unsure <= unsure_for + status_.poll_interval() || now - repaired_at_ <= repair_gap) return std::nullopt;
+std::optional<Change> ReplicaSetManager::next_read_without_lease(Micros now) {
+  Micros const unconfirmed_for = now - std::max(started_at_, learner_.confirmed_at);
+  if (unconfirmed_for <= unconfirmed_timeout + status_.poll_interval() || now - repaired_at_ <= min_repair_interval) return std::nullopt;
   if (status_.leaving() || directory_.proposing_replica() != plan_.name) return std::nullopt;
   repaired_at_ = now;
   log_event(Event::replicas_repaired, "no majority shows one ballot");
-  return reading();
+  return make_read_change();
 }
 
 // §5.8: a replica that is lost gives its place to one that is here, in one change; the set grows to the wanted size.
@@ -126,7 +126,7 @@
   if (!spare && !shrinks) return std::nullopt;
   // A set does not grow while one of its members may be lost: with a dead member a set of four needs all the others,
   // and the one that should take the dead one's place would only add to them.
-  bool const grows = !lost && members.replicas.size() < replicas_wanted() && directory_.all_members_answered(now);
+  bool const grows = !lost && members.replicas.size() < target_replica_count() && directory_.all_members_answered(now);
   if (!lost && !grows) return std::nullopt;
   Change change;
   change.expected = members.epoch;
@@ -139,7 +139,7 @@
   }
   if (spare) next.push_back(*spare);
   // Else the last vote would be given away with no way back.
-  if (!directory_.majority_answered(next, spare_seen, now)) return std::nullopt;
+  if (!directory_.majority_answered(next, max_spare_answer_age, now)) return std::nullopt;
   return change;
 }
 
@@ -162,15 +162,15 @@
   // A later incarnation is there, and is about to register.
   if (peer.connection != 0 || peer.member.incarnation > registration.incarnation) return false;
   bool const left =
-      peer.state() == State::leaving && now - std::max(peer.state_since, peer.disconnected_since) > evict_after;
-  bool const refuses = peer.dial_refused && now - peer.dial_refused_at > evict_after;
+      peer.state() == MemberState::leaving && now - std::max(peer.state_since, peer.disconnected_since) > eviction_delay;
+  bool const refuses = peer.dial_refused && now - peer.dial_refused_at > eviction_delay;
   return left || refuses;
 }
 
 std::optional<wire::ReplicaT> ReplicaSetManager::spare_replica(Micros now) const {
   std::optional<wire::ReplicaT> out;
   for (std::pair<std::string const, Learner::Observation> const& item : learner_.observations) {
-    bool const here = now - item.second.at < spare_seen;
+    bool const here = now - item.second.at < max_spare_answer_age;
     if (!here || directory_.is_leaving(item.first)) continue;
     if (learner_.membership().holds(item.first, item.second.disk)) continue;
     out.emplace();
@@ -186,36 +186,36 @@
 std::optional<wire::ReplicaT> ReplicaSetManager::lost_replica(Micros now) const {
   std::optional<wire::ReplicaT> away;
   for (wire::ReplicaT const& replica : learner_.membership().replicas) {
-    std::optional<std::uint64_t> const disk = directory_.recent_disk(replica.name, replica_lost, now);
+    std::optional<std::uint64_t> const disk = directory_.recent_disk(replica.name, lost_replica_timeout, now);
     if (disk && *disk != replica.disk) return replica;
     if (directory_.is_leaving(replica.name)) return replica;
-    if (!disk && !away && now - started_at_ > replica_lost) away = replica;
+    if (!disk && !away && now - started_at_ > lost_replica_timeout) away = replica;
   }
   return away;
 }
 
-// §5.8, §12.3: an odd number of all replicas, so that no disk more makes the set no stronger; seven at most.
-std::size_t ReplicaSetManager::replicas_wanted() const {
+// §5.8, §12.3: an odd number of all replicas, so that no disk more makes the set no stronger; seven at limit.
+std::size_t ReplicaSetManager::target_replica_count() const {
   if (!plan_.registered) return std::max<std::size_t>(1, plan_.initial_members.size());
   std::size_t all = plan_.replica && !directory_.is_leaving(plan_.name) ? 1 : 0;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
-    State const state = item.second.state();
-    bool const stays = (state == State::alive || state == State::suspected) && !directory_.is_leaving(item.first);
+    MemberState const state = item.second.state();
+    bool const stays = (state == MemberState::alive || state == MemberState::suspected) && !directory_.is_leaving(item.first);
     if (item.second.member.replica && stays) ++all;
   }
-  std::size_t const most = std::min(most_replicas, all);
-  return std::max<std::size_t>(1, most % 2 == 0 ? most - 1 : most);
+  std::size_t const limit = std::min(max_replicas, all);
+  return std::max<std::size_t>(1, limit % 2 == 0 ? limit - 1 : limit);
 }
 
 // So many members that a majority is left when as many disks are lost as are tolerated: whoever is merely without power
 // comes back with what was acknowledged, so that nothing smaller may ever hold it alone.
-std::size_t ReplicaSetManager::replicas_needed() const {
-  return std::clamp(2 * plan_.tolerated + 1, least_replicas, most_replicas);
+std::size_t ReplicaSetManager::required_replica_count() const {
+  return std::clamp(2 * plan_.tolerated + 1, min_replicas, max_replicas);
 }
 
 // Whether the set has more members than are wanted: then one that is lost need not be replaced.
 bool ReplicaSetManager::set_may_shrink() const {
-  return learner_.membership().replicas.size() > std::max(replicas_needed(), replicas_wanted());
+  return learner_.membership().replicas.size() > std::max(required_replica_count(), target_replica_count());
 }
 
 }  // namespace pipit
--- a/src/node/router_registrations.cc
+++ b/src/node/router_registrations.cc
@@ -10,29 +10,29 @@
 
 namespace {
 constexpr Micros request_interval = millis(150);
-constexpr Micros newcomer_span = seconds(2);
+constexpr Micros newcomer_period = seconds(2);
 }  // namespace
 
-RouterRegistrations::RouterRegistrations(RouterRegistrationPlan plan, Mesh& mesh, Learner const& learner)
-    : plan_(std::move(plan)), mesh_(mesh), learner_(learner) {}
+RouterRegistrations::RouterRegistrations(RouterRegistrationOptions options, Mesh& mesh, Learner const& learner)
+    : options_(std::move(options)), mesh_(mesh), learner_(learner) {}
 
 bool RouterRegistrations::is_registered() const {
-  if (!guard(Guard::registrations) || !plan_.required) return true;
+  if (!guard(Guard::registrations) || !options_.required) return true;
   if (!learner_.value) return false;
-  wire::RouterRegistrationT const* const registration = registration_of(*learner_.value, plan_.name);
+  wire::RouterRegistrationT const* const registration = registration_of(*learner_.value, options_.name);
   return registration != nullptr && registration->incarnation == mesh_.members.self.incarnation;
 }
 
 // Its start changes everybody's share of a cold worker's bound; where workers register there are no such shares.
 bool RouterRegistrations::is_newcomer(Micros now) const {
-  if (!plan_.required) return false;
-  return plan_.is_router && !had_predecessor_ && registered_at_ >= 0 && now - registered_at_ < newcomer_span;
+  if (!options_.required) return false;
+  return options_.is_router && !had_predecessor_ && registered_at_ >= 0 && now - registered_at_ < newcomer_period;
 }
 
 bool RouterRegistrations::is_evicted() const {
   if (!guard(Guard::registrations) || registered_at_ >= 0 || !learner_.value) return false;
   for (std::unique_ptr<wire::RouterRegistrationT> const& item : learner_.value->evicted)
-    if (item->name == plan_.name && item->incarnation >= mesh_.members.self.incarnation) return true;
+    if (item->name == options_.name && item->incarnation >= mesh_.members.self.incarnation) return true;
   return false;
 }
 
@@ -42,8 +42,8 @@
   next_request_at_ = now + request_interval;
   Change change;
   change.type = Change::Type::register_router;
-  change.registration.name = plan_.name;
-  change.registration.address = plan_.address;
+  change.registration.name = options_.name;
+  change.registration.address = options_.address;
   change.registration.incarnation = mesh_.members.self.incarnation;
   return change;
 }
@@ -51,15 +51,15 @@
 bool RouterRegistrations::apply_register(Micros now, ConnectionEffects& out) {
   if (!learner_.value) return false;
   for (std::unique_ptr<wire::RouterRegistrationT> const& registration : learner_.value->registrations)
-    mesh_.members.register_router(*registration, now);
-  mesh_.members.evict(learner_.value->evicted);
-  if (!plan_.is_router) return false;
+    mesh_.members.apply_registration(*registration, now);
+  mesh_.members.apply_evictions(learner_.value->evicted);
+  if (!options_.is_router) return false;
   raise_incarnation(out);
   return update_own_registration(now);
 }
 
 void RouterRegistrations::raise_incarnation(ConnectionEffects& out) {
-  wire::RouterRegistrationT const* const own = registration_of(*learner_.value, plan_.name);
+  wire::RouterRegistrationT const* const own = registration_of(*learner_.value, options_.name);
   if (own == nullptr) return;
   if (own->incarnation > mesh_.members.self.incarnation) {
     // A former incarnation had a later clock.
@@ -98,7 +98,7 @@
 std::optional<Error> RouterRegistrations::eviction_refusal(std::string const& name) const {
   bool const known = learner_.value && registration_of(*learner_.value, name) != nullptr;
   std::map<std::string, Peer>::const_iterator const peer = mesh_.members.peers.find(name);
-  bool const here = name == plan_.name || (peer != mesh_.members.peers.end() && peer->second.connection != 0);
+  bool const here = name == options_.name || (peer != mesh_.members.peers.end() && peer->second.connection != 0);
   if (here) return Error{ErrorCode::node_alive, "the node '" + name + "' is alive", ""};
   if (!known) return Error{ErrorCode::unknown_node, "no router node '" + name + "' has a seat", ""};
   return std::nullopt;
--- a/src/node/router_registrations.h
+++ b/src/node/router_registrations.h
@@ -17,7 +17,7 @@
 
 namespace pipit {
 
-struct RouterRegistrationPlan {
+struct RouterRegistrationOptions {
   std::string name;  // of this node
   std::string address;
   bool is_router = true;
@@ -27,7 +27,7 @@
 class RouterRegistrations {
  public:
   // The mesh and the learner must outlive this object.
-  RouterRegistrations(RouterRegistrationPlan plan, Mesh& mesh, Learner const& learner);
+  RouterRegistrations(RouterRegistrationOptions options, Mesh& mesh, Learner const& learner);
 
   // Whether this incarnation of the node may place work as far as registrations go.
   bool is_registered() const;
@@ -56,7 +56,7 @@
   void raise_incarnation(ConnectionEffects& out);
   bool update_own_registration(Micros now);
 
-  RouterRegistrationPlan const plan_;
+  RouterRegistrationOptions const options_;
   Mesh& mesh_;
   Learner const& learner_;
   bool is_pending_ = false;       // a request for it is under way
--- a/src/node/seats.cc
+++ b/src/node/seats.cc
@@ -42,7 +42,7 @@
 }
 
 void Node::update_hold() {
-  if (plan.role != Role::router) return;
+  if (plan.role != MemberRole::router) return;
   dispatcher.hold(stale_from_ >= 0);
   bool const lost = ready_now_ && router_registrations_.is_evicted();
   chat_dispatcher.hold(stale_from_ >= 0 || lost);
--- a/src/node/worker_departures.cc
+++ b/src/node/worker_departures.cc
@@ -16,12 +16,12 @@
     : self_(std::move(self)), mesh_(mesh), learner_(learner), has_quorum_(std::move(has_quorum)) {}
 
 void WorkerDepartures::add_call(std::uint64_t id, std::string const& worker, Micros now,
-                                std::vector<EndAnswer>& answers) {
+                                std::vector<DepartureAnswer>& answers) {
   pending_calls_[id] = PendingCall{worker, now + acknowledgement_timeout};
   answer_calls(now, answers);
 }
 
-void WorkerDepartures::answer_calls(Micros now, std::vector<EndAnswer>& answers) {
+void WorkerDepartures::answer_calls(Micros now, std::vector<DepartureAnswer>& answers) {
   for (std::map<std::uint64_t, PendingCall>::iterator it = pending_calls_.begin(); it != pending_calls_.end();) {
     PendingCall const& call = it->second;
     bool const quorum = reached_quorum(call.worker);
@@ -31,7 +31,7 @@
       continue;
     }
     if (quorum) check_acknowledgement(call.worker);
-    answers.push_back(EndAnswer{it->first, quorum});
+    answers.push_back(DepartureAnswer{it->first, quorum});
     it = pending_calls_.erase(it);
   }
 }
@@ -51,7 +51,7 @@
 bool WorkerDepartures::reached_all_connected(std::string const& worker) const {
   return std::all_of(mesh_.members.peers.begin(), mesh_.members.peers.end(),
                      [&](std::pair<std::string const, Peer> const& item) {
-                       bool const connected = item.second.connection != 0 && item.second.state() == State::alive;
+                       bool const connected = item.second.connection != 0 && item.second.state() == MemberState::alive;
                        return !connected || mesh_.entry_replication.is_replicated(item.first, worker);
                      });
 }
--- a/src/node/worker_departures.h
+++ b/src/node/worker_departures.h
@@ -20,9 +20,9 @@
 namespace pipit {
 
 // Answers a call that reported the end of a worker.
-struct EndAnswer {
+struct DepartureAnswer {
   std::uint64_t id = 0;  // of the call
-  bool known = false;    // whether the other nodes know of the end, so that it may be acknowledged
+  bool acknowledged = false;    // whether the other nodes know of the end, so that it may be acknowledged
 };
 
 class WorkerDepartures {
@@ -32,9 +32,9 @@
   WorkerDepartures(std::string self, Mesh const& mesh, Learner const& learner, std::function<bool(Micros)> has_quorum);
 
   // Registers a call that reported the end of 'worker'; it is answered at once if that is possible.
-  void add_call(std::uint64_t id, std::string const& worker, Micros now, std::vector<EndAnswer>& answers);
+  void add_call(std::uint64_t id, std::string const& worker, Micros now, std::vector<DepartureAnswer>& answers);
   // Appends the answers of all calls that can be answered at 'now' (microseconds), and removes these calls.
-  void answer_calls(Micros now, std::vector<EndAnswer>& answers);
+  void answer_calls(Micros now, std::vector<DepartureAnswer>& answers);
   // Whether this node is connected to a quorum of the replicas, or to at least half of the nodes that may be running,
   // itself included: only then does what a worker says here spread through the fleet.
   bool is_connected(Micros now) const;
@@ -49,7 +49,7 @@
   bool reached_all_connected(std::string const& worker) const;
   // Whether enough nodes have the worker's entry for it to spread to every node that others reach.
   bool reached_quorum(std::string const& worker) const;
-  // Where no membership is known yet: whether more than half of the nodes that may be running have the entry.
+  // Where no membership is acknowledged yet: whether more than half of the nodes that may be running have the entry.
   bool reached_majority_of_nodes(std::string const& worker) const;
   // Invariant of a positive answer: another node has the entry, or there is no other node.
   void check_acknowledgement(std::string const& worker) const;
--- a/src/runtime/mesh/connections.cc
+++ b/src/runtime/mesh/connections.cc
@@ -10,7 +10,7 @@
 // Bytes that wait for one peer, beyond which nothing is added, and for all peers together. A frame may be larger than
 // the first; the second leaves room for two of the largest.
 constexpr std::size_t connection_backlog_limit = 1u << 20;
-constexpr std::size_t total_backlog_limit = 2 * frame_limit;
+constexpr std::size_t total_backlog_limit = 2 * max_frame_bytes;
 // What may still be taken of a connection that is being closed: farewells and what stood before them.
 constexpr std::size_t closing_backlog_limit = 64u << 10;
 constexpr Micros dial_most = seconds(1);
@@ -80,7 +80,7 @@
   std::size_t at = 0;
   while (bytes.size() - at >= 4) {
     std::string_view const rest = bytes.substr(at);
-    std::size_t const need = announced(rest);
+    std::size_t const need = announced_length(rest);
     if (need == 0) return lost(id, Link::End::closed);
     if (rest.size() < need + 4) break;
     bool const good = callbacks_.frame(id, rest.substr(0, need + 4));
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -28,7 +28,8 @@
   if (call.path == "/faults" && settings_.faults) return on_fault(call);
   bool const chat = call.path == "/v1/chat/completions";
   if (chat || call.path == "/v1/completions") {
-    if (role_ != Role::router) return refuse(call.id, Error{ErrorCode::not_found, "a keeper serves no requests", ""});
+    if (role_ != MemberRole::router)
+      return refuse(call.id, Error{ErrorCode::not_found, "a keeper serves no requests", ""});
     if (call.method != "POST") return refuse(call.id, Error{ErrorCode::bad_method, "", ""});
     return on_chat_request(call, chat);
   }
--- a/src/runtime/router_host.cc
+++ b/src/runtime/router_host.cc
@@ -19,7 +19,7 @@
 constexpr guint tick_ms = 25;
 }  // namespace
 
-RouterHost::RouterHost(Settings settings, Role role, std::optional<wire::RecordT> recovered,
+RouterHost::RouterHost(Settings settings, MemberRole role, std::optional<wire::RecordT> recovered,
                        std::unique_ptr<PosixDisk> disk, std::unique_ptr<RecordStore> store)
     : settings_(std::move(settings)), role_(role), loop_(g_main_loop_new(nullptr, FALSE)) {
   NodePlan plan;
@@ -58,7 +58,7 @@
     if (settings_.faults && dropped_in(id, frame)) return true;
     NodeEffects out;
     bool const good = node_->bytes(id, frame, now(), out);
-    if (good) traffic_.count_received(kind_of(frame), frame.size());
+    if (good) traffic_.count_received(body_type_of(frame), frame.size());
     act(out);
     return good;
   };
@@ -141,7 +141,7 @@
 bool RouterHost::dropped_in(ConnectionId id, std::string_view frame) {
   std::string name = connection_names_.count(id) ? connection_names_[id] : "";
   if (name.empty()) {
-    Result<std::unique_ptr<wire::FrameT>> seen = decode(frame);
+    Result<std::unique_ptr<wire::FrameT>> seen = decode_frame(frame);
     if (seen && seen.value()->body.type == wire::Body::Hello && seen.value()->body.AsHello()->self) {
       name = seen.value()->body.AsHello()->self->name;
       connection_names_[id] = name;
@@ -182,7 +182,7 @@
     if (settings_.faults && dropped_out(send.connection, send.bytes)) continue;
     connection_bytes_ += send.bytes.size();
     mesh_to_[node_->mesh.zone_of(send.connection)] += send.bytes.size();
-    traffic_.count_sent(kind_of(send.bytes), send.bytes.size());
+    traffic_.count_sent(body_type_of(send.bytes), send.bytes.size());
     if (settings_.faults && fires(FaultPoint::frame_corrupted))
       for (std::size_t i = 4; i < send.bytes.size(); ++i) send.bytes[i] = static_cast<char>(send.bytes[i] ^ 0x5a);
     connections_->send(send.connection, send.bytes);
@@ -295,7 +295,7 @@
     log_event(Event::settings_rejected, "there is no settings file");
     return;
   }
-  Result<Settings> fresh = read_settings(2, argv, role_ == Role::config_store);
+  Result<Settings> fresh = read_settings(2, argv, role_ == MemberRole::config_store);
   std::string why;
   if (!fresh) {
     why = fresh.error().what;
@@ -368,8 +368,8 @@
   return code_;
 }
 
-int run_node(int argc, char** argv, Role role) {
-  bool const replica = role == Role::config_store;
+int run_node(int argc, char** argv, MemberRole role) {
+  bool const replica = role == MemberRole::config_store;
   Result<Settings> settings = read_settings(argc, argv, replica);
   if (!settings) {
     std::fprintf(stderr, "%s: %s\n", replica ? "pipitspool-config-store" : "pipitspool-router",
--- a/src/runtime/router_host.h
+++ b/src/runtime/router_host.h
@@ -16,8 +16,8 @@
 
 class RouterHost {
  public:
-  RouterHost(Settings settings, Role role, std::optional<wire::RecordT> recovered, std::unique_ptr<PosixDisk> disk,
-             std::unique_ptr<RecordStore> store);
+  RouterHost(Settings settings, MemberRole role, std::optional<wire::RecordT> recovered,
+             std::unique_ptr<PosixDisk> disk, std::unique_ptr<RecordStore> store);
   ~RouterHost();
   Result<void> listen();
   // Returns the exit code once the process is to end.
@@ -50,7 +50,7 @@
   bool dropped_out(ConnectionId id, std::string const& frame);
 
   Settings settings_;
-  Role const role_;
+  MemberRole const role_;
   GMainLoop* loop_;
   std::unique_ptr<Node> node_;
   std::unique_ptr<Connections> connections_;
@@ -74,6 +74,6 @@
 };
 
 // What both programs share: settings, log, the data folder, the loop.
-int run_node(int argc, char** argv, Role role);
+int run_node(int argc, char** argv, MemberRole role);
 
 }  // namespace pipit
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -7,7 +7,11 @@
 
 std::string RouterHost::status() const {
   JsonWriter json;
-  json.begin_object().key("name").text(settings_.name).key("role").text(role_ == Role::router ? "passage" : "accord");
+  json.begin_object()
+      .key("name")
+      .text(settings_.name)
+      .key("role")
+      .text(role_ == MemberRole::router ? "passage" : "accord");
   json.key("zone").text(settings_.zone).key("ready").boolean(node_->ready()).key("draining").boolean(grace_until_ >= 0);
   json.key("serial").number(static_cast<std::int64_t>(node_->learner.serial()));
   json.key("emptied").begin_list();
@@ -25,7 +29,7 @@
         .text(state_name(peer.state()))
         .key("wire")
         .boolean(peer.connection != 0);
-    json.key("role").text(peer.role() == Role::router ? "passage" : "accord").key("zone").text(peer.member.zone);
+    json.key("role").text(peer.role() == MemberRole::router ? "passage" : "accord").key("zone").text(peer.member.zone);
     json.key("http").text(peer.member.http);
     json.key("serial")
         .number(static_cast<std::int64_t>(peer.member.serial))
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -72,7 +72,7 @@
   we.frame = [this](ConnectionId id, std::string_view frame) {
     NodeEffects out;
     bool const good = node_->bytes(id, frame, now(), out);
-    if (good) traffic_.count_received(kind_of(frame), frame.size());
+    if (good) traffic_.count_received(body_type_of(frame), frame.size());
     act(out);
     return good;
   };
@@ -126,7 +126,7 @@
   if (out.save && disk_) disk_->save(std::move(*out.save));
   for (std::string const& address : out.mesh.dial_addresses) connections_->dial(address);
   for (ConnectionEffects::OutgoingFrame const& send : out.mesh.outgoing_frames) {
-    traffic_.count_sent(kind_of(send.bytes), send.bytes.size());
+    traffic_.count_sent(body_type_of(send.bytes), send.bytes.size());
     connections_->send(send.connection, send.bytes);
   }
   for (ConnectionId const id : out.mesh.closed_connections) connections_->shut(id);
@@ -139,13 +139,13 @@
     asked_.erase(position);
     done(item);
   }
-  std::vector<EndAnswer> const end_answers = std::move(out.end_answers);
-  for (EndAnswer const& item : end_answers) {
+  std::vector<DepartureAnswer> const end_answers = std::move(out.end_answers);
+  for (DepartureAnswer const& item : end_answers) {
     std::map<std::uint64_t, EndDone>::iterator const position = ends_asked_.find(item.id);
     if (position == ends_asked_.end()) continue;
     EndDone const done = std::move(position->second);
     ends_asked_.erase(position);
-    done(item.known);
+    done(item.acknowledged);
   }
   if (limits_of_ != node_->dispatcher.description()) {
     limits_of_ = node_->dispatcher.description();
--- a/src/server/node_server_status.cc
+++ b/src/server/node_server_status.cc
@@ -13,7 +13,8 @@
 
 std::map<std::string, std::uint64_t> peers_by_state(Node const& node) {
   std::map<std::string, std::uint64_t> out;
-  for (State const state : {State::alive, State::suspected, State::down, State::leaving}) out[state_name(state)] = 0;
+  for (MemberState const state : {MemberState::alive, MemberState::suspected, MemberState::down, MemberState::leaving})
+    out[state_name(state)] = 0;
   for (std::pair<std::string const, Peer> const& item : node.mesh.members.peers) ++out[state_name(item.second.state())];
   return out;
 }
--- a/testing/cost_simulator/machine.h
+++ b/testing/cost_simulator/machine.h
@@ -7,7 +7,7 @@
 struct Scale::Machine {
   std::string name, address, zone;
   int region = 0;
-  Role role = Role::router;
+  MemberRole role = MemberRole::router;
   std::unique_ptr<Node> node;
   std::uint64_t process_id = 0;
   bool silent = false;  // without power: it answers no dial
--- a/testing/cost_simulator/report.cc
+++ b/testing/cost_simulator/report.cc
@@ -35,11 +35,11 @@
 void Scale::tell_phase(std::string const& name, Phase const& item, Figures& out) const {
   double const span = static_cast<double>(item.to - item.from) / 1e6;
   static char const* const steps[] = {"tick", "list", "vitals", "errand", "wire", "operate"};
-  for (Role const role : {Role::router, Role::config_store}) {
-    int const n = role == Role::config_store ? plan.replicas : plan.nodes - plan.replicas;
+  for (MemberRole const role : {MemberRole::router, MemberRole::config_store}) {
+    int const n = role == MemberRole::config_store ? plan.replicas : plan.nodes - plan.replicas;
     double const per = span * n;
     if (per <= 0) continue;
-    std::string const head = name + "." + (role == Role::config_store ? "keeper" : "router") + ".";
+    std::string const head = name + "." + (role == MemberRole::config_store ? "keeper" : "router") + ".";
     Count const& count = item.count[static_cast<std::size_t>(role)];
     double frames_in = 0, frames_out = 0, bytes_in = 0, bytes_out = 0, nanos = 0;
     for (std::size_t i = 0; i < kinds; ++i) {
@@ -65,7 +65,7 @@
       out.add(head + "bytes_in." + kind, static_cast<double>(count.bytes_in[i]) / per);
       out.add(head + "cpu_us.in." + kind, static_cast<double>(count.nanos_in[i]) / 1000 / per);
     }
-    if (role == Role::router) out.add(head + "vitals_asked", static_cast<double>(count.checks) / per);
+    if (role == MemberRole::router) out.add(head + "vitals_asked", static_cast<double>(count.checks) / per);
     if (count.dials > 0) out.add(head + "dials", static_cast<double>(count.dials) / per);
   }
   out.add(name + ".seconds", span);
@@ -94,13 +94,13 @@
     out.add("requests." + item.first, static_cast<double>(item.second));
   // What a node holds is what the heap is less by when the node is gone.
   events = {};
-  for (Role const role : {Role::router, Role::config_store}) {
+  for (MemberRole const role : {MemberRole::router, MemberRole::config_store}) {
     int n = 0;
     std::int64_t const full = heap();
     for (std::unique_ptr<Machine> const& m : machines)
       if (m->role == role && m->up()) ++n, m->node.reset();
     if (n > 0)
-      out.add(std::string("heap.") + (role == Role::config_store ? "keeper" : "router") + "_bytes",
+      out.add(std::string("heap.") + (role == MemberRole::config_store ? "keeper" : "router") + "_bytes",
               static_cast<double>(full - heap()) / n);
   }
 }
--- a/testing/cost_simulator/scale.cc
+++ b/testing/cost_simulator/scale.cc
@@ -52,8 +52,8 @@
   for (int i = 0; i < zone_count; ++i) zones.push_back("r" + std::to_string(i % regions) + "z" + std::to_string(i));
   for (int i = 0; i < plan.nodes; ++i) {
     std::unique_ptr<Machine> made = std::make_unique<Machine>();
-    made->role = i < plan.replicas ? Role::config_store : Role::router;
-    made->name = made->role == Role::config_store ? numbered("k", i + 1) : numbered("p", i + 1 - plan.replicas);
+    made->role = i < plan.replicas ? MemberRole::config_store : MemberRole::router;
+    made->name = made->role == MemberRole::config_store ? numbered("k", i + 1) : numbered("p", i + 1 - plan.replicas);
     made->address = "10.1." + std::to_string(i / 250) + "." + std::to_string(1 + i % 250) + ":7000";
     made->region = i % zone_count % regions;
     made->zone = zones[static_cast<std::size_t>(i % zone_count)];
@@ -102,7 +102,7 @@
 }
 
 void Scale::fill(Machine& machine) {
-  if (!machine.up() || machine.role != Role::router || plan.workers == 0 || plan.prefixes == 0) return;
+  if (!machine.up() || machine.role != MemberRole::router || plan.workers == 0 || plan.prefixes == 0) return;
   Index& index = machine.node->index_sync.index("tribute");
   Micros const t = now + machine.offset;
   Index::Bounds const bounds{100000000, seconds(900)};
@@ -142,12 +142,12 @@
   p.role = m.role;
   for (int i = 0; i < plan.replicas; ++i) {
     if (i < 3) p.seeds.push_back(machines[static_cast<std::size_t>(i)]->address);
-    if (m.role == Role::config_store) p.initial_members.push_back(machines[static_cast<std::size_t>(i)]->name);
+    if (m.role == MemberRole::config_store) p.initial_members.push_back(machines[static_cast<std::size_t>(i)]->name);
   }
   p.incarnation = 1000 + process_count;
   p.chance = hash_bits(plan.seed * 31 + process_count);
   std::optional<wire::RecordT> recovered;
-  if (m.role == Role::config_store) {
+  if (m.role == MemberRole::config_store) {
     if (!m.disk) {
       wire::RecordT blank;
       blank.cluster = "pipit";
@@ -160,7 +160,8 @@
   m.node = std::make_unique<Node>(p, now + m.offset, recovered);
   std::uint64_t const process_id = m.process_id;
   after(between(0, tick_gap), [this, who, process_id] { tick(who, process_id); });
-  if (m.role == Role::router && plan.rate > 0) after(seconds(2), [this, who, process_id] { call(who, process_id); });
+  if (m.role == MemberRole::router && plan.rate > 0)
+    after(seconds(2), [this, who, process_id] { call(who, process_id); });
 }
 
 void Scale::halt(int who, bool silent) {
@@ -207,7 +208,7 @@
     if (!kill.pending.count(who)) continue;
     std::map<std::string, Peer>::const_iterator const peer =
         m.node->mesh.members.peers.find(machines[static_cast<std::size_t>(kill.who)]->name);
-    if (peer == m.node->mesh.members.peers.end() || peer->second.state() != State::down) continue;
+    if (peer == m.node->mesh.members.peers.end() || peer->second.state() != MemberState::down) continue;
     kill.pending.erase(who);
     detected[kill.silent ? 1 : 0].push_back(now - kill.at);
   }
--- a/testing/cost_simulator/scale_phases.cc
+++ b/testing/cost_simulator/scale_phases.cc
@@ -24,7 +24,7 @@
     for (std::pair<std::string const, Peer> const& item : m.node->mesh.members.peers) {
       int const j = by_name.at(item.first);
       std::pair<int, int> const pair{i, j};
-      if (item.second.state() == State::alive) {
+      if (item.second.state() == MemberState::alive) {
         if (!suspected.empty()) suspected.erase(pair);
         continue;
       }
@@ -50,7 +50,7 @@
     if (!m->up()) return false;
     if (m->node->mesh.members.peers.size() + 1 != machines.size()) return false;
     for (std::pair<std::string const, Peer> const& item : m->node->mesh.members.peers)
-      if (item.second.state() != State::alive || item.second.connection == 0) return false;
+      if (item.second.state() != MemberState::alive || item.second.connection == 0) return false;
   }
   return true;
 }
--- a/testing/fleet_simulator/callers.cc
+++ b/testing/fleet_simulator/callers.cc
@@ -188,7 +188,7 @@
 void World::attempt(std::uint64_t id) {
   Wish& wish = *wishes[id];
   ++wish.attempt_count;
-  Box* const box = pick([](Box const& b) { return b.role == Role::router; });
+  Box* const box = pick([](Box const& b) { return b.role == MemberRole::router; });
   if (box == nullptr) return after(lag(), [this, id] { request_ended(id, "no", millis(500)); });
   std::uint64_t const process_id = box->process_id;
   std::string const name = box->name;
--- a/testing/fleet_simulator/faults.cc
+++ b/testing/fleet_simulator/faults.cc
@@ -25,7 +25,7 @@
       if (lost_at != from) return;
       if (back_at < 0 && !log_is_muted())
         for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
-          if (item.second->up() && item.second->role == Role::router)
+          if (item.second->up() && item.second->role == MemberRole::router)
             for (std::pair<std::string const, Worker> const& w : item.second->node->fleet.workers)
               std::printf("%s knows %s incarnation %llu standing %d dark %d doubted %d zone %s\n", item.first.c_str(),
                           w.first.c_str(), static_cast<unsigned long long>(w.second.row.incarnation),
@@ -86,11 +86,11 @@
 // One lost disk at a time: the next only once the set has taken the last one in.
 void World::replace_disk(FaultSite const& site) {
   std::size_t complete = 0;
-  Box* replica = pick([](Box const& b) { return b.role == Role::config_store; });
+  Box* replica = pick([](Box const& b) { return b.role == MemberRole::config_store; });
   if (replica != nullptr && cuts.empty()) {
     Membership const& members = replica->node->learner.membership();
     for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
-      if (item.second->role == Role::config_store && item.second->up() && item.second->disk &&
+      if (item.second->role == MemberRole::config_store && item.second->up() && item.second->disk &&
           members.holds(item.first, item.second->disk->disk))
         ++complete;
     if (complete == static_cast<std::size_t>(plan.shape->replicas) && members.replicas.size() == complete) {
@@ -106,7 +106,7 @@
 
 // A router node is replaced by a new one, perhaps at the same address.
 void World::exchange_router(FaultSite const& site) {
-  Box* const old = pick([](Box const& b) { return b.role == Role::router; });
+  Box* const old = pick([](Box const& b) { return b.role == MemberRole::router; });
   if (old != nullptr && boxes.size() < 40) {
     std::string const zone = old->zone;
     bool const same_address = random.chance(0.3);
@@ -117,13 +117,13 @@
     if (power) silent.push_back(old->name);
     if (same_address) old->address = "10.0.7." + std::to_string(++moved) + ":7000";
     std::string const name = "px" + std::to_string(++moved);
-    boot(add(name, address, zone, Role::router));
+    boot(add(name, address, zone, MemberRole::router));
   }
 }
 
 // A config store's disk is slow, or stalls.
 void World::slow_disk(FaultSite const& site) {
-  Box* const replica = pick([](Box const& b) { return b.role == Role::config_store; });
+  Box* const replica = pick([](Box const& b) { return b.role == MemberRole::config_store; });
   if (replica != nullptr) {
     bool const stall = random.chance(0.3);
     replica->disk_low = stall ? seconds(4) : millis(100);
@@ -237,7 +237,7 @@
   std::set<std::string> side;
   std::size_t const size = 2 + random.below(2);
   for (int i = 0; i < 10 && side.size() < size; ++i)
-    if (Box* const one = pick([](Box const& b) { return b.role == Role::router; })) side.insert(one->name);
+    if (Box* const one = pick([](Box const& b) { return b.role == MemberRole::router; })) side.insert(one->name);
   for (std::string const& a : side) {
     for (std::string const& b : site.names)
       if (!side.count(b)) set_cut(a, b, true), set_cut(b, a, true);
@@ -248,7 +248,7 @@
 
 // One router node is cut off and goes on serving, while all others end and return; then a zone is drained.
 void World::leave_one_router(FaultSite const& site) {
-  Box* const one = pick([](Box const& b) { return b.role == Role::router; });
+  Box* const one = pick([](Box const& b) { return b.role == MemberRole::router; });
   if (one != nullptr && cuts.empty()) {
     std::string const stray = one->name;
     for (std::string const& name : site.names) {
@@ -274,10 +274,10 @@
   Membership const& members = site.box->node->learner.membership();
   std::vector<std::string> complete;
   for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
-    if (item.second->role == Role::config_store && item.second->up() && item.second->disk &&
+    if (item.second->role == MemberRole::config_store && item.second->up() && item.second->disk &&
         members.holds(item.first, item.second->disk->disk))
       complete.push_back(item.first);
-  if (cuts.empty() && site.box->role == Role::router &&
+  if (cuts.empty() && site.box->role == MemberRole::router &&
       complete.size() == static_cast<std::size_t>(plan.shape->replicas)) {
     for (std::string const& name : site.names)
       if (name != complete[2]) set_cut(name, complete[2], true), set_cut(complete[2], name, true);
@@ -318,7 +318,7 @@
   if (!closing)
     after(lag(millis(10), millis(60)), [this, name] {
       halt(*boxes[name], true);
-      if (Box* const replica = pick([](Box const& b) { return b.role == Role::config_store; })) {
+      if (Box* const replica = pick([](Box const& b) { return b.role == MemberRole::config_store; })) {
         std::string const other = replica->name;
         halt(*replica, true);
         after(lag(millis(500), seconds(3)), [this, other] { boot(*boxes[other]); });
--- a/testing/fleet_simulator/judge.cc
+++ b/testing/fleet_simulator/judge.cc
@@ -18,7 +18,7 @@
     for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes) {
       Box const& box = *item.second;
       bool const befallen = !box.up() || box.frozen || box.troubled > it->second - seconds(3) || !cuts.empty();
-      if (box.role != Role::router || befallen) continue;
+      if (box.role != MemberRole::router || befallen) continue;
       if (box.node->learner.serial() < it->first) {
         all = false;
         who += " " + box.name;
@@ -59,7 +59,7 @@
   // After a quiet while everything is whole again: one serial, every node ready, the replica set full.
   std::set<std::uint64_t> serials;
   for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
-    if (item.second->up() && item.second->role == Role::router) ++end.routers;
+    if (item.second->up() && item.second->role == MemberRole::router) ++end.routers;
   for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes) {
     if (!item.second->up()) continue;
     serials.insert(item.second->node->learner.serial());
--- a/testing/fleet_simulator/machines.cc
+++ b/testing/fleet_simulator/machines.cc
@@ -9,7 +9,7 @@
 
 namespace pipit {
 
-World::Box& World::add(std::string const& name, std::string const& address, std::string const& zone, Role role) {
+World::Box& World::add(std::string const& name, std::string const& address, std::string const& zone, MemberRole role) {
   std::unique_ptr<Box>& slot = boxes[name];
   slot = std::make_unique<Box>();
   slot->name = name;
@@ -52,12 +52,12 @@
     }
   }
   p.seeds = box.seeds;
-  if (box.role == Role::config_store)
+  if (box.role == MemberRole::config_store)
     for (int i = 1; i <= plan.shape->replicas; ++i) p.initial_members.push_back("k" + std::to_string(i));
   p.incarnation = 1000 + process_count;
   p.chance = hash_bits(plan.seed * 31 + process_count);
   std::optional<wire::RecordT> recovered;
-  if (box.role == Role::config_store) {
+  if (box.role == MemberRole::config_store) {
     // What was being written when the power went may be there, or not.
     if (box.writing && random.chance(0.5)) box.disk = box.writing;
     box.writing.reset();
--- a/testing/fleet_simulator/operators.cc
+++ b/testing/fleet_simulator/operators.cc
@@ -94,7 +94,7 @@
   if (closing && outcome.type == Outcome::Type::chosen) {
     closing = false;
     for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
-      if (item.second->role == Role::config_store && item.second->up()) {
+      if (item.second->role == MemberRole::config_store && item.second->up()) {
         std::string const name = item.first;
         after(1, [this, name] { halt(*boxes[name], true); });
         after(lag(millis(300), seconds(2)), [this, name] { boot(*boxes[name]); });
--- a/testing/fleet_simulator/parts.h
+++ b/testing/fleet_simulator/parts.h
@@ -8,7 +8,7 @@
   std::string name, address, zone;
   std::vector<std::string> seeds;
   std::string seeded_at;
-  Role role = Role::router;
+  MemberRole role = MemberRole::router;
   std::unique_ptr<Node> node;
   std::uint64_t process_id = 0;
   bool frozen = false;
--- a/testing/fleet_simulator/world.cc
+++ b/testing/fleet_simulator/world.cc
@@ -33,11 +33,11 @@
   int i = 0;
   for (int n = 1; n <= plan.shape->replicas; ++n) {
     std::string const& zone = plan.shape->zones[static_cast<std::size_t>(n - 1) % plan.shape->zones.size()];
-    boot(add("k" + std::to_string(n), "10.0.2." + std::to_string(n) + ":7000", zone, Role::config_store));
+    boot(add("k" + std::to_string(n), "10.0.2." + std::to_string(n) + ":7000", zone, MemberRole::config_store));
   }
   for (int n = 1; n <= plan.shape->routers; ++n) {
     std::string const& zone = plan.shape->zones[static_cast<std::size_t>(n - 1) % plan.shape->zones.size()];
-    boot(add("p" + std::to_string(n), "10.0.1." + std::to_string(n) + ":7000", zone, Role::router));
+    boot(add("p" + std::to_string(n), "10.0.1." + std::to_string(n) + ":7000", zone, MemberRole::router));
   }
   for (int n = 1; n <= plan.shape->workers; ++n) {
     std::unique_ptr<WorkerProcess> process = std::make_unique<WorkerProcess>();
@@ -70,7 +70,7 @@
       item.second->disk_high = 6000;
       // Entry machines that were exchanged stay away; all else is started again.
       bool const departed = item.second->address.rfind("10.0.7.", 0) == 0;
-      if (!departed && (item.second->role == Role::config_store || item.second->power || item.first[1] != 'x')) {
+      if (!departed && (item.second->role == MemberRole::config_store || item.second->power || item.first[1] != 'x')) {
         std::string const name = item.first;
         after(seconds(3), [this, name] { boot(*boxes[name]); });
       }
--- a/testing/fleet_simulator/world.h
+++ b/testing/fleet_simulator/world.h
@@ -87,7 +87,7 @@
   }
 
   // machines
-  Box& add(std::string const& name, std::string const& address, std::string const& zone, Role role);
+  Box& add(std::string const& name, std::string const& address, std::string const& zone, MemberRole role);
   void boot(Box& box);
   void halt(Box& box, bool power);
   void freeze(Box& box, Micros span);
--- a/tests/change_traffic.cc
+++ b/tests/change_traffic.cc
@@ -181,7 +181,7 @@
 std::size_t size_of(wire::ValuePatchT const& patch) {
   wire::ChosenT update;
   update.patch = std::make_unique<wire::ValuePatchT>(patch);
-  return encode_body(std::move(update)).size();
+  return encode_message(std::move(update)).size();
 }
 }  // namespace
 
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -10,7 +10,7 @@
 wire::HelloT hello(std::string const& cluster, std::string const& name) {
   wire::HelloT out;
   out.cluster = cluster;
-  out.format = frame_format;
+  out.format = frame_format_version;
   out.self = std::make_unique<wire::MemberT>();
   out.self->name = name;
   out.self->address = "10.0.0.2:1";
@@ -30,10 +30,10 @@
 TEST(Frame, is_taken_from_whatever_address_it_lies_at) {
   wire::PingT ping;
   ping.seq = 77;
-  std::string const good = encode_body(std::move(ping));
+  std::string const good = encode_message(std::move(ping));
   for (std::size_t before = 0; before < 16; ++before) {
     std::string const room = std::string(before, 'x') + good;
-    Result<std::unique_ptr<wire::FrameT>> const taken = decode(std::string_view(room).substr(before));
+    Result<std::unique_ptr<wire::FrameT>> const taken = decode_frame(std::string_view(room).substr(before));
     ASSERT_TRUE(taken) << before;
     EXPECT_EQ(taken.value()->body.AsPing()->seq, 77u) << before;
   }
@@ -46,8 +46,8 @@
   NodeEffects out;
   node.opened(1, false, "", 0, out);
   wire::HelloT older = hello("pipit", "b");
-  older.format = frame_format - 1;
-  node.bytes(1, encode_body(std::move(older)), 0, out);
+  older.format = frame_format_version - 1;
+  node.bytes(1, encode_message(std::move(older)), 0, out);
   EXPECT_EQ(out.mesh.closed_connections, std::vector<ConnectionId>{1});
   EXPECT_EQ(node.mesh.members.peers.count("b"), 0u);
 }
@@ -56,11 +56,11 @@
   wire::PingT ping;
   ping.seq = 3;
   ping.table.push_back(std::make_unique<wire::MemberT>(*hello("c", "x").self));
-  std::string const good = encode_body(std::move(ping));
-  ASSERT_TRUE(decode(good));
-  EXPECT_FALSE(decode(good.substr(0, good.size() - 1)));
-  EXPECT_FALSE(decode(""));
-  EXPECT_EQ(announced(std::string(4, '\xff')), 0u) << "a length over the limit";
+  std::string const good = encode_message(std::move(ping));
+  ASSERT_TRUE(decode_frame(good));
+  EXPECT_FALSE(decode_frame(good.substr(0, good.size() - 1)));
+  EXPECT_FALSE(decode_frame(""));
+  EXPECT_EQ(announced_length(std::string(4, '\xff')), 0u) << "a length over the limit";
   mute_log(true);
   RandomSource random(9);
   int taken = 0;
@@ -71,7 +71,7 @@
     Node node(plan(), 0, std::nullopt);
     NodeEffects out;
     node.opened(1, false, "", 0, out);
-    ASSERT_TRUE(node.bytes(1, encode_body(hello("pipit", "b")), 0, out));
+    ASSERT_TRUE(node.bytes(1, encode_message(hello("pipit", "b")), 0, out));
     if (node.bytes(1, bad, 1, out)) ++taken;  // what still verifies is handled like any frame
   }
   EXPECT_LT(taken, 4000);
@@ -82,7 +82,7 @@
   Node node(plan(), 0, std::nullopt);
   NodeEffects out;
   node.opened(1, false, "", 0, out);
-  node.bytes(1, encode_body(hello("other", "b")), 0, out);
+  node.bytes(1, encode_message(hello("other", "b")), 0, out);
   EXPECT_EQ(out.mesh.closed_connections, std::vector<ConnectionId>{1});
   EXPECT_TRUE(node.mesh.members.peers.empty());
 }
@@ -92,11 +92,11 @@
   Node node(plan(), 0, std::nullopt);
   NodeEffects out;
   node.opened(1, true, "10.0.0.2:1", 0, out);  // 'a' sorts first, so its own connection would be kept
-  node.bytes(1, encode_body(hello("pipit", "b")), 0, out);
+  node.bytes(1, encode_message(hello("pipit", "b")), 0, out);
   wire::HelloT next = hello("pipit", "b");
   next.self->incarnation = 6;
   node.opened(2, false, "", millis(10), out);
-  node.bytes(2, encode_body(std::move(next)), millis(10), out);
+  node.bytes(2, encode_message(std::move(next)), millis(10), out);
   EXPECT_EQ(node.mesh.members.peers.at("b").connection, 2u);
   EXPECT_EQ(out.mesh.closed_connections, std::vector<ConnectionId>{1});
 }
@@ -106,7 +106,7 @@
   Node node(plan(), 0, std::nullopt);
   NodeEffects out;
   node.opened(1, false, "", 0, out);
-  node.bytes(1, encode_body(hello("pipit", "b")), 0, out);
+  node.bytes(1, encode_message(hello("pipit", "b")), 0, out);
   node.shut(1, millis(10), out);
   out = NodeEffects();
   node.tick(millis(20), out);
@@ -118,8 +118,8 @@
   wire::HelloT third = hello("pipit", "c");
   third.self->address = "10.0.0.3:1";
   node.opened(2, false, "", millis(30), out);
-  node.bytes(2, encode_body(std::move(third)), millis(30), out);
-  node.bytes(2, encode_body(std::move(update)), millis(40), out);
+  node.bytes(2, encode_message(std::move(third)), millis(30), out);
+  node.bytes(2, encode_message(std::move(update)), millis(40), out);
   node.dial_failed("10.0.0.2:1", false, millis(900), out);
   out = NodeEffects();
   node.tick(millis(1500), out);
@@ -134,7 +134,7 @@
   self.incarnation = 4;
   MemberTable members(self);
   wire::MemberT said = self;
-  said.state = static_cast<std::uint8_t>(State::down);
+  said.state = static_cast<std::uint8_t>(MemberState::down);
   EXPECT_EQ(members.merge(said, 0), MemberTable::MergeResult::refuted);
   EXPECT_GT(members.self.bump, said.bump);
   said.incarnation = 9;  // a former incarnation is remembered with a later clock
@@ -156,7 +156,7 @@
   peer.revision = 9;
   EXPECT_EQ(members.merge(peer, 0), MemberTable::MergeResult::changed);
   EXPECT_EQ(members.records_since(first).size(), 1u) << "a newer revision is told by the peer itself";
-  members.set_state(members.peers.at("b"), State::suspected, 1);
+  members.set_state(members.peers.at("b"), MemberState::suspected, 1);
   ASSERT_EQ(members.records_since(first).size(), 2u);
   std::uint64_t const second = members.version;
   ++peer.bump;
--- a/tests/mesh/entry_replication.cc
+++ b/tests/mesh/entry_replication.cc
@@ -80,7 +80,7 @@
   replication.add_peer("c");
   replication.add_peer("d");
   replication.forward_to_all = false;
-  replication.forward_to = {"d", "not_connected"};
+  replication.forward_targets = {"d", "not_connected"};
   wire::EntryT const brought = entry("w", "b", 4);
   ASSERT_TRUE(table.merge(brought, 0));
   replication.enqueue_forwarded("b", brought);
--- a/tests/mesh/failure_detector.cc
+++ b/tests/mesh/failure_detector.cc
@@ -32,13 +32,13 @@
     connections.find(id)->peer = name;
     ASSERT_TRUE(connections.bind(id, members.peers.at(name), 0, out));
   }
-  State state(std::string const& name) const { return members.peers.at(name).state(); }
+  MemberState state(std::string const& name) const { return members.peers.at(name).state(); }
   // The messages of one type that were sent on a connection.
   std::vector<std::unique_ptr<wire::FrameT>> sent(ConnectionId id, wire::Body type) const {
     std::vector<std::unique_ptr<wire::FrameT>> found;
     for (ConnectionEffects::OutgoingFrame const& item : out.outgoing_frames) {
       if (item.connection != id) continue;
-      std::unique_ptr<wire::FrameT> frame = std::move(decode(item.bytes).value());
+      std::unique_ptr<wire::FrameT> frame = std::move(decode_frame(item.bytes).value());
       if (frame->body.type == type) found.push_back(std::move(frame));
     }
     return found;
@@ -59,17 +59,17 @@
   detector.expire_probes(settings.probe_timeout, out);
   ASSERT_EQ(sent(2, wire::Body::IndirectPing).size(), 1u);
   EXPECT_EQ(sent(2, wire::Body::IndirectPing).front()->body.AsIndirectPing()->target, "b");
-  EXPECT_EQ(state("b"), State::alive);
+  EXPECT_EQ(state("b"), MemberState::alive);
   detector.expire_probes(2 * settings.probe_timeout, out);
-  EXPECT_EQ(state("b"), State::suspected);
+  EXPECT_EQ(state("b"), MemberState::suspected);
 }
 
 TEST_F(FailureDetectorTest, a_suspected_member_whose_probe_fails_is_down_and_its_connection_closed) {
-  members.set_state(members.peers.at("b"), State::suspected, 0);
+  members.set_state(members.peers.at("b"), MemberState::suspected, 0);
   detector.probe(members.peers.at("b"), 0, out);
   detector.expire_probes(settings.probe_timeout, out);
   detector.expire_probes(2 * settings.probe_timeout, out);
-  EXPECT_EQ(state("b"), State::down);
+  EXPECT_EQ(state("b"), MemberState::down);
   EXPECT_EQ(out.closed_connections, std::vector<ConnectionId>{1});
   EXPECT_EQ(sent(2, wire::Body::MembershipUpdate).size(), 1u) << "the others are told";
 }
@@ -90,7 +90,7 @@
     else
       detector.handle_pong("b", pong, 1, out);
     detector.expire_probes(seconds(10), out);
-    EXPECT_EQ(state("b"), State::alive);
+    EXPECT_EQ(state("b"), MemberState::alive);
   }
 }
 
@@ -112,19 +112,19 @@
 TEST_F(FailureDetectorTest, a_refused_dial_is_a_failed_probe) {
   members.merge(member("d"), 0);
   detector.dial_failed("d:1", false, 0, out);
-  EXPECT_EQ(state("d"), State::alive) << "a dial that ran out of time proves nothing";
+  EXPECT_EQ(state("d"), MemberState::alive) << "a dial that ran out of time proves nothing";
   detector.dial_failed("d:1", true, 0, out);
-  EXPECT_EQ(state("d"), State::suspected);
+  EXPECT_EQ(state("d"), MemberState::suspected);
   detector.dial_failed("d:1", true, 0, out);
-  EXPECT_EQ(state("d"), State::down);
+  EXPECT_EQ(state("d"), MemberState::down);
   EXPECT_TRUE(members.cannot_be_serving("d"));
 }
 
 TEST_F(FailureDetectorTest, a_silent_connection_is_probed) {
-  detector.probe_silent(settings.inactivity_limit, out);
+  detector.probe_inactive(settings.inactivity_limit, out);
   EXPECT_TRUE(sent(1, wire::Body::Ping).empty());
   connections.find(2)->last_received = settings.inactivity_limit;
-  detector.probe_silent(settings.inactivity_limit + 1, out);
+  detector.probe_inactive(settings.inactivity_limit + 1, out);
   EXPECT_EQ(sent(1, wire::Body::Ping).size(), 1u);
   EXPECT_TRUE(sent(2, wire::Body::Ping).empty());
 }
--- a/tests/mesh/gossip.cc
+++ b/tests/mesh/gossip.cc
@@ -36,17 +36,17 @@
 
 TEST_F(MembershipGossipTest, a_small_fleet_broadcasts_a_finding) {
   connect(5);
-  gossip.spread_finding(members.peers.at("p1").member, out);
+  gossip.disseminate(members.peers.at("p1").member, out);
   EXPECT_EQ(out.outgoing_frames.size(), 5u);
-  EXPECT_TRUE(gossip.take_piggybacked().empty());
+  EXPECT_TRUE(gossip.next_piggybacked_records().empty());
 }
 
 TEST_F(MembershipGossipTest, a_large_fleet_sends_a_finding_to_some_and_piggybacks_it_for_a_while) {
   connect(30);
-  gossip.spread_finding(members.peers.at("p1").member, out);
+  gossip.disseminate(members.peers.at("p1").member, out);
   EXPECT_EQ(out.outgoing_frames.size(), settings.gossip_fanout);
   int sends = 0;
-  while (!gossip.take_piggybacked().empty()) ++sends;
+  while (!gossip.next_piggybacked_records().empty()) ++sends;
   EXPECT_EQ(sends, 18) << "3 and 3 more for each of the five doublings up to 30 members";
 }
 
@@ -54,7 +54,7 @@
   connect(3);
   EXPECT_EQ(gossip.records_for_ping(1).size(), 4u);
   EXPECT_EQ(gossip.records_for_ping(1).size(), 1u) << "its own record alone";
-  members.set_state(members.peers.at("p2"), State::suspected, 1);
+  members.set_state(members.peers.at("p2"), MemberState::suspected, 1);
   EXPECT_EQ(gossip.records_for_ping(1).size(), 2u);
 }
 
@@ -72,7 +72,7 @@
   connect(2);
   MemberRecords records;
   records.push_back(std::make_unique<wire::MemberT>(members.self));
-  records.front()->state = static_cast<std::uint8_t>(State::down);
+  records.front()->state = static_cast<std::uint8_t>(MemberState::down);
   gossip.merge(records, 1, out);
   EXPECT_EQ(out.outgoing_frames.size(), 2u);
   EXPECT_EQ(members.self.bump, 1u);
--- a/tests/node/change_forwarder.cc
+++ b/tests/node/change_forwarder.cc
@@ -44,7 +44,7 @@
   std::vector<wire::BodyUnion> sent() {
     std::vector<wire::BodyUnion> bodies;
     for (ConnectionEffects::OutgoingFrame const& send : out.mesh.outgoing_frames)
-      bodies.push_back(std::move(decode(send.bytes).value()->body));
+      bodies.push_back(std::move(decode_frame(send.bytes).value()->body));
     out.mesh.outgoing_frames.clear();
     return bodies;
   }
@@ -100,8 +100,8 @@
   ForwarderFixture fixture;
   Micros const later = seconds(60);
   EXPECT_FALSE(fixture.forwarder.forward_change(7, apply_text("new"), later, fixture.out));
-  fixture.add_peer("r1", State::alive, 21).member.replica = false;
-  fixture.add_peer("r2", State::alive, 22).member.replica = false;
+  fixture.add_peer("r1", MemberState::alive, 21).member.replica = false;
+  fixture.add_peer("r2", MemberState::alive, 22).member.replica = false;
   for (int count = 0; count < 3; ++count)
     ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), later, fixture.out));
   ASSERT_EQ(fixture.out.mesh.outgoing_frames.size(), 3u);
@@ -114,10 +114,10 @@
   ForwarderFixture fixture;
   ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
   wire::ForwardedChangeReplyT const reply = fixture.reply_of(Outcome::Type::chosen);
-  fixture.forwarder.take_reply("stranger", reply, 0, fixture.out);
+  fixture.forwarder.handle_reply("stranger", reply, 0, fixture.out);
   EXPECT_TRUE(fixture.out.replies.empty());
-  fixture.forwarder.take_reply("b", reply, 0, fixture.out);
-  fixture.forwarder.take_reply("b", reply, 0, fixture.out);
+  fixture.forwarder.handle_reply("b", reply, 0, fixture.out);
+  fixture.forwarder.handle_reply("b", reply, 0, fixture.out);
   ASSERT_EQ(fixture.out.replies.size(), 1u);
   EXPECT_EQ(fixture.out.replies[0].id, 7u);
   EXPECT_EQ(fixture.out.replies[0].change, "change-1");
@@ -127,10 +127,10 @@
 TEST(ChangeForwarder, ProposesItselfWhatIsNotAnsweredInTime) {
   ForwarderFixture fixture;
   ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
-  fixture.forwarder.advance(millis(600) - 1, fixture.out);
+  fixture.forwarder.tick(millis(600) - 1, fixture.out);
   EXPECT_TRUE(fixture.proposed.empty());
-  fixture.forwarder.advance(millis(600), fixture.out);
-  fixture.forwarder.advance(millis(601), fixture.out);
+  fixture.forwarder.tick(millis(600), fixture.out);
+  fixture.forwarder.tick(millis(601), fixture.out);
   ASSERT_EQ(fixture.proposed.size(), 1u);
   EXPECT_EQ(fixture.proposed[0].id, 7u);
   EXPECT_TRUE(fixture.proposed[0].change.proposed_elsewhere);
@@ -139,7 +139,7 @@
 TEST(ChangeForwarder, ProposesItselfWhatACutOffReplicaRefuses) {
   ForwarderFixture fixture;
   ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
-  fixture.forwarder.take_reply("b", fixture.reply_of(Outcome::Type::refused, ErrorCode::no_majority), 0, fixture.out);
+  fixture.forwarder.handle_reply("b", fixture.reply_of(Outcome::Type::refused, ErrorCode::no_majority), 0, fixture.out);
   ASSERT_EQ(fixture.proposed.size(), 1u);
   EXPECT_FALSE(fixture.proposed[0].change.proposed_elsewhere);
   EXPECT_TRUE(fixture.out.replies.empty());
@@ -151,7 +151,7 @@
   fixture.sent();
   wire::ForwardedChangeReplyT reply = fixture.reply_of(Outcome::Type::refused);
   reply.need_text = true;
-  fixture.forwarder.take_reply("b", reply, 0, fixture.out);
+  fixture.forwarder.handle_reply("b", reply, 0, fixture.out);
   std::vector<wire::BodyUnion> bodies = fixture.sent();
   ASSERT_EQ(bodies.size(), 1u);
   EXPECT_EQ(bodies[0].AsForwardedChange()->text, "new");
@@ -165,7 +165,7 @@
   request.type = static_cast<std::uint8_t>(Change::Type::apply);
   request.id = "theirs";
   request.text = "new";
-  fixture.forwarder.take_change("b", request, 0, fixture.out);
+  fixture.forwarder.handle_forwarded_change("b", request, 0, fixture.out);
   ASSERT_EQ(fixture.proposed.size(), 1u);
   EXPECT_EQ(fixture.proposed[0].change.id, "theirs");
   // What was proposed for another node is never forwarded again.
@@ -176,7 +176,7 @@
   theirs.id = fixture.proposed[0].id;
   theirs.outcome.type = Outcome::Type::chosen;
   fixture.out.replies = {own, theirs};
-  fixture.forwarder.advance(0, fixture.out);
+  fixture.forwarder.tick(0, fixture.out);
   ASSERT_EQ(fixture.out.replies.size(), 1u);
   EXPECT_EQ(fixture.out.replies[0].id, 7u);
   std::vector<wire::BodyUnion> bodies = fixture.sent();
@@ -191,7 +191,7 @@
   request.type = static_cast<std::uint8_t>(Change::Type::apply);
   request.revision = 999;
   request.patch = std::make_unique<wire::TextPatchT>();
-  fixture.forwarder.take_change("b", request, 0, fixture.out);
+  fixture.forwarder.handle_forwarded_change("b", request, 0, fixture.out);
   EXPECT_TRUE(fixture.proposed.empty());
   std::vector<wire::BodyUnion> bodies = fixture.sent();
   ASSERT_EQ(bodies.size(), 1u);
--- a/tests/node/configuration_authority.cc
+++ b/tests/node/configuration_authority.cc
@@ -43,7 +43,7 @@
     body.revision = revision;
     body.age = age;
     std::vector<OutgoingMessage> outgoing;
-    authority.take_reply("n2", body, now, outgoing);
+    authority.handle_reply("n2", body, now, outgoing);
     for (OutgoingMessage const& message : outgoing) EXPECT_EQ(message.body.type, wire::Body::CatchUpRequest);
     return outgoing.size();
   }
--- a/tests/node/exchange_topology.cc
+++ b/tests/node/exchange_topology.cc
@@ -50,7 +50,7 @@
   EXPECT_EQ(topology("n6", "a").select_hub("a"), "n2");
   EXPECT_EQ(topology("n6", "a", true).select_hub("a"), "n6");
   EXPECT_EQ(topology("n1", "a").select_hub("b"), "n4");
-  mesh.members.peers["n4"].member.state = static_cast<std::uint8_t>(State::suspected);
+  mesh.members.peers["n4"].member.state = static_cast<std::uint8_t>(MemberState::suspected);
   EXPECT_EQ(topology("n1", "a").select_hub("b"), "n5");
   mesh.members.peers["n5"].connection = 0;
   EXPECT_EQ(topology("n1", "a").select_hub("b"), "n3");
--- a/tests/node/quota_authority.cc
+++ b/tests/node/quota_authority.cc
@@ -18,7 +18,7 @@
         exchange("n1"),
         dispatcher("n1", "z", index_sync, registry, exchange),
         configuration({span, 0, span}, mesh, learner, rotation, [this] { return ++last_request; }),
-        quota(plan(), {mesh, learner, acceptor, configuration, rotation, dispatcher}) {
+        quota(options(), {mesh, learner, acceptor, configuration, rotation, dispatcher}) {
     std::shared_ptr<Description> const description = std::make_shared<Description>();
     description->keys_required = true;
     Tenant tenant;
@@ -30,8 +30,8 @@
     dispatcher.in_force(description);
   }
 
-  static QuotaAuthorityPlan plan() {
-    QuotaAuthorityPlan out;
+  static QuotaAuthorityOptions options() {
+    QuotaAuthorityOptions out;
     out.self = "n1";
     out.fence = span;
     return out;
@@ -67,9 +67,9 @@
     out.purpose = static_cast<std::uint8_t>(purpose);
     return out;
   }
-  std::vector<OutgoingMessage> take_request(wire::QuotaRequestT const& body, Micros now) {
+  std::vector<OutgoingMessage> handle_request(wire::QuotaRequestT const& body, Micros now) {
     std::vector<OutgoingMessage> outgoing;
-    quota.take_request("n2", body, now, outgoing);
+    quota.handle_request("n2", body, now, outgoing);
     return outgoing;
   }
 
@@ -90,15 +90,15 @@
 TEST_F(QuotaAuthorityTest, NodeThatIsNoOwnerPassesAQuestionOnOnce) {
   connect("n3");
   set_replicas({"n3"});
-  std::vector<OutgoingMessage> const passed = take_request(request(QuotaPurpose::ask, 1), settled_at);
-  ASSERT_EQ(passed.size(), 1u);
-  EXPECT_EQ(passed[0].to, "n3");
-  ASSERT_EQ(passed[0].body.type, wire::Body::QuotaRequest);
-  EXPECT_EQ(passed[0].body.AsQuotaRequest()->hops, 0);
+  std::vector<OutgoingMessage> const forwarded = handle_request(request(QuotaPurpose::ask, 1), settled_at);
+  ASSERT_EQ(forwarded.size(), 1u);
+  EXPECT_EQ(forwarded[0].to, "n3");
+  ASSERT_EQ(forwarded[0].body.type, wire::Body::QuotaRequest);
+  EXPECT_EQ(forwarded[0].body.AsQuotaRequest()->hops, 0);
 
   wire::QuotaRequestT last_hop = request(QuotaPurpose::ask, 1);
   last_hop.hops = 0;
-  std::vector<OutgoingMessage> const refused = take_request(last_hop, settled_at);
+  std::vector<OutgoingMessage> const refused = handle_request(last_hop, settled_at);
   ASSERT_EQ(refused.size(), 1u);
   EXPECT_EQ(refused[0].to, "n2");
   ASSERT_EQ(refused[0].body.type, wire::Body::QuotaReply);
@@ -108,23 +108,23 @@
 TEST_F(QuotaAuthorityTest, OwnerGrantsOnlyWhileTheConfigurationIsConfirmed) {
   set_replicas({"n1"});
   // The bucket begins with the first question, empty.
-  take_request(request(QuotaPurpose::ask, 1), settled_at);
+  handle_request(request(QuotaPurpose::ask, 1), settled_at);
   Micros const filled_at = settled_at + seconds(1);
-  std::vector<OutgoingMessage> const granted = take_request(request(QuotaPurpose::ask, 1), filled_at);
+  std::vector<OutgoingMessage> const granted = handle_request(request(QuotaPurpose::ask, 1), filled_at);
   ASSERT_EQ(granted.size(), 1u);
   ASSERT_EQ(granted[0].body.type, wire::Body::QuotaReply);
   EXPECT_EQ(granted[0].body.AsQuotaReply()->request_id, 4u);
   EXPECT_TRUE(granted[0].body.AsQuotaReply()->granted);
 
-  std::vector<OutgoingMessage> const refused = take_request(request(QuotaPurpose::ask, 1), settled_at + span + 1);
+  std::vector<OutgoingMessage> const refused = handle_request(request(QuotaPurpose::ask, 1), settled_at + span + 1);
   ASSERT_EQ(refused.size(), 1u);
   EXPECT_FALSE(refused[0].body.AsQuotaReply()->granted);
 }
 
 TEST_F(QuotaAuthorityTest, DebitsAndReturnsAreNotAnswered) {
   set_replicas({"n1"});
-  EXPECT_TRUE(take_request(request(QuotaPurpose::debit, 1), settled_at).empty());
-  EXPECT_TRUE(take_request(request(QuotaPurpose::give_back, 1), settled_at).empty());
+  EXPECT_TRUE(handle_request(request(QuotaPurpose::debit, 1), settled_at).empty());
+  EXPECT_TRUE(handle_request(request(QuotaPurpose::give_back, 1), settled_at).empty());
 }
 
 TEST_F(QuotaAuthorityTest, ReplyForAnotherNodeIsPassedOn) {
@@ -132,7 +132,7 @@
   reply.origin = "n5";
   reply.granted = true;
   std::vector<OutgoingMessage> outgoing;
-  quota.take_reply("n3", reply, 0, outgoing);
+  quota.handle_reply("n3", reply, 0, outgoing);
   ASSERT_EQ(outgoing.size(), 1u);
   EXPECT_EQ(outgoing[0].to, "n5");
   EXPECT_TRUE(outgoing[0].body.AsQuotaReply()->granted);
@@ -144,13 +144,13 @@
   DispatchEffects effects;
   effects.quota_needs.push_back(QuotaNeed{1, "t", 1, settled_at + seconds(1), false});
   std::vector<OutgoingMessage> outgoing;
-  quota.process_needs(effects, settled_at, outgoing);
+  quota.process_dispatch_effects(effects, settled_at, outgoing);
   ASSERT_EQ(outgoing.size(), 1u);
   EXPECT_EQ(outgoing[0].to, "n3");
   EXPECT_EQ(outgoing[0].body.AsQuotaRequest()->purpose, static_cast<std::uint8_t>(QuotaPurpose::ask));
   EXPECT_EQ(quota.client().waiting(), 1u);
   outgoing.clear();
-  quota.process_needs(effects, settled_at, outgoing);
+  quota.process_dispatch_effects(effects, settled_at, outgoing);
   EXPECT_TRUE(outgoing.empty());
   EXPECT_TRUE(effects.quota_needs.empty());
 }
--- a/tests/node/register_bootstrap.cc
+++ b/tests/node/register_bootstrap.cc
@@ -28,7 +28,7 @@
   // Whom a proposal goes to, and with how many replicas the first one names.
   std::vector<std::string> receivers(Micros now) {
     std::vector<OutgoingMessage> outgoing;
-    bootstrap.propose_initial_set(now, outgoing);
+    bootstrap.propose_initial_membership(now, outgoing);
     std::vector<std::string> out;
     for (OutgoingMessage& message : outgoing) {
       EXPECT_EQ(message.body.AsBootstrap()->replicas.size(), outgoing.size());
@@ -91,7 +91,7 @@
   record.disk = 1;
   record.bootstrap_seeds = fixture.plan.bootstrap_seeds;
   fixture.acceptor.emplace(std::move(record));
-  fixture.bootstrap.mark_disk(fixture.acceptor);
+  fixture.bootstrap.mark_awaiting_bootstrap(fixture.acceptor);
   fixture.observe_blank(0);
   EXPECT_EQ(fixture.receivers(0), nobody);
   for (std::string const& name : all_three) fixture.learner.observations[name].awaits_bootstrap = true;
@@ -100,7 +100,7 @@
 
 TEST(RegisterBootstrap, MarksTheBlankDiskOfAnInitialMember) {
   BootstrapFixture fixture(true);
-  fixture.bootstrap.mark_disk(fixture.acceptor);
+  fixture.bootstrap.mark_awaiting_bootstrap(fixture.acceptor);
   std::vector<OutgoingMessage> outgoing;
   std::optional<wire::RecordT> const record = fixture.acceptor->step(outgoing);
   ASSERT_TRUE(record.has_value());
@@ -110,7 +110,7 @@
 TEST(RegisterBootstrap, LeavesOutALostSeedOnlyAfterAWhile) {
   BootstrapFixture fixture(true);
   fixture.add_peer("b");
-  fixture.add_peer("c", State::down, 0);
+  fixture.add_peer("c", MemberState::down, 0);
   fixture.observe("a", 1, seconds(5));
   fixture.observe("b", 2, seconds(5));
   EXPECT_EQ(fixture.receivers(seconds(5)), nobody);
--- a/tests/node/replica_directory.cc
+++ b/tests/node/replica_directory.cc
@@ -13,9 +13,9 @@
 TEST(ReplicaDirectory, NamesConnectedReplicasAndItself) {
   ReplicaFixture fixture;
   fixture.add_peer("c");
-  fixture.add_peer("b", State::alive, 0);
+  fixture.add_peer("b", MemberState::alive, 0);
   fixture.add_peer("router").member.replica = false;
-  fixture.add_peer("store").member.role = static_cast<std::uint8_t>(Role::config_store);
+  fixture.add_peer("store").member.role = static_cast<std::uint8_t>(MemberRole::config_store);
   EXPECT_EQ(fixture.directory.connected_replicas(), (std::vector<std::string>{"a", "c", "store"}));
   fixture.acceptor.reset();
   EXPECT_EQ(fixture.directory.connected_replicas(), (std::vector<std::string>{"c", "store"}));
@@ -42,7 +42,7 @@
   EXPECT_FALSE(fixture.directory.is_leaving("b"));
   fixture.observe("b", 2, 0).retiring = true;
   EXPECT_TRUE(fixture.directory.is_leaving("b"));
-  fixture.add_peer("c", State::leaving);
+  fixture.add_peer("c", MemberState::leaving);
   EXPECT_TRUE(fixture.directory.is_leaving("c"));
   EXPECT_FALSE(fixture.directory.is_leaving("a"));
   fixture.retiring = true;
@@ -57,7 +57,7 @@
   EXPECT_TRUE(fixture.directory.is_reachable(replica_on_disk("b", 2)));  // not seen on another disk
   fixture.observe("b", 3, 0);
   EXPECT_FALSE(fixture.directory.is_reachable(replica_on_disk("b", 2)));
-  fixture.add_peer("c", State::suspected);
+  fixture.add_peer("c", MemberState::suspected);
   EXPECT_FALSE(fixture.directory.is_reachable(replica_on_disk("c", 3)));
   fixture.leaving = true;
   EXPECT_FALSE(fixture.directory.is_reachable(replica_on_disk("a", 1)));
@@ -89,12 +89,12 @@
   std::vector<wire::ReplicaT> const set = {replica_on_disk("a", 1), replica_on_disk("b", 2), replica_on_disk("c", 3)};
   fixture.choose_set(set, 0);
   fixture.add_peer("b");
-  EXPECT_FALSE(fixture.directory.hears_quorum(0));  // never polled
+  EXPECT_FALSE(fixture.directory.has_quorum_contact(0));  // never polled
   fixture.poll_answered_by({set[0], set[1]}, seconds(5));
-  EXPECT_TRUE(fixture.directory.hears_quorum(seconds(5) + millis(1300)));
-  EXPECT_FALSE(fixture.directory.hears_quorum(seconds(5) + millis(1300) + 1));
-  fixture.add_peer("b", State::alive, 0);
-  EXPECT_FALSE(fixture.directory.hears_quorum(seconds(5)));
+  EXPECT_TRUE(fixture.directory.has_quorum_contact(seconds(5) + millis(1300)));
+  EXPECT_FALSE(fixture.directory.has_quorum_contact(seconds(5) + millis(1300) + 1));
+  fixture.add_peer("b", MemberState::alive, 0);
+  EXPECT_FALSE(fixture.directory.has_quorum_contact(seconds(5)));
 }
 
 TEST(ReplicaDirectory, TheFirstReachableReplicaByNameProposes) {
@@ -106,7 +106,7 @@
   EXPECT_EQ(fixture.directory.proposing_replica(), "a");
   fixture.leaving = true;
   EXPECT_EQ(fixture.directory.proposing_replica(), "b");
-  fixture.add_peer("b", State::down);
+  fixture.add_peer("b", MemberState::down);
   EXPECT_EQ(fixture.directory.proposing_replica(), "c");
 }
 
--- a/tests/node/replica_fixture.h
+++ b/tests/node/replica_fixture.h
@@ -31,7 +31,7 @@
   }
 
   // A peer that is a replica, alive and connected unless it is said otherwise.
-  Peer& add_peer(std::string const& name, State state = State::alive, std::uint64_t connection = 9) {
+  Peer& add_peer(std::string const& name, MemberState state = MemberState::alive, std::uint64_t connection = 9) {
     Peer& peer = mesh.members.peers[name];
     peer.member.name = name;
     peer.member.address = "host-" + name;
--- a/tests/node/replica_set_manager.cc
+++ b/tests/node/replica_set_manager.cc
@@ -45,7 +45,7 @@
       reply.role = outgoing.front().body.AsLeaseRequest()->role;
       reply.ok = true;
       reply.disk = grantor.disk;
-      manager.take_lease_reply(grantor.name, reply, now);
+      manager.handle_lease_reply(grantor.name, reply, now);
     }
   }
 
@@ -108,7 +108,7 @@
   EXPECT_EQ(change->expected, 1u);
   // One change at a time.
   EXPECT_FALSE(fixture.manager.next_change(settled).has_value());
-  fixture.manager.change_ended();
+  fixture.manager.finish_change();
   EXPECT_TRUE(fixture.manager.next_change(settled).has_value());
 }
 
@@ -144,8 +144,8 @@
   fixture.set.push_back(replica_on_disk("d", 4));
   fixture.choose_set(fixture.set, 0);
   fixture.observe_set(settled);
-  EXPECT_FALSE(fixture.manager.lacks_successor(settled));
-  fixture.add_peer("d", State::leaving);
+  EXPECT_FALSE(fixture.manager.lacks_replacement(settled));
+  fixture.add_peer("d", MemberState::leaving);
   fixture.grant_lease(fixture.set, settled);
   std::optional<Change> const change = fixture.manager.next_change(settled);
   ASSERT_TRUE(change.has_value());
@@ -155,16 +155,16 @@
 
 TEST(ReplicaSetManager, LacksASuccessorUntilASpareReplicaAnswers) {
   ManagerFixture fixture;
-  EXPECT_TRUE(fixture.manager.lacks_successor(settled));
+  EXPECT_TRUE(fixture.manager.lacks_replacement(settled));
   fixture.observe("d", 4, settled);
-  EXPECT_FALSE(fixture.manager.lacks_successor(settled));
-  EXPECT_TRUE(fixture.manager.lacks_successor(settled + seconds(2)));
+  EXPECT_FALSE(fixture.manager.lacks_replacement(settled));
+  EXPECT_TRUE(fixture.manager.lacks_replacement(settled + seconds(2)));
 }
 
 TEST(ReplicaSetManager, EvictsARouterWhoseAddressRefusesForLong) {
   ManagerFixture fixture;
   fixture.learner.adopt(value_with_router(*fixture.learner.value, "r", 5), 0);
-  Peer& router = fixture.add_peer("r", State::down, 0);
+  Peer& router = fixture.add_peer("r", MemberState::down, 0);
   router.member.replica = false;
   router.member.incarnation = 5;
   router.set_dial_refused(true, settled - seconds(20));
@@ -174,7 +174,7 @@
   ASSERT_TRUE(change.has_value());
   EXPECT_EQ(change->type, Change::Type::evict_router);
   EXPECT_EQ(change->registration.name, "r");
-  fixture.manager.change_ended();
+  fixture.manager.finish_change();
   router.member.incarnation = 6;  // a later incarnation was heard of
   EXPECT_FALSE(fixture.manager.next_change(settled + 1).has_value());
 }
@@ -186,7 +186,7 @@
   std::optional<Change> const change = fixture.manager.next_change(settled);
   ASSERT_TRUE(change.has_value());
   EXPECT_EQ(change->type, Change::Type::read);
-  fixture.manager.change_ended();
+  fixture.manager.finish_change();
   EXPECT_FALSE(fixture.manager.next_change(settled + 1).has_value());
 }
 
@@ -196,7 +196,7 @@
   std::optional<Change> const change = fixture.manager.next_change(settled + millis(1500) + 1);
   ASSERT_TRUE(change.has_value());
   EXPECT_EQ(change->type, Change::Type::read);
-  fixture.manager.change_ended();
+  fixture.manager.finish_change();
   fixture.leaving = true;
   EXPECT_FALSE(fixture.manager.next_change(settled + seconds(30)).has_value());
 }
--- a/tests/node/worker_departures.cc
+++ b/tests/node/worker_departures.cc
@@ -57,13 +57,13 @@
     put_membership(members, value);
     ASSERT_TRUE(learner.adopt(value, 0));
   }
-  std::vector<EndAnswer> answers_at(Micros now) {
-    std::vector<EndAnswer> answers;
+  std::vector<DepartureAnswer> answers_at(Micros now) {
+    std::vector<DepartureAnswer> answers;
     departures.answer_calls(now, answers);
     return answers;
   }
-  std::vector<EndAnswer> add_call(std::uint64_t id) {
-    std::vector<EndAnswer> answers;
+  std::vector<DepartureAnswer> add_call(std::uint64_t id) {
+    std::vector<DepartureAnswer> answers;
     departures.add_call(id, worker, 0, answers);
     return answers;
   }
@@ -78,10 +78,10 @@
 
 TEST_F(WorkerDeparturesTest, NodeWithoutPeersAnswersAtOnce) {
   write_end();
-  std::vector<EndAnswer> const answers = add_call(7);
+  std::vector<DepartureAnswer> const answers = add_call(7);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].id, 7u);
-  EXPECT_TRUE(answers[0].known);
+  EXPECT_TRUE(answers[0].acknowledged);
   EXPECT_TRUE(answers_at(seconds(10)).empty()) << "a call is answered once";
 }
 
@@ -93,9 +93,9 @@
   acknowledge("n2");
   EXPECT_TRUE(answers_at(millis(100)).empty()) << "two of three know it, the third is still connected";
   acknowledge("n3");
-  std::vector<EndAnswer> const answers = answers_at(millis(200));
+  std::vector<DepartureAnswer> const answers = answers_at(millis(200));
   ASSERT_EQ(answers.size(), 1u);
-  EXPECT_TRUE(answers[0].known);
+  EXPECT_TRUE(answers[0].acknowledged);
 }
 
 TEST_F(WorkerDeparturesTest, DeadlineDecidesByTheMajorityOfNodes) {
@@ -104,15 +104,15 @@
   write_end();
   EXPECT_TRUE(add_call(1).empty());
   EXPECT_TRUE(answers_at(millis(600) - 1).empty());
-  std::vector<EndAnswer> const refused = answers_at(millis(600));
+  std::vector<DepartureAnswer> const refused = answers_at(millis(600));
   ASSERT_EQ(refused.size(), 1u);
-  EXPECT_FALSE(refused[0].known) << "one of three nodes knows it";
+  EXPECT_FALSE(refused[0].acknowledged) << "one of three nodes knows it";
 
   EXPECT_TRUE(add_call(2).empty());
   acknowledge("n2");
-  std::vector<EndAnswer> const accepted = answers_at(millis(600));
+  std::vector<DepartureAnswer> const accepted = answers_at(millis(600));
   ASSERT_EQ(accepted.size(), 1u);
-  EXPECT_TRUE(accepted[0].known) << "two of three nodes know it";
+  EXPECT_TRUE(accepted[0].acknowledged) << "two of three nodes know it";
 }
 
 TEST_F(WorkerDeparturesTest, QuorumOfReplicasCountsWhereASetIsKnown) {
@@ -122,15 +122,15 @@
   EXPECT_TRUE(add_call(1).empty());
   acknowledge("n4");
   acknowledge("n5");
-  std::vector<EndAnswer> const refused = answers_at(millis(600));
+  std::vector<DepartureAnswer> const refused = answers_at(millis(600));
   ASSERT_EQ(refused.size(), 1u);
-  EXPECT_FALSE(refused[0].known) << "three of five nodes know it, but one replica of three";
+  EXPECT_FALSE(refused[0].acknowledged) << "three of five nodes know it, but one replica of three";
 
   EXPECT_TRUE(add_call(2).empty());
   acknowledge("n2");
-  std::vector<EndAnswer> const accepted = answers_at(millis(600));
+  std::vector<DepartureAnswer> const accepted = answers_at(millis(600));
   ASSERT_EQ(accepted.size(), 1u);
-  EXPECT_TRUE(accepted[0].known);
+  EXPECT_TRUE(accepted[0].acknowledged);
 }
 
 TEST_F(WorkerDeparturesTest, IsConnectedWithHalfOfTheNodesThatMayRun) {
--- a/tests/runtime/connections.cc
+++ b/tests/runtime/connections.cc
@@ -79,8 +79,8 @@
       if (connections.backlog_of(id) <= one_peer_bound - frame_size) connections.send(id, frame);
       most = std::max(most, connections.backlog_bytes());
     }
-  EXPECT_LE(most, 2 * frame_limit);
-  EXPECT_GT(most, frame_limit) << "the bound was come near to";
+  EXPECT_LE(most, 2 * max_frame_bytes);
+  EXPECT_GT(most, max_frame_bytes) << "the bound was come near to";
   EXPECT_LT(open.size(), peer_count);
   EXPECT_FALSE(open.empty()) << "only as many are dropped as must be";
 }
--- a/tests/runtime/frame_traffic.cc
+++ b/tests/runtime/frame_traffic.cc
@@ -9,10 +9,10 @@
 
 TEST(FrameTraffic, counts_frames_and_bytes_by_kind_and_direction) {
   FrameTraffic traffic;
-  std::string const ping = encode_body(wire::PingT());
-  std::string const chosen = encode_body(wire::ChosenT());
-  for (int n = 0; n < 3; ++n) traffic.count_sent(kind_of(ping), ping.size());
-  traffic.count_received(kind_of(chosen), chosen.size());
+  std::string const ping = encode_message(wire::PingT());
+  std::string const chosen = encode_message(wire::ChosenT());
+  for (int n = 0; n < 3; ++n) traffic.count_sent(body_type_of(ping), ping.size());
+  traffic.count_received(body_type_of(chosen), chosen.size());
   MetricsText text;
   traffic.write(text);
   std::string const page = text.take();
--- a/tests/text_patch.cc
+++ b/tests/text_patch.cc
@@ -18,7 +18,7 @@
 std::size_t size_of(wire::TextPatchT const& patch) {
   wire::ForwardedChangeT ask;
   ask.patch = std::make_unique<wire::TextPatchT>(patch);
-  return encode_body(std::move(ask)).size();
+  return encode_message(std::move(ask)).size();
 }
 
 // Letters, or commas with the given chance.
--- a/tests/wire_frames.cc
+++ b/tests/wire_frames.cc
@@ -507,7 +507,7 @@
     SCOPED_TRACE(written.name + " " + std::to_string(written.variant));
     BodyCheck const* const check = check_of(written.name);
     ASSERT_NE(check, nullptr);
-    Result<std::unique_ptr<wire::FrameT>> const frame = decode(written.bytes);
+    Result<std::unique_ptr<wire::FrameT>> const frame = decode_frame(written.bytes);
     ASSERT_TRUE(frame) << frame.error().what;
     EXPECT_EQ(static_cast<unsigned>(frame.value()->body.type), check->number);
     FieldChecks checks(written.variant);
@@ -517,9 +517,9 @@
 
 TEST(WireFrames, of_the_former_program_are_written_with_the_same_bytes) {
   for (WrittenFrame const& written : written_frames()) {
-    Result<std::unique_ptr<wire::FrameT>> const frame = decode(written.bytes);
+    Result<std::unique_ptr<wire::FrameT>> const frame = decode_frame(written.bytes);
     ASSERT_TRUE(frame) << written.name << ": " << frame.error().what;
-    EXPECT_TRUE(encode(*frame.value()) == written.bytes) << written.name << " " << written.variant;
+    EXPECT_TRUE(encode_frame(*frame.value()) == written.bytes) << written.name << " " << written.variant;
   }
 }
 
