--- a/src/node/change_forwarder.cc
+++ b/src/node/change_forwarder.cc
@@ -10,11 +10,11 @@
 
 namespace {
 constexpr Micros forward_timeout = millis(600);
-constexpr std::uint64_t forwarded_id_flag = 1ull << 63;  // ids of changes proposed for other nodes
+constexpr std::uint64_t forwarded_id_flag = 1ull << 63;  // set in the ids of changes proposed for other nodes
 
 bool is_forwardable(Change::Type type) { return type == Change::Type::apply || type == Change::Type::read; }
 
-// The message that forwards a change, without its text.
+// Builds the message that forwards a change, without the change's text.
 wire::ForwardedChangeT make_message(std::uint64_t request_id, Change const& change, std::uint64_t revision) {
   wire::ForwardedChangeT out;
   out.request_id = request_id;
@@ -31,7 +31,7 @@
                                  ReplicaDirectory const& directory, Actions actions)
     : plan_(plan), mesh_(mesh), learner_(learner), directory_(directory), actions_(std::move(actions)) {}
 
-// A node that hears no quorum may still hear a router that does: each change goes to the next one in turn.
+// A node without contact to a quorum may still reach a router that has it. Changes go to these routers in turn.
 std::string ChangeForwarder::next_relay_peer() {
   std::vector<std::string> peers;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
@@ -55,7 +55,7 @@
   return true;
 }
 
-// A text goes as a patch of what this node holds, which the replica most likely holds as well.
+// Encodes the text as a patch of the value that this node holds, since the replica most likely holds the same value.
 void ChangeForwarder::encode_text(std::string const& text, wire::ForwardedChangeT& request) const {
   if (learner_.value && !text.empty())
     request.patch = text_patch(learner_.value->text, text);
@@ -63,7 +63,7 @@
     request.text = text;
 }
 
-// The text that a request brings; nothing when the base of its patch is neither held here nor was just before.
+// Returns the text of a request; nothing when the base of its patch is neither the value held here nor the one before.
 std::optional<std::string> ChangeForwarder::decode_text(wire::ForwardedChangeT const& request) const {
   if (!request.patch) return request.text;
   for (std::optional<wire::ValueT> const* const base : {&learner_.value, &learner_.previous_value}) {
@@ -73,8 +73,8 @@
   return std::nullopt;
 }
 
-void ChangeForwarder::handle_forwarded_change(std::string const& from, wire::ForwardedChangeT const& request, Micros now,
-                                  NodeEffects& out) {
+void ChangeForwarder::handle_forwarded_change(std::string const& from, wire::ForwardedChangeT const& request,
+                                              Micros now, NodeEffects& out) {
   if (request.type != static_cast<std::uint8_t>(Change::Type::apply) &&
       request.type != static_cast<std::uint8_t>(Change::Type::read))
     return;
@@ -98,23 +98,24 @@
   mesh_.send(from, std::move(reply), out.mesh);
 }
 
-// The replica took nothing of a change whose text it could not make out: it is sent again, with all of its text.
+// The replica dropped a change because it does not hold the base of the patch: the change is sent again with its full
+// text, under the same request id.
 void ChangeForwarder::send_full_text(std::string const& to, std::uint64_t request_id, Change const& change,
-                                NodeEffects& out) {
+                                     NodeEffects& out) {
   wire::ForwardedChangeT request = make_message(request_id, change, learner_.revision());
   request.text = change.text;
   mesh_.send(to, std::move(request), out.mesh);
 }
 
 void ChangeForwarder::handle_reply(std::string const& from, wire::ForwardedChangeReplyT const& reply, Micros now,
-                                 NodeEffects& out) {
+                                   NodeEffects& out) {
   std::map<std::uint64_t, PendingForward>::iterator const position = pending_forwards_.find(reply.request_id);
   if (position == pending_forwards_.end() || position->second.proposer != from) return;
   if (reply.type > static_cast<std::uint8_t>(Outcome::Type::unknown) || reply.kind >= error_code_count()) return;
   if (reply.need_text) return send_full_text(from, reply.request_id, position->second.change, out);
   PendingForward item = std::move(position->second);
   pending_forwards_.erase(position);
-  // A replica that is cut off proposed nothing; this node may still hear a quorum.
+  // A replica that is cut off from the quorum proposed nothing; this node may still have contact with a quorum.
   if (static_cast<ErrorCode>(reply.kind) == ErrorCode::no_majority && directory_.has_quorum_contact(now))
     return actions_.propose(item.id, std::move(item.change), now, out);
   Reply answer = reply_to_caller(item, reply, now, out);
@@ -130,9 +131,9 @@
   answer.outcome.error.code = static_cast<ErrorCode>(reply.kind);
   answer.outcome.error.what = reply.why;
   answer.outcome.serial = reply.serial;
-  // What a majority chose is known here too from now on.
+  // The value was chosen by a majority, so this node adopts it.
   if (reply.value) actions_.adopt_value(*reply.value, now, out);
-  // An answer without a value says that this node holds it, or by now a newer one that was chosen as well.
+  // A reply with a revision but no value means that this node holds that value, or by now a newer chosen one.
   if (reply.value)
     answer.outcome.value = *reply.value;
   else if (reply.revision > 0 && learner_.revision() >= reply.revision)
@@ -165,7 +166,7 @@
   reply.kind = static_cast<std::uint8_t>(outcome.error.code);
   reply.why = outcome.error.what;
   reply.serial = outcome.serial;
-  // Changes get round by themselves; a reading brings the value, unless the requester holds it already.
+  // Chosen changes spread on their own; only a read returns the value, unless the requester holds it already.
   bool const read = outcome.type == Outcome::Type::kept;
   if (read) reply.revision = outcome.value.revision;
   if (read && requester.revision < outcome.value.revision) reply.value = std::make_unique<wire::ValueT>(outcome.value);
@@ -173,14 +174,16 @@
 }
 
 void ChangeForwarder::propose_timed_out(Micros now, NodeEffects& out) {
-  for (std::map<std::uint64_t, PendingForward>::iterator it = pending_forwards_.begin(); it != pending_forwards_.end();) {
+  for (std::map<std::uint64_t, PendingForward>::iterator it = pending_forwards_.begin();
+       it != pending_forwards_.end();) {
     if (now < it->second.deadline) {
       ++it;
       continue;
     }
     PendingForward item = std::move(it->second);
     it = pending_forwards_.erase(it);
-    // Whoever was asked may have proposed it: without a quorum's word nobody can say that nothing was changed.
+    // The node that it was forwarded to may have proposed it: without an answer from a quorum a failure here does not
+    // prove that the change was not applied.
     item.change.proposed_elsewhere = item.change.type == Change::Type::apply;
     actions_.propose(item.id, std::move(item.change), now, out);
   }
--- a/src/node/configuration_authority.cc
+++ b/src/node/configuration_authority.cc
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr Micros request_interval = millis(300);
-constexpr Micros request_timeout = seconds(4);  // an older question is not answered any more
+constexpr Micros request_timeout = seconds(4);  // replies to older requests are ignored
 constexpr std::size_t max_confirmed_revisions = 16;
 }  // namespace
 
@@ -21,7 +21,7 @@
       key_lease_(durations.revocation, durations.in_force),
       quota_lease_(durations.quota) {}
 
-// Both leases rest on the same facts.
+// The same confirmation extends both leases; they differ in duration only.
 void ConfigurationAuthority::confirm_leases(Micros at) {
   key_lease_.confirm(at);
   quota_lease_.confirm(at);
@@ -35,8 +35,8 @@
   }
 }
 
-// A third of the lease before its end would be late: it is renewed from its first third on, by one replica at a time,
-// and from its half on by any peer besides, since a cut may part this node from the replicas alone.
+// Renewal in the last third of the lease would be too late. From the first third on, one replica at a time is queried;
+// from the half on, another peer as well, since a network partition may separate this node from the replicas alone.
 void ConfigurationAuthority::renew_leases(bool keys_required, Micros now, std::vector<OutgoingMessage>& outgoing) {
   update_confirmations();
   if (!keys_required || !quota_lease_.ageing(now) || now < next_request_at_) return;
@@ -74,10 +74,10 @@
   return out;
 }
 
-// The peer's moment lies 'age' before its reply, and its reply after this node's question: reckoned from the question,
-// it can only be taken for an earlier one than it was.
+// The peer's configuration was confirmed 'age' before its reply, and the reply was sent after this node's request.
+// Counting 'age' back from the time of the request therefore never yields a time later than the true one.
 void ConfigurationAuthority::handle_reply(std::string const& from, wire::NewestReplyT const& reply, Micros now,
-                                        std::vector<OutgoingMessage>& outgoing) {
+                                          std::vector<OutgoingMessage>& outgoing) {
   std::map<std::uint64_t, Micros>::iterator const request = open_requests_.find(reply.request_id);
   if (request == open_requests_.end()) return;
   Micros const sent_at = request->second;
@@ -88,7 +88,7 @@
   update_confirmations();
   if (confirmed_revisions_.size() > max_confirmed_revisions) confirmed_revisions_.erase(confirmed_revisions_.begin());
   if (confirmed_revisions_.empty() || !quota_lease_.urgent(now)) return;
-  // What is newer has not come by itself.
+  // The newer value has not arrived by the normal spread of changes.
   wire::CatchUpRequestT catch_up;
   catch_up.revision = learner_.revision();
   outgoing.push_back(message_to(from, std::move(catch_up)));
--- a/src/node/configuration_authority.h
+++ b/src/node/configuration_authority.h
@@ -1,9 +1,9 @@
-// Confirms that the configuration held here is the newest one, which keys and the handing out of quota need
-// (docs/tenants.md).
+// Confirms that the configuration held by this node is the newest one, which is required to accept API keys and to
+// grant quota (docs/tenants.md).
 //
-// Owns the two leases on the configuration, the questions to peers that are not answered yet, and what peers confirmed
-// of revisions that are not held here yet. A lease is only ever confirmed as of a moment at which nothing newer than
-// the value held here had been chosen; all moments are of this node's monotonic clock.
+// Owns the two leases on the configuration, the requests to peers that are in flight, and the peers' confirmations of
+// revisions that this node does not hold yet. A lease is only ever confirmed as of a time at which no value newer than
+// the one held here had been chosen; all times are on this node's monotonic clock.
 //
 // Not synchronized: used by the node's loop only.
 #pragma once
@@ -22,36 +22,39 @@
 
 namespace pipit {
 
-// How long a confirmation of the configuration holds, in microseconds.
+// How long a confirmation of the configuration stays valid, in microseconds, for each of its uses.
 struct ConfigurationLeaseDurations {
-  Micros revocation = 0;  // for keys; 0: they need no lease
-  Micros in_force = 0;    // for refusing for good what the configuration does not know
-  Micros quota = 0;       // for handing out quota
+  Micros revocation = 0;  // for accepting keys; 0: keys need no lease
+  Micros in_force = 0;    // for permanently refusing a name that the configuration does not contain
+  Micros quota = 0;       // for granting quota
 };
 
+// Keeps the leases on the configuration renewed, and answers peers that renew theirs.
 class ConfigurationAuthority {
  public:
-  // 'next_request_id' numbers the questions to peers. The references must outlive this object.
+  // 'next_request_id' returns the ids of the requests to peers. The references must outlive this object.
   ConfigurationAuthority(ConfigurationLeaseDurations const& durations, Mesh const& mesh, Learner const& learner,
                          PeerRotation& rotation, std::function<std::uint64_t()> next_request_id);
 
   // The lease that requests with keys need.
   ConfigurationLease const& key_lease() const { return key_lease_; }
-  // Whether the configuration is confirmed for handing out quota.
+  // Whether the configuration is confirmed recently enough to grant quota.
   bool may_issue_quota(Micros now) const { return quota_lease_.holds(now); }
 
-  // Takes over what the learner's polls and the peers' replies have confirmed so far.
+  // Extends the leases by what the learner's polls and the peers' replies have confirmed so far.
   void update_confirmations();
-  // Renews the leases: appends questions to peers when it is time for them. Without 'keys_required' none are asked.
+  // Appends requests to peers when the leases need renewal. Sends none unless 'keys_required'.
   void renew_leases(bool keys_required, Micros now, std::vector<OutgoingMessage>& outgoing);
-  // Answers a peer's question: the revision held here, and how long ago it was confirmed as the newest.
+  // Builds the reply to a peer's request: the revision held here, and how many microseconds ago it was confirmed as the
+  // newest.
   wire::NewestReplyT answer_request(std::uint64_t request_id, Micros now) const;
-  // Takes a peer's reply; may append a request for the newer value that the peer holds.
+  // Handles a peer's reply; may append a request for the newer value that the peer holds. A reply to an unknown
+  // request, or one without an age, confirms nothing.
   void handle_reply(std::string const& from, wire::NewestReplyT const& reply, Micros now,
-                  std::vector<OutgoingMessage>& outgoing);
+                    std::vector<OutgoingMessage>& outgoing);
 
  private:
-  // Whom to ask in the present turn: a replica, and another peer where that is urgent or no replica is reachable.
+  // The peers to query now: one replica, and one other peer when renewal is urgent or no replica is reachable.
   std::vector<std::string> select_peers_to_query(Micros now);
   void confirm_leases(Micros at);
 
@@ -61,8 +64,8 @@
   std::function<std::uint64_t()> const next_request_id_;
   ConfigurationLease key_lease_;
   ConfigurationLease quota_lease_;
-  std::map<std::uint64_t, Micros> open_requests_;  // by id: when a question that may still be answered was sent
-  // By revision that is not held here yet: a moment at which nothing above it had been chosen.
+  std::map<std::uint64_t, Micros> open_requests_;  // send times of the requests in flight, by request id
+  // By revision not held here yet: a time at which no higher revision had been chosen.
   std::map<std::uint64_t, Micros> confirmed_revisions_;
   Micros next_request_at_ = 0;
 };
--- a/src/node/quota_authority.cc
+++ b/src/node/quota_authority.cc
@@ -35,7 +35,8 @@
   if (client_.waiting() > 0) client_.tick(select_peers(), now, outgoing);
 }
 
-void QuotaAuthority::process_dispatch_effects(DispatchEffects& effects, Micros now, std::vector<OutgoingMessage>& outgoing) {
+void QuotaAuthority::process_dispatch_effects(DispatchEffects& effects, Micros now,
+                                              std::vector<OutgoingMessage>& outgoing) {
   std::vector<QuotaNeed> const needs = std::move(effects.quota_needs);
   effects.quota_needs.clear();
   if (!needs.empty()) {
@@ -88,7 +89,7 @@
   return std::find(owners.begin(), owners.end(), options_.self) != owners.end();
 }
 
-// The asker reaches no owner; this node may. The question goes on once only.
+// The requesting node reaches no owner, but this node may. A request is forwarded only once.
 bool QuotaAuthority::forward_to_owner(wire::QuotaRequestT const& request, std::vector<OutgoingMessage>& outgoing) {
   if (is_owner() || request.hops == 0) return false;
   QuotaPeers const peers = select_peers();
@@ -101,7 +102,7 @@
 }
 
 void QuotaAuthority::handle_request(std::string const& from, wire::QuotaRequestT const& request, Micros now,
-                                  std::vector<OutgoingMessage>& outgoing) {
+                                    std::vector<OutgoingMessage>& outgoing) {
   bool const expects_reply = request.purpose == static_cast<std::uint8_t>(QuotaPurpose::ask);
   if (expects_reply && forward_to_owner(request, outgoing)) return;
   QuotaDecision const decision = decide_request(request, now);
@@ -117,7 +118,7 @@
 }
 
 void QuotaAuthority::handle_reply(std::string const& from, wire::QuotaReplyT& reply, Micros now,
-                                std::vector<OutgoingMessage>& outgoing) {
+                                  std::vector<OutgoingMessage>& outgoing) {
   if (!reply.origin.empty() && reply.origin != options_.self) {
     std::string const origin = reply.origin;
     outgoing.push_back(message_to(origin, std::move(reply)));
--- a/src/node/quota_authority.h
+++ b/src/node/quota_authority.h
@@ -1,9 +1,9 @@
-// Asks for and hands out parts of tenants' limits (docs/tenants.md): joins the node's dispatcher, the client that asks
-// the limits' owners, and this node's own part where it is an owner.
+// Requests and grants quota, parts of the tenants' rate limits (docs/tenants.md). It connects the node's dispatcher,
+// the client that requests quota from the owners of the limits, and this node's own part of them where it is an owner.
 //
-// Owns the client, the buckets of this node's part and the shares by which the replicas divide the limits. Quota is
-// only granted while the configuration is confirmed and this node's share is above 0; every question is answered,
-// forwarded on once, or granted by nobody.
+// Owns the client, the token buckets of this node's part, and the shares by which the replicas divide the limits. Quota
+// is granted only while the configuration is confirmed and this node's share is above 0; every request for quota is
+// answered here or forwarded once.
 //
 // Not synchronized: used by the node's loop only.
 #pragma once
@@ -25,15 +25,16 @@
 
 namespace pipit {
 
+// Fixed for one incarnation of the node.
 struct QuotaAuthorityOptions {
   std::string self;  // this node's name
   QuotaTerms terms;
-  std::uint64_t first_request_id = 0;    // numbers the client's questions of this incarnation
-  Micros fence = 0;                   // for how long a node may go by a set of replicas that was left behind
-  std::uint64_t settled_membership = 0;  // fingerprint of the set that an earlier incarnation saw settled, 0 for none
+  std::uint64_t first_request_id = 0;    // request ids of this incarnation's client start here
+  Micros fence = 0;                      // how long, in microseconds, a node may still act on a superseded replica set
+  std::uint64_t settled_membership = 0;  // fingerprint of the set that an earlier incarnation saw settled; 0 for none
 };
 
-// The other parts of the node that quota needs; they must outlive the QuotaAuthority.
+// The other parts of the node that quota depends on; they must outlive the QuotaAuthority.
 struct QuotaDependencies {
   Mesh const& mesh;
   Learner const& learner;
@@ -43,6 +44,7 @@
   Dispatcher& dispatcher;
 };
 
+// One node's quota client and quota owner.
 class QuotaAuthority {
  public:
   QuotaAuthority(QuotaAuthorityOptions options, QuotaDependencies const& dependencies);
@@ -50,23 +52,25 @@
   QuotaOwner const& owner() const { return owner_; }
   QuotaClient const& client() const { return client_; }
 
-  // Notes the set of replicas in force, forgets idle buckets, and asks again what was not answered in time.
+  // Records the replica set in force, drops idle buckets, and resends requests that timed out.
   void tick(Micros now, std::vector<OutgoingMessage>& outgoing);
-  // Asks for what the dispatcher needs, gives back what it needs no more, and brings it the results. The needs and
-  // drops are removed from 'effects'; what the results lead to is added to it.
+  // Requests the quota that the dispatcher needs, cancels requests that it no longer needs, and passes it the results.
+  // The needs and cancellations are removed from 'effects'; the effects of the results are added to it.
   void process_dispatch_effects(DispatchEffects& effects, Micros now, std::vector<OutgoingMessage>& outgoing);
-  // Takes a peer's question: decides it, or passes it on to an owner that this node reaches.
+  // Handles a peer's request: decides it here, or forwards it to an owner that this node reaches. Debits and returns of
+  // quota get no reply.
   void handle_request(std::string const& from, wire::QuotaRequestT const& request, Micros now,
-                    std::vector<OutgoingMessage>& outgoing);
-  // Takes a reply to this node's client, or passes it on to the node that asked.
+                      std::vector<OutgoingMessage>& outgoing);
+  // Handles a reply to this node's client, or forwards it to the node that sent the request.
   void handle_reply(std::string const& from, wire::QuotaReplyT& reply, Micros now,
-                  std::vector<OutgoingMessage>& outgoing);
+                    std::vector<OutgoingMessage>& outgoing);
 
  private:
   QuotaPeers select_peers() const;
   void begin_request(QuotaNeed const& need, QuotaPeers const& peers, Micros now,
                      std::vector<OutgoingMessage>& outgoing);
-  // Whether the question was forwarded on to an owner, since this node is none.
+  // Forwards the request to a reachable owner; false when this node is an owner, the request was forwarded before, or
+  // no owner is reachable.
   bool forward_to_owner(wire::QuotaRequestT const& request, std::vector<OutgoingMessage>& outgoing);
   QuotaDecision decide_request(wire::QuotaRequestT const& request, Micros now);
   bool is_owner() const;
--- a/src/node/register_bootstrap.cc
+++ b/src/node/register_bootstrap.cc
@@ -10,11 +10,11 @@
 namespace pipit {
 
 namespace {
-constexpr Micros proposer_stagger = seconds(1);  // how long each initial member waits for the one before it
-constexpr Micros max_answer_age = seconds(2);    // how lately every initial member must have answered
-constexpr std::size_t max_initial_replicas = 3;        // replicas of the initial set, where no seed is one
-constexpr std::size_t max_seeds = 3;          // that a node is given
-constexpr Micros lost_seed_timeout = seconds(5);
+constexpr Micros proposer_stagger = seconds(1);   // how long each initial member waits for the one before it by name
+constexpr Micros max_answer_age = seconds(2);     // an older answer of an initial member does not count
+constexpr std::size_t max_initial_replicas = 3;   // of the initial set, where no seed is a replica
+constexpr std::size_t max_seeds = 3;              // given to one node
+constexpr Micros lost_seed_timeout = seconds(5);  // since this node's start, before an unreachable seed is left out
 }  // namespace
 
 RegisterBootstrap::RegisterBootstrap(NodePlan const& plan, Mesh const& mesh, Learner const& learner,
@@ -54,24 +54,27 @@
   std::sort(names.begin(), names.end());
   std::vector<std::string>::const_iterator const own = std::find(names.begin(), names.end(), plan_.name);
   if (own == names.end()) return std::nullopt;
-  // The initial by name writes it; another only when that one has had its time, for it may have lost its disk.
+  // The member that sorts first by name writes the set. Each later one does so only after the time of those before it
+  // has passed, since they may have lost their disks.
   if (now - started_at_ < proposer_stagger * (own - names.begin())) return std::nullopt;
   std::optional<Membership> initial = membership_of_blank_replicas(names, now);
-  if (initial) log_event(Event::register_bootstrapped, std::to_string(initial->replicas.size()) + " keepers");
+  if (initial)
+    log_event(Event::register_bootstrapped, "initial set of " + std::to_string(initial->replicas.size()) + " replicas");
   return initial;
 }
 
-std::optional<Membership> RegisterBootstrap::membership_of_blank_replicas(std::vector<std::string> const& names, Micros now) const {
+std::optional<Membership> RegisterBootstrap::membership_of_blank_replicas(std::vector<std::string> const& names,
+                                                                          Micros now) const {
   Membership initial;
   initial.epoch = 1;
   for (std::string const& name : names) {
-    // §5.4: the initial set is written only while every initial member answers and every one of them is blank.
+    // §5.4: the initial set is written only while every initial member answers, each of them from a blank disk.
     std::map<std::string, Learner::Observation>::const_iterator const observation = learner_.observations.find(name);
     if (observation == learner_.observations.end() || observation->second.formed ||
         now - observation->second.at > max_answer_age)
       return std::nullopt;
-    // After a restart a blank disk may also be a wiped one: only the marks of the initial start tell them apart. A set
-    // that was chosen has left a majority of the initial members without them (docs/control.md, "Point 3").
+    // After a restart a blank disk may also be a wiped one: only the marks of the first start tell them apart. Choosing
+    // a set removed the marks of a majority of the initial members (docs/control.md, "Point 3").
     if (restarted_ && !observation->second.awaits_bootstrap) return std::nullopt;
     wire::ReplicaT replica;
     replica.name = name;
@@ -82,13 +85,13 @@
   return initial;
 }
 
-// §12.3: at the very initial start all nodes are given the same seeds, and these are up. Those of them that are replicas
-// are the initial set, once every seed is connected; where none is one, the initial three replicas by name. The set grows
-// later, by its manager.
+// §12.3: at the first start of a fleet all nodes are given the same seeds, and the seeds are up. The seeds that are
+// replicas form the initial set once every seed is connected; if no seed is a replica, the first three replicas by name
+// form it. ReplicaSetManager lets the set grow later.
 //
-// A seed that is lost before the initial set was written may never come back. After a while it is left out, as long as
-// two of three seeds are replicas and are connected: the quorums of any two such sets meet, so no more than one of them is
-// chosen.
+// A seed that is lost before the initial set was written may never return. After 'lost_seed_timeout' it is left out,
+// provided that two of three seeds are replicas and connected: the quorums of any two such sets intersect, so at most
+// one of the sets is chosen.
 std::vector<std::string> RegisterBootstrap::initial_replica_names(Micros now) const {
   std::vector<std::string> out;
   if (plan_.bootstrap_seeds.empty() || !acceptor_) return out;
--- a/src/node/register_bootstrap.h
+++ b/src/node/register_bootstrap.h
@@ -1,9 +1,9 @@
-// Writes the register's first set of replicas, once for a fleet (§5.4, §12.3).
+// Writes the register's initial set of replicas, once for a fleet (§5.4, §12.3).
 //
-// State: whether this initial member already waited for the first set in an earlier incarnation.
-// Invariants: at most one first set is ever chosen. It is offered only by an initial member whose own replica holds
-// nothing, and only while every initial member answers from a blank disk; after a restart, only while the disks carry
-// the marks of the first start, since a wiped disk looks blank as well.
+// State: whether this initial member already waited for the initial set in an earlier incarnation.
+// Invariants: at most one initial set is ever chosen. It is proposed only by an initial member whose own replica holds
+// no copy of the register, and only while every initial member answers from a blank disk; after a restart, only while
+// the disks carry the marks of the first start, since a wiped disk looks blank as well.
 // Thread: the node's loop.
 #pragma once
 #include <optional>
@@ -19,23 +19,25 @@
 
 namespace pipit {
 
+// Proposes the initial replica set. The references must outlive the object.
 class RegisterBootstrap {
  public:
-  // 'started_at': when this node began, by its own clock.
+  // 'started_at': when this node started, in microseconds on its own clock.
   RegisterBootstrap(NodePlan const& plan, Mesh const& mesh, Learner const& learner,
                     std::optional<Acceptor> const& acceptor, ReplicaDirectory const& directory, Micros started_at);
 
-  // Marks a blank disk of an initial member as waiting for the first set. Called once, before anything is answered.
+  // Marks a blank disk of an initial member as waiting for the initial set. Called once, before the node answers any
+  // message.
   void mark_awaiting_bootstrap(std::optional<Acceptor>& acceptor);
-  // Adds a proposal of the first set to every member of it, when this node may make one now.
+  // Appends a proposal of the initial set to each of its members, if this node may make one now.
   void propose_initial_membership(Micros now, std::vector<OutgoingMessage>& outgoing) const;
 
  private:
-  // The first set that this node saw somewhere, or that it may write itself; nothing while it may not.
+  // The initial set that this node learned from others, or that it may write itself; nothing while it may not.
   std::optional<Membership> initial_membership(Micros now) const;
-  // The set of these members; nothing unless all of them answered lately from blank disks.
+  // The set of these members; nothing unless all of them answered recently from blank disks.
   std::optional<Membership> membership_of_blank_replicas(std::vector<std::string> const& names, Micros now) const;
-  // The names of those whose replicas are the first set; empty while that cannot be said.
+  // The names of the nodes whose replicas form the initial set; empty while that is undecided.
   std::vector<std::string> initial_replica_names(Micros now) const;
 
   NodePlan const& plan_;
@@ -44,7 +46,7 @@
   std::optional<Acceptor> const& acceptor_;
   ReplicaDirectory const& directory_;
   Micros const started_at_;
-  bool restarted_ = false;
+  bool restarted_ = false;  // the disk was marked as waiting by an earlier incarnation
 };
 
 }  // namespace pipit
--- a/src/node/replica_directory.cc
+++ b/src/node/replica_directory.cc
@@ -7,8 +7,8 @@
 namespace pipit {
 
 namespace {
-constexpr Micros reply_margin = millis(300);   // beyond a poll, for an answer on its way
-constexpr Micros contact_margin = millis(300);  // beyond two polls, for answers on their way
+constexpr Micros reply_margin = millis(300);    // added to one poll interval for replies in flight
+constexpr Micros contact_margin = millis(300);  // added to two poll intervals for replies in flight
 }  // namespace
 
 ReplicaDirectory::ReplicaDirectory(NodePlan const& plan, Mesh const& mesh, Learner const& learner,
@@ -50,10 +50,12 @@
       learner_.observations.find(replica.name);
   if (observation != learner_.observations.end() && observation->second.disk != replica.disk) return false;
   std::map<std::string, Peer>::const_iterator const peer = mesh_.members.peers.find(replica.name);
-  return peer != mesh_.members.peers.end() && peer->second.connection != 0 && peer->second.state() == MemberState::alive;
+  return peer != mesh_.members.peers.end() && peer->second.connection != 0 &&
+         peer->second.state() == MemberState::alive;
 }
 
-bool ReplicaDirectory::majority_answered(std::vector<wire::ReplicaT> const& replicas, Micros max_age, Micros now) const {
+bool ReplicaDirectory::majority_answered(std::vector<wire::ReplicaT> const& replicas, Micros max_age,
+                                         Micros now) const {
   std::size_t answered = 0;
   for (wire::ReplicaT const& replica : replicas) {
     std::optional<std::uint64_t> const disk = recent_disk(replica.name, max_age, now);
@@ -77,7 +79,8 @@
   Voters connected;
   for (wire::ReplicaT const& replica : learner_.membership().replicas) {
     std::map<std::string, Peer>::const_iterator const peer = mesh_.members.peers.find(replica.name);
-    bool const connected_here = replica.name == plan_.name || (peer != mesh_.members.peers.end() && peer->second.connection != 0);
+    bool const connected_here =
+        replica.name == plan_.name || (peer != mesh_.members.peers.end() && peer->second.connection != 0);
     if (connected_here) connected[replica.name] = replica.disk;
   }
   return learner_.membership().empty() || connected.size() >= learner_.membership().majority();
@@ -85,7 +88,7 @@
 
 std::string ReplicaDirectory::proposing_replica() const {
   std::string best;
-  // Before a chosen set is known, the one that was merely seen says who proposes.
+  // Before a chosen set is known, the newest set that was seen determines the proposer.
   Membership const& members = learner_.membership().empty() ? learner_.newest_seen_membership() : learner_.membership();
   for (wire::ReplicaT const& replica : members.replicas)
     if (is_reachable(replica) && (best.empty() || replica.name < best)) best = replica.name;
--- a/src/node/replica_set_manager.cc
+++ b/src/node/replica_set_manager.cc
@@ -10,14 +10,14 @@
 namespace pipit {
 
 namespace {
-constexpr char const* lease_name = "mend";  // the role's name in lease requests
+constexpr char const* lease_name = "mend";  // the role in lease requests
 constexpr Micros min_repair_interval = seconds(3);
 constexpr Micros lost_replica_timeout = seconds(3);
-constexpr Micros quiet_period_before_repair = seconds(1);   // without a change, before copies that differ are repaired
-constexpr Micros max_spare_answer_age = seconds(2);    // how lately a replica must have answered to be given a place
-constexpr Micros eviction_delay = seconds(20);  // since a router node left, or since its address refuses
-constexpr Micros unconfirmed_timeout = seconds(1);    // how long a majority may show no newest value before copies are repaired
-constexpr std::size_t min_replicas = 3;    // a set of more than these may shrink
+constexpr Micros quiet_period_before_repair = seconds(1);  // without a change, before copies that differ are repaired
+constexpr Micros max_spare_answer_age = seconds(2);        // an older answer does not qualify a replica to join the set
+constexpr Micros eviction_delay = seconds(20);      // since a router node left, or since its address refuses dials
+constexpr Micros unconfirmed_timeout = seconds(1);  // without a newest value held by a majority, before a read
+constexpr std::size_t min_replicas = 3;             // only larger sets may shrink
 constexpr std::size_t max_replicas = 7;
 
 Change make_read_change() {
@@ -54,7 +54,7 @@
       lease_(lease_name, seed) {}
 
 void ReplicaSetManager::renew_lease(Micros now, std::vector<OutgoingMessage>& outgoing) {
-  // A member that holds nothing yet gets no lease, but the others may wait for it to read the register.
+  // A member that holds no copy yet requests no lease, although the others may be waiting for it to read the register.
   if (status_.leaving() || !acceptor_ || !acceptor_->durable_state().formed) return;
   lease_.tick(now, learner_.membership(), outgoing);
 }
@@ -82,7 +82,7 @@
 bool ReplicaSetManager::lacks_replacement(Micros now) const { return !spare_replica(now) && !set_may_shrink(); }
 
 std::optional<Change> ReplicaSetManager::next_change_with_lease(Micros now) {
-  // A joint set that was left behind is completed by any change (docs/control.md).
+  // Any change completes a joint set that its proposer left unfinished (docs/control.md).
   if (learner_.membership().joint()) return make_read_change();
   if (std::optional<Change> members = change_members(now)) {
     log_event(Event::replica_set_changed, describe(*members) + " epoch " + std::to_string(members->expected));
@@ -95,8 +95,9 @@
   return repair_copies(now);
 }
 
-// Not oftener than once in a gap: each round outbids what others have under way, and a slow disk never catches up with
-// a storm. Nor while changes go by: each of them rewrites the copies, and a second proposer only delays them.
+// At most once in 'min_repair_interval': each repair outbids the ballots of proposals in flight, and a slow disk never
+// catches up with frequent repairs. Not while changes are being made either: each of them rewrites the copies, and a
+// second proposer only delays them.
 std::optional<Change> ReplicaSetManager::repair_copies(Micros now) {
   bool const calm = learner_.changed_at < 0 || now - learner_.changed_at > quiet_period_before_repair;
   if (!learner_.replicas_differ || !calm || now - repaired_at_ <= min_repair_interval) return std::nullopt;
@@ -105,27 +106,28 @@
   return make_read_change();
 }
 
-// Copies that differ after a loss leave no ballot that a majority shows; then nobody gets ready by polls alone. The
-// replica that proposes for all reads the register, which repairs them.
+// Copies that differ after a loss can leave no ballot that a majority holds, and then polls alone make no node ready.
+// The replica that proposes for all nodes reads the register, which repairs the copies.
 std::optional<Change> ReplicaSetManager::next_read_without_lease(Micros now) {
   Micros const unconfirmed_for = now - std::max(started_at_, learner_.confirmed_at);
-  if (unconfirmed_for <= unconfirmed_timeout + status_.poll_interval() || now - repaired_at_ <= min_repair_interval) return std::nullopt;
+  if (unconfirmed_for <= unconfirmed_timeout + status_.poll_interval() || now - repaired_at_ <= min_repair_interval)
+    return std::nullopt;
   if (status_.leaving() || directory_.proposing_replica() != plan_.name) return std::nullopt;
   repaired_at_ = now;
-  log_event(Event::replicas_repaired, "no majority shows one ballot");
+  log_event(Event::replicas_repaired, "no ballot is held by a majority of the replicas");
   return make_read_change();
 }
 
-// §5.8: a replica that is lost gives its place to one that is here, in one change; the set grows to the wanted size.
+// §5.8: a lost replica is replaced by a spare one in a single change; the set grows up to its target size.
 std::optional<Change> ReplicaSetManager::change_members(Micros now) const {
   Membership const& members = learner_.membership();
   std::optional<wire::ReplicaT> const spare = spare_replica(now);
   std::optional<wire::ReplicaT> const lost = lost_replica(now);
-  // A set that grew for successors shrinks again when those that they succeed have ended.
+  // A set that grew for replacements shrinks again when the replaced members have ended.
   bool const shrinks = lost && !spare && set_may_shrink();
   if (!spare && !shrinks) return std::nullopt;
-  // A set does not grow while one of its members may be lost: with a dead member a set of four needs all the others,
-  // and the one that should take the dead one's place would only add to them.
+  // A set does not grow while one of its members may be lost: a set of four with one dead member needs all of the other
+  // three, and the new member would enlarge the set instead of replacing the dead one.
   bool const grows = !lost && members.replicas.size() < target_replica_count() && directory_.all_members_answered(now);
   if (!lost && !grows) return std::nullopt;
   Change change;
@@ -138,7 +140,7 @@
     remove_replica(next, *lost);
   }
   if (spare) next.push_back(*spare);
-  // Else the last vote would be given away with no way back.
+  // Otherwise the change could leave a set without a reachable majority, which no later change could repair.
   if (!directory_.majority_answered(next, max_spare_answer_age, now)) return std::nullopt;
   return change;
 }
@@ -159,10 +161,10 @@
   std::map<std::string, Peer>::const_iterator const position = mesh_.members.peers.find(registration.name);
   if (position == mesh_.members.peers.end()) return false;
   Peer const& peer = position->second;
-  // A later incarnation is there, and is about to register.
+  // A later incarnation is running and is about to register.
   if (peer.connection != 0 || peer.member.incarnation > registration.incarnation) return false;
-  bool const left =
-      peer.state() == MemberState::leaving && now - std::max(peer.state_since, peer.disconnected_since) > eviction_delay;
+  bool const left = peer.state() == MemberState::leaving &&
+                    now - std::max(peer.state_since, peer.disconnected_since) > eviction_delay;
   bool const refuses = peer.dial_refused && now - peer.dial_refused_at > eviction_delay;
   return left || refuses;
 }
@@ -170,8 +172,8 @@
 std::optional<wire::ReplicaT> ReplicaSetManager::spare_replica(Micros now) const {
   std::optional<wire::ReplicaT> out;
   for (std::pair<std::string const, Learner::Observation> const& item : learner_.observations) {
-    bool const here = now - item.second.at < max_spare_answer_age;
-    if (!here || directory_.is_leaving(item.first)) continue;
+    bool const answered = now - item.second.at < max_spare_answer_age;
+    if (!answered || directory_.is_leaving(item.first)) continue;
     if (learner_.membership().holds(item.first, item.second.disk)) continue;
     out.emplace();
     out->name = item.first;
@@ -181,39 +183,40 @@
   return out;
 }
 
-// A member is lost when it said goodbye, came back on another disk, or is away for long. Who can't come back as what it
-// was goes first.
+// A member is lost when it announced its departure, answers from another disk, or has not answered for
+// 'lost_replica_timeout'. A member that cannot return with its old disk is chosen before one that is merely silent.
 std::optional<wire::ReplicaT> ReplicaSetManager::lost_replica(Micros now) const {
-  std::optional<wire::ReplicaT> away;
+  std::optional<wire::ReplicaT> silent;
   for (wire::ReplicaT const& replica : learner_.membership().replicas) {
     std::optional<std::uint64_t> const disk = directory_.recent_disk(replica.name, lost_replica_timeout, now);
     if (disk && *disk != replica.disk) return replica;
     if (directory_.is_leaving(replica.name)) return replica;
-    if (!disk && !away && now - started_at_ > lost_replica_timeout) away = replica;
+    if (!disk && !silent && now - started_at_ > lost_replica_timeout) silent = replica;
   }
-  return away;
+  return silent;
 }
 
-// §5.8, §12.3: an odd number of all replicas, so that no disk more makes the set no stronger; seven at limit.
+// §5.8, §12.3: the largest odd number of the available replicas, at most seven; a set of the next even size tolerates
+// no more losses.
 std::size_t ReplicaSetManager::target_replica_count() const {
   if (!plan_.registered) return std::max<std::size_t>(1, plan_.initial_members.size());
   std::size_t all = plan_.replica && !directory_.is_leaving(plan_.name) ? 1 : 0;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
     MemberState const state = item.second.state();
-    bool const stays = (state == MemberState::alive || state == MemberState::suspected) && !directory_.is_leaving(item.first);
+    bool const stays =
+        (state == MemberState::alive || state == MemberState::suspected) && !directory_.is_leaving(item.first);
     if (item.second.member.replica && stays) ++all;
   }
   std::size_t const limit = std::min(max_replicas, all);
   return std::max<std::size_t>(1, limit % 2 == 0 ? limit - 1 : limit);
 }
 
-// So many members that a majority is left when as many disks are lost as are tolerated: whoever is merely without power
-// comes back with what was acknowledged, so that nothing smaller may ever hold it alone.
+// A majority must remain after the loss of as many disks as are tolerated. Members that merely lost power return with
+// all that they acknowledged, so acknowledged changes must never be held by a smaller set alone.
 std::size_t ReplicaSetManager::required_replica_count() const {
   return std::clamp(2 * plan_.tolerated + 1, min_replicas, max_replicas);
 }
 
-// Whether the set has more members than are wanted: then one that is lost need not be replaced.
 bool ReplicaSetManager::set_may_shrink() const {
   return learner_.membership().replicas.size() > std::max(required_replica_count(), target_replica_count());
 }
--- a/src/node/replica_set_manager.h
+++ b/src/node/replica_set_manager.h
@@ -1,9 +1,9 @@
-// What one node at a time does for the whole fleet: it adds, replaces and removes replicas of the register, evicts
-// router nodes that ended, and repairs copies that differ (§5.7, §5.8).
+// Maintains the register's replica set, on one node at a time for the whole fleet: adds, replaces and removes replicas,
+// evicts router nodes that have ended, and repairs copies that differ (§5.7, §5.8).
 //
-// State: the lease on that role, whether a change of this manager is under way, and when copies were last repaired.
-// Invariants: one change of its own at a time; none of the set or of registrations without the lease; none that would
-// leave the next set without a majority that answers now.
+// State: the lease on this role, whether a change of this manager is in flight, and when copies were last repaired.
+// Invariants: at most one change of this manager is in flight; it changes neither the set nor the registrations without
+// the lease; it proposes no set that lacks a majority of members that answered recently.
 // Thread: the node's loop.
 #pragma once
 #include <cstdint>
@@ -21,46 +21,53 @@
 
 namespace pipit {
 
+// The references passed to the constructor must outlive the object.
 class ReplicaSetManager {
  public:
-  // 'started_at': when this node began, by its own clock; 'seed': for the lease's random pauses.
+  // 'started_at': when this node started, in microseconds on its own clock; 'seed': for the random delays between lease
+  // requests.
   ReplicaSetManager(NodePlan const& plan, Mesh const& mesh, Learner const& learner,
                     std::optional<Acceptor> const& acceptor, ReplicaDirectory const& directory,
                     ReplicaDirectory::LocalStatus status, Micros started_at, std::uint64_t seed);
 
-  // Asks for the lease, or for more of it, when that is due; only a replica that holds a copy does.
+  // Appends requests to acquire or renew the lease when they are due. A node whose replica holds no copy of the
+  // register requests no lease.
   void renew_lease(Micros now, std::vector<OutgoingMessage>& outgoing);
+  // Handles a replica's reply to a lease request.
   void handle_lease_reply(std::string const& from, wire::LeaseReplyT const& reply, Micros now);
-  // Lets the next holder begin at once: this node is about to end.
+  // Releases the lease because this node is about to stop, so that the next holder need not wait for its expiry.
   void release_lease(std::vector<OutgoingMessage>& outgoing);
 
-  // What is to be proposed now; nothing when all is well, or while the last one is under way. The caller proposes it
-  // and says by finish_change() when it has ended.
+  // The change to propose now; nothing when none is needed or the last one is still in flight. The caller proposes it,
+  // and calls finish_change() when it has ended.
   std::optional<Change> next_change(Micros now);
+  // Reports that the change returned by next_change() has ended, with whatever outcome.
   void finish_change() { change_in_flight_ = false; }
 
-  // Whether nobody is here to take the place of a replica that ends, and the set cannot do without it.
+  // Whether no spare replica is available to replace one that stops, and the set may not shrink instead.
   bool lacks_replacement(Micros now) const;
 
  private:
-  // What the holder of the lease has to do.
+  // The next change that requires the lease.
   std::optional<Change> next_change_with_lease(Micros now);
-  // A make_read_change that repairs copies of which no ballot has a majority; it needs no lease.
+  // A read that repairs the copies when no ballot has a majority; it needs no lease.
   std::optional<Change> next_read_without_lease(Micros now);
-  // A make_read_change by the lease's holder that repairs copies that differ.
+  // A read by the lease's holder that repairs copies that differ.
   std::optional<Change> repair_copies(Micros now);
   std::optional<Change> change_members(Micros now) const;
   std::optional<Change> evict_router(Micros now) const;
-  // Whether a router node with this registration left, or its address has refused for long.
+  // Whether the router node with this registration left, or its address refused dials, longer than the eviction delay
+  // ago.
   bool has_ended(wire::RouterRegistrationT const& registration, Micros now) const;
-  // A replica that answers and is not in the set.
+  // A replica that answered recently and is not in the set.
   std::optional<wire::ReplicaT> spare_replica(Micros now) const;
-  // A member of the set that is lost.
+  // A member of the set that left, lost its disk, or has not answered for longer than the timeout.
   std::optional<wire::ReplicaT> lost_replica(Micros now) const;
-  // The size that the set should have, by the replicas that stay.
+  // The size that the set should have, given the replicas that are not leaving.
   std::size_t target_replica_count() const;
-  // The least size at which the set outlives as many lost disks as are tolerated.
+  // The smallest size at which the set survives the loss of as many disks as are tolerated.
   std::size_t required_replica_count() const;
+  // Whether the set has more members than are wanted, so that a lost one need not be replaced.
   bool set_may_shrink() const;
 
   NodePlan const& plan_;
@@ -71,9 +78,9 @@
   ReplicaDirectory::LocalStatus const status_;
   Micros const started_at_;
   LeaseCandidate lease_;
-  bool had_lease_ = false;  // when next_change() last looked
+  bool had_lease_ = false;  // at the last call of next_change()
   bool change_in_flight_ = false;
-  Micros repaired_at_ = -seconds(60);
+  Micros repaired_at_ = -seconds(60);  // of the last repair; far enough in the past that the first one need not wait
 };
 
 }  // namespace pipit
--- a/src/node/router_registrations.cc
+++ b/src/node/router_registrations.cc
@@ -9,7 +9,7 @@
 namespace pipit {
 
 namespace {
-constexpr Micros request_interval = millis(150);
+constexpr Micros request_interval = millis(150);  // least time between two requests to register
 constexpr Micros newcomer_period = seconds(2);
 }  // namespace
 
@@ -23,7 +23,8 @@
   return registration != nullptr && registration->incarnation == mesh_.members.self.incarnation;
 }
 
-// Its start changes everybody's share of a cold worker's bound; where workers register there are no such shares.
+// A new router node reduces the other nodes' shares of a cold worker's limit. Where workers register themselves there
+// are no such shares.
 bool RouterRegistrations::is_newcomer(Micros now) const {
   if (!options_.required) return false;
   return options_.is_router && !had_predecessor_ && registered_at_ >= 0 && now - registered_at_ < newcomer_period;
@@ -62,7 +63,7 @@
   wire::RouterRegistrationT const* const own = registration_of(*learner_.value, options_.name);
   if (own == nullptr) return;
   if (own->incarnation > mesh_.members.self.incarnation) {
-    // A former incarnation had a later clock.
+    // An earlier incarnation had a clock that was ahead of the present one.
     mesh_.members.self.incarnation = own->incarnation + 1;
     mesh_.announce_self(out);
   }
@@ -78,7 +79,8 @@
   if (registered == was_registered_) return false;
   was_registered_ = registered;
   if (!registered) {
-    // It was evicted though it runs: it places nothing until it is registered again, and then begins as a newcomer.
+    // The node was evicted while running: it places no work until it is registered again, and then counts as a
+    // newcomer.
     had_predecessor_ = false;
     registered_at_ = -1;
   }
@@ -90,7 +92,7 @@
       learner_.value ? registration_of(*learner_.value, name) : nullptr;
   std::map<std::string, Peer>::const_iterator const peer = mesh_.members.peers.find(name);
   bool const known = peer != mesh_.members.peers.end();
-  // That it left, or refuses a dial, says nothing of a later incarnation.
+  // That a known incarnation left, or its address refused a dial, says nothing about a later incarnation.
   if (registration != nullptr && (!known || peer->second.member.incarnation < registration->incarnation)) return true;
   return !mesh_.members.cannot_be_serving(name);
 }
@@ -100,7 +102,7 @@
   std::map<std::string, Peer>::const_iterator const peer = mesh_.members.peers.find(name);
   bool const here = name == options_.name || (peer != mesh_.members.peers.end() && peer->second.connection != 0);
   if (here) return Error{ErrorCode::node_alive, "the node '" + name + "' is alive", ""};
-  if (!known) return Error{ErrorCode::unknown_node, "no router node '" + name + "' has a seat", ""};
+  if (!known) return Error{ErrorCode::unknown_node, "no router node '" + name + "' is registered", ""};
   return std::nullopt;
 }
 
--- a/src/node/worker_departures.cc
+++ b/src/node/worker_departures.cc
@@ -8,7 +8,7 @@
 namespace pipit {
 
 namespace {
-constexpr Micros acknowledgement_timeout = millis(600);  // a worker waits a second for its answer
+constexpr Micros acknowledgement_timeout = millis(600);  // workers time out after one second
 }  // namespace
 
 WorkerDepartures::WorkerDepartures(std::string self, Mesh const& mesh, Learner const& learner,
@@ -56,7 +56,8 @@
                      });
 }
 
-// A quorum of the replicas reaches every node that others reach, since each replica passes the entry on.
+// Each replica forwards the entry, so an entry held by a quorum of the replicas spreads to every node that is
+// reachable.
 bool WorkerDepartures::reached_quorum(std::string const& worker) const {
   Membership const& members = learner_.membership();
   if (members.empty()) return reached_majority_of_nodes(worker);
@@ -70,23 +71,23 @@
 
 bool WorkerDepartures::reached_majority_of_nodes(std::string const& worker) const {
   std::size_t all = 1;
-  std::size_t informed = 1;
+  std::size_t replicated = 1;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
     if (mesh_.members.cannot_be_serving(item.first)) continue;
     ++all;
-    if (mesh_.entry_replication.is_replicated(item.first, worker)) ++informed;
+    if (mesh_.entry_replication.is_replicated(item.first, worker)) ++replicated;
   }
-  return informed * 2 > all;
+  return replicated * 2 > all;
 }
 
 void WorkerDepartures::check_acknowledgement(std::string const& worker) const {
   bool alone = true;
-  bool informed = false;
+  bool replicated = false;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
     alone = alone && mesh_.members.cannot_be_serving(item.first);
-    informed = informed || mesh_.entry_replication.is_replicated(item.first, worker);
+    replicated = replicated || mesh_.entry_replication.is_replicated(item.first, worker);
   }
-  check_invariant(alone || informed, Invariant::end_is_known, [&] {
+  check_invariant(alone || replicated, Invariant::end_is_known, [&] {
     return worker + ", " + std::to_string(mesh_.members.peers.size()) + " peers, " +
            std::to_string(mesh_.open_connections()) + " connections";
   });
--- a/tests/node/change_forwarder.cc
+++ b/tests/node/change_forwarder.cc
@@ -1,4 +1,4 @@
-// Changes that another node is asked to propose, and those proposed for others (src/node/change_forwarder.h).
+// Changes forwarded to other nodes, and changes proposed for other nodes (src/node/change_forwarder.h).
 #include "node/change_forwarder.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
   Change change;
 };
 
-// The node "m" is no replica; "b" is the only one of the set, and its quorum was heard at time 0.
+// The node under test is "m" and has no replica; "b" is the only member of the set and answered a poll at time 0.
 struct ForwarderFixture : ReplicaFixture {
   ForwarderFixture() {
     plan.name = "m";
@@ -40,7 +40,7 @@
     return out;
   }
 
-  // The bodies that were sent since the last call.
+  // The bodies of the frames sent since the last call.
   std::vector<wire::BodyUnion> sent() {
     std::vector<wire::BodyUnion> bodies;
     for (ConnectionEffects::OutgoingFrame const& send : out.mesh.outgoing_frames)
@@ -72,7 +72,7 @@
 }
 }  // namespace
 
-TEST(ChangeForwarder, ForwardsOperatorsChangesToTheProposingReplica) {
+TEST(ChangeForwarder, operator_changes_go_to_the_proposing_replica) {
   ForwarderFixture fixture;
   ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
   std::vector<wire::BodyUnion> bodies = fixture.sent();
@@ -82,7 +82,7 @@
   EXPECT_EQ(bodies[0].AsForwardedChange()->id, "change-1");
 }
 
-TEST(ChangeForwarder, ForwardsNothingOfItsOwnNorOfMembers) {
+TEST(ChangeForwarder, internal_and_membership_changes_are_not_forwarded) {
   ForwarderFixture fixture;
   EXPECT_FALSE(fixture.forwarder.forward_change(0, apply_text("new"), 0, fixture.out));
   Change admission;
@@ -96,7 +96,7 @@
   EXPECT_TRUE(fixture.out.mesh.outgoing_frames.empty());
 }
 
-TEST(ChangeForwarder, WithoutAQuorumAsksRoutersInTurn) {
+TEST(ChangeForwarder, changes_go_to_routers_in_turn_without_a_quorum) {
   ForwarderFixture fixture;
   Micros const later = seconds(60);
   EXPECT_FALSE(fixture.forwarder.forward_change(7, apply_text("new"), later, fixture.out));
@@ -110,7 +110,7 @@
   EXPECT_EQ(fixture.out.mesh.outgoing_frames[2].connection, 21u);
 }
 
-TEST(ChangeForwarder, PassesTheAnswerOnOnce) {
+TEST(ChangeForwarder, reply_of_the_proposer_is_returned_once) {
   ForwarderFixture fixture;
   ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
   wire::ForwardedChangeReplyT const reply = fixture.reply_of(Outcome::Type::chosen);
@@ -124,7 +124,7 @@
   EXPECT_EQ(fixture.out.replies[0].outcome.type, Outcome::Type::chosen);
 }
 
-TEST(ChangeForwarder, ProposesItselfWhatIsNotAnsweredInTime) {
+TEST(ChangeForwarder, change_without_a_timely_reply_is_proposed_locally) {
   ForwarderFixture fixture;
   ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
   fixture.forwarder.tick(millis(600) - 1, fixture.out);
@@ -136,7 +136,7 @@
   EXPECT_TRUE(fixture.proposed[0].change.proposed_elsewhere);
 }
 
-TEST(ChangeForwarder, ProposesItselfWhatACutOffReplicaRefuses) {
+TEST(ChangeForwarder, change_refused_by_a_cut_off_replica_is_proposed_locally) {
   ForwarderFixture fixture;
   ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
   fixture.forwarder.handle_reply("b", fixture.reply_of(Outcome::Type::refused, ErrorCode::no_majority), 0, fixture.out);
@@ -145,7 +145,7 @@
   EXPECT_TRUE(fixture.out.replies.empty());
 }
 
-TEST(ChangeForwarder, SendsTheTextAgainWhenItsPatchHasAnotherBase) {
+TEST(ChangeForwarder, full_text_is_sent_when_the_replica_lacks_the_base_of_the_patch) {
   ForwarderFixture fixture;
   ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
   fixture.sent();
@@ -158,7 +158,7 @@
   EXPECT_EQ(bodies[0].AsForwardedChange()->request_id, 101u);
 }
 
-TEST(ChangeForwarder, ProposesForOthersAndAnswersThem) {
+TEST(ChangeForwarder, forwarded_change_is_proposed_and_answered) {
   ForwarderFixture fixture;
   wire::ForwardedChangeT request;
   request.request_id = 55;
@@ -168,7 +168,7 @@
   fixture.forwarder.handle_forwarded_change("b", request, 0, fixture.out);
   ASSERT_EQ(fixture.proposed.size(), 1u);
   EXPECT_EQ(fixture.proposed[0].change.id, "theirs");
-  // What was proposed for another node is never forwarded again.
+  // A change proposed for another node is never forwarded again.
   EXPECT_FALSE(fixture.forwarder.forward_change(fixture.proposed[0].id, apply_text("new"), 0, fixture.out));
   Reply own;
   own.id = 7;
@@ -184,7 +184,7 @@
   EXPECT_EQ(bodies[0].AsForwardedChangeReply()->request_id, 55u);
 }
 
-TEST(ChangeForwarder, AsksForTheTextOfAPatchWithAnUnknownBase) {
+TEST(ChangeForwarder, full_text_is_requested_for_a_patch_with_an_unknown_base) {
   ForwarderFixture fixture;
   wire::ForwardedChangeT request;
   request.request_id = 55;
--- a/tests/node/configuration_authority.cc
+++ b/tests/node/configuration_authority.cc
@@ -1,4 +1,4 @@
-// Leases on the configuration: whom a node asks, and what a reply confirms. Without sockets.
+// Leases on the configuration: which peers a node queries, and what a reply confirms. Without sockets.
 #include "node/configuration_authority.h"
 
 #include <gtest/gtest.h>
@@ -6,13 +6,14 @@
 namespace pipit {
 
 namespace {
-constexpr Micros quota_span = seconds(3);
+constexpr Micros quota_lease_duration = seconds(3);
 
 class ConfigurationAuthorityTest : public testing::Test {
  protected:
   ConfigurationAuthorityTest()
       : mesh(MeshSettings{}, wire::MemberT(), 1),
-        authority({quota_span, millis(500), quota_span}, mesh, learner, rotation, [this] { return ++last_request; }) {}
+        authority({quota_lease_duration, millis(500), quota_lease_duration}, mesh, learner, rotation,
+                  [this] { return ++last_request; }) {}
 
   void connect(std::string const& name, bool replica) {
     Peer& peer = mesh.members.peers[name];
@@ -25,7 +26,7 @@
     value.revision = revision;
     ASSERT_TRUE(learner.adopt(value, 0));
   }
-  // Whom the node asks at that moment.
+  // The peers that the node queries at 'now'.
   std::vector<std::string> renew(Micros now) {
     std::vector<OutgoingMessage> outgoing;
     authority.renew_leases(true, now, outgoing);
@@ -36,7 +37,7 @@
     }
     return names;
   }
-  // The number of requests for a newer value that the reply leads to.
+  // Handles a reply of "n2"; returns the number of requests for a newer value that it leads to.
   std::size_t reply(std::uint64_t request_id, std::uint64_t revision, Micros age, Micros now) {
     wire::NewestReplyT body;
     body.request_id = request_id;
@@ -56,35 +57,35 @@
 };
 }  // namespace
 
-TEST_F(ConfigurationAuthorityTest, PollOfTheReplicasConfirmsBothLeases) {
+TEST_F(ConfigurationAuthorityTest, replica_poll_confirms_both_leases) {
   EXPECT_FALSE(authority.key_lease().holds(0));
   EXPECT_FALSE(authority.may_issue_quota(0));
   learner.confirmed_at = seconds(1);
   authority.update_confirmations();
-  EXPECT_TRUE(authority.key_lease().holds(seconds(1) + quota_span));
-  EXPECT_TRUE(authority.may_issue_quota(seconds(1) + quota_span));
-  EXPECT_FALSE(authority.key_lease().holds(seconds(1) + quota_span + 1));
-  EXPECT_FALSE(authority.may_issue_quota(seconds(1) + quota_span + 1));
+  EXPECT_TRUE(authority.key_lease().holds(seconds(1) + quota_lease_duration));
+  EXPECT_TRUE(authority.may_issue_quota(seconds(1) + quota_lease_duration));
+  EXPECT_FALSE(authority.key_lease().holds(seconds(1) + quota_lease_duration + 1));
+  EXPECT_FALSE(authority.may_issue_quota(seconds(1) + quota_lease_duration + 1));
 }
 
-TEST_F(ConfigurationAuthorityTest, AsksAReplicaFromTheFirstThirdAndOthersFromTheHalf) {
+TEST_F(ConfigurationAuthorityTest, replicas_are_queried_after_a_third_of_the_lease_and_others_after_half) {
   connect("n2", true);
   connect("n3", false);
   learner.confirmed_at = 0;
-  EXPECT_TRUE(renew(seconds(1)).empty()) << "still in the first third";
+  EXPECT_TRUE(renew(seconds(1)).empty()) << "still in the first third of the lease";
   EXPECT_EQ(renew(seconds(1) + 1), std::vector<std::string>({"n2"}));
-  EXPECT_TRUE(renew(seconds(1) + 2).empty()) << "an interval lies between two questions";
+  EXPECT_TRUE(renew(seconds(1) + 2).empty()) << "two requests are one interval apart";
   EXPECT_EQ(renew(millis(1501)), std::vector<std::string>({"n2", "n3"}));
 }
 
-TEST_F(ConfigurationAuthorityTest, AsksNobodyWhereKeysAreNotRequired) {
+TEST_F(ConfigurationAuthorityTest, no_peer_is_queried_when_keys_are_not_required) {
   connect("n2", true);
   std::vector<OutgoingMessage> outgoing;
   authority.renew_leases(false, seconds(1), outgoing);
   EXPECT_TRUE(outgoing.empty());
 }
 
-TEST_F(ConfigurationAuthorityTest, QuestionsGoToTheReplicasInTurn) {
+TEST_F(ConfigurationAuthorityTest, requests_go_to_the_replicas_in_turn) {
   connect("n2", true);
   connect("n3", true);
   std::vector<std::string> const first = renew(0);
@@ -94,7 +95,7 @@
   EXPECT_NE(first[0], second[0]);
 }
 
-TEST_F(ConfigurationAuthorityTest, ReplyCountsFromTheQuestionLessItsAge) {
+TEST_F(ConfigurationAuthorityTest, reply_confirms_as_of_the_request_time_minus_its_age) {
   hold_revision(5);
   connect("n2", true);
   ASSERT_EQ(renew(seconds(10)).size(), 1u);
@@ -103,22 +104,22 @@
   EXPECT_EQ(authority.answer_request(9, seconds(10)).age, millis(200));
 }
 
-TEST_F(ConfigurationAuthorityTest, ReplyWithoutAQuestionOrAnAgeConfirmsNothing) {
+TEST_F(ConfigurationAuthorityTest, reply_without_a_request_or_an_age_confirms_nothing) {
   hold_revision(5);
   connect("n2", true);
   EXPECT_EQ(reply(77, 5, 0, seconds(10)), 0u);
   ASSERT_EQ(renew(seconds(10)).size(), 1u);
   EXPECT_EQ(reply(last_request, 5, -1, seconds(10)), 0u);
   EXPECT_EQ(authority.key_lease().confirmed(), -1);
-  EXPECT_EQ(reply(last_request, 5, 0, seconds(10)), 0u) << "a question is answered once";
+  EXPECT_EQ(reply(last_request, 5, 0, seconds(10)), 0u) << "the request was answered already";
   EXPECT_EQ(authority.key_lease().confirmed(), -1);
 }
 
-TEST_F(ConfigurationAuthorityTest, ReplyOfANewerRevisionConfirmsOnceThatIsHeld) {
+TEST_F(ConfigurationAuthorityTest, reply_with_a_newer_revision_confirms_once_that_revision_is_held) {
   hold_revision(5);
   connect("n2", true);
   ASSERT_EQ(renew(seconds(10)).size(), 1u);
-  EXPECT_EQ(reply(last_request, 6, 0, seconds(10)), 1u) << "the newer value is asked for";
+  EXPECT_EQ(reply(last_request, 6, 0, seconds(10)), 1u) << "the newer value is requested";
   EXPECT_EQ(authority.key_lease().confirmed(), -1);
   hold_revision(6);
   authority.update_confirmations();
--- a/tests/node/quota_authority.cc
+++ b/tests/node/quota_authority.cc
@@ -1,4 +1,4 @@
-// Quota between a node's dispatcher, its client and its own part of the limits. Without sockets.
+// Quota requests between a node's dispatcher, its quota client and its own part of the limits. Without sockets.
 #include "node/quota_authority.h"
 
 #include <gtest/gtest.h>
@@ -6,8 +6,8 @@
 namespace pipit {
 
 namespace {
-constexpr Micros span = seconds(3);
-constexpr Micros settled_at = seconds(100);  // long after the first set of replicas came into force
+constexpr Micros lease_duration = seconds(3);
+constexpr Micros settled_at = seconds(100);  // long after the first replica set came into force
 
 class QuotaAuthorityTest : public testing::Test {
  protected:
@@ -17,7 +17,7 @@
         registry("n1"),
         exchange("n1"),
         dispatcher("n1", "z", index_sync, registry, exchange),
-        configuration({span, 0, span}, mesh, learner, rotation, [this] { return ++last_request; }),
+        configuration({lease_duration, 0, lease_duration}, mesh, learner, rotation, [this] { return ++last_request; }),
         quota(options(), {mesh, learner, acceptor, configuration, rotation, dispatcher}) {
     std::shared_ptr<Description> const description = std::make_shared<Description>();
     description->keys_required = true;
@@ -33,7 +33,7 @@
   static QuotaAuthorityOptions options() {
     QuotaAuthorityOptions out;
     out.self = "n1";
-    out.fence = span;
+    out.fence = lease_duration;
     return out;
   }
   void connect(std::string const& name) {
@@ -41,7 +41,7 @@
     peer.member.name = name;
     peer.connection = mesh.members.peers.size();
   }
-  // Puts a set of replicas in force and confirms it until after 'settled_at'.
+  // Puts a replica set in force, and confirms the configuration as of 'settled_at'.
   void set_replicas(std::vector<std::string> const& names) {
     Membership members;
     members.epoch = 1;
@@ -87,7 +87,7 @@
 };
 }  // namespace
 
-TEST_F(QuotaAuthorityTest, NodeThatIsNoOwnerPassesAQuestionOnOnce) {
+TEST_F(QuotaAuthorityTest, request_at_a_node_that_is_not_an_owner_is_forwarded_once) {
   connect("n3");
   set_replicas({"n3"});
   std::vector<OutgoingMessage> const forwarded = handle_request(request(QuotaPurpose::ask, 1), settled_at);
@@ -105,9 +105,9 @@
   EXPECT_FALSE(refused[0].body.AsQuotaReply()->granted);
 }
 
-TEST_F(QuotaAuthorityTest, OwnerGrantsOnlyWhileTheConfigurationIsConfirmed) {
+TEST_F(QuotaAuthorityTest, owner_grants_only_while_the_configuration_is_confirmed) {
   set_replicas({"n1"});
-  // The bucket begins with the first question, empty.
+  // The bucket is created empty by the first request.
   handle_request(request(QuotaPurpose::ask, 1), settled_at);
   Micros const filled_at = settled_at + seconds(1);
   std::vector<OutgoingMessage> const granted = handle_request(request(QuotaPurpose::ask, 1), filled_at);
@@ -116,18 +116,19 @@
   EXPECT_EQ(granted[0].body.AsQuotaReply()->request_id, 4u);
   EXPECT_TRUE(granted[0].body.AsQuotaReply()->granted);
 
-  std::vector<OutgoingMessage> const refused = handle_request(request(QuotaPurpose::ask, 1), settled_at + span + 1);
+  std::vector<OutgoingMessage> const refused =
+      handle_request(request(QuotaPurpose::ask, 1), settled_at + lease_duration + 1);
   ASSERT_EQ(refused.size(), 1u);
   EXPECT_FALSE(refused[0].body.AsQuotaReply()->granted);
 }
 
-TEST_F(QuotaAuthorityTest, DebitsAndReturnsAreNotAnswered) {
+TEST_F(QuotaAuthorityTest, debits_and_returns_get_no_reply) {
   set_replicas({"n1"});
   EXPECT_TRUE(handle_request(request(QuotaPurpose::debit, 1), settled_at).empty());
   EXPECT_TRUE(handle_request(request(QuotaPurpose::give_back, 1), settled_at).empty());
 }
 
-TEST_F(QuotaAuthorityTest, ReplyForAnotherNodeIsPassedOn) {
+TEST_F(QuotaAuthorityTest, reply_for_another_node_is_forwarded) {
   wire::QuotaReplyT reply;
   reply.origin = "n5";
   reply.granted = true;
@@ -138,7 +139,7 @@
   EXPECT_TRUE(outgoing[0].body.AsQuotaReply()->granted);
 }
 
-TEST_F(QuotaAuthorityTest, NeedsOfTheDispatcherAreAskedForOnce) {
+TEST_F(QuotaAuthorityTest, quota_need_of_the_dispatcher_is_requested_once) {
   connect("n3");
   set_replicas({"n3"});
   DispatchEffects effects;
--- a/tests/node/register_bootstrap.cc
+++ b/tests/node/register_bootstrap.cc
@@ -1,4 +1,4 @@
-// When a node offers the register's first set, and to whom (src/node/register_bootstrap.h).
+// When a node proposes the register's initial set of replicas, and to which nodes (src/node/register_bootstrap.h).
 #include "node/register_bootstrap.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
     observe("c", 3, at);
   }
 
-  // Whom a proposal goes to, and with how many replicas the first one names.
+  // The receivers of the proposal at 'now'; each of them is a member of the proposed set.
   std::vector<std::string> receivers(Micros now) {
     std::vector<OutgoingMessage> outgoing;
     bootstrap.propose_initial_membership(now, outgoing);
@@ -40,50 +40,50 @@
   RegisterBootstrap bootstrap{plan, mesh, learner, acceptor, directory, 0};
 };
 
-std::vector<std::string> const nobody;
+std::vector<std::string> const no_receivers;
 std::vector<std::string> const all_three = {"a", "b", "c"};
 }  // namespace
 
-TEST(RegisterBootstrap, OffersTheSetOnceAllAnswerFromBlankDisks) {
+TEST(RegisterBootstrap, initial_set_is_proposed_once_all_members_answer_from_blank_disks) {
   BootstrapFixture fixture;
   fixture.observe("a", 1, 0);
   fixture.observe("b", 2, 0);
-  EXPECT_EQ(fixture.receivers(0), nobody);
+  EXPECT_EQ(fixture.receivers(0), no_receivers);
   fixture.observe("c", 3, 0);
   EXPECT_EQ(fixture.receivers(0), all_three);
   EXPECT_EQ(fixture.receivers(seconds(2)), all_three);
-  EXPECT_EQ(fixture.receivers(seconds(2) + 1), nobody);  // the answers are too old
+  EXPECT_EQ(fixture.receivers(seconds(2) + 1), no_receivers);  // the answers are too old
 }
 
-TEST(RegisterBootstrap, OffersNothingWhileAMemberHoldsACopy) {
+TEST(RegisterBootstrap, no_set_is_proposed_while_a_member_holds_a_copy) {
   BootstrapFixture fixture;
   fixture.observe_blank(0);
   fixture.observe("b", 2, 0).formed = true;
-  EXPECT_EQ(fixture.receivers(0), nobody);
+  EXPECT_EQ(fixture.receivers(0), no_receivers);
 }
 
-TEST(RegisterBootstrap, OffersNothingWhenItsOwnReplicaHoldsACopy) {
+TEST(RegisterBootstrap, no_set_is_proposed_by_a_node_that_holds_a_copy_or_has_no_replica) {
   BootstrapFixture fixture;
   fixture.observe_blank(0);
   wire::RecordT record;
   record.disk = 1;
   record.formed = true;
   fixture.acceptor.emplace(std::move(record));
-  EXPECT_EQ(fixture.receivers(0), nobody);
+  EXPECT_EQ(fixture.receivers(0), no_receivers);
   fixture.acceptor.reset();
-  EXPECT_EQ(fixture.receivers(0), nobody);
+  EXPECT_EQ(fixture.receivers(0), no_receivers);
 }
 
-TEST(RegisterBootstrap, ALaterMemberWaitsItsTurn) {
+TEST(RegisterBootstrap, later_member_waits_for_the_one_before_it) {
   BootstrapFixture fixture;
   fixture.plan.initial_members = {"a", "0first"};
   fixture.observe("0first", 2, 0);
   fixture.observe("a", 1, 0);
-  EXPECT_EQ(fixture.receivers(seconds(1) - 1), nobody);
+  EXPECT_EQ(fixture.receivers(seconds(1) - 1), no_receivers);
   EXPECT_EQ(fixture.receivers(seconds(1)), (std::vector<std::string>{"0first", "a"}));
 }
 
-TEST(RegisterBootstrap, AfterARestartOnlyMarkedDisksCount) {
+TEST(RegisterBootstrap, after_a_restart_only_marked_disks_count_as_blank) {
   BootstrapFixture fixture(true);
   fixture.add_peer("b");
   fixture.add_peer("c");
@@ -93,12 +93,12 @@
   fixture.acceptor.emplace(std::move(record));
   fixture.bootstrap.mark_awaiting_bootstrap(fixture.acceptor);
   fixture.observe_blank(0);
-  EXPECT_EQ(fixture.receivers(0), nobody);
+  EXPECT_EQ(fixture.receivers(0), no_receivers);
   for (std::string const& name : all_three) fixture.learner.observations[name].awaits_bootstrap = true;
   EXPECT_EQ(fixture.receivers(0), all_three);
 }
 
-TEST(RegisterBootstrap, MarksTheBlankDiskOfAnInitialMember) {
+TEST(RegisterBootstrap, blank_disk_of_an_initial_member_is_marked) {
   BootstrapFixture fixture(true);
   fixture.bootstrap.mark_awaiting_bootstrap(fixture.acceptor);
   std::vector<OutgoingMessage> outgoing;
@@ -107,13 +107,13 @@
   EXPECT_EQ(record->bootstrap_seeds, fixture.plan.bootstrap_seeds);
 }
 
-TEST(RegisterBootstrap, LeavesOutALostSeedOnlyAfterAWhile) {
+TEST(RegisterBootstrap, lost_seed_is_left_out_after_the_timeout) {
   BootstrapFixture fixture(true);
   fixture.add_peer("b");
   fixture.add_peer("c", MemberState::down, 0);
   fixture.observe("a", 1, seconds(5));
   fixture.observe("b", 2, seconds(5));
-  EXPECT_EQ(fixture.receivers(seconds(5)), nobody);
+  EXPECT_EQ(fixture.receivers(seconds(5)), no_receivers);
   EXPECT_EQ(fixture.receivers(seconds(5) + 1), (std::vector<std::string>{"a", "b"}));
 }
 
--- a/tests/node/replica_fixture.h
+++ b/tests/node/replica_fixture.h
@@ -1,4 +1,4 @@
-// One node's knowledge of replicas, set by hand: for tests of the parts that read it.
+// A fixture for tests of the classes that read a node's view of the replicas; the tests set this view directly.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -30,7 +30,7 @@
     acceptor.emplace(std::move(record));
   }
 
-  // A peer that is a replica, alive and connected unless it is said otherwise.
+  // Adds a peer with a replica, which is alive and connected by default.
   Peer& add_peer(std::string const& name, MemberState state = MemberState::alive, std::uint64_t connection = 9) {
     Peer& peer = mesh.members.peers[name];
     peer.member.name = name;
@@ -41,7 +41,7 @@
     return peer;
   }
 
-  // A replica answered at 'at' from this disk, which holds nothing yet.
+  // Records an answer of a replica at 'at' from this disk, which holds no copy of the register.
   Learner::Observation& observe(std::string const& name, std::uint64_t disk, Micros at) {
     Learner::Observation& observation = learner.observations[name];
     observation.disk = disk;
@@ -49,7 +49,7 @@
     return observation;
   }
 
-  // Makes a settled set the chosen one.
+  // Adopts a value with these replicas as the settled set.
   void choose_set(std::vector<wire::ReplicaT> const& replicas, Micros now) {
     Membership members;
     members.epoch = ++epoch;
@@ -60,7 +60,7 @@
     learner.adopt(value, now);
   }
 
-  // Polls at 'now' and lets these replicas answer at once: each holds the chosen value under one ballot.
+  // Polls these replicas at 'now'; each answers at once with the chosen value under the same ballot.
   void poll_answered_by(std::vector<wire::ReplicaT> const& replicas, Micros now) {
     std::vector<OutgoingMessage> outgoing;
     std::vector<std::string> names;
--- a/tests/node/replica_set_manager.cc
+++ b/tests/node/replica_set_manager.cc
@@ -1,4 +1,4 @@
-// What the holder of the lease proposes about replicas and router nodes (src/node/replica_set_manager.h).
+// The changes of replicas and router nodes that the holder of the lease proposes (src/node/replica_set_manager.h).
 #include "node/replica_set_manager.h"
 
 #include <gtest/gtest.h>
@@ -13,9 +13,10 @@
 namespace pipit {
 
 namespace {
-constexpr Micros settled = seconds(60);  // long after the node's start, so that whoever is silent counts as lost
+constexpr Micros settled =
+    seconds(60);  // long after the node's start, so that a replica without answers counts as lost
 
-// The node "a" holds a copy; the set is a, b and c on disks 1, 2 and 3, and all of them answered just now.
+// The node "a" holds a copy; the set is a, b and c on disks 1, 2 and 3, and all of them answered at 'settled'.
 struct ManagerFixture : ReplicaFixture {
   ManagerFixture() {
     wire::RecordT record;
@@ -66,20 +67,20 @@
 }
 }  // namespace
 
-TEST(ReplicaSetManager, DoesNothingWhileAllIsWell) {
+TEST(ReplicaSetManager, healthy_set_needs_no_change) {
   ManagerFixture fixture;
   fixture.grant_lease(fixture.set, settled);
   EXPECT_FALSE(fixture.manager.next_change(settled).has_value());
 }
 
-TEST(ReplicaSetManager, ChangesNoMembersWithoutAMajorityOfLeases) {
+TEST(ReplicaSetManager, members_are_not_changed_without_a_majority_of_lease_grants) {
   ManagerFixture fixture;
-  fixture.observe("c", 33, settled);  // it came back on another disk
+  fixture.observe("c", 33, settled);  // it returned with another disk
   fixture.grant_lease({fixture.set[0]}, settled);
   EXPECT_FALSE(fixture.manager.next_change(settled).has_value());
 }
 
-TEST(ReplicaSetManager, AsksForNoLeaseWithoutACopyOrWhileLeaving) {
+TEST(ReplicaSetManager, no_lease_is_requested_without_a_copy_or_while_leaving) {
   ManagerFixture fixture;
   std::vector<OutgoingMessage> outgoing;
   fixture.leaving = true;
@@ -93,7 +94,7 @@
   EXPECT_TRUE(outgoing.empty());
 }
 
-TEST(ReplicaSetManager, ReplacesALostReplicaByASpareOne) {
+TEST(ReplicaSetManager, lost_replica_is_replaced_by_a_spare_one) {
   ManagerFixture fixture;
   fixture.add_peer("d");
   fixture.observe("d", 4, settled);
@@ -106,29 +107,31 @@
   EXPECT_EQ(change->replica.name, "d");
   EXPECT_EQ(change->replica.address, "host-d");
   EXPECT_EQ(change->expected, 1u);
-  // One change at a time.
+  // At most one change is in flight.
   EXPECT_FALSE(fixture.manager.next_change(settled).has_value());
   fixture.manager.finish_change();
   EXPECT_TRUE(fixture.manager.next_change(settled).has_value());
 }
 
-TEST(ReplicaSetManager, ReplacesNobodyWithoutAMajorityOfTheNextSet) {
+TEST(ReplicaSetManager, no_replica_is_replaced_without_a_majority_of_the_next_set) {
   ManagerFixture fixture;
   fixture.add_peer("d");
   fixture.observe("d", 4, settled - seconds(1));
   fixture.observe("c", 3, settled - seconds(3));
-  fixture.observe("b", 2, settled - seconds(2));  // too long ago to count, not long enough to be lost
+  fixture.observe("b", 2,
+                  settled - seconds(2));  // too old to count as an answer, too recent for the replica to be lost
   fixture.observe("a", 1, settled - seconds(2));
   fixture.grant_lease(fixture.set, settled);
   EXPECT_FALSE(fixture.manager.next_change(settled).has_value());
 }
 
-TEST(ReplicaSetManager, GrowsToAnOddNumberWhenAllMembersAnswer) {
+TEST(ReplicaSetManager, set_grows_to_an_odd_size_when_all_members_answer) {
   ManagerFixture fixture;
   fixture.add_peer("d");
   fixture.observe("d", 4, settled);
   fixture.grant_lease(fixture.set, settled);
-  EXPECT_FALSE(fixture.manager.next_change(settled).has_value());  // four make the set no stronger
+  EXPECT_FALSE(
+      fixture.manager.next_change(settled).has_value());  // a set of four tolerates no more losses than one of three
   fixture.add_peer("e");
   fixture.observe("c", 3, settled - millis(800));  // it did not answer the last poll
   EXPECT_FALSE(fixture.manager.next_change(settled).has_value());
@@ -139,7 +142,7 @@
   EXPECT_EQ(change->replica.name, "d");
 }
 
-TEST(ReplicaSetManager, DismissesALostMemberOfASetThatIsTooLarge) {
+TEST(ReplicaSetManager, lost_member_of_an_oversized_set_is_dismissed) {
   ManagerFixture fixture;
   fixture.set.push_back(replica_on_disk("d", 4));
   fixture.choose_set(fixture.set, 0);
@@ -153,7 +156,7 @@
   EXPECT_EQ(change->replica.name, "d");
 }
 
-TEST(ReplicaSetManager, LacksASuccessorUntilASpareReplicaAnswers) {
+TEST(ReplicaSetManager, replacement_is_lacking_until_a_spare_replica_answers) {
   ManagerFixture fixture;
   EXPECT_TRUE(fixture.manager.lacks_replacement(settled));
   fixture.observe("d", 4, settled);
@@ -161,7 +164,7 @@
   EXPECT_TRUE(fixture.manager.lacks_replacement(settled + seconds(2)));
 }
 
-TEST(ReplicaSetManager, EvictsARouterWhoseAddressRefusesForLong) {
+TEST(ReplicaSetManager, router_whose_address_refuses_dials_for_long_is_evicted) {
   ManagerFixture fixture;
   fixture.learner.adopt(value_with_router(*fixture.learner.value, "r", 5), 0);
   Peer& router = fixture.add_peer("r", MemberState::down, 0);
@@ -175,11 +178,11 @@
   EXPECT_EQ(change->type, Change::Type::evict_router);
   EXPECT_EQ(change->registration.name, "r");
   fixture.manager.finish_change();
-  router.member.incarnation = 6;  // a later incarnation was heard of
+  router.member.incarnation = 6;  // a later incarnation is known
   EXPECT_FALSE(fixture.manager.next_change(settled + 1).has_value());
 }
 
-TEST(ReplicaSetManager, RepairsCopiesThatDifferOnceInAGap) {
+TEST(ReplicaSetManager, differing_copies_are_repaired_once_per_interval) {
   ManagerFixture fixture;
   fixture.learner.replicas_differ = true;
   fixture.grant_lease(fixture.set, settled);
@@ -190,7 +193,7 @@
   EXPECT_FALSE(fixture.manager.next_change(settled + 1).has_value());
 }
 
-TEST(ReplicaSetManager, TheProposingReplicaReadsWithoutLeaseWhenNoBallotHasAMajority) {
+TEST(ReplicaSetManager, proposing_replica_reads_without_a_lease_when_no_ballot_has_a_majority) {
   ManagerFixture fixture;
   EXPECT_FALSE(fixture.manager.next_change(settled + millis(1500)).has_value());
   std::optional<Change> const change = fixture.manager.next_change(settled + millis(1500) + 1);
--- a/tests/node/worker_departures.cc
+++ b/tests/node/worker_departures.cc
@@ -1,4 +1,4 @@
-// When the end of a worker is acknowledged: a table of members and entries without sockets.
+// When the end of a worker is acknowledged, given a table of members and entries. Without sockets.
 #include "node/worker_departures.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
       : mesh(MeshSettings{}, member_named("n1"), 1),
         departures("n1", mesh, learner, [this](Micros) { return has_quorum; }) {}
 
-  // A peer with an open connection, which every new entry is sent to.
+  // Adds a peer with an open connection, for which every new entry is queued.
   void connect(std::string const& name) {
     Peer& peer = mesh.members.peers[name];
     peer.member = member_named(name);
@@ -39,11 +39,11 @@
     entry.state = static_cast<std::uint8_t>(WorkerState::ended);
     mesh.put_entry(entry, 0);
   }
-  // The peer acknowledges everything that it was sent.
+  // Sends the peer all pending entries, and acknowledges them in its name.
   void acknowledge(std::string const& name) {
     mesh.entry_replication.acknowledge(name, mesh.entry_replication.next_batch(name, true).batch);
   }
-  // The register's set of replicas, with disks 1, 2, ...
+  // Puts a replica set in force, with the disks 1, 2, ...
   void set_replicas(std::vector<std::string> const& names) {
     Membership members;
     members.epoch = 1;
@@ -76,7 +76,7 @@
 };
 }  // namespace
 
-TEST_F(WorkerDeparturesTest, NodeWithoutPeersAnswersAtOnce) {
+TEST_F(WorkerDeparturesTest, node_without_peers_answers_at_once) {
   write_end();
   std::vector<DepartureAnswer> const answers = add_call(7);
   ASSERT_EQ(answers.size(), 1u);
@@ -85,20 +85,20 @@
   EXPECT_TRUE(answers_at(seconds(10)).empty()) << "a call is answered once";
 }
 
-TEST_F(WorkerDeparturesTest, WaitsForEveryConnectedPeer) {
+TEST_F(WorkerDeparturesTest, answer_waits_for_every_connected_peer) {
   connect("n2");
   connect("n3");
   write_end();
   EXPECT_TRUE(add_call(1).empty());
   acknowledge("n2");
-  EXPECT_TRUE(answers_at(millis(100)).empty()) << "two of three know it, the third is still connected";
+  EXPECT_TRUE(answers_at(millis(100)).empty()) << "two of three nodes have the entry, but the third is connected";
   acknowledge("n3");
   std::vector<DepartureAnswer> const answers = answers_at(millis(200));
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_TRUE(answers[0].acknowledged);
 }
 
-TEST_F(WorkerDeparturesTest, DeadlineDecidesByTheMajorityOfNodes) {
+TEST_F(WorkerDeparturesTest, majority_of_nodes_decides_at_the_deadline) {
   connect("n2");
   connect("n3");
   write_end();
@@ -106,16 +106,16 @@
   EXPECT_TRUE(answers_at(millis(600) - 1).empty());
   std::vector<DepartureAnswer> const refused = answers_at(millis(600));
   ASSERT_EQ(refused.size(), 1u);
-  EXPECT_FALSE(refused[0].acknowledged) << "one of three nodes knows it";
+  EXPECT_FALSE(refused[0].acknowledged) << "one of three nodes has the entry";
 
   EXPECT_TRUE(add_call(2).empty());
   acknowledge("n2");
   std::vector<DepartureAnswer> const accepted = answers_at(millis(600));
   ASSERT_EQ(accepted.size(), 1u);
-  EXPECT_TRUE(accepted[0].acknowledged) << "two of three nodes know it";
+  EXPECT_TRUE(accepted[0].acknowledged) << "two of three nodes have the entry";
 }
 
-TEST_F(WorkerDeparturesTest, QuorumOfReplicasCountsWhereASetIsKnown) {
+TEST_F(WorkerDeparturesTest, quorum_of_replicas_decides_where_a_set_is_known) {
   for (char const* const name : {"n2", "n3", "n4", "n5"}) connect(name);
   set_replicas({"n1", "n2", "n3"});
   write_end();
@@ -124,7 +124,7 @@
   acknowledge("n5");
   std::vector<DepartureAnswer> const refused = answers_at(millis(600));
   ASSERT_EQ(refused.size(), 1u);
-  EXPECT_FALSE(refused[0].acknowledged) << "three of five nodes know it, but one replica of three";
+  EXPECT_FALSE(refused[0].acknowledged) << "three of five nodes have the entry, but only one replica of three";
 
   EXPECT_TRUE(add_call(2).empty());
   acknowledge("n2");
@@ -133,7 +133,7 @@
   EXPECT_TRUE(accepted[0].acknowledged);
 }
 
-TEST_F(WorkerDeparturesTest, IsConnectedWithHalfOfTheNodesThatMayRun) {
+TEST_F(WorkerDeparturesTest, node_is_connected_with_half_of_the_nodes_that_may_run) {
   EXPECT_TRUE(departures.is_connected(0)) << "alone";
   connect("n2");
   connect("n3");
