--- a/src/mesh/anti_entropy.cc
+++ b/src/mesh/anti_entropy.cc
@@ -3,7 +3,8 @@
 namespace pipit {
 
 namespace {
-constexpr Micros quiet_period = seconds(1);
+constexpr Micros min_interval = seconds(1);  // between two exchanges
+constexpr Micros quiet_period = seconds(1);  // a digest that changed within it counts as still changing
 constexpr Micros min_interval_while_changing = millis(1500);
 }  // namespace
 
@@ -12,7 +13,7 @@
     digest_ = own_digest;
     changed_at_ = now;
   }
-  if (own_digest == peer_digest || now - last_exchange_ < quiet_period) return false;
+  if (own_digest == peer_digest || now - last_exchange_ < min_interval) return false;
   if (now - changed_at_ < quiet_period && now - last_exchange_ < min_interval_while_changing) return false;
   last_exchange_ = now;
   return true;
--- a/src/mesh/anti_entropy.h
+++ b/src/mesh/anti_entropy.h
@@ -1,10 +1,11 @@
-// When two nodes whose digests differ exchange everything they know, in a large fleet (§3.6).
+// Limits how often nodes of a large fleet whose digests differ exchange all of their records (§3.6).
 //
-// Job: keeps full exchanges rare, and holds them back while a change is still spreading, because digests differ then by
-// themselves.
-// State: this node's digest with when it last changed, and when the last exchange was.
+// Job: keeps full exchanges rare, and delays them while a change is still spreading, because digests differ during that
+// time without any record being lost.
+// State: this node's digest and the time of its last change, and the time of the last exchange.
 // Thread: the node's loop only.
-// Invariant: two exchanges are at least 'calm' apart, and 'gap' while this node's own digest is changing.
+// Invariant: two exchanges are at least 'min_interval' apart, and 'min_interval_while_changing' if this node's own
+// digest changed within 'quiet_period'.
 #pragma once
 #include <cstdint>
 
@@ -12,9 +13,11 @@
 
 namespace pipit {
 
+// A rate limiter for full exchanges of one kind of record.
 class AntiEntropyLimiter {
  public:
-  // Whether to exchange everything now with a peer of digest 'peer_digest'; if so, the time counts as the last exchange.
+  // Whether to start a full exchange now with a peer that reported 'peer_digest'. If so, 'now' is recorded as the time
+  // of the last exchange.
   bool allow_exchange(std::uint64_t own_digest, std::uint64_t peer_digest, Micros now);
 
  private:
--- a/src/mesh/connections/connection_table.cc
+++ b/src/mesh/connections/connection_table.cc
@@ -8,8 +8,8 @@
 namespace pipit {
 
 namespace {
-constexpr Micros hello_timeout = seconds(5);
-constexpr Micros backoff_per_peer = millis(50);  // of a large fleet, so that dials to lost peers stay a steady trickle
+constexpr Micros hello_timeout = seconds(5);     // since the connection opened
+constexpr Micros backoff_per_peer = millis(50);  // in a large fleet, bounds the rate of dials to lost peers
 }  // namespace
 
 ConnectionTable::ConnectionTable(MeshSettings const& settings, MemberTable& members, EntryReplication& replication)
@@ -52,7 +52,7 @@
     if (item.second.peer == name) peer.connection = item.first;
   if (peer.connection != 0) return name;
   peer.disconnected_since = now;
-  peer.next_dial = now;  // a connection that ends may mean that the peer failed: it is dialled at once (§3.4)
+  peer.next_dial = now;  // the peer may have failed, so it is dialled at once (§3.4)
   peer.dial_backoff = 0;
   replication_.remove_peer(name);
   return name;
@@ -77,13 +77,13 @@
   connections_.erase(id);
 }
 
-// §3.2: of two connections the one stays that the name sorting first opened. Of two by the same opener only the opener
-// closes one: the two sides may have seen them in different orders.
+// §3.2: of two connections the one opened by the node whose name sorts first is kept. If the same node opened both,
+// only that node closes one of them, because the two sides may have seen them in different orders.
 bool ConnectionTable::resolve_duplicate(ConnectionId id, Peer& peer, Micros now, ConnectionEffects& out) {
   Connection const& present = connections_.at(peer.connection);
   Connection const& added = connections_.at(id);
-  // A peer dials only when it has no connection. So an older one is left from a former incarnation or from a cut,
-  // unless both sides dialled in the same moment.
+  // A peer dials only when it has no connection. So an older connection is left over from a previous incarnation or
+  // from a network partition, unless both sides dialled at about the same time.
   bool const stale =
       present.peer_incarnation != added.peer_incarnation || now - present.opened_at > settings_.probe_interval;
   if (stale) {
@@ -122,7 +122,7 @@
   peer.dial_backoff = std::clamp(peer.dial_backoff * 2, settings_.dial_backoff_min,
                                  std::max(settings_.dial_backoff_min, max_peer_backoff()));
   peer.next_dial = now + peer.dial_backoff;
-  // Another name is connected from this address: the machine was replaced, and this peer is not there any more (§3.3).
+  // A node with another name is connected at this address: the machine was replaced, and this peer is gone (§3.3).
   for (std::pair<std::string const, Peer> const& item : members_.peers)
     if (item.second.connection != 0 && item.second.member.address == peer.member.address) {
       peer.set_dial_refused(true, now);
@@ -137,14 +137,16 @@
     Peer& peer = item.second;
     if (peer.connection != 0 || peer.state() == MemberState::leaving) continue;
     if (peer.state() == MemberState::down && !guard(Guard::redial)) continue;
-    // The name that sorts first opens the pair's connection; the other dials when none has come in time (§3.2).
+    // The node whose name sorts first opens the pair's connection; the other one dials when none was opened in time
+    // (§3.2).
     bool const is_opener = members_.self.name < item.first;
     if (is_opener || now - peer.disconnected_since > settings_.probe_interval) dial(peer, now, out);
   }
   dial_seeds(now, out);
 }
 
-// Whether a seed needs no dial: a member is known at its address, or a connection to it is open or being opened.
+// Whether a seed need not be dialled: a member that is not leaving, or is being dialled, is known at its address, or a
+// connection that was dialled to the address is open.
 bool ConnectionTable::is_seed_reachable(std::string const& address) const {
   for (std::pair<std::string const, Peer> const& item : members_.peers) {
     if (item.second.member.address != address) continue;
--- a/src/mesh/connections/connection_table.h
+++ b/src/mesh/connections/connection_table.h
@@ -1,11 +1,11 @@
-// The connections to peers, and the dialling of those that are missing (§3.2).
+// The connections to peers, and the dials that establish missing ones (§3.2).
 //
 // Job: keeps one connection for each pair of nodes, dials peers and seeds with backoff, and sends frames to peers.
-// State: the open connections, and the seeds with their backoff. A peer's backoff and the number of its connection are
-// in its record in the member table.
+// State: the open connections, and the seeds with their backoff. A peer's backoff and the id of its connection are in
+// its record in the member table.
 // Thread: the node's loop only.
-// Invariants: a peer's 'connection' is 0 or an open connection that greeted with the peer's name; entries are queued
-// for a peer exactly while it has a connection.
+// Invariants: a peer's 'connection' is 0 or an open connection on which a Hello with the peer's name was received;
+// entries are queued for a peer exactly while it has a connection.
 #pragma once
 #include <map>
 #include <string>
@@ -21,15 +21,16 @@
 
 // One open connection. Times are in microseconds.
 struct Connection {
-  std::string peer;  // its name; empty before it greeted
-  bool outbound = false;
-  std::string address;  // the one that was dialled; empty for an inbound connection
+  std::string peer;       // the peer's name; empty before its Hello
+  bool outbound = false;  // dialled by this node
+  std::string address;    // the dialled address; empty for an inbound connection
   Micros opened_at = 0;
-  Micros last_received = 0;
-  std::uint64_t peer_incarnation = 0;  // the peer's incarnation when it greeted
+  Micros last_received = 0;            // the time of the last received frame, or of the opening
+  std::uint64_t peer_incarnation = 0;  // the peer's incarnation in its Hello
   std::uint64_t sent_version = 0;      // the member table's version when it was last sent on this connection
 };
 
+// The references passed to the constructor must outlive the object.
 class ConnectionTable {
  public:
   ConnectionTable(MeshSettings const& settings, MemberTable& members, EntryReplication& replication);
@@ -37,21 +38,23 @@
   // Replaces the seeds; those that stay keep their backoff.
   void set_seeds(std::vector<std::string> const& addresses);
 
+  // Adds an open connection, on which the peer's Hello is still to come.
   void add(ConnectionId id, bool outbound, std::string const& address, Micros now);
-  // A connection ended by itself. Returns the name of its peer; empty when there was none.
+  // Removes a connection that the peer or an error closed. Returns the name of its peer; empty if it is unknown.
   std::string remove(ConnectionId id, Micros now);
   // Closes a connection from this side.
   void close(ConnectionId id, Micros now, ConnectionEffects& out);
-  // Closes connections that did not greet in time, and those that were silent for too long.
+  // Closes connections without a Hello within the timeout, and those that received nothing for the idle timeout.
   void close_idle(Micros now, ConnectionEffects& out);
-  // Makes a connection that greeted the peer's; of two connections one is closed. False when this one was closed.
+  // Binds a connection to the peer that sent its Hello on it. If the peer has another connection, one of the two is
+  // closed; false when it is this one.
   bool bind(ConnectionId id, Peer& peer, Micros now, ConnectionEffects& out);
 
-  // Dials a peer, unless it is connected, being dialled or within its backoff.
+  // Dials a peer, unless it is connected, is being dialled, or its backoff has not expired.
   void dial(Peer& peer, Micros now, ConnectionEffects& out);
-  // Dials every peer and seed that is due.
+  // Dials every disconnected peer and seed whose backoff has expired.
   void dial_missing(Micros now, ConnectionEffects& out);
-  // A dial ended, with a connection or without: the seed of that address may be dialled again.
+  // Records that the dial of an address ended, with or without a connection, so that a seed there may be dialled again.
   void end_seed_dial(std::string const& address);
 
   // Sends a message to a peer; false when it has no connection.
@@ -63,16 +66,16 @@
     return true;
   }
 
-  // Null for a connection that is not open.
+  // The connection; null if it is not open. Owned by the table.
   Connection* find(ConnectionId id);
   bool is_open(ConnectionId id) const { return connections_.count(id) > 0; }
   std::size_t size() const { return connections_.size(); }
-  // When the connection last brought a frame; 0 for one that is not open.
+  // The time of the last frame received on the connection; 0 if it is not open.
   Micros last_received(ConnectionId id) const;
-  // The zone of a connection's peer; empty before it greeted.
+  // The zone of a connection's peer; empty before the peer's Hello.
   std::string zone_of(ConnectionId id) const;
-  // The latest time at which at least half of all members that may be serving, this node with them, had been heard; -1
-  // when half of them have no connection here (§4.3).
+  // The latest time t such that at least half of all members that may be serving, this node included, sent it a frame
+  // at t or later; -1 when more than half of them have no connection to this node (§4.3).
   Micros last_contact_with_half(Micros now) const;
 
  private:
--- a/src/mesh/effects.h
+++ b/src/mesh/effects.h
@@ -1,5 +1,5 @@
-// What the mesh asks of the process around it: connections to dial and to close, frames to send. The mesh itself does
-// no I/O (§2.2), so that simulators can run it on a virtual network.
+// The I/O that the mesh requests from the process: connections to dial and to close, and frames to send. The mesh
+// itself does no I/O (§2.2), so that simulators can run it on a virtual network.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -7,14 +7,14 @@
 
 namespace pipit {
 
-// A number that the process gives to each connection; it is never used twice, and 0 names none.
+// The id that the process assigns to a connection. Ids are never reused, and 0 stands for no connection.
 using ConnectionId = std::uint64_t;
 
-// Collected during one call into the node and carried out, in this order, after it returned.
+// Collected during one call into the node and carried out after it returns, in the order of the members.
 struct ConnectionEffects {
   struct OutgoingFrame {
     ConnectionId connection;
-    std::string bytes;  // with the four bytes of length in front
+    std::string bytes;  // the encoded frame with its length prefix
   };
   std::vector<std::string> dial_addresses;  // IP:port
   std::vector<OutgoingFrame> outgoing_frames;
--- a/src/mesh/entries/entry_replication.cc
+++ b/src/mesh/entries/entry_replication.cc
@@ -4,7 +4,7 @@
 
 namespace {
 constexpr std::size_t batch_limit = 256;    // entries in one frame
-constexpr std::size_t in_flight_limit = 8;  // batches of one peer whose acks still count
+constexpr std::size_t in_flight_limit = 8;  // batches of one peer whose acknowledgements are still accepted
 }  // namespace
 
 void EntryReplication::enqueue_all(std::string const& peer) {
@@ -55,7 +55,7 @@
   }
   if (sent.empty()) return out;
   out.batch = ++last_batch_;
-  // An ack for an older batch is ignored; its entries are sent again in a batch with a number of its own.
+  // The acknowledgement of an older batch will be ignored; its entries are resent in a batch with a new number.
   while (queue.in_flight.size() >= in_flight_limit) queue.in_flight.erase(queue.in_flight.begin());
   queue.in_flight[out.batch] = std::move(sent);
   return out;
--- a/src/mesh/entries/entry_table.cc
+++ b/src/mesh/entries/entry_table.cc
@@ -13,7 +13,8 @@
          a.state == b.state && a.slots == b.slots;
 }
 
-// Whether an entry is forgotten after a while: one of an ended worker, or a report of a node that is not the owner.
+// Whether an entry is removed after some time: the entry of an ended worker, or a report of a node that is not the
+// owner.
 bool expires(wire::EntryT const& entry) {
   return entry.state == static_cast<std::uint8_t>(WorkerState::ended) || is_secondary_report(entry.key);
 }
--- a/src/mesh/entries/entry_table.h
+++ b/src/mesh/entries/entry_table.h
@@ -1,10 +1,11 @@
 // The replicated table of worker entries.
 //
 // Job: holds one entry for each key; of two writes the one with the higher Lamport clock wins, then the one whose
-// owner's name sorts last (§3.5). Who is sent an entry is EntryReplication's job.
-// State: the entries, the Lamport clock, and when each entry that is to be forgotten was written.
+// owner's name sorts last (§3.5). EntryReplication decides which peers an entry is sent to.
+// State: the entries, the Lamport clock, and the write time of each entry that expires.
 // Thread: the node's loop only.
-// Invariants: an entry is replaced only by one of a higher (stamp, owner); the clock is never behind a stamp seen.
+// Invariants: an entry is replaced only by one with a higher (stamp, owner); the clock is never behind a received
+// stamp.
 #pragma once
 #include <map>
 #include <string>
@@ -14,23 +15,28 @@
 
 namespace pipit {
 
+// The state of a worker in its entry; the numbers are sent between nodes.
 enum class WorkerState : std::uint8_t { serving, draining, ended };
 
-// An entry's key is its worker, or "worker!node" for what a node reports besides the worker's owner (§4.3).
+// An entry's key is the name of its worker, or "worker!node" for the report of a node that is not the worker's owner
+// (§4.3).
 inline bool is_secondary_report(std::string const& key) { return key.find('!') != std::string::npos; }
+// The name of the worker that an entry's key refers to.
 inline std::string worker_of(std::string const& key) { return key.substr(0, key.find('!')); }
 
+// One node's copy of the replicated table.
 class EntryTable {
  public:
+  // 'self' is this node's name.
   explicit EntryTable(std::string self) : self_(std::move(self)) {}
 
-  // Writes an entry as this node; false when the table already holds the same as this node's own.
+  // Writes an entry with this node as its owner; false when the table already holds an equal entry of this node.
   bool put(wire::EntryT entry, Micros now);
-  // Takes a peer's entry; false when it is malformed or not newer than the one held.
+  // Merges an entry that a peer sent; false when it is malformed or not newer than the one held.
   bool merge(wire::EntryT const& entry, Micros now);
-  // Forgets entries of ended workers, and secondary reports, that were written longer ago than 'age'.
+  // Removes entries of ended workers and secondary reports that were written more than 'age' microseconds ago.
   void forget(Micros now, Micros age);
-  // One number for all entries that do not expire: equal where two nodes hold the same (§3.6).
+  // A hash over all entries that do not expire; equal on two nodes that hold the same entries (§3.6).
   std::uint64_t digest() const;
 
   std::map<std::string, wire::EntryT> const& all() const { return entries_; }
@@ -42,7 +48,7 @@
   std::string const self_;  // this node's name
   std::uint64_t clock_ = 0;
   std::map<std::string, wire::EntryT> entries_;
-  std::map<std::string, Micros> expirable_since_;  // keys of entries that are forgotten after a while
+  std::map<std::string, Micros> expirable_since_;  // write times of the entries that expire, by key
 };
 
 }  // namespace pipit
--- a/src/mesh/frame.cc
+++ b/src/mesh/frame.cc
@@ -23,8 +23,10 @@
 
 Result<std::unique_ptr<wire::FrameT>> decode_frame(std::string_view bytes) {
   std::size_t const size = announced_length(bytes);
-  if (size == 0 || size + 4 != bytes.size()) return fail(ErrorCode::bad_request, "the frame's length is wrong");
-  // A frame that came behind another lies at any address; numbers are read from their own alignment only.
+  if (size == 0 || size + 4 != bytes.size())
+    return fail(ErrorCode::bad_request, "the frame's length prefix does not match its size");
+  // A frame that follows another in a buffer may start at any address, but FlatBuffers reads numbers at their natural
+  // alignment.
   std::string aligned;
   if (reinterpret_cast<std::uintptr_t>(bytes.data()) % alignof(std::uint64_t) != 0) {
     aligned.assign(bytes);
@@ -32,7 +34,7 @@
   }
   flatbuffers::Verifier check(reinterpret_cast<std::uint8_t const*>(bytes.data()), bytes.size(), 16, 2000000);
   if (!check.VerifySizePrefixedBuffer<wire::Frame>(nullptr))
-    return fail(ErrorCode::bad_request, "the frame does not verify");
+    return fail(ErrorCode::bad_request, "the frame is not a valid FlatBuffers message");
   std::unique_ptr<wire::FrameT> frame(flatbuffers::GetSizePrefixedRoot<wire::Frame>(bytes.data())->UnPack());
   if (frame->body.type == wire::Body::NONE || frame->body.value == nullptr)
     return fail(ErrorCode::bad_request, "the frame has no body");
--- a/src/mesh/frame.h
+++ b/src/mesh/frame.h
@@ -1,4 +1,5 @@
-// Frames: encoded, bounded and checked before anything looks inside (§3.2).
+// Encoding and decoding of mesh frames. A received frame's length and structure are verified before its content is used
+// (§3.2).
 #pragma once
 #include <memory>
 #include <string>
@@ -9,12 +10,14 @@
 
 namespace pipit {
 
+// The largest body of a frame, without the length prefix.
 constexpr std::size_t max_frame_bytes = 8u << 20;
-// The version of the frames between processes; processes of two versions do not talk (docs/control.md).
+// The version of the frame format; processes with different versions do not connect (docs/control.md).
 constexpr std::uint32_t frame_format_version = 4;
 
-// A frame as it crosses a connection: four bytes of length, little end first, then the FlatBuffers body.
+// Encodes a frame for a connection: four bytes of body length, little-endian, followed by the FlatBuffers body.
 std::string encode_frame(wire::FrameT const& frame);
+// Encodes a frame whose body is this message.
 template <class T>
 std::string encode_message(T&& body) {
   wire::FrameT frame;
@@ -22,11 +25,12 @@
   return encode_frame(frame);
 }
 
-// The length that the first four bytes announce, or 0 when it is not to be believed.
+// The body length given by the first four bytes; 0 when there are fewer bytes or the length is out of range.
 std::size_t announced_length(std::string_view head);
-// The kind of a whole frame with its four bytes of length that this process encoded or that was decoded already.
+// The body type of a complete frame with its length prefix. Not verified: only for frames that this process encoded or
+// has already decoded.
 wire::Body body_type_of(std::string_view bytes);
-// Takes one whole frame with its four bytes of length.
+// Decodes one complete frame with its length prefix; ErrorCode::bad_request when it is malformed.
 Result<std::unique_ptr<wire::FrameT>> decode_frame(std::string_view bytes);
 
 }  // namespace pipit
--- a/src/mesh/membership/failure_detector.cc
+++ b/src/mesh/membership/failure_detector.cc
@@ -6,8 +6,9 @@
 namespace pipit {
 
 namespace {
-constexpr int indirect_probe_limit = 3;              // members that are asked to probe one that did not answer
-constexpr Micros inactivity_per_peer = millis(200);  // of a large fleet, so that silent pairs are probed by turns
+constexpr int indirect_probe_limit = 3;  // members that probe one that did not answer a direct probe
+constexpr Micros inactivity_per_peer =
+    millis(200);  // in a large fleet, so that inactive connections are probed in turn
 }  // namespace
 
 Micros FailureDetector::inactivity_limit() const {
@@ -58,7 +59,7 @@
   }
 }
 
-// Asks a few other members to probe one that did not answer; false when there is nobody to ask.
+// Requests a few other members to probe one that did not answer; false when no other member is available.
 bool FailureDetector::probe_indirectly(std::string const& name, std::uint64_t seq, ConnectionEffects& out) {
   std::vector<std::string> candidates;
   for (std::pair<std::string const, Peer> const& item : members_.peers)
@@ -77,7 +78,8 @@
   return asked > 0;
 }
 
-// §3.4: a connection that stayed silent through a direct probe is given up and dialled anew, while others probe too.
+// §3.4: a connection that stayed inactive during a direct probe is closed and dialled again, while other members probe
+// the member as well.
 void FailureDetector::close_inactive_connection(std::string const& name, Micros now, ConnectionEffects& out) {
   std::map<std::string, Peer>::const_iterator const position = members_.peers.find(name);
   if (position == members_.peers.end() || position->second.connection == 0) return;
--- a/src/mesh/membership/failure_detector.h
+++ b/src/mesh/membership/failure_detector.h
@@ -1,11 +1,10 @@
 // SWIM's failure detector: direct probes, indirect probes through other members, suspicion (§3.4).
 //
-// Job: probes a random member and the suspected ones each round, and members whose connection is silent; answers and
-// relays probes of others; moves a member that does not answer from ALIVE to SUSPECTED to DOWN.
-// State: probes of this node and probes relayed for others, both under way, by sequence number.
+// Job: probes a random member and all suspected members each round, and members whose connection is inactive; relays
+// indirect probes for other members; moves a member that does not answer from ALIVE to SUSPECTED to DOWN.
+// State: the probes in flight of this node, and the probes relayed for other members, by sequence number.
 // Thread: the node's loop only.
-// Invariants: at most one probe of a member is under way; a member's state gets worse by one step for each failed
-// probe.
+// Invariants: at most one probe of a member is in flight; each failed probe worsens a member's state by one step.
 #pragma once
 #include <map>
 #include <string>
@@ -16,6 +15,7 @@
 
 namespace pipit {
 
+// The references passed to the constructor must outlive the object.
 class FailureDetector {
  public:
   FailureDetector(MeshSettings const& settings, MemberTable& members, EntryTable const& entries,
@@ -27,28 +27,31 @@
         gossip_(gossip),
         random_(random) {}
 
-  // Probes a member unless a probe of it is under way; one without a connection is dialled instead.
+  // Probes a member unless a probe of it is in flight; a member without a connection is dialled instead of pinged.
   void probe(Peer& peer, Micros now, ConnectionEffects& out);
-  // One round: each suspected member and a random one of those that are alive.
+  // Runs one round: probes each suspected member and one random member that is alive.
   void probe_round(Micros now, ConnectionEffects& out);
-  // Probes the members that are alive and whose connection is silent.
+  // Probes the members that are alive and whose connection has been inactive for longer than the limit.
   void probe_inactive(Micros now, ConnectionEffects& out);
-  // Ends the probes that were not answered in time: a direct one goes on through others, an indirect one has failed.
+  // Handles the probes whose deadline has passed: a direct probe is followed by indirect ones through other members; an
+  // indirect probe has failed.
   void expire_probes(Micros now, ConnectionEffects& out);
 
-  // A member sent a pong; it may answer a probe of this node or one that is relayed.
+  // Handles a member's pong, which answers a probe of this node or one relayed for another member.
   void handle_pong(std::string const& from, wire::PongT const& pong, Micros now, ConnectionEffects& out);
+  // Relays a probe for the peer on connection 'id'; ignored when the target has no connection to this node.
   void handle_indirect_ping(ConnectionId id, wire::IndirectPingT const& request, Micros now, ConnectionEffects& out);
+  // Handles the result of an indirect probe of this node.
   void handle_indirect_pong(wire::IndirectPongT const& reply, Micros now);
-  // A member greeted this node, which answers any probe of it.
+  // Cancels the probes of a member that sent its Hello and is therefore alive.
   void handle_hello(std::string const& name) { cancel_probes(name); }
-  // A dial failed; a refused one shows that no process is there, so that the member's probe fails at once.
+  // A dial failed. A refused dial shows that no process listens at the address, so the member's probe fails at once.
   void dial_failed(std::string const& address, bool refused, Micros now, ConnectionEffects& out);
 
  private:
   struct Probe {
     std::string peer;
-    bool indirect = false;
+    bool indirect = false;  // the direct probe timed out, and other members probe on behalf of this node
     Micros deadline = 0;
   };
   struct RelayedProbe {
--- a/src/mesh/membership/gossip.cc
+++ b/src/mesh/membership/gossip.cc
@@ -5,11 +5,11 @@
 namespace pipit {
 
 namespace {
-constexpr std::uint64_t full_table_interval = 16;  // one in so many tables of pings and pongs holds all records
-constexpr std::size_t piggyback_limit = 12;        // records with one ping or pong
-constexpr int observed_change_sends_base = 3;              // a finding is piggybacked so often, and
-constexpr int observed_change_sends_per_doubling = 3;      // so much more for each doubling of the fleet
-constexpr int received_record_sends = 6;                   // a record that a peer sent is piggybacked so often
+constexpr std::uint64_t full_table_interval = 16;      // one of this many pings and pongs carries all records
+constexpr std::size_t piggyback_limit = 12;            // records carried by one ping or pong
+constexpr int observed_change_sends_base = 3;          // piggybacked sends of a change that this node observed,
+constexpr int observed_change_sends_per_doubling = 3;  // plus this many for each doubling of the fleet's size
+constexpr int received_record_sends = 6;               // piggybacked sends of a record that a peer sent
 }  // namespace
 
 void MembershipGossip::broadcast(wire::MemberT const& record, ConnectionEffects& out) {
@@ -21,8 +21,8 @@
   }
 }
 
-// §3.6: many nodes find the same at the same time; if each of them broadcast it, the messages would grow with the
-// square of the fleet.
+// §3.6: many nodes observe the same change at the same time; if each of them broadcast it, the number of messages would
+// grow with the square of the fleet's size.
 void MembershipGossip::disseminate(wire::MemberT const& record, ConnectionEffects& out) {
   if (!is_large_fleet()) return broadcast(record, out);
   int sends = observed_change_sends_base;
@@ -52,8 +52,8 @@
   return out;
 }
 
-// A connection keeps its order and loses nothing, so what was sent on it need not be sent again; the full table once in
-// a while repairs what a peer has forgotten since (§3.3).
+// A connection is ordered and reliable, so records that were sent on it need not be sent again; the periodic full table
+// restores records that the peer has removed since (§3.3).
 MemberRecords MembershipGossip::records_for(ConnectionId id, bool all) {
   Connection* const connection = connections_.find(id);
   if (connection == nullptr) return members_.records_since();
@@ -81,11 +81,11 @@
     MemberTable::MergeResult const result = members_.merge(*record, now);
     if (result == MemberTable::MergeResult::refuted) broadcast(members_.self, out);
     if (result != MemberTable::MergeResult::changed) continue;
-    // A table of more records is an exchange of everything; what it brings is known to most already.
+    // A larger table is a full exchange, whose records most members know already.
     if (is_large_fleet() && records.size() <= piggyback_limit) piggybacked_[record->name] = received_record_sends;
     std::map<std::string, Peer>::const_iterator const position = members_.peers.find(record->name);
     if (position == members_.peers.end() || position->second.connection == 0) continue;
-    // A peer that started anew cannot have the connection of its former incarnation.
+    // A peer that restarted cannot still hold the connection of its previous incarnation.
     ConnectionId const id = position->second.connection;
     Connection const* const connection = connections_.find(id);
     if (connection != nullptr && connection->peer_incarnation < record->incarnation) connections_.close(id, now, out);
--- a/src/mesh/membership/gossip.h
+++ b/src/mesh/membership/gossip.h
@@ -1,10 +1,10 @@
 // Dissemination of member records: broadcast, gossip, and records piggybacked on pings and pongs (§3.3, §3.6).
 //
-// Job: decides which records go to whom, and merges those that peers send.
-// State: in a large fleet, the members whose records are piggybacked, each with how often it still is; a count of the
-// tables that were sent with pings.
+// Job: decides which records are sent to which peers, and merges the records that peers send.
+// State: in a large fleet, the members whose records are piggybacked, each with its number of remaining sends; the
+// number of tables that were sent with pings and pongs.
 // Thread: the node's loop only.
-// Invariant: in a small fleet every change reaches a connected peer at once or with the next ping; in a large one a
+// Invariant: in a small fleet every change reaches a connected peer at once or with the next ping; in a large fleet a
 // node broadcasts only its own record.
 #pragma once
 #include <map>
@@ -19,6 +19,7 @@
 
 using MemberRecords = std::vector<std::unique_ptr<wire::MemberT>>;
 
+// The references passed to the constructor must outlive the object.
 class MembershipGossip {
  public:
   MembershipGossip(MeshSettings const& settings, MemberTable& members, ConnectionTable& connections,
@@ -27,16 +28,18 @@
 
   // Sends a record to all connected peers.
   void broadcast(wire::MemberT const& record, ConnectionEffects& out);
-  // Spreads what this node found out about another: to all, or in a large fleet to some and to the rest with pings.
+  // Disseminates a record of another member after this node changed its state: to all connected peers, or in a large
+  // fleet to some of them at once and to the rest piggybacked on pings.
   void disseminate(wire::MemberT const& record, ConnectionEffects& out);
-  // The records for a ping or pong on a connection: what changed since the last ones on it, now and then all; in a
-  // large fleet those that are piggybacked.
+  // The records to send with a ping or pong on a connection: those that changed since the last ones sent on it, and
+  // periodically all; in a large fleet the piggybacked ones.
   MemberRecords records_for_ping(ConnectionId id);
-  // The piggybacked records, at most twelve; each call uses up one of their turns.
+  // The records to piggyback on the next message, at most twelve; each returned record has one remaining send less.
   MemberRecords next_piggybacked_records();
-  // Answers a peer's greeting with what it may not know; it contradicts what is wrong about itself (§3.3).
+  // Answers a peer's Hello with the records that it may lack, including its own record as known here, which the peer
+  // refutes if it is wrong (§3.3).
   void answer_hello(ConnectionId id, wire::HelloT const& hello, ConnectionEffects& out);
-  // Merges records that a peer sent, and closes connections to former incarnations.
+  // Merges records that a peer sent, and closes connections to previous incarnations of members.
   void merge(MemberRecords const& records, Micros now, ConnectionEffects& out);
 
  private:
@@ -48,7 +51,7 @@
   ConnectionTable& connections_;
   RandomSource& random_;
   std::uint64_t ping_tables_sent_ = 0;
-  std::map<std::string, int> piggybacked_;  // names, with how many more times each is sent
+  std::map<std::string, int> piggybacked_;  // remaining sends of a member's record, by the member's name
 };
 
 }  // namespace pipit
--- a/src/mesh/membership/member_table.cc
+++ b/src/mesh/membership/member_table.cc
@@ -38,8 +38,8 @@
 }
 }  // namespace
 
-// §3.3: a record of this node itself. One of a later incarnation only raises the incarnation, one with a wrong state is
-// refuted by a higher bump.
+// §3.3: merges a record of this node itself. A record of a later incarnation makes this node use a still later one; a
+// record with a wrong state is refuted by a higher bump.
 MemberTable::MergeResult MemberTable::merge_self(wire::MemberT const& record) {
   bool const later = record.incarnation > self.incarnation;
   bool const wrong = record.incarnation == self.incarnation && record.bump >= self.bump && record.state != self.state;
@@ -62,7 +62,8 @@
 }
 
 MemberTable::MergeResult MemberTable::merge(wire::MemberT const& record, Micros now) {
-  if (record.name.empty() || record.state > static_cast<std::uint8_t>(MemberState::leaving)) return MergeResult::unchanged;
+  if (record.name.empty() || record.state > static_cast<std::uint8_t>(MemberState::leaving))
+    return MergeResult::unchanged;
   if (record.name == self.name) return merge_self(record);
   std::map<std::string, std::uint64_t>::const_iterator const eviction = evicted.find(record.name);
   if (eviction != evicted.end() && record.incarnation <= eviction->second) return MergeResult::unchanged;
@@ -72,13 +73,15 @@
   if (precedence(record) <= precedence(peer.member)) return MergeResult::unchanged;
   MemberState const old = peer.state();
   if (record.incarnation > peer.member.incarnation) peer.set_dial_refused(false, now);
-  // A higher bump alone, as with each change of the register, is sent by the peer itself to whom it has a connection.
+  // A change of the bump alone, as after each change of the register, does not count: the peer itself sends it to all
+  // peers to which it is connected.
   if (record.incarnation != peer.member.incarnation || record.state != peer.member.state ||
       record.address != peer.member.address)
     peer.version = ++version;
   if (record.address != peer.member.address) {
     peer.next_dial = 0;
-    peer.dialling = false;  // the dial under way goes to the old address, and its end will not be matched to this peer
+    peer.dialling =
+        false;  // the dial in progress is to the old address, so its result will not be matched to this peer
   }
   peer.member = record;
   if (peer.state() != old) {
@@ -100,7 +103,7 @@
   if (registration.name == self.name) return;
   std::map<std::string, Peer>::iterator const position = peers.find(registration.name);
   if (position != peers.end() && position->second.member.incarnation >= registration.incarnation) return;
-  // An incarnation that this node has not heard of: it is dialled, and an older refusal does not count against it.
+  // This incarnation is new to this node: it is dialled, and a refused dial of an earlier incarnation no longer counts.
   Peer& peer = peers[registration.name];
   bool const added = peer.member.name.empty();
   if (added || peer.connection == 0 || peer.member.address != registration.address) peer.version = ++version;
--- a/src/mesh/membership/member_table.h
+++ b/src/mesh/membership/member_table.h
@@ -1,11 +1,11 @@
 // The table of members, in SWIM's states with incarnations (§3.3).
 //
-// Job: holds this node's own record and one record for each peer, merges the records that others send, and says what
-// changed since a version.
+// Job: holds this node's own record and one record for each peer, merges the records that peers send, and returns the
+// records that changed since a version.
 // State: the records, the evicted incarnations of routers, and a version that counts changes.
 // Thread: the node's loop only.
-// Invariants: of two records of one member the one with the higher (incarnation, bump, state) wins; this node's own
-// record is changed by this node alone; a peer with a connection is never removed.
+// Invariants: of two records of one member the one with the higher (incarnation, bump, state) wins; only this node
+// changes its own record; a peer with a connection is never removed.
 #pragma once
 #include <map>
 #include <string>
@@ -16,24 +16,27 @@
 
 namespace pipit {
 
+// A member's state; the numbers are sent between nodes, and a higher one wins within one incarnation and bump.
 enum class MemberState : std::uint8_t { alive, suspected, down, leaving };
+// The kind of process that a member runs; the numbers are sent between nodes.
 enum class MemberRole : std::uint8_t { router, config_store };
 // The state's name in status pages and metrics.
 char const* state_name(MemberState state);
 
-// A peer as this node knows it. Times are in microseconds on this node's clock.
+// This node's view of a peer. Times are in microseconds on this node's clock.
 struct Peer {
   wire::MemberT member;
-  Micros state_since = 0;         // when its state last changed here
-  std::uint64_t connection = 0;   // the pair's connection, 0 for none
-  Micros disconnected_since = 0;  // since when there is no connection
-  Micros next_dial = 0;           // not dialled before this
+  Micros state_since = 0;         // the time of the last change of its state in this table
+  std::uint64_t connection = 0;   // the id of the connection to the peer, 0 for none
+  Micros disconnected_since = 0;  // the time at which the last connection ended
+  Micros next_dial = 0;           // the earliest time of the next dial
   Micros dial_backoff = 0;        // the last pause between two dials
-  bool dialling = false;
-  bool dial_refused = false;    // its address refused a dial since it was last heard: no process is there
-  Micros dial_refused_at = -1;  // when dial_refused last changed; -1 for never
-  std::uint64_t version = 0;    // the table's version when its incarnation, state or address last changed here
+  bool dialling = false;          // a dial of its address is in progress
+  bool dial_refused = false;      // its address refused a dial since the last contact, so no process listens there
+  Micros dial_refused_at = -1;    // the time of the last change of dial_refused; -1 for never
+  std::uint64_t version = 0;      // the table's version at the last change of its incarnation, state or address
 
+  // Sets dial_refused, and records the time if it changes.
   void set_dial_refused(bool refused, Micros now) {
     if (refused != dial_refused) dial_refused_at = now;
     dial_refused = refused;
@@ -42,6 +45,7 @@
   MemberRole role() const { return static_cast<MemberRole>(member.role); }
 };
 
+// One node's table of members.
 class MemberTable {
  public:
   explicit MemberTable(wire::MemberT self) : self(std::move(self)) {}
@@ -49,36 +53,39 @@
   enum class MergeResult {
     unchanged,
     changed,  // a peer's record is new or newer
-    refuted   // the record was wrong about this node, whose own record is now newer
+    refuted   // the record was wrong about this node, which has raised its own incarnation or bump
   };
-  // Takes one record that a peer sent; a malformed one changes nothing.
+  // Merges one record that a peer sent. A malformed record is ignored.
   MergeResult merge(wire::MemberT const& record, Micros now);
-  // This node's own finding about a peer.
+  // Sets a peer's state as observed by this node.
   void set_state(Peer& peer, MemberState state, Micros now);
-  // What a peer reports of itself with pings and pongs; nothing for a name that is not in the table.
+  // Updates a peer's record with the status that it sent with a ping or pong; ignored for an unknown name.
   void update_status(std::string const& name, std::uint64_t revision, std::uint64_t serial, bool ready);
-  // This node's own record, and those of peers whose incarnation, state or address changed here after a version; 0
-  // gives all.
+  // This node's own record, and those of the peers whose incarnation, state or address changed after the version
+  // 'since' of this table; 0 returns all records.
   std::vector<std::unique_ptr<wire::MemberT>> records_since(std::uint64_t since = 0) const;
-  // One number for all that is known of members: equal where two nodes know the same (§3.6).
+  // A hash over all records; equal on two nodes whose tables agree (§3.6).
   std::uint64_t digest() const;
-  // Removes peers that have been down or leaving for longer than 'age'.
+  // Removes disconnected peers that have been down or leaving for longer than 'age' microseconds.
   void forget(Micros now, Micros age);
-  // Takes a router's registration in the register; a newer incarnation than the one known is dialled (§5.9).
+  // Applies a router's registration in the register: an incarnation newer than the known one is added and will be
+  // dialled (§5.9).
   void apply_registration(wire::RouterRegistrationT const& registration, Micros now);
-  // Takes the register's list of evicted routers and removes those that are not connected.
+  // Replaces the list of evicted routers by the register's list, and removes the evicted routers that are not
+  // connected.
   void apply_evictions(std::vector<std::unique_ptr<wire::RouterRegistrationT>> const& list);
-  // An evicted router greeted this node: it is here after all.
+  // Removes the eviction of a router that has connected to this node and is therefore running.
   void clear_eviction(std::string const& name) { evicted.erase(name); }
-  // Whether a member is known not to serve: it left, or its address refuses a dial (§5.5). False for an unknown name.
+  // Whether a member is known not to be serving: it is disconnected, and either left or its address refused a dial
+  // (§5.5). False for an unknown name.
   bool cannot_be_serving(std::string const& name) const;
-  // How many nodes of a role are known, this one with them, whatever their state.
+  // The number of known nodes with a role in any state, this node included.
   std::size_t count(MemberRole role) const;
 
   wire::MemberT self;
   std::uint64_t version = 0;  // counts changes of a peer's incarnation, state or address
   std::map<std::string, Peer> peers;
-  std::map<std::string, std::uint64_t> evicted;  // names, with the incarnation that was evicted
+  std::map<std::string, std::uint64_t> evicted;  // evicted incarnations, by the router's name
 
  private:
   MergeResult merge_self(wire::MemberT const& record);
--- a/src/mesh/mesh.cc
+++ b/src/mesh/mesh.cc
@@ -5,7 +5,7 @@
 namespace pipit {
 
 namespace {
-constexpr std::uint64_t large_fleet_resend_rounds = 3;  // in a large fleet acks take longer than a round
+constexpr std::uint64_t large_fleet_resend_rounds = 3;  // acknowledgements take longer than a round in a large fleet
 }  // namespace
 
 Mesh::Mesh(MeshSettings settings, wire::MemberT const& self, std::uint64_t seed)
@@ -53,7 +53,8 @@
   std::map<std::string, Peer>::iterator const position = members.peers.find(name);
   if (position == members.peers.end() || position->second.connection != 0) return;
   MemberState const state = position->second.state();
-  if (state == MemberState::alive || state == MemberState::suspected) failure_detector_.probe(position->second, now, out);
+  if (state == MemberState::alive || state == MemberState::suspected)
+    failure_detector_.probe(position->second, now, out);
 }
 
 void Mesh::dial_failed(std::string const& address, bool refused, Micros now, ConnectionEffects& out) {
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -1,9 +1,10 @@
-// The mesh of a node: membership, connections and replicated entries, put together (§3).
+// The mesh of a node, which combines membership, connections and replicated entries (§3).
 //
-// Job: passes events of connections, frames and ticks to the classes that handle them, in a fixed order.
-// State: those classes; when the next round is due; keys of entries that peers changed.
-// Thread: the node's loop only; nothing blocks.
-// Invariant: all effects are appended to the caller's ConnectionEffects in the order in which they are to be done.
+// Job: dispatches connection events, frames and ticks to the classes that handle them, in a fixed order.
+// State: those classes; the time of the next round; the keys of entries that peers changed.
+// Thread: the node's loop only; no call blocks.
+// Invariant: all effects are appended to the caller's ConnectionEffects in the order in which they are to be carried
+// out.
 #pragma once
 #include <string>
 #include <vector>
@@ -22,22 +23,26 @@
 
 namespace pipit {
 
+// One node's mesh. All times are in microseconds on this node's clock.
 class Mesh {
  public:
+  // 'self' is this node's own record; 'seed' seeds the choice of random peers.
   Mesh(MeshSettings settings, wire::MemberT const& self, std::uint64_t seed);
   Mesh(Mesh const&) = delete;
   Mesh& operator=(Mesh const&) = delete;
 
+  // Expires and sends probes, dials missing peers, and runs a round when one is due. Called several times per round.
   void tick(Micros now, ConnectionEffects& out);
-  // 'address' is the one that was dialled; it is empty for an inbound connection.
+  // A connection opened; this node sends its Hello. 'address' is the dialled address, empty for an inbound connection.
   void connection_opened(ConnectionId id, bool outbound, std::string const& address, Micros now,
                          ConnectionEffects& out);
+  // A connection was closed by the peer or by an error.
   void connection_closed(ConnectionId id, Micros now, ConnectionEffects& out);
-  // 'refused': the address answered that nobody listens there.
+  // A dial failed; 'refused' when the connection was refused, so that no process listens at the address.
   void dial_failed(std::string const& address, bool refused, Micros now, ConnectionEffects& out);
 
-  // Handles the mesh's own frames. For any other it returns the sender's name, for the node to handle; else an empty
-  // string.
+  // Handles a frame that belongs to the mesh and returns an empty string. For any other frame it returns the sender's
+  // name, and the node handles the frame.
   std::string handle_frame(ConnectionId id, wire::FrameT& frame, Micros now, ConnectionEffects& out);
 
   // Sends a message to a peer; false when it has no connection.
@@ -46,31 +51,31 @@
     return connections_.send(peer, std::forward<T>(body), out);
   }
 
-  // This node's own record changed: it is broadcast with a higher bump.
+  // Broadcasts this node's own record, after a change to it, with a higher bump.
   void announce_self(ConnectionEffects& out);
-  // Announces that this node stops.
+  // Broadcasts that this node is leaving because it is about to stop.
   void leave(ConnectionEffects& out);
-  // Writes an entry as this node and queues it for all peers; false when it says nothing new.
+  // Writes an entry with this node as its owner and queues it for all peers; false when the entry did not change.
   bool put_entry(wire::EntryT entry, Micros now);
-  // Sends queued entries without waiting for the round; with 'resend' also those that were not acknowledged.
+  // Sends queued entries without waiting for the next round; with 'resend' also those that were not acknowledged.
   void flush_entries(ConnectionEffects& out, bool resend = false);
 
   // Replaces the seeds; those that stay keep their backoff.
   void set_seeds(std::vector<std::string> const& addresses) { connections_.set_seeds(addresses); }
 
-  // More members than can all send everything to everybody (§3.6).
+  // Whether the fleet is too large for all-to-all broadcasts (§3.6).
   bool is_large_fleet() const { return settings_.is_large_fleet(members.peers.size()); }
-  // The latest time at which at least half of all members that may be serving had been heard; -1 when half of them have
-  // no connection here (§4.3).
+  // The latest time t such that at least half of all members that may be serving, this node included, sent it a frame
+  // at t or later; -1 when more than half of them have no connection to this node (§4.3).
   Micros last_contact_with_half(Micros now) const { return connections_.last_contact_with_half(now); }
-  // The zone of a connection's peer; empty before it greeted.
+  // The zone of a connection's peer; empty before the peer's Hello.
   std::string zone_of(ConnectionId id) const { return connections_.zone_of(id); }
   std::uint64_t open_connections() const { return connections_.size(); }
 
   MemberTable members;
   EntryTable entry_table;
   EntryReplication entry_replication;
-  std::vector<std::string> updated_entry_keys;  // of entries that peers brought since the node last took them
+  std::vector<std::string> updated_entry_keys;  // of entries that peers changed; the node processes and clears them
   std::uint64_t frames_received = 0;
 
  private:
--- a/src/mesh/mesh_frames.cc
+++ b/src/mesh/mesh_frames.cc
@@ -1,4 +1,4 @@
-// The mesh's handlers, one for each message (§3.2 to §3.6).
+// The mesh's frame handlers, one for each message type (§3.2 to §3.6).
 #include "base/events.h"
 #include "mesh/mesh.h"
 
@@ -15,7 +15,7 @@
     return "";
   }
   if (from.empty()) {
-    log_event(Event::malformed_frame, "a frame before the greeting");
+    log_event(Event::malformed_frame, "frame received before the peer's Hello");
     connections_.close(id, now, out);
     return "";
   }
@@ -46,10 +46,10 @@
   }
 }
 
-// Whether a greeting comes from another node of this cluster that speaks the same version of the frames.
+// Whether a Hello comes from another node of this cluster that uses the same version of the frame format.
 bool Mesh::is_acceptable(wire::HelloT const& hello) const {
   if (hello.format != frame_format_version) {
-    log_event(Event::foreign_cluster, "frames of format " + std::to_string(hello.format));
+    log_event(Event::foreign_cluster, "frame format version " + std::to_string(hello.format));
     return false;
   }
   if (hello.cluster != settings_.cluster || !hello.self || hello.self->name.empty() ||
@@ -78,9 +78,10 @@
   flush_entries(out);
 }
 
-// Where many meet a node that has just started, or that was cut off, not each of them sends it everything: its seeds do
-// when it knows nothing yet, and every node sends what it owns. What an owner that has left wrote is repaired by
-// digests.
+// In a large fleet many nodes connect at the same time to a node that has just started or was partitioned off, and not
+// all of them send it every entry: a node without any entry receives all of them from the peers that it connects to
+// first, its seeds, and every other node sends the entries that it owns. Entries of owners that have left are repaired
+// by digests.
 void Mesh::enqueue_entries_for(std::string const& name, wire::HelloT const& hello) {
   if (!is_large_fleet() || hello.entries == 0) {
     entry_replication.enqueue_all(name);
@@ -100,7 +101,7 @@
   pong.revision = members.self.revision;
   pong.serial = members.self.serial;
   pong.ready = members.self.ready;
-  // §3.6: in a large fleet a peer that knows something else is sent everything, and answers with what it knows besides.
+  // §3.6: in a large fleet a peer with a different digest is sent all records, and replies with all of its own.
   bool const repairs = is_large_fleet() && member_repair_.allow_exchange(pong.digest, ping.digest, now);
   pong.whole = !is_large_fleet() || repairs;
   pong.table = repairs ? members.records_since() : gossip_.records_for_ping(id);
@@ -133,7 +134,7 @@
   if (!updated_entry_keys.empty()) flush_entries(out);
 }
 
-// In a large fleet, entries that a peer may lack are all sent again when its digest differs.
+// In a large fleet all entries are sent again to a peer whose digest differs, since it may lack some of them.
 void Mesh::repair_entries(std::string const& peer, std::uint64_t peer_digest, Micros now, ConnectionEffects& out) {
   if (!is_large_fleet() || !entry_repair_.allow_exchange(entry_table.digest(), peer_digest, now)) return;
   entry_replication.enqueue_all(peer);
--- a/src/mesh/mesh_settings.h
+++ b/src/mesh/mesh_settings.h
@@ -1,4 +1,4 @@
-// Settings of the mesh: times in microseconds and limits, with the values that the product runs with.
+// Settings of the mesh: timeouts, intervals and limits, with their production defaults. Times are in microseconds.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -9,19 +9,19 @@
 namespace pipit {
 
 struct MeshSettings {
-  std::string cluster;
+  std::string cluster;                    // connections from nodes of any other cluster are closed
   std::vector<std::string> seeds;         // IP:port
-  Micros probe_interval = seconds(1);     // one round: a random member is probed in each
-  Micros probe_timeout = millis(500);     // how long a direct, then an indirect probe may take
-  Micros inactivity_limit = millis(900);  // a connection silent for longer is probed, whoever's turn it is
-  Micros dial_backoff_min = millis(250);  // first pause between dials
-  Micros dial_backoff_max = seconds(1);   // last pause, also for DOWN peers and seeds, which are dialled on
-  std::size_t gossip_fanout = 8;          // peers that get a finding at once; the others get it with pings (§3.6)
-  std::size_t large_fleet_size = 24;      // from so many peers on, a node broadcasts only its own record
-  Micros idle_timeout = seconds(60);      // a connection silent for longer is closed
-  Micros forget_after = seconds(1800);    // members that are down and entries that ended are forgotten after this
+  Micros probe_interval = seconds(1);     // the length of a round; each round probes one random member
+  Micros probe_timeout = millis(500);     // of a direct probe, and again of the indirect probes that follow it
+  Micros inactivity_limit = millis(900);  // a member whose connection is idle for longer is probed out of turn
+  Micros dial_backoff_min = millis(250);  // the first pause between dials
+  Micros dial_backoff_max = seconds(1);   // the longest pause; peers that are DOWN and seeds are dialled without end
+  std::size_t gossip_fanout = 8;          // peers that receive a change at once; the others with pings (§3.6)
+  std::size_t large_fleet_size = 24;      // with this many peers or more, a node broadcasts only its own record
+  Micros idle_timeout = seconds(60);      // a connection that received nothing for longer is closed
+  Micros forget_after = seconds(1800);    // members that are down and entries of ended workers are kept this long
 
-  // Whether a node with this many peers is in a large fleet, where not everybody can send everything to everybody.
+  // Whether a node with this many peers is in a large fleet, in which all-to-all broadcasts would be too much traffic.
   bool is_large_fleet(std::size_t peers) const { return peers >= large_fleet_size; }
 };
 
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -1,4 +1,5 @@
-// Frames and connections: garbage ends a connection and nothing else; a foreign cluster is not greeted.
+// Frames and connections: a malformed frame only closes its connection, and nodes of a foreign cluster are rejected.
+// Also rendezvous hashing and leases.
 #include <gtest/gtest.h>
 
 #include "base/events.h"
@@ -26,21 +27,22 @@
 }
 }  // namespace
 
-// A frame may lie anywhere in what was read: another came before it. The sanitizers see what is read askew.
-TEST(Frame, is_taken_from_whatever_address_it_lies_at) {
+// A frame that follows another in a receive buffer may start at any address. The sanitizers report misaligned reads.
+TEST(Frame, decodes_at_any_alignment) {
   wire::PingT ping;
   ping.seq = 77;
   std::string const good = encode_message(std::move(ping));
   for (std::size_t before = 0; before < 16; ++before) {
-    std::string const room = std::string(before, 'x') + good;
-    Result<std::unique_ptr<wire::FrameT>> const taken = decode_frame(std::string_view(room).substr(before));
+    std::string const buffer = std::string(before, 'x') + good;
+    Result<std::unique_ptr<wire::FrameT>> const taken = decode_frame(std::string_view(buffer).substr(before));
     ASSERT_TRUE(taken) << before;
     EXPECT_EQ(taken.value()->body.AsPing()->seq, 77u) << before;
   }
 }
 
-// While a fleet is rolled out, processes of two versions do not talk: each version is a part of the fleet by itself.
-TEST(Frame, a_peer_of_another_format_is_not_talked_to) {
+// During a rolling upgrade, processes with different frame format versions do not connect: each version forms a
+// separate fleet.
+TEST(Frame, connection_with_another_format_version_is_closed) {
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeEffects out;
@@ -52,7 +54,7 @@
   EXPECT_EQ(node.mesh.members.peers.count("b"), 0u);
 }
 
-TEST(Frame, no_bytes_can_hurt) {
+TEST(Frame, corrupted_bytes_are_handled_safely) {
   wire::PingT ping;
   ping.seq = 3;
   ping.table.push_back(std::make_unique<wire::MemberT>(*hello("c", "x").self));
@@ -72,12 +74,12 @@
     NodeEffects out;
     node.opened(1, false, "", 0, out);
     ASSERT_TRUE(node.bytes(1, encode_message(hello("pipit", "b")), 0, out));
-    if (node.bytes(1, bad, 1, out)) ++taken;  // what still verifies is handled like any frame
+    if (node.bytes(1, bad, 1, out)) ++taken;  // a frame that still verifies is handled like any other
   }
   EXPECT_LT(taken, 4000);
 }
 
-TEST(Mesh, a_foreign_cluster_is_shut_out) {
+TEST(Mesh, connection_from_a_foreign_cluster_is_closed) {
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeEffects out;
@@ -87,11 +89,11 @@
   EXPECT_TRUE(node.mesh.members.peers.empty());
 }
 
-TEST(Mesh, a_newer_wire_replaces_the_remnant_of_a_former_life) {
+TEST(Mesh, newer_incarnation_replaces_the_connection_of_the_previous_one) {
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeEffects out;
-  node.opened(1, true, "10.0.0.2:1", 0, out);  // 'a' sorts first, so its own connection would be kept
+  node.opened(1, true, "10.0.0.2:1", 0, out);  // 'a' sorts first, so the connection that it opened would be kept
   node.bytes(1, encode_message(hello("pipit", "b")), 0, out);
   wire::HelloT next = hello("pipit", "b");
   next.self->incarnation = 6;
@@ -101,7 +103,7 @@
   EXPECT_EQ(out.mesh.closed_connections, std::vector<ConnectionId>{1});
 }
 
-TEST(Mesh, a_peer_that_moves_while_it_is_dialled_is_dialled_anew) {
+TEST(Mesh, peer_that_moves_during_a_dial_is_dialled_at_its_new_address) {
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeEffects out;
@@ -113,7 +115,7 @@
   wire::HelloT moved = hello("pipit", "b");
   moved.self->address = "10.0.0.9:1";
   moved.self->incarnation = 6;
-  wire::MembershipUpdateT update;  // another peer tells where it is now, while the dial to the old place goes on
+  wire::MembershipUpdateT update;  // from another peer, while the dial to the old address is in progress
   update.table.push_back(std::make_unique<wire::MemberT>(*moved.self));
   wire::HelloT third = hello("pipit", "c");
   third.self->address = "10.0.0.3:1";
@@ -127,22 +129,22 @@
             out.mesh.dial_addresses.end());
 }
 
-TEST(MemberTable, a_node_contradicts_update_of_its_end) {
+TEST(MemberTable, wrong_record_of_this_node_is_refuted) {
   mute_log(true);
   wire::MemberT self;
   self.name = "a";
   self.incarnation = 4;
   MemberTable members(self);
-  wire::MemberT said = self;
-  said.state = static_cast<std::uint8_t>(MemberState::down);
-  EXPECT_EQ(members.merge(said, 0), MemberTable::MergeResult::refuted);
-  EXPECT_GT(members.self.bump, said.bump);
-  said.incarnation = 9;  // a former incarnation is remembered with a later clock
-  EXPECT_EQ(members.merge(said, 0), MemberTable::MergeResult::refuted);
+  wire::MemberT record = self;
+  record.state = static_cast<std::uint8_t>(MemberState::down);
+  EXPECT_EQ(members.merge(record, 0), MemberTable::MergeResult::refuted);
+  EXPECT_GT(members.self.bump, record.bump);
+  record.incarnation = 9;  // an earlier incarnation had a clock that was ahead
+  EXPECT_EQ(members.merge(record, 0), MemberTable::MergeResult::refuted);
   EXPECT_EQ(members.self.incarnation, 10u);
 }
 
-TEST(MemberTable, a_table_brings_what_changed_since) {
+TEST(MemberTable, records_since_returns_only_changed_records) {
   wire::MemberT self;
   self.name = "a";
   self.incarnation = 5;
@@ -151,20 +153,20 @@
   EXPECT_EQ(members.merge(peer, 0), MemberTable::MergeResult::changed);
   std::uint64_t const first = members.version;
   EXPECT_EQ(members.records_since().size(), 2u);
-  EXPECT_EQ(members.records_since(first).size(), 1u) << "its own record alone";
+  EXPECT_EQ(members.records_since(first).size(), 1u) << "only this node's own record";
   ++peer.bump;
   peer.revision = 9;
   EXPECT_EQ(members.merge(peer, 0), MemberTable::MergeResult::changed);
-  EXPECT_EQ(members.records_since(first).size(), 1u) << "a newer revision is told by the peer itself";
+  EXPECT_EQ(members.records_since(first).size(), 1u) << "the peer itself sends its newer revision";
   members.set_state(members.peers.at("b"), MemberState::suspected, 1);
   ASSERT_EQ(members.records_since(first).size(), 2u);
   std::uint64_t const second = members.version;
   ++peer.bump;
   EXPECT_EQ(members.merge(peer, 2), MemberTable::MergeResult::changed);
-  EXPECT_EQ(members.records_since(second).size(), 2u) << "a contradicted suspicion gets round";
+  EXPECT_EQ(members.records_since(second).size(), 2u) << "a refuted suspicion is disseminated";
 }
 
-TEST(Rendezvous, the_first_name_is_the_one_of_rank_0) {
+TEST(Rendezvous, first_name_has_rank_0) {
   std::set<std::string> names;
   EXPECT_EQ(rendezvous("w", names), "");
   for (int i = 0; i < 40; ++i) names.insert("p" + std::to_string(i));
@@ -174,7 +176,7 @@
   }
 }
 
-TEST(Leases, rivals_step_aside_until_one_holds) {
+TEST(Leases, rivals_back_off_until_one_holds_the_lease) {
   Membership members;
   for (char const* const name : {"k1", "k2", "k3"}) {
     wire::ReplicaT replica;
@@ -191,31 +193,31 @@
   }
   bool any = false;
   for (Micros now = 0; now < seconds(40); now += millis(50)) {
-    std::vector<std::pair<std::string, OutgoingMessage>> mail;
+    std::vector<std::pair<std::string, OutgoingMessage>> messages;
     for (std::pair<std::string const, LeaseCandidate>& item : holders) {
       std::vector<OutgoingMessage> out;
       item.second.tick(now, members, out);
-      for (OutgoingMessage& one : out) mail.emplace_back(item.first, std::move(one));
+      for (OutgoingMessage& one : out) messages.emplace_back(item.first, std::move(one));
     }
-    // Each hears itself first: the worst order.
+    // Each candidate receives its own request first, which is the worst order.
     std::stable_sort(
-        mail.begin(), mail.end(),
+        messages.begin(), messages.end(),
         [](std::pair<std::string, OutgoingMessage> const& a, std::pair<std::string, OutgoingMessage> const& b) {
           return (a.first == a.second.to) > (b.first == b.second.to);
         });
-    for (std::pair<std::string, OutgoingMessage>& one : mail) {
-      wire::LeaseRequestT const& ask = *one.second.body.AsLeaseRequest();
-      wire::LeaseReplyT ans;
-      ans.request_id = ask.request_id;
-      ans.role = ask.role;
-      ans.disk = 1;
-      ans.ok = grantors.at(one.second.to).handle_request(one.first, ask.role, ask.term, now);
-      holders.at(one.first).handle_reply(one.second.to, ans, now, members);
+    for (std::pair<std::string, OutgoingMessage>& one : messages) {
+      wire::LeaseRequestT const& request = *one.second.body.AsLeaseRequest();
+      wire::LeaseReplyT reply;
+      reply.request_id = request.request_id;
+      reply.role = request.role;
+      reply.disk = 1;
+      reply.ok = grantors.at(one.second.to).handle_request(one.first, request.role, request.term, now);
+      holders.at(one.first).handle_reply(one.second.to, reply, now, members);
     }
     int held = 0;
     for (std::pair<std::string const, LeaseCandidate>& item : holders) held += item.second.holds(now) ? 1 : 0;
     EXPECT_LE(held, 1);
-    EXPECT_TRUE(held == 0 || now >= lease_term) << "a keeper that just began gives no lease for a term";
+    EXPECT_TRUE(held == 0 || now >= lease_term) << "a grantor that has just started grants no lease for one term";
     any = any || held == 1;
   }
   EXPECT_TRUE(any);
--- a/tests/mesh/entry_replication.cc
+++ b/tests/mesh/entry_replication.cc
@@ -1,4 +1,4 @@
-// Replication of entries: what is queued for a peer, sent, sent again and acknowledged.
+// Replication of entries: queueing for a peer, batches, resends and acknowledgements.
 #include "mesh/entries/entry_replication.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
   return out;
 }
 
-struct Fixture : testing::Test {
+struct EntryReplicationTest : testing::Test {
   EntryTable table{"a"};
   EntryReplication replication{table};
 
@@ -23,10 +23,9 @@
     replication.enqueue_local(key);
   }
 };
-using EntryReplicationTest = Fixture;
 }  // namespace
 
-TEST_F(EntryReplicationTest, an_entry_is_sent_once_and_again_only_on_resend) {
+TEST_F(EntryReplicationTest, entry_is_sent_again_only_on_resend) {
   replication.add_peer("b");
   put("w");
   EXPECT_EQ(replication.next_batch("b", false).list.size(), 1u);
@@ -34,7 +33,7 @@
   EXPECT_EQ(replication.next_batch("b", true).list.size(), 1u);
 }
 
-TEST_F(EntryReplicationTest, an_acknowledged_entry_is_replicated_and_not_resent) {
+TEST_F(EntryReplicationTest, acknowledged_entry_is_replicated_and_not_resent) {
   replication.add_peer("b");
   put("w");
   std::uint64_t const batch = replication.next_batch("b", false).batch;
@@ -42,11 +41,11 @@
   replication.acknowledge("b", batch);
   EXPECT_TRUE(replication.is_replicated("b", "w"));
   EXPECT_TRUE(replication.next_batch("b", true).list.empty());
-  EXPECT_FALSE(replication.is_replicated("c", "w")) << "a peer without a connection holds nothing for sure";
-  EXPECT_FALSE(replication.is_replicated("b", "x")) << "an entry that is not there";
+  EXPECT_FALSE(replication.is_replicated("c", "w")) << "nothing is known of a peer without a connection";
+  EXPECT_FALSE(replication.is_replicated("b", "x")) << "an entry that is not in the table";
 }
 
-TEST_F(EntryReplicationTest, an_ack_for_an_older_stamp_does_not_count_for_a_newer_entry) {
+TEST_F(EntryReplicationTest, ack_of_an_older_stamp_does_not_acknowledge_a_newer_entry) {
   replication.add_peer("b");
   put("w");
   std::uint64_t const batch = replication.next_batch("b", false).batch;
@@ -59,7 +58,7 @@
   EXPECT_EQ(replication.next_batch("b", false).list.size(), 1u);
 }
 
-TEST_F(EntryReplicationTest, a_batch_has_a_limit) {
+TEST_F(EntryReplicationTest, batch_size_is_limited) {
   replication.add_peer("b");
   for (int n = 0; n < 300; ++n) put("w" + std::to_string(n));
   EXPECT_EQ(replication.next_batch("b", false).list.size(), 256u);
@@ -69,27 +68,27 @@
 TEST_F(EntryReplicationTest, entries_of_others_are_not_sent_back_to_their_sender) {
   replication.add_peer("b");
   replication.add_peer("c");
-  wire::EntryT const brought = entry("w", "b", 4);
-  ASSERT_TRUE(table.merge(brought, 0));
-  replication.enqueue_forwarded("b", brought);
+  wire::EntryT const received = entry("w", "b", 4);
+  ASSERT_TRUE(table.merge(received, 0));
+  replication.enqueue_forwarded("b", received);
   EXPECT_TRUE(replication.next_batch("b", false).list.empty());
   EXPECT_EQ(replication.next_batch("c", false).list.size(), 1u);
 }
 
-TEST_F(EntryReplicationTest, without_forwarding_to_all_only_named_peers_get_entries_of_others) {
+TEST_F(EntryReplicationTest, only_forward_targets_receive_entries_of_others_without_forward_to_all) {
   replication.add_peer("c");
   replication.add_peer("d");
   replication.forward_to_all = false;
   replication.forward_targets = {"d", "not_connected"};
-  wire::EntryT const brought = entry("w", "b", 4);
-  ASSERT_TRUE(table.merge(brought, 0));
-  replication.enqueue_forwarded("b", brought);
+  wire::EntryT const received = entry("w", "b", 4);
+  ASSERT_TRUE(table.merge(received, 0));
+  replication.enqueue_forwarded("b", received);
   EXPECT_TRUE(replication.next_batch("c", false).list.empty());
   EXPECT_EQ(replication.next_batch("d", false).list.size(), 1u);
   EXPECT_TRUE(replication.next_batch("not_connected", false).list.empty());
 }
 
-TEST_F(EntryReplicationTest, a_new_peer_may_be_sent_all_entries_or_those_of_this_node) {
+TEST_F(EntryReplicationTest, new_peer_is_sent_all_entries_or_only_those_of_this_node) {
   put("mine");
   ASSERT_TRUE(table.merge(entry("theirs", "b", 9), 0));
   replication.enqueue_own("c");
@@ -98,15 +97,15 @@
   EXPECT_EQ(replication.next_batch("d", false).list.size(), 2u);
 }
 
-TEST(EntryTable, the_higher_stamp_wins_and_then_the_owner) {
+TEST(EntryTable, higher_stamp_wins_and_then_the_later_owner_name) {
   EntryTable table("a");
   EXPECT_TRUE(table.merge(entry("w", "b", 5), 0));
   EXPECT_FALSE(table.merge(entry("w", "c", 4), 0));
   EXPECT_FALSE(table.merge(entry("w", "b", 5), 0));
   EXPECT_TRUE(table.merge(entry("w", "c", 5), 0));
   EXPECT_TRUE(table.put(entry("w"), 0));
-  EXPECT_EQ(table.all().at("w").stamp, 6u) << "the clock follows the stamps that were seen";
-  EXPECT_FALSE(table.put(entry("w"), 0)) << "nothing new";
+  EXPECT_EQ(table.all().at("w").stamp, 6u) << "the clock is advanced by received stamps";
+  EXPECT_FALSE(table.put(entry("w"), 0)) << "the entry did not change";
 }
 
 }  // namespace pipit
--- a/tests/mesh/failure_detector.cc
+++ b/tests/mesh/failure_detector.cc
@@ -1,4 +1,4 @@
-// The failure detector by itself: probes, indirect probes, suspicion, and probes that are relayed.
+// The failure detector alone: direct and indirect probes, suspicion, and relayed probes.
 #include "mesh/membership/failure_detector.h"
 
 #include <gtest/gtest.h>
@@ -46,13 +46,13 @@
 };
 }  // namespace
 
-TEST_F(FailureDetectorTest, one_probe_of_a_member_is_under_way_at_a_time) {
+TEST_F(FailureDetectorTest, one_probe_of_a_member_is_in_flight_at_a_time) {
   detector.probe(members.peers.at("b"), 0, out);
   detector.probe(members.peers.at("b"), 1, out);
   EXPECT_EQ(sent(1, wire::Body::Ping).size(), 1u);
 }
 
-TEST_F(FailureDetectorTest, a_member_that_does_not_answer_is_probed_through_others_and_then_suspected) {
+TEST_F(FailureDetectorTest, member_without_an_answer_is_probed_indirectly_and_then_suspected) {
   detector.probe(members.peers.at("b"), 0, out);
   detector.expire_probes(settings.probe_timeout - 1, out);
   EXPECT_TRUE(sent(2, wire::Body::IndirectPing).empty());
@@ -64,17 +64,17 @@
   EXPECT_EQ(state("b"), MemberState::suspected);
 }
 
-TEST_F(FailureDetectorTest, a_suspected_member_whose_probe_fails_is_down_and_its_connection_closed) {
+TEST_F(FailureDetectorTest, suspected_member_goes_down_when_its_probe_fails) {
   members.set_state(members.peers.at("b"), MemberState::suspected, 0);
   detector.probe(members.peers.at("b"), 0, out);
   detector.expire_probes(settings.probe_timeout, out);
   detector.expire_probes(2 * settings.probe_timeout, out);
   EXPECT_EQ(state("b"), MemberState::down);
   EXPECT_EQ(out.closed_connections, std::vector<ConnectionId>{1});
-  EXPECT_EQ(sent(2, wire::Body::MembershipUpdate).size(), 1u) << "the others are told";
+  EXPECT_EQ(sent(2, wire::Body::MembershipUpdate).size(), 1u) << "the change is disseminated";
 }
 
-TEST_F(FailureDetectorTest, a_pong_or_an_indirect_pong_ends_the_probe) {
+TEST_F(FailureDetectorTest, pong_or_indirect_pong_completes_the_probe) {
   for (bool const indirect : {false, true}) {
     out = ConnectionEffects();
     detector.probe(members.peers.at("b"), 0, out);
@@ -94,7 +94,7 @@
   }
 }
 
-TEST_F(FailureDetectorTest, a_probe_is_relayed_and_its_answer_goes_to_the_requester) {
+TEST_F(FailureDetectorTest, relayed_probe_is_answered_to_its_requester) {
   wire::IndirectPingT request;
   request.seq = 77;
   request.target = "b";
@@ -109,10 +109,10 @@
   EXPECT_EQ(sent(2, wire::Body::IndirectPong).size(), 1u) << "each relayed probe is answered once";
 }
 
-TEST_F(FailureDetectorTest, a_refused_dial_is_a_failed_probe) {
+TEST_F(FailureDetectorTest, refused_dial_counts_as_a_failed_probe) {
   members.merge(member("d"), 0);
   detector.dial_failed("d:1", false, 0, out);
-  EXPECT_EQ(state("d"), MemberState::alive) << "a dial that ran out of time proves nothing";
+  EXPECT_EQ(state("d"), MemberState::alive) << "a dial that timed out is no evidence";
   detector.dial_failed("d:1", true, 0, out);
   EXPECT_EQ(state("d"), MemberState::suspected);
   detector.dial_failed("d:1", true, 0, out);
@@ -120,7 +120,7 @@
   EXPECT_TRUE(members.cannot_be_serving("d"));
 }
 
-TEST_F(FailureDetectorTest, a_silent_connection_is_probed) {
+TEST_F(FailureDetectorTest, inactive_connection_is_probed) {
   detector.probe_inactive(settings.inactivity_limit, out);
   EXPECT_TRUE(sent(1, wire::Body::Ping).empty());
   connections.find(2)->last_received = settings.inactivity_limit;
--- a/tests/mesh/gossip.cc
+++ b/tests/mesh/gossip.cc
@@ -1,4 +1,4 @@
-// Dissemination of member records in a small and in a large fleet.
+// Dissemination of member records in small and large fleets.
 #include "mesh/membership/gossip.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
   MembershipGossip gossip{settings, members, connections, random};
   ConnectionEffects out;
 
-  // Connects this node with so many peers, which are named p1, p2 and so on.
+  // Connects this node to this many peers, named p1, p2 and so on.
   void connect(std::size_t peers) {
     mute_log(true);
     for (ConnectionId id = 1; id <= peers; ++id) {
@@ -34,14 +34,14 @@
 };
 }  // namespace
 
-TEST_F(MembershipGossipTest, a_small_fleet_broadcasts_a_finding) {
+TEST_F(MembershipGossipTest, small_fleet_broadcasts_a_change) {
   connect(5);
   gossip.disseminate(members.peers.at("p1").member, out);
   EXPECT_EQ(out.outgoing_frames.size(), 5u);
   EXPECT_TRUE(gossip.next_piggybacked_records().empty());
 }
 
-TEST_F(MembershipGossipTest, a_large_fleet_sends_a_finding_to_some_and_piggybacks_it_for_a_while) {
+TEST_F(MembershipGossipTest, large_fleet_sends_a_change_to_some_peers_and_piggybacks_it) {
   connect(30);
   gossip.disseminate(members.peers.at("p1").member, out);
   EXPECT_EQ(out.outgoing_frames.size(), settings.gossip_fanout);
@@ -50,15 +50,15 @@
   EXPECT_EQ(sends, 18) << "3 and 3 more for each of the five doublings up to 30 members";
 }
 
-TEST_F(MembershipGossipTest, a_connection_is_sent_what_changed_since) {
+TEST_F(MembershipGossipTest, ping_carries_only_records_changed_since_the_last_one) {
   connect(3);
   EXPECT_EQ(gossip.records_for_ping(1).size(), 4u);
-  EXPECT_EQ(gossip.records_for_ping(1).size(), 1u) << "its own record alone";
+  EXPECT_EQ(gossip.records_for_ping(1).size(), 1u) << "only this node's own record";
   members.set_state(members.peers.at("p2"), MemberState::suspected, 1);
   EXPECT_EQ(gossip.records_for_ping(1).size(), 2u);
 }
 
-TEST_F(MembershipGossipTest, a_record_of_a_newer_incarnation_closes_the_connection_to_the_former) {
+TEST_F(MembershipGossipTest, record_of_a_newer_incarnation_closes_the_connection_to_the_previous_one) {
   connect(2);
   MemberRecords records;
   records.push_back(std::make_unique<wire::MemberT>(member("p2")));
@@ -68,7 +68,7 @@
   EXPECT_EQ(members.peers.at("p2").connection, 0u);
 }
 
-TEST_F(MembershipGossipTest, a_wrong_record_of_this_node_is_refuted_to_all) {
+TEST_F(MembershipGossipTest, wrong_record_of_this_node_is_refuted_by_broadcast) {
   connect(2);
   MemberRecords records;
   records.push_back(std::make_unique<wire::MemberT>(members.self));
--- a/tests/mesh/member_record.h
+++ b/tests/mesh/member_record.h
@@ -1,4 +1,4 @@
-// A member's record, for tests of the mesh's parts.
+// Builds member records for tests of the mesh's classes.
 #pragma once
 #include <string>
 
@@ -6,7 +6,7 @@
 
 namespace pipit {
 
-// The first incarnation of a member, which is reached at "NAME:1".
+// The record of a member's first incarnation, with the address "NAME:1".
 inline wire::MemberT member(std::string const& name) {
   wire::MemberT out;
   out.name = name;
--- a/tests/wire_frames.cc
+++ b/tests/wire_frames.cc
@@ -1,5 +1,6 @@
-// Frames stay on the connection as the program of commit 345c653 wrote them (tests/data/frames.txt): each is decoded,
-// every field has the value that it was written with, and encoding it again gives the same bytes.
+// The encoding of frames stays compatible with the frames recorded by the program of commit 345c653
+// (tests/data/frames.txt): each is decoded, every field has its recorded value, and encoding it again gives the same
+// bytes.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -16,12 +17,12 @@
 
 namespace {
 
-// How many items each list of a written frame has.
+// The number of items in each list of a recorded frame.
 constexpr std::size_t list_size = 2;
 
-// Checks the fields of a written frame against the values that they were given, in the order of their ids, depth first.
-// No two numbers or texts of a frame are the same, so that an exchange of two fields is seen. Flags have two values
-// only: number i of each table is set in variant i of the frame.
+// Checks the fields of a recorded frame against their expected values, depth first in the order of the field ids. All
+// numbers and texts of a frame differ, so that swapped fields are detected. Flags have only two values: flag number i
+// of each table is set in variant i of the frame.
 class FieldChecks {
  public:
   explicit FieldChecks(unsigned variant_) : variant(variant_) {}
@@ -73,15 +74,15 @@
     EXPECT_EQ(pong.whole, flag(1));
   }
 
-  void expect(wire::IndirectPingT const& ping_req) {
-    EXPECT_EQ(ping_req.seq, number<std::uint64_t>());
-    EXPECT_EQ(ping_req.target, text());
+  void expect(wire::IndirectPingT const& indirect_ping) {
+    EXPECT_EQ(indirect_ping.seq, number<std::uint64_t>());
+    EXPECT_EQ(indirect_ping.target, text());
   }
 
-  void expect(wire::IndirectPongT const& ping_res) {
-    EXPECT_EQ(ping_res.seq, number<std::uint64_t>());
-    EXPECT_EQ(ping_res.target, text());
-    EXPECT_EQ(ping_res.ok, flag(0));
+  void expect(wire::IndirectPongT const& indirect_pong) {
+    EXPECT_EQ(indirect_pong.seq, number<std::uint64_t>());
+    EXPECT_EQ(indirect_pong.target, text());
+    EXPECT_EQ(indirect_pong.ok, flag(0));
   }
 
   void expect(wire::MembershipUpdateT const& update) { expect_items(update.table); }
@@ -345,7 +346,9 @@
     EXPECT_EQ(proposed.need_text, flag(0));
   }
 
-  void expect(wire::NewestRequestT const& newest_ask) { EXPECT_EQ(newest_ask.request_id, number<std::uint64_t>()); }
+  void expect(wire::NewestRequestT const& newest_request) {
+    EXPECT_EQ(newest_request.request_id, number<std::uint64_t>());
+  }
 
   void expect(wire::NewestReplyT const& newest_reply) {
     EXPECT_EQ(newest_reply.request_id, number<std::uint64_t>());
@@ -353,13 +356,13 @@
     EXPECT_EQ(newest_reply.age, number<std::int64_t>());
   }
 
-  void expect(wire::QuotaRequestT const& quota_ask) {
-    EXPECT_EQ(quota_ask.request_id, number<std::uint64_t>());
-    EXPECT_EQ(quota_ask.tenant, text());
-    EXPECT_EQ(quota_ask.count, number<std::int64_t>());
-    EXPECT_EQ(quota_ask.origin, text());
-    EXPECT_EQ(quota_ask.hops, number<std::uint8_t>());
-    EXPECT_EQ(quota_ask.purpose, number<std::uint8_t>());
+  void expect(wire::QuotaRequestT const& quota_request) {
+    EXPECT_EQ(quota_request.request_id, number<std::uint64_t>());
+    EXPECT_EQ(quota_request.tenant, text());
+    EXPECT_EQ(quota_request.count, number<std::int64_t>());
+    EXPECT_EQ(quota_request.origin, text());
+    EXPECT_EQ(quota_request.hops, number<std::uint8_t>());
+    EXPECT_EQ(quota_request.purpose, number<std::uint8_t>());
   }
 
   void expect(wire::QuotaReplyT const& quota_reply) {
@@ -423,7 +426,7 @@
   checks.expect(*static_cast<Table const*>(body.value));
 }
 
-// A member of the union of frames: its name in the data, its number on the connection, and what checks its fields.
+// A member of the union of frame bodies: its name in the data, its number in the encoding, and the check of its fields.
 struct BodyCheck {
   char const* name;
   unsigned number;
@@ -464,8 +467,8 @@
     {"QuotaReply", 31, expect_body<wire::QuotaReplyT>},
 };
 
-// One line of the data: a frame with the four bytes of its length.
-struct WrittenFrame {
+// One line of the data: a frame with its four-byte length prefix.
+struct RecordedFrame {
   std::string name;
   unsigned variant = 0;
   std::string bytes;
@@ -478,14 +481,14 @@
   return bytes;
 }
 
-std::vector<WrittenFrame> written_frames() {
-  std::vector<WrittenFrame> frames;
+std::vector<RecordedFrame> recorded_frames() {
+  std::vector<RecordedFrame> frames;
   std::ifstream file(SOURCE "/tests/data/frames.txt");
   std::string line;
   while (std::getline(file, line)) {
     if (line.empty() || line.front() == '#') continue;
     std::istringstream words(line);
-    WrittenFrame frame;
+    RecordedFrame frame;
     std::string hex;
     words >> frame.name >> frame.variant >> hex;
     frame.bytes = bytes_of(hex);
@@ -502,33 +505,33 @@
 
 }  // namespace
 
-TEST(WireFrames, of_the_former_program_are_read_field_by_field) {
-  for (WrittenFrame const& written : written_frames()) {
-    SCOPED_TRACE(written.name + " " + std::to_string(written.variant));
-    BodyCheck const* const check = check_of(written.name);
+TEST(WireFrames, recorded_frames_decode_field_by_field) {
+  for (RecordedFrame const& recorded : recorded_frames()) {
+    SCOPED_TRACE(recorded.name + " " + std::to_string(recorded.variant));
+    BodyCheck const* const check = check_of(recorded.name);
     ASSERT_NE(check, nullptr);
-    Result<std::unique_ptr<wire::FrameT>> const frame = decode_frame(written.bytes);
+    Result<std::unique_ptr<wire::FrameT>> const frame = decode_frame(recorded.bytes);
     ASSERT_TRUE(frame) << frame.error().what;
     EXPECT_EQ(static_cast<unsigned>(frame.value()->body.type), check->number);
-    FieldChecks checks(written.variant);
+    FieldChecks checks(recorded.variant);
     check->expect(frame.value()->body, checks);
   }
 }
 
-TEST(WireFrames, of_the_former_program_are_written_with_the_same_bytes) {
-  for (WrittenFrame const& written : written_frames()) {
-    Result<std::unique_ptr<wire::FrameT>> const frame = decode_frame(written.bytes);
-    ASSERT_TRUE(frame) << written.name << ": " << frame.error().what;
-    EXPECT_TRUE(encode_frame(*frame.value()) == written.bytes) << written.name << " " << written.variant;
+TEST(WireFrames, recorded_frames_encode_to_the_same_bytes) {
+  for (RecordedFrame const& recorded : recorded_frames()) {
+    Result<std::unique_ptr<wire::FrameT>> const frame = decode_frame(recorded.bytes);
+    ASSERT_TRUE(frame) << recorded.name << ": " << frame.error().what;
+    EXPECT_TRUE(encode_frame(*frame.value()) == recorded.bytes) << recorded.name << " " << recorded.variant;
   }
 }
 
-// A member of the union that came later is a frame of another format, or is appended here and to the data.
-TEST(WireFrames, each_member_of_the_union_is_among_the_data) {
+// A new member of the union requires a new format version, or must be added here and to the data.
+TEST(WireFrames, data_contain_each_member_of_the_union) {
   std::map<unsigned, unsigned> frames_by_number;
-  for (WrittenFrame const& written : written_frames()) {
-    BodyCheck const* const check = check_of(written.name);
-    ASSERT_NE(check, nullptr) << written.name;
+  for (RecordedFrame const& recorded : recorded_frames()) {
+    BodyCheck const* const check = check_of(recorded.name);
+    ASSERT_NE(check, nullptr) << recorded.name;
     ++frames_by_number[check->number];
   }
   unsigned const members = static_cast<unsigned>(wire::Body::MAX);
