--- a/src/mesh/connections/connection_table.h
+++ b/src/mesh/connections/connection_table.h
@@ -35,7 +35,7 @@
  public:
   ConnectionTable(MeshSettings const& settings, MemberTable& members, EntryReplication& replication);
 
-  // Replaces the seeds; those that stay keep their backoff.
+  // Replaces the seed addresses; seeds that remain keep their backoff. This node's own address is left out.
   void set_seeds(std::vector<std::string> const& addresses);
 
   // Adds an open connection, on which the peer's Hello is still to come.
@@ -86,7 +86,9 @@
     bool dialling = false;
   };
 
+  // Closes a connection without the effects on its peer's record that remove() has.
   void drop_duplicate(ConnectionId id, ConnectionEffects& out);
+  // Closes one of a peer's two connections; false when it is the new one, 'id'.
   bool resolve_duplicate(ConnectionId id, Peer& peer, Micros now, ConnectionEffects& out);
   Micros max_peer_backoff() const;
   bool is_seed_reachable(std::string const& address) const;
--- a/src/mesh/entries/entry_replication.cc
+++ b/src/mesh/entries/entry_replication.cc
@@ -10,18 +10,18 @@
 void EntryReplication::enqueue_all(std::string const& peer) {
   PeerQueue& queue = queues_[peer];
   queue.in_flight.clear();
-  for (std::pair<std::string const, wire::EntryT> const& item : table_.all())
+  for (std::pair<std::string const, wire::EntryT> const& item : table_.entries())
     queue.pending[item.first] = PendingEntry{item.second.stamp, false};
 }
 
 void EntryReplication::enqueue_own(std::string const& peer) {
   PeerQueue& queue = queues_[peer];
-  for (std::pair<std::string const, wire::EntryT> const& item : table_.all())
+  for (std::pair<std::string const, wire::EntryT> const& item : table_.entries())
     if (item.second.owner == table_.self()) queue.pending[item.first] = PendingEntry{item.second.stamp, false};
 }
 
 void EntryReplication::enqueue_local(std::string const& key) {
-  std::uint64_t const stamp = table_.all().at(key).stamp;
+  std::uint64_t const stamp = table_.entries().at(key).stamp;
   for (std::pair<std::string const, PeerQueue>& item : queues_) item.second.pending[key] = PendingEntry{stamp, false};
 }
 
@@ -46,8 +46,8 @@
   std::vector<SentEntry> sent;
   for (std::pair<std::string const, PendingEntry>& item : queue.pending) {
     if (item.second.sent && !resend) continue;
-    std::map<std::string, wire::EntryT>::const_iterator const entry = table_.all().find(item.first);
-    if (entry == table_.all().end()) continue;
+    std::map<std::string, wire::EntryT>::const_iterator const entry = table_.entries().find(item.first);
+    if (entry == table_.entries().end()) continue;
     out.list.push_back(std::make_unique<wire::EntryT>(entry->second));
     sent.push_back(SentEntry{item.first, entry->second.stamp});
     item.second.sent = true;
@@ -76,7 +76,7 @@
 
 bool EntryReplication::is_replicated(std::string const& peer, std::string const& key) const {
   std::map<std::string, PeerQueue>::const_iterator const position = queues_.find(peer);
-  return position != queues_.end() && table_.all().count(key) > 0 && position->second.pending.count(key) == 0;
+  return position != queues_.end() && table_.entries().count(key) > 0 && position->second.pending.count(key) == 0;
 }
 
 }  // namespace pipit
--- a/src/mesh/entries/entry_table.cc
+++ b/src/mesh/entries/entry_table.cc
@@ -58,7 +58,7 @@
   return out;
 }
 
-void EntryTable::forget(Micros now, Micros age) {
+void EntryTable::remove_expired(Micros now, Micros age) {
   for (std::map<std::string, Micros>::iterator it = expirable_since_.begin(); it != expirable_since_.end();) {
     if (now - it->second > age) {
       entries_.erase(it->first);
--- a/src/mesh/entries/entry_table.h
+++ b/src/mesh/entries/entry_table.h
@@ -35,11 +35,12 @@
   // Merges an entry that a peer sent; false when it is malformed or not newer than the one held.
   bool merge(wire::EntryT const& entry, Micros now);
   // Removes entries of ended workers and secondary reports that were written more than 'age' microseconds ago.
-  void forget(Micros now, Micros age);
+  void remove_expired(Micros now, Micros age);
   // A hash over all entries that do not expire; equal on two nodes that hold the same entries (§3.6).
   std::uint64_t digest() const;
 
-  std::map<std::string, wire::EntryT> const& all() const { return entries_; }
+  // All entries, by key.
+  std::map<std::string, wire::EntryT> const& entries() const { return entries_; }
   std::string const& self() const { return self_; }
 
  private:
--- a/src/mesh/membership/gossip.h
+++ b/src/mesh/membership/gossip.h
@@ -17,6 +17,7 @@
 
 namespace pipit {
 
+// Records of members in the form in which they are sent.
 using MemberRecords = std::vector<std::unique_ptr<wire::MemberT>>;
 
 // The references passed to the constructor must outlive the object.
--- a/src/mesh/membership/member_table.cc
+++ b/src/mesh/membership/member_table.cc
@@ -153,7 +153,7 @@
   return out;
 }
 
-void MemberTable::forget(Micros now, Micros age) {
+void MemberTable::remove_expired(Micros now, Micros age) {
   for (std::map<std::string, Peer>::iterator it = peers.begin(); it != peers.end();) {
     Peer const& peer = it->second;
     bool const ended = peer.state() == MemberState::down || peer.state() == MemberState::leaving;
--- a/src/mesh/membership/member_table.h
+++ b/src/mesh/membership/member_table.h
@@ -48,8 +48,10 @@
 // One node's table of members.
 class MemberTable {
  public:
+  // 'self' is this node's own record.
   explicit MemberTable(wire::MemberT self) : self(std::move(self)) {}
 
+  // The effect of merging one record.
   enum class MergeResult {
     unchanged,
     changed,  // a peer's record is new or newer
@@ -67,7 +69,7 @@
   // A hash over all records; equal on two nodes whose tables agree (§3.6).
   std::uint64_t digest() const;
   // Removes disconnected peers that have been down or leaving for longer than 'age' microseconds.
-  void forget(Micros now, Micros age);
+  void remove_expired(Micros now, Micros age);
   // Applies a router's registration in the register: an incarnation newer than the known one is added and will be
   // dialled (§5.9).
   void apply_registration(wire::RouterRegistrationT const& registration, Micros now);
@@ -82,9 +84,9 @@
   // The number of known nodes with a role in any state, this node included.
   std::size_t count(MemberRole role) const;
 
-  wire::MemberT self;
-  std::uint64_t version = 0;  // counts changes of a peer's incarnation, state or address
-  std::map<std::string, Peer> peers;
+  wire::MemberT self;                            // this node's own record
+  std::uint64_t version = 0;                     // counts changes of a peer's incarnation, state or address
+  std::map<std::string, Peer> peers;             // all other known members, by name
   std::map<std::string, std::uint64_t> evicted;  // evicted incarnations, by the router's name
 
  private:
--- a/src/mesh/mesh.cc
+++ b/src/mesh/mesh.cc
@@ -29,8 +29,8 @@
   next_round_ = now + settings_.probe_interval;
   failure_detector_.probe_round(now, out);
   if (!is_large_fleet() || ++rounds_ % large_fleet_resend_rounds == 0) flush_entries(out, true);
-  members.forget(now, settings_.forget_after);
-  entry_table.forget(now, settings_.forget_after);
+  members.remove_expired(now, settings_.forget_after);
+  entry_table.remove_expired(now, settings_.forget_after);
   connections_.close_idle(now, out);
 }
 
@@ -43,7 +43,7 @@
   hello.cluster = settings_.cluster;
   hello.format = frame_format_version;
   hello.members = static_cast<std::uint32_t>(members.peers.size());
-  hello.entries = static_cast<std::uint32_t>(entry_table.all().size());
+  hello.entries = static_cast<std::uint32_t>(entry_table.entries().size());
   hello.self = std::make_unique<wire::MemberT>(members.self);
   out.outgoing_frames.push_back({id, encode_message(std::move(hello))});
 }
@@ -67,7 +67,7 @@
   gossip_.broadcast(members.self, out);
 }
 
-void Mesh::leave(ConnectionEffects& out) {
+void Mesh::announce_departure(ConnectionEffects& out) {
   members.self.state = static_cast<std::uint8_t>(MemberState::leaving);
   announce_self(out);
 }
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -54,13 +54,13 @@
   // Broadcasts this node's own record, after a change to it, with a higher bump.
   void announce_self(ConnectionEffects& out);
   // Broadcasts that this node is leaving because it is about to stop.
-  void leave(ConnectionEffects& out);
+  void announce_departure(ConnectionEffects& out);
   // Writes an entry with this node as its owner and queues it for all peers; false when the entry did not change.
   bool put_entry(wire::EntryT entry, Micros now);
   // Sends queued entries without waiting for the next round; with 'resend' also those that were not acknowledged.
   void flush_entries(ConnectionEffects& out, bool resend = false);
 
-  // Replaces the seeds; those that stay keep their backoff.
+  // Replaces the seed addresses; seeds that remain keep their backoff.
   void set_seeds(std::vector<std::string> const& addresses) { connections_.set_seeds(addresses); }
 
   // Whether the fleet is too large for all-to-all broadcasts (§3.6).
@@ -70,6 +70,7 @@
   Micros last_contact_with_half(Micros now) const { return connections_.last_contact_with_half(now); }
   // The zone of a connection's peer; empty before the peer's Hello.
   std::string zone_of(ConnectionId id) const { return connections_.zone_of(id); }
+  // The number of open connections, including those on which no Hello was received yet.
   std::uint64_t open_connections() const { return connections_.size(); }
 
   MemberTable members;
@@ -87,7 +88,9 @@
   void handle_pong(std::string const& from, wire::PongT const& pong, Micros now, ConnectionEffects& out);
   void handle_entries(ConnectionId id, std::string const& from, wire::EntriesT const& batch, Micros now,
                       ConnectionEffects& out);
+  // Queues the entries that a peer lacks according to its Hello.
   void enqueue_entries_for(std::string const& name, wire::HelloT const& hello);
+  // Resends all entries to a peer whose digest differs, at a limited rate; only in a large fleet.
   void repair_entries(std::string const& peer, std::uint64_t peer_digest, Micros now, ConnectionEffects& out);
 
   MeshSettings const settings_;
--- a/src/node/changes.cc
+++ b/src/node/changes.cc
@@ -148,7 +148,7 @@
   if (zone == plan.zone) return true;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.member.zone == zone) return true;
-  for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.all())
+  for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.entries())
     if (item.second.zone == zone) return true;
   for (std::pair<std::string const, Worker> const& item : fleet.workers)
     if (item.second.row.zone == zone) return true;
--- a/src/node/configuration_authority.h
+++ b/src/node/configuration_authority.h
@@ -56,6 +56,7 @@
  private:
   // The peers to query now: one replica, and one other peer when renewal is urgent or no replica is reachable.
   std::vector<std::string> select_peers_to_query(Micros now);
+  // Confirms both leases as of the time 'at'.
   void confirm_leases(Micros at);
 
   Mesh const& mesh_;
--- a/src/node/listed.cc
+++ b/src/node/listed.cc
@@ -27,7 +27,7 @@
   index_sync.tick(now, index_peers(), outgoing);
   if (now >= next_reconcile_) {
     next_reconcile_ = now + seconds(30);
-    fleet.reconcile(mesh.entry_table.all(), now);
+    fleet.reconcile(mesh.entry_table.entries(), now);
   }
   if (list_flying_ && now - list_flew_ > seconds(3)) list_flying_ = false;
   if (now >= next_list_ && !list_flying_) {
@@ -109,8 +109,9 @@
   // §4.3: the owner may have missed a mark that this node read. Then this node says so under a key of its own.
   std::set<std::string> marked;
   for (std::pair<std::string const, Worker> const& item : fleet.workers) {
-    std::map<std::string, wire::EntryT>::const_iterator const said = mesh.entry_table.all().find(item.first);
-    bool const told = said != mesh.entry_table.all().end() && said->second.incarnation >= item.second.row.incarnation &&
+    std::map<std::string, wire::EntryT>::const_iterator const said = mesh.entry_table.entries().find(item.first);
+    bool const told = said != mesh.entry_table.entries().end() &&
+                      said->second.incarnation >= item.second.row.incarnation &&
                       said->second.state != static_cast<std::uint8_t>(WorkerState::serving);
     if (item.second.standing != WorkerState::serving && !told && !mine.count(item.first)) marked.insert(item.first);
   }
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -473,8 +473,8 @@
 
 void Node::take_fresh(Micros now) {
   for (std::string const& key : mesh.updated_entry_keys) {
-    std::map<std::string, wire::EntryT>::const_iterator const entry = mesh.entry_table.all().find(key);
-    if (entry == mesh.entry_table.all().end()) continue;
+    std::map<std::string, wire::EntryT>::const_iterator const entry = mesh.entry_table.entries().find(key);
+    if (entry == mesh.entry_table.entries().end()) continue;
     if (!plan.registered)
       fleet.take_entry(entry->second, now);
     else if (std::optional<wire::EntryT> word = registry.take_entry(entry->second, now))
@@ -590,7 +590,7 @@
   dispatch(outgoing, now, out);
   chat_dispatcher.drain();
   mesh.members.self.ready = false;
-  mesh.leave(out.mesh);
+  mesh.announce_departure(out.mesh);
   log_event(Event::drain_began, "");
 }
 
--- a/src/node/registered.cc
+++ b/src/node/registered.cc
@@ -135,7 +135,7 @@
   if (now >= next_reconcile_) {
     // §4.4: what the entry table holds and the table lost.
     next_reconcile_ = now + seconds(30);
-    for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.all())
+    for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.entries())
       if (registry.find(item.first) == nullptr) registry.take_entry(item.second, now);
   }
   for (wire::EntryT& entry : registry.silent(now)) put_entry(std::move(entry), now, out);
--- a/src/node/router_registrations.h
+++ b/src/node/router_registrations.h
@@ -42,6 +42,7 @@
   // The change that registers this node, if it is time to propose it and none is in flight. It counts as in flight
   // until finish_registration() is called.
   std::optional<Change> next_registration(Micros now);
+  // Reports that the change returned by next_registration() has ended, with whatever outcome.
   void finish_registration() { is_pending_ = false; }
 
   // Applies the register's registrations and evictions to the member table, and raises this node's incarnation above an
@@ -56,6 +57,7 @@
  private:
   // Raises this node's incarnation if the register holds a higher one for its name.
   void raise_incarnation(ConnectionEffects& out);
+  // Records the start or the loss of this node's registration; true when either happened.
   bool update_own_registration(Micros now);
 
   RouterRegistrationOptions const options_;
--- a/tests/mesh/entry_replication.cc
+++ b/tests/mesh/entry_replication.cc
@@ -104,7 +104,7 @@
   EXPECT_FALSE(table.merge(entry("w", "b", 5), 0));
   EXPECT_TRUE(table.merge(entry("w", "c", 5), 0));
   EXPECT_TRUE(table.put(entry("w"), 0));
-  EXPECT_EQ(table.all().at("w").stamp, 6u) << "the clock is advanced by received stamps";
+  EXPECT_EQ(table.entries().at("w").stamp, 6u) << "the clock is advanced by received stamps";
   EXPECT_FALSE(table.put(entry("w"), 0)) << "the entry did not change";
 }
 
