--- a/src/consensus/lease/lease_candidate.cc
+++ b/src/consensus/lease/lease_candidate.cc
@@ -3,25 +3,25 @@
 namespace pipit {
 
 namespace {
-constexpr Micros reply_timeout = millis(200);  // all replies to a request are in by then
-constexpr Micros least_backoff = millis(200);
-constexpr Micros random_backoff = lease_term / 2;
+constexpr Micros reply_timeout = millis(200);  // after this no further reply to a request is expected
+constexpr Micros min_backoff = millis(200);
+constexpr Micros max_random_backoff = lease_term / 2;  // added to `min_backoff`
 constexpr Micros renewal_interval = lease_term / 2;
 constexpr Micros usable_term = lease_term * 4 / 5;
 }  // namespace
 
 void LeaseCandidate::tick(Micros now, Membership const& members, std::vector<OutgoingMessage>& out) {
   if (members.empty()) return;
-  // Rivals each have the leases of a part of the replicas. Whoever fails gives its part back as soon as the replies are
-  // in, and backs off for a random while; else the parts of a few rivals overlap all the time, and nobody ever finds a
-  // majority free.
+  // Split vote: rival candidates each hold the grants of a minority of the replicas. A candidate that did not reach a
+  // quorum releases its grants after `reply_timeout` and backs off for a random time. Otherwise the grants of a few
+  // rivals would overlap all the time, and no candidate would ever find a majority free.
   bool const is_split = requested_at_ >= 0 && !holds(now) && !granted_by_.empty() && !members.quorum(granted_by_);
   if (is_split && now - requested_at_ >= reply_timeout) {
     send_requests(0, members, out);
     requested_at_ = -1;
     granted_by_.clear();
     next_request_at_ =
-        now + least_backoff + static_cast<Micros>(random_.below(static_cast<std::uint64_t>(random_backoff)));
+        now + min_backoff + static_cast<Micros>(random_.below(static_cast<std::uint64_t>(max_random_backoff)));
     return;
   }
   if (now < next_request_at_) return;
--- a/src/consensus/lease/lease_grantor.h
+++ b/src/consensus/lease/lease_grantor.h
@@ -1,4 +1,4 @@
-// Leases on singleton roles, on the side of the replicas that give them (§5.7).
+// Grants leases on singleton roles, on the replicas (§5.7).
 #pragma once
 #include <map>
 #include <string>
@@ -7,18 +7,20 @@
 
 namespace pipit {
 
-// Gives leases on singleton roles, which one node has at a time, for one replica. A candidate has the lease when a
-// majority of the replicas gave it.
+// Grants leases on behalf of one replica. A candidate holds the lease on a role once a majority of the replicas has
+// granted it.
 //
-// State: the leases that are in force, in memory only. Therefore a replica that just began gives nothing for a whole
-// term, since it may have given one just before it ended. Called from the node's loop only.
+// State: the leases in force, in memory only. A replica that has just started therefore grants nothing for a full term,
+// since it may have granted a lease just before its last process ended. Called from the node's loop only.
 //
-// Invariant: at any time a role is leased to one candidate at most.
+// Invariant: at any time this replica has leased a role to at most one candidate.
 class LeaseGrantor {
  public:
+  // `started_at` is when this process started.
   explicit LeaseGrantor(Micros started_at) : started_at_(started_at) {}
-  // Gives, or extends, the lease on a role for a term in microseconds, lease_term at most; false when another
-  // candidate has it. A term of 0 gives the lease back.
+  // Grants or extends the lease on a role for `term` microseconds, at most `lease_term`; a term of 0 releases it.
+  // False when the lease was released, when another candidate holds it, when the term is out of range, or during the
+  // first term after the start.
   bool handle_request(std::string const& candidate, std::string const& role, Micros term, Micros now);
 
  private:
--- a/src/consensus/lease/lease_term.h
+++ b/src/consensus/lease/lease_term.h
@@ -1,4 +1,4 @@
-// The term of a lease on a role that one node has at a time (§5.7).
+// The term of a lease on a singleton role: a role that at most one node has at a time (§5.7).
 #pragma once
 #include "base/micros.h"
 
