--- a/src/consensus/lease/lease_candidate.cc
+++ b/src/consensus/lease/lease_candidate.cc
@@ -15,7 +15,7 @@
   // Split vote: rival candidates each hold the grants of a minority of the replicas. A candidate that did not reach a
   // quorum releases its grants after `reply_timeout` and backs off for a random time. Otherwise the grants of a few
   // rivals would overlap all the time, and no candidate would ever find a majority free.
-  bool const is_split = requested_at_ >= 0 && !holds(now) && !granted_by_.empty() && !members.quorum(granted_by_);
+  bool const is_split = requested_at_ >= 0 && !holds(now) && !granted_by_.empty() && !members.is_quorum(granted_by_);
   if (is_split && now - requested_at_ >= reply_timeout) {
     send_requests(0, members, out);
     requested_at_ = -1;
@@ -41,7 +41,7 @@
 
 void LeaseCandidate::send_requests(Micros term, Membership const& members, std::vector<OutgoingMessage>& out) {
   ++request_id_;
-  for (std::string const& name : members.names()) {
+  for (std::string const& name : members.participant_names()) {
     wire::LeaseRequestT request;
     request.request_id = request_id_;
     request.role = role_;
@@ -52,10 +52,10 @@
 
 void LeaseCandidate::handle_reply(std::string const& from, wire::LeaseReplyT const& reply, Micros now,
                                   Membership const& members) {
-  if (reply.role != role_ || reply.request_id != request_id_ || !reply.ok || !members.concerns(from, reply.disk))
+  if (reply.role != role_ || reply.request_id != request_id_ || !reply.ok || !members.has_participant(from, reply.disk))
     return;
   granted_by_[from] = reply.disk;
-  if (members.quorum(granted_by_)) expires_at_ = requested_at_ + usable_term;
+  if (members.is_quorum(granted_by_)) expires_at_ = requested_at_ + usable_term;
 }
 
 }  // namespace pipit
--- a/src/consensus/register/acceptor.cc
+++ b/src/consensus/register/acceptor.cc
@@ -25,20 +25,20 @@
 }  // namespace
 
 Acceptor::Acceptor(wire::RecordT recovered) : state_(std::move(recovered)) {
-  if (state_.value) convert_old_orders(*state_.value);
+  if (state_.value) migrate_format_1_orders(*state_.value);
   durable_state_ = state_;
 }
 
-void Acceptor::note_quota_members(std::uint64_t fingerprint) {
+void Acceptor::record_quota_members(std::uint64_t fingerprint) {
   if (state_.quota_members == fingerprint) return;
   state_.quota_members = fingerprint;
-  note_pending_ = true;
+  record_update_pending_ = true;
 }
 
-void Acceptor::await_bootstrap(std::vector<std::string> const& seeds) {
+void Acceptor::record_bootstrap_seeds(std::vector<std::string> const& seeds) {
   if (state_.formed || !state_.bootstrap_seeds.empty()) return;
   state_.bootstrap_seeds = seeds;
-  note_pending_ = true;
+  record_update_pending_ = true;
 }
 
 void Acceptor::enqueue(std::string from, wire::BodyUnion body) {
@@ -46,7 +46,7 @@
   if (requests_.size() < max_backlog) requests_.emplace_back(std::move(from), std::move(body));
 }
 
-wire::ReadReplyT read_reply(wire::RecordT const& state, wire::ReadRequestT const& request) {
+wire::ReadReplyT make_read_reply(wire::RecordT const& state, wire::ReadRequestT const& request) {
   wire::ReadReplyT out;
   out.request_id = request.request_id;
   out.disk = state.disk;
@@ -96,7 +96,7 @@
   if (reply.ok) state_.promised = request.ballot;
   reply.promised = state_.promised;
   reply.accepted = state_.accepted;
-  bool const known = is_set(request.known) && same(request.known, state_.accepted);
+  bool const known = is_set(request.known) && same_ballot(request.known, state_.accepted);
   if (state_.value && reply.ok && !known) reply.value = std::make_unique<wire::ValueT>(*state_.value);
   bool const changed = reply.ok;
   out.push_back(message_to(from, std::move(reply)));
@@ -105,8 +105,9 @@
 
 std::unique_ptr<wire::ValueT> Acceptor::value_to_accept(wire::AcceptT& request) const {
   if (request.value) return std::move(request.value);
-  if (!request.patch || !state_.value || !is_set(request.base) || !same(request.base, state_.accepted)) return nullptr;
-  std::optional<wire::ValueT> value = patched(*state_.value, *request.patch);
+  if (!request.patch || !state_.value || !is_set(request.base) || !same_ballot(request.base, state_.accepted))
+    return nullptr;
+  std::optional<wire::ValueT> value = apply_value_patch(*state_.value, *request.patch);
   return value ? std::make_unique<wire::ValueT>(std::move(*value)) : nullptr;
 }
 
@@ -117,7 +118,7 @@
   reply.promised = state_.promised;
   bool changed = false;
   bool const outdated = request.ballot < state_.promised && guard(Guard::promise);
-  if (!outdated && same(request.ballot, state_.accepted)) {
+  if (!outdated && same_ballot(request.ballot, state_.accepted)) {
     reply.ok = true;  // a repetition: the value of a ballot is one
     check_invariant(
         !request.value || !state_.value || same_value(*request.value, *state_.value), Invariant::promise_kept, [&] {
@@ -148,18 +149,18 @@
   Membership first;
   first.epoch = 1;
   for (std::unique_ptr<wire::ReplicaT> const& replica : request.replicas) first.replicas.push_back(*replica);
-  if (!first.holds(state_.name, state_.disk)) return false;
+  if (!first.contains(state_.name, state_.disk)) return false;
   state_.formed = true;
   // Two first sets, should there ever be two, have ballots of their own.
   state_.accepted = wire::Ballot(1, first.fingerprint());
   state_.value = std::make_unique<wire::ValueT>();
-  put_membership(first, *state_.value);
+  store_membership(first, *state_.value);
   return true;
 }
 
 std::optional<wire::RecordT> Acceptor::step(std::vector<OutgoingMessage>& out) {
   if (sync_in_progress_) return std::nullopt;
-  bool changed = std::exchange(note_pending_, false);
+  bool changed = std::exchange(record_update_pending_, false);
   std::vector<OutgoingMessage> replies;
   while (!requests_.empty()) {
     std::pair<std::string, wire::BodyUnion> item = std::move(requests_.front());
@@ -179,7 +180,7 @@
   return state_;
 }
 
-void Acceptor::synced(std::vector<OutgoingMessage>& out) {
+void Acceptor::on_synced(std::vector<OutgoingMessage>& out) {
   sync_in_progress_ = false;
   durable_state_ = state_;
   for (OutgoingMessage& reply : unsynced_replies_) out.push_back(std::move(reply));
--- a/src/consensus/register/acceptor.h
+++ b/src/consensus/register/acceptor.h
@@ -14,7 +14,7 @@
 namespace pipit {
 
 // Promises and accepts ballots for one replica. It replies to nothing before the state that the reply tells of is
-// synced: the owner writes each record that step() returns and calls synced() when it is on disk.
+// synced: the owner writes each record that step() returns and calls on_synced() when it is on disk.
 //
 // State: the record as it is to be, the record as it is on disk, requests that wait for step(), and replies that wait
 // for the sync. Called from the node's loop only.
@@ -33,11 +33,11 @@
   std::optional<wire::RecordT> step(std::vector<OutgoingMessage>& out);
   // Notes the seeds of the first start on a blank disk, so that a later incarnation may still take part in bootstrap;
   // step() has it synced.
-  void await_bootstrap(std::vector<std::string> const& seeds);
+  void record_bootstrap_seeds(std::vector<std::string> const& seeds);
   // Notes the membership by which quotas are handed out here; step() has it synced.
-  void note_quota_members(std::uint64_t fingerprint);
+  void record_quota_members(std::uint64_t fingerprint);
   // The record that step() returned is synced: 'out' gets the replies that waited for it.
-  void synced(std::vector<OutgoingMessage>& out);
+  void on_synced(std::vector<OutgoingMessage>& out);
 
   // The state that is on disk; what others are told comes from here.
   wire::RecordT const& durable_state() const { return durable_state_; }
@@ -56,12 +56,12 @@
   wire::RecordT state_;          // with what is not synced yet
   wire::RecordT durable_state_;  // what is synced
   bool sync_in_progress_ = false;
-  bool note_pending_ = false;                                     // a note changed the record since the last step
+  bool record_update_pending_ = false;                            // a note changed the record since the last step
   std::deque<std::pair<std::string, wire::BodyUnion>> requests_;  // with their senders
   std::vector<OutgoingMessage> unsynced_replies_;                 // to send once the sync is done
 };
 
 // What a replica tells of its value. The membership goes along only when it is not the one that the asker knows.
-wire::ReadReplyT read_reply(wire::RecordT const& state, wire::ReadRequestT const& request);
+wire::ReadReplyT make_read_reply(wire::RecordT const& state, wire::ReadRequestT const& request);
 
 }  // namespace pipit
--- a/src/consensus/register/ballot.h
+++ b/src/consensus/register/ballot.h
@@ -8,7 +8,7 @@
 inline bool operator<(wire::Ballot const& a, wire::Ballot const& b) {
   return a.n() != b.n() ? a.n() < b.n() : a.who() < b.who();
 }
-inline bool same(wire::Ballot const& a, wire::Ballot const& b) { return a.n() == b.n() && a.who() == b.who(); }
+inline bool same_ballot(wire::Ballot const& a, wire::Ballot const& b) { return a.n() == b.n() && a.who() == b.who(); }
 // False for the ballot of a replica that has accepted nothing yet.
 inline bool is_set(wire::Ballot const& ballot) { return ballot.n() != 0; }
 
--- a/src/consensus/register/change.h
+++ b/src/consensus/register/change.h
@@ -22,17 +22,17 @@
   // Another node was asked to propose it and may have done so: without a quorum's word its outcome is unknown.
   bool proposed_elsewhere = false;
   wire::ReplicaT replica;                  // who is admitted or dismissed
-  wire::ReplicaT leaving;                  // whose place the admitted one takes, in a 'replace'
+  wire::ReplicaT replaced_replica;         // whose place the admitted one takes, in a 'replace'
   wire::RouterRegistrationT registration;  // a router node that takes its place, or is evicted
 };
 
 // What became of a change.
 struct Outcome {
   enum class Type : std::uint8_t {
-    chosen,   // it was chosen
-    kept,     // no order was put in place: it changed nothing, or registrations only
-    refused,  // it was not and will not be chosen; see 'error'
-    unknown,  // nobody can say; see 'error'
+    chosen,     // it was chosen
+    unchanged,  // no order was put in place: it changed nothing, or registrations only
+    refused,    // it was not and will not be chosen; see 'error'
+    unknown,    // nobody can say; see 'error'
   };
   Type type = Type::unknown;
   Error error;
--- a/src/consensus/register/learner.cc
+++ b/src/consensus/register/learner.cc
@@ -16,7 +16,7 @@
   // Every change raises the revision, and those of operators the serial with it.
   if (value && value->revision == chosen.revision) check_agreement(chosen);
   if (value && value->revision >= chosen.revision) return false;
-  replace(chosen, now);
+  replace_value(chosen, now);
   return true;
 }
 
@@ -33,15 +33,15 @@
 
 bool Learner::adopt(wire::ValuePatchT const& patch, Micros now) {
   if (!value) return false;
-  std::optional<wire::ValueT> fresh = patched(*value, patch);
+  std::optional<wire::ValueT> fresh = apply_value_patch(*value, patch);
   if (!fresh || fresh->revision <= value->revision) return false;
-  replace(std::move(*fresh), now);
+  replace_value(std::move(*fresh), now);
   return true;
 }
 
-void Learner::replace(wire::ValueT next, Micros now) {
+void Learner::replace_value(wire::ValueT next, Micros now) {
   previous_value = std::move(value);
-  changed_at = now;
+  value_changed_at = now;
   value = std::move(next);
   membership_ = membership_of(*value);
   if (quorum_at_ >= 0 && value->revision >= quorum_revision_) confirmed_at = std::max(confirmed_at, quorum_at_);
@@ -70,14 +70,14 @@
   Voters voters;
   bool ballots_differ = false;
   for (std::pair<std::string const, PollReply> const& item : poll_replies_) {
-    if (!membership_.concerns(item.first, item.second.disk)) continue;
+    if (!membership_.has_participant(item.first, item.second.disk)) continue;
     voters[item.first] = item.second.disk;
-    ballots_differ = ballots_differ || !same(item.second.ballot, poll_replies_.at(voters.begin()->first).ballot);
+    ballots_differ = ballots_differ || !same_ballot(item.second.ballot, poll_replies_.at(voters.begin()->first).ballot);
   }
-  replicas_differ = ballots_differ && !membership_.empty() && membership_.quorum(voters);
+  replicas_differ = ballots_differ && !membership_.empty() && membership_.is_quorum(voters);
 }
 
-void Learner::remember_members(wire::ReadReplyT const& reply) {
+void Learner::record_poll_membership(wire::ReadReplyT const& reply) {
   Membership members;
   members.epoch = reply.epoch;
   for (std::unique_ptr<wire::ReplicaT> const& replica : reply.replicas) members.replicas.push_back(*replica);
@@ -87,15 +87,15 @@
   poll_memberships_[members.fingerprint()] = std::move(members);
 }
 
-Membership const* Learner::members_of(PollReply const& poll_reply) const {
+Membership const* Learner::membership_in(PollReply const& poll_reply) const {
   std::map<std::uint64_t, Membership>::const_iterator const position = poll_memberships_.find(poll_reply.members);
   return position == poll_memberships_.end() ? nullptr : &position->second;
 }
 
-Voters Learner::replicas_at(wire::Ballot const& ballot) const {
+Voters Learner::replicas_with_ballot(wire::Ballot const& ballot) const {
   Voters out;
   for (std::pair<std::string const, PollReply> const& item : poll_replies_)
-    if (same(item.second.ballot, ballot)) out[item.first] = item.second.disk;
+    if (same_ballot(item.second.ballot, ballot)) out[item.first] = item.second.disk;
   return out;
 }
 
@@ -110,10 +110,10 @@
     voters[item.first] = item.second.disk;
     revision = std::max(revision, item.second.revision);
   }
-  Membership const* const members = newest == nullptr ? nullptr : members_of(*newest);
+  Membership const* const members = newest == nullptr ? nullptr : membership_in(*newest);
   if (members == nullptr) return;
   newest_seen_membership_ = *members;
-  if (!members->quorum(voters)) return;
+  if (!members->is_quorum(voters)) return;
   quorum_revision_ = revision;
   quorum_at_ = poll_sent_at_;
   if (value && value->revision >= quorum_revision_) confirmed_at = std::max(confirmed_at, quorum_at_);
@@ -125,15 +125,15 @@
       Observation{reply.disk, reply.formed, reply.ballot, reply.serial, now, reply.retiring, reply.awaits_bootstrap};
   if (reply.value) return handle_fetched_value(reply, now);
   if (reply.request_id != request_id_) return std::nullopt;
-  remember_members(reply);
+  record_poll_membership(reply);
   // A replica that has accepted nothing yet says so: no value was chosen with its help. It counts where a membership
   // names it with its disk, as a member that was unreachable when it got its place.
   PollReply const poll_reply{reply.ballot, reply.revision, reply.disk, reply.members};
   poll_replies_[from] = poll_reply;
   update_quorum_revision();
   if (!reply.formed) return std::nullopt;
-  Membership const* const members = members_of(poll_reply);
-  if (members == nullptr || !members->quorum(replicas_at(poll_reply.ballot))) return std::nullopt;
+  Membership const* const members = membership_in(poll_reply);
+  if (members == nullptr || !members->is_quorum(replicas_with_ballot(poll_reply.ballot))) return std::nullopt;
   if (value && value->revision >= poll_reply.revision) {
     confirmed_at = std::max(confirmed_at, poll_sent_at_);
     return std::nullopt;
@@ -146,7 +146,8 @@
   if (!fetch_ || reply.request_id != fetch_->request_id) return std::nullopt;
   Fetch const fetch = *fetch_;
   fetch_.reset();
-  if (!same(reply.ballot, fetch.ballot)) return std::nullopt;  // the replica has accepted another value meanwhile
+  if (!same_ballot(reply.ballot, fetch.ballot))
+    return std::nullopt;  // the replica has accepted another value meanwhile
   // A quorum agreed on this ballot, so this is the value that was chosen.
   bool const fresh = adopt(*reply.value, now);
   if (value && value->revision == reply.value->revision) confirmed_at = std::max(confirmed_at, fetch.poll_sent_at);
@@ -156,7 +157,7 @@
 
 void Learner::fetch_value(std::string const& from, wire::Ballot const& ballot, Micros now,
                           std::vector<OutgoingMessage>& out) {
-  if (fetch_ && now - fetch_->asked_at < fetch_timeout) return;
+  if (fetch_ && now - fetch_->requested_at < fetch_timeout) return;
   fetch_ = Fetch{request_id_, ballot, poll_sent_at_, now};
   wire::ReadRequestT request;
   request.request_id = request_id_;
--- a/src/consensus/register/learner.h
+++ b/src/consensus/register/learner.h
@@ -41,16 +41,16 @@
   // The membership of the newest value that a poll showed, chosen or not; a proposer may begin with it.
   Membership const& newest_seen_membership() const { return newest_seen_membership_; }
   // A first membership that some replica has, though nobody knows yet whether it is chosen; empty when none was seen.
-  Membership const& bootstrap_set() const { return bootstrap_membership_; }
+  Membership const& bootstrap_membership() const { return bootstrap_membership_; }
   // When the last poll was sent that a quorum answered; -1 for never.
-  Micros last_quorum_at() const { return quorum_at_; }
+  Micros last_quorum_poll_at() const { return quorum_at_; }
   std::uint64_t serial() const { return value ? value->serial : 0; }
   std::uint64_t revision() const { return value ? value->revision : 0; }
   std::optional<wire::ValueT> value;
   std::optional<wire::ValueT> previous_value;  // what was held before it: the base of the patch that peers get
   // When the last poll was sent whose quorum knew nothing newer than what is held here; -1 for never.
   Micros confirmed_at = -1;
-  Micros changed_at = -1;        // when the value held here last changed
+  Micros value_changed_at = -1;  // when the value held here last changed
   bool replicas_differ = false;  // the last poll that reached a quorum saw replicas with different ballots
   struct Observation {
     std::uint64_t disk = 0;
@@ -70,16 +70,16 @@
     std::uint64_t disk = 0;
     std::uint64_t members = 0;  // the fingerprint of its value's membership
   };
-  void remember_members(wire::ReadReplyT const& reply);
+  void record_poll_membership(wire::ReadReplyT const& reply);
   void check_agreement(wire::ValueT const& chosen) const;
-  void replace(wire::ValueT next, Micros now);
+  void replace_value(wire::ValueT next, Micros now);
   // Takes the value that was fetched, if it is the one that a quorum agreed on.
   std::optional<wire::ValueT> handle_fetched_value(wire::ReadReplyT const& reply, Micros now);
   // Asks this replica for the value of its ballot, which a quorum has accepted, unless a fetch is under way.
   void fetch_value(std::string const& from, wire::Ballot const& ballot, Micros now, std::vector<OutgoingMessage>& out);
   // The replicas that replied to the present poll with this ballot.
-  Voters replicas_at(wire::Ballot const& ballot) const;
-  Membership const* members_of(PollReply const& poll_reply) const;
+  Voters replicas_with_ballot(wire::Ballot const& ballot) const;
+  Membership const* membership_in(PollReply const& poll_reply) const;
   void update_quorum_revision();
   void update_replicas_differ();
 
@@ -96,7 +96,7 @@
     std::uint64_t request_id = 0;
     wire::Ballot ballot;
     Micros poll_sent_at = 0;  // of the poll that agreed on it
-    Micros asked_at = 0;
+    Micros requested_at = 0;
   };
   std::optional<Fetch> fetch_;
   // The newest revision that a quorum of a poll knew, and when that poll was sent: nothing older was chosen later.
--- a/src/consensus/register/membership.cc
+++ b/src/consensus/register/membership.cc
@@ -11,26 +11,26 @@
 namespace {
 using ReplicaList = std::vector<std::unique_ptr<wire::ReplicaT>>;
 
-bool has(std::vector<wire::ReplicaT> const& replicas, std::string const& name, std::uint64_t disk) {
+bool contains_replica(std::vector<wire::ReplicaT> const& replicas, std::string const& name, std::uint64_t disk) {
   for (wire::ReplicaT const& replica : replicas)
     if (replica.name == name && (replica.disk == disk || !guard(Guard::disk_id))) return true;
   return false;
 }
 
-bool majority_of(std::vector<wire::ReplicaT> const& replicas, Voters const& voters) {
+bool is_majority(std::vector<wire::ReplicaT> const& replicas, Voters const& voters) {
   std::size_t count = 0;
   for (std::pair<std::string const, std::uint64_t> const& voter : voters)
-    if (has(replicas, voter.first, voter.second)) ++count;
+    if (contains_replica(replicas, voter.first, voter.second)) ++count;
   return count >= replicas.size() / 2 + 1;
 }
 
-std::vector<wire::ReplicaT> unpacked(ReplicaList const& list) {
+std::vector<wire::ReplicaT> to_vector(ReplicaList const& list) {
   std::vector<wire::ReplicaT> out;
   for (std::unique_ptr<wire::ReplicaT> const& replica : list) out.push_back(*replica);
   return out;
 }
 
-ReplicaList packed(std::vector<wire::ReplicaT> const& replicas) {
+ReplicaList to_table(std::vector<wire::ReplicaT> const& replicas) {
   ReplicaList out;
   for (wire::ReplicaT const& replica : replicas) out.push_back(std::make_unique<wire::ReplicaT>(replica));
   return out;
@@ -45,18 +45,20 @@
 }
 }  // namespace
 
-bool Membership::holds(std::string const& name, std::uint64_t disk) const { return has(replicas, name, disk); }
+bool Membership::contains(std::string const& name, std::uint64_t disk) const {
+  return contains_replica(replicas, name, disk);
+}
 
-bool Membership::concerns(std::string const& name, std::uint64_t disk) const {
-  return has(replicas, name, disk) || has(former, name, disk);
+bool Membership::has_participant(std::string const& name, std::uint64_t disk) const {
+  return contains_replica(replicas, name, disk) || contains_replica(former, name, disk);
 }
 
-bool Membership::quorum(Voters const& voters) const {
-  if (!majority_of(replicas, voters)) return false;
-  return !joint() || !guard(Guard::joint) || majority_of(former, voters);
+bool Membership::is_quorum(Voters const& voters) const {
+  if (!is_majority(replicas, voters)) return false;
+  return !is_joint() || !guard(Guard::joint) || is_majority(former, voters);
 }
 
-std::vector<std::string> Membership::names() const {
+std::vector<std::string> Membership::participant_names() const {
   std::set<std::string> out;
   for (wire::ReplicaT const& replica : replicas) out.insert(replica.name);
   for (wire::ReplicaT const& replica : former) out.insert(replica.name);
@@ -70,15 +72,15 @@
 Membership membership_of(wire::ValueT const& value) {
   Membership out;
   out.epoch = value.epoch;
-  out.replicas = unpacked(value.replicas);
-  out.former = unpacked(value.former);
+  out.replicas = to_vector(value.replicas);
+  out.former = to_vector(value.former);
   return out;
 }
 
-void put_membership(Membership const& members, wire::ValueT& value) {
+void store_membership(Membership const& members, wire::ValueT& value) {
   value.epoch = members.epoch;
-  value.replicas = packed(members.replicas);
-  value.former = packed(members.former);
+  value.replicas = to_table(members.replicas);
+  value.former = to_table(members.former);
 }
 
 }  // namespace pipit
--- a/src/consensus/register/membership.h
+++ b/src/consensus/register/membership.h
@@ -23,23 +23,23 @@
   std::vector<wire::ReplicaT> former;  // the set that this one follows, until the joint set is left
 
   bool empty() const { return replicas.empty(); }
-  bool joint() const { return !former.empty(); }
+  bool is_joint() const { return !former.empty(); }
   // The number of replicas that make a majority of the set itself.
-  std::size_t majority() const { return replicas.size() / 2 + 1; }
+  std::size_t majority_size() const { return replicas.size() / 2 + 1; }
   // Whether a replica belongs to the set, on this disk.
-  bool holds(std::string const& name, std::uint64_t disk) const;
+  bool contains(std::string const& name, std::uint64_t disk) const;
   // Whether a replica belongs to the set or to the one that it follows.
-  bool concerns(std::string const& name, std::uint64_t disk) const;
+  bool has_participant(std::string const& name, std::uint64_t disk) const;
   // Whether those that answered are a majority of the set, and of the former one while it is joint.
-  bool quorum(Voters const& voters) const;
+  bool is_quorum(Voters const& voters) const;
   // Every replica that takes part, once each.
-  std::vector<std::string> names() const;
+  std::vector<std::string> participant_names() const;
   // A hash of the members of both parts and of the epoch; equal sets have equal ones in every process.
   std::uint64_t fingerprint() const;
 };
 
 Membership membership_of(wire::ValueT const& value);
 // Writes a set into a value.
-void put_membership(Membership const& members, wire::ValueT& value);
+void store_membership(Membership const& members, wire::ValueT& value);
 
 }  // namespace pipit
--- a/src/consensus/register/orders.cc
+++ b/src/consensus/register/orders.cc
@@ -7,12 +7,12 @@
 namespace pipit {
 
 namespace {
-bool is_order(wire::Order const& order, Digest const& id) {
+bool has_id(wire::Order const& order, Digest const& id) {
   return order.id_high() == id.high && order.id_low() == id.low;
 }
 
 // Orders that are based on an older label, or serial, than the oldest order put in place are forgotten with it.
-void forget_oldest(wire::ValueT& value) {
+void forget_oldest_order(wire::ValueT& value) {
   value.forgotten_serial = value.serial - value.orders.size() + 1;
   value.forgotten_label = std::max(value.forgotten_label, value.orders.front().label());
   value.orders.erase(value.orders.begin());
@@ -24,14 +24,14 @@
   Digest const digest = digest_of(id);
   std::size_t const count = value.orders.size();
   for (std::size_t i = count; i-- > 0;)
-    if (is_order(value.orders[i], digest)) return value.serial - (count - 1 - i);
+    if (has_id(value.orders[i], digest)) return value.serial - (count - 1 - i);
   return 0;
 }
 
 void remember_order(wire::ValueT& value, std::string const& id) {
   Digest const digest = digest_of(id);
   value.orders.emplace_back(digest.high, digest.low, value.label);
-  while (value.orders.size() > orders_remembered) forget_oldest(value);
+  while (value.orders.size() > max_remembered_orders) forget_oldest_order(value);
 }
 
 bool order_may_be_forgotten(wire::ValueT const& value, std::uint64_t based_on_label, std::uint64_t based_on_serial,
@@ -40,30 +40,31 @@
   return by_label ? based_on_label < value.forgotten_label : based_on_serial < value.forgotten_serial;
 }
 
-OrderStanding standing_of_order(wire::ValueT const& value, std::string const& id, OrderBase const& base) {
-  if (serial_of_order(value, id) > 0) return OrderStanding::taken;
-  if (order_may_be_forgotten(value, base.expected, base.expected, base.by_label)) return OrderStanding::forgotten;
+OrderStatus order_status(wire::ValueT const& value, std::string const& id, OrderBase const& base) {
+  if (serial_of_order(value, id) > 0) return OrderStatus::already_taken;
+  if (order_may_be_forgotten(value, base.expected, base.expected, base.by_label))
+    return OrderStatus::possibly_forgotten;
   std::uint64_t const present = base.by_label ? value.label : value.serial;
-  if (present == base.expected) return OrderStanding::fits;
-  return base.by_label && present < base.expected ? OrderStanding::early : OrderStanding::outdated;
+  if (present == base.expected) return OrderStatus::applicable;
+  return base.by_label && present < base.expected ? OrderStatus::base_in_future : OrderStatus::base_outdated;
 }
 
-std::optional<Error> unknown_outcome_of_order(wire::ValueT const& value, OrderStanding standing) {
-  if (standing == OrderStanding::forgotten)
+std::optional<Error> unknown_outcome_error(wire::ValueT const& value, OrderStatus status) {
+  if (status == OrderStatus::possibly_forgotten)
     return Error{ErrorCode::change_unknown, "it builds on a label or serial from before what is remembered", ""};
-  if (standing == OrderStanding::early)
+  if (status == OrderStatus::base_in_future)
     return Error{ErrorCode::change_unknown, "it builds on a label above the present " + std::to_string(value.label),
                  ""};
   return std::nullopt;
 }
 
-Error outdated_error(wire::ValueT const& value, bool by_label) {
+Error stale_base_error(wire::ValueT const& value, bool by_label) {
   std::string const present =
       by_label ? "label is " + std::to_string(value.label) : "serial is " + std::to_string(value.serial);
   return Error{ErrorCode::stale_serial, "the present " + present, ""};
 }
 
-void convert_old_orders(wire::ValueT& value) {
+void migrate_format_1_orders(wire::ValueT& value) {
   if (!value.orders.empty() || value.change.empty()) {
     value.past.clear();
     return;
--- a/src/consensus/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -17,8 +17,8 @@
 constexpr int max_leaps = 16;
 constexpr std::uint64_t ballot_leap = 4;
 // A backoff lasts the least span and a random part that grows with the attempts, up to a bound.
-constexpr Micros least_backoff = millis(5);
-constexpr Micros backoff_for_attempt = millis(20);
+constexpr Micros min_backoff = millis(5);
+constexpr Micros backoff_per_attempt = millis(20);
 constexpr int max_backoff_attempts = 8;
 }  // namespace
 
@@ -42,7 +42,7 @@
 void Proposer::adopt_membership(Membership const& members) {
   if (members.epoch <= chosen_membership_.epoch) return;
   chosen_membership_ = members;
-  if (members.joint()) chosen_joint_fingerprint_ = members.fingerprint();
+  if (members.is_joint()) chosen_joint_fingerprint_ = members.fingerprint();
   if (members.epoch <= membership_.epoch) return;
   membership_ = members;
   if (phase_ == Phase::prepare) phase_ = Phase::backoff;  // phase one begins anew with the newer one
@@ -70,7 +70,7 @@
   rejection_.reset();
   phase_ = Phase::prepare;
   phase_deadline_ = now + options_.phase_timeout;
-  for (std::string const& name : membership_.names()) {
+  for (std::string const& name : membership_.participant_names()) {
     wire::PrepareT request;
     request.request_id = request_id_;
     request.ballot = ballot_;
@@ -90,11 +90,11 @@
   highest_ballot_number_ = std::max(highest_ballot_number_, promised + leap);
   phase_ = Phase::backoff;
   // Rivals step aside for a random while, longer with each attempt.
-  Micros const longest = backoff_for_attempt * std::min(pending.attempts, max_backoff_attempts);
-  phase_deadline_ = now + least_backoff + static_cast<Micros>(random_.below(static_cast<std::uint64_t>(longest)));
+  Micros const longest = backoff_per_attempt * std::min(pending.attempts, max_backoff_attempts);
+  phase_deadline_ = now + min_backoff + static_cast<Micros>(random_.below(static_cast<std::uint64_t>(longest)));
 }
 
-void Proposer::finish(Outcome const& outcome) {
+void Proposer::complete_change(Outcome const& outcome) {
   PendingChange pending = std::move(pending_.front());
   pending_.pop_front();
   phase_ = Phase::idle;
@@ -103,11 +103,12 @@
 
 void Proposer::handle_promise(std::string const& from, wire::PromiseT const& reply, Micros now,
                               std::vector<OutgoingMessage>& out) {
-  if (phase_ != Phase::prepare || reply.request_id != request_id_ || !membership_.concerns(from, reply.disk)) return;
+  if (phase_ != Phase::prepare || reply.request_id != request_id_ || !membership_.has_participant(from, reply.disk))
+    return;
   if (!reply.ok) return back_off(now, reply.promised.n());
-  if (!same(reply.promised, ballot_)) return;  // a reply to another round, whatever its number
+  if (!same_ballot(reply.promised, ballot_)) return;  // a reply to another round, whatever its number
   promises_[from] = ReceivedPromise{reply.disk, reply.accepted};
-  if (!note_accepted_value(reply)) return back_off(now, 0);
+  if (!record_accepted_value(reply)) return back_off(now, 0);
   if (!has_promise_quorum()) return;
   // Only the first membership may have no value yet.
   if (!highest_accepted_value_ && membership_.epoch != 1) return back_off(now, 0);
@@ -115,9 +116,9 @@
   start_accept_phase(now, out);
 }
 
-bool Proposer::note_accepted_value(wire::PromiseT const& reply) {
+bool Proposer::record_accepted_value(wire::PromiseT const& reply) {
   if (!is_set(reply.accepted) || !(highest_accepted_ballot_ < reply.accepted)) return true;
-  bool const is_cached = cached_value_ && same(reply.accepted, cached_ballot_);
+  bool const is_cached = cached_value_ && same_ballot(reply.accepted, cached_ballot_);
   if (!is_cached && !reply.value) return false;
   highest_accepted_ballot_ = reply.accepted;
   highest_accepted_value_ = is_cached ? *cached_value_ : *reply.value;
@@ -127,7 +128,7 @@
 bool Proposer::has_promise_quorum() const {
   Voters voters;
   for (std::pair<std::string const, ReceivedPromise> const& item : promises_) voters[item.first] = item.second.disk;
-  return membership_.quorum(voters);
+  return membership_.is_quorum(voters);
 }
 
 bool Proposer::adopt_found_value() {
@@ -146,13 +147,13 @@
   phase_ = Phase::accept;
   phase_deadline_ = now + options_.phase_timeout;
   Membership const next = membership_of(draft_);
-  std::vector<std::string> names = membership_.names();
-  for (std::string const& name : next.names())
+  std::vector<std::string> names = membership_.participant_names();
+  for (std::string const& name : next.participant_names())
     if (std::find(names.begin(), names.end(), name) == names.end()) names.push_back(name);
   for (std::string const& name : names) {
     std::map<std::string, ReceivedPromise>::const_iterator const position = promises_.find(name);
     bool const has_other_value =
-        position != promises_.end() && !same(position->second.accepted, highest_accepted_ballot_);
+        position != promises_.end() && !same_ballot(position->second.accepted, highest_accepted_ballot_);
     send_accept(name, has_other_value || !highest_accepted_value_, out);
   }
 }
@@ -165,7 +166,7 @@
     request.value = std::make_unique<wire::ValueT>(draft_);
   } else {
     request.base = highest_accepted_ballot_;
-    request.patch = patch_between(*highest_accepted_value_, draft_);
+    request.patch = make_value_patch(*highest_accepted_value_, draft_);
   }
   out.push_back(message_to(to, std::move(request)));
 }
@@ -174,25 +175,25 @@
   PendingChange& pending = pending_.front();
   draft_ = highest_accepted_value_ ? *highest_accepted_value_ : wire::ValueT();
   // The first membership, which no replica has written yet.
-  if (!highest_accepted_value_) put_membership(membership_, draft_);
+  if (!highest_accepted_value_) store_membership(membership_, draft_);
   order_applied_ = false;
   draft_type_ = DraftType::change;
-  if (membership_.joint()) {
-    make_draft_of_joint();
+  if (membership_.is_joint()) {
+    draft_joint_step();
     return true;
   }
   if (serial_of_order(draft_, pending.change.id) > 0) return true;
-  if (std::optional<Error> const unknown = unknown_outcome_of(pending)) {
+  if (std::optional<Error> const unknown = unknown_outcome_before_draft(pending)) {
     Outcome outcome;
     outcome.error = *unknown;
-    finish(outcome);
+    complete_change(outcome);
     return false;
   }
-  make_change(pending.change);
+  apply_change(pending.change);
   return true;
 }
 
-void Proposer::make_draft_of_joint() {
+void Proposer::draft_joint_step() {
   bool const is_chosen = chosen_joint_fingerprint_ == membership_.fingerprint() || !guard(Guard::joint_chosen);
   draft_type_ = is_chosen ? DraftType::leave_joint : DraftType::confirm_joint;
   if (!is_chosen) return;
@@ -202,30 +203,30 @@
 }
 
 // Why nobody can say what became, or will become, of the order that is to be tried now; nothing when that is certain.
-std::optional<Error> Proposer::unknown_outcome_of(PendingChange const& pending) const {
+std::optional<Error> Proposer::unknown_outcome_before_draft(PendingChange const& pending) const {
   if (pending.sent_serial > 0 && pending.sent_serial <= draft_.forgotten_serial)
     return Error{ErrorCode::change_unknown, "", ""};
   if (pending.change.type != Change::Type::apply) return std::nullopt;
   OrderBase const base{pending.change.expected, pending.change.label > 0};
-  return unknown_outcome_of_order(draft_, standing_of_order(draft_, pending.change.id, base));
+  return unknown_outcome_error(draft_, order_status(draft_, pending.change.id, base));
 }
 
-void Proposer::make_change(Change const& change) {
+void Proposer::apply_change(Change const& change) {
   bool members_or_routers_changed = false;
   switch (change.type) {
     case Change::Type::read:
       break;
     case Change::Type::apply:
-      apply(change);
+      apply_description(change);
       break;
     case Change::Type::empty:
     case Change::Type::refill:
-      change_zones(change);
+      apply_zone_change(change);
       break;
     case Change::Type::admit:
     case Change::Type::dismiss:
     case Change::Type::replace:
-      members_or_routers_changed = change_members(change);
+      members_or_routers_changed = draft_membership_change(change);
       break;
     // §5.9: registrations are no business of the operators' serial.
     case Change::Type::register_router:
@@ -248,11 +249,11 @@
   }
 }
 
-void Proposer::apply(Change const& change) {
+void Proposer::apply_description(Change const& change) {
   bool const by_label = change.label > 0;
-  OrderStanding const standing = standing_of_order(draft_, change.id, OrderBase{change.expected, by_label});
-  if (standing != OrderStanding::fits && guard(Guard::expected)) {
-    rejection_ = outdated_error(draft_, by_label);
+  OrderStatus const status = order_status(draft_, change.id, OrderBase{change.expected, by_label});
+  if (status != OrderStatus::applicable && guard(Guard::expected)) {
+    rejection_ = stale_base_error(draft_, by_label);
   } else if (by_label && change.label <= draft_.label) {
     rejection_ = Error{ErrorCode::bad_description, "the label is not above " + std::to_string(draft_.label), ""};
   } else {
@@ -262,7 +263,7 @@
   }
 }
 
-void Proposer::change_zones(Change const& change) {
+void Proposer::apply_zone_change(Change const& change) {
   std::vector<std::string>& zones = draft_.drained_zones;
   std::vector<std::string>::iterator const zone = std::find(zones.begin(), zones.end(), change.text);
   bool const there = zone != zones.end();
@@ -276,14 +277,14 @@
 }
 
 // Writes the joint membership of a change of members; false when it does not fit the present one.
-bool Proposer::change_members(Change const& change) {
+bool Proposer::draft_membership_change(Change const& change) {
   if (draft_.epoch != change.expected || draft_.replicas.empty()) return false;
   Membership next = membership_of(draft_);
   bool const adds = change.type != Change::Type::dismiss;
-  if (adds && next.holds(change.replica.name, change.replica.disk)) return false;
+  if (adds && next.contains(change.replica.name, change.replica.disk)) return false;
   next.former = next.replicas;
   if (change.type != Change::Type::admit) {
-    wire::ReplicaT const& leaving = adds ? change.leaving : change.replica;
+    wire::ReplicaT const& leaving = adds ? change.replaced_replica : change.replica;
     std::vector<wire::ReplicaT>::iterator const position =
         std::find_if(next.replicas.begin(), next.replicas.end(), [&leaving](wire::ReplicaT const& replica) {
           return replica.name == leaving.name && replica.disk == leaving.disk;
@@ -293,7 +294,7 @@
   }
   if (adds) next.replicas.push_back(change.replica);
   ++next.epoch;
-  put_membership(next, draft_);
+  store_membership(next, draft_);
   pending_.front().joint_fingerprint = next.fingerprint();
   return true;
 }
@@ -302,12 +303,12 @@
                                std::vector<OutgoingMessage>& out) {
   if (phase_ != Phase::accept || reply.request_id != request_id_) return;
   Membership const members = membership_of(draft_);
-  if (!members.concerns(from, reply.disk) && !membership_.concerns(from, reply.disk)) return;
+  if (!members.has_participant(from, reply.disk) && !membership_.has_participant(from, reply.disk)) return;
   if (reply.need_value) return send_accept(from, true, out);
   if (!reply.ok) return back_off(now, reply.promised.n());
-  if (!same(reply.promised, ballot_)) return;  // an answer to another round, whatever its number
+  if (!same_ballot(reply.promised, ballot_)) return;  // an answer to another round, whatever its number
   accepted_by_[from] = reply.disk;
-  if (members.quorum(accepted_by_)) handle_chosen(now, out);
+  if (members.is_quorum(accepted_by_)) handle_chosen(now, out);
 }
 
 // A joint membership is left before anything else; then the change that was asked has its turn.
@@ -316,7 +317,7 @@
   cached_value_ = draft_;
   membership_ = membership_of(draft_);
   if (membership_.epoch > chosen_membership_.epoch) chosen_membership_ = membership_;
-  if (membership_.joint()) {
+  if (membership_.is_joint()) {
     chosen_joint_fingerprint_ = membership_.fingerprint();
     return start_prepare_phase(now, out);
   }
@@ -326,7 +327,7 @@
   bool const members_changed =
       left_joint && chosen_joint_fingerprint_ != 0 && pending.joint_fingerprint == chosen_joint_fingerprint_;
   if (left_joint && serial == 0 && !members_changed) return start_prepare_phase(now, out);
-  finish(outcome_of_draft(serial, members_changed));
+  complete_change(outcome_of_draft(serial, members_changed));
 }
 
 Outcome Proposer::outcome_of_draft(std::uint64_t serial, bool members_changed) const {
@@ -338,7 +339,7 @@
     return outcome;
   }
   outcome.serial = serial;
-  outcome.type = serial > 0 || members_changed ? Outcome::Type::chosen : Outcome::Type::kept;
+  outcome.type = serial > 0 || members_changed ? Outcome::Type::chosen : Outcome::Type::unchanged;
   return outcome;
 }
 
@@ -348,7 +349,7 @@
   if (wire::AcceptedT const* const reply = body.AsAccepted()) handle_accepted(from, *reply, now, out);
 }
 
-void Proposer::give_up_unsent() {
+void Proposer::abandon_unsent_changes() {
   std::deque<PendingChange> kept;
   std::vector<PendingChange> given_up;
   for (PendingChange& pending : pending_) {
@@ -375,7 +376,7 @@
   while (!pending_.empty()) {
     PendingChange& pending = pending_.front();
     if (now >= pending.deadline) {
-      finish(outcome_without_quorum(pending));
+      complete_change(outcome_without_quorum(pending));
       continue;
     }
     if (phase_ == Phase::idle) {
--- a/src/consensus/register/proposer.h
+++ b/src/consensus/register/proposer.h
@@ -57,9 +57,9 @@
   void tick(Micros now, std::vector<OutgoingMessage>& out);
   // Ends all changes of which nothing was sent: without a quorum they would only be waited for. They are refused, or
   // unknown where another node may have proposed them.
-  void give_up_unsent();
+  void abandon_unsent_changes();
   // The number of changes without an outcome.
-  std::size_t waiting() const { return pending_.size(); }
+  std::size_t pending_count() const { return pending_.size(); }
   // The membership that the present round works with.
   Membership const& membership() const { return membership_; }
   // The serial under which a value remembers a change; 0 when it does not.
@@ -91,7 +91,7 @@
   void handle_promise(std::string const& from, wire::PromiseT const& reply, Micros now,
                       std::vector<OutgoingMessage>& out);
   // Notes the value of a promise if it is the newest so far; false when the promise lacks the value.
-  bool note_accepted_value(wire::PromiseT const& reply);
+  bool record_accepted_value(wire::PromiseT const& reply);
   bool has_promise_quorum() const;
   // Keeps the value that phase one found; false when it has another membership, with which the round begins anew.
   bool adopt_found_value();
@@ -101,19 +101,19 @@
   // False when the present change had to be given up, since nobody can know what became of it.
   bool make_draft();
   // Drafts the next step out of a joint membership: first it is made chosen, then it is left.
-  void make_draft_of_joint();
-  std::optional<Error> unknown_outcome_of(PendingChange const& pending) const;
+  void draft_joint_step();
+  std::optional<Error> unknown_outcome_before_draft(PendingChange const& pending) const;
   // The outcome of a change that ends without a quorum's word.
   static Outcome outcome_without_quorum(PendingChange const& pending);
-  void make_change(Change const& change);
-  void apply(Change const& change);
-  void change_zones(Change const& change);
-  bool change_members(Change const& change);
+  void apply_change(Change const& change);
+  void apply_description(Change const& change);
+  void apply_zone_change(Change const& change);
+  bool draft_membership_change(Change const& change);
   // Sends the draft as it is, or as a patch of the value that phase one found.
   void send_accept(std::string const& to, bool full_value, std::vector<OutgoingMessage>& out) const;
   void handle_chosen(Micros now, std::vector<OutgoingMessage>& out);
   Outcome outcome_of_draft(std::uint64_t serial, bool members_changed) const;
-  void finish(Outcome const& outcome);
+  void complete_change(Outcome const& outcome);
 
   std::string const self_;
   ProposerOptions const options_;
--- a/src/consensus/register/text_patch.cc
+++ b/src/consensus/register/text_patch.cc
@@ -12,9 +12,9 @@
 
 namespace {
 // Beyond so many chunks only the common head and tail are looked for; a description of 5 MiB has some 200,000.
-constexpr std::size_t chunks_most = 1u << 20;
+constexpr std::size_t max_chunks = 1u << 20;
 // A copy takes 12 bytes of the patch: what is shorter than this goes as new bytes instead.
-constexpr std::size_t copy_least = 24;
+constexpr std::size_t min_copy_length = 24;
 constexpr char chunk_end = ',';
 
 // A part of a text up to and with a comma.
@@ -23,11 +23,11 @@
   std::size_t length = 0;
 };
 
-// A stretch of the next text that is found at 'from' in the base; 'length' 0 for bytes that are new.
-struct Stretch {
-  std::size_t from = 0;
-  std::size_t length = 0;
-  std::size_t fresh = 0;
+// A segment of the next text that is found at 'from' in the base; 'length' 0 for bytes that are new.
+struct Segment {
+  std::size_t base_offset = 0;
+  std::size_t copied = 0;
+  std::size_t inserted = 0;
 };
 
 std::vector<Chunk> chunks_of(std::string_view text) {
@@ -46,7 +46,9 @@
   return static_cast<std::size_t>(std::count(text.begin(), text.end(), chunk_end)) + 1;
 }
 
-std::string_view part(std::string_view text, Chunk const& chunk) { return text.substr(chunk.offset, chunk.length); }
+std::string_view chunk_text(std::string_view text, Chunk const& chunk) {
+  return text.substr(chunk.offset, chunk.length);
+}
 
 // Where a text's chunks occur in it, by their hashes.
 class ChunkIndex {
@@ -54,7 +56,7 @@
   explicit ChunkIndex(std::string_view text) : text_(text), chunks_(chunks_of(text)) {
     occurrences_.reserve(chunks_.size());
     for (std::size_t n = 0; n < chunks_.size(); ++n)
-      occurrences_.emplace_back(digest_of(part(text_, chunks_[n])).low, n);
+      occurrences_.emplace_back(digest_of(chunk_text(text_, chunks_[n])).low, n);
     std::sort(occurrences_.begin(), occurrences_.end());
   }
 
@@ -66,7 +68,7 @@
     bool const after = position != occurrences_.end() && position->first == hash;
     if (!after && position == occurrences_.begin()) return none;
     if (!after) --position;
-    if (position->first != hash || part(text_, chunks_[position->second]) != bytes) return none;
+    if (position->first != hash || chunk_text(text_, chunks_[position->second]) != bytes) return none;
     return position->second;
   }
 
@@ -80,90 +82,90 @@
   std::vector<Occurrence> occurrences_;
 };
 
-// Appends a stretch, to the last one where they follow one another.
-void append(std::vector<Stretch>& out, Stretch const& stretch) {
-  if (stretch.length == 0 && stretch.fresh == 0) return;
+// Appends a segment, to the last one where they follow one another.
+void append_segment(std::vector<Segment>& out, Segment const& segment) {
+  if (segment.copied == 0 && segment.inserted == 0) return;
   if (out.empty()) {
-    out.push_back(stretch);
+    out.push_back(segment);
     return;
   }
-  Stretch& last = out.back();
-  if (stretch.length == 0) {
-    last.fresh += stretch.fresh;
-  } else if (last.fresh == 0 && last.length > 0 && last.from + last.length == stretch.from) {
-    last.length += stretch.length;
-    last.fresh = stretch.fresh;
+  Segment& last = out.back();
+  if (segment.copied == 0) {
+    last.inserted += segment.inserted;
+  } else if (last.inserted == 0 && last.copied > 0 && last.base_offset + last.copied == segment.base_offset) {
+    last.copied += segment.copied;
+    last.inserted = segment.inserted;
   } else {
-    out.push_back(stretch);
+    out.push_back(segment);
   }
 }
 
 // Finds the chunks of 'next' in 'base', each near where the one before it was found.
-std::vector<Stretch> matched_chunks(std::string_view base, std::string_view next) {
-  std::vector<Stretch> out;
-  if (base.empty() || chunk_count(base) > chunks_most || chunk_count(next) > chunks_most) {
-    append(out, Stretch{0, 0, next.size()});
+std::vector<Segment> matched_chunks(std::string_view base, std::string_view next) {
+  std::vector<Segment> out;
+  if (base.empty() || chunk_count(base) > max_chunks || chunk_count(next) > max_chunks) {
+    append_segment(out, Segment{0, 0, next.size()});
     return out;
   }
   ChunkIndex const index(base);
   std::size_t expected = 0;
   for (Chunk const& chunk : chunks_of(next)) {
-    std::size_t const found = index.find(part(next, chunk), expected);
+    std::size_t const found = index.find(chunk_text(next, chunk), expected);
     if (found == ChunkIndex::none) {
-      append(out, Stretch{0, 0, chunk.length});
+      append_segment(out, Segment{0, 0, chunk.length});
       continue;
     }
-    append(out, Stretch{index.offset(found), chunk.length, 0});
+    append_segment(out, Segment{index.offset(found), chunk.length, 0});
     expected = found + 1;
   }
   return out;
 }
 
 // Replaces copies that are shorter than their entry in the patch by new bytes.
-std::vector<Stretch> without_short_ranges(std::vector<Stretch> const& stretches) {
-  std::vector<Stretch> out;
-  for (Stretch const& stretch : stretches) {
-    bool const long_enough = stretch.length >= copy_least;
-    append(out, long_enough ? stretch : Stretch{0, 0, stretch.length + stretch.fresh});
+std::vector<Segment> without_short_copies(std::vector<Segment> const& segments) {
+  std::vector<Segment> out;
+  for (Segment const& segment : segments) {
+    bool const long_enough = segment.copied >= min_copy_length;
+    append_segment(out, long_enough ? segment : Segment{0, 0, segment.copied + segment.inserted});
   }
   return out;
 }
 
-std::size_t common_head(std::string_view a, std::string_view b) {
+std::size_t common_prefix_length(std::string_view a, std::string_view b) {
   return static_cast<std::size_t>(std::mismatch(a.begin(), a.end(), b.begin(), b.end()).first - a.begin());
 }
 
-std::size_t common_tail(std::string_view a, std::string_view b) {
+std::size_t common_suffix_length(std::string_view a, std::string_view b) {
   return static_cast<std::size_t>(std::mismatch(a.rbegin(), a.rend(), b.rbegin(), b.rend()).first - a.rbegin());
 }
 
-std::vector<Stretch> difference(std::string_view base, std::string_view next) {
-  std::size_t const head = common_head(base, next);
+std::vector<Segment> diff_segments(std::string_view base, std::string_view next) {
+  std::size_t const head = common_prefix_length(base, next);
   std::string_view const base_rest = base.substr(head);
   std::string_view const next_rest = next.substr(head);
-  std::size_t const tail = common_tail(base_rest, next_rest);
+  std::size_t const tail = common_suffix_length(base_rest, next_rest);
   std::string_view const base_middle = base_rest.substr(0, base_rest.size() - tail);
   std::string_view const next_middle = next_rest.substr(0, next_rest.size() - tail);
-  std::vector<Stretch> out;
-  append(out, Stretch{0, head, 0});
-  for (Stretch stretch : matched_chunks(base_middle, next_middle)) {
-    stretch.from += head;
-    append(out, stretch);
+  std::vector<Segment> out;
+  append_segment(out, Segment{0, head, 0});
+  for (Segment segment : matched_chunks(base_middle, next_middle)) {
+    segment.base_offset += head;
+    append_segment(out, segment);
   }
-  append(out, Stretch{base.size() - tail, tail, 0});
-  return without_short_ranges(out);
+  append_segment(out, Segment{base.size() - tail, tail, 0});
+  return without_short_copies(out);
 }
 }  // namespace
 
-std::unique_ptr<wire::TextPatchT> text_patch(std::string_view base, std::string_view next) {
+std::unique_ptr<wire::TextPatchT> make_text_patch(std::string_view base, std::string_view next) {
   std::unique_ptr<wire::TextPatchT> out = std::make_unique<wire::TextPatchT>();
   std::size_t done = 0;
-  for (Stretch const& stretch : difference(base, next)) {
-    out->copied_ranges.emplace_back(static_cast<std::uint32_t>(stretch.from),
-                                    static_cast<std::uint32_t>(stretch.length),
-                                    static_cast<std::uint32_t>(stretch.fresh));
-    out->fresh += next.substr(done + stretch.length, stretch.fresh);
-    done += stretch.length + stretch.fresh;
+  for (Segment const& segment : diff_segments(base, next)) {
+    out->copied_ranges.emplace_back(static_cast<std::uint32_t>(segment.base_offset),
+                                    static_cast<std::uint32_t>(segment.copied),
+                                    static_cast<std::uint32_t>(segment.inserted));
+    out->fresh += next.substr(done + segment.copied, segment.inserted);
+    done += segment.copied + segment.inserted;
   }
   Digest const digest = digest_of(next);
   out->digest_high = digest.high;
@@ -171,7 +173,7 @@
   return out;
 }
 
-std::optional<std::string> patched_text(std::string_view base, wire::TextPatchT const& patch) {
+std::optional<std::string> apply_text_patch(std::string_view base, wire::TextPatchT const& patch) {
   std::string out;
   std::size_t used = 0;
   for (wire::TextCopy const& copy : patch.copied_ranges) {
--- a/src/consensus/register/text_patch.h
+++ b/src/consensus/register/text_patch.h
@@ -11,8 +11,8 @@
 namespace pipit {
 
 // Takes O(n log n) steps whatever the texts are. The patch is larger than 'next' by no more than a constant.
-std::unique_ptr<wire::TextPatchT> text_patch(std::string_view base, std::string_view next);
+std::unique_ptr<wire::TextPatchT> make_text_patch(std::string_view base, std::string_view next);
 // The patched text; nothing when the patch is malformed, or was made for another base: the result's digest is checked.
-std::optional<std::string> patched_text(std::string_view base, wire::TextPatchT const& patch);
+std::optional<std::string> apply_text_patch(std::string_view base, wire::TextPatchT const& patch);
 
 }  // namespace pipit
--- a/src/consensus/register/value_patch.cc
+++ b/src/consensus/register/value_patch.cc
@@ -9,41 +9,43 @@
 namespace pipit {
 
 namespace {
-bool same_order(wire::Order const& a, wire::Order const& b) {
+bool equal_orders(wire::Order const& a, wire::Order const& b) {
   return a.id_high() == b.id_high() && a.id_low() == b.id_low() && a.label() == b.label();
 }
 
 // How many of the base's oldest orders are gone in 'next'; all of them when the two do not follow one another.
-std::size_t dropped_orders(wire::ValueT const& base, wire::ValueT const& next) {
+std::size_t count_dropped_orders(wire::ValueT const& base, wire::ValueT const& next) {
   std::size_t const all = base.orders.size();
   if (next.orders.empty()) return all;
   for (std::size_t drop = 0; drop < all; ++drop) {
-    if (!same_order(base.orders[drop], next.orders.front())) continue;
+    if (!equal_orders(base.orders[drop], next.orders.front())) continue;
     bool const follows =
         all - drop <= next.orders.size() && std::equal(base.orders.begin() + static_cast<std::ptrdiff_t>(drop),
-                                                       base.orders.end(), next.orders.begin(), same_order);
+                                                       base.orders.end(), next.orders.begin(), equal_orders);
     return follows ? drop : all;
   }
   return all;
 }
 
-bool same_members(wire::ValueT const& a, wire::ValueT const& b) {
+bool have_same_members(wire::ValueT const& a, wire::ValueT const& b) {
   return membership_of(a).fingerprint() == membership_of(b).fingerprint();
 }
 // Appends a number, or a text with its length, to what is hashed.
-void add(std::string& out, std::uint64_t number) { out.append(reinterpret_cast<char const*>(&number), sizeof number); }
+void append_field(std::string& out, std::uint64_t number) {
+  out.append(reinterpret_cast<char const*>(&number), sizeof number);
+}
 
-void add(std::string& out, std::string const& text) {
-  add(out, text.size());
+void append_field(std::string& out, std::string const& text) {
+  append_field(out, text.size());
   out += text;
 }
 
-void add(std::string& out, std::vector<std::unique_ptr<wire::RouterRegistrationT>> const& registrations) {
-  add(out, registrations.size());
+void append_field(std::string& out, std::vector<std::unique_ptr<wire::RouterRegistrationT>> const& registrations) {
+  append_field(out, registrations.size());
   for (std::unique_ptr<wire::RouterRegistrationT> const& registration : registrations) {
-    add(out, registration->name);
-    add(out, registration->address);
-    add(out, registration->incarnation);
+    append_field(out, registration->name);
+    append_field(out, registration->address);
+    append_field(out, registration->incarnation);
   }
 }
 
@@ -54,29 +56,29 @@
   for (std::uint64_t const number :
        {text.high, text.low, value.serial, value.revision, value.label, value.forgotten_serial, value.forgotten_label,
         value.epoch, membership_of(value).fingerprint()})
-    add(out, number);
-  add(out, value.change);
-  add(out, value.drained_zones.size());
-  for (std::string const& zone : value.drained_zones) add(out, zone);
-  add(out, value.registrations);
-  add(out, value.evicted);
+    append_field(out, number);
+  append_field(out, value.change);
+  append_field(out, value.drained_zones.size());
+  for (std::string const& zone : value.drained_zones) append_field(out, zone);
+  append_field(out, value.registrations);
+  append_field(out, value.evicted);
   for (wire::Order const& order : value.orders) {
-    add(out, order.id_high());
-    add(out, order.id_low());
-    add(out, order.label());
+    append_field(out, order.id_high());
+    append_field(out, order.id_low());
+    append_field(out, order.label());
   }
   return digest_of(out);
 }
 }  // namespace
 
-std::unique_ptr<wire::ValuePatchT> patch_between(wire::ValueT const& base, wire::ValueT const& next) {
+std::unique_ptr<wire::ValuePatchT> make_value_patch(wire::ValueT const& base, wire::ValueT const& next) {
   std::unique_ptr<wire::ValuePatchT> out = std::make_unique<wire::ValuePatchT>();
-  std::size_t const dropped = dropped_orders(base, next);
+  std::size_t const dropped = count_dropped_orders(base, next);
   std::size_t const kept = base.orders.size() - dropped;
   out->base_revision = base.revision;
-  out->text = text_patch(base.text, next.text);
+  out->text = make_text_patch(base.text, next.text);
   out->orders_dropped = static_cast<std::uint32_t>(dropped);
-  out->same_members = same_members(base, next);
+  out->same_members = have_same_members(base, next);
   out->rest = std::make_unique<wire::ValueT>();
   wire::ValueT& rest = *out->rest;
   rest.serial = next.serial;
@@ -91,23 +93,23 @@
     rest.registrations.push_back(std::make_unique<wire::RouterRegistrationT>(*registration));
   for (std::unique_ptr<wire::RouterRegistrationT> const& registration : next.evicted)
     rest.evicted.push_back(std::make_unique<wire::RouterRegistrationT>(*registration));
-  if (!out->same_members) put_membership(membership_of(next), rest);
+  if (!out->same_members) store_membership(membership_of(next), rest);
   Digest const digest = value_digest(next);
   out->digest_high = digest.high;
   out->digest_low = digest.low;
   return out;
 }
 
-std::optional<wire::ValueT> patched(wire::ValueT const& base, wire::ValuePatchT const& patch) {
+std::optional<wire::ValueT> apply_value_patch(wire::ValueT const& base, wire::ValuePatchT const& patch) {
   if (!patch.rest || !patch.text || base.revision != patch.base_revision || patch.orders_dropped > base.orders.size())
     return std::nullopt;
-  std::optional<std::string> text = patched_text(base.text, *patch.text);
+  std::optional<std::string> text = apply_text_patch(base.text, *patch.text);
   if (!text) return std::nullopt;
   wire::ValueT out = *patch.rest;
   out.text = std::move(*text);
   out.orders.assign(base.orders.begin() + patch.orders_dropped, base.orders.end());
   out.orders.insert(out.orders.end(), patch.rest->orders.begin(), patch.rest->orders.end());
-  if (patch.same_members) put_membership(membership_of(base), out);
+  if (patch.same_members) store_membership(membership_of(base), out);
   if (!(value_digest(out) == Digest{patch.digest_high, patch.digest_low})) return std::nullopt;
   return out;
 }
--- a/src/consensus/register/value_patch.h
+++ b/src/consensus/register/value_patch.h
@@ -9,8 +9,8 @@
 namespace pipit {
 
 // The patch that makes `next` of `base`.
-std::unique_ptr<wire::ValuePatchT> patch_between(wire::ValueT const& base, wire::ValueT const& next);
+std::unique_ptr<wire::ValuePatchT> make_value_patch(wire::ValueT const& base, wire::ValueT const& next);
 // The patched value; nothing when the patch was made for another base: the digest of the result is checked.
-std::optional<wire::ValueT> patched(wire::ValueT const& base, wire::ValuePatchT const& patch);
+std::optional<wire::ValueT> apply_value_patch(wire::ValueT const& base, wire::ValuePatchT const& patch);
 
 }  // namespace pipit
--- a/src/node/change_forwarder.cc
+++ b/src/node/change_forwarder.cc
@@ -58,7 +58,7 @@
 // A text goes as a patch of what this node holds, which the replica most likely holds as well.
 void ChangeForwarder::put_text(std::string const& text, wire::ForwardedChangeT& request) const {
   if (learner_.value && !text.empty())
-    request.patch = text_patch(learner_.value->text, text);
+    request.patch = make_text_patch(learner_.value->text, text);
   else
     request.text = text;
 }
@@ -68,7 +68,7 @@
   if (!request.patch) return request.text;
   for (std::optional<wire::ValueT> const* const base : {&learner_.value, &learner_.previous_value}) {
     if (!*base || (*base)->revision != request.revision) continue;
-    if (std::optional<std::string> text = patched_text((*base)->text, *request.patch)) return text;
+    if (std::optional<std::string> text = apply_text_patch((*base)->text, *request.patch)) return text;
   }
   return std::nullopt;
 }
@@ -166,7 +166,7 @@
   reply.why = outcome.error.what;
   reply.serial = outcome.serial;
   // Changes get round by themselves; a reading brings the value, unless the requester holds it already.
-  bool const read = outcome.type == Outcome::Type::kept;
+  bool const read = outcome.type == Outcome::Type::unchanged;
   if (read) reply.revision = outcome.value.revision;
   if (read && requester.revision < outcome.value.revision) reply.value = std::make_unique<wire::ValueT>(outcome.value);
   mesh_.send(requester.name, std::move(reply), out.mesh);
--- a/src/node/changes.cc
+++ b/src/node/changes.cc
@@ -64,7 +64,7 @@
   reply.id = id;
   reply.change = change.id;
   reply.outcome = outcome;
-  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
+  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::unchanged;
   std::uint64_t const request_id = ++next_request_id_;
   if (holds) {
     log_event(Event::value_chosen,
--- a/src/node/checks.cc
+++ b/src/node/checks.cc
@@ -32,7 +32,7 @@
   OpenCall const call = std::move(position->second);
   open_calls_.erase(position);
   Outcome const& outcome = reply.outcome;
-  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
+  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::unchanged;
   bool const current = call.type != Change::Type::read || !holds || outcome.value.revision >= call.revision;
   check_invariant(current, Invariant::read_is_current, [&] {
     return "revision " + std::to_string(outcome.value.revision) + " is told, " + std::to_string(call.revision) +
@@ -52,7 +52,7 @@
     return "revision " + std::to_string(value.revision) + " serial " + std::to_string(value.serial) + " after " +
            std::to_string(self.revision) + " and " + std::to_string(self.serial);
   });
-  if (learner.membership().joint()) return;
+  if (learner.membership().is_joint()) return;
   // With so many members the set outlives the loss of as many disks as are allowed, whatever else is without power.
   std::size_t const least = 2 * plan.tolerated + 1;
   std::size_t const size = learner.membership().replicas.size();
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -213,7 +213,7 @@
     case wire::Body::ReadRequest:
       take_list_age(body.AsReadRequest()->age, now);
       if (acceptor) {
-        wire::ReadReplyT ans = read_reply(acceptor->durable_state(), *body.AsReadRequest());
+        wire::ReadReplyT ans = make_read_reply(acceptor->durable_state(), *body.AsReadRequest());
         ans.age = list_freshness_.age(now);
         ans.retiring = retiring_;
         outgoing.push_back(message_to(from, std::move(ans)));
@@ -362,7 +362,7 @@
   wire::ChosenT update;
   update.request_id = request_id;
   if (base && base->revision < value.revision)
-    update.patch = patch_between(*base, value);
+    update.patch = make_value_patch(*base, value);
   else
     update.value = std::make_unique<wire::ValueT>(value);
   if (!guard(Guard::spread)) return;
@@ -485,7 +485,7 @@
 
 void Node::disk_done(Micros now, NodeEffects& out) {
   std::vector<OutgoingMessage> outgoing;
-  acceptor->synced(outgoing);
+  acceptor->on_synced(outgoing);
   if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.save = std::move(save);
   dispatch(outgoing, now, out);
   change_forwarder_.advance(now, out);
@@ -551,7 +551,7 @@
   ask_newer(now, outgoing);
   proposer.adopt_membership(learner.membership());
   proposer.suggest_membership(learner.newest_seen_membership());
-  if (plan.registered && !replica_directory_.hears_quorum(now)) proposer.give_up_unsent();
+  if (plan.registered && !replica_directory_.hears_quorum(now)) proposer.abandon_unsent_changes();
   proposer.tick(now, outgoing);
   settle_ended(now, out);
   if (plan.registered) {
@@ -571,7 +571,7 @@
 
 bool Node::may_end(Micros now) const {
   if (!acceptor || !acceptor->durable_state().formed) return true;
-  if (!learner.membership().concerns(plan.name, acceptor->durable_state().disk)) return true;
+  if (!learner.membership().has_participant(plan.name, acceptor->durable_state().disk)) return true;
   // Who hears no quorum cannot know whether a replica is here to take its place: it waits for the end of its grace.
   // Nor does one end that the set can do without: it is taken out first.
   return replica_directory_.hears_quorum(now) && replica_set_manager_.lacks_successor(now);
--- a/src/node/quota_authority.cc
+++ b/src/node/quota_authority.cc
@@ -30,7 +30,7 @@
   std::uint64_t const settled = shares_.settled(now);
   std::optional<Acceptor>& acceptor = collaborators_.acceptor;
   if (acceptor && settled != 0 && collaborators_.configuration.may_issue_quota(now))
-    acceptor->note_quota_members(settled);
+    acceptor->record_quota_members(settled);
   owner_.forget(now);
   if (client_.waiting() > 0) client_.tick(select_peers(), now, outgoing);
 }
--- a/src/node/register_bootstrap.cc
+++ b/src/node/register_bootstrap.cc
@@ -32,7 +32,7 @@
   resumes_ = !acceptor->durable_state().bootstrap_seeds.empty();
   std::vector<std::string> const& seeds = plan_.bootstrap_seeds;
   bool const initial_member = std::find(seeds.begin(), seeds.end(), plan_.address) != seeds.end();
-  if (plan_.registered && initial_member) acceptor->await_bootstrap(seeds);
+  if (plan_.registered && initial_member) acceptor->record_bootstrap_seeds(seeds);
 }
 
 void RegisterBootstrap::propose_initial_set(Micros now, std::vector<OutgoingMessage>& outgoing) const {
@@ -49,7 +49,7 @@
 
 std::optional<Membership> RegisterBootstrap::initial_set(Micros now) const {
   std::uint64_t const disk = acceptor_->durable_state().disk;
-  if (learner_.bootstrap_set().holds(plan_.name, disk)) return learner_.bootstrap_set();
+  if (learner_.bootstrap_membership().contains(plan_.name, disk)) return learner_.bootstrap_membership();
   std::vector<std::string> names = plan_.registered ? initial_replicas(now) : plan_.initial_members;
   std::sort(names.begin(), names.end());
   std::vector<std::string>::const_iterator const own = std::find(names.begin(), names.end(), plan_.name);
--- a/src/node/replica_directory.cc
+++ b/src/node/replica_directory.cc
@@ -73,14 +73,14 @@
 
 bool ReplicaDirectory::hears_quorum(Micros now) const {
   Micros const within = 2 * status_.poll_interval() + contact_slack;
-  if (learner_.last_quorum_at() < 0 || now - learner_.last_quorum_at() > within) return false;
+  if (learner_.last_quorum_poll_at() < 0 || now - learner_.last_quorum_poll_at() > within) return false;
   Voters connected;
   for (wire::ReplicaT const& replica : learner_.membership().replicas) {
     std::map<std::string, Peer>::const_iterator const peer = mesh_.members.peers.find(replica.name);
     bool const here = replica.name == plan_.name || (peer != mesh_.members.peers.end() && peer->second.connection != 0);
     if (here) connected[replica.name] = replica.disk;
   }
-  return learner_.membership().empty() || connected.size() >= learner_.membership().majority();
+  return learner_.membership().empty() || connected.size() >= learner_.membership().majority_size();
 }
 
 std::string ReplicaDirectory::proposing_replica() const {
--- a/src/node/replica_set_manager.cc
+++ b/src/node/replica_set_manager.cc
@@ -29,7 +29,7 @@
 std::string describe(Change const& members) {
   if (members.type == Change::Type::admit) return "admit " + members.replica.name;
   if (members.type == Change::Type::dismiss) return "dismiss " + members.replica.name;
-  return "replace " + members.leaving.name + " by " + members.replica.name;
+  return "replace " + members.replaced_replica.name + " by " + members.replica.name;
 }
 
 void remove_replica(std::vector<wire::ReplicaT>& replicas, wire::ReplicaT const& lost) {
@@ -83,7 +83,7 @@
 
 std::optional<Change> ReplicaSetManager::change_by_lease(Micros now) {
   // A joint set that was left behind is completed by any change (docs/control.md).
-  if (learner_.membership().joint()) return reading();
+  if (learner_.membership().is_joint()) return reading();
   if (std::optional<Change> members = change_members(now)) {
     log_event(Event::replica_set_changed, describe(*members) + " epoch " + std::to_string(members->expected));
     return members;
@@ -98,7 +98,7 @@
 // Not oftener than once in a gap: each round outbids what others have under way, and a slow disk never catches up with
 // a storm. Nor while changes go by: each of them rewrites the copies, and a second proposer only delays them.
 std::optional<Change> ReplicaSetManager::repair_copies(Micros now) {
-  bool const calm = learner_.changed_at < 0 || now - learner_.changed_at > repair_calm;
+  bool const calm = learner_.value_changed_at < 0 || now - learner_.value_changed_at > repair_calm;
   if (!learner_.replicas_differ || !calm || now - repaired_at_ <= repair_gap) return std::nullopt;
   repaired_at_ = now;
   log_event(Event::replicas_repaired, "epoch " + std::to_string(learner_.membership().epoch));
@@ -134,7 +134,7 @@
   std::vector<wire::ReplicaT> next = members.replicas;
   if (spare) change.replica = *spare;
   if (lost) {
-    (shrinks ? change.replica : change.leaving) = *lost;
+    (shrinks ? change.replica : change.replaced_replica) = *lost;
     remove_replica(next, *lost);
   }
   if (spare) next.push_back(*spare);
@@ -172,7 +172,7 @@
   for (std::pair<std::string const, Learner::Observation> const& item : learner_.observations) {
     bool const here = now - item.second.at < spare_seen;
     if (!here || directory_.is_leaving(item.first)) continue;
-    if (learner_.membership().holds(item.first, item.second.disk)) continue;
+    if (learner_.membership().contains(item.first, item.second.disk)) continue;
     out.emplace();
     out->name = item.first;
     out->disk = item.second.disk;
--- a/src/node/worker_departures.cc
+++ b/src/node/worker_departures.cc
@@ -65,7 +65,7 @@
     for (wire::ReplicaT const& replica : *part)
       if (replica.name == self_ || mesh_.entry_replication.is_replicated(replica.name, worker))
         voters[replica.name] = replica.disk;
-  return members.quorum(voters);
+  return members.is_quorum(voters);
 }
 
 bool WorkerDepartures::reached_majority_of_nodes(std::string const& worker) const {
--- a/src/routing/tenants/quota_shares.cc
+++ b/src/routing/tenants/quota_shares.cc
@@ -22,7 +22,7 @@
   known_ = true;
   fingerprint_ = members.fingerprint();
   parts_.push_back(Part{part_in(members.replicas), -1});
-  if (members.joint()) parts_.push_back(Part{part_in(members.former), -1});
+  if (members.is_joint()) parts_.push_back(Part{part_in(members.former), -1});
   names_.clear();
   for (wire::ReplicaT const& replica : members.replicas) names_.push_back(replica.name);
 }
--- a/src/server/node_server_status.cc
+++ b/src/server/node_server_status.cc
@@ -151,7 +151,7 @@
   text.gauge("pipit_label", label());
   text.gauge("pipit_keepers", node_->learner.membership().replicas.size());
   text.gauge("pipit_keepers_epoch", node_->learner.membership().epoch);
-  text.gauge("pipit_quorum_heard_ms_ago", age_ms(node_->learner.last_quorum_at(), now()));
+  text.gauge("pipit_quorum_heard_ms_ago", age_ms(node_->learner.last_quorum_poll_at(), now()));
   text.gauge("pipit_ready", node_->ready() ? 1u : 0u);
   text.gauge("pipit_stopping", stop_from_ >= 0 ? 1u : 0u);
   text.gauge("pipit_under_way", node_->dispatcher.under_way());
--- a/src/storage/record_store.cc
+++ b/src/storage/record_store.cc
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-RecordStore::File RecordStore::inspect(std::string const& bytes) {
-  File out;
+RecordStore::RecordFile RecordStore::inspect(std::string const& bytes) {
+  RecordFile out;
   Header header;
   if (bytes.size() < sizeof header) return out;
   std::memcpy(&header, bytes.data(), sizeof header);
@@ -47,16 +47,16 @@
   return out;
 }
 
-RecordStore::File const* RecordStore::newest(Files const& files) {
-  File const* best = nullptr;
-  for (File const& file : files)
+RecordStore::RecordFile const* RecordStore::newest_intact(RecordFiles const& files) {
+  RecordFile const* best = nullptr;
+  for (RecordFile const& file : files)
     if (file.intact && (best == nullptr || file.sequence > best->sequence)) best = &file;
   return best;
 }
 
 Result<wire::RecordT> RecordStore::format(std::uint64_t new_disk_id) {
   for (std::size_t i = 0; i < file_count; ++i) {
-    Result<void> made = disk_.allocate(file_name(i), reserved_);
+    Result<void> made = disk_.allocate(file_name(i), reserved_size_);
     if (!made) return made.as_failure();
   }
   wire::RecordT record;
@@ -74,14 +74,14 @@
   return record;
 }
 
-Result<RecordStore::Files> RecordStore::read_files() {
-  std::size_t there = 0;
+Result<RecordStore::RecordFiles> RecordStore::read_files() {
+  std::size_t existing = 0;
   for (std::size_t i = 0; i < file_count; ++i)
-    if (disk_.exists(file_name(i))) ++there;
-  if (there != file_count)
-    return fail(ErrorCode::bad_disk,
-                "the record store has " + std::to_string(there) + " of its " + std::to_string(file_count) + " files");
-  Files files;
+    if (disk_.exists(file_name(i))) ++existing;
+  if (existing != file_count)
+    return fail(ErrorCode::bad_disk, "the record store has " + std::to_string(existing) + " of its " +
+                                         std::to_string(file_count) + " files");
+  RecordFiles files;
   for (std::size_t i = 0; i < file_count; ++i) {
     Result<std::string> bytes = disk_.read(file_name(i));
     if (!bytes) return bytes.as_failure();
@@ -90,7 +90,7 @@
   return files;
 }
 
-Result<wire::RecordT> RecordStore::unpack(std::string const& body) const {
+Result<wire::RecordT> RecordStore::decode(std::string const& body) const {
   flatbuffers::Verifier check(reinterpret_cast<std::uint8_t const*>(body.data()), body.size(), max_table_depth,
                               max_tables);
   if (!check.VerifyBuffer<wire::Record>(nullptr)) return fail(ErrorCode::bad_disk, "the record does not verify");
@@ -110,9 +110,9 @@
     if (!disk_.exists(file_name(i))) continue;
     Result<std::string> const bytes = disk_.read(file_name(i));
     if (!bytes) continue;
-    File const file = inspect(bytes.value());
+    RecordFile const file = inspect(bytes.value());
     if (!file.intact) continue;
-    Result<wire::RecordT> const record = unpack(file.body);
+    Result<wire::RecordT> const record = decode(file.body);
     if (!record || record.value().formed || record.value().promised.n() != 0) return true;
   }
   return false;
@@ -124,20 +124,20 @@
   if (blank) return format(new_disk_id);
   // The marker's name was made and never synced. Without it the votes decide, so that a refusal does no harm.
   if (!formatted) static_cast<void>(disk_.allocate(formatted_marker, marker_size));
-  Result<Files> const read = read_files();
+  Result<RecordFiles> const read = read_files();
   if (!read) return read.as_failure();
-  Files const& files = read.value();
-  File const* const last = newest(files);
+  RecordFiles const& files = read.value();
+  RecordFile const* const last = newest_intact(files);
   if (last == nullptr) return fail(ErrorCode::bad_disk, "no record of the store is intact");
   // A power cut tears the one file that was being written. Both copies corrupt is decay of the disk, and what was in
   // them may have been answered for: then the replica must not go on with something older.
   for (std::size_t first = 0; first < file_count; first += files_per_record) {
-    File const& one = files[first];
-    File const& other = files[first + 1];
+    RecordFile const& one = files[first];
+    RecordFile const& other = files[first + 1];
     if (!one.intact && !other.intact && !(one.empty && other.empty))
       return fail(ErrorCode::bad_disk, "both copies of a record are corrupt (" + file_name(first) + ")");
   }
-  Result<wire::RecordT> record = unpack(last->body);
+  Result<wire::RecordT> record = decode(last->body);
   if (!record) return record;
   sequence_ = last->sequence;
   for (std::size_t i = 0; i < file_count; ++i) corrupt_[i] = !files[i].intact;
--- a/src/storage/record_store.h
+++ b/src/storage/record_store.h
@@ -24,8 +24,8 @@
 // The version of the record that this program writes. Format 1 remembered 64 orders by name (register/orders.h).
 constexpr std::uint32_t record_format = 3;
 
-// Keeps the record of one replica. Files come in pairs; each record is written to both files of a pair, and the next
-// one to the other pair, so that a write that is cut short leaves the record before it intact.
+// Keeps the record of one replica. RecordFiles come in pairs; each record is written to both files of a pair, and the
+// next one to the other pair, so that a write that is cut short leaves the record before it intact.
 //
 // State: the sequence number of the newest record and which files may be corrupt. Called from the thread of the disk
 // task, or from the simulator's loop.
@@ -38,10 +38,10 @@
   static constexpr std::size_t files_per_record = 2;  // of each record, in neighbouring files
   static constexpr std::size_t max_file_size = 6u << 20;
 
-  // Each file is given `reserved` bytes at the first start; a larger record makes its file grow, up to max_file_size.
-  // `disk` must outlive the store.
-  RecordStore(Disk& disk, std::string cluster, std::string node, std::size_t reserved = max_file_size)
-      : disk_(disk), cluster_(std::move(cluster)), node_(std::move(node)), reserved_(reserved) {}
+  // Each file is given `reserved_size` bytes at the first start; a larger record makes its file grow, up to
+  // max_file_size. `disk` must outlive the store.
+  RecordStore(Disk& disk, std::string cluster, std::string node, std::size_t reserved_size = max_file_size)
+      : disk_(disk), cluster_(std::move(cluster)), node_(std::move(node)), reserved_size_(reserved_size) {}
 
   // Recovers the last synced record. A folder that was never used is formatted, with `new_disk_id` in its first record;
   // `blank` says which. Refused: missing files, a record of another node or cluster, and both copies corrupt. A folder
@@ -53,21 +53,21 @@
 
  private:
   // What one file holds.
-  struct File {
+  struct RecordFile {
     bool intact = false;
     bool empty = false;
     std::uint64_t sequence = 0;
     std::string body;
   };
-  using Files = std::array<File, file_count>;
+  using RecordFiles = std::array<RecordFile, file_count>;
 
   // The names on disk, and the magic within, stay those of the first format.
   static std::string file_name(std::size_t index) { return "ring-" + std::to_string(index); }
-  static File inspect(std::string const& bytes);
-  static File const* newest(Files const& files);
+  static RecordFile inspect(std::string const& bytes);
+  static RecordFile const* newest_intact(RecordFiles const& files);
   Result<wire::RecordT> format(std::uint64_t new_disk_id);
-  Result<Files> read_files();
-  Result<wire::RecordT> unpack(std::string const& body) const;
+  Result<RecordFiles> read_files();
+  Result<wire::RecordT> decode(std::string const& body) const;
   // Whether some file holds the record of a member of a set: an intact one that has voted.
   bool has_member_record();
   Result<void> write_file(std::size_t index, std::string const& bytes);
@@ -75,7 +75,7 @@
   Disk& disk_;
   std::string const cluster_;
   std::string const node_;
-  std::size_t const reserved_;
+  std::size_t const reserved_size_;
   std::uint64_t sequence_ = 0;                 // of the newest record
   std::array<bool, file_count> corrupt_ = {};  // files that may hold a torn record
 };
--- a/testing/control_plane_simulator/operators.cc
+++ b/testing/control_plane_simulator/operators.cc
@@ -115,7 +115,7 @@
   calls.erase(position);
   --machine.calls_under_way;
   Outcome const& outcome = reply.outcome;
-  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
+  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::unchanged;
   if (call.reading) {
     if (!holds) return answer(call, Verdict::unclear, "", 0, "");
     Configuration const found = configuration_of(outcome.value);
@@ -123,7 +123,7 @@
   }
   if (judge.order(call.order).amend && !call.looked) return amend_read(call, reply);
   if (outcome.type == Outcome::Type::chosen) return answer(call, Verdict::confirmed, "", 0, "");
-  unsigned const status = outcome.type == Outcome::Type::kept ? 504 : error_code_row(outcome.error.code).status;
+  unsigned const status = outcome.type == Outcome::Type::unchanged ? 504 : error_code_row(outcome.error.code).status;
   bool const clear = outcome.type == Outcome::Type::refused && status < 500 && status != 429;
   answer(call, clear ? Verdict::stale : Verdict::unclear, outcome.error.what, 0, "");
 }
@@ -135,11 +135,11 @@
     return answer(call, Verdict::unclear, "", 0, "");
   Order const& order = judge.order(call.order);
   std::string const id = change_id("amend", order.base, order.body);
-  OrderStanding const standing = standing_of_order(outcome.value, id, OrderBase{order.base, true});
-  if (standing == OrderStanding::taken) return answer(call, Verdict::confirmed, "", 0, "");
-  if (unknown_outcome_of_order(outcome.value, standing)) return answer(call, Verdict::unclear, "", 0, "");
-  if (standing == OrderStanding::outdated)
-    return answer(call, Verdict::stale, outdated_error(outcome.value, true).what, 0, "");
+  OrderStatus const standing = order_status(outcome.value, id, OrderBase{order.base, true});
+  if (standing == OrderStatus::already_taken) return answer(call, Verdict::confirmed, "", 0, "");
+  if (unknown_outcome_error(outcome.value, standing)) return answer(call, Verdict::unclear, "", 0, "");
+  if (standing == OrderStatus::base_outdated)
+    return answer(call, Verdict::stale, stale_base_error(outcome.value, true).what, 0, "");
   Configuration const found = configuration_of(outcome.value);
   std::string const text = text_of(call.order, found.text);
   judge.makes(call.order, text);
--- a/testing/fleet_simulator/faults.cc
+++ b/testing/fleet_simulator/faults.cc
@@ -91,7 +91,7 @@
     Membership const& members = replica->node->learner.membership();
     for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
       if (item.second->role == Role::config_store && item.second->up() && item.second->disk &&
-          members.holds(item.first, item.second->disk->disk))
+          members.contains(item.first, item.second->disk->disk))
         ++complete;
     if (complete == static_cast<std::size_t>(plan.shape->replicas) && members.replicas.size() == complete) {
       halt(*replica, random.chance(0.5));
@@ -275,7 +275,7 @@
   std::vector<std::string> complete;
   for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
     if (item.second->role == Role::config_store && item.second->up() && item.second->disk &&
-        members.holds(item.first, item.second->disk->disk))
+        members.contains(item.first, item.second->disk->disk))
       complete.push_back(item.first);
   if (cuts.empty() && site.box->role == Role::router &&
       complete.size() == static_cast<std::size_t>(plan.shape->replicas)) {
--- a/testing/fleet_simulator/operators.cc
+++ b/testing/fleet_simulator/operators.cc
@@ -52,7 +52,7 @@
   change.answered = now;
   Outcome const& outcome = reply.outcome;
   note(reply.change + " answered " + std::to_string(static_cast<int>(outcome.type)));
-  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
+  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::unchanged;
   if (outcome.type == Outcome::Type::refused) {
     refused_changes.insert(reply.change);
     for (std::pair<std::uint64_t const, std::string> const& seen : serial_change)
--- a/testing/register_model_checker/register_view.cc
+++ b/testing/register_model_checker/register_view.cc
@@ -154,7 +154,7 @@
   add(out, acceptor.state_, symmetry);
   add(out, acceptor.durable_state_, symmetry);
   out.number(acceptor.sync_in_progress_ ? 1 : 0);
-  out.number(acceptor.note_pending_ ? 1 : 0);
+  out.number(acceptor.record_update_pending_ ? 1 : 0);
   for (std::pair<std::string, wire::BodyUnion> const& item : acceptor.requests_) {
     out.name(symmetry, item.first);
     out.part(print_of(item.second, symmetry));
--- a/testing/register_model_checker/world.cc
+++ b/testing/register_model_checker/world.cc
@@ -46,7 +46,7 @@
   if (order.type == Change::Type::apply) out.text = "text of " + order.id;
   if (order.type == Change::Type::empty || order.type == Change::Type::refill) out.text = "zone";
   out.replica = replica_of(order.replica);
-  out.leaving = replica_of(order.leaving);
+  out.replaced_replica = replica_of(order.leaving);
   return out;
 }
 
@@ -216,7 +216,7 @@
     if (scenario->slow_disks) break;
     replica.disk = std::move(replica.saving);
     replica.saving.reset();
-    next.synced(out);
+    next.on_synced(out);
     save = next.step(out);
   }
   replica.acceptor = std::make_shared<Acceptor const>(std::move(next));
@@ -227,7 +227,7 @@
 void World::deliver_to_replica(std::size_t index, Message const& message) {
   std::vector<OutgoingMessage> out;
   if (wire::ReadRequestT const* const ask = message.body.AsReadRequest()) {
-    out.push_back(message_to(message.from, read_reply(replicas[index].acceptor->durable_state(), *ask)));
+    out.push_back(message_to(message.from, make_read_reply(replicas[index].acceptor->durable_state(), *ask)));
     return send(replica_name(index), out);
   }
   Acceptor next = *replicas[index].acceptor;
@@ -242,7 +242,7 @@
   replica.saving.reset();
   Acceptor next = *replica.acceptor;
   std::vector<OutgoingMessage> out;
-  next.synced(out);
+  next.on_synced(out);
   std::optional<wire::RecordT> save = next.step(out);
   after_acceptor(index, std::move(next), out, std::move(save));
 }
@@ -449,7 +449,7 @@
 
 void World::end(std::size_t index, Ending const& ending, Learner& learner, std::vector<OutgoingMessage>& out) {
   Outcome const& outcome = ending.outcome;
-  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
+  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::unchanged;
   check_outcome(ending.order, outcome);
   if (holds || outcome.value.serial > 0) learner.adopt(outcome.value, nodes[index].now);
   if (!holds || !scenario->push) return;
@@ -465,10 +465,10 @@
   OrderState& state = states[index];
   Order const& order = scenario->orders[index];
   std::string const who = "order " + std::to_string(index + 1) + " (" + order.id + ")";
-  state.progress = outcome.type == Outcome::Type::chosen    ? OrderState::Progress::chosen
-                   : outcome.type == Outcome::Type::kept    ? OrderState::Progress::kept
-                   : outcome.type == Outcome::Type::refused ? OrderState::Progress::refused
-                                                            : OrderState::Progress::unknown;
+  state.progress = outcome.type == Outcome::Type::chosen      ? OrderState::Progress::chosen
+                   : outcome.type == Outcome::Type::unchanged ? OrderState::Progress::kept
+                   : outcome.type == Outcome::Type::refused   ? OrderState::Progress::refused
+                                                              : OrderState::Progress::unknown;
   note(who + " is " + progress_names[static_cast<std::size_t>(state.progress)] +
        (outcome.value.serial > 0 ? ": " + words_of(outcome.value) : ""));
   if (outcome.value.serial > 0) {
@@ -558,7 +558,7 @@
 void World::check_ballot(wire::Ballot const& ballot, wire::ValueT const& value) {
   std::uint64_t const content = content_of(value);
   for (Proposal const& item : proposed) {
-    if (!same(item.ballot, ballot)) continue;
+    if (!same_ballot(item.ballot, ballot)) continue;
     if (item.content != content) blame("two values were proposed at ballot " + words_of(ballot));
     return;
   }
--- a/tests/change_traffic.cc
+++ b/tests/change_traffic.cc
@@ -103,7 +103,7 @@
       Change const change = reading->second;
       readings.erase(reading);
       // An order without a clear answer may have been taken: a reading tells what the next ones build on.
-      if (reply.outcome.type == Outcome::Type::kept) confirmed = std::max(confirmed, reply.outcome.value.label);
+      if (reply.outcome.type == Outcome::Type::unchanged) confirmed = std::max(confirmed, reply.outcome.value.label);
       operate(machine.id, change);
       return;
     }
@@ -218,7 +218,7 @@
     wire::ValueT next = base;
     next.revision = 2;
     next.text = description_of({9, routes});
-    EXPECT_LT(size_of(*patch_between(base, next)), 1024u) << routes << " routes, " << next.text.size() << " bytes";
+    EXPECT_LT(size_of(*make_value_patch(base, next)), 1024u) << routes << " routes, " << next.text.size() << " bytes";
   }
 }
 
--- a/tests/invariants.cc
+++ b/tests/invariants.cc
@@ -101,7 +101,7 @@
     wire::BodyUnion body;
     body.Set(std::move(ask));
     acceptor.enqueue("p", std::move(body));
-    if (acceptor.step(out)) acceptor.synced(out);
+    if (acceptor.step(out)) acceptor.on_synced(out);
     EXPECT_EQ(expected.seen(Invariant::promise_kept), std::string(text) == "two" ? 1u : 0u);
   }
 }
--- a/tests/node/quota_authority.cc
+++ b/tests/node/quota_authority.cc
@@ -52,7 +52,7 @@
     }
     wire::ValueT value;
     value.revision = 1;
-    put_membership(members, value);
+    store_membership(members, value);
     ASSERT_TRUE(learner.adopt(value, 0));
     std::vector<OutgoingMessage> outgoing;
     quota.tick(0, outgoing);
--- a/tests/node/replica_fixture.h
+++ b/tests/node/replica_fixture.h
@@ -56,7 +56,7 @@
     members.replicas = replicas;
     wire::ValueT value;
     value.revision = epoch;
-    put_membership(members, value);
+    store_membership(members, value);
     learner.adopt(value, now);
   }
 
@@ -72,7 +72,7 @@
       record.formed = true;
       record.accepted = wire::Ballot(1, 1);
       record.value = std::make_unique<wire::ValueT>(*learner.value);
-      wire::ReadReplyT const reply = read_reply(record, *outgoing[index].body.AsReadRequest());
+      wire::ReadReplyT const reply = make_read_reply(record, *outgoing[index].body.AsReadRequest());
       std::vector<OutgoingMessage> more;
       learner.handle_reply(replicas[index].name, reply, now, more);
     }
--- a/tests/node/replica_set_manager.cc
+++ b/tests/node/replica_set_manager.cc
@@ -102,7 +102,7 @@
   std::optional<Change> const change = fixture.manager.next_change(settled);
   ASSERT_TRUE(change.has_value());
   EXPECT_EQ(change->type, Change::Type::replace);
-  EXPECT_EQ(change->leaving.name, "c");
+  EXPECT_EQ(change->replaced_replica.name, "c");
   EXPECT_EQ(change->replica.name, "d");
   EXPECT_EQ(change->replica.address, "host-d");
   EXPECT_EQ(change->expected, 1u);
--- a/tests/node/worker_departures.cc
+++ b/tests/node/worker_departures.cc
@@ -54,7 +54,7 @@
     }
     wire::ValueT value;
     value.revision = 1;
-    put_membership(members, value);
+    store_membership(members, value);
     ASSERT_TRUE(learner.adopt(value, 0));
   }
   std::vector<EndAnswer> answers_at(Micros now) {
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -369,7 +369,7 @@
 
 TEST(Configurations, an_amend_is_refused_only_when_it_was_surely_not_taken) {
   wire::ValueT present;
-  std::uint64_t const count = orders_remembered + 10;
+  std::uint64_t const count = max_remembered_orders + 10;
   for (std::uint64_t n = 1; n <= count; ++n) {
     present.serial = n;
     present.label = n * 3;
@@ -440,7 +440,7 @@
           Acceptor& replica = replicas.at(to);
           replica.enqueue("n1", std::move(item.body));
           std::vector<OutgoingMessage> replies;
-          if (replica.step(replies)) replica.synced(replies);
+          if (replica.step(replies)) replica.on_synced(replies);
           for (OutgoingMessage& reply : replies) proposer.handle_reply(to, reply.body, now, more);
         }
         asks = std::move(more);
--- a/tests/register.cc
+++ b/tests/register.cc
@@ -59,7 +59,7 @@
 
   void run(std::string const& who, std::vector<std::string> const& progress,
            std::vector<std::string> const& accepted_by) {
-    for (int count = 0; count < 60 && proposer(who).waiting() > 0; ++count) {
+    for (int count = 0; count < 60 && proposer(who).pending_count() > 0; ++count) {
       turn(who, progress, accepted_by);
       now += millis(100);
     }
@@ -88,7 +88,7 @@
     std::vector<OutgoingMessage> answers;
     Acceptor& acceptor = *acceptors.at(to);
     acceptor.enqueue(from, std::move(body));
-    if (acceptor.step(answers)) acceptor.synced(answers);
+    if (acceptor.step(answers)) acceptor.on_synced(answers);
     return answers;
   }
 
@@ -133,7 +133,7 @@
     if (formed) {
       record.accepted = wire::Ballot(1, first.fingerprint());
       record.value = std::make_unique<wire::ValueT>();
-      put_membership(first, *record.value);
+      store_membership(first, *record.value);
     }
     acceptors.emplace(name, std::make_unique<Acceptor>(std::move(record)));
   }
@@ -167,7 +167,7 @@
   ASSERT_EQ(cluster.last("p2").type, Outcome::Type::chosen);
   Membership const members = membership_of(cluster.last("p2").value);
   EXPECT_EQ(members.replicas.size(), 4u);
-  EXPECT_FALSE(members.joint());
+  EXPECT_FALSE(members.is_joint());
   EXPECT_EQ(cluster.last("p2").value.label, 7u);
 }
 
@@ -177,10 +177,10 @@
   cluster.ask("p1", cluster.apply("A", 0, 7), {"k1", "k2", "k3"}, {"k1", "k2"});  // k1, which leaves, is a newest copy
   Change change = cluster.admit("k4", 2);
   change.type = Change::Type::replace;
-  change.leaving = replica_named("k1", 1);
+  change.replaced_replica = replica_named("k1", 1);
   cluster.ask("p1", change, {"k2", "k3", "k4"});
   ASSERT_EQ(cluster.last("p1").type, Outcome::Type::chosen);
-  EXPECT_EQ(membership_of(cluster.last("p1").value).names(), (std::vector<std::string>{"k2", "k3", "k4"}));
+  EXPECT_EQ(membership_of(cluster.last("p1").value).participant_names(), (std::vector<std::string>{"k2", "k3", "k4"}));
   // k2 is lost as well, the last of those that took the order. Whoever reads has heard of the new set from its peers.
   cluster.proposer("p2").adopt_membership(membership_of(cluster.last("p1").value));
   cluster.ask("p2", cluster.read(), {"k3", "k4"});
@@ -205,7 +205,7 @@
   bool over = false;
   Change replace = cluster.admit("k4", 1);
   replace.type = Change::Type::replace;
-  replace.leaving = replica_named("k3", 3);
+  replace.replaced_replica = replica_named("k3", 3);
   ASSERT_TRUE(cluster.proposer("p2").submit(
       std::move(replace), [&over](Outcome const& out) { over = out.type == Outcome::Type::chosen; }, cluster.now));
   for (int turn = 0; turn < 12 && !over; ++turn) {
@@ -230,7 +230,7 @@
     ASSERT_EQ(outgoing.size(), 3u);
     ballots.push_back(outgoing.front().body.AsPrepare()->ballot);
   }
-  EXPECT_FALSE(same(ballots[0], ballots[1]));
+  EXPECT_FALSE(same_ballot(ballots[0], ballots[1]));
 }
 
 // Nodes used to seed their proposers with what XOR left of clock and name: the hash of the name, which the proposer
@@ -247,7 +247,7 @@
     ASSERT_EQ(outgoing.size(), 3u);
     ballots.push_back(outgoing.front().body.AsPrepare()->ballot);
   }
-  EXPECT_FALSE(same(ballots[0], ballots[1]));
+  EXPECT_FALSE(same_ballot(ballots[0], ballots[1]));
 }
 
 // A replica's answer to a former incarnation of the same node, should the request numbers ever be the same.
@@ -263,7 +263,7 @@
   wire::PrepareT const asked = *outgoing.front().body.AsPrepare();
   outgoing.clear();
   wire::ValueT value;
-  put_membership(members_of(2, {"k1", "k2", "k3"}), value);
+  store_membership(members_of(2, {"k1", "k2", "k3"}), value);
   for (std::uint64_t disk = 1; disk <= 2; ++disk) {
     wire::PromiseT promise;
     promise.request_id = asked.request_id;
@@ -323,13 +323,13 @@
 
 TEST(Orders, beyond_what_is_remembered_the_answer_is_unclear) {
   wire::ValueT value;
-  std::uint64_t const count = orders_remembered + 10;
+  std::uint64_t const count = max_remembered_orders + 10;
   for (std::uint64_t n = 1; n <= count; ++n) {
     value.serial = n;
     value.label = n * 3;
     remember_order(value, "order-" + std::to_string(n));
   }
-  ASSERT_EQ(value.orders.size(), orders_remembered);
+  ASSERT_EQ(value.orders.size(), max_remembered_orders);
   EXPECT_EQ(serial_of_order(value, "order-10"), 0u);
   EXPECT_EQ(serial_of_order(value, "order-11"), 11u);
   EXPECT_EQ(serial_of_order(value, "order-" + std::to_string(count)), count);
@@ -364,7 +364,7 @@
     mark->change = n == 3 ? "c" : "d";
     value.past.push_back(std::move(mark));
   }
-  convert_old_orders(value);
+  migrate_format_1_orders(value);
   EXPECT_EQ(serial_of_order(value, "c"), 3u);
   EXPECT_EQ(serial_of_order(value, "d"), 4u);
   EXPECT_EQ(serial_of_order(value, "e"), 5u);
@@ -374,9 +374,9 @@
 
 TEST(Patches, bring_the_same_value_and_only_what_differs) {
   wire::ValueT base;
-  put_membership(members_of(4, {"k1", "k2", "k3"}), base);
+  store_membership(members_of(4, {"k1", "k2", "k3"}), base);
   base.text = std::string(4000, 'a') + "old" + std::string(4000, 'b');
-  for (std::uint64_t n = 1; n <= orders_remembered; ++n) {
+  for (std::uint64_t n = 1; n <= max_remembered_orders; ++n) {
     base.serial = n;
     base.label = n;
     remember_order(base, "order-" + std::to_string(n));
@@ -388,12 +388,12 @@
   next.serial = base.serial + 1;
   next.label = 7000;
   remember_order(next, "one more");
-  std::unique_ptr<wire::ValuePatchT> const patch = patch_between(base, next);
+  std::unique_ptr<wire::ValuePatchT> const patch = make_value_patch(base, next);
   EXPECT_TRUE(patch->rest->text.empty());
   EXPECT_LT(patch->text->fresh.size(), 8u);
   EXPECT_EQ(patch->rest->orders.size(), 1u);
   EXPECT_TRUE(patch->rest->replicas.empty());
-  std::optional<wire::ValueT> const made = patched(base, *patch);
+  std::optional<wire::ValueT> const made = apply_value_patch(base, *patch);
   ASSERT_TRUE(made);
   EXPECT_EQ(made->text, next.text);
   EXPECT_EQ(made->label, 7000u);
@@ -401,7 +401,7 @@
   EXPECT_EQ(serial_of_order(*made, "one more"), next.serial);
   EXPECT_EQ(serial_of_order(*made, "order-1"), 0u);
   EXPECT_EQ(membership_of(*made).fingerprint(), membership_of(next).fingerprint());
-  EXPECT_FALSE(patched(next, *patch)) << "another base";
+  EXPECT_FALSE(apply_value_patch(next, *patch)) << "another base";
 }
 
 // A replica that missed a value has no base for the patch: it asks for the whole one, and the change is chosen all the
@@ -417,7 +417,7 @@
 
 namespace {
 wire::ReadReplyT answer_of(Acceptor const& acceptor, wire::ReadRequestT const& ask) {
-  return read_reply(acceptor.durable_state(), ask);
+  return make_read_reply(acceptor.durable_state(), ask);
 }
 }  // namespace
 
@@ -502,7 +502,7 @@
   learner.poll(seconds(5), {"k2", "k3", "k4"}, -1, asks);
   for (OutgoingMessage const& ask : asks)
     learner.handle_reply(ask.to, answer_of(cluster.acceptor(ask.to), *ask.body.AsReadRequest()), seconds(5), more);
-  EXPECT_EQ(learner.last_quorum_at(), seconds(5)) << "three of four members answered";
+  EXPECT_EQ(learner.last_quorum_poll_at(), seconds(5)) << "three of four members answered";
 }
 
 // All lost their memory, and no two replicas show one ballot: a proposer begins with the newest set that was seen.
--- a/tests/text_patch.cc
+++ b/tests/text_patch.cc
@@ -52,8 +52,8 @@
 }
 
 void expect_patch(std::string const& base, std::string const& next, std::string const& what) {
-  std::unique_ptr<wire::TextPatchT> const patch = text_patch(base, next);
-  std::optional<std::string> const made = patched_text(base, *patch);
+  std::unique_ptr<wire::TextPatchT> const patch = make_text_patch(base, next);
+  std::optional<std::string> const made = apply_text_patch(base, *patch);
   ASSERT_TRUE(made) << what;
   ASSERT_EQ(*made, next) << what;
   EXPECT_LE(size_of(*patch), next.size() + frame_overhead) << what;
@@ -100,15 +100,15 @@
     edit(random, next);
     std::string other = base;
     other[random.below(other.size())] ^= 1;
-    std::optional<std::string> const made = patched_text(other, *text_patch(base, next));
+    std::optional<std::string> const made = apply_text_patch(other, *make_text_patch(base, next));
     EXPECT_TRUE(!made || *made == next) << seed;
   }
 }
 
 TEST(TextPatch, a_malformed_patch_yields_nothing) {
   std::string const base = repeated("route,", 600);
-  std::unique_ptr<wire::TextPatchT> const good = text_patch(base, base + "more");
-  ASSERT_TRUE(patched_text(base, *good));
+  std::unique_ptr<wire::TextPatchT> const good = make_text_patch(base, base + "more");
+  ASSERT_TRUE(apply_text_patch(base, *good));
   std::vector<wire::TextCopy> const bad[] = {
       {wire::TextCopy(0, 601, 0)},
       {wire::TextCopy(601, 0, 0)},
@@ -122,11 +122,11 @@
   for (std::vector<wire::TextCopy> const& copies : bad) {
     wire::TextPatchT patch = *good;
     patch.copied_ranges = copies;
-    EXPECT_FALSE(patched_text(base, patch)) << copies.size();
+    EXPECT_FALSE(apply_text_patch(base, patch)) << copies.size();
   }
   wire::TextPatchT other = *good;
   ++other.digest_low;
-  EXPECT_FALSE(patched_text(base, other)) << "another digest";
+  EXPECT_FALSE(apply_text_patch(base, other)) << "another digest";
 }
 
 TEST(TextPatch, the_largest_texts_take_a_bounded_time) {
@@ -145,8 +145,8 @@
   for (std::string const& base : texts)
     for (std::string const& next : texts) {
       double const before = processor_seconds();
-      std::unique_ptr<wire::TextPatchT> const patch = text_patch(base, next);
-      std::optional<std::string> const made = patched_text(base, *patch);
+      std::unique_ptr<wire::TextPatchT> const patch = make_text_patch(base, next);
+      std::optional<std::string> const made = apply_text_patch(base, *patch);
       EXPECT_LT(processor_seconds() - before, 3.0);
       ASSERT_TRUE(made);
       EXPECT_TRUE(*made == next);
@@ -160,8 +160,8 @@
   std::string const base = numbered(description_limit - 65536, 7);
   std::string next = base;
   for (int n = 0; n < 100; ++n) edit(random, next);
-  std::unique_ptr<wire::TextPatchT> const patch = text_patch(base, next);
-  ASSERT_EQ(patched_text(base, *patch), next);
+  std::unique_ptr<wire::TextPatchT> const patch = make_text_patch(base, next);
+  ASSERT_EQ(apply_text_patch(base, *patch), next);
   EXPECT_LT(size_of(*patch), 40000u);
 }
 
@@ -179,17 +179,17 @@
   next.serial = 5;
   next.label = 41;
   next.orders.emplace_back(3, 4, 41);
-  std::unique_ptr<wire::ValuePatchT> const patch = patch_between(base, next);
-  ASSERT_TRUE(patched(base, *patch));
+  std::unique_ptr<wire::ValuePatchT> const patch = make_value_patch(base, next);
+  ASSERT_TRUE(apply_value_patch(base, *patch));
   wire::ValueT other_text = base;
   other_text.text[100] ^= 1;
-  EXPECT_FALSE(patched(other_text, *patch));
+  EXPECT_FALSE(apply_value_patch(other_text, *patch));
   wire::ValueT other_orders = base;
   other_orders.orders[0] = wire::Order(1, 3, 40);
-  EXPECT_FALSE(patched(other_orders, *patch));
+  EXPECT_FALSE(apply_value_patch(other_orders, *patch));
   wire::ValueT other_members = base;
   other_members.epoch = 9;
-  EXPECT_FALSE(patched(other_members, *patch));
+  EXPECT_FALSE(apply_value_patch(other_members, *patch));
 }
 
 }  // namespace pipit
