--- a/src/consensus/register/acceptor.cc
+++ b/src/consensus/register/acceptor.cc
@@ -119,7 +119,7 @@
   bool changed = false;
   bool const outdated = request.ballot < state_.promised && guard(Guard::promise);
   if (!outdated && same_ballot(request.ballot, state_.accepted)) {
-    reply.ok = true;  // a repetition: the value of a ballot is one
+    reply.ok = true;  // a repeated request; a ballot has one value
     check_invariant(
         !request.value || !state_.value || same_value(*request.value, *state_.value), Invariant::promise_kept, [&] {
           return "ballot " + text_of(request.ballot) + " has revision " + std::to_string(state_.value->revision) +
@@ -128,7 +128,7 @@
   } else if (!outdated) {
     std::unique_ptr<wire::ValueT> value = value_to_accept(request);
     reply.need_value = value == nullptr;
-    // One limit for a description, here as at the proposer: what is larger fits neither frame nor record (§5.1).
+    // The same limit as at the proposer: a larger description fits neither a frame nor a record (§5.1).
     if (value && value->text.size() <= description_limit) {
       state_.promised = request.ballot;
       state_.accepted = request.ballot;
@@ -144,14 +144,14 @@
 }
 
 bool Acceptor::handle_bootstrap(wire::BootstrapT const& request) {
-  // §5.4: the first set, once, and only on a disk that it names.
+  // §5.4: the first membership is accepted once, and only if it names this replica with this disk.
   if (state_.formed) return false;
   Membership first;
   first.epoch = 1;
   for (std::unique_ptr<wire::ReplicaT> const& replica : request.replicas) first.replicas.push_back(*replica);
   if (!first.contains(state_.name, state_.disk)) return false;
   state_.formed = true;
-  // Two first sets, should there ever be two, have ballots of their own.
+  // Should there ever be two first memberships, each has a ballot of its own.
   state_.accepted = wire::Ballot(1, first.fingerprint());
   state_.value = std::make_unique<wire::ValueT>();
   store_membership(first, *state_.value);
--- a/src/consensus/register/acceptor.h
+++ b/src/consensus/register/acceptor.h
@@ -1,4 +1,4 @@
-// The acceptor of the register, on a machine with a disk (§5.3).
+// The Paxos acceptor of the register, on a machine with a disk (§5.3).
 #pragma once
 #include <deque>
 #include <memory>
@@ -13,55 +13,60 @@
 
 namespace pipit {
 
-// Promises and accepts ballots for one replica. It replies to nothing before the state that the reply tells of is
-// synced: the owner writes each record that step() returns and calls on_synced() when it is on disk.
+// Promises and accepts ballots for one replica. A reply is held back until the state that it reports is synced: the
+// owner writes each record that step() returns and calls on_synced() once the record is on disk.
 //
-// State: the record as it is to be, the record as it is on disk, requests that wait for step(), and replies that wait
-// for the sync. Called from the node's loop only.
+// State: the record with the changes not synced yet, the record on disk, the requests queued for step(), and the
+// replies held back until the sync is done. Called from the node's loop only.
 //
-// Invariants: the promised and the accepted ballot never go down; one ballot has one value; at most one sync is under
-// way.
+// Invariants: the promised and the accepted ballot never decrease; a ballot has one value; at most one sync is in
+// progress.
 class Acceptor {
  public:
-  // The durable state as recovered, or formatted anew.
+  // `recovered` is the durable state as the record store opened or formatted it.
   explicit Acceptor(wire::RecordT recovered);
 
-  // Queues a request (Prepare, Accept or Bootstrap) for step(). A full queue drops it: its sender asks again.
+  // Queues a request (Prepare, Accept or Bootstrap) for step(). A full queue drops the request; its sender retries.
   void enqueue(std::string from, wire::BodyUnion body);
-  // Handles the queued requests, unless a sync is under way. Returns the record to sync when the state changed; else
-  // the replies are ready in 'out'.
+  // Handles the queued requests, unless a sync is in progress. Returns the record to sync if the state changed;
+  // otherwise the replies are appended to `out`.
   std::optional<wire::RecordT> step(std::vector<OutgoingMessage>& out);
-  // Notes the seeds of the first start on a blank disk, so that a later incarnation may still take part in bootstrap;
-  // step() has it synced.
+  // Records the seeds of the first start on a blank disk, so that a later incarnation can still take part in the
+  // bootstrap. The next step() returns the record to sync. Ignored once the replica has a value or seeds.
   void record_bootstrap_seeds(std::vector<std::string> const& seeds);
-  // Notes the membership by which quotas are handed out here; step() has it synced.
+  // Records the fingerprint of the membership by which this replica grants quotas. The next step() returns the record
+  // to sync.
   void record_quota_members(std::uint64_t fingerprint);
-  // The record that step() returned is synced: 'out' gets the replies that waited for it.
+  // To be called when the record that step() returned is synced. Appends the replies held back for it to `out`.
   void on_synced(std::vector<OutgoingMessage>& out);
 
-  // The state that is on disk; what others are told comes from here.
+  // The state that is on disk. Replies to other nodes are built from this state only.
   wire::RecordT const& durable_state() const { return durable_state_; }
+  // The number of queued requests.
   std::size_t backlog() const { return requests_.size(); }
 
  private:
-  // Handles one request and checks that no ballot went down. Like the handlers, returns whether the state changed.
+  // Handles one request and checks that no ballot decreased. Like the handlers below, returns whether the state
+  // changed.
   bool handle(std::string const& from, wire::BodyUnion& body, std::vector<OutgoingMessage>& out);
   bool dispatch(std::string const& from, wire::BodyUnion& body, std::vector<OutgoingMessage>& out);
   bool handle_prepare(std::string const& from, wire::PrepareT const& request, std::vector<OutgoingMessage>& out);
   bool handle_accept(std::string const& from, wire::AcceptT& request, std::vector<OutgoingMessage>& out);
   bool handle_bootstrap(wire::BootstrapT const& request);
-  // The value that an accept brings, in full or as a patch of the present one; nothing when its base is missing.
+  // The value of an accept request, sent in full or as a patch of the accepted value; nullptr if this replica lacks
+  // the base of the patch.
   std::unique_ptr<wire::ValueT> value_to_accept(wire::AcceptT& request) const;
 
-  wire::RecordT state_;          // with what is not synced yet
-  wire::RecordT durable_state_;  // what is synced
+  wire::RecordT state_;          // including changes not synced yet
+  wire::RecordT durable_state_;  // as last synced
   bool sync_in_progress_ = false;
-  bool record_update_pending_ = false;                            // a note changed the record since the last step
-  std::deque<std::pair<std::string, wire::BodyUnion>> requests_;  // with their senders
+  bool record_update_pending_ = false;                            // record_...() changed the record since the last step
+  std::deque<std::pair<std::string, wire::BodyUnion>> requests_;  // each with its sender
   std::vector<OutgoingMessage> unsynced_replies_;                 // to send once the sync is done
 };
 
-// What a replica tells of its value. The membership goes along only when it is not the one that the asker knows.
+// A replica's reply to a read request. The membership is included only if its fingerprint differs from the one in the
+// request, and the value only if the request asks for it.
 wire::ReadReplyT make_read_reply(wire::RecordT const& state, wire::ReadRequestT const& request);
 
 }  // namespace pipit
--- a/src/consensus/register/change.h
+++ b/src/consensus/register/change.h
@@ -1,4 +1,4 @@
-// What a node may ask the register to change, and what became of it.
+// Changes that a node proposes to the register, and their outcomes.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,36 +8,36 @@
 
 namespace pipit {
 
-// Makes of the present value nothing (the value stays), a new value, or a refusal.
+// A change to the register's value. Applied to the present value it yields a new value, the same value, or a refusal.
 struct Change {
   enum class Type : std::uint8_t { read, apply, empty, refill, admit, dismiss, register_router, evict_router, replace };
   Type type = Type::read;
-  std::string id;    // of an operator's order, so that a repetition of it is known; else empty
-  std::string text;  // the description, or the zone's name
-  // What the change builds on: for 'apply' the serial of the value, for changes of members the epoch.
+  std::string id;    // of an operator's order, to recognize a repetition; otherwise empty
+  std::string text;  // the description of an `apply`, or the zone of an `empty` or `refill`
+  // The version that the change is based on: the value's serial for an `apply`, the epoch for a membership change.
   std::uint64_t expected = 0;
-  // An 'apply' may name the operators' own numbers instead of serials: 'expected' is then the label that must be in
-  // place, and 'label', which must be above it, takes its place (§12.4). 0: by serial.
+  // An `apply` may use the operators' own numbers (labels) instead of serials: `expected` is then the label that the
+  // value must have, and `label`, which must be higher, replaces it (§12.4). 0 if the change goes by serial.
   std::uint64_t label = 0;
-  // Another node was asked to propose it and may have done so: without a quorum's word its outcome is unknown.
+  // The change was forwarded to another node, which may have proposed it. Without a quorum its outcome is unknown.
   bool proposed_elsewhere = false;
-  wire::ReplicaT replica;                  // who is admitted or dismissed
-  wire::ReplicaT replaced_replica;         // whose place the admitted one takes, in a 'replace'
-  wire::RouterRegistrationT registration;  // a router node that takes its place, or is evicted
+  wire::ReplicaT replica;                  // admitted or dismissed
+  wire::ReplicaT replaced_replica;         // removed by a `replace`, in favour of `replica`
+  wire::RouterRegistrationT registration;  // of the router node to register or evict
 };
 
-// What became of a change.
+// The outcome of a change.
 struct Outcome {
   enum class Type : std::uint8_t {
-    chosen,     // it was chosen
-    unchanged,  // no order was put in place: it changed nothing, or registrations only
-    refused,    // it was not and will not be chosen; see 'error'
-    unknown,    // nobody can say; see 'error'
+    chosen,     // the change was chosen
+    unchanged,  // no order was applied: the value is the same, or only registrations changed
+    refused,    // the change was not chosen and never will be; see `error`
+    unknown,    // the change may or may not have been chosen; see `error`
   };
   Type type = Type::unknown;
   Error error;
-  std::uint64_t serial = 0;  // of the change itself, when it was chosen; the value may be newer
-  wire::ValueT value;        // the value chosen in the end, when one was
+  std::uint64_t serial = 0;  // of the change itself, if it was chosen; the value may be newer
+  wire::ValueT value;        // the value that was chosen, if one was
 };
 
 }  // namespace pipit
--- a/src/consensus/register/orders.cc
+++ b/src/consensus/register/orders.cc
@@ -11,7 +11,7 @@
   return order.id_high() == id.high && order.id_low() == id.low;
 }
 
-// Orders that are based on an older label, or serial, than the oldest order put in place are forgotten with it.
+// Drops the oldest remembered order. Orders with a base older than its label or serial count as forgotten from now on.
 void forget_oldest_order(wire::ValueT& value) {
   value.forgotten_serial = value.serial - value.orders.size() + 1;
   value.forgotten_label = std::max(value.forgotten_label, value.orders.front().label());
@@ -51,10 +51,11 @@
 
 std::optional<Error> unknown_outcome_error(wire::ValueT const& value, OrderStatus status) {
   if (status == OrderStatus::possibly_forgotten)
-    return Error{ErrorCode::change_unknown, "it builds on a label or serial from before what is remembered", ""};
-  if (status == OrderStatus::base_in_future)
-    return Error{ErrorCode::change_unknown, "it builds on a label above the present " + std::to_string(value.label),
+    return Error{ErrorCode::change_unknown, "the order is based on a label or serial older than the remembered orders",
                  ""};
+  if (status == OrderStatus::base_in_future)
+    return Error{ErrorCode::change_unknown,
+                 "the order is based on a label above the present label " + std::to_string(value.label), ""};
   return std::nullopt;
 }
 
@@ -69,7 +70,7 @@
     value.past.clear();
     return;
   }
-  // The serials of format 1 follow one another without a gap; a gap would end what can be kept.
+  // The serials of format 1 are consecutive. Orders before a gap would get wrong serials and are dropped.
   std::uint64_t expected = value.serial - value.past.size();
   for (std::unique_ptr<wire::RememberedChangeT> const& remembered : value.past) {
     if (remembered->serial != expected++) {
--- a/src/consensus/register/orders.h
+++ b/src/consensus/register/orders.h
@@ -1,4 +1,4 @@
-// The operators' orders that a register's value remembers as taken, so that one that is sent again is known
+// The applied orders of operators that the register's value remembers, to recognize repeated orders
 // (docs/control.md, "Orders that come again").
 #pragma once
 #include <cstdint>
@@ -10,35 +10,36 @@
 
 namespace pipit {
 
-// More than a day of the planned 3,400 changes; 24 bytes each.
+// More than one day at the planned 3,400 changes; each order takes 24 bytes.
 constexpr std::size_t max_remembered_orders = 4096;
 
-// The serial that an order was taken under; 0 when the value does not remember it.
+// The serial at which an order was applied; 0 if the value does not remember the order.
 std::uint64_t serial_of_order(wire::ValueT const& value, std::string const& id);
-// Adds the order that the value's present serial and label come from.
+// Adds the order that produced the value's present serial and label, and forgets the oldest beyond the limit.
 void remember_order(wire::ValueT& value, std::string const& id);
-// Whether an order with this base may have been taken and forgotten since. Then nobody can say that it was not taken.
+// Whether an order with this base may have been applied and forgotten since. It cannot be refused then.
 bool order_may_be_forgotten(wire::ValueT const& value, std::uint64_t based_on_label, std::uint64_t based_on_serial,
                             bool by_label);
-// What a value says of an operator's order that builds on a label (or on a serial, where there is none).
+// The status of an operator's order relative to a value.
 enum class OrderStatus : std::uint8_t {
-  applicable,          // it may be tried
-  already_taken,       // it was taken
-  possibly_forgotten,  // it may have been taken and forgotten since: nobody can say
-  base_in_future,      // it builds on a label that is still to come: a late copy of it may yet be taken
-  base_outdated,       // it builds on another label or serial, and neither was nor will be taken
+  applicable,          // the order is based on the present value
+  already_taken,       // the value remembers the order
+  possibly_forgotten,  // the order may have been applied and forgotten since: its outcome is unknown
+  base_in_future,      // based on a label above the present one: a late copy of the order may still be applied
+  base_outdated,       // based on another label or serial: the order was not applied and never will be
 };
-// What an order builds on: a label, or a serial where the operator gives no labels.
+// The version that an order is based on: a label, or a serial if the operator gives no labels.
 struct OrderBase {
   std::uint64_t expected = 0;
   bool by_label = true;
 };
+// The status of the order `id` with this base relative to a value.
 OrderStatus order_status(wire::ValueT const& value, std::string const& id, OrderBase const& base);
-// The unclear answer to an order of which neither "taken" nor "refused" can be said; nothing for other standings.
+// The error for an order that can be neither confirmed nor refused; nullopt for every other status.
 std::optional<Error> unknown_outcome_error(wire::ValueT const& value, OrderStatus status);
-// The refusal of an outdated order.
+// The error for an order whose base is outdated.
 Error stale_base_error(wire::ValueT const& value, bool by_label);
-// Moves what a record of format 1 remembered into the present form.
+// Converts the remembered orders of a record of format 1 to the present format.
 void migrate_format_1_orders(wire::ValueT& value);
 
 }  // namespace pipit
--- a/src/consensus/register/outgoing_message.h
+++ b/src/consensus/register/outgoing_message.h
@@ -1,4 +1,4 @@
-// A message of the control plane that waits to be sent.
+// Messages of the control plane, addressed to a node.
 #pragma once
 #include <string>
 #include <utility>
@@ -7,12 +7,13 @@
 
 namespace pipit {
 
-// A message for the node of this name; the mesh carries it, and may lose it.
+// A message to the node named `to`. The mesh carries it and may lose it.
 struct OutgoingMessage {
   std::string to;
   wire::BodyUnion body;
 };
 
+// Wraps a message body, which is moved if it is an rvalue.
 template <class T>
 OutgoingMessage message_to(std::string to, T&& body) {
   OutgoingMessage out;
