--- a/src/consensus/register/learner.cc
+++ b/src/consensus/register/learner.cc
@@ -8,26 +8,26 @@
 namespace pipit {
 
 namespace {
-// How long the value of a fetch may take to come: the largest description over a thin link that others use as well.
+// Time for the transfer of a fetched value: the largest description over a slow shared link.
 constexpr Micros fetch_timeout = seconds(2);
 }  // namespace
 
 bool Learner::adopt(wire::ValueT const& chosen, Micros now) {
-  // Every change raises the revision, and those of operators the serial with it.
+  // Every change raises the revision; changes by operators also raise the serial.
   if (value && value->revision == chosen.revision) check_agreement(chosen);
   if (value && value->revision >= chosen.revision) return false;
   replace_value(chosen, now);
   return true;
 }
 
-// Whatever is told here was chosen: two values of one revision must be one value.
+// Only chosen values are adopted, so two values with the same revision must be the same value.
 void Learner::check_agreement(wire::ValueT const& chosen) const {
   bool const same_fields =
       value->serial == chosen.serial && value->label == chosen.label && value->epoch == chosen.epoch;
   check_invariant(same_fields && value->text == chosen.text, Invariant::agreement, [&] {
-    return "revision " + std::to_string(chosen.revision) + ": change '" + value->change + "' label " +
-           std::to_string(value->label) + " epoch " + std::to_string(value->epoch) + " here, '" + chosen.change +
-           "' label " + std::to_string(chosen.label) + " epoch " + std::to_string(chosen.epoch) + " told";
+    return "two values of revision " + std::to_string(chosen.revision) + ": change '" + value->change + "' label " +
+           std::to_string(value->label) + " epoch " + std::to_string(value->epoch) + " held, '" + chosen.change +
+           "' label " + std::to_string(chosen.label) + " epoch " + std::to_string(chosen.epoch) + " received";
   });
 }
 
@@ -65,7 +65,8 @@
   }
 }
 
-// Copies that differ are repaired (§5.8). A replica that is away hides nothing: a quorum is enough to see it.
+// Replicas with different ballots are repaired (§5.8). A quorum of replies is enough: an unreachable replica does not
+// hide a difference among the others.
 void Learner::update_replicas_differ() {
   Voters voters;
   bool ballots_differ = false;
@@ -99,8 +100,9 @@
   return out;
 }
 
-// What a quorum of the newest set among the answers holds is at least as new as anything that was chosen before the
-// poll was sent: who holds as much is as new as that moment, also when changes go on and no two answers agree.
+// The newest value at a quorum of the newest membership among the replies is at least as new as any value that was
+// chosen before the poll was sent. A held value of that revision is therefore current as of the poll, even if changes
+// continue and no two replies agree.
 void Learner::update_quorum_revision() {
   PollReply const* newest = nullptr;
   Voters voters;
@@ -126,8 +128,8 @@
   if (reply.value) return handle_fetched_value(reply, now);
   if (reply.request_id != request_id_) return std::nullopt;
   record_poll_membership(reply);
-  // A replica that has accepted nothing yet says so: no value was chosen with its help. It counts where a membership
-  // names it with its disk, as a member that was unreachable when it got its place.
+  // A replica that has accepted no value did not help to choose one. Its reply still counts towards the quorum if a
+  // membership names it with its disk, for example a member that was unreachable when it was admitted.
   PollReply const poll_reply{reply.ballot, reply.revision, reply.disk, reply.members};
   poll_replies_[from] = poll_reply;
   update_quorum_revision();
@@ -146,9 +148,8 @@
   if (!fetch_ || reply.request_id != fetch_->request_id) return std::nullopt;
   Fetch const fetch = *fetch_;
   fetch_.reset();
-  if (!same_ballot(reply.ballot, fetch.ballot))
-    return std::nullopt;  // the replica has accepted another value meanwhile
-  // A quorum agreed on this ballot, so this is the value that was chosen.
+  if (!same_ballot(reply.ballot, fetch.ballot)) return std::nullopt;  // the replica has accepted another value since
+  // A quorum has accepted this ballot, so its value is chosen.
   bool const fresh = adopt(*reply.value, now);
   if (value && value->revision == reply.value->revision) confirmed_at = std::max(confirmed_at, fetch.poll_sent_at);
   if (fresh) return *reply.value;
--- a/src/consensus/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -12,11 +12,13 @@
 namespace pipit {
 
 namespace {
-// After so many rejections each further one raises the next ballot number by a leap more, up to a bound.
+// After `rejections_without_leap` rejections, each further one adds `ballot_leap` to the next ballot number, at most
+// `max_leaps` times.
 constexpr int rejections_without_leap = 8;
 constexpr int max_leaps = 16;
 constexpr std::uint64_t ballot_leap = 4;
-// A backoff lasts the least span and a random part that grows with the attempts, up to a bound.
+// A backoff lasts `min_backoff` and a random time, whose limit grows with the number of attempts up to
+// `max_backoff_attempts`.
 constexpr Micros min_backoff = millis(5);
 constexpr Micros backoff_per_attempt = millis(20);
 constexpr int max_backoff_attempts = 8;
@@ -45,7 +47,7 @@
   if (members.is_joint()) chosen_joint_fingerprint_ = members.fingerprint();
   if (members.epoch <= membership_.epoch) return;
   membership_ = members;
-  if (phase_ == Phase::prepare) phase_ = Phase::backoff;  // phase one begins anew with the newer one
+  if (phase_ == Phase::prepare) phase_ = Phase::backoff;  // phase one is repeated with the newer membership
 }
 
 void Proposer::suggest_membership(Membership const& members) {
@@ -63,8 +65,8 @@
   ++request_id_;
   promises_.clear();
   accepted_by_.clear();
-  // What this proposer saw at a ballot stays seen, also where no replica of the membership holds it: else it could
-  // go to and fro between two memberships for ever.
+  // The cached value counts as found even if no replica of the membership has it. Otherwise the proposer could
+  // alternate between two memberships forever.
   highest_accepted_ballot_ = cached_ballot_;
   highest_accepted_value_ = cached_value_;
   rejection_.reset();
@@ -82,14 +84,14 @@
 
 void Proposer::back_off(Micros now, std::uint64_t promised) {
   PendingChange& pending = pending_.front();
-  // A rival that makes many changes raises its ballots faster than this proposer's timers come round: after a few
-  // rejections each one leaps further beyond what was promised to the rival.
+  // A rival proposer with many changes raises its ballots faster than this proposer's timers expire. After a few
+  // rejections, each further one therefore raises the ballot further above the one promised to the rival.
   if (promised > 0) ++pending.rejections;
   int const leaps = std::clamp(pending.rejections - rejections_without_leap, 0, max_leaps);
   std::uint64_t const leap = promised > 0 ? static_cast<std::uint64_t>(leaps) * ballot_leap : 0;
   highest_ballot_number_ = std::max(highest_ballot_number_, promised + leap);
   phase_ = Phase::backoff;
-  // Rivals step aside for a random while, longer with each attempt.
+  // Rival proposers back off for a random time that grows with the attempts.
   Micros const longest = backoff_per_attempt * std::min(pending.attempts, max_backoff_attempts);
   phase_deadline_ = now + min_backoff + static_cast<Micros>(random_.below(static_cast<std::uint64_t>(longest)));
 }
@@ -106,11 +108,11 @@
   if (phase_ != Phase::prepare || reply.request_id != request_id_ || !membership_.has_participant(from, reply.disk))
     return;
   if (!reply.ok) return back_off(now, reply.promised.n());
-  if (!same_ballot(reply.promised, ballot_)) return;  // a reply to another round, whatever its number
+  if (!same_ballot(reply.promised, ballot_)) return;  // a reply to another round, even if the request id is the same
   promises_[from] = ReceivedPromise{reply.disk, reply.accepted};
   if (!record_accepted_value(reply)) return back_off(now, 0);
   if (!has_promise_quorum()) return;
-  // Only the first membership may have no value yet.
+  // Only the first membership (epoch 1) may have no value yet.
   if (!highest_accepted_value_ && membership_.epoch != 1) return back_off(now, 0);
   if (!adopt_found_value()) return back_off(now, 0);
   start_accept_phase(now, out);
@@ -137,7 +139,7 @@
   cached_value_ = *highest_accepted_value_;
   Membership const found = membership_of(*highest_accepted_value_);
   if (found.fingerprint() == membership_.fingerprint() || !guard(Guard::found_set)) return true;
-  // Phase one counts only at a quorum of the membership that it found: it is begun again with that one.
+  // Phase one counts only at a quorum of the membership in the value that it found; it is repeated with that one.
   membership_ = found;
   return false;
 }
@@ -174,7 +176,7 @@
 bool Proposer::make_draft() {
   PendingChange& pending = pending_.front();
   draft_ = highest_accepted_value_ ? *highest_accepted_value_ : wire::ValueT();
-  // The first membership, which no replica has written yet.
+  // No replica has a value yet: the draft starts with the first membership.
   if (!highest_accepted_value_) store_membership(membership_, draft_);
   order_applied_ = false;
   draft_type_ = DraftType::change;
@@ -202,7 +204,6 @@
   ++draft_.revision;
 }
 
-// Why nobody can say what became, or will become, of the order that is to be tried now; nothing when that is certain.
 std::optional<Error> Proposer::unknown_outcome_before_draft(PendingChange const& pending) const {
   if (pending.sent_serial > 0 && pending.sent_serial <= draft_.forgotten_serial)
     return Error{ErrorCode::change_unknown, "", ""};
@@ -228,7 +229,7 @@
     case Change::Type::replace:
       members_or_routers_changed = draft_membership_change(change);
       break;
-    // §5.9: registrations are no business of the operators' serial.
+    // §5.9: registrations do not change the operators' serial.
     case Change::Type::register_router:
       members_or_routers_changed = register_router(draft_, change.registration);
       break;
@@ -255,7 +256,10 @@
   if (status != OrderStatus::applicable && guard(Guard::expected)) {
     rejection_ = stale_base_error(draft_, by_label);
   } else if (by_label && change.label <= draft_.label) {
-    rejection_ = Error{ErrorCode::bad_description, "the label is not above " + std::to_string(draft_.label), ""};
+    rejection_ = Error{
+        ErrorCode::bad_description,
+        "the label " + std::to_string(change.label) + " is not above the present label " + std::to_string(draft_.label),
+        ""};
   } else {
     draft_.text = change.text;
     if (by_label) draft_.label = change.label;
@@ -266,17 +270,16 @@
 void Proposer::apply_zone_change(Change const& change) {
   std::vector<std::string>& zones = draft_.drained_zones;
   std::vector<std::string>::iterator const zone = std::find(zones.begin(), zones.end(), change.text);
-  bool const there = zone != zones.end();
-  if (change.type == Change::Type::empty && !there) {
+  bool const is_drained = zone != zones.end();
+  if (change.type == Change::Type::empty && !is_drained) {
     zones.push_back(change.text);
     order_applied_ = true;
-  } else if (change.type == Change::Type::refill && there) {
+  } else if (change.type == Change::Type::refill && is_drained) {
     zones.erase(zone);
     order_applied_ = true;
   }
 }
 
-// Writes the joint membership of a change of members; false when it does not fit the present one.
 bool Proposer::draft_membership_change(Change const& change) {
   if (draft_.epoch != change.expected || draft_.replicas.empty()) return false;
   Membership next = membership_of(draft_);
@@ -306,12 +309,12 @@
   if (!members.has_participant(from, reply.disk) && !membership_.has_participant(from, reply.disk)) return;
   if (reply.need_value) return send_accept(from, true, out);
   if (!reply.ok) return back_off(now, reply.promised.n());
-  if (!same_ballot(reply.promised, ballot_)) return;  // an answer to another round, whatever its number
+  if (!same_ballot(reply.promised, ballot_)) return;  // a reply to another round, even if the request id is the same
   accepted_by_[from] = reply.disk;
   if (members.is_quorum(accepted_by_)) handle_chosen(now, out);
 }
 
-// A joint membership is left before anything else; then the change that was asked has its turn.
+// A joint membership is left before anything else; then the pending change is proposed.
 void Proposer::handle_chosen(Micros now, std::vector<OutgoingMessage>& out) {
   cached_ballot_ = ballot_;
   cached_value_ = draft_;
@@ -350,25 +353,25 @@
 }
 
 void Proposer::abandon_unsent_changes() {
-  std::deque<PendingChange> kept;
-  std::vector<PendingChange> given_up;
+  std::deque<PendingChange> remaining;
+  std::vector<PendingChange> abandoned;
   for (PendingChange& pending : pending_) {
     if (pending.accept_sent)
-      kept.push_back(std::move(pending));
+      remaining.push_back(std::move(pending));
     else
-      given_up.push_back(std::move(pending));
+      abandoned.push_back(std::move(pending));
   }
-  pending_ = std::move(kept);
-  if (given_up.empty()) return;
+  pending_ = std::move(remaining);
+  if (abandoned.empty()) return;
   phase_ = Phase::idle;
-  for (PendingChange& pending : given_up) pending.done(outcome_without_quorum(pending));
+  for (PendingChange& pending : abandoned) pending.done(outcome_without_quorum(pending));
 }
 
 Outcome Proposer::outcome_without_quorum(PendingChange const& pending) {
-  bool const maybe_taken = pending.accept_sent || pending.change.proposed_elsewhere;
+  bool const may_be_chosen = pending.accept_sent || pending.change.proposed_elsewhere;
   Outcome outcome;
-  outcome.type = maybe_taken ? Outcome::Type::unknown : Outcome::Type::refused;
-  outcome.error.code = maybe_taken ? ErrorCode::change_unknown : ErrorCode::no_majority;
+  outcome.type = may_be_chosen ? Outcome::Type::unknown : Outcome::Type::refused;
+  outcome.error.code = may_be_chosen ? ErrorCode::change_unknown : ErrorCode::no_majority;
   return outcome;
 }
 
@@ -385,8 +388,8 @@
     } else if (phase_ == Phase::backoff) {
       if (now >= phase_deadline_ && !membership_.empty()) start_prepare_phase(now, out);
     } else if (now >= phase_deadline_) {
-      // A membership that was only found may be one that nobody can complete: the next attempt begins with the chosen
-      // one.
+      // A membership that was found but not known to be chosen may be impossible to complete: the next attempt starts
+      // with the chosen membership.
       membership_ = chosen_membership_.empty() ? suggested_membership_ : chosen_membership_;
       cached_value_.reset();
       cached_ballot_ = wire::Ballot(0, 0);
