--- a/src/consensus/register/learner.cc
+++ b/src/consensus/register/learner.cc
@@ -25,9 +25,10 @@
   bool const same_fields =
       value->serial == chosen.serial && value->label == chosen.label && value->epoch == chosen.epoch;
   check_invariant(same_fields && value->text == chosen.text, Invariant::agreement, [&] {
-    return "two values of revision " + std::to_string(chosen.revision) + ": change '" + value->change + "' label " +
-           std::to_string(value->label) + " epoch " + std::to_string(value->epoch) + " held, '" + chosen.change +
-           "' label " + std::to_string(chosen.label) + " epoch " + std::to_string(chosen.epoch) + " received";
+    return "conflicting values at revision " + std::to_string(chosen.revision) + ": change '" + value->change +
+           "' label " + std::to_string(value->label) + " epoch " + std::to_string(value->epoch) + " held, '" +
+           chosen.change + "' label " + std::to_string(chosen.label) + " epoch " + std::to_string(chosen.epoch) +
+           " received";
   });
 }
 
--- a/src/consensus/register/router_registrations.cc
+++ b/src/consensus/register/router_registrations.cc
@@ -5,7 +5,7 @@
 namespace pipit {
 
 namespace {
-// Of the evicted ones the oldest are forgotten beyond this number.
+// Registrations; the oldest evicted ones beyond this number are forgotten.
 constexpr std::size_t evicted_limit = 256;
 
 void remove_registration(std::vector<std::unique_ptr<wire::RouterRegistrationT>>& list, std::string const& name) {
--- a/src/consensus/register/router_registrations.h
+++ b/src/consensus/register/router_registrations.h
@@ -1,5 +1,5 @@
-// The registrations of router nodes that the register's value holds (§5.9). They are no business of the operators'
-// serial, and asking twice changes nothing more.
+// The registrations of router nodes in the register's value (§5.9). They do not change the operators' serial, and
+// repeating a registration or eviction has no further effect.
 #pragma once
 #include <string>
 
@@ -7,11 +7,11 @@
 
 namespace pipit {
 
-// The registration of a router node, or nullptr.
+// The registration of a router node; nullptr if there is none. Points into `value`.
 wire::RouterRegistrationT const* registration_of(wire::ValueT const& value, std::string const& name);
-// Writes a registration into the value; false where the value holds one of this or a later incarnation.
+// Adds or replaces a registration. False if the value has one of the same or a later incarnation.
 bool register_router(wire::ValueT& value, wire::RouterRegistrationT const& registration);
-// Moves the registration of a router node to the evicted ones; false where the value holds none, or one of a later
+// Moves the registration of a router node to the evicted ones. False if the value has none, or one of a later
 // incarnation.
 bool evict_router(wire::ValueT& value, wire::RouterRegistrationT const& registration);
 
--- a/src/consensus/register/text_patch.cc
+++ b/src/consensus/register/text_patch.cc
@@ -11,19 +11,19 @@
 namespace pipit {
 
 namespace {
-// Beyond so many chunks only the common head and tail are looked for; a description of 5 MiB has some 200,000.
+// Texts with more chunks are compared by common prefix and suffix only; a description of 5 MiB has about 200,000.
 constexpr std::size_t max_chunks = 1u << 20;
-// A copy takes 12 bytes of the patch: what is shorter than this goes as new bytes instead.
+// Bytes. A copy entry takes 12 bytes of the patch; shorter ranges are sent as inserted bytes instead.
 constexpr std::size_t min_copy_length = 24;
 constexpr char chunk_end = ',';
 
-// A part of a text up to and with a comma.
+// A part of a text up to and including a comma.
 struct Chunk {
   std::size_t offset = 0;
   std::size_t length = 0;
 };
 
-// A segment of the next text that is found at 'from' in the base; 'length' 0 for bytes that are new.
+// A part of the next text: bytes copied from the base, followed by inserted bytes. Lengths in bytes.
 struct Segment {
   std::size_t base_offset = 0;
   std::size_t copied = 0;
@@ -50,7 +50,7 @@
   return text.substr(chunk.offset, chunk.length);
 }
 
-// Where a text's chunks occur in it, by their hashes.
+// Finds the occurrences of a chunk in a text by its hash. The text must outlive the index.
 class ChunkIndex {
  public:
   explicit ChunkIndex(std::string_view text) : text_(text), chunks_(chunks_of(text)) {
@@ -60,7 +60,8 @@
     std::sort(occurrences_.begin(), occurrences_.end());
   }
 
-  // The occurrence of these bytes that is next to an expected place, at or after it if there is one; npos for none.
+  // The number of the chunk that equals `bytes`: the first at or after the chunk number `expected`, otherwise the last
+  // before it; `none` if there is no such chunk.
   std::size_t find(std::string_view bytes, std::size_t expected) const {
     std::uint64_t const hash = digest_of(bytes).low;
     std::vector<Occurrence>::const_iterator position =
@@ -82,7 +83,7 @@
   std::vector<Occurrence> occurrences_;
 };
 
-// Appends a segment, to the last one where they follow one another.
+// Appends a segment, merged into the last one if the two are contiguous.
 void append_segment(std::vector<Segment>& out, Segment const& segment) {
   if (segment.copied == 0 && segment.inserted == 0) return;
   if (out.empty()) {
@@ -100,7 +101,7 @@
   }
 }
 
-// Finds the chunks of 'next' in 'base', each near where the one before it was found.
+// Finds the chunks of `next` in `base`, each near the position of the previous match.
 std::vector<Segment> matched_chunks(std::string_view base, std::string_view next) {
   std::vector<Segment> out;
   if (base.empty() || chunk_count(base) > max_chunks || chunk_count(next) > max_chunks) {
@@ -121,7 +122,7 @@
   return out;
 }
 
-// Replaces copies that are shorter than their entry in the patch by new bytes.
+// Turns copies shorter than `min_copy_length` into inserted bytes.
 std::vector<Segment> without_short_copies(std::vector<Segment> const& segments) {
   std::vector<Segment> out;
   for (Segment const& segment : segments) {
--- a/src/consensus/register/text_patch.h
+++ b/src/consensus/register/text_patch.h
@@ -1,5 +1,5 @@
-// A text as its difference to another: stretches that are copied from the base, and the bytes between them. A
-// description holds the operator's own words as well, so one edit changes it at several places far apart.
+// Patches between texts: ranges copied from the base text, and the inserted bytes between them. A description also
+// contains the operator's original text, so one edit changes the description in several distant places.
 #pragma once
 #include <memory>
 #include <optional>
@@ -10,9 +10,11 @@
 
 namespace pipit {
 
-// Takes O(n log n) steps whatever the texts are. The patch is larger than 'next' by no more than a constant.
+// The patch that turns `base` into `next`. Takes O(n log n) steps for any texts; the patch is larger than `next` by at
+// most a constant.
 std::unique_ptr<wire::TextPatchT> make_text_patch(std::string_view base, std::string_view next);
-// The patched text; nothing when the patch is malformed, or was made for another base: the result's digest is checked.
+// The patched text; nullopt if the patch is malformed or was made for another base (checked by the digest of the
+// result), or if the text would exceed `description_limit`.
 std::optional<std::string> apply_text_patch(std::string_view base, wire::TextPatchT const& patch);
 
 }  // namespace pipit
--- a/src/consensus/register/value_patch.cc
+++ b/src/consensus/register/value_patch.cc
@@ -13,7 +13,8 @@
   return a.id_high() == b.id_high() && a.id_low() == b.id_low() && a.label() == b.label();
 }
 
-// How many of the base's oldest orders are gone in 'next'; all of them when the two do not follow one another.
+// The number of the base's oldest orders that `next` no longer has; all of them if the remaining orders of the base are
+// not the first orders of `next`.
 std::size_t count_dropped_orders(wire::ValueT const& base, wire::ValueT const& next) {
   std::size_t const all = base.orders.size();
   if (next.orders.empty()) return all;
@@ -30,7 +31,8 @@
 bool have_same_members(wire::ValueT const& a, wire::ValueT const& b) {
   return membership_of(a).fingerprint() == membership_of(b).fingerprint();
 }
-// Appends a number, or a text with its length, to what is hashed.
+
+// Appends a number, a text with its length, or a list to the bytes to be hashed.
 void append_field(std::string& out, std::uint64_t number) {
   out.append(reinterpret_cast<char const*>(&number), sizeof number);
 }
@@ -49,7 +51,7 @@
   }
 }
 
-// Of all that a value holds.
+// The digest of all fields of a value.
 Digest value_digest(wire::ValueT const& value) {
   Digest const text = digest_of(value.text);
   std::string out;
--- a/src/consensus/register/value_patch.h
+++ b/src/consensus/register/value_patch.h
@@ -1,5 +1,5 @@
-// A value of the register as its difference to another one, so that a change costs what differs and not the
-// description with all that is remembered (docs/control.md, "What a change costs").
+// Patches between values of the register. The size of a patch depends on the difference, not on the description and the
+// remembered orders (docs/control.md, "What a change costs").
 #pragma once
 #include <memory>
 #include <optional>
@@ -8,9 +8,10 @@
 
 namespace pipit {
 
-// The patch that makes `next` of `base`.
+// The patch that turns `base` into `next`.
 std::unique_ptr<wire::ValuePatchT> make_value_patch(wire::ValueT const& base, wire::ValueT const& next);
-// The patched value; nothing when the patch was made for another base: the digest of the result is checked.
+// The patched value; nullopt if the patch is malformed or was made for another base (checked by the digest of the
+// result).
 std::optional<wire::ValueT> apply_value_patch(wire::ValueT const& base, wire::ValuePatchT const& patch);
 
 }  // namespace pipit
--- a/src/storage/record_store.cc
+++ b/src/storage/record_store.cc
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr char magic[8] = {'p', 'i', 'p', 'r', 'i', 'n', 'g', '1'};
-// Written last of all when a folder is formatted: without it the folder was never used.
+// Created last when a folder is formatted. A folder without it was never used, unless has_member_record().
 constexpr char const* formatted_marker = "formed";
 constexpr std::size_t marker_size = 16;
-// Bounds for the verifier of FlatBuffers.
+// Limits for the FlatBuffers verifier.
 constexpr std::size_t max_table_depth = 16;
 constexpr std::size_t max_tables = 2000000;
 
@@ -64,7 +64,7 @@
   record.name = node_;
   record.disk = new_disk_id;
   record.format = record_format;
-  // Once for each pair of files, so that none is left empty.
+  // Save once per pair of files, so that no file stays empty.
   for (std::size_t pair = 0; pair < file_count / files_per_record; ++pair) {
     Result<void> saved = save(record);
     if (!saved) return saved.as_failure();
@@ -93,7 +93,8 @@
 Result<wire::RecordT> RecordStore::decode(std::string const& body) const {
   flatbuffers::Verifier check(reinterpret_cast<std::uint8_t const*>(body.data()), body.size(), max_table_depth,
                               max_tables);
-  if (!check.VerifyBuffer<wire::Record>(nullptr)) return fail(ErrorCode::bad_disk, "the record does not verify");
+  if (!check.VerifyBuffer<wire::Record>(nullptr))
+    return fail(ErrorCode::bad_disk, "the record is not a valid FlatBuffers table");
   wire::RecordT record;
   flatbuffers::GetRoot<wire::Record>(body.data())->UnPackTo(&record);
   if (record.cluster != cluster_ || record.name != node_)
@@ -122,15 +123,16 @@
   bool const formatted = disk_.exists(formatted_marker);
   blank = !formatted && !has_member_record();
   if (blank) return format(new_disk_id);
-  // The marker's name was made and never synced. Without it the votes decide, so that a refusal does no harm.
+  // The marker file was created but its directory entry was never synced. has_member_record() identifies the folder
+  // without the marker, so a failure to create it again does no harm.
   if (!formatted) static_cast<void>(disk_.allocate(formatted_marker, marker_size));
   Result<RecordFiles> const read = read_files();
   if (!read) return read.as_failure();
   RecordFiles const& files = read.value();
   RecordFile const* const last = newest_intact(files);
   if (last == nullptr) return fail(ErrorCode::bad_disk, "no record of the store is intact");
-  // A power cut tears the one file that was being written. Both copies corrupt is decay of the disk, and what was in
-  // them may have been answered for: then the replica must not go on with something older.
+  // A power cut tears only the file that is being written. If both copies are corrupt, the disk has failed, and replies
+  // may have been sent for the lost record: the replica must not continue with an older one.
   for (std::size_t first = 0; first < file_count; first += files_per_record) {
     RecordFile const& one = files[first];
     RecordFile const& other = files[first + 1];
@@ -161,12 +163,13 @@
   header.size = body.size();
   header.checksum = checksum_of(sequence_, body);
   if (sizeof header + body.size() > max_file_size)
-    return fail(ErrorCode::bad_disk, "the record is larger than its file");
+    return fail(ErrorCode::bad_disk,
+                "the record of " + std::to_string(body.size()) + " bytes is larger than its file may be");
   std::string bytes(reinterpret_cast<char const*>(&header), sizeof header);
   bytes += body;
   std::size_t const first = (sequence_ % (file_count / files_per_record)) * files_per_record;
   std::size_t const second = first + 1;
-  // Else a second interruption could tear the copy that the first one left intact.
+  // Write the corrupt copy first: otherwise a second interruption could tear the only intact copy.
   bool const second_before = corrupt_[second] && !corrupt_[first];
   Result<void> done = write_file(second_before ? second : first, bytes);
   if (done) done = write_file(second_before ? first : second, bytes);
