--- a/src/node/change_forwarder.cc
+++ b/src/node/change_forwarder.cc
@@ -58,7 +58,7 @@
 // Encodes the text as a patch of the value that this node holds, since the replica most likely holds the same value.
 void ChangeForwarder::encode_text(std::string const& text, wire::ForwardedChangeT& request) const {
   if (learner_.value && !text.empty())
-    request.patch = text_patch(learner_.value->text, text);
+    request.patch = make_text_patch(learner_.value->text, text);
   else
     request.text = text;
 }
@@ -68,7 +68,7 @@
   if (!request.patch) return request.text;
   for (std::optional<wire::ValueT> const* const base : {&learner_.value, &learner_.previous_value}) {
     if (!*base || (*base)->revision != request.revision) continue;
-    if (std::optional<std::string> text = patched_text((*base)->text, *request.patch)) return text;
+    if (std::optional<std::string> text = apply_text_patch((*base)->text, *request.patch)) return text;
   }
   return std::nullopt;
 }
@@ -167,7 +167,7 @@
   reply.why = outcome.error.what;
   reply.serial = outcome.serial;
   // Chosen changes spread on their own; only a read returns the value, unless the requester holds it already.
-  bool const read = outcome.type == Outcome::Type::kept;
+  bool const read = outcome.type == Outcome::Type::unchanged;
   if (read) reply.revision = outcome.value.revision;
   if (read && requester.revision < outcome.value.revision) reply.value = std::make_unique<wire::ValueT>(outcome.value);
   mesh_.send(requester.name, std::move(reply), out.mesh);
--- a/src/node/replica_directory.cc
+++ b/src/node/replica_directory.cc
@@ -75,7 +75,7 @@
 
 bool ReplicaDirectory::has_quorum_contact(Micros now) const {
   Micros const max_age = 2 * status_.poll_interval() + contact_margin;
-  if (learner_.last_quorum_at() < 0 || now - learner_.last_quorum_at() > max_age) return false;
+  if (learner_.last_quorum_poll_at() < 0 || now - learner_.last_quorum_poll_at() > max_age) return false;
   Voters connected;
   for (wire::ReplicaT const& replica : learner_.membership().replicas) {
     std::map<std::string, Peer>::const_iterator const peer = mesh_.members.peers.find(replica.name);
@@ -83,7 +83,7 @@
         replica.name == plan_.name || (peer != mesh_.members.peers.end() && peer->second.connection != 0);
     if (connected_here) connected[replica.name] = replica.disk;
   }
-  return learner_.membership().empty() || connected.size() >= learner_.membership().majority();
+  return learner_.membership().empty() || connected.size() >= learner_.membership().majority_size();
 }
 
 std::string ReplicaDirectory::proposing_replica() const {
--- a/src/node/replica_set_manager.cc
+++ b/src/node/replica_set_manager.cc
@@ -29,7 +29,7 @@
 std::string describe(Change const& members) {
   if (members.type == Change::Type::admit) return "admit " + members.replica.name;
   if (members.type == Change::Type::dismiss) return "dismiss " + members.replica.name;
-  return "replace " + members.leaving.name + " by " + members.replica.name;
+  return "replace " + members.replaced_replica.name + " by " + members.replica.name;
 }
 
 void remove_replica(std::vector<wire::ReplicaT>& replicas, wire::ReplicaT const& lost) {
@@ -83,7 +83,7 @@
 
 std::optional<Change> ReplicaSetManager::next_change_with_lease(Micros now) {
   // Any change completes a joint set that its proposer left unfinished (docs/control.md).
-  if (learner_.membership().joint()) return make_read_change();
+  if (learner_.membership().is_joint()) return make_read_change();
   if (std::optional<Change> members = change_members(now)) {
     log_event(Event::replica_set_changed, describe(*members) + " epoch " + std::to_string(members->expected));
     return members;
@@ -99,7 +99,7 @@
 // catches up with frequent repairs. Not while changes are being made either: each of them rewrites the copies, and a
 // second proposer only delays them.
 std::optional<Change> ReplicaSetManager::repair_copies(Micros now) {
-  bool const calm = learner_.changed_at < 0 || now - learner_.changed_at > quiet_period_before_repair;
+  bool const calm = learner_.value_changed_at < 0 || now - learner_.value_changed_at > quiet_period_before_repair;
   if (!learner_.replicas_differ || !calm || now - repaired_at_ <= min_repair_interval) return std::nullopt;
   repaired_at_ = now;
   log_event(Event::replicas_repaired, "epoch " + std::to_string(learner_.membership().epoch));
@@ -136,7 +136,7 @@
   std::vector<wire::ReplicaT> next = members.replicas;
   if (spare) change.replica = *spare;
   if (lost) {
-    (shrinks ? change.replica : change.leaving) = *lost;
+    (shrinks ? change.replica : change.replaced_replica) = *lost;
     remove_replica(next, *lost);
   }
   if (spare) next.push_back(*spare);
@@ -174,7 +174,7 @@
   for (std::pair<std::string const, Learner::Observation> const& item : learner_.observations) {
     bool const answered = now - item.second.at < max_spare_answer_age;
     if (!answered || directory_.is_leaving(item.first)) continue;
-    if (learner_.membership().holds(item.first, item.second.disk)) continue;
+    if (learner_.membership().contains(item.first, item.second.disk)) continue;
     out.emplace();
     out->name = item.first;
     out->disk = item.second.disk;
