--- a/src/node/configuration_authority.cc
+++ b/src/node/configuration_authority.cc
@@ -39,7 +39,7 @@
 // and from its half on by any peer besides, since a cut may part this node from the replicas alone.
 void ConfigurationAuthority::renew_leases(bool keys_required, Micros now, std::vector<OutgoingMessage>& outgoing) {
   update_confirmations();
-  if (!keys_required || !quota_lease_.ageing(now) || now < next_request_at_) return;
+  if (!keys_required || !quota_lease_.renewal_due(now) || now < next_request_at_) return;
   next_request_at_ = now + request_interval;
   std::erase_if(open_requests_, [now](std::pair<std::uint64_t const, Micros> const& item) {
     return now - item.second > request_timeout;
@@ -62,7 +62,8 @@
   std::vector<std::string> targets;
   rotation_.advance();
   if (!replicas.empty()) targets.push_back(rotation_.current(replicas));
-  if (!others.empty() && (replicas.empty() || quota_lease_.urgent(now))) targets.push_back(rotation_.current(others));
+  if (!others.empty() && (replicas.empty() || quota_lease_.renewal_urgent(now)))
+    targets.push_back(rotation_.current(others));
   return targets;
 }
 
@@ -70,7 +71,7 @@
   wire::NewestReplyT out;
   out.request_id = request_id;
   out.revision = learner_.revision();
-  if (quota_lease_.confirmed() >= 0) out.age = now - quota_lease_.confirmed();
+  if (quota_lease_.confirmed_at() >= 0) out.age = now - quota_lease_.confirmed_at();
   return out;
 }
 
@@ -87,7 +88,7 @@
   confirmed_at = std::max(confirmed_at, sent_at - reply.age);
   update_confirmations();
   if (confirmed_revisions_.size() > max_confirmed_revisions) confirmed_revisions_.erase(confirmed_revisions_.begin());
-  if (confirmed_revisions_.empty() || !quota_lease_.urgent(now)) return;
+  if (confirmed_revisions_.empty() || !quota_lease_.renewal_urgent(now)) return;
   // What is newer has not come by itself.
   wire::CatchUpRequestT catch_up;
   catch_up.revision = learner_.revision();
--- a/src/node/configuration_authority.h
+++ b/src/node/configuration_authority.h
@@ -38,7 +38,7 @@
   // The lease that requests with keys need.
   ConfigurationLease const& key_lease() const { return key_lease_; }
   // Whether the configuration is confirmed for handing out quota.
-  bool may_issue_quota(Micros now) const { return quota_lease_.holds(now); }
+  bool may_issue_quota(Micros now) const { return quota_lease_.valid(now); }
 
   // Takes over what the learner's polls and the peers' replies have confirmed so far.
   void update_confirmations();
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -87,7 +87,7 @@
   bool ready() const { return ready_now_; }
   // Ready, and not without the lease that keys need.
   bool takes_requests(Micros now) const {
-    return ready_now_ && (!dispatcher.description()->keys_required || key_lease().holds(now));
+    return ready_now_ && (!dispatcher.description()->keys_required || key_lease().valid(now));
   }
   bool draining() const { return leaving_; }
   // The lease on the configuration that requests with keys need.
--- a/src/routing/dispatch/dispatcher.cc
+++ b/src/routing/dispatch/dispatcher.cc
@@ -119,7 +119,7 @@
   request.route = rules_->route(request.query.host, request.query.path);
   if (request.route == nullptr) {
     // Where keys are needed a configuration that may be old refuses nothing for good.
-    bool const certain = !rules_->keys_required || lease_->certain(now);
+    bool const certain = !rules_->keys_required || lease_->unknown_is_certain(now);
     return certain ? reject(request, ErrorCode::not_found, 0, now, out)
                    : reject(request, ErrorCode::unconfirmed, millis(300), now, out);
   }
--- a/src/routing/dispatch/tenancy.cc
+++ b/src/routing/dispatch/tenancy.cc
@@ -17,10 +17,10 @@
 // configuration is known to be new.
 std::optional<ErrorCode> Dispatcher::key_error(Request const& request, Description const& by, Micros now) const {
   if (!by.keys_required) return std::nullopt;
-  if (!lease_->holds(now)) return ErrorCode::unconfirmed;
+  if (!lease_->valid(now)) return ErrorCode::unconfirmed;
   bool const known = request.query.key && by.tenant_of(*request.query.key) != nullptr;
   if (known || request.route->is_public) return std::nullopt;
-  return lease_->certain(now) ? ErrorCode::unknown_key : ErrorCode::unconfirmed;
+  return lease_->unknown_is_certain(now) ? ErrorCode::unknown_key : ErrorCode::unconfirmed;
 }
 
 bool Dispatcher::authorize(Request& request, Micros now, DispatchEffects& out) {
@@ -28,7 +28,7 @@
     withdraw(request, *error, now, out);
     return false;
   }
-  request.confirmed = lease_->confirmed();
+  request.confirmed = lease_->confirmed_at();
   if (!rules_->keys_required || !request.query.key) return true;
   Tenant const* const tenant = rules_->tenant_of(*request.query.key);
   if (tenant == nullptr) return true;
@@ -43,7 +43,7 @@
     withdraw(request, *error, now, out);
     return false;
   }
-  request.confirmed = lease_->confirmed();
+  request.confirmed = lease_->confirmed_at();
   Tenant const* const tenant =
       rules_->keys_required && request.query.key ? rules_->tenant_of(*request.query.key) : nullptr;
   request.tenant = tenant == nullptr ? "" : tenant->name;
@@ -100,8 +100,8 @@
 // A byte of the request is about to leave. Its caller had sent it when it came, so that is the moment at which the
 // configuration that knows its key must have been new enough.
 void Dispatcher::check_key(Request const& request) const {
-  if (!lease_->needed() || !request.rules->keys_required) return;
-  bool const confirmed = request.arrived_at - request.confirmed <= lease_->span;
+  if (!lease_->required() || !request.rules->keys_required) return;
+  bool const confirmed = request.arrived_at - request.confirmed <= lease_->duration;
   check_invariant(confirmed, Invariant::key_confirmed, [&] {
     return "request " + std::to_string(request.id) + " came " +
            std::to_string((request.arrived_at - request.confirmed) / 1000) +
--- a/src/routing/tenants/configuration_lease.h
+++ b/src/routing/tenants/configuration_lease.h
@@ -1,7 +1,8 @@
-// A lease on the configuration (docs/control.md, "Keys that are taken away"). A node knows as of which moment nothing
-// newer than what it holds had been chosen; for a while after that moment it may let requests run with the keys that it
-// knows. The moment is when the question left here, by the monotonic clock of this node, so neither the way of an
-// answer nor a clock of another machine matters.
+// Lease on the configuration (docs/control.md, "Keys that are taken away"). A confirmation says that no configuration
+// newer than the one held by this node had been chosen at a given moment. For a limited time after that moment the node
+// may accept requests with the API keys that this configuration lists. The moment is the one at which this node sent
+// the read request, by its own monotonic clock, so neither the delay of the answer nor the clock of another machine
+// matters.
 #pragma once
 #include <algorithm>
 
@@ -10,28 +11,34 @@
 
 namespace pipit {
 
+// The lease that API keys are accepted under. Times are monotonic.
 class ConfigurationLease {
  public:
-  // 'span': for how long a confirmation holds; 0: none is needed. 'certain_span': for how long what the configuration
-  // does not know may be refused for good; 0: as long as the lease holds.
-  explicit ConfigurationLease(Micros span = 0, Micros certain_span = 0)
-      : span(span), certain_span(certain_span > 0 ? certain_span : span) {}
+  // 'duration': how long a confirmation is valid; 0 if API keys need no lease. 'certain_duration': how long after a
+  // confirmation a key or a path that is missing from the configuration may be refused permanently; 0: as long as the
+  // lease is valid.
+  explicit ConfigurationLease(Micros duration = 0, Micros certain_duration = 0)
+      : duration(duration), certain_duration(certain_duration > 0 ? certain_duration : duration) {}
 
-  // What is held here was the newest configuration at that moment.
+  // Records that the local configuration was the newest one at that moment; an older confirmation is ignored.
   void confirm(Micros at) { confirmed_at_ = std::max(confirmed_at_, at); }
-  bool needed() const { return span > 0 && guard(Guard::lease); }
-  bool holds(Micros now) const { return !needed() || (confirmed_at_ >= 0 && now - confirmed_at_ <= span); }
-  // Whether a key or a path that is not known is surely not in the newest configuration either.
-  bool certain(Micros now) const { return !needed() || (confirmed_at_ >= 0 && now - confirmed_at_ <= certain_span); }
-  // When it was last confirmed; -1 for never.
-  Micros confirmed() const { return confirmed_at_; }
-  // A third of it has gone by: it is time to have it confirmed again.
-  bool ageing(Micros now) const { return confirmed_at_ < 0 || now - confirmed_at_ > span / 3; }
-  // Half of it has gone by: whoever may know is asked.
-  bool urgent(Micros now) const { return confirmed_at_ < 0 || now - confirmed_at_ > span / 2; }
+  // False where the lease is switched off: then it is always valid.
+  bool required() const { return duration > 0 && guard(Guard::lease); }
+  // Whether requests may be accepted with the keys in the local configuration.
+  bool valid(Micros now) const { return !required() || (confirmed_at_ >= 0 && now - confirmed_at_ <= duration); }
+  // Whether a key or a path unknown to the local configuration is certainly missing from the newest one as well.
+  bool unknown_is_certain(Micros now) const {
+    return !required() || (confirmed_at_ >= 0 && now - confirmed_at_ <= certain_duration);
+  }
+  // Time of the latest confirmation; -1 if there was none.
+  Micros confirmed_at() const { return confirmed_at_; }
+  // Whether to renew the lease: a third of its duration has passed.
+  bool renewal_due(Micros now) const { return confirmed_at_ < 0 || now - confirmed_at_ > duration / 3; }
+  // Whether to ask every node that could confirm the configuration: half of the duration has passed.
+  bool renewal_urgent(Micros now) const { return confirmed_at_ < 0 || now - confirmed_at_ > duration / 2; }
 
-  Micros const span;
-  Micros const certain_span;
+  Micros const duration;
+  Micros const certain_duration;
 
  private:
   Micros confirmed_at_ = -1;
--- a/src/server/node_server_status.cc
+++ b/src/server/node_server_status.cc
@@ -38,7 +38,7 @@
 
 // -1 before the first confirmation.
 std::int64_t lease_age_ms(Node const& node) {
-  Micros const at = node.key_lease().confirmed();
+  Micros const at = node.key_lease().confirmed_at();
   return at < 0 ? -1 : (now() - at) / 1000;
 }
 
@@ -98,7 +98,7 @@
   JsonWriter json;
   json.begin_object().key("keys_required").boolean(rules.keys_required);
   json.key("configuration_confirmed_ms_ago").number(lease_age_ms(*node_));
-  json.key("keys_taken").boolean(node_->key_lease().holds(now())).key("tenants").begin_list();
+  json.key("keys_taken").boolean(node_->key_lease().valid(now())).key("tenants").begin_list();
   for (Tenant const& tenant : rules.tenants) {
     json.begin_object().key("name").text(tenant.name).key("rank").number(tenant.rank).key("keys").begin_list();
     for (Digest const& key : tenant.keys) json.text(short_text(key));
@@ -163,7 +163,7 @@
   traffic_.write(text);
   text.gauges("pipit_peers", "state", peers_by_state(*node_));
   text.gauges("pipit_workers", "standing", workers_by_standing(*node_));
-  text.gauge("pipit_configuration_confirmed_ms_ago", age_ms(node_->key_lease().confirmed(), now()));
+  text.gauge("pipit_configuration_confirmed_ms_ago", age_ms(node_->key_lease().confirmed_at(), now()));
   text.counter("pipit_keys_unknown_total", t.unknown_keys);
   text.counter("pipit_keys_unconfirmed_total", t.unconfirmed);
   text.counter("pipit_quota_messages_total", node_->quota_authority().client().tally.messages);
--- a/tests/node/configuration_authority.cc
+++ b/tests/node/configuration_authority.cc
@@ -57,13 +57,13 @@
 }  // namespace
 
 TEST_F(ConfigurationAuthorityTest, PollOfTheReplicasConfirmsBothLeases) {
-  EXPECT_FALSE(authority.key_lease().holds(0));
+  EXPECT_FALSE(authority.key_lease().valid(0));
   EXPECT_FALSE(authority.may_issue_quota(0));
   learner.confirmed_at = seconds(1);
   authority.update_confirmations();
-  EXPECT_TRUE(authority.key_lease().holds(seconds(1) + quota_span));
+  EXPECT_TRUE(authority.key_lease().valid(seconds(1) + quota_span));
   EXPECT_TRUE(authority.may_issue_quota(seconds(1) + quota_span));
-  EXPECT_FALSE(authority.key_lease().holds(seconds(1) + quota_span + 1));
+  EXPECT_FALSE(authority.key_lease().valid(seconds(1) + quota_span + 1));
   EXPECT_FALSE(authority.may_issue_quota(seconds(1) + quota_span + 1));
 }
 
@@ -99,7 +99,7 @@
   connect("n2", true);
   ASSERT_EQ(renew(seconds(10)).size(), 1u);
   EXPECT_EQ(reply(last_request, 5, millis(200), seconds(10) + millis(50)), 0u);
-  EXPECT_EQ(authority.key_lease().confirmed(), seconds(10) - millis(200));
+  EXPECT_EQ(authority.key_lease().confirmed_at(), seconds(10) - millis(200));
   EXPECT_EQ(authority.answer_request(9, seconds(10)).age, millis(200));
 }
 
@@ -109,9 +109,9 @@
   EXPECT_EQ(reply(77, 5, 0, seconds(10)), 0u);
   ASSERT_EQ(renew(seconds(10)).size(), 1u);
   EXPECT_EQ(reply(last_request, 5, -1, seconds(10)), 0u);
-  EXPECT_EQ(authority.key_lease().confirmed(), -1);
+  EXPECT_EQ(authority.key_lease().confirmed_at(), -1);
   EXPECT_EQ(reply(last_request, 5, 0, seconds(10)), 0u) << "a question is answered once";
-  EXPECT_EQ(authority.key_lease().confirmed(), -1);
+  EXPECT_EQ(authority.key_lease().confirmed_at(), -1);
 }
 
 TEST_F(ConfigurationAuthorityTest, ReplyOfANewerRevisionConfirmsOnceThatIsHeld) {
@@ -119,10 +119,10 @@
   connect("n2", true);
   ASSERT_EQ(renew(seconds(10)).size(), 1u);
   EXPECT_EQ(reply(last_request, 6, 0, seconds(10)), 1u) << "the newer value is asked for";
-  EXPECT_EQ(authority.key_lease().confirmed(), -1);
+  EXPECT_EQ(authority.key_lease().confirmed_at(), -1);
   hold_revision(6);
   authority.update_confirmations();
-  EXPECT_EQ(authority.key_lease().confirmed(), seconds(10));
+  EXPECT_EQ(authority.key_lease().confirmed_at(), seconds(10));
 }
 
 }  // namespace pipit
--- a/tests/tenants.cc
+++ b/tests/tenants.cc
@@ -169,13 +169,13 @@
 
 TEST(ConfigurationLease, runs_from_the_moment_of_the_question) {
   ConfigurationLease lease(seconds(4));
-  EXPECT_FALSE(lease.holds(seconds(1))) << "none before the first confirmation";
+  EXPECT_FALSE(lease.valid(seconds(1))) << "none before the first confirmation";
   lease.confirm(seconds(10));
-  EXPECT_TRUE(lease.holds(seconds(14)));
-  EXPECT_FALSE(lease.holds(seconds(14) + 1));
+  EXPECT_TRUE(lease.valid(seconds(14)));
+  EXPECT_FALSE(lease.valid(seconds(14) + 1));
   lease.confirm(seconds(9));
-  EXPECT_TRUE(lease.holds(seconds(14))) << "an older confirmation takes nothing away";
-  EXPECT_TRUE(ConfigurationLease().holds(seconds(99))) << "where none is needed it always holds";
+  EXPECT_TRUE(lease.valid(seconds(14))) << "an older confirmation takes nothing away";
+  EXPECT_TRUE(ConfigurationLease().valid(seconds(99))) << "where none is needed it always holds";
 }
 
 TEST(QuotaOwner, grants_no_more_than_the_terms_allow_in_any_window) {
