--- a/src/node/configuration_authority.h
+++ b/src/node/configuration_authority.h
@@ -39,7 +39,7 @@
   // The lease that requests with keys need.
   ConfigurationLease const& key_lease() const { return key_lease_; }
   // Whether the configuration is confirmed recently enough to grant quota.
-  bool may_issue_quota(Micros now) const { return quota_lease_.holds(now); }
+  bool may_issue_quota(Micros now) const { return quota_lease_.valid(now); }
 
   // Extends the leases by what the learner's polls and the peers' replies have confirmed so far.
   void update_confirmations();
--- a/tests/node/configuration_authority.cc
+++ b/tests/node/configuration_authority.cc
@@ -58,13 +58,13 @@
 }  // namespace
 
 TEST_F(ConfigurationAuthorityTest, replica_poll_confirms_both_leases) {
-  EXPECT_FALSE(authority.key_lease().holds(0));
+  EXPECT_FALSE(authority.key_lease().valid(0));
   EXPECT_FALSE(authority.may_issue_quota(0));
   learner.confirmed_at = seconds(1);
   authority.update_confirmations();
-  EXPECT_TRUE(authority.key_lease().holds(seconds(1) + quota_lease_duration));
+  EXPECT_TRUE(authority.key_lease().valid(seconds(1) + quota_lease_duration));
   EXPECT_TRUE(authority.may_issue_quota(seconds(1) + quota_lease_duration));
-  EXPECT_FALSE(authority.key_lease().holds(seconds(1) + quota_lease_duration + 1));
+  EXPECT_FALSE(authority.key_lease().valid(seconds(1) + quota_lease_duration + 1));
   EXPECT_FALSE(authority.may_issue_quota(seconds(1) + quota_lease_duration + 1));
 }
 
@@ -100,7 +100,7 @@
   connect("n2", true);
   ASSERT_EQ(renew(seconds(10)).size(), 1u);
   EXPECT_EQ(reply(last_request, 5, millis(200), seconds(10) + millis(50)), 0u);
-  EXPECT_EQ(authority.key_lease().confirmed(), seconds(10) - millis(200));
+  EXPECT_EQ(authority.key_lease().confirmed_at(), seconds(10) - millis(200));
   EXPECT_EQ(authority.answer_request(9, seconds(10)).age, millis(200));
 }
 
@@ -110,9 +110,9 @@
   EXPECT_EQ(reply(77, 5, 0, seconds(10)), 0u);
   ASSERT_EQ(renew(seconds(10)).size(), 1u);
   EXPECT_EQ(reply(last_request, 5, -1, seconds(10)), 0u);
-  EXPECT_EQ(authority.key_lease().confirmed(), -1);
+  EXPECT_EQ(authority.key_lease().confirmed_at(), -1);
   EXPECT_EQ(reply(last_request, 5, 0, seconds(10)), 0u) << "the request was answered already";
-  EXPECT_EQ(authority.key_lease().confirmed(), -1);
+  EXPECT_EQ(authority.key_lease().confirmed_at(), -1);
 }
 
 TEST_F(ConfigurationAuthorityTest, reply_with_a_newer_revision_confirms_once_that_revision_is_held) {
@@ -120,10 +120,10 @@
   connect("n2", true);
   ASSERT_EQ(renew(seconds(10)).size(), 1u);
   EXPECT_EQ(reply(last_request, 6, 0, seconds(10)), 1u) << "the newer value is requested";
-  EXPECT_EQ(authority.key_lease().confirmed(), -1);
+  EXPECT_EQ(authority.key_lease().confirmed_at(), -1);
   hold_revision(6);
   authority.update_confirmations();
-  EXPECT_EQ(authority.key_lease().confirmed(), seconds(10));
+  EXPECT_EQ(authority.key_lease().confirmed_at(), seconds(10));
 }
 
 }  // namespace pipit
