--- a/src/routing/dispatch/dispatcher.cc
+++ b/src/routing/dispatch/dispatcher.cc
@@ -231,14 +231,14 @@
     }
   }
   bool const clean = end == AttemptEnd::unreached || end == AttemptEnd::declined;
-  Traits traits;
-  traits.repeatable = request.repeatable;
-  traits.resumable = resumable(request);
-  traits.attempts = request.sends < request.route->attempts || !guard(RequestGuard::attempts);
-  traits.budget = has_retry_budget(*request.pool);
-  traits.time = has_time_to_move(request, now);
-  traits.may_have_run = request.may_have_run;
-  RetryDecision const decision = decide_retry(traits, progress, end);
+  RetryConditions conditions;
+  conditions.repeatable = request.repeatable;
+  conditions.resumable = resumable(request);
+  conditions.attempts_left = request.sends < request.route->attempts || !guard(RequestGuard::attempts);
+  conditions.budget_left = has_retry_budget(*request.pool);
+  conditions.time_left = has_time_to_move(request, now);
+  conditions.may_have_run = request.may_have_run;
+  RetryDecision const decision = decide_retry(conditions, progress, end);
   if (!clean && progress != AttemptProgress::none) request.may_have_run = true;
   // What was paid for the attempt before is not spent while no further worker has been reached.
   if (decision == RetryDecision::retry && request.sends > 0 && end != AttemptEnd::unreached) {
@@ -260,7 +260,7 @@
                             : std::max(request.give_up, std::min(request.due, now + request.route->latency_target / 5));
       count_retry(request, out);
       return place_if_authorized(request, now, out);
-    case RetryDecision::pass:
+    case RetryDecision::forward_failure:
       ++tally.passed;
       out.passes.push_back(request.id);
       out.failed.push_back(failure_of(request, FailedEnd::passed, ErrorCode::worker_failed, now));
@@ -269,7 +269,7 @@
       return reject(request, ErrorCode::worker_refused, millis(150), now, out);
     case RetryDecision::fail:
       return reject(request, ErrorCode::worker_broke, 0, now, out);
-    case RetryDecision::cut:
+    case RetryDecision::abort_answer:
       return break_off(request, now, out);
   }
 }
--- a/src/routing/dispatch/retry_decision.cc
+++ b/src/routing/dispatch/retry_decision.cc
@@ -4,32 +4,34 @@
 
 namespace pipit {
 
-RetryDecision decide_retry(Traits const& t, AttemptProgress progress, AttemptEnd end) {
-  bool const another = t.attempts && t.budget && t.time;
+RetryDecision decide_retry(RetryConditions const& conditions, AttemptProgress progress, AttemptEnd end) {
+  bool const may_retry = conditions.attempts_left && conditions.budget_left && conditions.time_left;
   if (end == AttemptEnd::complete) return RetryDecision::done;
   if (progress == AttemptProgress::answering) {
-    // Nothing reached a worker that cannot be reached: going past it needs no attempt of the route and no budget.
-    bool const onward = end == AttemptEnd::unreached ? t.time : another;
-    return t.resumable && onward && end != AttemptEnd::failed ? RetryDecision::retry : RetryDecision::cut;
+    // An unreachable worker received no byte: skipping it consumes neither an attempt of the route nor budget.
+    bool const may_continue = end == AttemptEnd::unreached ? conditions.time_left : may_retry;
+    return conditions.resumable && may_continue && end != AttemptEnd::failed ? RetryDecision::retry
+                                                                             : RetryDecision::abort_answer;
   }
-  // Whether it may be told that it has not run: a request that may repeat loses nothing by being asked for again.
-  bool const clean = t.repeatable || !t.may_have_run || !guard(Guard::honest_execution_status);
+  // Whether the client may be told that the request did not run. A repeatable request is safe to send again even if an
+  // earlier attempt ran.
+  bool const may_refuse = conditions.repeatable || !conditions.may_have_run || !guard(Guard::honest_execution_status);
   switch (end) {
     case AttemptEnd::unreached:
-      // Nothing has left: another worker costs nobody anything.
+      // No byte left this node, so another worker can be tried at no cost.
       if (progress == AttemptProgress::none)
-        return t.time ? RetryDecision::retry : clean ? RetryDecision::refuse : RetryDecision::fail;
-      return t.repeatable ? (another ? RetryDecision::retry : RetryDecision::refuse) : RetryDecision::fail;
+        return conditions.time_left ? RetryDecision::retry : may_refuse ? RetryDecision::refuse : RetryDecision::fail;
+      return conditions.repeatable ? (may_retry ? RetryDecision::retry : RetryDecision::refuse) : RetryDecision::fail;
     case AttemptEnd::declined:
-      return another ? RetryDecision::retry : clean ? RetryDecision::refuse : RetryDecision::fail;
+      return may_retry ? RetryDecision::retry : may_refuse ? RetryDecision::refuse : RetryDecision::fail;
     case AttemptEnd::failed:
-      return t.repeatable && another ? RetryDecision::retry : RetryDecision::pass;
+      return conditions.repeatable && may_retry ? RetryDecision::retry : RetryDecision::forward_failure;
     default:
       if (progress == AttemptProgress::none)
-        return t.time ? RetryDecision::retry : clean ? RetryDecision::refuse : RetryDecision::fail;
-      if (!guard(Guard::never_repeat) && another) return RetryDecision::retry;
-      if (!guard(Guard::honest_execution_status) && !another) return RetryDecision::refuse;
-      return t.repeatable ? (another ? RetryDecision::retry : RetryDecision::refuse) : RetryDecision::fail;
+        return conditions.time_left ? RetryDecision::retry : may_refuse ? RetryDecision::refuse : RetryDecision::fail;
+      if (!guard(Guard::never_repeat) && may_retry) return RetryDecision::retry;
+      if (!guard(Guard::honest_execution_status) && !may_retry) return RetryDecision::refuse;
+      return conditions.repeatable ? (may_retry ? RetryDecision::retry : RetryDecision::refuse) : RetryDecision::fail;
   }
 }
 
