--- a/src/node/exchange_topology.cc
+++ b/src/node/exchange_topology.cc
@@ -28,28 +28,28 @@
   return hub;
 }
 
-Paths ExchangeTopology::compute_paths() const {
-  Paths out;
-  out.wide = mesh_.is_large_fleet();
+GossipPaths ExchangeTopology::compute_paths() const {
+  GossipPaths out;
+  out.hierarchical = mesh_.is_large_fleet();
   std::set<std::string> other_zones;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
     if (!is_reachable(item.second)) continue;
     std::string const& zone = item.second.member.zone;
-    if (!out.wide)
-      out.all.push_back(item.first);
+    if (!out.hierarchical)
+      out.peers.push_back(item.first);
     else if (zone == plan_.zone)
-      out.zone.push_back(item.first);
+      out.zone_peers.push_back(item.first);
     else
       other_zones.insert(zone);
   }
-  if (!out.wide) return out;
+  if (!out.hierarchical) return out;
   std::string const own_hub = select_hub(plan_.zone);
-  out.hub = own_hub == plan_.name;
-  if (!out.hub) {
-    out.own_hub = own_hub;
+  out.is_hub = own_hub == plan_.name;
+  if (!out.is_hub) {
+    out.zone_hub = own_hub;
     return out;
   }
-  for (std::string const& zone : other_zones) out.hubs.push_back(select_hub(zone));
+  for (std::string const& zone : other_zones) out.remote_hubs.push_back(select_hub(zone));
   return out;
 }
 
--- a/src/node/exchange_topology.h
+++ b/src/node/exchange_topology.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "mesh/mesh.h"
-#include "routing/exchange/exchange.h"
+#include "routing/exchange/report_exchange.h"
 
 namespace pipit {
 
@@ -26,7 +26,7 @@
   ExchangeTopology(TopologyPlan plan, Mesh const& mesh);
 
   // Whom this node sends to at present.
-  Paths compute_paths() const;
+  GossipPaths compute_paths() const;
   // The name of the zone's hub: the first of its replicas that is reachable, else the first of all its nodes that are;
   // empty where none is.
   std::string select_hub(std::string const& zone) const;
--- a/src/node/listed.cc
+++ b/src/node/listed.cc
@@ -47,7 +47,7 @@
   if (learner.value)
     for (std::unique_ptr<wire::RouterRegistrationT> const& registration : learner.value->registrations)
       names.insert(registration->name);
-  chat_dispatcher.nodes(std::move(names), router_registrations_.is_newcomer(now));
+  chat_dispatcher.set_routers(std::move(names), router_registrations_.is_newcomer(now));
   update_registration(now, out);
   tell_loads(now, outgoing);
   std::set<std::string> senders = routers(false);
@@ -59,8 +59,8 @@
     isolated_ = alone;
     log_event(alone ? Event::node_isolated : Event::node_rejoined, "");
   }
-  chat_dispatcher.ready(ready_now_ && !isolated_);
-  chat_dispatcher.work(now, out.chat);
+  chat_dispatcher.set_ready(ready_now_ && !isolated_);
+  chat_dispatcher.process_backlog(now, out.chat);
   check_asked(now, out);
 }
 
@@ -85,7 +85,7 @@
   take_fresh(now);
   own_entries(now, out);
   update_readiness(now, out);
-  chat_dispatcher.work(now, out.chat);
+  chat_dispatcher.process_backlog(now, out.chat);
 }
 
 void Node::health_report(Check const& check, std::optional<HealthReport> const& report, bool refused, Micros now,
@@ -94,7 +94,7 @@
   checking_.erase(check.worker);
   fleet.health_report(check.worker, check.incarnation, check.asked, report, refused, now);
   take_fresh(now);
-  chat_dispatcher.work(now, out.chat);
+  chat_dispatcher.process_backlog(now, out.chat);
   check_asked(now, out);
 }
 
@@ -121,10 +121,10 @@
   if (any) mesh.flush_entries(out.mesh);
 }
 
-void Node::chat_request(std::uint64_t id, Ask ask, Micros now, NodeEffects& out) {
+void Node::chat_request(std::uint64_t id, ChatRequestInfo ask, Micros now, NodeEffects& out) {
   watch_clock(now);
   ask.facts.zone = plan.zone;
-  chat_dispatcher.fresh(id, std::move(ask), now, out.chat);
+  chat_dispatcher.on_request(id, std::move(ask), now, out.chat);
   check_asked(now, out);
 }
 
@@ -153,20 +153,20 @@
 
 // Placing waits for a worker's word: it is asked once, and again when that was lost.
 void Node::check_asked(Micros now, NodeEffects& out) {
-  for (std::string const& id : out.chat.asks) {
+  for (std::string const& id : out.chat.probes) {
     Worker* const worker = fleet.find(id);
     if (worker == nullptr || worker->asked >= 0) continue;
     worker->asked = now;
     check_now(id, now, out);
   }
-  out.chat.asks.clear();
+  out.chat.probes.clear();
 }
 
 void Node::chat_attempt_ended(std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros back, Micros now,
                               NodeEffects& out) {
   watch_clock(now);
-  chat_dispatcher.ended(id, end, why, back, now, out.chat);
-  for (std::pair<std::string, std::uint64_t> const& suspect : out.chat.suspects) {
+  chat_dispatcher.on_attempt_end(id, end, why, back, now, out.chat);
+  for (std::pair<std::string, std::uint64_t> const& suspect : out.chat.suspected_workers) {
     check_now(suspect.first, now, out);
     for (std::string const& name : index_peers()) {
       wire::WorkerSuspectedT word;
@@ -175,15 +175,15 @@
       mesh.send(name, std::move(word), out.mesh);
     }
   }
-  out.chat.suspects.clear();
-  chat_dispatcher.work(now, out.chat);
+  out.chat.suspected_workers.clear();
+  chat_dispatcher.process_backlog(now, out.chat);
   check_asked(now, out);
 }
 
 void Node::hung_up(std::uint64_t id, Micros now, NodeEffects& out) {
   watch_clock(now);
-  chat_dispatcher.hung_up(id, now, out.chat);
-  chat_dispatcher.work(now, out.chat);
+  chat_dispatcher.on_client_disconnect(id, now, out.chat);
+  chat_dispatcher.process_backlog(now, out.chat);
 }
 
 }  // namespace pipit
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -100,9 +100,9 @@
   if (recovered) acceptor.emplace(std::move(*recovered));
   register_bootstrap_.mark_disk(acceptor);
   registry.span(plan.heartbeat_interval);
-  if (plan.registered) dispatcher.begun(now);
-  dispatcher.budget(plan.resend_ratio, plan.resend_store);
-  dispatcher.lease_on(key_lease());
+  if (plan.registered) dispatcher.set_started_at(now);
+  dispatcher.set_retry_budget(plan.resend_ratio, plan.resend_store);
+  dispatcher.set_lease(key_lease());
 }
 
 ReplicaDirectory::Status Node::replica_status() {
@@ -264,7 +264,7 @@
       take_list_age(body.AsLoads()->age, now);
       if (plan.registered) {
         registry.peer_loads(*body.AsLoads(), now);
-        exchange.pass(from, *body.AsLoads());
+        exchange.relay(from, *body.AsLoads());
       } else
         fleet.take_peer_loads(from, *body.AsLoads(), now);
       break;
@@ -300,7 +300,7 @@
         index_sync.take(
             from, body, now, [this](std::string const& model) { return bounds(model); },
             [this] { return index_peers(); }, outgoing);
-      if (plan.registered && body.type == wire::Body::Deltas) exchange.pass(*body.AsDeltas());
+      if (plan.registered && body.type == wire::Body::Deltas) exchange.relay(*body.AsDeltas());
       break;
     default:
       break;
@@ -405,9 +405,9 @@
         description = made.value();
       }
     }
-    dispatcher.in_force(description);
-    chat_dispatcher.in_force(description,
-                             std::set<std::string>(value.drained_zones.begin(), value.drained_zones.end()));
+    dispatcher.set_description(description);
+    chat_dispatcher.set_description(description,
+                                    std::set<std::string>(value.drained_zones.begin(), value.drained_zones.end()));
     log_event(Event::configuration_in_force, "serial " + std::to_string(value.serial));
   }
   mesh.members.self.serial = value.serial;
@@ -522,14 +522,14 @@
   if (stale_from_ >= 0) {
     stale_from_ = -1;
     update_hold();
-    chat_dispatcher.work(now, out.chat);
+    chat_dispatcher.process_backlog(now, out.chat);
   }
   if (!ready_now_ && router_registrations_.is_newcomer(now)) return;
   if (!ready_now_) {
     ready_now_ = true;
     log_event(Event::node_ready, "revision " + std::to_string(learner.revision()) + ", " +
                                      std::to_string((now - started_at_) / 1000) + " ms after its start");
-    chat_dispatcher.ready(true);
+    chat_dispatcher.set_ready(true);
     mesh.members.self.ready = true;
     mesh.announce_self(out.mesh);
   }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -63,7 +63,7 @@
   }
 
   // Routed requests, and workers that register themselves (§12). An answer to a worker's word may be given at once.
-  void request(std::uint64_t id, Query query, Micros now, NodeEffects& out);
+  void request(std::uint64_t id, RequestInfo query, Micros now, NodeEffects& out);
   void attempt_ended(std::uint64_t id, AttemptEnd end, bool elsewhere, Micros now, NodeEffects& out);
   // False when this node cannot tell the others: the worker is to call another node, though its word counts here.
   bool heartbeat(Heartbeat const& word, Micros now, NodeEffects& out);
@@ -72,9 +72,9 @@
   void worker_left(std::string const& id, std::uint64_t order, Micros now, NodeEffects& out);
 
   // Chat requests.
-  void chat_request(std::uint64_t id, Ask ask, Micros now, NodeEffects& out);
-  void chat_attempt_sent(std::uint64_t id) { chat_dispatcher.sent(id); }
-  void chat_attempt_began(std::uint64_t id) { chat_dispatcher.began(id); }
+  void chat_request(std::uint64_t id, ChatRequestInfo ask, Micros now, NodeEffects& out);
+  void chat_attempt_sent(std::uint64_t id) { chat_dispatcher.on_sent(id); }
+  void chat_attempt_began(std::uint64_t id) { chat_dispatcher.on_answer_begin(id); }
   void chat_attempt_ended(std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros back, Micros now,
                           NodeEffects& out);
   void hung_up(std::uint64_t id, Micros now, NodeEffects& out);
@@ -94,7 +94,7 @@
   ConfigurationLease const& key_lease() const { return configuration_authority_.key_lease(); }
   // This node's part in asking for and handing out tenants' quota.
   QuotaAuthority const& quota_authority() const { return quota_authority_; }
-  std::size_t under_way() const { return chat_dispatcher.under_way(); }
+  std::size_t under_way() const { return chat_dispatcher.active_requests(); }
 
   NodePlan const plan;
   Mesh mesh;
@@ -105,7 +105,7 @@
   Fleet fleet;
   ChatDispatcher chat_dispatcher;
   Registry registry;
-  Exchange exchange;
+  ReportExchange exchange;
   Dispatcher dispatcher;
   std::uint64_t jumps = 0;
 
--- a/src/node/quota_authority.cc
+++ b/src/node/quota_authority.cc
@@ -36,23 +36,23 @@
 }
 
 void QuotaAuthority::process_needs(DispatchEffects& effects, Micros now, std::vector<OutgoingMessage>& outgoing) {
-  std::vector<QuotaNeed> const needs = std::move(effects.quota_needs);
-  effects.quota_needs.clear();
+  std::vector<QuotaClaim> const needs = std::move(effects.quota_claims);
+  effects.quota_claims.clear();
   if (!needs.empty()) {
     shares_.note(collaborators_.learner.membership(), now);
     QuotaPeers const peers = select_peers();
-    for (QuotaNeed const& need : needs) begin_request(need, peers, now, outgoing);
+    for (QuotaClaim const& need : needs) begin_request(need, peers, now, outgoing);
   }
-  for (std::uint64_t const request : effects.quota_drops) client_.cancel(request, outgoing);
-  effects.quota_drops.clear();
+  for (std::uint64_t const request : effects.cancelled_quota_claims) client_.cancel(request, outgoing);
+  effects.cancelled_quota_claims.clear();
   std::vector<QuotaResult> const results = std::move(client_.results);
   client_.results.clear();
   for (QuotaResult const& result : results) collaborators_.dispatcher.quota_result(result, now, effects);
 }
 
-void QuotaAuthority::begin_request(QuotaNeed const& need, QuotaPeers const& peers, Micros now,
+void QuotaAuthority::begin_request(QuotaClaim const& need, QuotaPeers const& peers, Micros now,
                                    std::vector<OutgoingMessage>& outgoing) {
-  if (need.again) {
+  if (need.is_retry) {
     client_.debit(need.tenant, need.count, peers, outgoing);
     return;
   }
@@ -60,7 +60,7 @@
   double const owners = static_cast<double>(std::max<std::size_t>(1, peers.owner_count));
   double const depth = tenant == nullptr ? 0 : QuotaBudget::of(*tenant, plan_.terms).depth;
   std::int64_t const piece = static_cast<std::int64_t>(depth / owners);
-  client_.begin(QuotaRequest{need.request, need.tenant, need.count, need.due}, piece, peers, now, outgoing);
+  client_.begin(QuotaRequest{need.request, need.tenant, need.count, need.deadline}, piece, peers, now, outgoing);
 }
 
 QuotaDecision QuotaAuthority::decide_request(wire::QuotaRequestT const& request, Micros now) {
--- a/src/node/quota_authority.h
+++ b/src/node/quota_authority.h
@@ -64,7 +64,7 @@
 
  private:
   QuotaPeers select_peers() const;
-  void begin_request(QuotaNeed const& need, QuotaPeers const& peers, Micros now,
+  void begin_request(QuotaClaim const& need, QuotaPeers const& peers, Micros now,
                      std::vector<OutgoingMessage>& outgoing);
   // Whether the question was passed on to an owner, since this node is none.
   bool pass_on(wire::QuotaRequestT const& request, std::vector<OutgoingMessage>& outgoing);
--- a/src/node/registered.cc
+++ b/src/node/registered.cc
@@ -41,10 +41,10 @@
   worker_departures_.add_call(id, worker, now, out.end_answers);
 }
 
-void Node::request(std::uint64_t id, Query query, Micros now, NodeEffects& out) {
+void Node::request(std::uint64_t id, RequestInfo query, Micros now, NodeEffects& out) {
   watch_clock(now);
   configuration_authority_.update_confirmations();
-  dispatcher.fresh(id, std::move(query), now, out.dispatch);
+  dispatcher.on_request(id, std::move(query), now, out.dispatch);
   process_quota(now, out);
   exchange_now(now, out);
 }
@@ -57,7 +57,7 @@
 
 void Node::attempt_ended(std::uint64_t id, AttemptEnd end, bool elsewhere, Micros now, NodeEffects& out) {
   watch_clock(now);
-  dispatcher.ended(id, end, elsewhere, now, out.dispatch);
+  dispatcher.on_attempt_end(id, end, elsewhere, now, out.dispatch);
   process_quota(now, out);
 }
 
@@ -121,11 +121,11 @@
 }
 
 void Node::tick_registered(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out) {
-  Paths const ways = exchange_topology_.compute_paths();
+  GossipPaths const ways = exchange_topology_.compute_paths();
   // §12.7: an owner tells every peer itself; a hub tells its zone besides, for pairs that have no connection.
-  mesh.entry_replication.forward_to_all = !ways.wide;
+  mesh.entry_replication.forward_to_all = !ways.hierarchical;
   mesh.entry_replication.forward_to.clear();
-  if (ways.hub) mesh.entry_replication.forward_to.insert(ways.zone.begin(), ways.zone.end());
+  if (ways.is_hub) mesh.entry_replication.forward_to.insert(ways.zone_peers.begin(), ways.zone_peers.end());
   if (now >= next_round_) {
     next_round_ = now + seconds(1);
     index_sync.round(
@@ -142,7 +142,7 @@
   if (now >= next_adoption_) adopt_workers(now, out);
   take_fresh(now);
   worker_departures_.answer_calls(now, out.end_answers);
-  dispatcher.nodes(routers(true).size(), mesh.is_large_fleet());
+  dispatcher.set_node_count(routers(true).size(), mesh.is_large_fleet());
   update_readiness(now, out);
   configuration_authority_.renew_leases(dispatcher.description()->keys_required, now, outgoing);
   quota_authority_.tick(now, outgoing);
--- a/src/node/seats.cc
+++ b/src/node/seats.cc
@@ -43,9 +43,9 @@
 
 void Node::update_hold() {
   if (plan.role != Role::router) return;
-  dispatcher.hold(stale_from_ >= 0);
+  dispatcher.set_paused(stale_from_ >= 0);
   bool const lost = ready_now_ && router_registrations_.is_evicted();
-  chat_dispatcher.hold(stale_from_ >= 0 || lost);
+  chat_dispatcher.set_paused(stale_from_ >= 0 || lost);
 }
 
 bool Node::is_unconfirmed(Waiting const& item, std::string const& name) const {
--- a/src/routing/chat/chat_dispatcher.cc
+++ b/src/routing/chat/chat_dispatcher.cc
@@ -11,140 +11,143 @@
 namespace {
 // §7.4: each first send earns this much of a re-send; with a small store besides. The sum over all nodes
 // therefore holds with no talk between them.
-constexpr double bucket_share = 0.18;
-constexpr double bucket_most = 2.0;
-constexpr Micros answer_most = millis(100);       // within which a worker should answer before it is sent more
-constexpr Micros answer_wait = millis(50);        // until an unsure worker is considered again
-constexpr Micros confirmation_wait = millis(30);  // that a worker is predicted to take to answer
+constexpr double retry_ratio = 0.18;
+constexpr double retry_budget_max = 2.0;
+constexpr Micros probe_timeout = millis(100);      // within which a worker should answer before it is sent more
+constexpr Micros unsure_worker_wait = millis(50);  // until an unsure worker is considered again
+constexpr Micros probe_wait = millis(30);          // that a worker is predicted to take to answer
 }  // namespace
 
-void ChatDispatcher::in_force(std::shared_ptr<Description const> description, std::set<std::string> drained_zones) {
+void ChatDispatcher::set_description(std::shared_ptr<Description const> description,
+                                     std::set<std::string> drained_zones) {
   rules_ = std::move(description);
-  shut_ = std::move(drained_zones);
+  drained_zones_ = std::move(drained_zones);
 }
 
-Micros ChatDispatcher::service(Pool const& pool) const {
-  std::map<std::string, double>::const_iterator const seen = service_seen_.find(pool.name);
-  return seen == service_seen_.end() ? pool.service : static_cast<Micros>(seen->second);
+Micros ChatDispatcher::service_time(Pool const& pool) const {
+  std::map<std::string, double>::const_iterator const seen = measured_service_times_.find(pool.name);
+  return seen == measured_service_times_.end() ? pool.service : static_cast<Micros>(seen->second);
 }
 
-void ChatDispatcher::give_up(ChatRequest& chat_request, Error error, Micros wait, ChatEffects& out) {
-  ++tally.refused;
+void ChatDispatcher::reject(ChatRequest& chat_request, Error error, Micros retry_after, ChatEffects& out) {
+  ++counters.refused;
   ErrorCodeRow const& row = error_code_row(error.code);
   ExecutionStatus const execution = chat_request.attempts == 0 ? row.execution : chat_request.execution;
-  if (wait == 0) wait = row.wait;
+  if (retry_after == 0) retry_after = row.wait;
   // A crowd that is refused must not come back in one wave: the time is spread over as much again.
   if (error.code == ErrorCode::crowded || error.code == ErrorCode::backlog_full || error.code == ErrorCode::expired)
-    wait += static_cast<Micros>(hash_bits(chat_request.id ^ hash_text(self_)) %
-                                static_cast<std::uint64_t>(std::max<Micros>(1, wait)));
-  if (execution == ExecutionStatus::no && wait == 0 && row.status >= 429) wait = millis(1000);
+    retry_after += static_cast<Micros>(hash_bits(chat_request.id ^ hash_text(self_)) %
+                                       static_cast<std::uint64_t>(std::max<Micros>(1, retry_after)));
+  if (execution == ExecutionStatus::no && retry_after == 0 && row.status >= 429) retry_after = millis(1000);
   log_event(Event::chat_request_rejected,
             std::string(row.name) + " lane " + (chat_request.lane == nullptr ? "-" : chat_request.lane->name) +
-                " ran " + execution_status_name(execution) + " back in " + std::to_string(wait / 1000) + " ms");
-  out.ends.push_back(Verdict{chat_request.id, std::move(error), execution, wait});
+                " ran " + execution_status_name(execution) + " back in " + std::to_string(retry_after / 1000) + " ms");
+  out.failures.push_back(ChatFailure{chat_request.id, std::move(error), execution, retry_after});
   erase(chat_request);
 }
 
 // How much longer than predicted requests have waited of late: other nodes take what is free too, and the more urgent
 // overtake. A prediction is believed times this.
-void ChatDispatcher::learn_wait(ChatRequest const& chat_request, Micros took) {
-  if (chat_request.guess < millis(20)) return;
-  double const seen = static_cast<double>(took) / static_cast<double>(chat_request.guess);
-  longer_ = std::clamp(longer_ * 0.95 + seen * 0.05, 1.0, 8.0);
+void ChatDispatcher::observe_wait(ChatRequest const& chat_request, Micros actual_wait) {
+  if (chat_request.predicted_wait < millis(20)) return;
+  double const seen = static_cast<double>(actual_wait) / static_cast<double>(chat_request.predicted_wait);
+  wait_correction_ = std::clamp(wait_correction_ * 0.95 + seen * 0.05, 1.0, 8.0);
 }
 
 // What has waited longer than it was believed to has lost one race after another, and is held to lose more.
-Micros ChatDispatcher::overdue(ChatRequest const& chat_request, Micros now) const {
-  return 3 * std::max<Micros>(0, now - chat_request.arrived_at - likely(chat_request.guess));
+Micros ChatDispatcher::overdue_penalty(ChatRequest const& chat_request, Micros now) const {
+  return 3 * std::max<Micros>(0, now - chat_request.arrived_at - corrected_wait(chat_request.predicted_wait));
 }
 
-Micros ChatDispatcher::likely(Micros wait) const { return static_cast<Micros>(static_cast<double>(wait) * longer_); }
+Micros ChatDispatcher::corrected_wait(Micros predicted_wait) const {
+  return static_cast<Micros>(static_cast<double>(predicted_wait) * wait_correction_);
+}
 
 void ChatDispatcher::erase(ChatRequest& chat_request) {
   if (chat_request.is_linked()) {
     backlog_.erase(backlog_.iterator_to(chat_request));
-    --lane_waiting_[chat_request.lane->name];
+    --lane_backlogs_[chat_request.lane->name];
   }
   chat_requests_.erase(chat_request.id);
 }
 
-void ChatDispatcher::fresh(std::uint64_t id, Ask ask, Micros now, ChatEffects& out) {
-  ++tally.asked;
+void ChatDispatcher::on_request(std::uint64_t id, ChatRequestInfo info, Micros now, ChatEffects& out) {
+  ++counters.received;
   std::unique_ptr<ChatRequest> made = std::make_unique<ChatRequest>();
   ChatRequest& chat_request = *made;
   chat_request.id = id;
-  chat_request.ask = std::move(ask);
+  chat_request.info = std::move(info);
   chat_request.rules = rules_;
   chat_request.arrived_at = now;
   chat_requests_.emplace(id, std::move(made));
-  if (draining_) return give_up(chat_request, Error{ErrorCode::draining, "", ""}, 0, out);
-  if (!open_) return give_up(chat_request, Error{ErrorCode::not_ready, "", ""}, 0, out);
-  Facts const& facts = chat_request.ask.facts;
+  if (draining_) return reject(chat_request, Error{ErrorCode::draining, "", ""}, 0, out);
+  if (!ready_) return reject(chat_request, Error{ErrorCode::not_ready, "", ""}, 0, out);
+  Facts const& facts = chat_request.info.facts;
   bool model_known = false;
   for (Pool const& pool : rules_->pools) model_known = model_known || pool.model == facts.model;
   if (!model_known)
-    return give_up(chat_request, Error{ErrorCode::unknown_model, "no pool serves the model '" + facts.model + "'", ""},
-                   0, out);
-  if (!chat_request.ask.lane.empty()) {
-    chat_request.lane = rules_->lane(chat_request.ask.lane);
+    return reject(chat_request, Error{ErrorCode::unknown_model, "no pool serves the model '" + facts.model + "'", ""},
+                  0, out);
+  if (!chat_request.info.lane.empty()) {
+    chat_request.lane = rules_->lane(chat_request.info.lane);
     if (chat_request.lane == nullptr)
-      return give_up(chat_request,
-                     Error{ErrorCode::unknown_lane, "there is no lane '" + chat_request.ask.lane + "'", ""}, 0, out);
+      return reject(chat_request,
+                    Error{ErrorCode::unknown_lane, "there is no lane '" + chat_request.info.lane + "'", ""}, 0, out);
     if (!chat_request.lane->binding.match.holds(facts, 0))
-      return give_up(
+      return reject(
           chat_request,
-          Error{ErrorCode::unknown_lane, "the lane '" + chat_request.ask.lane + "' does not take this request", ""}, 0,
+          Error{ErrorCode::unknown_lane, "the lane '" + chat_request.info.lane + "' does not take this request", ""}, 0,
           out);
   } else {
     for (Lane const& lane : rules_->lanes)
       if (chat_request.lane == nullptr && lane.binding.match.holds(facts, 0)) chat_request.lane = &lane;
     if (chat_request.lane == nullptr)
-      return give_up(chat_request, Error{ErrorCode::unknown_lane, "no lane takes this request", ""}, 0, out);
+      return reject(chat_request, Error{ErrorCode::unknown_lane, "no lane takes this request", ""}, 0, out);
   }
   chat_request.model = rules_->pool(chat_request.lane->binding.pools.front().pool)->model;
   if (chat_request.model != facts.model)
-    return give_up(chat_request,
-                   Error{ErrorCode::unknown_model, "the lane does not serve the model '" + facts.model + "'", ""}, 0,
-                   out);
-  chat_request.safe = chat_request.lane->policy.safe || chat_request.ask.safe;
-  chat_request.due = now + chat_request.lane->policy.wait;
+    return reject(chat_request,
+                  Error{ErrorCode::unknown_model, "the lane does not serve the model '" + facts.model + "'", ""}, 0,
+                  out);
+  chat_request.repeatable = chat_request.lane->policy.safe || chat_request.info.repeatable;
+  chat_request.deadline = now + chat_request.lane->policy.wait;
   std::size_t ahead = 0;
   for (ChatRequest const& other : backlog_) {
     if (!(other < chat_request)) break;
     ++ahead;
   }
-  Choice choice = paused_ ? Choice{PlacementDecision::wait, nullptr, 0, 0, ErrorCode::not_ready, ""}
-                          : select(chat_request, ahead, now);
+  Placement choice = paused_ ? Placement{PlacementDecision::wait, nullptr, 0, 0, ErrorCode::not_ready, ""}
+                             : select(chat_request, ahead, now);
   if (choice.decision == PlacementDecision::place && ahead == 0) return start_attempt(chat_request, choice, now, out);
-  if (!choice.ask.empty()) out.asks.push_back(choice.ask);
+  if (!choice.probe.empty()) out.probes.push_back(choice.probe);
   if (choice.decision == PlacementDecision::reject)
-    return give_up(chat_request, Error{choice.kind, "", ""}, choice.wait, out);
+    return reject(chat_request, Error{choice.error, "", ""}, choice.wait, out);
   // §6.5: taken in only when the prediction fits half the wait, as predictions have held of late. The mean says nothing
   // of those more urgent who come later; without this margin they turn a waiting request into a late refusal.
-  chat_request.guess = choice.wait;
-  if (choice.decision == PlacementDecision::wait && likely(choice.wait) > chat_request.lane->policy.wait / 2)
-    return give_up(chat_request, Error{ErrorCode::crowded, "", ""},
-                   std::clamp<Micros>(choice.wait, millis(500), seconds(10)), out);
-  std::int64_t& count = lane_waiting_[chat_request.lane->name];
+  chat_request.predicted_wait = choice.wait;
+  if (choice.decision == PlacementDecision::wait && corrected_wait(choice.wait) > chat_request.lane->policy.wait / 2)
+    return reject(chat_request, Error{ErrorCode::crowded, "", ""},
+                  std::clamp<Micros>(choice.wait, millis(500), seconds(10)), out);
+  std::int64_t& count = lane_backlogs_[chat_request.lane->name];
   if (count >= chat_request.lane->policy.backlog)
-    return give_up(chat_request, Error{ErrorCode::backlog_full, "", ""},
-                   std::clamp<Micros>(choice.wait, millis(500), seconds(10)), out);
+    return reject(chat_request, Error{ErrorCode::backlog_full, "", ""},
+                  std::clamp<Micros>(choice.wait, millis(500), seconds(10)), out);
   ++count;
   backlog_.insert(chat_request);
   // Nobody overtakes those who wait already: what is free goes out in the backlog's order.
-  if (choice.decision == PlacementDecision::place) work(now, out);
+  if (choice.decision == PlacementDecision::place) process_backlog(now, out);
 }
 
 // The first pool of the lane that takes the request decides: its cheapest worker, or a wait.
-ChatDispatcher::Choice ChatDispatcher::select(ChatRequest const& chat_request, std::size_t ahead, Micros now,
-                                              bool confirmed_only) {
+ChatDispatcher::Placement ChatDispatcher::select(ChatRequest const& chat_request, std::size_t ahead, Micros now,
+                                                 bool confirmed_only) {
   Selection selection{chat_request, ahead, now, confirmed_only,
-                      index_sync_.index(chat_request.model).match(chat_request.ask.path)};
+                      index_sync_.index(chat_request.model).match(chat_request.info.path)};
   for (Binding::Choice const& option : chat_request.lane->binding.pools) {
     Pool const& pool = *chat_request.rules->pool(option.pool);
     PoolCandidates const candidates = candidates_in(pool, chat_request);
     if (candidates.slots == 0) continue;
-    if (!option.when.holds(chat_request.ask.facts, candidates.busy * 100 / candidates.slots)) continue;
+    if (!option.when.holds(chat_request.info.facts, candidates.busy * 100 / candidates.slots)) continue;
     for (Worker* const worker : candidates.workers) consider(*worker, pool, candidates, selection);
     if (selection.best.worker != nullptr) return placement(selection);
   }
@@ -154,11 +157,11 @@
 // The pool's workers that may serve the request; those it was sent to already count only for the pool's load.
 ChatDispatcher::PoolCandidates ChatDispatcher::candidates_in(Pool const& pool, ChatRequest const& chat_request) const {
   PoolCandidates out;
-  out.service_time = service(pool);
+  out.service_time = service_time(pool);
   for (std::pair<std::string const, Worker>& item : fleet_.workers) {
     Worker& worker = item.second;
     if (worker.row.pool != pool.name || !worker.takes()) continue;
-    if (guard(Guard::zone_veto) && shut_.count(worker.row.zone)) continue;
+    if (guard(Guard::zone_veto) && drained_zones_.count(worker.row.zone)) continue;
     if (chat_request.lane->policy.locality == Locality::only && worker.row.zone != zone_) continue;
     out.slots += worker.capacity(pool);
     out.busy += worker.guess();
@@ -172,40 +175,40 @@
                               Selection& selection) {
   std::int64_t const capacity = worker.capacity(pool);
   if (worker.guess() >= capacity) {
-    std::int64_t const nodes = static_cast<std::int64_t>(std::max<std::size_t>(1, names_.size()));
+    std::int64_t const nodes = static_cast<std::int64_t>(std::max<std::size_t>(1, router_names_.size()));
     return selection.offer_wait(candidates.service_time * static_cast<Micros>(selection.ahead + 1) * nodes /
                                 std::max<std::int64_t>(1, candidates.slots));
   }
   Micros const now = selection.now;
-  std::int64_t const share = newcomer_ ? 0 : fleet_.cold_share(worker, pool.cold, self_, names_);
+  std::int64_t const share = newcomer_ ? 0 : fleet_.cold_share(worker, pool.cold, self_, router_names_);
   Micros const cold = fleet_.cold_for(worker, pool.cold_span, now);
   if (cold > 0 && guard(Guard::cold_share) && !fleet_.has_cold_capacity(worker, share, now)) {
     selection.cold_shares += share;
-    if (selection.cold_ends < 0 || cold < selection.cold_ends) selection.cold_ends = cold;
+    if (selection.first_warm_in < 0 || cold < selection.first_warm_in) selection.first_warm_in = cold;
     return;
   }
   // §6.6: a worker that does not answer in time is passed over while others can be had.
   bool const without_share = share == 0 && guard(Guard::cold_share);
   bool const unsure = guard(Guard::ask_first) && fleet_.unsure(worker, share, now);
-  bool const answers_late = worker.asked >= 0 && now - worker.asked > answer_most;
-  if (unsure && (selection.confirmed_only || answers_late)) return selection.offer_wait(answer_wait);
+  bool const answers_late = worker.asked >= 0 && now - worker.asked > probe_timeout;
+  if (unsure && (selection.confirmed_only || answers_late)) return selection.offer_wait(unsure_worker_wait);
   std::map<std::string, std::size_t>::const_iterator const hit = selection.hits.find(worker.row.id);
-  std::size_t const kept_blocks = hit == selection.hits.end() ? 0 : hit->second;
-  Micros const cost = cost_of(selection.request, worker, pool, candidates.service_time, kept_blocks);
+  std::size_t const cached_blocks = hit == selection.hits.end() ? 0 : hit->second;
+  Micros const cost = cost_of(selection.request, worker, pool, candidates.service_time, cached_blocks);
   // A node that has no share of this worker's bound goes there only for want of any other.
   bool const cheaper = without_share != selection.without_share ? selection.without_share : cost < selection.cost;
   if (selection.best.worker != nullptr && !cheaper) return;
   selection.best.worker = &worker;
-  selection.best.hit = kept_blocks;
-  selection.best.ask = unsure ? worker.row.id : "";
+  selection.best.cached_blocks = cached_blocks;
+  selection.best.probe = unsure ? worker.row.id : "";
   selection.without_share = without_share;
   selection.cost = cost;
 }
 
 // §6.4: the time to read what is missing of the prefix, for the attempts that run already, and for the way there.
 Micros ChatDispatcher::cost_of(ChatRequest const& chat_request, Worker const& worker, Pool const& pool,
-                               Micros service_time, std::size_t kept_blocks) const {
-  Micros cost = static_cast<Micros>(chat_request.ask.path.size() - kept_blocks) * pool.block_cost;
+                               Micros service_time, std::size_t cached_blocks) const {
+  Micros cost = static_cast<Micros>(chat_request.info.path.size() - cached_blocks) * pool.block_cost;
   cost += service_time * worker.guess() / worker.capacity(pool) / 10;
   if (worker.row.zone != zone_ && chat_request.lane->policy.locality != Locality::any)
     cost += chat_request.rules->locality_cost;
@@ -213,59 +216,59 @@
 }
 
 // The best worker gets the request, at once or after it has answered.
-ChatDispatcher::Choice ChatDispatcher::placement(Selection const& selection) {
-  Choice out = selection.best;
-  bool const confirmed = out.ask.empty();
+ChatDispatcher::Placement ChatDispatcher::placement(Selection const& selection) {
+  Placement out = selection.best;
+  bool const confirmed = out.probe.empty();
   out.decision = confirmed ? PlacementDecision::place : PlacementDecision::wait;
-  out.wait = confirmed ? selection.cost : confirmation_wait;
+  out.wait = confirmed ? selection.cost : probe_wait;
   return out;
 }
 
 // No worker may be sent to now: the shortest wait for one, or a rejection when no wait would help.
-ChatDispatcher::Choice ChatDispatcher::wait_or_rejection(Selection& selection) {
-  if (selection.cold_ends >= 0) {
+ChatDispatcher::Placement ChatDispatcher::wait_or_rejection(Selection& selection) {
+  if (selection.first_warm_in >= 0) {
     // The share of this node comes free window by window, until the first of them is warm.
-    Micros wait = selection.cold_ends;
+    Micros wait = selection.first_warm_in;
     if (selection.cold_shares > 0)
       wait = std::min(wait, Fleet::cold_window * static_cast<Micros>(selection.ahead + 1) / selection.cold_shares);
     selection.offer_wait(wait);
   }
-  Choice out;
-  if (selection.soonest >= 0) {
+  Placement out;
+  if (selection.shortest_wait >= 0) {
     out.decision = PlacementDecision::wait;
-    out.wait = selection.soonest;
+    out.wait = selection.shortest_wait;
     return out;
   }
-  out.kind = selection.request.attempted.empty() ? ErrorCode::no_worker : ErrorCode::worker_unreached;
+  out.error = selection.request.attempted.empty() ? ErrorCode::no_worker : ErrorCode::worker_unreached;
   return out;
 }
 
-void ChatDispatcher::start_attempt(ChatRequest& chat_request, Choice const& choice, Micros now, ChatEffects& out) {
+void ChatDispatcher::start_attempt(ChatRequest& chat_request, Placement const& choice, Micros now, ChatEffects& out) {
   if (chat_request.is_linked()) {
     backlog_.erase(backlog_.iterator_to(chat_request));
-    --lane_waiting_[chat_request.lane->name];
+    --lane_backlogs_[chat_request.lane->name];
   }
   Worker& worker = *choice.worker;
   Pool const& pool = *chat_request.rules->pool(worker.row.pool);
   bool const first = chat_request.attempts == 0;
   ++chat_request.attempts;
   chat_request.sent = false;
-  chat_request.worker = worker.row.id;
+  chat_request.worker_id = worker.row.id;
   chat_request.incarnation = worker.row.incarnation;
   chat_request.pool = pool.name;
-  chat_request.attempt_from = now;
+  chat_request.attempt_started_at = now;
   chat_request.attempted.insert(worker.row.id);
   if (first) {
-    ++tally.first_sends;
-    bucket_ = std::min(bucket_most, bucket_ + bucket_share);
-    tally.blocks_asked += chat_request.ask.path.size();
-    tally.blocks_hit += choice.hit;
+    ++counters.first_sends;
+    retry_budget_ = std::min(retry_budget_max, retry_budget_ + retry_ratio);
+    counters.prompt_blocks += chat_request.info.path.size();
+    counters.cached_blocks += choice.cached_blocks;
   } else {
-    ++tally.resends;
-    bucket_ -= 1.0;
-    log_event(Event::chat_request_retried, chat_request.worker);
+    ++counters.retries;
+    retry_budget_ -= 1.0;
+    log_event(Event::chat_request_retried, chat_request.worker_id);
   }
-  if (worker.row.zone != zone_) ++tally.cross_zone_sends;
+  if (worker.row.zone != zone_) ++counters.cross_zone_sends;
   worker.attempts.insert(now);
   ++worker.sent;
   while (!worker.sends.empty() && now - worker.sends.front() >= Fleet::cold_window) worker.sends.pop_front();
@@ -273,48 +276,48 @@
   Index::Bounds const bounds{static_cast<std::size_t>(pool.cache_blocks), pool.cache_age};
   index_sync_.queue(chat_request.model,
                     index_sync_.index(chat_request.model)
-                        .touch(chat_request.ask.path, worker.row.id, worker.row.incarnation, bounds, now));
-  out.starts.push_back(Start{chat_request.id, chat_request.attempts, worker.row.id, worker.row.address,
-                             chat_request.lane->policy.answer, chat_request.lane->policy.stall});
+                        .touch(chat_request.info.path, worker.row.id, worker.row.incarnation, bounds, now));
+  out.attempts.push_back(ChatAttemptStart{chat_request.id, chat_request.attempts, worker.row.id, worker.row.address,
+                                          chat_request.lane->policy.answer, chat_request.lane->policy.stall});
 }
 
-void ChatDispatcher::sent(std::uint64_t id) {
+void ChatDispatcher::on_sent(std::uint64_t id) {
   std::map<std::uint64_t, std::unique_ptr<ChatRequest>>::iterator const position = chat_requests_.find(id);
   if (position != chat_requests_.end()) position->second->sent = true;
 }
 
-void ChatDispatcher::began(std::uint64_t id) {
+void ChatDispatcher::on_answer_begin(std::uint64_t id) {
   std::map<std::uint64_t, std::unique_ptr<ChatRequest>>::iterator const position = chat_requests_.find(id);
-  if (position != chat_requests_.end()) position->second->begun = true;
+  if (position != chat_requests_.end()) position->second->answer_begun = true;
 }
 
-void ChatDispatcher::release(ChatRequest& chat_request, Micros now, bool good) {
-  Worker* const worker = fleet_.find(chat_request.worker);
+void ChatDispatcher::release(ChatRequest& chat_request, Micros now, bool served) {
+  Worker* const worker = fleet_.find(chat_request.worker_id);
   if (worker != nullptr) {
-    std::multiset<Micros>::iterator const attempt = worker->attempts.find(chat_request.attempt_from);
+    std::multiset<Micros>::iterator const attempt = worker->attempts.find(chat_request.attempt_started_at);
     if (attempt != worker->attempts.end()) {
       // What it held is free again, though the next report may still count it.
-      if (chat_request.attempt_from < worker->reported && worker->demand > 0) --worker->demand;
+      if (chat_request.attempt_started_at < worker->reported && worker->demand > 0) --worker->demand;
       worker->attempts.erase(attempt);
     }
   }
-  if (good) {
+  if (served) {
     double& seen =
-        service_seen_
+        measured_service_times_
             .try_emplace(chat_request.pool, static_cast<double>(chat_request.rules->pool(chat_request.pool)->service))
             .first->second;
-    seen = seen * 0.95 + static_cast<double>(now - chat_request.attempt_from) * 0.05;
+    seen = seen * 0.95 + static_cast<double>(now - chat_request.attempt_started_at) * 0.05;
   }
 }
 
-void ChatDispatcher::ended(std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros back, Micros now,
-                           ChatEffects& out) {
+void ChatDispatcher::on_attempt_end(std::uint64_t id, ChatAttemptEnd end, std::string const& reason, Micros retry_after,
+                                    Micros now, ChatEffects& out) {
   std::map<std::uint64_t, std::unique_ptr<ChatRequest>>::iterator const position = chat_requests_.find(id);
   if (position == chat_requests_.end()) return;
   ChatRequest& chat_request = *position->second;
   release(chat_request, now, end == ChatAttemptEnd::done);
   if (end == ChatAttemptEnd::done) {
-    ++tally.done;
+    ++counters.done;
     erase(chat_request);
     return;
   }
@@ -356,73 +359,73 @@
   if (!guard(Guard::honest_execution_status) && execution == ExecutionStatus::unknown) execution = ExecutionStatus::no;
   chat_request.execution = std::max(chat_request.execution, execution);
   // §6.6: a broken connection may mean that the worker ended; it is asked before it gets anything more.
-  Worker const* const worker = fleet_.find(chat_request.worker);
+  Worker const* const worker = fleet_.find(chat_request.worker_id);
   if (worker != nullptr &&
       (end == ChatAttemptEnd::unreached || end == ChatAttemptEnd::broke || end == ChatAttemptEnd::silent ||
        end == ChatAttemptEnd::torn) &&
-      fleet_.suspect(chat_request.worker, chat_request.incarnation, now))
-    out.suspects.emplace_back(chat_request.worker, chat_request.incarnation);
-  log_event(Event::chat_attempt_failed, chat_request.worker + " " + error_code_row(kind).name + " " + why);
-  bool const may_repeat = chat_request.safe || !chat_request.sent || !guard(Guard::never_repeat);
-  bool const retry = !chat_request.begun && may_repeat && !draining_ &&
+      fleet_.suspect(chat_request.worker_id, chat_request.incarnation, now))
+    out.suspected_workers.emplace_back(chat_request.worker_id, chat_request.incarnation);
+  log_event(Event::chat_attempt_failed, chat_request.worker_id + " " + error_code_row(kind).name + " " + reason);
+  bool const may_repeat = chat_request.repeatable || !chat_request.sent || !guard(Guard::never_repeat);
+  bool const retry = !chat_request.answer_begun && may_repeat && !draining_ &&
                      chat_request.attempts < chat_request.lane->policy.max_attempts &&
-                     now < chat_request.due + chat_request.lane->policy.answer &&
-                     (bucket_ >= 1.0 || !guard(Guard::bucket));
+                     now < chat_request.deadline + chat_request.lane->policy.answer &&
+                     (retry_budget_ >= 1.0 || !guard(Guard::bucket));
   if (retry) {
-    Choice const choice = select(chat_request, 0, now, true);
+    Placement const choice = select(chat_request, 0, now, true);
     if (choice.decision == PlacementDecision::place) return start_attempt(chat_request, choice, now, out);
   }
-  if (chat_request.begun) ++tally.broken;
-  Error error{kind, why, ""};
-  give_up(chat_request, std::move(error), back, out);
+  if (chat_request.answer_begun) ++counters.aborted;
+  Error error{kind, reason, ""};
+  reject(chat_request, std::move(error), retry_after, out);
 }
 
-void ChatDispatcher::hung_up(std::uint64_t id, Micros now, ChatEffects& out) {
+void ChatDispatcher::on_client_disconnect(std::uint64_t id, Micros now, ChatEffects& out) {
   std::map<std::uint64_t, std::unique_ptr<ChatRequest>>::iterator const position = chat_requests_.find(id);
   if (position == chat_requests_.end()) return;
-  ++tally.hangups;
+  ++counters.client_disconnects;
   ChatRequest& chat_request = *position->second;
   if (chat_request.attempts > 0) {
     release(chat_request, now, false);
-    out.drops.push_back(id);
+    out.cancelled_attempts.push_back(id);
   }
   erase(chat_request);
 }
 
-void ChatDispatcher::work(Micros now, ChatEffects& out) {
+void ChatDispatcher::process_backlog(Micros now, ChatEffects& out) {
   std::size_t ahead = 0;
   int idle = 0;
   for (Backlog::iterator it = backlog_.begin(); it != backlog_.end();) {
     ChatRequest& chat_request = *it++;
-    if (now >= chat_request.due) {
-      ++tally.late;
-      give_up(chat_request, Error{paused_ ? ErrorCode::not_ready : ErrorCode::expired, "", ""}, 0, out);
+    if (now >= chat_request.deadline) {
+      ++counters.expired;
+      reject(chat_request, Error{paused_ ? ErrorCode::not_ready : ErrorCode::expired, "", ""}, 0, out);
       continue;
     }
-    if (!open_) {
-      give_up(chat_request, Error{ErrorCode::not_ready, "", ""}, 0, out);
+    if (!ready_) {
+      reject(chat_request, Error{ErrorCode::not_ready, "", ""}, 0, out);
       continue;
     }
     if (paused_ || idle >= 64) {
       ++ahead;
       continue;
     }
-    Choice const choice = select(chat_request, ahead, now);
+    Placement const choice = select(chat_request, ahead, now);
     if (choice.decision == PlacementDecision::place) {
-      learn_wait(chat_request, now - chat_request.arrived_at);
+      observe_wait(chat_request, now - chat_request.arrived_at);
       start_attempt(chat_request, choice, now, out);
       continue;
     }
-    if (!choice.ask.empty()) out.asks.push_back(choice.ask);
+    if (!choice.probe.empty()) out.probes.push_back(choice.probe);
     ++idle;
     ++ahead;
     // §6.5: what has become hopeless is answered now, not when its time is up.
     if (choice.decision == PlacementDecision::reject)
-      give_up(chat_request, Error{choice.kind, "", ""}, choice.wait, out);
-    else if (now + std::max(likely(choice.wait), overdue(chat_request, now)) > chat_request.due) {
-      learn_wait(chat_request, chat_request.lane->policy.wait);
-      give_up(chat_request, Error{ErrorCode::crowded, "", ""},
-              std::clamp<Micros>(choice.wait, millis(500), seconds(10)), out);
+      reject(chat_request, Error{choice.error, "", ""}, choice.wait, out);
+    else if (now + std::max(corrected_wait(choice.wait), overdue_penalty(chat_request, now)) > chat_request.deadline) {
+      observe_wait(chat_request, chat_request.lane->policy.wait);
+      reject(chat_request, Error{ErrorCode::crowded, "", ""}, std::clamp<Micros>(choice.wait, millis(500), seconds(10)),
+             out);
     }
   }
 }
--- a/src/routing/chat/chat_dispatcher.h
+++ b/src/routing/chat/chat_dispatcher.h
@@ -1,4 +1,5 @@
-// The chat dispatcher: every request in this node, from its arrival to its answer. It decides; an executor obeys (§7).
+// The chat dispatcher owns every chat completion request of this node from its arrival to its answer. It makes the
+// decisions and returns them as ChatEffects, which an executor carries out (§7).
 #pragma once
 #include <boost/intrusive/set.hpp>
 #include <map>
@@ -14,118 +15,143 @@
 
 namespace pipit {
 
-// How a attempt ended.
+// How an attempt ended.
 enum class ChatAttemptEnd : std::uint8_t {
-  done,       // the whole answer came
-  unreached,  // no connection could be opened; nothing was sent
-  refused,    // the worker said that it did not run it (429, or 503 with a time to come back)
-  failed,     // the worker answered with a failure
+  done,       // the complete answer arrived
+  unreached,  // no connection to the worker could be opened; nothing was sent
+  refused,    // the worker stated that it did not run the request (429, or 503 with a time to retry)
+  failed,     // the worker answered with an error
   broke,      // the connection broke before the answer began
   silent,     // the answer did not begin in time
-  wrong,      // the answer began but is not one to this request
-  torn,       // the answer began and ended before its end
+  wrong,      // an answer began, but not one to this request
+  torn,       // the answer ended before it was complete
 };
 
-struct Ask {
-  std::string lane;  // as named by the caller, or empty
+// What the chat dispatcher needs of a client's request.
+struct ChatRequestInfo {
+  std::string lane;  // as named by the client, or empty
   Facts facts;
-  Path path;
-  bool safe = false;  // the caller says that it may be repeated
+  Path path;                // of the prompt's blocks, for the prefix index
+  bool repeatable = false;  // the client allows the request to run more than once
 };
 
-struct Start {
+// An attempt to start: one send of a chat request to one worker.
+struct ChatAttemptStart {
   std::uint64_t chat_request = 0;
-  int attempt = 0;
+  int attempt = 0;  // 1 for the first
   std::string worker;
   std::string address;
-  Micros answer = 0;  // how long the first byte may take
-  Micros stall = 0;   // how long the next one may
+  Micros first_byte_timeout = 0;
+  Micros idle_timeout = 0;  // between two reads of the answer
 };
-struct Verdict {  // the end of an chat request that is not a success
+
+// The end of a chat request that was not served.
+struct ChatFailure {
   std::uint64_t chat_request = 0;
   Error error;
   ExecutionStatus execution = ExecutionStatus::no;
-  Micros wait = 0;
+  Micros retry_after = 0;  // 0: the answer names no time
 };
+
+// Decisions of the chat dispatcher, for the executor to carry out.
 struct ChatEffects {
-  std::vector<Start> starts;
-  std::vector<Verdict> ends;
-  std::vector<std::pair<std::string, std::uint64_t>>
-      suspects;                      // workers, with their incarnation, whose connections broke
-  std::vector<std::string> asks;     // workers that must answer before they are sent more
-  std::vector<std::uint64_t> drops;  // attempts to cut because their caller has gone
+  std::vector<ChatAttemptStart> attempts;
+  std::vector<ChatFailure> failures;
+  // Workers whose connections broke, each with its incarnation.
+  std::vector<std::pair<std::string, std::uint64_t>> suspected_workers;
+  std::vector<std::string> probes;                // workers to probe: they must answer before they are sent more
+  std::vector<std::uint64_t> cancelled_attempts;  // of requests whose client disconnected
 };
 
-struct Tally {
-  std::uint64_t asked = 0, first_sends = 0, resends = 0, done = 0, refused = 0, broken = 0, hangups = 0;
-  std::uint64_t blocks_asked = 0, blocks_hit = 0, cross_zone_sends = 0, late = 0;
+// Counters of all chat requests since the start of this node.
+struct ChatCounters {
+  std::uint64_t received = 0, first_sends = 0, retries = 0, done = 0, refused = 0, aborted = 0, client_disconnects = 0;
+  std::uint64_t prompt_blocks = 0;  // of all first attempts
+  std::uint64_t cached_blocks = 0;  // of those, in the cache of the chosen worker by the prefix index
+  std::uint64_t cross_zone_sends = 0;
+  std::uint64_t expired = 0;  // rejected because their wait ended in the backlog
 };
 
+// Owns the chat requests of one node. The index and the fleet are referenced and must outlive it. All times are
+// microseconds of one monotonic clock, passed in by the caller. Not thread-safe: one event loop uses it.
 class ChatDispatcher {
  public:
   ChatDispatcher(std::string self, std::string zone, IndexSync& index_sync, Fleet& fleet)
       : self_(std::move(self)), zone_(std::move(zone)), index_sync_(index_sync), fleet_(fleet) {}
   ~ChatDispatcher() { backlog_.clear(); }
 
-  void in_force(std::shared_ptr<Description const> description, std::set<std::string> drained_zones);
-  // Placing stops while the node does not know enough: at its start, and after its clock jumped.
-  void hold(bool paused) { paused_ = paused; }
-  void ready(bool ready) { open_ = ready; }
+  // Places requests by this description from now on, and at no worker in a drained zone.
+  void set_description(std::shared_ptr<Description const> description, std::set<std::string> drained_zones);
+  // While paused, no request is placed: at the start of the node and after its clock jumped, while its view of the
+  // fleet is incomplete.
+  void set_paused(bool paused) { paused_ = paused; }
+  // While not ready, every request is rejected.
+  void set_ready(bool ready) { ready_ = ready; }
+  // Rejects new requests and makes no retries from now on.
   void drain() { draining_ = true; }
-  // All router nodes that may send, and whether this one is new among them: then it has no share yet (§6.6).
-  void nodes(std::set<std::string> names, bool newcomer) {
-    names_ = std::move(names);
+  // All router nodes that may send. 'newcomer': this node is new among them and has no share of a cold worker's
+  // capacity yet (§6.6).
+  void set_routers(std::set<std::string> names, bool newcomer) {
+    router_names_ = std::move(names);
     newcomer_ = newcomer;
   }
 
-  void fresh(std::uint64_t id, Ask ask, Micros now, ChatEffects& out);
-  void sent(std::uint64_t id);   // a byte may have left
-  void began(std::uint64_t id);  // a byte was forwarded to the caller
-  void ended(std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros back, Micros now, ChatEffects& out);
-  void hung_up(std::uint64_t id, Micros now, ChatEffects& out);
-  void work(Micros now, ChatEffects& out);  // looks through the backlog
+  // A request has arrived. 'id' must be new.
+  void on_request(std::uint64_t id, ChatRequestInfo info, Micros now, ChatEffects& out);
+  // A byte of the current attempt may have left this node.
+  void on_sent(std::uint64_t id);
+  // A byte of the answer was forwarded to the client.
+  void on_answer_begin(std::uint64_t id);
+  // The current attempt has ended. 'reason' is for the log and the client's error; 'retry_after' is the worker's, or 0.
+  void on_attempt_end(std::uint64_t id, ChatAttemptEnd end, std::string const& reason, Micros retry_after, Micros now,
+                      ChatEffects& out);
+  // The client disconnected: cancels the attempt and forgets the request.
+  void on_client_disconnect(std::uint64_t id, Micros now, ChatEffects& out);
+  // Places requests of the backlog, and rejects those that cannot be placed in time.
+  void process_backlog(Micros now, ChatEffects& out);
 
-  std::size_t under_way() const { return chat_requests_.size(); }
-  std::size_t waiting() const { return backlog_.size(); }
+  std::size_t active_requests() const { return chat_requests_.size(); }
+  std::size_t backlog_size() const { return backlog_.size(); }
   std::shared_ptr<Description const> const& description() const { return rules_; }
-  std::set<std::string> const& drained_zones() const { return shut_; }
-  Tally tally;
+  std::set<std::string> const& drained_zones() const { return drained_zones_; }
+  ChatCounters counters;
 
  private:
   struct ChatRequest : boost::intrusive::set_base_hook<> {
     std::uint64_t id = 0;
-    Ask ask;
+    ChatRequestInfo info;
     std::shared_ptr<Description const> rules;  // keeps the lane alive
     Lane const* lane = nullptr;
     std::string model;
     Micros arrived_at = 0;
-    Micros due = 0;    // when the lane's wait ends
-    Micros guess = 0;  // how long it was predicted to wait when it came
-    bool safe = false;
+    Micros deadline = 0;        // the end of the lane's wait
+    Micros predicted_wait = 0;  // at its arrival
+    bool repeatable = false;    // by its lane or its client
     int attempts = 0;
     ExecutionStatus execution = ExecutionStatus::no;
-    bool sent = false;  // a byte of this attempt may have left
-    bool begun = false;
-    std::string worker;
-    std::uint64_t incarnation = 0;  // of the worker
+    bool sent = false;  // a byte of the current attempt may have left
+    bool answer_begun = false;
+    std::string worker_id;          // of the current attempt
+    std::uint64_t incarnation = 0;  // of that worker
     std::string pool;
-    Micros attempt_from = 0;
-    std::set<std::string> attempted;
+    Micros attempt_started_at = 0;
+    std::set<std::string> attempted;  // workers of all attempts
+    // The order of the backlog.
     friend bool operator<(ChatRequest const& a, ChatRequest const& b) {
       if (a.lane->policy.urgency != b.lane->policy.urgency) return a.lane->policy.urgency > b.lane->policy.urgency;
-      return a.due != b.due ? a.due < b.due : a.id < b.id;
+      return a.deadline != b.deadline ? a.deadline < b.deadline : a.id < b.id;
     }
   };
   using Backlog = boost::intrusive::set<ChatRequest>;
 
   enum class PlacementDecision : std::uint8_t { place, wait, reject };
-  struct Choice {
+  struct Placement {
     PlacementDecision decision = PlacementDecision::reject;
     Worker* worker = nullptr;
-    std::size_t hit = 0;
+    std::size_t cached_blocks = 0;
     Micros wait = 0;
-    ErrorCode kind = ErrorCode::no_worker;
-    std::string ask;  // the worker that is waited for
+    ErrorCode error = ErrorCode::no_worker;
+    std::string probe;  // id of a worker that must answer a probe first, or empty
   };
   // The workers of one pool that may serve a request, and the pool's load.
   struct PoolCandidates {
@@ -134,56 +160,56 @@
     std::int64_t busy = 0;
     Micros service_time = 0;
   };
-  // What select() looks for, and what it has found so far.
+  // The input of select() and its result so far.
   struct Selection {
     ChatRequest const& request;
-    std::size_t ahead;  // requests that go first
+    std::size_t ahead;  // requests that precede this one in the backlog
     Micros now;
-    bool confirmed_only;                      // no worker that would have to answer first
-    std::map<std::string, std::size_t> hits;  // blocks of the prompt that workers keep, by worker
-    Choice best = {};
+    bool confirmed_only;                      // leave out workers that would have to answer a probe first
+    std::map<std::string, std::size_t> hits;  // cached blocks of the prompt, by worker
+    Placement best = {};
     Micros cost = 0;               // of the best
-    bool without_share = false;    // this node has no share of the best worker's bound
-    Micros soonest = -1;           // the shortest wait offered; -1 for none
-    std::int64_t cold_shares = 0;  // of workers that are free but cold
-    Micros cold_ends = -1;         // when the first of them is warm; -1 for none
+    bool without_share = false;    // this node has no share of the best worker's capacity
+    Micros shortest_wait = -1;     // -1: no wait would help
+    std::int64_t cold_shares = 0;  // this node's shares of workers that are free but cold
+    Micros first_warm_in = -1;     // until the first of them is warm; -1: there are none
     void offer_wait(Micros wait) {
-      if (soonest < 0 || wait < soonest) soonest = wait;
+      if (shortest_wait < 0 || wait < shortest_wait) shortest_wait = wait;
     }
   };
   PoolCandidates candidates_in(Pool const& pool, ChatRequest const& chat_request) const;
   void consider(Worker& worker, Pool const& pool, PoolCandidates const& candidates, Selection& selection);
   Micros cost_of(ChatRequest const& chat_request, Worker const& worker, Pool const& pool, Micros service_time,
-                 std::size_t kept_blocks) const;
-  static Choice placement(Selection const& selection);
-  static Choice wait_or_rejection(Selection& selection);
-  Choice select(ChatRequest const& chat_request, std::size_t ahead, Micros now, bool confirmed_only = false);
-  void start_attempt(ChatRequest& chat_request, Choice const& choice, Micros now, ChatEffects& out);
-  void give_up(ChatRequest& chat_request, Error error, Micros wait, ChatEffects& out);
+                 std::size_t cached_blocks) const;
+  static Placement placement(Selection const& selection);
+  static Placement wait_or_rejection(Selection& selection);
+  Placement select(ChatRequest const& chat_request, std::size_t ahead, Micros now, bool confirmed_only = false);
+  void start_attempt(ChatRequest& chat_request, Placement const& choice, Micros now, ChatEffects& out);
+  void reject(ChatRequest& chat_request, Error error, Micros retry_after, ChatEffects& out);
   void erase(ChatRequest& chat_request);
-  void release(ChatRequest& chat_request, Micros now, bool good);
-  Micros service(Pool const& pool) const;
-  void learn_wait(ChatRequest const& chat_request, Micros took);
-  Micros likely(Micros wait) const;
-  Micros overdue(ChatRequest const& chat_request, Micros now) const;
+  void release(ChatRequest& chat_request, Micros now, bool served);
+  Micros service_time(Pool const& pool) const;
+  void observe_wait(ChatRequest const& chat_request, Micros actual_wait);
+  Micros corrected_wait(Micros predicted_wait) const;
+  Micros overdue_penalty(ChatRequest const& chat_request, Micros now) const;
 
   std::string const self_;
   std::string const zone_;
   IndexSync& index_sync_;
   Fleet& fleet_;
   std::shared_ptr<Description const> rules_ = std::make_shared<Description>();
-  std::set<std::string> shut_;
-  std::set<std::string> names_;
+  std::set<std::string> drained_zones_;
+  std::set<std::string> router_names_;
   bool newcomer_ = false;
   bool paused_ = false;
-  bool open_ = false;
+  bool ready_ = false;
   bool draining_ = false;
-  double bucket_ = 1.0;
-  double longer_ = 1.0;
+  double retry_budget_ = 1.0;     // retries that this node may still make
+  double wait_correction_ = 1.0;  // recent actual waits over their predictions
   std::map<std::uint64_t, std::unique_ptr<ChatRequest>> chat_requests_;
   Backlog backlog_;
-  std::map<std::string, std::int64_t> lane_waiting_;
-  std::map<std::string, double> service_seen_;
+  std::map<std::string, std::int64_t> lane_backlogs_;     // requests in the backlog, by lane
+  std::map<std::string, double> measured_service_times_;  // moving average in microseconds, by pool
 };
 
 }  // namespace pipit
--- a/src/routing/chat/chat_request_reader.cc
+++ b/src/routing/chat/chat_request_reader.cc
@@ -19,13 +19,13 @@
 }
 }  // namespace
 
-Result<Ask> parse_ask(std::string_view body, Form form) {
+Result<ChatRequestInfo> parse_chat_request(std::string_view body, ChatApi api) {
   simdjson::dom::parser parser;
   simdjson::dom::element root;
   simdjson::error_code const code = parser.parse(simdjson::padded_string(body)).get(root);
   if (code) return fail(ErrorCode::bad_json, simdjson::error_message(code));
   if (!root.is_object()) return fail(ErrorCode::bad_request, "the body is not an object");
-  Ask out;
+  ChatRequestInfo out;
   std::string_view text;
   if (root["model"].get_string().get(text) || text.empty())
     return fail(ErrorCode::bad_request, "a model is needed", "$.model");
@@ -41,7 +41,7 @@
   }
   out.facts.size = static_cast<std::int64_t>(body.size());
   std::string prompt;
-  if (form == Form::chat) {
+  if (api == ChatApi::chat) {
     simdjson::dom::array turns;
     if (root["messages"].get_array().get(turns) || turns.size() == 0)
       return fail(ErrorCode::bad_request, "messages are needed", "$.messages");
@@ -66,10 +66,10 @@
 bool is_alphanumeric(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9'); }
 }  // namespace
 
-bool answers_to(std::string_view id, std::string_view request) {
-  for (std::size_t at = id.find(request); at != std::string_view::npos; at = id.find(request, at + 1)) {
-    std::size_t const end = at + request.size();
-    if ((at == 0 || !is_alphanumeric(id[at - 1])) && (end == id.size() || !is_alphanumeric(id[end]))) return true;
+bool id_matches_request(std::string_view id, std::string_view request) {
+  for (std::size_t begin = id.find(request); begin != std::string_view::npos; begin = id.find(request, begin + 1)) {
+    std::size_t const end = begin + request.size();
+    if ((begin == 0 || !is_alphanumeric(id[begin - 1])) && (end == id.size() || !is_alphanumeric(id[end]))) return true;
   }
   return false;
 }
--- a/src/routing/chat/chat_request_reader.h
+++ b/src/routing/chat/chat_request_reader.h
@@ -1,4 +1,4 @@
-// What a caller's JSON says, as far as placing it needs (§7.1).
+// Parses the JSON of chat requests and of workers' answers, as far as placement and forwarding need it (§7.1).
 #pragma once
 #include <string>
 #include <string_view>
@@ -8,17 +8,23 @@
 
 namespace pipit {
 
-enum class Form : std::uint8_t { chat, completion };
-Result<Ask> parse_ask(std::string_view body, Form form);
+// Which API a request body belongs to: chat completions ("messages") or text completions ("prompt").
+enum class ChatApi : std::uint8_t { chat, completion };
 
-// One event of a worker's stream, or a whole answer: is it JSON, and whose?
+// Parses a request body. Errors: bad_json if the body is not JSON; bad_request, with the JSON path of the field, if a
+// field is missing or has the wrong type.
+Result<ChatRequestInfo> parse_chat_request(std::string_view body, ChatApi api);
+
+// The fields of one event of a worker's stream, or of a complete answer, that are checked before it is forwarded.
 struct ParsedChunk {
-  bool json = false;
-  bool error = false;
-  std::string id;
+  bool json = false;   // the text is a JSON object
+  bool error = false;  // the object has a field "error"
+  std::string id;      // empty if absent
 };
 ParsedChunk parse_chunk(std::string_view text);
-// Whether an answer's id is that of a request: the whole of it, set off by what is no letter or digit (§7.5).
-bool answers_to(std::string_view id, std::string_view request);
+
+// Whether the id of an answer contains the request's id as a whole word, delimited by characters other than letters and
+// digits (§7.5).
+bool id_matches_request(std::string_view id, std::string_view request);
 
 }  // namespace pipit
--- a/src/routing/chat/event_splitter.cc
+++ b/src/routing/chat/event_splitter.cc
@@ -4,17 +4,17 @@
 
 bool EventSplitter::next(std::string& event) {
   while (true) {
-    std::size_t const plain = store_.find("\n\n");
-    std::size_t const crlf = store_.find("\r\n\r\n");
+    std::size_t const plain = buffer_.find("\n\n");
+    std::size_t const crlf = buffer_.find("\r\n\r\n");
     std::size_t const end = std::min(plain, crlf);
     if (end == std::string::npos) return false;
-    event = store_.substr(0, end);
-    store_.erase(0, end + (end == plain ? 2 : 4));
+    event = buffer_.substr(0, end);
+    buffer_.erase(0, end + (end == plain ? 2 : 4));
     if (!event.empty()) return true;
   }
 }
 
-bool EventSplitter::rest() const { return store_.find_first_not_of("\r\n ") != std::string::npos; }
+bool EventSplitter::has_partial_event() const { return buffer_.find_first_not_of("\r\n ") != std::string::npos; }
 
 std::string event_data(std::string_view event) {
   std::string out;
--- a/src/routing/chat/event_splitter.h
+++ b/src/routing/chat/event_splitter.h
@@ -8,17 +8,20 @@
 // Buffers the bytes of one stream until an event is complete.
 class EventSplitter {
  public:
-  void feed(std::string_view bytes) { store_ += bytes; }
-  // Takes the next whole event, without its blank line; false when none is whole.
+  // Appends received bytes to the buffer.
+  void feed(std::string_view bytes) { buffer_ += bytes; }
+  // Removes the next complete event from the buffer, without the blank line that ends it. False if there is none.
   bool next(std::string& event);
-  bool rest() const;  // something that is not a whole event is left
-  std::size_t size() const { return store_.size(); }
+  // Whether bytes of an incomplete event are left; line breaks and spaces do not count.
+  bool has_partial_event() const;
+  // Bytes in the buffer.
+  std::size_t size() const { return buffer_.size(); }
 
  private:
-  std::string store_;
+  std::string buffer_;
 };
 
-// The data of an event, its lines joined.
+// The value of the event's "data" field; the values of several data lines are joined by line breaks.
 std::string event_data(std::string_view event);
 
 }  // namespace pipit
--- a/src/routing/dispatch/placement.cc
+++ b/src/routing/dispatch/placement.cc
@@ -9,29 +9,29 @@
 namespace pipit {
 
 namespace {
-constexpr Micros dial_most = millis(350);  // for opening a connection to a worker
+constexpr Micros connect_timeout = millis(350);  // for opening a connection to a worker
 // §12.5: what a first event takes on a worker that is free, and for each token that has to be read. Learnt figures
 // take their place; these begin.
-constexpr Micros first_least = millis(45);
+constexpr Micros first_event_min = millis(45);
 constexpr double token_cost = 15.5;
-constexpr double pair_cost = 0.000242;
-constexpr double late_blur = 30000;  // how sharp a prediction is, in microseconds
+constexpr double attention_cost = 0.000242;
+constexpr double prediction_error = 30000;  // how sharp a prediction is, in microseconds
 // Prices, in parts of what a late answer loses, for a token.
-constexpr double reread_price = 0.0005;
+constexpr double recompute_price = 0.0005;
 constexpr double cross_zone_price = 0.0000025;
-constexpr double new_part_weight = 0.00008;
+constexpr double preferred_worker_discount = 0.00008;
 
-std::int64_t prompt_tokens(Query const& query) {
+std::int64_t prompt_tokens(RequestInfo const& info) {
   std::int64_t sum = 0;
-  for (std::uint32_t const tokens : query.parts.tokens) sum += tokens;
-  return std::max(sum, query.tokens_in);
+  for (std::uint32_t const tokens : info.parts.tokens) sum += tokens;
+  return std::max(sum, info.input_tokens);
 }
 
 // The parts that other requests may have as well; the last part is the request's own.
-std::size_t shared_parts(Parts const& parts) { return parts.path.empty() ? 0 : parts.path.size() - 1; }
+std::size_t shared_parts(PromptParts const& parts) { return parts.path.empty() ? 0 : parts.path.size() - 1; }
 
 // The position of the largest of the first 'count' parts; 'count' is above 0.
-std::size_t largest_part(Parts const& parts, std::size_t count) {
+std::size_t largest_part(PromptParts const& parts, std::size_t count) {
   std::vector<std::uint32_t>::const_iterator const begin = parts.tokens.begin();
   return static_cast<std::size_t>(
       std::distance(begin, std::max_element(begin, begin + static_cast<std::ptrdiff_t>(count))));
@@ -39,87 +39,91 @@
 }  // namespace
 
 // How long a worker takes to read a prompt of which it keeps a part: each token once, and each against all before it.
-Micros Dispatcher::read_time(std::int64_t missing, std::int64_t kept) {
-  double const n = static_cast<double>(missing);
-  return static_cast<Micros>(n * token_cost + n * (static_cast<double>(kept) + n / 2) * pair_cost);
+Micros Dispatcher::prefill_time(std::int64_t uncached, std::int64_t cached) {
+  double const n = static_cast<double>(uncached);
+  return static_cast<Micros>(n * token_cost + n * (static_cast<double>(cached) + n / 2) * attention_cost);
 }
 
 void Dispatcher::place_if_authorized(Request& request, Micros now, DispatchEffects& out) {
-  if (still_authorized(request, now, out)) place(request, now, out);
+  if (reauthorize(request, now, out)) place(request, now, out);
 }
 
 // The workers of the request's pool that take requests and that it has not been sent to.
 Dispatcher::Candidates Dispatcher::candidates_for(Request const& request, Micros now) const {
-  Parts const& parts = request.query.parts;
-  std::map<std::string, std::size_t> const hits = index_sync_.index(request.tree).match(parts.path);
+  PromptParts const& parts = request.info.parts;
+  std::map<std::string, std::size_t> const hits = index_sync_.index(request.index_name).match(parts.path);
   std::size_t const shared = shared_parts(parts);
   Candidates out;
   for (std::pair<std::string const, Instance>& item : registry_.all) {
     Instance& worker = item.second;
     if (worker.pool != request.pool->name || !worker.takes() || request.attempted.count(item.first)) continue;
     std::map<std::string, std::size_t>::const_iterator const hit = hits.find(item.first);
-    std::size_t const kept_parts = hit == hits.end() ? 0 : std::min(hit->second, parts.tokens.size());
-    out.list.push_back({&worker, kept_parts});
-    if (worker.ejected <= now) out.most_kept_parts = std::max(out.most_kept_parts, std::min(kept_parts, shared));
+    std::size_t const cached_parts = hit == hits.end() ? 0 : std::min(hit->second, parts.tokens.size());
+    out.list.push_back({&worker, cached_parts});
+    if (worker.ejected <= now) out.most_cached_parts = std::max(out.most_cached_parts, std::min(cached_parts, shared));
   }
   return out;
 }
 
 // A part that no worker keeps yet is sent to the same worker by every node without any exchange between them: the first
 // in rendezvous order by the first new part. In a large fleet (§12.7) the largest shared part decides alone.
-Dispatcher::Home Dispatcher::home_of(Request const& request, Candidates const& candidates, Micros now) const {
-  Parts const& parts = request.query.parts;
+Dispatcher::PreferredWorker Dispatcher::preferred_worker(Request const& request, Candidates const& candidates,
+                                                         Micros now) const {
+  PromptParts const& parts = request.info.parts;
   std::size_t const shared = shared_parts(parts);
-  std::size_t const key = large_fleet_ && shared > 0 ? largest_part(parts, shared) : candidates.most_kept_parts;
-  Home out;
+  std::size_t const key = large_fleet_ && shared > 0 ? largest_part(parts, shared) : candidates.most_cached_parts;
+  PreferredWorker out;
   if (key >= shared) return out;
-  out.weight = large_fleet_ ? 0 : new_part_weight * static_cast<double>(parts.tokens[key]);
-  std::uint64_t home_rank = 0;
+  out.weight = large_fleet_ ? 0 : preferred_worker_discount * static_cast<double>(parts.tokens[key]);
+  std::uint64_t preferred_rank = 0;
   for (Candidate const& candidate : candidates.list) {
     if (candidate.worker->ejected > now) continue;
     std::uint64_t const rank = hash_text(candidate.worker->id, parts.path[key]);
-    if (!out.worker.empty() && rank <= home_rank) continue;
+    if (!out.worker.empty() && rank <= preferred_rank) continue;
     out.worker = candidate.worker->id;
-    home_rank = rank;
+    preferred_rank = rank;
   }
   return out;
 }
 
 // In a large fleet (§12.7) the home is believed to keep every shared part, so that no node has to announce what stays
 // at home.
-void Dispatcher::assume_kept_at_home(Request const& request, Home const& home, Candidates& candidates) const {
-  if (!large_fleet_ || home.worker.empty()) return;
-  std::size_t const shared = shared_parts(request.query.parts);
-  candidates.most_kept_parts = shared;
+void Dispatcher::assume_cached_at_preferred(Request const& request, PreferredWorker const& preferred,
+                                            Candidates& candidates) const {
+  if (!large_fleet_ || preferred.worker.empty()) return;
+  std::size_t const shared = shared_parts(request.info.parts);
+  candidates.most_cached_parts = shared;
   for (Candidate& candidate : candidates.list)
-    if (candidate.worker->id == home.worker) candidate.kept_parts = std::max(candidate.kept_parts, shared);
+    if (candidate.worker->id == preferred.worker) candidate.cached_parts = std::max(candidate.cached_parts, shared);
 }
 
 // §12.5: every worker has a price, in parts of what a late answer loses: how likely it makes the answer late, what it
 // reads though another worker keeps it, what crosses a zone's border, and how full the worker is.
 Dispatcher::PlacementCost Dispatcher::cost_of(Request const& request, Candidate const& candidate,
-                                              Candidates const& candidates, Home const& home, Micros now) const {
+                                              Candidates const& candidates, PreferredWorker const& preferred,
+                                              Micros now) const {
   Instance const& worker = *candidate.worker;
-  Parts const& parts = request.query.parts;
+  PromptParts const& parts = request.info.parts;
   PlacementCost out;
-  std::int64_t reread_tokens = 0;
+  std::int64_t recomputed_tokens = 0;
   for (std::size_t i = 0; i < parts.tokens.size(); ++i) {
-    if (i < candidate.kept_parts) out.kept_tokens += parts.tokens[i];
-    if (i >= candidate.kept_parts && i < candidates.most_kept_parts) reread_tokens += parts.tokens[i];
+    if (i < candidate.cached_parts) out.cached_tokens += parts.tokens[i];
+    if (i >= candidate.cached_parts && i < candidates.most_cached_parts) recomputed_tokens += parts.tokens[i];
   }
-  std::int64_t const prompt = prompt_tokens(request.query);
-  std::int64_t const size = prompt + request.query.tokens_out;
-  out.missing_tokens = std::max<std::int64_t>(0, prompt - out.kept_tokens);
-  Micros const reading = read_time(out.missing_tokens, out.kept_tokens);
-  out.first_event = static_cast<Micros>(worker.pace * static_cast<double>(first_least + reading)) + worker.busy(now);
+  std::int64_t const prompt = prompt_tokens(request.info);
+  std::int64_t const size = prompt + request.info.output_tokens;
+  out.uncached_tokens = std::max<std::int64_t>(0, prompt - out.cached_tokens);
+  Micros const reading = prefill_time(out.uncached_tokens, out.cached_tokens);
+  out.first_event =
+      static_cast<Micros>(worker.pace * static_cast<double>(first_event_min + reading)) + worker.busy(now);
   double const latency_target = static_cast<double>(std::max<Micros>(millis(1), request.route->latency_target));
   double const took = static_cast<double>(now - request.arrived_at + out.first_event);
-  double const blur = late_blur + 0.12 * static_cast<double>(out.first_event);
+  double const blur = prediction_error + 0.12 * static_cast<double>(out.first_event);
   out.price = 1.0 / (1.0 + std::exp(std::clamp((latency_target - took) / blur, -30.0, 30.0)));
   out.price += 0.1 * took / latency_target;
-  out.price += reread_price * static_cast<double>(reread_tokens);
+  out.price += recompute_price * static_cast<double>(recomputed_tokens);
   if (worker.zone != zone_) out.price += cross_zone_price * static_cast<double>(size);
-  if (worker.id == home.worker) out.price -= home.weight;
+  if (worker.id == preferred.worker) out.price -= preferred.weight;
   std::int64_t const load = worker.load(now);
   out.price += 0.05 * static_cast<double>(load) / static_cast<double>(std::max<std::int64_t>(1, worker.slots));
   if (load >= worker.slots) out.price += 2;
@@ -134,23 +138,23 @@
 void Dispatcher::place(Request& request, Micros now, DispatchEffects& out) {
   if (paused_) return;
   Candidates candidates = candidates_for(request, now);
-  Home const home = home_of(request, candidates, now);
-  assume_kept_at_home(request, home, candidates);
+  PreferredWorker const preferred = preferred_worker(request, candidates, now);
+  assume_cached_at_preferred(request, preferred, candidates);
   Instance* best = nullptr;
   PlacementCost best_cost;
   for (Candidate const& candidate : candidates.list) {
-    PlacementCost const cost = cost_of(request, candidate, candidates, home, now);
+    PlacementCost const cost = cost_of(request, candidate, candidates, preferred, now);
     if (best != nullptr && cost.price >= best_cost.price) continue;
     best = candidate.worker;
     best_cost = cost;
   }
   if (best == nullptr) return;
-  begin(request, *best, best_cost.missing_tokens, best_cost.kept_tokens, best_cost.first_event, best->id == home.worker,
-        now, out);
+  start_attempt(request, *best, best_cost.uncached_tokens, best_cost.cached_tokens, best_cost.first_event,
+                best->id == preferred.worker, now, out);
 }
 
 // Whether there is a worker that it has not been sent to, that takes requests and that would probably not turn it away.
-bool Dispatcher::another_is_free(Request const& request, Micros now) const {
+bool Dispatcher::has_free_alternative(Request const& request, Micros now) const {
   return std::any_of(registry_.all.begin(), registry_.all.end(),
                      [&](std::pair<std::string const, Instance> const& item) {
                        Instance const& at = item.second;
@@ -159,57 +163,58 @@
                      });
 }
 
-void Dispatcher::begin(Request& request, Instance& instance, std::int64_t missing, std::int64_t kept, Micros guess,
-                       bool at_home, Micros now, DispatchEffects& out) {
+void Dispatcher::start_attempt(Request& request, Instance& instance, std::int64_t uncached, std::int64_t cached,
+                               Micros predicted_first_event, bool is_preferred, Micros now, DispatchEffects& out) {
   check_invariant(instance.takes(), Invariant::leaving_worker,
                   [&] { return "request " + std::to_string(request.id) + " to " + instance.id; });
-  request.at = instance.id;
+  request.worker_id = instance.id;
   request.last_worker = instance.id;
-  request.progress = request.begun ? AttemptProgress::answering : AttemptProgress::none;
-  request.from = now;
-  request.heard = now;
-  request.guess = guess;
-  Micros const reading = static_cast<Micros>(instance.pace * static_cast<double>(read_time(missing, kept)));
-  request.busy = instance.busy(now);
+  request.progress = request.answer_begun ? AttemptProgress::answering : AttemptProgress::none;
+  request.attempt_started_at = now;
+  request.last_event_at = now;
+  request.predicted_first_event = predicted_first_event;
+  Micros const reading = static_cast<Micros>(instance.pace * static_cast<double>(prefill_time(uncached, cached)));
+  request.predicted_queue_time = instance.busy(now);
   instance.work(reading, now);
-  exchange_.work(instance.id, reading);
-  request.read = false;
+  exchange_.report_work(instance.id, reading);
+  request.first_event_received = false;
   request.attempted.insert(instance.id);
-  ++request.dials;
+  ++request.connect_attempts;
   ++instance.running;
-  instance.reserved_tokens += request.query.tokens_in + request.query.tokens_out;
+  instance.reserved_tokens += request.info.input_tokens + request.info.output_tokens;
   instance.last_sent = now;
-  if (instance.zone != zone_) ++tally.cross_zone_sends;
-  Parts const& parts = request.query.parts;
-  for (std::size_t i = 0; i + 1 < parts.tokens.size(); ++i) tally.tokens_shared += parts.tokens[i];
+  if (instance.zone != zone_) ++counters.cross_zone_sends;
+  PromptParts const& parts = request.info.parts;
+  for (std::size_t i = 0; i + 1 < parts.tokens.size(); ++i) counters.shared_tokens += parts.tokens[i];
   Index::Bounds bounds;
   bounds.blocks = static_cast<std::size_t>(request.pool->cache_tokens > 0 ? request.pool->cache_tokens
                                                                           : request.pool->cache_blocks);
   bounds.age = request.pool->cache_age;
   if (!large_fleet_ && !parts.path.empty())
-    exchange_.delta(request.tree,
-                    index_sync_.index(request.tree).touch(parts.path, instance.id, 1, bounds, now, parts.tokens));
-  if (large_fleet_ && !at_home && parts.path.size() > 1) {
+    exchange_.report_index_change(
+        request.index_name,
+        index_sync_.index(request.index_name).touch(parts.path, instance.id, 1, bounds, now, parts.tokens));
+  if (large_fleet_ && !is_preferred && parts.path.size() > 1) {
     // The shared parts alone, whole, so that no peer has to know anything to take them in.
     Path const path(parts.path.begin(), parts.path.end() - 1);
     std::vector<std::uint32_t> const tokens(parts.tokens.begin(), parts.tokens.end() - 1);
-    wire::DeltaT delta = index_sync_.index(request.tree).touch(path, instance.id, 1, bounds, now, tokens);
+    wire::DeltaT delta = index_sync_.index(request.index_name).touch(path, instance.id, 1, bounds, now, tokens);
     delta.base = 0;
     delta.tail = path;
     delta.weights = tokens;
-    exchange_.delta(request.tree, std::move(delta));
+    exchange_.report_index_change(request.index_name, std::move(delta));
   }
   Attempt start;
   start.request = request.id;
   start.instance = instance.id;
   start.address = instance.address;
-  start.within = dial_most;
-  start.remaining = std::max<Micros>(millis(1), request.due - now);
+  start.connect_timeout = connect_timeout;
+  start.timeout = std::max<Micros>(millis(1), request.deadline - now);
   start.rank = rank_of(request);
   start.tenant = request.tenant;
-  start.keyed = rules_->keys_required;
-  start.resumed = request.begun;
-  out.starts.push_back(std::move(start));
+  start.keys_required = rules_->keys_required;
+  start.resumes_answer = request.answer_begun;
+  out.attempts.push_back(std::move(start));
 }
 
 }  // namespace pipit
--- a/src/routing/dispatch/parts.cc
+++ b/src/routing/dispatch/prompt_parts.cc
@@ -20,8 +20,8 @@
 }
 }  // namespace
 
-Parts parse_parts(std::string_view text) {
-  Parts out;
+PromptParts parse_prompt_parts(std::string_view text) {
+  PromptParts out;
   std::uint64_t hash = 1;
   while (!text.empty() && out.path.size() < block_most) {
     std::size_t const cut = std::min(text.find(','), text.size());
--- a/src/routing/dispatch/share_turns.cc
+++ b/src/routing/dispatch/share_turns.cc
@@ -8,14 +8,14 @@
 namespace pipit {
 
 namespace {
-constexpr std::size_t routes_most = 4096;  // that are remembered; those of former configurations go with the rest
-constexpr std::uint64_t begin_turns = 997;
+constexpr std::size_t routes_max = 4096;  // that are remembered; those of former configurations go with the rest
+constexpr std::uint64_t initial_turns_max = 997;
 }  // namespace
 
 ShareTurns::ShareTurns(std::string const& self) : seed_(hash_text(self)) {}
 
 ShareTurns::Turns& ShareTurns::turns_of(Route const& route) {
-  if (routes_.size() > routes_most) routes_.clear();
+  if (routes_.size() > routes_max) routes_.clear();
   Turns& turns = routes_[route.name];
   std::vector<std::int64_t> weights;
   for (Route::Share const& share : route.shares) weights.push_back(share.weight);
@@ -23,7 +23,7 @@
   turns.weights = std::move(weights);
   turns.credit.assign(turns.weights.size(), 0);
   // Somewhere in the middle of its turns, so that few requests at many nodes are spread like many at one.
-  for (std::uint64_t n = hash_text(route.name, seed_) % begin_turns; n > 0; --n) take_turn(turns);
+  for (std::uint64_t n = hash_text(route.name, seed_) % initial_turns_max; n > 0; --n) take_turn(turns);
   return turns;
 }
 
--- a/src/routing/dispatch/share_turns.h
+++ b/src/routing/dispatch/share_turns.h
@@ -1,5 +1,5 @@
-// Whose turn it is among the weighted parts of a route. Parts take turns by what they are owed, so that a part's share
-// holds over few requests as well; drawn by chance, 300 requests would miss it by 0.05 one time in twelve.
+// Whose turn it is among the weighted parts of a route. PromptParts take turns by what they are owed, so that a part's
+// share holds over few requests as well; drawn by chance, 300 requests would miss it by 0.05 one time in twelve.
 #pragma once
 #include <cstddef>
 #include <cstdint>
--- a/src/routing/exchange/exchange.cc
+++ b/src/routing/exchange/report_exchange.cc
@@ -1,42 +1,45 @@
-#include "routing/exchange/exchange.h"
+#include "routing/exchange/report_exchange.h"
 
 #include <algorithm>
 
 namespace pipit {
 
 namespace {
-constexpr Micros urgent_work = millis(40);  // a worker that is busy for longer is told of at once
+constexpr Micros urgent_work_min = millis(40);  // that makes a report due at once
 constexpr Micros loads_interval = millis(200);
 constexpr Micros deltas_interval = millis(500);
-constexpr std::size_t deltas_most = 4096;
+constexpr std::size_t deltas_max = 4096;  // queued changes per index
 
+// Which leg of the path through the hubs a message is on; a message on the last leg is not relayed.
 enum Hops : std::uint8_t { to_hub = 0, to_hubs = 1, last = 2 };
 }  // namespace
 
-void Exchange::work(std::string const& worker, Micros span) {
-  LoadReport& report = own(worker);
+void ReportExchange::report_work(std::string const& worker, Micros span) {
+  LoadReport& report = own_report(worker);
   report.work += span;
-  urgent_ = urgent_ || report.work >= urgent_work;
+  urgent_ = urgent_ || report.work >= urgent_work_min;
 }
 
-void Exchange::load(std::string const& worker, std::int64_t running) { own(worker).running = running; }
+void ReportExchange::report_load(std::string const& worker, std::int64_t running) {
+  own_report(worker).running = running;
+}
 
-void Exchange::suspect(std::string const& worker) {
-  own(worker).suspected = true;
+void ReportExchange::report_suspect(std::string const& worker) {
+  own_report(worker).suspected = true;
   urgent_ = true;
 }
 
-void Exchange::delta(std::string const& tree, wire::DeltaT item) {
+void ReportExchange::report_index_change(std::string const& index_name, wire::DeltaT item) {
   if (item.base == 0 && item.tail.empty()) return;
-  std::vector<wire::DeltaT>& list = deltas_[tree];
-  if (list.size() < deltas_most) list.push_back(std::move(item));
+  std::vector<wire::DeltaT>& list = deltas_[index_name];
+  if (list.size() < deltas_max) list.push_back(std::move(item));
 }
 
-void Exchange::pass(std::string const& from, wire::LoadsT const& message) {
+void ReportExchange::relay(std::string const& from, wire::LoadsT const& message) {
   if (message.hops == Hops::last) return;
-  LoadReports& into = message.hops == Hops::to_hub ? zone_reports_[from] : cross_zone_reports_;
+  LoadReports& reports = message.hops == Hops::to_hub ? zone_reports_[from] : cross_zone_reports_;
   for (std::unique_ptr<wire::LoadT> const& item : message.list) {
-    LoadReport& report = into[item->worker];
+    LoadReport& report = reports[item->worker];
     report.work += item->reading;
     if (item->attempts > 0) report.running = item->attempts;
     report.suspected = report.suspected || item->suspected;
@@ -44,14 +47,14 @@
   urgent_ = true;
 }
 
-void Exchange::pass(wire::DeltasT const& message) {
+void ReportExchange::relay(wire::DeltasT const& message) {
   if (message.hops == Hops::last) return;
   std::vector<wire::DeltaT>& list = (message.hops == Hops::to_hub ? deltas_ : cross_zone_deltas_)[message.model];
   for (std::unique_ptr<wire::DeltaT> const& item : message.list)
-    if (list.size() < deltas_most) list.push_back(*item);
+    if (list.size() < deltas_max) list.push_back(*item);
 }
 
-wire::LoadsT Exchange::loads_of(std::vector<LoadReports const*> const& parts, std::uint8_t hops) {
+wire::LoadsT ReportExchange::loads_of(std::vector<LoadReports const*> const& parts, std::uint8_t hops) {
   LoadReports sum;
   for (LoadReports const* const part : parts)
     for (std::pair<std::string const, LoadReport> const& item : *part) {
@@ -73,21 +76,21 @@
   return out;
 }
 
-void Exchange::tick(Micros now, Paths const& paths, std::vector<OutgoingMessage>& out) {
+void ReportExchange::tick(Micros now, GossipPaths const& paths, std::vector<OutgoingMessage>& out) {
   bool const any = !zone_reports_.empty() || !cross_zone_reports_.empty();
   if (any && (urgent_ || now >= next_loads_)) {
     urgent_ = false;
     next_loads_ = now + loads_interval;
     std::vector<LoadReports const*> zone;
     for (std::pair<std::string const, LoadReports> const& item : zone_reports_) zone.push_back(&item.second);
-    if (!paths.wide) {
+    if (!paths.hierarchical) {
       wire::LoadsT const message = loads_of(zone, Hops::last);
-      for (std::string const& name : paths.all) out.push_back(message_to(name, wire::LoadsT(message)));
-    } else if (!paths.hub) {
-      if (!paths.own_hub.empty()) out.push_back(message_to(paths.own_hub, loads_of(zone, Hops::to_hub)));
+      for (std::string const& name : paths.peers) out.push_back(message_to(name, wire::LoadsT(message)));
+    } else if (!paths.is_hub) {
+      if (!paths.zone_hub.empty()) out.push_back(message_to(paths.zone_hub, loads_of(zone, Hops::to_hub)));
     } else {
-      // Nobody is told its own words again: they would count twice.
-      for (std::string const& name : paths.zone) {
+      // A node is not sent its own reports back: it would count them twice.
+      for (std::string const& name : paths.zone_peers) {
         std::vector<LoadReports const*> parts{&cross_zone_reports_};
         for (std::pair<std::string const, LoadReports> const& item : zone_reports_)
           if (item.first != name) parts.push_back(&item.second);
@@ -96,7 +99,7 @@
       }
       if (!zone.empty()) {
         wire::LoadsT const message = loads_of(zone, Hops::to_hubs);
-        for (std::string const& name : paths.hubs) out.push_back(message_to(name, wire::LoadsT(message)));
+        for (std::string const& name : paths.remote_hubs) out.push_back(message_to(name, wire::LoadsT(message)));
       }
     }
     zone_reports_.clear();
@@ -108,25 +111,25 @@
   std::map<std::string, std::vector<wire::DeltaT>> const cross_zone_list = std::move(cross_zone_deltas_);
   deltas_.clear();
   cross_zone_deltas_.clear();
-  for (int side = 0; side < 2; ++side)
-    for (std::pair<std::string const, std::vector<wire::DeltaT>> const& tree :
-         side == 0 ? zone_list : cross_zone_list) {
+  for (bool const cross_zone : {false, true})
+    for (std::pair<std::string const, std::vector<wire::DeltaT>> const& index :
+         cross_zone ? cross_zone_list : zone_list) {
       wire::DeltasT message;
-      message.model = tree.first;
-      for (wire::DeltaT const& item : tree.second) message.list.push_back(std::make_unique<wire::DeltaT>(item));
+      message.model = index.first;
+      for (wire::DeltaT const& item : index.second) message.list.push_back(std::make_unique<wire::DeltaT>(item));
       message.hops = Hops::last;
-      std::vector<std::string> names = paths.all;
-      if (paths.wide && !paths.hub) {
+      std::vector<std::string> names = paths.peers;
+      if (paths.hierarchical && !paths.is_hub) {
         message.hops = Hops::to_hub;
         names.clear();
-        if (!paths.own_hub.empty()) names.push_back(paths.own_hub);
-      } else if (paths.wide) {
-        names = paths.zone;
+        if (!paths.zone_hub.empty()) names.push_back(paths.zone_hub);
+      } else if (paths.hierarchical) {
+        names = paths.zone_peers;
       }
       for (std::string const& name : names) out.push_back(message_to(name, wire::DeltasT(message)));
-      if (!paths.wide || !paths.hub || side == 1) continue;
+      if (!paths.hierarchical || !paths.is_hub || cross_zone) continue;
       message.hops = Hops::to_hubs;
-      for (std::string const& name : paths.hubs) out.push_back(message_to(name, wire::DeltasT(message)));
+      for (std::string const& name : paths.remote_hubs) out.push_back(message_to(name, wire::DeltasT(message)));
     }
 }
 
--- /dev/null
+++ b/src/routing/exchange/report_exchange.h
@@ -0,0 +1,67 @@
+// Gossip between nodes about worker loads, worker suspicions and cached prompt parts, sent promptly and with few frames
+// (design §12.7). Best effort: a lost report makes placement worse, never an answer wrong.
+#pragma once
+#include <map>
+#include <string>
+#include <vector>
+
+#include "consensus/register/outgoing_message.h"
+#include "routing/registry/registry.h"
+
+namespace pipit {
+
+// Which peers this node sends reports to. In a small cluster every node sends to all peers. In a large one a node sends
+// to the hub of its zone; the hub aggregates the reports since its last message and sends them to the nodes of the zone
+// and to the hubs of the other zones.
+struct GossipPaths {
+  bool hierarchical = false;             // reports travel through hubs
+  bool is_hub = false;                   // this node is the hub of its zone
+  std::string zone_hub;                  // the hub of this node's zone; empty if none is reachable
+  std::vector<std::string> zone_peers;   // peers in this node's zone
+  std::vector<std::string> remote_hubs;  // hubs of the other zones
+  std::vector<std::string> peers;        // every peer
+};
+
+// Collects the reports on workers of this node and, on a hub, of its peers, and batches them into messages. Messages
+// are neither retried nor acknowledged.
+class ReportExchange {
+ public:
+  explicit ReportExchange(std::string self) : self_(std::move(self)) {}
+
+  // Reports of this node. 'span' is the predicted prompt processing time of a request sent to the worker, in
+  // microseconds.
+  void report_work(std::string const& worker, Micros span);
+  // The number of requests that run and wait at the worker, as counted by the worker.
+  void report_load(std::string const& worker, std::int64_t running);
+  // A connection to the worker broke or is silent.
+  void report_suspect(std::string const& worker);
+  // A change of the prefix index 'index_name'. Dropped when too many changes are queued.
+  void report_index_change(std::string const& index_name, wire::DeltaT item);
+  // Queues reports of the peer 'from', which this node has applied already, for the nodes that this hub forwards to.
+  void relay(std::string const& from, wire::LoadsT const& message);
+  void relay(wire::DeltasT const& message);
+
+  // Appends the messages that are due to 'out'.
+  void tick(Micros now, GossipPaths const& paths, std::vector<OutgoingMessage>& out);
+
+ private:
+  struct LoadReport {
+    Micros work = 0;            // predicted processing time of requests sent since the last message
+    std::int64_t running = -1;  // -1: not reported
+    bool suspected = false;
+  };
+  using LoadReports = std::map<std::string, LoadReport>;  // by worker
+  static wire::LoadsT loads_of(std::vector<LoadReports const*> const& parts, std::uint8_t hops);
+  LoadReport& own_report(std::string const& worker) { return zone_reports_[self_][worker]; }
+
+  std::string const self_;
+  std::map<std::string, LoadReports> zone_reports_;                     // of this zone, by reporting node
+  LoadReports cross_zone_reports_;                                      // of other zones
+  std::map<std::string, std::vector<wire::DeltaT>> deltas_;             // of this zone, by index name
+  std::map<std::string, std::vector<wire::DeltaT>> cross_zone_deltas_;  // of other zones, by index name
+  bool urgent_ = false;
+  Micros next_loads_ = 0;
+  Micros next_deltas_ = 0;
+};
+
+}  // namespace pipit
--- a/src/runtime/http/chat_upstream.cc
+++ b/src/runtime/http/chat_upstream.cc
@@ -21,7 +21,7 @@
 
 struct ChatUpstream::ChatAttempt {
   ChatUpstream* upstream = nullptr;
-  Start start;
+  ChatAttemptStart start;
   std::string id;
   bool stream = false;
   SoupMessage* message = nullptr;
@@ -75,8 +75,8 @@
   return G_SOURCE_REMOVE;
 }
 
-void ChatUpstream::start(Start const& start, std::string const& id, std::string const& path, std::string const& body,
-                         bool stream) {
+void ChatUpstream::start(ChatAttemptStart const& start, std::string const& id, std::string const& path,
+                         std::string const& body, bool stream) {
   std::shared_ptr<ChatAttempt> const attempt = std::make_shared<ChatAttempt>();
   attempt->upstream = this;
   attempt->start = start;
@@ -119,7 +119,7 @@
   attempt.sent = true;
   if (attempt.over) return;
   attempt.upstream->callbacks_.sent(attempt.start.chat_request);
-  attempt.upstream->arm(attempt, attempt.start.answer);
+  attempt.upstream->arm(attempt, attempt.start.first_byte_timeout);
   if (fires(FaultPoint::attempt_break_sent)) g_cancellable_cancel(attempt.stop);
 }
 
@@ -221,12 +221,12 @@
       return finish(attempt, attempt.events == 0 ? ChatAttemptEnd::wrong : ChatAttemptEnd::torn,
                     "the worker reports an error");
     // N4: an answer to another request is never passed on.
-    if (!answers_to(chunk.id, attempt.id))
+    if (!id_matches_request(chunk.id, attempt.id))
       return finish(attempt, attempt.events == 0 ? ChatAttemptEnd::wrong : ChatAttemptEnd::torn,
                     "a piece of another request: " + chunk.id);
     ++attempt.events;
     callbacks_.event(attempt.start.chat_request, event);
-    arm(attempt, attempt.start.stall);
+    arm(attempt, attempt.start.idle_timeout);
     if (fires(FaultPoint::attempt_break_begun)) return finish(attempt, ChatAttemptEnd::torn, "fault point 9");
   }
   if (attempt.splitter.size() > answer_most) finish(attempt, ChatAttemptEnd::wrong, "a piece is larger than the limit");
@@ -237,12 +237,12 @@
     ParsedChunk const chunk = parse_chunk(attempt.answer_text);
     if (!chunk.json) return finish(attempt, ChatAttemptEnd::torn, "the answer is not whole JSON");
     if (chunk.error) return finish(attempt, ChatAttemptEnd::wrong, "the worker reports an error");
-    if (!answers_to(chunk.id, attempt.id))
+    if (!id_matches_request(chunk.id, attempt.id))
       return finish(attempt, ChatAttemptEnd::wrong, "the answer to another request: " + chunk.id);
     callbacks_.answer(attempt.start.chat_request, std::move(attempt.answer_text));
     return finish(attempt, ChatAttemptEnd::done, "");
   }
-  if (!attempt.closed || attempt.splitter.rest())
+  if (!attempt.closed || attempt.splitter.has_partial_event())
     return finish(attempt, attempt.events == 0 ? ChatAttemptEnd::broke : ChatAttemptEnd::torn,
                   "the stream ended before its end");
   finish(attempt, ChatAttemptEnd::done, "");
--- a/src/runtime/http/chat_upstream.h
+++ b/src/runtime/http/chat_upstream.h
@@ -24,7 +24,8 @@
   ~ChatUpstream();
 
   // 'id' is what the worker is told and must answer with.
-  void start(Start const& start, std::string const& id, std::string const& path, std::string const& body, bool stream);
+  void start(ChatAttemptStart const& start, std::string const& id, std::string const& path, std::string const& body,
+             bool stream);
   void cut(std::uint64_t chat_request);
   std::size_t open() const { return attempts_.size(); }
 
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -39,13 +39,13 @@
   if (call.body.size() > settings_.body)
     return refuse(call.id,
                   Error{ErrorCode::too_large, "a body has at most " + std::to_string(settings_.body) + " bytes", ""});
-  Result<Ask> ask = parse_ask(call.body, chat ? Form::chat : Form::completion);
+  Result<ChatRequestInfo> ask = parse_chat_request(call.body, chat ? ChatApi::chat : ChatApi::completion);
   if (!ask) return refuse(call.id, ask.error());
   ask.value().lane = call.header("X-Pipit-Lane");
   std::string const repeat = call.header("X-Pipit-Repeat");
   if (!repeat.empty() && repeat != "safe" && repeat != "never")
     return refuse(call.id, Error{ErrorCode::bad_request, "X-Pipit-Repeat takes safe or never", ""});
-  ask.value().safe = repeat == "safe";
+  ask.value().repeatable = repeat == "safe";
   Caller caller;
   caller.id = settings_.name + "-" + std::to_string(node_->plan.incarnation) + "-" + std::to_string(call.id);
   caller.path = call.path;
--- a/src/runtime/router_host.cc
+++ b/src/runtime/router_host.cc
@@ -191,7 +191,7 @@
     connection_names_.erase(id);
     connections_->shut(id);
   }
-  for (Start const& start : out.chat.starts) {
+  for (ChatAttemptStart const& start : out.chat.attempts) {
     std::map<std::uint64_t, Caller>::iterator const position = callers_.find(start.chat_request);
     if (position == callers_.end()) continue;
     Worker const* const worker = node_->fleet.find(start.worker);
@@ -199,8 +199,8 @@
     attempts_with_[position->second.worker_zone] += position->second.body.size();
     attempts_->start(start, position->second.id, position->second.path, position->second.body, position->second.stream);
   }
-  for (Verdict const& verdict : out.chat.ends) finish(verdict);
-  for (std::uint64_t const id : out.chat.drops) attempts_->cut(id);
+  for (ChatFailure const& verdict : out.chat.failures) finish(verdict);
+  for (std::uint64_t const id : out.chat.cancelled_attempts) attempts_->cut(id);
   for (Reply const& item : out.replies) reply(item);
   if (out.read_list) {
     if (fires(FaultPoint::list_fail)) {
@@ -248,9 +248,9 @@
   chat_server_->answer(id, answer_for(error));
 }
 
-void RouterHost::finish(Verdict const& verdict) {
+void RouterHost::finish(ChatFailure const& verdict) {
   ++kinds_[error_code_row(verdict.error.code).name];
-  Answer const out = answer_for(verdict.error, verdict.execution, verdict.wait);
+  Answer const out = answer_for(verdict.error, verdict.execution, verdict.retry_after);
   std::map<std::uint64_t, Caller>::iterator const position = callers_.find(verdict.chat_request);
   if (position == callers_.end()) return;
   bool const begun = position->second.begun;
--- a/src/runtime/router_host.h
+++ b/src/runtime/router_host.h
@@ -39,7 +39,7 @@
   void on_operator(ChatServer::Call const& call);
   void on_fault(ChatServer::Call const& call);
   void refuse(std::uint64_t id, Error const& error);
-  void finish(Verdict const& verdict);
+  void finish(ChatFailure const& verdict);
   void reply(Reply const& reply);
   std::string status() const;
   std::string metrics() const;
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -48,24 +48,24 @@
     json.key("slots").number(slots).key("sent").number(static_cast<std::int64_t>(worker.sent));
     json.key("demand").number(worker.guess()).end_object();
   }
-  json.end_list().key("backlog").number(static_cast<std::int64_t>(node_->chat_dispatcher.waiting()));
+  json.end_list().key("backlog").number(static_cast<std::int64_t>(node_->chat_dispatcher.backlog_size()));
   json.key("under_way").number(static_cast<std::int64_t>(node_->under_way())).end_object();
   return json.take();
 }
 
 std::string RouterHost::metrics() const {
-  Tally const& t = node_->chat_dispatcher.tally;
+  ChatCounters const& t = node_->chat_dispatcher.counters;
   MetricsText text;
-  text.counter("pipit_asked_total", t.asked);
+  text.counter("pipit_asked_total", t.received);
   text.counter("pipit_first_sends_total", t.first_sends);
-  text.counter("pipit_resends_total", t.resends);
+  text.counter("pipit_resends_total", t.retries);
   text.counter("pipit_done_total", t.done);
   text.counter("pipit_refused_total", t.refused);
-  text.counter("pipit_streams_broken_total", t.broken);
-  text.counter("pipit_hangups_total", t.hangups);
-  text.counter("pipit_expired_total", t.late);
-  text.counter("pipit_blocks_asked_total", t.blocks_asked);
-  text.counter("pipit_blocks_hit_total", t.blocks_hit);
+  text.counter("pipit_streams_broken_total", t.aborted);
+  text.counter("pipit_hangups_total", t.client_disconnects);
+  text.counter("pipit_expired_total", t.expired);
+  text.counter("pipit_blocks_asked_total", t.prompt_blocks);
+  text.counter("pipit_blocks_hit_total", t.cached_blocks);
   text.counter("pipit_far_sends_total", t.cross_zone_sends);
   text.counter("pipit_wire_bytes_total", connection_bytes_);
   text.counter("pipit_frames_in_total", node_->mesh.frames_received);
@@ -76,7 +76,7 @@
   text.gauge("pipit_longest_turn_us", static_cast<std::uint64_t>(longest_turn_));
   text.gauge("pipit_serial", node_->learner.serial());
   text.gauge("pipit_ready", node_->ready() ? 1u : 0u);
-  text.gauge("pipit_backlog", node_->chat_dispatcher.waiting());
+  text.gauge("pipit_backlog", node_->chat_dispatcher.backlog_size());
   text.gauge("pipit_under_way", node_->under_way());
   text.gauge("pipit_wires", node_->mesh.open_connections());
   text.counters("pipit_mesh_bytes_total", "zone", mesh_to_);
--- a/src/server/failure_log.cc
+++ b/src/server/failure_log.cc
@@ -30,10 +30,10 @@
 void FailureLog::write(FailedRequest const& failed, std::string const& attempt, std::string const& why,
                        AnswerProgress const& answer, Micros now) {
   if (log_is_muted() || !affords(now)) return;
-  std::string detail = "id " + attempt + " " + failed_end_name(failed.end) + " " + error_code_row(failed.kind).name +
-                       " route '" + failed.route + "' held " + in_ms(failed.open_for) + " ms left " +
-                       in_ms(failed.remaining) + " ms sends " + std::to_string(failed.sends) + " dials " +
-                       std::to_string(failed.dials);
+  std::string detail = "id " + attempt + " " + failure_outcome_name(failed.outcome) + " " +
+                       error_code_row(failed.error).name + " route '" + failed.route + "' held " +
+                       in_ms(failed.duration) + " ms left " + in_ms(failed.time_remaining) + " ms sends " +
+                       std::to_string(failed.sends) + " dials " + std::to_string(failed.connect_attempts);
   if (!failed.worker.empty())
     detail += " worker " + failed.worker + " reach " + attempt_progress_name(failed.progress) + " silent " +
               in_ms(failed.silent_for) + " ms";
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -79,7 +79,7 @@
   connections_ = std::make_unique<Connections>(std::move(we));
 
   RequestProxy::Callbacks proxy_callbacks;
-  proxy_callbacks.request = [this](std::uint64_t id, Query query) {
+  proxy_callbacks.request = [this](std::uint64_t id, RequestInfo query) {
     NodeEffects out;
     node_->request(id, std::move(query), now(), out);
     act(out);
@@ -89,7 +89,7 @@
     node_->attempt_ended(id, end, elsewhere, now(), out);
     act(out);
   };
-  proxy_callbacks.disconnected = [this](std::uint64_t id) { return node_->dispatcher.hung_up(id, now()); };
+  proxy_callbacks.disconnected = [this](std::uint64_t id) { return node_->dispatcher.on_client_disconnect(id, now()); };
   proxy_ = std::make_unique<RequestProxy>(node_->dispatcher, plan_.dialect, plan_.own_host, std::move(proxy_callbacks));
   control_server_ = std::make_unique<Server>(
       Server::Callbacks{[this](Server::Call&& call) { on_call(std::move(call)); }, [](std::uint64_t) {}});
--- a/src/server/node_server.h
+++ b/src/server/node_server.h
@@ -80,7 +80,7 @@
   std::string status() const;
   std::string metrics() const;
   std::string tenants() const;
-  std::map<std::string, std::uint64_t> by_tenant(std::uint64_t TenantTally::*of) const;
+  std::map<std::string, std::uint64_t> by_tenant(std::uint64_t TenantCounters::*of) const;
 
   NodeServerPlan const plan_;
   GMainLoop* loop_;
--- a/src/server/node_server_status.cc
+++ b/src/server/node_server_status.cc
@@ -88,7 +88,7 @@
         .number(at.load(now()))
         .end_object();
   }
-  json.end_list().key("under_way").number(static_cast<std::int64_t>(node_->dispatcher.under_way())).end_object();
+  json.end_list().key("under_way").number(static_cast<std::int64_t>(node_->dispatcher.active_requests())).end_object();
   return json.take();
 }
 
@@ -104,10 +104,10 @@
     for (Digest const& key : tenant.keys) json.text(short_text(key));
     json.end_list().key("counts").text(tenant.unit == CountingUnit::tokens ? "tokens" : "requests");
     json.key("rate").number(tenant.rate).key("burst").number(tenant.burst);
-    TenantTally const asked = value_at(node_->dispatcher.tenant_tallies, tenant.name);
+    TenantCounters const asked = value_at(node_->dispatcher.tenant_counters, tenant.name);
     QuotaOwner::Tally const granted = value_at(node_->quota_authority().owner().tallies, tenant.name);
     json.key("here").begin_object();
-    json.key("asked").number(static_cast<std::int64_t>(asked.asked));
+    json.key("asked").number(static_cast<std::int64_t>(asked.quota_requests));
     json.key("refused").number(static_cast<std::int64_t>(asked.refused));
     json.key("unreachable").number(static_cast<std::int64_t>(asked.unreachable));
     json.key("granted_for_all").number(static_cast<std::int64_t>(granted.count));
@@ -118,27 +118,27 @@
 }
 
 // A row for each of the first tenants by name, and one for the rest, however many there are.
-std::map<std::string, std::uint64_t> NodeServer::by_tenant(std::uint64_t TenantTally::*of) const {
+std::map<std::string, std::uint64_t> NodeServer::by_tenant(std::uint64_t TenantCounters::*of) const {
   std::map<std::string, std::uint64_t> out;
-  for (std::pair<std::string const, TenantTally> const& item : node_->dispatcher.tenant_tallies)
+  for (std::pair<std::string const, TenantCounters> const& item : node_->dispatcher.tenant_counters)
     out[out.size() < tenant_rows_most ? item.first : "(others)"] += item.second.*of;
   return out;
 }
 
 std::string NodeServer::metrics() const {
-  DispatchTally const& t = node_->dispatcher.tally;
+  DispatchCounters const& t = node_->dispatcher.counters;
   MetricsText text;
-  text.counter("pipit_asked_total", t.asked);
+  text.counter("pipit_asked_total", t.received);
   text.counter("pipit_done_total", t.served);
   text.counter("pipit_refused_total", t.refused);
   text.counter("pipit_failed_total", t.failed);
-  text.counter("pipit_passed_total", t.passed);
-  text.counter("pipit_streams_broken_total", t.broken);
-  text.counter("pipit_hangups_total", t.hangups);
-  text.counter("pipit_first_sends_total", t.sends - t.resends);
-  text.counter("pipit_resends_total", t.resends);
-  text.counter("pipit_resumes_total", t.resumes);
-  text.counter("pipit_silences_total", t.silences);
+  text.counter("pipit_passed_total", t.forwarded_failures);
+  text.counter("pipit_streams_broken_total", t.aborted);
+  text.counter("pipit_hangups_total", t.client_disconnects);
+  text.counter("pipit_first_sends_total", t.sends - t.retries);
+  text.counter("pipit_resends_total", t.retries);
+  text.counter("pipit_resumes_total", t.resumed);
+  text.counter("pipit_silences_total", t.silent_attempts);
   text.counter("pipit_far_sends_total", t.cross_zone_sends);
   text.counter("pipit_connections_dialled_total", proxy_->upstream.dialled);
   text.counter("pipit_connections_reused_total", proxy_->upstream.reused);
@@ -154,8 +154,8 @@
   text.gauge("pipit_quorum_heard_ms_ago", age_ms(node_->learner.last_quorum_at(), now()));
   text.gauge("pipit_ready", node_->ready() ? 1u : 0u);
   text.gauge("pipit_stopping", stop_from_ >= 0 ? 1u : 0u);
-  text.gauge("pipit_under_way", node_->dispatcher.under_way());
-  text.gauge("pipit_oldest_request_ms", static_cast<std::uint64_t>(node_->dispatcher.oldest(now()) / 1000));
+  text.gauge("pipit_under_way", node_->dispatcher.active_requests());
+  text.gauge("pipit_oldest_request_ms", static_cast<std::uint64_t>(node_->dispatcher.oldest_request_age(now()) / 1000));
   text.gauge("pipit_callers", proxy_->server.connections());
   text.gauge("pipit_orders_under_way", asked_.size());
   text.gauge("pipit_wires", node_->mesh.open_connections());
@@ -168,9 +168,9 @@
   text.counter("pipit_keys_unconfirmed_total", t.unconfirmed);
   text.counter("pipit_quota_messages_total", node_->quota_authority().client().tally.messages);
   text.counter("pipit_quota_timeouts_total", node_->quota_authority().client().tally.timeouts);
-  text.counters("pipit_quota_asked_total", "tenant", by_tenant(&TenantTally::asked));
-  text.counters("pipit_quota_refused_total", "tenant", by_tenant(&TenantTally::refused));
-  text.counters("pipit_quota_unreachable_total", "tenant", by_tenant(&TenantTally::unreachable));
+  text.counters("pipit_quota_asked_total", "tenant", by_tenant(&TenantCounters::quota_requests));
+  text.counters("pipit_quota_refused_total", "tenant", by_tenant(&TenantCounters::refused));
+  text.counters("pipit_quota_unreachable_total", "tenant", by_tenant(&TenantCounters::unreachable));
   text.counters("pipit_answers_total", "kind", proxy_->kinds);
   text.counters("pipit_order_answers_total", "status", order_answers_);
   text.invariants();
--- a/src/server/request_proxy.cc
+++ b/src/server/request_proxy.cc
@@ -108,7 +108,7 @@
       upstream({[this](std::uint64_t id) {
                   std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
                   if (position != callers_.end()) ++position->second.sent;
-                  dispatcher_.sent(id, now());
+                  dispatcher_.on_sent(id, now());
                 },
                 [this](std::uint64_t id, Head const& head, bool first) { return on_head(id, head, first); },
                 [this](std::uint64_t id, std::string_view bytes) { on_body(id, bytes); },
@@ -137,28 +137,28 @@
 void RequestProxy::on_call(Server::Call&& call) {
   // Its end is read next: no worker is to begin with what nobody waits for.
   if (server.given_up(call.id)) return;
-  Query query;
+  RequestInfo query;
   query.host = call.head.get("Host");
   std::size_t const port = query.host.rfind(':');
   if (port != std::string::npos && query.host.find(']', port) == std::string::npos) query.host.resize(port);
   query.path = call.head.target.substr(0, call.head.target.find('?'));
   query.model = call.head.get(dialect_.model);
-  query.parts = parse_parts(call.head.get(dialect_.parts));
+  query.parts = parse_prompt_parts(call.head.get(dialect_.parts));
   std::string const tokens = call.head.get(dialect_.tokens);
-  query.tokens_in = count_from(tokens.c_str(), nullptr);
+  query.input_tokens = count_from(tokens.c_str(), nullptr);
   std::size_t const comma = tokens.find(',');
-  if (comma != std::string::npos) query.tokens_out = count_from(tokens.c_str() + comma + 1, nullptr);
-  query.names_tokens = !tokens.empty();
-  query.key = key_of(call.head, dialect_);
-  query.remaining = time_left(call.head.find(dialect_.remaining));
-  query.read_for = std::max<Micros>(0, now() - call.arrived_at);
-  query.after = call.head.get(dialect_.after);
+  if (comma != std::string::npos) query.output_tokens = count_from(tokens.c_str() + comma + 1, nullptr);
+  query.has_token_counts = !tokens.empty();
+  query.key_digest = key_of(call.head, dialect_);
+  query.time_remaining = time_left(call.head.find(dialect_.remaining));
+  query.receive_time = std::max<Micros>(0, now() - call.arrived_at);
+  query.last_event_id = call.head.get(dialect_.after);
   Caller caller;
   caller.head = std::move(call.head);
   drop_hop_fields(caller.head, end_to_end_);
   caller.body = std::move(call.body);
   caller.attempt = caller.head.get(dialect_.attempt);
-  caller.last_event = query.after;
+  caller.last_event = query.last_event_id;
   std::uint64_t const id = call.id;
   callers_.emplace(id, std::move(caller));
   callbacks_.request(id, std::move(query));
@@ -186,45 +186,46 @@
 }
 
 void RequestProxy::act(DispatchEffects& out) {
-  for (FailedRequest const& failed : out.failed) log_failure(failed);
-  for (std::uint64_t const id : out.cuts) upstream.cut(id);
-  for (std::uint64_t const id : out.passes) {
+  for (FailedRequest const& failed : out.failed_requests) log_failure(failed);
+  for (std::uint64_t const id : out.cancelled_attempts) upstream.cut(id);
+  for (std::uint64_t const id : out.forwarded_failures) {
     std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
     if (position == callers_.end()) continue;
     Caller const caller = std::move(position->second);
     callers_.erase(position);
     server.answer(id, caller.answer, caller.pending);
   }
-  for (Denial const& denial : out.denials) reject(denial);
-  for (std::uint64_t const id : out.breaks) {
+  for (Rejection const& denial : out.rejections) reject(denial);
+  for (std::uint64_t const id : out.aborted_answers) {
     std::map<std::uint64_t, Caller>::const_iterator const position = callers_.find(id);
     log_event(Event::stream_broken, position == callers_.end() ? "" : position->second.attempt);
     callers_.erase(id);
     server.break_off(id);
   }
-  std::vector<Attempt> const starts = std::move(out.starts);
-  out.starts.clear();
+  std::vector<Attempt> const starts = std::move(out.attempts);
+  out.attempts.clear();
   for (Attempt const& attempt : starts) start(attempt);
 }
 
-void RequestProxy::reject(Denial const& denial) {
-  ++kinds[error_code_row(denial.kind).name];
-  ExecutionStatus const execution = denial.wait > 0 ? ExecutionStatus::no : error_code_row(denial.kind).execution;
-  Answer const answer = answer_for(Error{denial.kind, "", ""}, execution, denial.wait);
+void RequestProxy::reject(Rejection const& denial) {
+  ++kinds[error_code_row(denial.error).name];
+  ExecutionStatus const execution =
+      denial.retry_after > 0 ? ExecutionStatus::no : error_code_row(denial.error).execution;
+  Answer const answer = answer_for(Error{denial.error, "", ""}, execution, denial.retry_after);
   Head head;
   // What may be asked again has not run, whatever the kind says of other cases.
-  head.status = denial.wait > 0 && !promises(answer.status) ? 503 : answer.status;
+  head.status = denial.retry_after > 0 && !promises(answer.status) ? 503 : answer.status;
   if (head.status == 401) head.fields.emplace_back("WWW-Authenticate", dialect_.scheme);
   head.fields.emplace_back("Content-Type", "application/json");
-  if (denial.wait > 0) {
+  if (denial.retry_after > 0) {
     char text[32];
-    g_ascii_formatd(text, sizeof text, "%.3f", static_cast<double>(denial.wait) / 1e6);
+    g_ascii_formatd(text, sizeof text, "%.3f", static_cast<double>(denial.retry_after) / 1e6);
     head.fields.emplace_back("Retry-After", text);
   }
   std::map<std::uint64_t, Caller>::const_iterator const position = callers_.find(denial.request);
   if (position != callers_.end()) {
     Caller const& caller = position->second;
-    bool const honest = !promises(head.status) || denial.may_repeat || !caller.may_have_run();
+    bool const honest = !promises(head.status) || denial.repeatable || !caller.may_have_run();
     check_invariant(honest, Invariant::true_refusal, [&] {
       return caller.attempt + " gets " + std::to_string(head.status) + " after " + std::to_string(caller.sent) +
              " sends, " + std::to_string(caller.declined_count) + " of them declined, the last to " + caller.instance;
@@ -246,20 +247,20 @@
   caller.instance = attempt.instance;
   caller.streams = route != nullptr && route->streams;
   caller.resumable = caller.streams && route->resumable;
-  caller.resumed = attempt.resumed;
+  caller.resumed = attempt.resumes_answer;
   caller.declined = caller.elsewhere = caller.failing = caller.withheld = false;
   caller.unbounded = caller.spliced = false;
   caller.pending.clear();
   caller.tail.clear();
   Head head = caller.head;
-  head.set(dialect_.remaining, std::to_string(std::max<Micros>(1, attempt.remaining / 1000)));
+  head.set(dialect_.remaining, std::to_string(std::max<Micros>(1, attempt.timeout / 1000)));
   if (guard(RequestGuard::instance)) head.set(dialect_.instance, attempt.instance);
   head.set(dialect_.rank, std::to_string(std::clamp<std::int64_t>(attempt.rank, 0, 9)));
-  if (attempt.keyed) put_tenant(head, dialect_, attempt.tenant);
+  if (attempt.keys_required) put_tenant(head, dialect_, attempt.tenant);
   if (caller.resumed && !caller.last_event.empty()) head.set(dialect_.after, caller.last_event);
   std::string bytes = request_text(head, static_cast<std::int64_t>(caller.body.size()));
   bytes += caller.body;
-  upstream.start(attempt.request, attempt.instance, attempt.address, std::move(bytes), attempt.within);
+  upstream.start(attempt.request, attempt.instance, attempt.address, std::move(bytes), attempt.connect_timeout);
 }
 
 Upstream::Owner RequestProxy::on_head(std::uint64_t id, Head const& head, bool first) {
@@ -275,7 +276,7 @@
     char* rest = nullptr;
     std::int64_t const running = count_from(load->c_str(), &rest);
     std::int64_t const waiting = *rest == ',' ? count_from(rest + 1, nullptr) : 0;
-    dispatcher_.said(id, running + waiting, now());
+    dispatcher_.on_load_report(id, running + waiting, now());
   }
   bool const not_run = head.find(dialect_.not_run) != nullptr;
   caller.elsewhere = head.status == 421;
@@ -326,7 +327,7 @@
     });
     caller.spliced = true;
     if (!name.empty()) caller.last_event = name;
-    if (name.empty() && event.find("data") != std::string::npos) dispatcher_.unmarked(id);
+    if (name.empty() && event.find("data") != std::string::npos) dispatcher_.on_event_without_id(id);
     kept += event;
   }
   return kept;
@@ -349,9 +350,9 @@
     check_own(caller);
     std::int64_t const length = caller.resumable ? -1 : caller.answer.length;
     server.begin(id, caller.answer, length);
-    dispatcher_.began(id, now());
+    dispatcher_.on_answer_begin(id, now());
   } else {
-    dispatcher_.event(id, now());
+    dispatcher_.on_answer_event(id, now());
   }
   caller.passed_bytes += bytes.size();
   server.write_chunk(id, bytes);
--- a/src/server/request_proxy.h
+++ b/src/server/request_proxy.h
@@ -37,7 +37,7 @@
 class RequestProxy {
  public:
   struct Callbacks {
-    std::function<void(std::uint64_t, Query)> request;
+    std::function<void(std::uint64_t, RequestInfo)> request;
     std::function<void(std::uint64_t, AttemptEnd, bool elsewhere)> ended;
     std::function<std::optional<FailedRequest>(std::uint64_t)> disconnected;
   };
@@ -90,7 +90,7 @@
   void on_ended(std::uint64_t id, Upstream::End end, std::string const& why);
   void pass_on(std::uint64_t id, Caller& caller, std::string_view bytes);
   std::string complete_events(std::uint64_t id, Caller& caller);
-  void reject(Denial const& denial);
+  void reject(Rejection const& denial);
   bool may_repeat(std::uint64_t id) const;
   void decline(std::uint64_t id, Caller& caller);
   void check_own(Caller const& caller) const;
--- a/testing/cost_simulator/scale.cc
+++ b/testing/cost_simulator/scale.cc
@@ -376,7 +376,7 @@
     hang(end.first, end.second);
     m.connections.erase(id);
   }
-  for (Start const& start : out.chat.starts) {
+  for (ChatAttemptStart const& start : out.chat.attempts) {
     std::uint64_t const chat_request = start.chat_request;
     m.node->chat_attempt_sent(chat_request);
     after(millis(30), [this, who, process_id, chat_request] {
@@ -390,7 +390,7 @@
       });
     });
   }
-  for (Verdict const& verdict : out.chat.ends) ++refused[error_code_row(verdict.error.code).name];
+  for (ChatFailure const& verdict : out.chat.failures) ++refused[error_code_row(verdict.error.code).name];
   for (Reply const& reply : out.replies) {
     bool const holds = reply.outcome.type == Outcome::Type::chosen;
     for (std::vector<Turn>::iterator it = turns.begin(); it != turns.end();) {
@@ -449,7 +449,7 @@
   after(gap / 2 + between(0, std::max<Micros>(2, gap)), [this, who, process_id] { call(who, process_id); });
   if (!calling || !m.node->ready() || phase == nullptr) return;
   ++asked;
-  Ask ask;
+  ChatRequestInfo ask;
   ask.facts.model = "tribute";
   ask.facts.user = "someone";
   ask.facts.size = 5000;
--- a/testing/fake_backend/main.cc
+++ b/testing/fake_backend/main.cc
@@ -160,7 +160,7 @@
     char const* const raw = static_cast<char const*>(g_bytes_get_data(bytes, &size));
     std::string const body(raw == nullptr ? "" : raw, size);
     g_bytes_unref(bytes);
-    Result<Ask> const ask = parse_ask(body, chat ? Form::chat : Form::completion);
+    Result<ChatRequestInfo> const ask = parse_chat_request(body, chat ? ChatApi::chat : ChatApi::completion);
     if (!ask) return reply(message, 400, "application/json", "{\"error\":{\"message\":\"bad\"}}");
     std::string odd_now;
     if (odd_left > 0 && !odd.empty()) {
--- a/testing/fleet_simulator/callers.cc
+++ b/testing/fleet_simulator/callers.cc
@@ -35,7 +35,7 @@
 }
 
 // One attempt: the connection opens, the request leaves, the worker runs it, the answer begins and ends.
-void World::attempt(Box& box, Start const& start) {
+void World::attempt(Box& box, ChatAttemptStart const& start) {
   std::string const name = box.name;
   std::uint64_t const process_id = box.process_id;
   std::uint64_t const chat_request = start.chat_request;
@@ -54,8 +54,8 @@
   if (cut(name, start.worker)) return after(seconds(1), [done] { done(ChatAttemptEnd::unreached); });
   std::uint64_t const worker_process_id = process.process_id;
   std::string const worker = start.worker;
-  Micros const answer = start.answer;
-  Micros const stall = start.stall;
+  Micros const answer = start.first_byte_timeout;
+  Micros const stall = start.idle_timeout;
   after(lag(), [this, name, process_id, chat_request, number, worker, worker_process_id, wish, answer, stall, done] {
     Box& item = *boxes[name];
     if (!item.up() || item.process_id != process_id || !item.attempts.count(chat_request) ||
@@ -195,7 +195,7 @@
   after(lag(), [this, id, name, process_id] {
     Box& b = *boxes[name];
     if (!b.up() || b.process_id != process_id) return request_ended(id, "lost", 0);
-    Ask ask;
+    ChatRequestInfo ask;
     Wish const& item = *wishes[id];
     ask.facts.model = "tribute";
     ask.facts.user = item.tag;
--- a/testing/fleet_simulator/judge.cc
+++ b/testing/fleet_simulator/judge.cc
@@ -50,8 +50,8 @@
     if (item.second > 1) fault("N1 a request that may not repeat ran " + std::to_string(item.second) + " times");
   for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
     if (item.second->up()) {
-      first_sends += item.second->node->chat_dispatcher.tally.first_sends;
-      resends += item.second->node->chat_dispatcher.tally.resends;
+      first_sends += item.second->node->chat_dispatcher.counters.first_sends;
+      resends += item.second->node->chat_dispatcher.counters.retries;
     }
   if (first_sends > 0) end.margins.resend = static_cast<double>(resends) / static_cast<double>(first_sends);
   if (static_cast<double>(resends) > 0.2 * static_cast<double>(first_sends) + 3.0 * static_cast<double>(process_count))
--- a/testing/fleet_simulator/machines.cc
+++ b/testing/fleet_simulator/machines.cc
@@ -79,9 +79,9 @@
 void World::halt(Box& box, bool power) {
   if (!box.up()) return;
   box.troubled = now;
-  Tally const& t = box.node->chat_dispatcher.tally;
+  ChatCounters const& t = box.node->chat_dispatcher.counters;
   first_sends += t.first_sends;
-  resends += t.resends;
+  resends += t.retries;
   box.power = power;
   std::map<ConnectionId, std::pair<std::shared_ptr<Link>, int>> const connections = box.connections;
   box.connections.clear();
@@ -311,18 +311,18 @@
     hang(item.first, item.second);
     box.connections.erase(id);
   }
-  for (Start const& start : out.chat.starts) attempt(box, start);
-  for (Verdict const& verdict : out.chat.ends) {
+  for (ChatAttemptStart const& start : out.chat.attempts) attempt(box, start);
+  for (ChatFailure const& verdict : out.chat.failures) {
     std::uint64_t const wish =
         box.chat_requests.count(verdict.chat_request) ? box.chat_requests[verdict.chat_request] : 0;
     box.chat_requests.erase(verdict.chat_request);
     box.attempts.erase(verdict.chat_request);
     std::string const ran = execution_status_name(verdict.execution);
-    Micros const back = verdict.wait;
+    Micros const back = verdict.retry_after;
     ++end.kinds[std::string("answer ") + error_code_row(verdict.error.code).name];
     after(lag(), [this, wish, ran, back] { request_ended(wish, ran, back); });
   }
-  for (std::uint64_t const id : out.chat.drops) box.attempts.erase(id);
+  for (std::uint64_t const id : out.chat.cancelled_attempts) box.attempts.erase(id);
   for (Reply const& reply : out.replies) answered(box, reply);
   if (out.read_list) {
     bool const mute = (list_down && list_silent) || cut(name, "list");
--- a/testing/fleet_simulator/parts.h
+++ b/testing/fleet_simulator/parts.h
@@ -27,7 +27,7 @@
   std::uint64_t next_chat_request = 0;
   std::uint64_t serial = 0;
   Micros troubled = -seconds(60);  // when it was last cut, frozen, ended or started
-  Tally banked;
+  ChatCounters banked;
   bool up() const { return node != nullptr; }
 };
 
--- a/testing/fleet_simulator/world.h
+++ b/testing/fleet_simulator/world.h
@@ -105,7 +105,7 @@
   void save(Box& box, wire::RecordT record);
 
   // workers and callers
-  void attempt(Box& box, Start const& start);
+  void attempt(Box& box, ChatAttemptStart const& start);
   void arrive(std::string const& box, std::uint64_t process_id, std::uint64_t chat_request, int attempt,
               std::string const& worker, std::uint64_t worker_process_id, std::uint64_t wish, Micros stall);
   void start_process(WorkerProcess& process);
--- a/testing/quota_simulator/load.cc
+++ b/testing/quota_simulator/load.cc
@@ -204,19 +204,19 @@
   ++figures[tenant].sent;
   std::uint64_t const id = ++next_id;
   under_way[id] = sent;
-  Query query;
+  RequestInfo query;
   query.host = "h";
   query.path = "/x";
-  query.names_tokens = true;
-  query.tokens_in = sent.count;
-  query.key = key_digest_of(key_of(tenant, !sent.revoked_key && key_revoked[tenant]));
-  query.remaining = seconds(3);
+  query.has_token_counts = true;
+  query.input_tokens = sent.count;
+  query.key_digest = key_digest_of(key_of(tenant, !sent.revoked_key && key_revoked[tenant]));
+  query.time_remaining = seconds(3);
   world.enter(at, machine.process,
               [id, query](Node& node, Micros now, NodeEffects& out) { node.request(id, query, now, out); });
 }
 
 void Load::took(Machine& machine, DispatchEffects& out) {
-  for (Attempt const& start : out.starts) {
+  for (Attempt const& start : out.attempts) {
     std::map<std::uint64_t, Sent>::iterator const position = under_way.find(start.request);
     if (position == under_way.end()) continue;
     judge_run(position->second);
@@ -226,23 +226,23 @@
     std::uint64_t const incarnation = machine.process;
     world.after(millis(5), [this, id, at, incarnation] {
       world.enter(at, incarnation, [id](Node& node, Micros now, NodeEffects& done) {
-        node.dispatcher.sent(id, now);
+        node.dispatcher.on_sent(id, now);
         node.attempt_ended(id, AttemptEnd::complete, false, now, done);
       });
     });
   }
-  for (Denial const& denial : out.denials) {
+  for (Rejection const& denial : out.rejections) {
     std::map<std::uint64_t, Sent>::iterator const position = under_way.find(denial.request);
     if (position == under_way.end()) continue;
     Sent const& sent = position->second;
     TenantFigures& of = figures[sent.tenant];
-    if (denial.kind == ErrorCode::over_quota) {
+    if (denial.error == ErrorCode::over_quota) {
       ++of.refused;
       if (sent.due) ++of.refused_below;
     } else {
       ++of.unserved;
     }
-    if (denial.kind == ErrorCode::unknown_key && !sent.revoked_key) find("a key that holds is said to be unknown");
+    if (denial.error == ErrorCode::unknown_key && !sent.revoked_key) find("a key that holds is said to be unknown");
     under_way.erase(position);
   }
 }
--- a/testing/request_model_checker/world.cc
+++ b/testing/request_model_checker/world.cc
@@ -109,20 +109,20 @@
 RequestWorld::RequestWorld(Choose choose_) : choose(std::move(choose_)) {
   descriptions[0] = compiled_description(1000, true);
   descriptions[1] = compiled_description(400, false);
-  dispatcher.in_force(descriptions[0]);
-  dispatcher.budget(budget_ratio, budget_store);
+  dispatcher.set_description(descriptions[0]);
+  dispatcher.set_retry_budget(budget_ratio, budget_store);
   RequestProxy::Callbacks callbacks;
-  callbacks.request = [this](std::uint64_t id, Query query) {
+  callbacks.request = [this](std::uint64_t id, RequestInfo query) {
     DispatchEffects out;
-    dispatcher.fresh(id, std::move(query), loop_time(), out);
+    dispatcher.on_request(id, std::move(query), loop_time(), out);
     relay->act(out);
   };
   callbacks.ended = [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
     DispatchEffects out;
-    dispatcher.ended(id, end, elsewhere, loop_time(), out);
+    dispatcher.on_attempt_end(id, end, elsewhere, loop_time(), out);
     relay->act(out);
   };
-  callbacks.disconnected = [this](std::uint64_t id) { return dispatcher.hung_up(id, loop_time()); };
+  callbacks.disconnected = [this](std::uint64_t id) { return dispatcher.on_client_disconnect(id, loop_time()); };
   relay = std::make_unique<RequestProxy>(dispatcher, dialect(), "", std::move(callbacks));
   relay->upstream.dial_by([this](std::string const& address, std::string const&, Micros) { return dial(address); });
   for (int n = 0; n < 2; ++n) {
@@ -633,11 +633,11 @@
     case 8:
       description = 1 - description;
       note("configuration " + std::to_string(description));
-      return dispatcher.in_force(descriptions[description]);
+      return dispatcher.set_description(descriptions[description]);
     case 9:
       placing_held = !placing_held;
       note(placing_held ? "placing is held" : "placing goes on");
-      return dispatcher.hold(placing_held);
+      return dispatcher.set_paused(placing_held);
     case 10:
       if (worker.elsewhere || !worker.up) return;
       note(worker.id + " says farewell and serves on");
@@ -678,7 +678,7 @@
 
 void RequestWorld::finish() {
   note("to the end");
-  dispatcher.hold(false);
+  dispatcher.set_paused(false);
   for (int n = 0; n < 50; ++n) {
     // Workers run whatever has reached them, and never answer.
     for (std::unique_ptr<Worker> const& worker : workers)
@@ -694,7 +694,7 @@
   for (std::unique_ptr<Worker> const& worker : workers) crash(*worker);
   callers.clear();
   pump();
-  if (dispatcher.under_way() != 0) fault("requests stay under way");
+  if (dispatcher.active_requests() != 0) fault("requests stay under way");
   for (std::pair<std::string const, Instance> const& item : registry.all)
     if (item.second.running != 0 || item.second.reserved_tokens != 0) fault(item.first + " is held to be busy");
   double extra = 0;
--- a/testing/request_model_checker/world.h
+++ b/testing/request_model_checker/world.h
@@ -93,7 +93,7 @@
   ManualTime time{seconds(1000)};
   IndexSync index_sync{1};
   Registry registry{"n1"};
-  Exchange exchange{"n1"};
+  ReportExchange exchange{"n1"};
   Dispatcher dispatcher{"n1", "a", index_sync, registry, exchange};
   std::shared_ptr<Description const> descriptions[2];
   std::unique_ptr<RequestProxy> relay;
--- a/tests/fleet_traffic.cc
+++ b/tests/fleet_traffic.cc
@@ -160,7 +160,7 @@
     std::string const worker = workers[world.chance().below(workers.size())].id;
     std::uint64_t const path = world.chance().below(2000);
     world.enter(id, world.machine(id).process, [worker, path](Node& node, Micros now, NodeEffects&) {
-      node.exchange.work(worker, prompt_work);
+      node.exchange.report_work(worker, prompt_work);
       if (Instance* const item = node.registry.find(worker)) item->work(prompt_work, now);
       wire::DeltaT delta;
       delta.base = path;
@@ -169,8 +169,8 @@
         delta.weights.push_back(600);
       }
       delta.worker = worker;
-      node.exchange.delta("s-llm/m", delta);
-      node.exchange.load(worker, 12);
+      node.exchange.report_index_change("s-llm/m", delta);
+      node.exchange.report_load(worker, 12);
     });
     world.after(request_gap, [this, id] { request(id); });
   }
--- a/tests/index.cc
+++ b/tests/index.cc
@@ -19,12 +19,12 @@
 }  // namespace
 
 TEST(Answers, an_id_is_whole_or_another_s) {
-  EXPECT_TRUE(answers_to("chatcmpl-p1-5-1", "p1-5-1"));
-  EXPECT_TRUE(answers_to("p1-5-1", "p1-5-1"));
-  EXPECT_TRUE(answers_to("p1-5-12/p1-5-1", "p1-5-1"));
-  EXPECT_FALSE(answers_to("chatcmpl-p1-5-12", "p1-5-1"));
-  EXPECT_FALSE(answers_to("chatcmpl-xp1-5-1", "p1-5-1"));
-  EXPECT_FALSE(answers_to("", "p1-5-1"));
+  EXPECT_TRUE(id_matches_request("chatcmpl-p1-5-1", "p1-5-1"));
+  EXPECT_TRUE(id_matches_request("p1-5-1", "p1-5-1"));
+  EXPECT_TRUE(id_matches_request("p1-5-12/p1-5-1", "p1-5-1"));
+  EXPECT_FALSE(id_matches_request("chatcmpl-p1-5-12", "p1-5-1"));
+  EXPECT_FALSE(id_matches_request("chatcmpl-xp1-5-1", "p1-5-1"));
+  EXPECT_FALSE(id_matches_request("", "p1-5-1"));
 }
 
 TEST(Index, paths_share_what_prompts_share) {
--- a/tests/keys.cc
+++ b/tests/keys.cc
@@ -14,7 +14,7 @@
 class Keyed : public Passing {
  protected:
   Keyed() : lease(seconds(5)) {
-    dispatcher.lease_on(lease);
+    dispatcher.set_lease(lease);
     lease.confirm(g_get_monotonic_time());
     configure("[{\"name\":\"weavers\",\"keys\":[\"key-1\",\"key-2\"]}]");
   }
@@ -24,7 +24,7 @@
                          route_text("once", "") + "," + route_text("safe", ",\"repeatable\":true") + "," +
                          route_text("open", ",\"public\":true") + "],\"tenants\":" + tenants + "}");
     ASSERT_TRUE(rules);
-    dispatcher.in_force(rules.value());
+    dispatcher.set_description(rules.value());
   }
   void tick() {
     DispatchEffects out;
@@ -35,7 +35,7 @@
   void age_lease(Micros age) {
     older = std::make_unique<ConfigurationLease>(seconds(5), seconds(2));
     older->confirm(g_get_monotonic_time() - age);
-    dispatcher.lease_on(*older);
+    dispatcher.set_lease(*older);
   }
   ConfigurationLease lease;
   std::unique_ptr<ConfigurationLease> older;
@@ -90,7 +90,7 @@
   Result<std::shared_ptr<Description const>> const rules =
       read_description("{\"format\":1,\"lanes\":[],\"pools\":[{\"name\":\"p\",\"model\":\"m\"}],\"routes\":[" +
                        route_text("once", "") + "]}");
-  dispatcher.in_force(rules.value());
+  dispatcher.set_description(rules.value());
   worker("w1");
   ask("POST", "/once/x", "Authorization: Basic abc\r\n");
   ASSERT_EQ(reached(), "w1");
@@ -101,7 +101,7 @@
 
 TEST_F(Keyed, without_the_lease_nobody_is_let_in_and_nobody_is_said_to_be_unknown) {
   ConfigurationLease ended(millis(1));
-  dispatcher.lease_on(ended);
+  dispatcher.set_lease(ended);
   worker("w1");
   for (std::string const& fields : {good, std::string("Authorization: Bearer key-3\r\n")}) {
     caller.reset();
@@ -138,7 +138,7 @@
 
 TEST_F(Keyed, a_request_that_waits_for_a_worker_is_not_sent_once_its_key_is_gone) {
   ask("POST", "/once/x", good);
-  EXPECT_TRUE(until([&] { return dispatcher.under_way() == 1; }));
+  EXPECT_TRUE(until([&] { return dispatcher.active_requests() == 1; }));
   configure("[{\"name\":\"weavers\",\"keys\":[\"key-2\"]}]");
   worker("w1");
   tick();
@@ -160,7 +160,7 @@
 
 TEST_F(Keyed, a_key_that_passed_on_to_another_tenant_names_that_one) {
   ask("POST", "/once/x", good);
-  EXPECT_TRUE(until([&] { return dispatcher.under_way() == 1; }));
+  EXPECT_TRUE(until([&] { return dispatcher.active_requests() == 1; }));
   configure("[{\"name\":\"potters\",\"keys\":[\"key-1\"]}]");
   worker("w1");
   tick();
@@ -196,7 +196,7 @@
   connection_of(first).link->close();
   std::string const second = reached(first);
   ASSERT_EQ(quota_needs.size(), 2u);
-  EXPECT_TRUE(quota_needs[1].again);
+  EXPECT_TRUE(quota_needs[1].is_retry);
   EXPECT_EQ(quota_needs[1].count, 1);
   connection_of(second).send(whole_answer);
   EXPECT_TRUE(hears("ok"));
--- a/tests/node/exchange_topology.cc
+++ b/tests/node/exchange_topology.cc
@@ -36,9 +36,9 @@
   add("n3", "b");
   add("n4", "b");
   mesh.members.peers["n4"].connection = 0;
-  Paths const paths = topology("n1", "a").compute_paths();
-  EXPECT_FALSE(paths.wide);
-  EXPECT_EQ(paths.all, std::vector<std::string>({"n2", "n3"})) << "n4 has no connection";
+  GossipPaths const paths = topology("n1", "a").compute_paths();
+  EXPECT_FALSE(paths.hierarchical);
+  EXPECT_EQ(paths.peers, std::vector<std::string>({"n2", "n3"})) << "n4 has no connection";
 }
 
 TEST_F(ExchangeTopologyTest, HubIsTheFirstReachableReplicaElseTheFirstNode) {
@@ -62,11 +62,11 @@
   add("n3", "b");
   add("n4", "b", true);
   add("n5", "c");
-  Paths const paths = topology("n1", "a").compute_paths();
-  EXPECT_TRUE(paths.wide);
-  EXPECT_TRUE(paths.hub);
-  EXPECT_EQ(paths.zone, std::vector<std::string>({"n2"}));
-  EXPECT_EQ(paths.hubs, std::vector<std::string>({"n4", "n5"}));
+  GossipPaths const paths = topology("n1", "a").compute_paths();
+  EXPECT_TRUE(paths.hierarchical);
+  EXPECT_TRUE(paths.is_hub);
+  EXPECT_EQ(paths.zone_peers, std::vector<std::string>({"n2"}));
+  EXPECT_EQ(paths.remote_hubs, std::vector<std::string>({"n4", "n5"}));
 }
 
 TEST_F(ExchangeTopologyTest, OthersTalkToTheirZoneAndItsHub) {
@@ -74,11 +74,11 @@
   add("n3", "a");
   add("n4", "b");
   add("n5", "c");
-  Paths const paths = topology("n1", "a").compute_paths();
-  EXPECT_FALSE(paths.hub);
-  EXPECT_EQ(paths.own_hub, "n2");
-  EXPECT_EQ(paths.zone, std::vector<std::string>({"n2", "n3"}));
-  EXPECT_TRUE(paths.hubs.empty());
+  GossipPaths const paths = topology("n1", "a").compute_paths();
+  EXPECT_FALSE(paths.is_hub);
+  EXPECT_EQ(paths.zone_hub, "n2");
+  EXPECT_EQ(paths.zone_peers, std::vector<std::string>({"n2", "n3"}));
+  EXPECT_TRUE(paths.remote_hubs.empty());
 }
 
 }  // namespace pipit
--- a/tests/node/quota_authority.cc
+++ b/tests/node/quota_authority.cc
@@ -27,7 +27,7 @@
     tenant.rate = 10;
     tenant.burst = 100;
     description->tenants.push_back(tenant);
-    dispatcher.in_force(description);
+    dispatcher.set_description(description);
   }
 
   static QuotaAuthorityPlan plan() {
@@ -79,7 +79,7 @@
   PeerRotation rotation;
   IndexSync index_sync;
   Registry registry;
-  Exchange exchange;
+  ReportExchange exchange;
   Dispatcher dispatcher;
   std::uint64_t last_request = 0;
   ConfigurationAuthority configuration;
@@ -142,7 +142,7 @@
   connect("n3");
   set_replicas({"n3"});
   DispatchEffects effects;
-  effects.quota_needs.push_back(QuotaNeed{1, "t", 1, settled_at + seconds(1), false});
+  effects.quota_claims.push_back(QuotaClaim{1, "t", 1, settled_at + seconds(1), false});
   std::vector<OutgoingMessage> outgoing;
   quota.process_needs(effects, settled_at, outgoing);
   ASSERT_EQ(outgoing.size(), 1u);
@@ -152,7 +152,7 @@
   outgoing.clear();
   quota.process_needs(effects, settled_at, outgoing);
   EXPECT_TRUE(outgoing.empty());
-  EXPECT_TRUE(effects.quota_needs.empty());
+  EXPECT_TRUE(effects.quota_claims.empty());
 }
 
 }  // namespace pipit
--- a/tests/passing.h
+++ b/tests/passing.h
@@ -34,37 +34,37 @@
 
   explicit Passing(Dialect const& dialect = Dialect())
       : relay(dispatcher, dialect, "",
-              {[this](std::uint64_t id, Query query) {
+              {[this](std::uint64_t id, RequestInfo query) {
                  DispatchEffects out;
-                 dispatcher.fresh(id, std::move(query), g_get_monotonic_time(), out);
+                 dispatcher.on_request(id, std::move(query), g_get_monotonic_time(), out);
                  obey(out);
                },
                [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
                  DispatchEffects out;
-                 dispatcher.ended(id, end, elsewhere, g_get_monotonic_time(), out);
+                 dispatcher.on_attempt_end(id, end, elsewhere, g_get_monotonic_time(), out);
                  obey(out);
                },
-               [this](std::uint64_t id) { return dispatcher.hung_up(id, g_get_monotonic_time()); }}) {
+               [this](std::uint64_t id) { return dispatcher.on_client_disconnect(id, g_get_monotonic_time()); }}) {
     Result<std::shared_ptr<Description const>> const rules =
         read_description("{\"format\":1,\"lanes\":[],\"pools\":[{\"name\":\"p\",\"model\":\"m\"}],\"routes\":[" +
                          route_text("once", "") + "," + route_text("safe", ",\"repeatable\":true") + "," +
                          route_text("live", ",\"streams\":true") + "," +
                          route_text("flow", ",\"streams\":true,\"resumable\":true") + "]}");
     EXPECT_TRUE(rules);
-    dispatcher.in_force(rules.value());
-    dispatcher.budget(0.2, 10);
+    dispatcher.set_description(rules.value());
+    dispatcher.set_retry_budget(0.2, 10);
     address = open_door([this](std::string const& at) { return relay.listen(at); });
   }
   ~Passing() override { caller.reset(); }
 
   // Parts of limits are granted or refused at once, by the test's word.
   void obey(DispatchEffects& out) {
-    std::vector<QuotaNeed> const needs = std::move(out.quota_needs);
-    out.quota_needs.clear();
-    for (QuotaNeed const& need : needs) {
+    std::vector<QuotaClaim> const needs = std::move(out.quota_claims);
+    out.quota_claims.clear();
+    for (QuotaClaim const& need : needs) {
       quota_needs.push_back(need);
       QuotaResult result{need.request, quota_answer, millis(1500)};
-      if (!need.again) dispatcher.quota_result(result, g_get_monotonic_time(), out);
+      if (!need.is_retry) dispatcher.quota_result(result, g_get_monotonic_time(), out);
     }
     relay.act(out);
   }
@@ -110,14 +110,14 @@
   bool quiet() const {
     for (std::pair<std::string const, Instance> const& item : registry.all)
       if (item.second.running != 0 || item.second.reserved_tokens != 0) return false;
-    return dispatcher.under_way() == 0;
+    return dispatcher.active_requests() == 0;
   }
 
-  std::vector<QuotaNeed> quota_needs;
+  std::vector<QuotaClaim> quota_needs;
   QuotaResult::Type quota_answer = QuotaResult::Type::granted;
   IndexSync index_sync{1};
   Registry registry{"n1"};
-  Exchange exchange{"n1"};
+  ReportExchange exchange{"n1"};
   Dispatcher dispatcher{"n1", "a", index_sync, registry, exchange};
   RequestProxy relay;
   std::string address;
--- a/tests/routing/dispatcher_fixture.h
+++ b/tests/routing/dispatcher_fixture.h
@@ -32,13 +32,13 @@
                               route_text("live", ",\"streams\":true"));
 }
 
-inline Query query_of(std::string const& route) {
-  Query out;
+inline RequestInfo query_of(std::string const& route) {
+  RequestInfo out;
   out.host = hosts;
   out.path = "/" + route + "/x";
   out.model = "m";
-  out.tokens_in = 100;
-  out.tokens_out = 50;
+  out.input_tokens = 100;
+  out.output_tokens = 50;
   return out;
 }
 
@@ -56,27 +56,27 @@
 class DispatcherTest : public testing::Test {
  protected:
   DispatcherTest() {
-    dispatcher.in_force(usual_description());
-    dispatcher.budget(0.2, 10);
+    dispatcher.set_description(usual_description());
+    dispatcher.set_retry_budget(0.2, 10);
   }
   void worker(std::string const& id, std::string const& pool = "p") {
     registry.heartbeat(heartbeat_of(id, ++order, pool), now);
   }
   // A request that was placed at once; its worker, or nothing.
   std::string place(std::uint64_t id, std::string const& route) { return place(id, query_of(route)); }
-  std::string place(std::uint64_t id, Query query) {
+  std::string place(std::uint64_t id, RequestInfo query) {
     out = DispatchEffects();
-    dispatcher.fresh(id, std::move(query), now, out);
+    dispatcher.on_request(id, std::move(query), now, out);
     return started(id);
   }
   std::string started(std::uint64_t id) const {
-    for (Attempt const& item : out.starts)
+    for (Attempt const& item : out.attempts)
       if (item.request == id) return item.instance;
     return "";
   }
   void end(std::uint64_t id, AttemptEnd how) {
     out = DispatchEffects();
-    dispatcher.ended(id, how, false, now, out);
+    dispatcher.on_attempt_end(id, how, false, now, out);
   }
   // Ticks until something comes out, or the time is over.
   void wait(Micros most) {
@@ -88,8 +88,8 @@
   }
   // The workers that peers are told to doubt.
   std::vector<std::string> suspects() {
-    Paths paths;
-    paths.all = {"n2"};
+    GossipPaths paths;
+    paths.peers = {"n2"};
     std::vector<OutgoingMessage> outgoing;
     exchange.tick(now, paths, outgoing);
     std::vector<std::string> out;
@@ -102,14 +102,14 @@
   bool free_of_work() {
     for (std::pair<std::string const, Instance> const& item : registry.all)
       if (item.second.running != 0 || item.second.reserved_tokens != 0) return false;
-    return dispatcher.under_way() == 0;
+    return dispatcher.active_requests() == 0;
   }
 
   Micros now = seconds(100);
   std::uint64_t order = 0;
   IndexSync index_sync{1};
   Registry registry{"n1"};
-  Exchange exchange{"n1"};
+  ReportExchange exchange{"n1"};
   Dispatcher dispatcher{"n1", "a", index_sync, registry, exchange};
   DispatchEffects out;
 };
--- a/tests/routing/moved_streams.cc
+++ b/tests/routing/moved_streams.cc
@@ -10,8 +10,8 @@
   // A resumable stream at a worker, of which a part has gone to its caller.
   std::string begin_stream(std::uint64_t id) {
     std::string const at = place(id, "flow");
-    dispatcher.sent(id, now);
-    dispatcher.began(id, now);
+    dispatcher.on_sent(id, now);
+    dispatcher.on_answer_begin(id, now);
     return at;
   }
   // Ticks for so long, collecting what comes out.
@@ -28,7 +28,7 @@
 // The open incident of cut answers: the second worker could not be reached, and the budget for sending once more, which
 // the first move had used up, ended an answer whose worker was well.
 TEST_F(MovedStreams, one_goes_on_past_a_worker_that_cannot_be_reached_whatever_the_budget) {
-  dispatcher.budget(0, 1);
+  dispatcher.set_retry_budget(0, 1);
   for (char const* const id : {"u", "v", "w"}) worker(id);
   std::string const first = begin_stream(1);
   wait(seconds(2));
@@ -36,15 +36,15 @@
   ASSERT_FALSE(second.empty());
   now += millis(350);
   end(1, AttemptEnd::unreached);
-  EXPECT_TRUE(out.breaks.empty());
+  EXPECT_TRUE(out.aborted_answers.empty());
   ASSERT_FALSE(started(1).empty());
   EXPECT_NE(started(1), first);
   EXPECT_NE(started(1), second);
-  EXPECT_TRUE(out.starts[0].resumed);
-  dispatcher.sent(1, now);
+  EXPECT_TRUE(out.attempts[0].resumes_answer);
+  dispatcher.on_sent(1, now);
   end(1, AttemptEnd::complete);
-  EXPECT_EQ(dispatcher.tally.served, 1u);
-  EXPECT_EQ(dispatcher.tally.resends, 1u) << "one worker more was reached, so one re-send was paid for";
+  EXPECT_EQ(dispatcher.counters.served, 1u);
+  EXPECT_EQ(dispatcher.counters.retries, 1u) << "one worker more was reached, so one re-send was paid for";
   EXPECT_TRUE(free_of_work());
 }
 
@@ -53,13 +53,13 @@
   ASSERT_EQ(begin_stream(1), "w");
   end(1, AttemptEnd::broke);
   pass(seconds(1));
-  EXPECT_TRUE(out.breaks.empty()) << "a worker may come";
+  EXPECT_TRUE(out.aborted_answers.empty()) << "a worker may come";
   worker("v");
   wait(millis(100));
   EXPECT_EQ(started(1), "v");
-  dispatcher.sent(1, now);
+  dispatcher.on_sent(1, now);
   end(1, AttemptEnd::complete);
-  EXPECT_EQ(dispatcher.tally.served, 1u);
+  EXPECT_EQ(dispatcher.counters.served, 1u);
 }
 
 TEST_F(MovedStreams, one_whose_worker_broke_off_is_broken_off_at_the_end_of_its_time) {
@@ -68,7 +68,7 @@
   ASSERT_EQ(begin_stream(1), "w");
   end(1, AttemptEnd::broke);
   wait(seconds(10));
-  EXPECT_EQ(out.breaks, std::vector<std::uint64_t>{1});
+  EXPECT_EQ(out.aborted_answers, std::vector<std::uint64_t>{1});
   EXPECT_LE(now - came, seconds(3));
   EXPECT_TRUE(free_of_work());
 }
@@ -79,11 +79,11 @@
   std::string const other = first == "w" ? "v" : "w";
   registry.find(other)->running = registry.find(other)->slots;
   pass(seconds(1));
-  EXPECT_TRUE(out.cuts.empty());
+  EXPECT_TRUE(out.cancelled_attempts.empty());
   registry.find(other)->running = 0;
   registry.find(other)->ejected = now + seconds(5);
   pass(millis(200));
-  EXPECT_TRUE(out.cuts.empty());
+  EXPECT_TRUE(out.cancelled_attempts.empty());
   registry.find(other)->ejected = now;
   wait(millis(100));
   EXPECT_EQ(started(1), other);
@@ -96,16 +96,17 @@
   for (std::uint64_t id = 1; id <= 4; ++id) at.insert(begin_stream(id));
   ASSERT_GE(at.size(), 3u);
   pass(seconds(2));
-  EXPECT_TRUE(out.cuts.empty());
+  EXPECT_TRUE(out.cancelled_attempts.empty());
   // What had been held up comes, one worker's bytes first.
-  dispatcher.event(1, now);
+  dispatcher.on_answer_event(1, now);
   pass(millis(100));
-  EXPECT_TRUE(out.cuts.empty()) << "the others are only a moment behind";
+  EXPECT_TRUE(out.cancelled_attempts.empty()) << "the others are only a moment behind";
   for (int step = 0; step < 10; ++step) {
-    dispatcher.event(1, now);
+    dispatcher.on_answer_event(1, now);
     pass(millis(100));
   }
-  EXPECT_FALSE(out.cuts.empty() && dispatcher.tally.silences == 0) << "a worker that stays silent is left all the same";
+  EXPECT_FALSE(out.cancelled_attempts.empty() && dispatcher.counters.silent_attempts == 0)
+      << "a worker that stays silent is left all the same";
 }
 
 // What may not be sent once more now would be broken off, though its worker may still answer.
@@ -115,22 +116,22 @@
                        route_text("flow", ",\"streams\":true,\"resumable\":true") +
                        "],\"tenants\":[{\"name\":\"weavers\",\"keys\":[\"key-1\"]}]}");
   ASSERT_TRUE(keyed);
-  dispatcher.in_force(keyed.value());
+  dispatcher.set_description(keyed.value());
   ConfigurationLease lease(millis(500));
-  dispatcher.lease_on(lease);
+  dispatcher.set_lease(lease);
   lease.confirm(now);
   for (char const* const id : {"v", "w"}) worker(id);
-  Query query = query_of("flow");
-  query.key = key_digest_of("key-1");
+  RequestInfo query = query_of("flow");
+  query.key_digest = key_digest_of("key-1");
   ASSERT_FALSE(place(1, query).empty());
-  dispatcher.sent(1, now);
-  dispatcher.began(1, now);
+  dispatcher.on_sent(1, now);
+  dispatcher.on_answer_begin(1, now);
   pass(millis(1500));
-  EXPECT_TRUE(out.cuts.empty());
-  EXPECT_TRUE(out.breaks.empty());
+  EXPECT_TRUE(out.cancelled_attempts.empty());
+  EXPECT_TRUE(out.aborted_answers.empty());
   lease.confirm(now);
   wait(millis(100));
-  EXPECT_EQ(out.cuts, std::vector<std::uint64_t>{1});
+  EXPECT_EQ(out.cancelled_attempts, std::vector<std::uint64_t>{1});
   EXPECT_FALSE(started(1).empty());
 }
 
@@ -139,11 +140,11 @@
   std::set<std::string> at;
   for (std::uint64_t id = 1; id <= 4; ++id) at.insert(begin_stream(id));
   ASSERT_GE(at.size(), 3u);
-  for (int step = 0; step < 20 && dispatcher.tally.silences == 0; ++step) {
-    for (std::uint64_t id = 2; id <= 4; ++id) dispatcher.event(id, now);
+  for (int step = 0; step < 20 && dispatcher.counters.silent_attempts == 0; ++step) {
+    for (std::uint64_t id = 2; id <= 4; ++id) dispatcher.on_answer_event(id, now);
     pass(millis(50));
   }
-  EXPECT_EQ(dispatcher.tally.silences, 1u);
+  EXPECT_EQ(dispatcher.counters.silent_attempts, 1u);
 }
 
 }  // namespace pipit
--- a/tests/wide.cc
+++ b/tests/wide.cc
@@ -247,7 +247,7 @@
   field.heartbeat(0, word_of("w", 1));
   field.run(millis(300));
   for (std::size_t const who : {std::size_t(0), std::size_t(5), std::size_t(39)}) {  // a hub and two others
-    field.nodes[who]->exchange.work("w", seconds(100));
+    field.nodes[who]->exchange.report_work("w", seconds(100));
     field.nodes[who]->registry.find("w")->work(seconds(100), field.now);
   }
   field.run(millis(400));
