--- a/src/node/quota_authority.h
+++ b/src/node/quota_authority.h
@@ -67,7 +67,7 @@
 
  private:
   QuotaPeers select_peers() const;
-  void begin_request(QuotaNeed const& need, QuotaPeers const& peers, Micros now,
+  void begin_request(QuotaClaim const& need, QuotaPeers const& peers, Micros now,
                      std::vector<OutgoingMessage>& outgoing);
   // Forwards the request to a reachable owner; false when this node is an owner, the request was forwarded before, or
   // no owner is reachable.
