--- a/src/node/change_forwarder.h
+++ b/src/node/change_forwarder.h
@@ -72,8 +72,8 @@
   std::optional<std::string> decode_text(wire::ForwardedChangeT const& request) const;
   void request_full_text(std::string const& from, std::uint64_t request_id, NodeEffects& out);
   void send_full_text(std::string const& to, std::uint64_t request_id, Change const& change, NodeEffects& out);
-  Reply reply_to_caller(PendingForward const& item, wire::ForwardedChangeReplyT const& reply, Micros now,
-                        NodeEffects& out);
+  ChangeReply reply_to_caller(PendingForward const& item, wire::ForwardedChangeReplyT const& reply, Micros now,
+                              NodeEffects& out);
   void answer_requester(Requester const& requester, Outcome const& outcome, NodeEffects& out);
   void answer_requesters(NodeEffects& out);
   void propose_timed_out(Micros now, NodeEffects& out);
