--- a/src/consensus/register/learner.cc
+++ b/src/consensus/register/learner.cc
@@ -8,40 +8,41 @@
 namespace pipit {
 
 namespace {
-// How long the value of a fetch may take to come: the largest description over a thin link that others use as well.
+// Time for the transfer of a fetched value: the largest description over a slow shared link.
 constexpr Micros fetch_timeout = seconds(2);
 }  // namespace
 
 bool Learner::adopt(wire::ValueT const& chosen, Micros now) {
-  // Every change raises the revision, and those of operators the serial with it.
+  // Every change raises the revision; changes by operators also raise the serial.
   if (value && value->revision == chosen.revision) check_agreement(chosen);
   if (value && value->revision >= chosen.revision) return false;
-  replace(chosen, now);
+  replace_value(chosen, now);
   return true;
 }
 
-// Whatever is told here was chosen: two values of one revision must be one value.
+// Only chosen values are adopted, so two values with the same revision must be the same value.
 void Learner::check_agreement(wire::ValueT const& chosen) const {
   bool const same_fields =
       value->serial == chosen.serial && value->label == chosen.label && value->epoch == chosen.epoch;
   check_invariant(same_fields && value->text == chosen.text, Invariant::agreement, [&] {
-    return "revision " + std::to_string(chosen.revision) + ": change '" + value->change + "' label " +
-           std::to_string(value->label) + " epoch " + std::to_string(value->epoch) + " here, '" + chosen.change +
-           "' label " + std::to_string(chosen.label) + " epoch " + std::to_string(chosen.epoch) + " told";
+    return "conflicting values at revision " + std::to_string(chosen.revision) + ": change '" + value->change +
+           "' label " + std::to_string(value->label) + " epoch " + std::to_string(value->epoch) + " held, '" +
+           chosen.change + "' label " + std::to_string(chosen.label) + " epoch " + std::to_string(chosen.epoch) +
+           " received";
   });
 }
 
 bool Learner::adopt(wire::ValuePatchT const& patch, Micros now) {
   if (!value) return false;
-  std::optional<wire::ValueT> fresh = patched(*value, patch);
+  std::optional<wire::ValueT> fresh = apply_value_patch(*value, patch);
   if (!fresh || fresh->revision <= value->revision) return false;
-  replace(std::move(*fresh), now);
+  replace_value(std::move(*fresh), now);
   return true;
 }
 
-void Learner::replace(wire::ValueT next, Micros now) {
+void Learner::replace_value(wire::ValueT next, Micros now) {
   previous_value = std::move(value);
-  changed_at = now;
+  value_changed_at = now;
   value = std::move(next);
   membership_ = membership_of(*value);
   if (quorum_at_ >= 0 && value->revision >= quorum_revision_) confirmed_at = std::max(confirmed_at, quorum_at_);
@@ -65,19 +66,20 @@
   }
 }
 
-// Copies that differ are repaired (§5.8). A replica that is away hides nothing: a quorum is enough to see it.
+// Replicas with different ballots are repaired (§5.8). A quorum of replies is enough: an unreachable replica does not
+// hide a difference among the others.
 void Learner::update_replicas_differ() {
   Voters voters;
   bool ballots_differ = false;
   for (std::pair<std::string const, PollReply> const& item : poll_replies_) {
-    if (!membership_.concerns(item.first, item.second.disk)) continue;
+    if (!membership_.has_participant(item.first, item.second.disk)) continue;
     voters[item.first] = item.second.disk;
-    ballots_differ = ballots_differ || !same(item.second.ballot, poll_replies_.at(voters.begin()->first).ballot);
+    ballots_differ = ballots_differ || !same_ballot(item.second.ballot, poll_replies_.at(voters.begin()->first).ballot);
   }
-  replicas_differ = ballots_differ && !membership_.empty() && membership_.quorum(voters);
+  replicas_differ = ballots_differ && !membership_.empty() && membership_.is_quorum(voters);
 }
 
-void Learner::remember_members(wire::ReadReplyT const& reply) {
+void Learner::record_poll_membership(wire::ReadReplyT const& reply) {
   Membership members;
   members.epoch = reply.epoch;
   for (std::unique_ptr<wire::ReplicaT> const& replica : reply.replicas) members.replicas.push_back(*replica);
@@ -87,20 +89,21 @@
   poll_memberships_[members.fingerprint()] = std::move(members);
 }
 
-Membership const* Learner::members_of(PollReply const& poll_reply) const {
+Membership const* Learner::membership_in(PollReply const& poll_reply) const {
   std::map<std::uint64_t, Membership>::const_iterator const position = poll_memberships_.find(poll_reply.members);
   return position == poll_memberships_.end() ? nullptr : &position->second;
 }
 
-Voters Learner::replicas_at(wire::Ballot const& ballot) const {
+Voters Learner::replicas_with_ballot(wire::Ballot const& ballot) const {
   Voters out;
   for (std::pair<std::string const, PollReply> const& item : poll_replies_)
-    if (same(item.second.ballot, ballot)) out[item.first] = item.second.disk;
+    if (same_ballot(item.second.ballot, ballot)) out[item.first] = item.second.disk;
   return out;
 }
 
-// What a quorum of the newest set among the answers holds is at least as new as anything that was chosen before the
-// poll was sent: who holds as much is as new as that moment, also when changes go on and no two answers agree.
+// The newest value at a quorum of the newest membership among the replies is at least as new as any value that was
+// chosen before the poll was sent. A held value of that revision is therefore current as of the poll, even if changes
+// continue and no two replies agree.
 void Learner::update_quorum_revision() {
   PollReply const* newest = nullptr;
   Voters voters;
@@ -110,10 +113,10 @@
     voters[item.first] = item.second.disk;
     revision = std::max(revision, item.second.revision);
   }
-  Membership const* const members = newest == nullptr ? nullptr : members_of(*newest);
+  Membership const* const members = newest == nullptr ? nullptr : membership_in(*newest);
   if (members == nullptr) return;
   newest_seen_membership_ = *members;
-  if (!members->quorum(voters)) return;
+  if (!members->is_quorum(voters)) return;
   quorum_revision_ = revision;
   quorum_at_ = poll_sent_at_;
   if (value && value->revision >= quorum_revision_) confirmed_at = std::max(confirmed_at, quorum_at_);
@@ -125,15 +128,15 @@
       Observation{reply.disk, reply.formed, reply.ballot, reply.serial, now, reply.retiring, reply.awaits_bootstrap};
   if (reply.value) return handle_fetched_value(reply, now);
   if (reply.request_id != request_id_) return std::nullopt;
-  remember_members(reply);
-  // A replica that has accepted nothing yet says so: no value was chosen with its help. It counts where a membership
-  // names it with its disk, as a member that was unreachable when it got its place.
+  record_poll_membership(reply);
+  // A replica that has accepted no value did not help to choose one. Its reply still counts towards the quorum if a
+  // membership names it with its disk, for example a member that was unreachable when it was admitted.
   PollReply const poll_reply{reply.ballot, reply.revision, reply.disk, reply.members};
   poll_replies_[from] = poll_reply;
   update_quorum_revision();
   if (!reply.formed) return std::nullopt;
-  Membership const* const members = members_of(poll_reply);
-  if (members == nullptr || !members->quorum(replicas_at(poll_reply.ballot))) return std::nullopt;
+  Membership const* const members = membership_in(poll_reply);
+  if (members == nullptr || !members->is_quorum(replicas_with_ballot(poll_reply.ballot))) return std::nullopt;
   if (value && value->revision >= poll_reply.revision) {
     confirmed_at = std::max(confirmed_at, poll_sent_at_);
     return std::nullopt;
@@ -146,8 +149,8 @@
   if (!fetch_ || reply.request_id != fetch_->request_id) return std::nullopt;
   Fetch const fetch = *fetch_;
   fetch_.reset();
-  if (!same(reply.ballot, fetch.ballot)) return std::nullopt;  // the replica has accepted another value meanwhile
-  // A quorum agreed on this ballot, so this is the value that was chosen.
+  if (!same_ballot(reply.ballot, fetch.ballot)) return std::nullopt;  // the replica has accepted another value since
+  // A quorum has accepted this ballot, so its value is chosen.
   bool const fresh = adopt(*reply.value, now);
   if (value && value->revision == reply.value->revision) confirmed_at = std::max(confirmed_at, fetch.poll_sent_at);
   if (fresh) return *reply.value;
@@ -156,7 +159,7 @@
 
 void Learner::fetch_value(std::string const& from, wire::Ballot const& ballot, Micros now,
                           std::vector<OutgoingMessage>& out) {
-  if (fetch_ && now - fetch_->asked_at < fetch_timeout) return;
+  if (fetch_ && now - fetch_->requested_at < fetch_timeout) return;
   fetch_ = Fetch{request_id_, ballot, poll_sent_at_, now};
   wire::ReadRequestT request;
   request.request_id = request_id_;
--- a/src/mesh/entries/entry_replication.cc
+++ b/src/mesh/entries/entry_replication.cc
@@ -4,24 +4,24 @@
 
 namespace {
 constexpr std::size_t batch_limit = 256;    // entries in one frame
-constexpr std::size_t in_flight_limit = 8;  // batches of one peer whose acks still count
+constexpr std::size_t in_flight_limit = 8;  // batches of one peer whose acknowledgements are still accepted
 }  // namespace
 
 void EntryReplication::enqueue_all(std::string const& peer) {
   PeerQueue& queue = queues_[peer];
   queue.in_flight.clear();
-  for (std::pair<std::string const, wire::EntryT> const& item : table_.all())
+  for (std::pair<std::string const, wire::EntryT> const& item : table_.entries())
     queue.pending[item.first] = PendingEntry{item.second.stamp, false};
 }
 
 void EntryReplication::enqueue_own(std::string const& peer) {
   PeerQueue& queue = queues_[peer];
-  for (std::pair<std::string const, wire::EntryT> const& item : table_.all())
+  for (std::pair<std::string const, wire::EntryT> const& item : table_.entries())
     if (item.second.owner == table_.self()) queue.pending[item.first] = PendingEntry{item.second.stamp, false};
 }
 
 void EntryReplication::enqueue_local(std::string const& key) {
-  std::uint64_t const stamp = table_.all().at(key).stamp;
+  std::uint64_t const stamp = table_.entries().at(key).stamp;
   for (std::pair<std::string const, PeerQueue>& item : queues_) item.second.pending[key] = PendingEntry{stamp, false};
 }
 
@@ -31,7 +31,7 @@
       if (item.first != from) item.second.pending[entry.key] = PendingEntry{entry.stamp, false};
     return;
   }
-  for (std::string const& name : forward_to) {
+  for (std::string const& name : forward_targets) {
     if (name == from || name == entry.owner) continue;
     std::map<std::string, PeerQueue>::iterator const position = queues_.find(name);
     if (position != queues_.end()) position->second.pending[entry.key] = PendingEntry{entry.stamp, false};
@@ -46,8 +46,8 @@
   std::vector<SentEntry> sent;
   for (std::pair<std::string const, PendingEntry>& item : queue.pending) {
     if (item.second.sent && !resend) continue;
-    std::map<std::string, wire::EntryT>::const_iterator const entry = table_.all().find(item.first);
-    if (entry == table_.all().end()) continue;
+    std::map<std::string, wire::EntryT>::const_iterator const entry = table_.entries().find(item.first);
+    if (entry == table_.entries().end()) continue;
     out.list.push_back(std::make_unique<wire::EntryT>(entry->second));
     sent.push_back(SentEntry{item.first, entry->second.stamp});
     item.second.sent = true;
@@ -55,7 +55,7 @@
   }
   if (sent.empty()) return out;
   out.batch = ++last_batch_;
-  // An ack for an older batch is ignored; its entries are sent again in a batch with a number of its own.
+  // The acknowledgement of an older batch will be ignored; its entries are resent in a batch with a new number.
   while (queue.in_flight.size() >= in_flight_limit) queue.in_flight.erase(queue.in_flight.begin());
   queue.in_flight[out.batch] = std::move(sent);
   return out;
@@ -76,7 +76,7 @@
 
 bool EntryReplication::is_replicated(std::string const& peer, std::string const& key) const {
   std::map<std::string, PeerQueue>::const_iterator const position = queues_.find(peer);
-  return position != queues_.end() && table_.all().count(key) > 0 && position->second.pending.count(key) == 0;
+  return position != queues_.end() && table_.entries().count(key) > 0 && position->second.pending.count(key) == 0;
 }
 
 }  // namespace pipit
--- a/src/mesh/membership/gossip.cc
+++ b/src/mesh/membership/gossip.cc
@@ -5,11 +5,11 @@
 namespace pipit {
 
 namespace {
-constexpr std::uint64_t full_table_interval = 16;  // one in so many tables of pings and pongs holds all records
-constexpr std::size_t piggyback_limit = 12;        // records with one ping or pong
-constexpr int finding_sends_base = 3;              // a finding is piggybacked so often, and
-constexpr int finding_sends_per_doubling = 3;      // so much more for each doubling of the fleet
-constexpr int relayed_sends = 6;                   // a record that a peer sent is piggybacked so often
+constexpr std::uint64_t full_table_interval = 16;      // one of this many pings and pongs carries all records
+constexpr std::size_t piggyback_limit = 12;            // records carried by one ping or pong
+constexpr int observed_change_sends_base = 3;          // piggybacked sends of a change that this node observed,
+constexpr int observed_change_sends_per_doubling = 3;  // plus this many for each doubling of the fleet's size
+constexpr int received_record_sends = 6;               // piggybacked sends of a record that a peer sent
 }  // namespace
 
 void MembershipGossip::broadcast(wire::MemberT const& record, ConnectionEffects& out) {
@@ -21,12 +21,12 @@
   }
 }
 
-// §3.6: many nodes find the same at the same time; if each of them broadcast it, the messages would grow with the
-// square of the fleet.
-void MembershipGossip::spread_finding(wire::MemberT const& record, ConnectionEffects& out) {
+// §3.6: many nodes observe the same change at the same time; if each of them broadcast it, the number of messages would
+// grow with the square of the fleet's size.
+void MembershipGossip::disseminate(wire::MemberT const& record, ConnectionEffects& out) {
   if (!is_large_fleet()) return broadcast(record, out);
-  int sends = finding_sends_base;
-  for (std::size_t n = members_.peers.size(); n > 0; n >>= 1) sends += finding_sends_per_doubling;
+  int sends = observed_change_sends_base;
+  for (std::size_t n = members_.peers.size(); n > 0; n >>= 1) sends += observed_change_sends_per_doubling;
   piggybacked_[record.name] = sends;
   std::vector<std::string> candidates;
   for (std::pair<std::string const, Peer> const& item : members_.peers)
@@ -41,7 +41,7 @@
   }
 }
 
-MemberRecords MembershipGossip::take_piggybacked() {
+MemberRecords MembershipGossip::next_piggybacked_records() {
   MemberRecords out;
   std::map<std::string, int>::iterator it = piggybacked_.begin();
   while (it != piggybacked_.end() && out.size() < piggyback_limit) {
@@ -52,18 +52,18 @@
   return out;
 }
 
-// A connection keeps its order and loses nothing, so what was sent on it need not be sent again; the full table once in
-// a while repairs what a peer has forgotten since (§3.3).
+// A connection is ordered and reliable, so records that were sent on it need not be sent again; the periodic full table
+// restores records that the peer has removed since (§3.3).
 MemberRecords MembershipGossip::records_for(ConnectionId id, bool all) {
   Connection* const connection = connections_.find(id);
   if (connection == nullptr) return members_.records_since();
-  std::uint64_t const since = all || ++tables_sent_ % full_table_interval == 0 ? 0 : connection->sent_version;
+  std::uint64_t const since = all || ++ping_tables_sent_ % full_table_interval == 0 ? 0 : connection->sent_version;
   connection->sent_version = members_.version;
   return members_.records_since(since);
 }
 
 MemberRecords MembershipGossip::records_for_ping(ConnectionId id) {
-  return is_large_fleet() ? take_piggybacked() : records_for(id, false);
+  return is_large_fleet() ? next_piggybacked_records() : records_for(id, false);
 }
 
 void MembershipGossip::answer_hello(ConnectionId id, wire::HelloT const& hello, ConnectionEffects& out) {
@@ -71,7 +71,7 @@
   std::string const& name = hello.self->name;
   bool const all = !is_large_fleet() || hello.members < members_.peers.size() / 2;
   wire::MembershipUpdateT update;
-  update.table = all ? records_for(id, true) : take_piggybacked();
+  update.table = all ? records_for(id, true) : next_piggybacked_records();
   if (!all) update.table.push_back(std::make_unique<wire::MemberT>(members_.peers.at(name).member));
   connections_.send(name, std::move(update), out);
 }
@@ -81,11 +81,11 @@
     MemberTable::MergeResult const result = members_.merge(*record, now);
     if (result == MemberTable::MergeResult::refuted) broadcast(members_.self, out);
     if (result != MemberTable::MergeResult::changed) continue;
-    // A table of more records is an exchange of everything; what it brings is known to most already.
-    if (is_large_fleet() && records.size() <= piggyback_limit) piggybacked_[record->name] = relayed_sends;
+    // A larger table is a full exchange, whose records most members know already.
+    if (is_large_fleet() && records.size() <= piggyback_limit) piggybacked_[record->name] = received_record_sends;
     std::map<std::string, Peer>::const_iterator const position = members_.peers.find(record->name);
     if (position == members_.peers.end() || position->second.connection == 0) continue;
-    // A peer that started anew cannot have the connection of its former incarnation.
+    // A peer that restarted cannot still hold the connection of its previous incarnation.
     ConnectionId const id = position->second.connection;
     Connection const* const connection = connections_.find(id);
     if (connection != nullptr && connection->peer_incarnation < record->incarnation) connections_.close(id, now, out);
--- a/src/node/exchange_topology.cc
+++ b/src/node/exchange_topology.cc
@@ -28,28 +28,28 @@
   return hub;
 }
 
-Paths ExchangeTopology::compute_paths() const {
-  Paths paths;
-  paths.wide = mesh_.is_large_fleet();
+GossipPaths ExchangeTopology::compute_paths() const {
+  GossipPaths paths;
+  paths.hierarchical = mesh_.is_large_fleet();
   std::set<std::string> other_zones;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
     if (!is_reachable(item.second)) continue;
     std::string const& zone = item.second.member.zone;
-    if (!paths.wide)
-      paths.all.push_back(item.first);
+    if (!paths.hierarchical)
+      paths.peers.push_back(item.first);
     else if (zone == plan_.zone)
-      paths.zone.push_back(item.first);
+      paths.zone_peers.push_back(item.first);
     else
       other_zones.insert(zone);
   }
-  if (!paths.wide) return paths;
+  if (!paths.hierarchical) return paths;
   std::string const own_hub = select_hub(plan_.zone);
-  paths.hub = own_hub == plan_.name;
-  if (!paths.hub) {
-    paths.own_hub = own_hub;
+  paths.is_hub = own_hub == plan_.name;
+  if (!paths.is_hub) {
+    paths.zone_hub = own_hub;
     return paths;
   }
-  for (std::string const& zone : other_zones) paths.hubs.push_back(select_hub(zone));
+  for (std::string const& zone : other_zones) paths.remote_hubs.push_back(select_hub(zone));
   return paths;
 }
 
--- a/src/node/exchange_topology.h
+++ b/src/node/exchange_topology.h
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "mesh/mesh.h"
-#include "routing/exchange/exchange.h"
+#include "routing/exchange/report_exchange.h"
 
 namespace pipit {
 
@@ -28,7 +28,7 @@
   ExchangeTopology(TopologyPlan plan, Mesh const& mesh);
 
   // The peers that this node sends to at present.
-  Paths compute_paths() const;
+  GossipPaths compute_paths() const;
   // The name of the zone's hub: the first reachable replica by name, else the first reachable node; empty if none is
   // reachable.
   std::string select_hub(std::string const& zone) const;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -31,13 +31,13 @@
   return plan.revocation_bound > 0 ? plan.revocation_bound : quota_owner_max_age;
 }
 
-QuotaAuthorityPlan quota_plan_of(NodePlan const& plan, std::optional<wire::RecordT> const& recovered) {
-  QuotaAuthorityPlan out;
+QuotaAuthorityOptions quota_plan_of(NodePlan const& plan, std::optional<wire::RecordT> const& recovered) {
+  QuotaAuthorityOptions out;
   out.self = plan.name;
   out.terms = plan.quota_terms;
-  out.first_request = incarnation_seed(plan, SeedUse::quota) >> spare_number_bits;
+  out.first_request_id = incarnation_seed(plan, SeedUse::quota) >> spare_number_bits;
   out.fence = quota_owner_max_age_of(plan);
-  out.settled_members = recovered ? recovered->quota_members : 0;
+  out.settled_membership = recovered ? recovered->quota_members : 0;
   return out;
 }
 
@@ -94,9 +94,10 @@
       started_at_(now),
       last_tick_(now),
       next_request_id_(incarnation_seed(plan, SeedUse::requests) >> spare_number_bits),
-      worker_departures_(plan.name, mesh, learner, [this](Micros at) { return replica_directory_.hears_quorum(at); }),
-      router_registrations_({plan.name, plan.address, plan.role == Role::router, !plan.workers_self_register}, mesh,
-                            learner),
+      worker_departures_(plan.name, mesh, learner,
+                         [this](Micros at) { return replica_directory_.has_quorum_contact(at); }),
+      router_registrations_({plan.name, plan.address, plan.role == MemberRole::router, !plan.workers_self_register},
+                            mesh, learner),
       list_freshness_(mesh),
       exchange_topology_({plan.name, plan.zone, plan.is_replica}, mesh),
       catch_up_(plan.name, plan.zone, mesh),
@@ -105,14 +106,14 @@
       quota_authority_(quota_plan_of(plan, recovered),
                        {mesh, learner, acceptor, configuration_authority_, peer_rotation_, dispatcher}) {
   if (recovered) acceptor.emplace(std::move(*recovered));
-  register_bootstrap_.mark_disk(acceptor);
+  register_bootstrap_.mark_awaiting_bootstrap(acceptor);
   registry.span(plan.heartbeat_interval);
-  if (plan.workers_self_register) dispatcher.begun(now);
-  dispatcher.budget(plan.retry_budget_ratio, plan.retry_budget_limit);
-  dispatcher.lease_on(key_lease());
+  if (plan.workers_self_register) dispatcher.set_started_at(now);
+  dispatcher.set_retry_budget(plan.retry_budget_ratio, plan.retry_budget_limit);
+  dispatcher.set_lease(key_lease());
 }
 
-ReplicaDirectory::Status Node::replica_status() {
+ReplicaDirectory::LocalStatus Node::replica_status() {
   return {[this] { return draining_; }, [this] { return retiring_; }, [this] { return poll_interval(); }};
 }
 
@@ -152,10 +153,11 @@
 
 std::set<std::string> Node::known_routers(bool include_down) const {
   std::set<std::string> out;
-  if (plan.role == Role::router) out.insert(plan.name);
+  if (plan.role == MemberRole::router) out.insert(plan.name);
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
-    State const state = item.second.state();
-    if (item.second.role() == Role::router && (include_down || state == State::alive || state == State::suspected))
+    MemberState const state = item.second.state();
+    if (item.second.role() == MemberRole::router &&
+        (include_down || state == MemberState::alive || state == MemberState::suspected))
       out.insert(item.first);
   }
   return out;
@@ -164,7 +166,8 @@
 std::vector<std::string> Node::index_peers() const {
   std::vector<std::string> out;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
-    if (item.second.role() == Role::router && item.second.connection != 0 && item.second.state() == State::alive)
+    if (item.second.role() == MemberRole::router && item.second.connection != 0 &&
+        item.second.state() == MemberState::alive)
       out.push_back(item.first);
   return out;
 }
@@ -196,8 +199,8 @@
       if (peer == mesh.members.peers.end() || peer->second.connection == 0) continue;
       wire::FrameT frame;
       frame.body = std::move(item.body);
-      std::string bytes = encode(frame);
-      if (bytes.size() > frame_limit) {
+      std::string bytes = encode_frame(frame);
+      if (bytes.size() > max_frame_bytes) {
         log_event(Event::frame_too_large, item.to + " " + std::to_string(bytes.size()));
         continue;
       }
@@ -220,7 +223,7 @@
     case wire::Body::ReadRequest:
       note_peer_list_age(body.AsReadRequest()->age, now);
       if (acceptor) {
-        wire::ReadReplyT reply = read_reply(acceptor->durable_state(), *body.AsReadRequest());
+        wire::ReadReplyT reply = make_read_reply(acceptor->durable_state(), *body.AsReadRequest());
         reply.age = list_freshness_.age(now);
         reply.retiring = retiring_;
         outgoing.push_back(message_to(from, std::move(reply)));
@@ -266,13 +269,13 @@
       }
       break;
     case wire::Body::LeaseReply:
-      replica_set_manager_.take_lease_reply(from, *body.AsLeaseReply(), now);
+      replica_set_manager_.handle_lease_reply(from, *body.AsLeaseReply(), now);
       break;
     case wire::Body::Loads:
       note_peer_list_age(body.AsLoads()->age, now);
       if (plan.workers_self_register) {
         registry.peer_loads(*body.AsLoads(), now);
-        exchange.pass(from, *body.AsLoads());
+        exchange.relay(from, *body.AsLoads());
       } else
         fleet.take_peer_loads(from, *body.AsLoads(), now);
       break;
@@ -281,20 +284,20 @@
           message_to(from, configuration_authority_.answer_request(body.AsNewestRequest()->request_id, now)));
       break;
     case wire::Body::NewestReply:
-      configuration_authority_.take_reply(from, *body.AsNewestReply(), now, outgoing);
+      configuration_authority_.handle_reply(from, *body.AsNewestReply(), now, outgoing);
       break;
     case wire::Body::QuotaRequest:
-      quota_authority_.take_request(from, *body.AsQuotaRequest(), now, outgoing);
+      quota_authority_.handle_request(from, *body.AsQuotaRequest(), now, outgoing);
       break;
     case wire::Body::QuotaReply:
-      quota_authority_.take_reply(from, *body.AsQuotaReply(), now, outgoing);
+      quota_authority_.handle_reply(from, *body.AsQuotaReply(), now, outgoing);
       process_quota(now, out);
       break;
     case wire::Body::ForwardedChange:
-      change_forwarder_.take_change(from, *body.AsForwardedChange(), now, out);
+      change_forwarder_.handle_forwarded_change(from, *body.AsForwardedChange(), now, out);
       break;
     case wire::Body::ForwardedChangeReply:
-      change_forwarder_.take_reply(from, *body.AsForwardedChangeReply(), now, out);
+      change_forwarder_.handle_reply(from, *body.AsForwardedChangeReply(), now, out);
       break;
     case wire::Body::WorkerSuspected:
       // Checked at once, so that a healthy worker is available again soon.
@@ -304,11 +307,11 @@
     case wire::Body::Deltas:
     case wire::Body::TreeRequest:
     case wire::Body::TreePage:
-      if (plan.role == Role::router)
+      if (plan.role == MemberRole::router)
         index_sync.take(
             from, body, now, [this](std::string const& model) { return index_bounds(model); },
             [this] { return index_peers(); }, outgoing);
-      if (plan.workers_self_register && body.type == wire::Body::Deltas) exchange.pass(*body.AsDeltas());
+      if (plan.workers_self_register && body.type == wire::Body::Deltas) exchange.relay(*body.AsDeltas());
       break;
     default:
       break;
@@ -372,7 +375,7 @@
   wire::ChosenT update;
   update.request_id = request_id;
   if (base && base->revision < value.revision)
-    update.patch = patch_between(*base, value);
+    update.patch = make_value_patch(*base, value);
   else
     update.value = std::make_unique<wire::ValueT>(value);
   if (!guard(Guard::spread)) return;
@@ -381,7 +384,7 @@
     // replica.
     update.origin = plan.name;
     update.hops = 1;
-    std::string const bytes = encode_body(wire::ChosenT(update));
+    std::string const bytes = encode_message(wire::ChosenT(update));
     std::set<std::string> covered_zones{plan.is_replica ? plan.zone : std::string()};
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       if (item.second.connection == 0 || !item.second.member.replica) continue;
@@ -394,7 +397,7 @@
     if (plan.is_replica) forward_to_zone(update, out);
     return;
   }
-  std::string const bytes = encode_body(std::move(update));
+  std::string const bytes = encode_message(std::move(update));
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.connection != 0) out.mesh.outgoing_frames.push_back({item.second.connection, bytes});
 }
@@ -415,9 +418,9 @@
         description = parsed.value();
       }
     }
-    dispatcher.in_force(description);
-    chat_dispatcher.in_force(description,
-                             std::set<std::string>(value.drained_zones.begin(), value.drained_zones.end()));
+    dispatcher.set_description(description);
+    chat_dispatcher.set_description(description,
+                                    std::set<std::string>(value.drained_zones.begin(), value.drained_zones.end()));
     log_event(Event::configuration_in_force, "serial " + std::to_string(value.serial));
   }
   mesh.members.self.serial = value.serial;
@@ -447,7 +450,7 @@
 
 bool Node::receive_frame(ConnectionId id, std::string_view bytes, Micros now, NodeEffects& out) {
   detect_clock_jump(now);
-  Result<std::unique_ptr<wire::FrameT>> frame = decode(bytes);
+  Result<std::unique_ptr<wire::FrameT>> frame = decode_frame(bytes);
   if (!frame) {
     log_event(Event::malformed_frame, frame.error().what);
     return false;
@@ -471,7 +474,7 @@
   }
   if (!from.empty()) handle_message(from, frame.value()->body, now, out);
   if (!pending_confirmations_.empty()) complete_confirmations(now, out);
-  change_forwarder_.advance(now, out);
+  change_forwarder_.tick(now, out);
   worker_departures_.answer_calls(now, out.end_answers);
   check_replies(out);
   return true;
@@ -479,8 +482,8 @@
 
 void Node::apply_updated_entries(Micros now) {
   for (std::string const& key : mesh.updated_entry_keys) {
-    std::map<std::string, wire::EntryT>::const_iterator const entry = mesh.entry_table.all().find(key);
-    if (entry == mesh.entry_table.all().end()) continue;
+    std::map<std::string, wire::EntryT>::const_iterator const entry = mesh.entry_table.entries().find(key);
+    if (entry == mesh.entry_table.entries().end()) continue;
     if (!plan.workers_self_register)
       fleet.take_entry(entry->second, now);
     else if (std::optional<wire::EntryT> refutation = registry.take_entry(entry->second, now))
@@ -495,10 +498,10 @@
 
 void Node::record_synced(Micros now, NodeEffects& out) {
   std::vector<OutgoingMessage> outgoing;
-  acceptor->synced(outgoing);
+  acceptor->on_synced(outgoing);
   if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.record_to_sync = std::move(save);
   send_messages(outgoing, now, out);
-  change_forwarder_.advance(now, out);
+  change_forwarder_.tick(now, out);
   check_replies(out);
 }
 
@@ -511,7 +514,7 @@
   // ready without a majority (docs/control.md).
   if (plan.workers_self_register && !majority_confirmed && !ready_) return;
   bool value_confirmed = majority_confirmed;
-  if (majority_confirmed && plan.role == Role::router && !router_registrations_.is_registered()) {
+  if (majority_confirmed && plan.role == MemberRole::router && !router_registrations_.is_registered()) {
     // §5.9: no request is placed before this incarnation of the node is registered; while a majority answers, no
     // serving peer can stand in for the registration.
     request_registration(now, out);
@@ -520,14 +523,14 @@
   // Where workers register themselves: a description is in force, and a worker is known or has had 2 s to call.
   bool const workers_reported =
       plan.workers_self_register && learner.serial() > 0 && (!registry.all.empty() || now - from > seconds(2));
-  bool const workers_known = plan.role == Role::config_store || last_list_read_at_ >= from || workers_reported;
+  bool const workers_known = plan.role == MemberRole::config_store || last_list_read_at_ >= from || workers_reported;
   if (!majority_confirmed && now - from > majority_timeout) {
     // §6.7: no majority answers. A node that was ready stays so; a new node may rely on the value of a ready peer.
     if (ready_) value_confirmed = true;
     for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
       Peer const& peer = item.second;
-      if (peer.connection != 0 && peer.state() == State::alive && peer.role() == Role::router && peer.member.ready &&
-          learner.value && learner.serial() >= peer.member.serial)
+      if (peer.connection != 0 && peer.state() == MemberState::alive && peer.role() == MemberRole::router &&
+          peer.member.ready && learner.value && learner.serial() >= peer.member.serial)
         value_confirmed = true;
     }
   }
@@ -535,14 +538,14 @@
   if (stale_since_ >= 0) {
     stale_since_ = -1;
     update_dispatch_hold();
-    chat_dispatcher.work(now, out.chat);
+    chat_dispatcher.process_backlog(now, out.chat);
   }
   if (!ready_ && router_registrations_.is_newcomer(now)) return;
   if (!ready_) {
     ready_ = true;
     log_event(Event::node_ready, "revision " + std::to_string(learner.revision()) + ", " +
                                      std::to_string((now - started_at_) / 1000) + " ms after its start");
-    chat_dispatcher.ready(true);
+    chat_dispatcher.set_ready(true);
     mesh.members.self.ready = true;
     mesh.announce_self(out.mesh);
   }
@@ -553,10 +556,11 @@
   mesh.tick(now, out.mesh);
   apply_updated_entries(now);
   std::vector<OutgoingMessage> outgoing;
-  if (now >= next_poll_ && (guard(Guard::spread) || learner.confirmed_at < 0 || plan.role == Role::config_store)) {
+  if (now >= next_poll_ &&
+      (guard(Guard::spread) || learner.confirmed_at < 0 || plan.role == MemberRole::config_store)) {
     next_poll_ = now + poll_interval();
     learner.poll(now, replica_directory_.connected_replicas(), list_freshness_.age(now), outgoing);
-    register_bootstrap_.propose_initial_set(now, outgoing);
+    register_bootstrap_.propose_initial_membership(now, outgoing);
   }
   if (acceptor)
     if (std::optional<wire::RecordT> save = acceptor->step(outgoing)) out.record_to_sync = std::move(save);
@@ -564,12 +568,12 @@
   request_newer_value(now, outgoing);
   proposer.adopt_membership(learner.membership());
   proposer.suggest_membership(learner.newest_seen_membership());
-  if (plan.workers_self_register && !replica_directory_.hears_quorum(now)) proposer.give_up_unsent();
+  if (plan.workers_self_register && !replica_directory_.has_quorum_contact(now)) proposer.abandon_unsent_changes();
   proposer.tick(now, outgoing);
   finish_ended_changes(now, out);
   if (plan.workers_self_register) {
     tick_registered_workers(now, outgoing, out);
-  } else if (plan.role == Role::router) {
+  } else if (plan.role == MemberRole::router) {
     tick_worker_list(now, outgoing, out);
   } else {
     update_readiness(now, out);
@@ -577,17 +581,17 @@
   send_messages(outgoing, now, out);
   manage_replica_set(now, out);
   complete_confirmations(now, out);
-  change_forwarder_.advance(now, out);
+  change_forwarder_.tick(now, out);
   check_replies(out);
   log_not_ready(now);
 }
 
 bool Node::may_stop(Micros now) const {
   if (!acceptor || !acceptor->durable_state().formed) return true;
-  if (!learner.membership().concerns(plan.name, acceptor->durable_state().disk)) return true;
+  if (!learner.membership().has_participant(plan.name, acceptor->durable_state().disk)) return true;
   // Without a quorum a replica cannot know whether another node can replace it, and waits until its grace period ends.
   // A member that the set does not need waits as well: it is removed from the set first.
-  return replica_directory_.hears_quorum(now) && replica_set_manager_.lacks_successor(now);
+  return replica_directory_.has_quorum_contact(now) && replica_set_manager_.lacks_replacement(now);
 }
 
 void Node::drain(Micros now, NodeEffects& out) {
@@ -598,7 +602,7 @@
   send_messages(outgoing, now, out);
   chat_dispatcher.drain();
   mesh.members.self.ready = false;
-  mesh.leave(out.mesh);
+  mesh.announce_departure(out.mesh);
   log_event(Event::drain_began, "");
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -79,7 +79,7 @@
   }
 
   // Routed requests and self-registered workers (§12).
-  void start_request(std::uint64_t id, Query query, Micros now, NodeEffects& out);
+  void start_request(std::uint64_t id, RequestInfo query, Micros now, NodeEffects& out);
   // An attempt of a routed request ended; 'wrong_instance': another instance answers at the worker's address.
   void attempt_ended(std::uint64_t id, AttemptEnd end, bool wrong_instance, Micros now, NodeEffects& out);
   // Takes a worker's heartbeat. False if this node cannot pass it on to the others: the worker should call another
@@ -92,9 +92,9 @@
   void worker_left(std::string const& id, std::uint64_t call_sequence, Micros now, NodeEffects& out);
 
   // Chat requests.
-  void start_chat_request(std::uint64_t id, Ask ask, Micros now, NodeEffects& out);
-  void chat_attempt_sent(std::uint64_t id) { chat_dispatcher.sent(id); }
-  void chat_attempt_began(std::uint64_t id) { chat_dispatcher.began(id); }
+  void start_chat_request(std::uint64_t id, ChatRequestInfo ask, Micros now, NodeEffects& out);
+  void chat_attempt_sent(std::uint64_t id) { chat_dispatcher.on_sent(id); }
+  void chat_attempt_began(std::uint64_t id) { chat_dispatcher.on_answer_begin(id); }
   // 'why' describes a failure for the log; 'retry_after' is the delay that the worker named in its refusal.
   void chat_attempt_ended(std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros retry_after, Micros now,
                           NodeEffects& out);
@@ -111,14 +111,14 @@
   bool is_ready() const { return ready_; }
   // Ready, and holding the configuration lease if the description requires API keys.
   bool accepts_requests(Micros now) const {
-    return ready_ && (!dispatcher.description()->keys_required || key_lease().holds(now));
+    return ready_ && (!dispatcher.description()->keys_required || key_lease().valid(now));
   }
   bool is_draining() const { return draining_; }
   // The lease on the configuration; API keys are accepted only while it is held.
   ConfigurationLease const& key_lease() const { return configuration_authority_.key_lease(); }
   // This node's part in requesting and granting tenants' quota.
   QuotaAuthority const& quota_authority() const { return quota_authority_; }
-  std::size_t chat_requests_in_flight() const { return chat_dispatcher.under_way(); }
+  std::size_t chat_requests_in_flight() const { return chat_dispatcher.active_requests(); }
 
   NodePlan const plan;
   Mesh mesh;
@@ -129,7 +129,7 @@
   Fleet fleet;
   ChatDispatcher chat_dispatcher;
   Registry registry;
-  Exchange exchange;
+  ReportExchange exchange;
   Dispatcher dispatcher;
   std::uint64_t clock_jumps = 0;  // since the start
 
@@ -207,7 +207,7 @@
   std::set<std::string> known_routers(bool include_down) const;
   Index::Bounds index_bounds(std::string const& model) const;
 
-  ReplicaDirectory::Status replica_status();
+  ReplicaDirectory::LocalStatus replica_status();
   ChangeForwarder::Actions forwarder_actions();
 
   ReplicaDirectory replica_directory_;
--- a/src/node/node_effects.h
+++ b/src/node/node_effects.h
@@ -35,7 +35,7 @@
   // To be synced to disk; Node::record_synced() is called afterwards.
   std::optional<wire::RecordT> record_to_sync;
   std::vector<ChangeReply> replies;
-  std::vector<EndAnswer> end_answers;
+  std::vector<DepartureAnswer> end_answers;
   ChatEffects chat;
   DispatchEffects dispatch;
   // The platform's list of workers is to be read; the result goes to Node::handle_worker_list().
--- a/src/node/node_plan.h
+++ b/src/node/node_plan.h
@@ -18,7 +18,7 @@
   std::string zone;
   std::string address;  // of the mesh
   std::string http_address;
-  Role role = Role::router;
+  MemberRole role = MemberRole::router;
   std::vector<std::string> seeds;            // mesh addresses
   std::vector<std::string> models;           // served by a router; empty: all
   std::vector<std::string> initial_members;  // names of the first replicas
--- a/src/node/peer_selection.h
+++ b/src/node/peer_selection.h
@@ -12,7 +12,7 @@
 namespace pipit {
 
 // Whether the peer has an open connection and is alive.
-inline bool is_reachable(Peer const& peer) { return peer.connection != 0 && peer.state() == State::alive; }
+inline bool is_reachable(Peer const& peer) { return peer.connection != 0 && peer.state() == MemberState::alive; }
 // The same by name; false for a peer that the mesh does not know.
 inline bool is_reachable(Mesh const& mesh, std::string const& name) {
   std::map<std::string, Peer>::const_iterator const peer = mesh.members.peers.find(name);
--- a/testing/fleet_simulator/judge.cc
+++ b/testing/fleet_simulator/judge.cc
@@ -18,7 +18,7 @@
     for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes) {
       Box const& box = *item.second;
       bool const befallen = !box.up() || box.frozen || box.troubled > it->second - seconds(3) || !cuts.empty();
-      if (box.role != Role::router || befallen) continue;
+      if (box.role != MemberRole::router || befallen) continue;
       if (box.node->learner.serial() < it->first) {
         all = false;
         who += " " + box.name;
@@ -50,8 +50,8 @@
     if (item.second > 1) fault("N1 a request that may not repeat ran " + std::to_string(item.second) + " times");
   for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
     if (item.second->up()) {
-      first_sends += item.second->node->chat_dispatcher.tally.first_sends;
-      resends += item.second->node->chat_dispatcher.tally.resends;
+      first_sends += item.second->node->chat_dispatcher.counters.first_sends;
+      resends += item.second->node->chat_dispatcher.counters.retries;
     }
   if (first_sends > 0) end.margins.resend = static_cast<double>(resends) / static_cast<double>(first_sends);
   if (static_cast<double>(resends) > 0.2 * static_cast<double>(first_sends) + 3.0 * static_cast<double>(process_count))
@@ -59,7 +59,7 @@
   // After a quiet while everything is whole again: one serial, every node ready, the replica set full.
   std::set<std::uint64_t> serials;
   for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
-    if (item.second->up() && item.second->role == Role::router) ++end.routers;
+    if (item.second->up() && item.second->role == MemberRole::router) ++end.routers;
   for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes) {
     if (!item.second->up()) continue;
     serials.insert(item.second->node->learner.serial());
--- a/testing/fleet_simulator/machines.cc
+++ b/testing/fleet_simulator/machines.cc
@@ -9,7 +9,7 @@
 
 namespace pipit {
 
-World::Box& World::add(std::string const& name, std::string const& address, std::string const& zone, Role role) {
+World::Box& World::add(std::string const& name, std::string const& address, std::string const& zone, MemberRole role) {
   std::unique_ptr<Box>& slot = boxes[name];
   slot = std::make_unique<Box>();
   slot->name = name;
@@ -52,12 +52,12 @@
     }
   }
   p.seeds = box.seeds;
-  if (box.role == Role::config_store)
+  if (box.role == MemberRole::config_store)
     for (int i = 1; i <= plan.shape->replicas; ++i) p.initial_members.push_back("k" + std::to_string(i));
   p.incarnation = 1000 + process_count;
   p.random_seed = hash_bits(plan.seed * 31 + process_count);
   std::optional<wire::RecordT> recovered;
-  if (box.role == Role::config_store) {
+  if (box.role == MemberRole::config_store) {
     // What was being written when the power went may be there, or not.
     if (box.writing && random.chance(0.5)) box.disk = box.writing;
     box.writing.reset();
@@ -79,9 +79,9 @@
 void World::halt(Box& box, bool power) {
   if (!box.up()) return;
   box.troubled = now;
-  Tally const& t = box.node->chat_dispatcher.tally;
+  ChatCounters const& t = box.node->chat_dispatcher.counters;
   first_sends += t.first_sends;
-  resends += t.resends;
+  resends += t.retries;
   box.power = power;
   std::map<ConnectionId, std::pair<std::shared_ptr<Link>, int>> const connections = box.connections;
   box.connections.clear();
@@ -312,18 +312,18 @@
     hang(item.first, item.second);
     box.connections.erase(id);
   }
-  for (Start const& start : out.chat.starts) attempt(box, start);
-  for (Verdict const& verdict : out.chat.ends) {
+  for (ChatAttemptStart const& start : out.chat.attempts) attempt(box, start);
+  for (ChatFailure const& verdict : out.chat.failures) {
     std::uint64_t const wish =
         box.chat_requests.count(verdict.chat_request) ? box.chat_requests[verdict.chat_request] : 0;
     box.chat_requests.erase(verdict.chat_request);
     box.attempts.erase(verdict.chat_request);
     std::string const ran = execution_status_name(verdict.execution);
-    Micros const back = verdict.wait;
+    Micros const back = verdict.retry_after;
     ++end.kinds[std::string("answer ") + error_code_row(verdict.error.code).name];
     after(lag(), [this, wish, ran, back] { request_ended(wish, ran, back); });
   }
-  for (std::uint64_t const id : out.chat.drops) box.attempts.erase(id);
+  for (std::uint64_t const id : out.chat.cancelled_attempts) box.attempts.erase(id);
   for (ChangeReply const& reply : out.replies) answered(box, reply);
   if (out.read_list) {
     bool const mute = (list_down && list_silent) || cut(name, "list");
--- a/testing/fleet_simulator/operators.cc
+++ b/testing/fleet_simulator/operators.cc
@@ -52,7 +52,7 @@
   change.answered = now;
   Outcome const& outcome = reply.outcome;
   note(reply.change_id + " answered " + std::to_string(static_cast<int>(outcome.type)));
-  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
+  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::unchanged;
   if (outcome.type == Outcome::Type::refused) {
     refused_changes.insert(reply.change_id);
     for (std::pair<std::uint64_t const, std::string> const& seen : serial_change)
@@ -94,7 +94,7 @@
   if (closing && outcome.type == Outcome::Type::chosen) {
     closing = false;
     for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
-      if (item.second->role == Role::config_store && item.second->up()) {
+      if (item.second->role == MemberRole::config_store && item.second->up()) {
         std::string const name = item.first;
         after(1, [this, name] { halt(*boxes[name], true); });
         after(lag(millis(300), seconds(2)), [this, name] { boot(*boxes[name]); });
--- a/testing/fleet_simulator/world.h
+++ b/testing/fleet_simulator/world.h
@@ -87,7 +87,7 @@
   }
 
   // machines
-  Box& add(std::string const& name, std::string const& address, std::string const& zone, Role role);
+  Box& add(std::string const& name, std::string const& address, std::string const& zone, MemberRole role);
   void boot(Box& box);
   void halt(Box& box, bool power);
   void freeze(Box& box, Micros span);
@@ -105,7 +105,7 @@
   void save(Box& box, wire::RecordT record);
 
   // workers and callers
-  void attempt(Box& box, Start const& start);
+  void attempt(Box& box, ChatAttemptStart const& start);
   void arrive(std::string const& box, std::uint64_t process_id, std::uint64_t chat_request, int attempt,
               std::string const& worker, std::uint64_t worker_process_id, std::uint64_t wish, Micros stall);
   void start_process(WorkerProcess& process);
--- a/tests/node/exchange_topology.cc
+++ b/tests/node/exchange_topology.cc
@@ -36,9 +36,9 @@
   add("n3", "b");
   add("n4", "b");
   mesh.members.peers["n4"].connection = 0;
-  Paths const paths = topology("n1", "a").compute_paths();
-  EXPECT_FALSE(paths.wide);
-  EXPECT_EQ(paths.all, std::vector<std::string>({"n2", "n3"})) << "n4 has no connection and must be left out";
+  GossipPaths const paths = topology("n1", "a").compute_paths();
+  EXPECT_FALSE(paths.hierarchical);
+  EXPECT_EQ(paths.peers, std::vector<std::string>({"n2", "n3"})) << "n4 has no connection and must be left out";
 }
 
 TEST_F(ExchangeTopologyTest, the_hub_is_the_first_reachable_replica_or_else_the_first_node) {
@@ -50,7 +50,7 @@
   EXPECT_EQ(topology("n6", "a").select_hub("a"), "n2");
   EXPECT_EQ(topology("n6", "a", true).select_hub("a"), "n6");
   EXPECT_EQ(topology("n1", "a").select_hub("b"), "n4");
-  mesh.members.peers["n4"].member.state = static_cast<std::uint8_t>(State::suspected);
+  mesh.members.peers["n4"].member.state = static_cast<std::uint8_t>(MemberState::suspected);
   EXPECT_EQ(topology("n1", "a").select_hub("b"), "n5");
   mesh.members.peers["n5"].connection = 0;
   EXPECT_EQ(topology("n1", "a").select_hub("b"), "n3");
@@ -62,11 +62,11 @@
   add("n3", "b");
   add("n4", "b", true);
   add("n5", "c");
-  Paths const paths = topology("n1", "a").compute_paths();
-  EXPECT_TRUE(paths.wide);
-  EXPECT_TRUE(paths.hub);
-  EXPECT_EQ(paths.zone, std::vector<std::string>({"n2"}));
-  EXPECT_EQ(paths.hubs, std::vector<std::string>({"n4", "n5"}));
+  GossipPaths const paths = topology("n1", "a").compute_paths();
+  EXPECT_TRUE(paths.hierarchical);
+  EXPECT_TRUE(paths.is_hub);
+  EXPECT_EQ(paths.zone_peers, std::vector<std::string>({"n2"}));
+  EXPECT_EQ(paths.remote_hubs, std::vector<std::string>({"n4", "n5"}));
 }
 
 TEST_F(ExchangeTopologyTest, other_nodes_send_to_their_zone_and_its_hub) {
@@ -74,11 +74,11 @@
   add("n3", "a");
   add("n4", "b");
   add("n5", "c");
-  Paths const paths = topology("n1", "a").compute_paths();
-  EXPECT_FALSE(paths.hub);
-  EXPECT_EQ(paths.own_hub, "n2");
-  EXPECT_EQ(paths.zone, std::vector<std::string>({"n2", "n3"}));
-  EXPECT_TRUE(paths.hubs.empty());
+  GossipPaths const paths = topology("n1", "a").compute_paths();
+  EXPECT_FALSE(paths.is_hub);
+  EXPECT_EQ(paths.zone_hub, "n2");
+  EXPECT_EQ(paths.zone_peers, std::vector<std::string>({"n2", "n3"}));
+  EXPECT_TRUE(paths.remote_hubs.empty());
 }
 
 }  // namespace pipit
