--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -12,6 +12,7 @@
 namespace {
 constexpr Micros clock_jump_threshold = seconds(1);
 constexpr Micros majority_timeout = seconds(3);
+constexpr Micros first_heartbeat_wait = seconds(2);
 // Request numbers only rise; they start in the lowest 1/256 of their range, so that they do not overflow.
 constexpr int spare_number_bits = 8;
 
@@ -520,9 +521,9 @@
     request_registration(now, out);
     if (!ready_) return;
   }
-  // Where workers register themselves: a description is in force, and a worker is known or has had 2 s to call.
-  bool const workers_reported =
-      plan.workers_self_register && learner.serial() > 0 && (!registry.all.empty() || now - from > seconds(2));
+  // Where workers register themselves: a description is in force, and a worker is known or has had time to call.
+  bool const workers_reported = plan.workers_self_register && learner.serial() > 0 &&
+                                (!registry.all.empty() || now - from > first_heartbeat_wait);
   bool const workers_known = plan.role == MemberRole::config_store || last_list_read_at_ >= from || workers_reported;
   if (!majority_confirmed && now - from > majority_timeout) {
     // §6.7: no majority answers. A node that was ready stays so; a new node may rely on the value of a ready peer.
--- a/src/node/node_registered_workers.cc
+++ b/src/node/node_registered_workers.cc
@@ -13,6 +13,8 @@
 constexpr Micros large_fleet_replica_poll_interval = seconds(1);
 constexpr Micros large_fleet_poll_interval = seconds(3);  // pings announce revisions already
 constexpr Micros adoption_interval = seconds(1);
+constexpr Micros index_round_interval = seconds(1);
+constexpr Micros reconcile_interval = seconds(30);
 constexpr Micros unknown_owner_grace = seconds(10);  // longer than a node needs to connect to all others
 }  // namespace
 
@@ -132,14 +134,14 @@
   mesh.entry_replication.forward_to.clear();
   if (paths.hub) mesh.entry_replication.forward_to.insert(paths.zone.begin(), paths.zone.end());
   if (now >= next_index_round_) {
-    next_index_round_ = now + seconds(1);
+    next_index_round_ = now + index_round_interval;
     index_sync.round(
         now, {}, [this](std::string const& model) { return index_bounds(model); }, outgoing);
   }
   index_sync.tick(now, index_peers(), outgoing);
   if (now >= next_reconcile_) {
     // §4.4: restores workers that are in the entry table but missing from the registry.
-    next_reconcile_ = now + seconds(30);
+    next_reconcile_ = now + reconcile_interval;
     for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.all())
       if (registry.find(item.first) == nullptr) registry.take_entry(item.second, now);
   }
--- a/src/node/node_worker_list.cc
+++ b/src/node/node_worker_list.cc
@@ -12,12 +12,17 @@
 constexpr Micros list_read_interval = millis(300);
 constexpr Micros health_check_interval = millis(500);
 constexpr Micros load_report_interval = millis(200);
+constexpr Micros unchanged_load_report_interval = millis(500);
+constexpr Micros index_round_interval = seconds(1);
+constexpr Micros reconcile_interval = seconds(30);
+constexpr Micros list_read_timeout = seconds(3);
+constexpr Micros max_list_age = seconds(5);  // for publishing entries of workers
 }  // namespace
 
 // The periodic work of a router node whose platform has a list of workers.
 void Node::tick_worker_list(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out) {
   if (now >= next_index_round_) {
-    next_index_round_ = now + seconds(1);
+    next_index_round_ = now + index_round_interval;
     std::vector<std::pair<std::string, std::vector<std::string>>> peers;
     for (std::string const& name : index_peers()) peers.emplace_back(name, mesh.members.peers.at(name).member.models);
     index_sync.round(
@@ -26,10 +31,10 @@
   }
   index_sync.tick(now, index_peers(), outgoing);
   if (now >= next_reconcile_) {
-    next_reconcile_ = now + seconds(30);
+    next_reconcile_ = now + reconcile_interval;
     fleet.reconcile(mesh.entry_table.all(), now);
   }
-  if (list_read_in_flight_ && now - list_read_started_at_ > seconds(3)) list_read_in_flight_ = false;
+  if (list_read_in_flight_ && now - list_read_started_at_ > list_read_timeout) list_read_in_flight_ = false;
   if (now >= next_list_read_ && !list_read_in_flight_) {
     next_list_read_ = now + list_read_interval;
     list_read_in_flight_ = true;
@@ -100,7 +105,8 @@
 }
 
 void Node::publish_own_entries(Micros now, NodeEffects& out) {
-  if (plan.role != Role::router || last_list_read_at_ < 0 || now - last_list_read_at_ > seconds(5) || draining_) return;
+  if (plan.role != Role::router || last_list_read_at_ < 0 || now - last_list_read_at_ > max_list_age || draining_)
+    return;
   std::set<std::string> const names = known_routers(false);
   std::set<std::string> owned;
   for (std::pair<std::string const, Worker> const& item : fleet.workers)
@@ -133,7 +139,7 @@
 }
 
 // Reports to the peers how many attempts this node has in flight at each worker: at the next report interval after a
-// change, and otherwise every 500 ms.
+// change, and otherwise every 'unchanged_load_report_interval'.
 void Node::send_loads(Micros now, std::vector<OutgoingMessage>& outgoing) {
   if (now < next_loads_) return;
   next_loads_ = now + load_report_interval;
@@ -142,7 +148,7 @@
   std::string fingerprint;
   for (std::unique_ptr<wire::LoadT> const& item : loads.list)
     fingerprint += item->worker + " " + std::to_string(item->attempts) + " ";
-  if (fingerprint == last_sent_loads_ && now - loads_sent_at_ < millis(500)) return;
+  if (fingerprint == last_sent_loads_ && now - loads_sent_at_ < unchanged_load_report_interval) return;
   last_sent_loads_ = fingerprint;
   loads_sent_at_ = now;
   for (std::string const& name : index_peers()) outgoing.push_back(message_to(name, wire::LoadsT(loads)));
