--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -144,7 +144,7 @@
   if (now - last_tick_ > clock_jump_threshold && guard(Guard::fresh_start)) {
     ++clock_jumps;
     stale_since_ = now;
-    update_dispatch_hold();
+    update_dispatch_pause();
     registry.stood_still(now);
     list_read_in_flight_ = false;
     log_event(Event::clock_jumped, std::to_string((now - last_tick_) / 1000) + " ms");
@@ -538,7 +538,7 @@
   if (!value_confirmed || !(workers_known || (ready_ && now - from > majority_timeout))) return;
   if (stale_since_ >= 0) {
     stale_since_ = -1;
-    update_dispatch_hold();
+    update_dispatch_pause();
     chat_dispatcher.process_backlog(now, out.chat);
   }
   if (!ready_ && router_registrations_.is_newcomer(now)) return;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -79,7 +79,7 @@
   }
 
   // Routed requests and self-registered workers (§12).
-  void start_request(std::uint64_t id, RequestInfo query, Micros now, NodeEffects& out);
+  void start_request(std::uint64_t id, RequestInfo request, Micros now, NodeEffects& out);
   // An attempt of a routed request ended; 'wrong_instance': another instance answers at the worker's address.
   void attempt_ended(std::uint64_t id, AttemptEnd end, bool wrong_instance, Micros now, NodeEffects& out);
   // Takes a worker's heartbeat. False if this node cannot pass it on to the others: the worker should call another
@@ -92,7 +92,7 @@
   void worker_left(std::string const& id, std::uint64_t call_sequence, Micros now, NodeEffects& out);
 
   // Chat requests.
-  void start_chat_request(std::uint64_t id, ChatRequestInfo ask, Micros now, NodeEffects& out);
+  void start_chat_request(std::uint64_t id, ChatRequestInfo request, Micros now, NodeEffects& out);
   void chat_attempt_sent(std::uint64_t id) { chat_dispatcher.on_sent(id); }
   void chat_attempt_began(std::uint64_t id) { chat_dispatcher.on_answer_begin(id); }
   // 'why' describes a failure for the log; 'retry_after' is the delay that the worker named in its refusal.
@@ -188,8 +188,8 @@
   Micros poll_interval() const;
   bool is_on_half_of_routers(std::uint64_t revision) const;
   void request_newer_value(Micros now, std::vector<OutgoingMessage>& outgoing);
-  // Holds or releases the dispatchers, by what this node knows at present.
-  void update_dispatch_hold();
+  // Pauses or resumes the dispatchers, by whether the state of this node is up to date and it is registered.
+  void update_dispatch_pause();
   void request_registration(Micros now, NodeEffects& out);
   void update_registration(Micros now, NodeEffects& out);
   // Whether an 'empty' still waits for this node's confirmation.
--- a/src/node/node_registration.cc
+++ b/src/node/node_registration.cc
@@ -20,7 +20,7 @@
 }
 
 void Node::update_registration(Micros now, NodeEffects& out) {
-  if (router_registrations_.apply_register(now, out.mesh)) update_dispatch_hold();
+  if (router_registrations_.apply_register(now, out.mesh)) update_dispatch_pause();
 }
 
 // §5.5: requests the newer value from one peer if peers announce a newer revision than this node holds, or a patch
@@ -43,11 +43,11 @@
   outgoing.push_back(message_to(peer, std::move(request)));
 }
 
-void Node::update_dispatch_hold() {
-  if (plan.role != Role::router) return;
-  dispatcher.hold(stale_since_ >= 0);
+void Node::update_dispatch_pause() {
+  if (plan.role != MemberRole::router) return;
+  dispatcher.set_paused(stale_since_ >= 0);
   bool const evicted = ready_ && router_registrations_.is_evicted();
-  chat_dispatcher.hold(stale_since_ >= 0 || evicted);
+  chat_dispatcher.set_paused(stale_since_ >= 0 || evicted);
 }
 
 bool Node::is_unconfirmed(PendingConfirmation const& pending, std::string const& name) const {
