--- a/src/routing/chat/chat_dispatcher.cc
+++ b/src/routing/chat/chat_dispatcher.cc
@@ -9,13 +9,13 @@
 namespace pipit {
 
 namespace {
-// §7.4: each first send earns this much of a re-send; with a small store besides. The sum over all nodes
-// therefore holds with no talk between them.
+// §7.4: each first send earns this fraction of a retry, on top of a small reserve. The bound on the sum over all nodes
+// therefore holds without any communication between them.
 constexpr double retry_ratio = 0.18;
 constexpr double retry_budget_max = 2.0;
-constexpr Micros probe_timeout = millis(100);      // within which a worker should answer before it is sent more
-constexpr Micros unsure_worker_wait = millis(50);  // until an unsure worker is considered again
-constexpr Micros probe_wait = millis(30);          // that a worker is predicted to take to answer
+constexpr Micros probe_timeout = millis(100);      // for the answer of a worker that is probed before it is sent more
+constexpr Micros unsure_worker_wait = millis(50);  // until a worker that must be probed is considered again
+constexpr Micros probe_wait = millis(30);          // predicted time until a probed worker answers
 }  // namespace
 
 void ChatDispatcher::set_description(std::shared_ptr<Description const> description,
@@ -34,7 +34,7 @@
   ErrorCodeRow const& row = error_code_row(error.code);
   ExecutionStatus const execution = chat_request.attempts == 0 ? row.execution : chat_request.execution;
   if (retry_after == 0) retry_after = row.wait;
-  // A crowd that is refused must not come back in one wave: the time is spread over as much again.
+  // Many clients that are rejected together must not retry together: the delay is spread over up to twice its length.
   if (error.code == ErrorCode::crowded || error.code == ErrorCode::backlog_full || error.code == ErrorCode::expired)
     retry_after += static_cast<Micros>(hash_bits(chat_request.id ^ hash_text(self_)) %
                                        static_cast<std::uint64_t>(std::max<Micros>(1, retry_after)));
@@ -46,15 +46,16 @@
   erase(chat_request);
 }
 
-// How much longer than predicted requests have waited of late: other nodes take what is free too, and the more urgent
-// overtake. A prediction is believed times this.
+// Updates the ratio of recent actual waits to their predictions. Requests wait longer than predicted because other
+// nodes use free workers too and more urgent requests overtake. Predictions are multiplied by this ratio.
 void ChatDispatcher::observe_wait(ChatRequest const& chat_request, Micros actual_wait) {
   if (chat_request.predicted_wait < millis(20)) return;
   double const seen = static_cast<double>(actual_wait) / static_cast<double>(chat_request.predicted_wait);
   wait_correction_ = std::clamp(wait_correction_ * 0.95 + seen * 0.05, 1.0, 8.0);
 }
 
-// What has waited longer than it was believed to has lost one race after another, and is held to lose more.
+// A request that has waited longer than predicted has lost free workers to other requests again and again, and is
+// expected to lose more.
 Micros ChatDispatcher::overdue_penalty(ChatRequest const& chat_request, Micros now) const {
   return 3 * std::max<Micros>(0, now - chat_request.arrived_at - corrected_wait(chat_request.predicted_wait));
 }
@@ -122,8 +123,8 @@
   if (!choice.probe.empty()) out.probes.push_back(choice.probe);
   if (choice.decision == PlacementDecision::reject)
     return reject(chat_request, Error{choice.error, "", ""}, choice.wait, out);
-  // §6.5: taken in only when the prediction fits half the wait, as predictions have held of late. The mean says nothing
-  // of those more urgent who come later; without this margin they turn a waiting request into a late refusal.
+  // §6.5: a request is admitted only if its corrected predicted wait is at most half of the lane's wait. The mean does
+  // not cover more urgent requests that arrive later; without this margin they cause late rejections.
   chat_request.predicted_wait = choice.wait;
   if (choice.decision == PlacementDecision::wait && corrected_wait(choice.wait) > chat_request.lane->policy.wait / 2)
     return reject(chat_request, Error{ErrorCode::crowded, "", ""},
@@ -134,11 +135,11 @@
                   std::clamp<Micros>(choice.wait, millis(500), seconds(10)), out);
   ++count;
   backlog_.insert(chat_request);
-  // Nobody overtakes those who wait already: what is free goes out in the backlog's order.
+  // A new request does not overtake those in the backlog: free workers are given out in the backlog's order.
   if (choice.decision == PlacementDecision::place) process_backlog(now, out);
 }
 
-// The first pool of the lane that takes the request decides: its cheapest worker, or a wait.
+// The first pool of the lane with a usable worker decides: its cheapest worker, or a wait.
 ChatDispatcher::Placement ChatDispatcher::select(ChatRequest const& chat_request, std::size_t ahead, Micros now,
                                                  bool confirmed_only) {
   Selection selection{chat_request, ahead, now, confirmed_only,
@@ -154,7 +155,7 @@
   return wait_or_rejection(selection);
 }
 
-// The pool's workers that may serve the request; those it was sent to already count only for the pool's load.
+// The pool's workers that may serve the request. Workers of earlier attempts count for the pool's load only.
 ChatDispatcher::PoolCandidates ChatDispatcher::candidates_in(Pool const& pool, ChatRequest const& chat_request) const {
   PoolCandidates out;
   out.service_time = service_time(pool);
@@ -170,7 +171,7 @@
   return out;
 }
 
-// Takes the worker as the best so far when it may be sent to and costs less; else notes how long to wait for it.
+// Makes the worker the best so far if it may be sent to and costs less; otherwise records the wait for it.
 void ChatDispatcher::consider(Worker& worker, Pool const& pool, PoolCandidates const& candidates,
                               Selection& selection) {
   std::int64_t const capacity = worker.capacity(pool);
@@ -187,7 +188,7 @@
     if (selection.first_warm_in < 0 || cold < selection.first_warm_in) selection.first_warm_in = cold;
     return;
   }
-  // §6.6: a worker that does not answer in time is passed over while others can be had.
+  // §6.6: a worker that does not answer its probe in time is skipped while others are available.
   bool const without_share = share == 0 && guard(Guard::cold_share);
   bool const unsure = guard(Guard::ask_first) && fleet_.unsure(worker, share, now);
   bool const answers_late = worker.asked >= 0 && now - worker.asked > probe_timeout;
@@ -195,7 +196,7 @@
   std::map<std::string, std::size_t>::const_iterator const hit = selection.hits.find(worker.row.id);
   std::size_t const cached_blocks = hit == selection.hits.end() ? 0 : hit->second;
   Micros const cost = cost_of(selection.request, worker, pool, candidates.service_time, cached_blocks);
-  // A node that has no share of this worker's bound goes there only for want of any other.
+  // A node without a share of this cold worker's capacity uses it only if there is no other worker.
   bool const cheaper = without_share != selection.without_share ? selection.without_share : cost < selection.cost;
   if (selection.best.worker != nullptr && !cheaper) return;
   selection.best.worker = &worker;
@@ -205,7 +206,7 @@
   selection.cost = cost;
 }
 
-// §6.4: the time to read what is missing of the prefix, for the attempts that run already, and for the way there.
+// §6.4: the time to process the uncached blocks of the prompt, to wait for running attempts, and to reach the worker.
 Micros ChatDispatcher::cost_of(ChatRequest const& chat_request, Worker const& worker, Pool const& pool,
                                Micros service_time, std::size_t cached_blocks) const {
   Micros cost = static_cast<Micros>(chat_request.info.path.size() - cached_blocks) * pool.block_cost;
@@ -215,7 +216,7 @@
   return cost;
 }
 
-// The best worker gets the request, at once or after it has answered.
+// Places the request at the best worker, at once or after the worker has answered a probe.
 ChatDispatcher::Placement ChatDispatcher::placement(Selection const& selection) {
   Placement out = selection.best;
   bool const confirmed = out.probe.empty();
@@ -224,10 +225,10 @@
   return out;
 }
 
-// No worker may be sent to now: the shortest wait for one, or a rejection when no wait would help.
+// The result if no worker is usable now: the shortest wait for one, or a rejection if no wait would help.
 ChatDispatcher::Placement ChatDispatcher::wait_or_rejection(Selection& selection) {
   if (selection.first_warm_in >= 0) {
-    // The share of this node comes free window by window, until the first of them is warm.
+    // This node's share of the cold workers becomes available again in each window, until the first of them is warm.
     Micros wait = selection.first_warm_in;
     if (selection.cold_shares > 0)
       wait = std::min(wait, Fleet::cold_window * static_cast<Micros>(selection.ahead + 1) / selection.cold_shares);
@@ -296,7 +297,7 @@
   if (worker != nullptr) {
     std::multiset<Micros>::iterator const attempt = worker->attempts.find(chat_request.attempt_started_at);
     if (attempt != worker->attempts.end()) {
-      // What it held is free again, though the next report may still count it.
+      // The slot is free again, although the last report counted this attempt.
       if (chat_request.attempt_started_at < worker->reported && worker->demand > 0) --worker->demand;
       worker->attempts.erase(attempt);
     }
@@ -321,7 +322,7 @@
     erase(chat_request);
     return;
   }
-  // §7.3: what is known of whether this attempt ran.
+  // §7.3: whether this attempt ran, as far as it is known.
   ExecutionStatus execution = ExecutionStatus::unknown;
   ErrorCode kind = ErrorCode::worker_failed;
   switch (end) {
@@ -352,13 +353,13 @@
     case ChatAttemptEnd::done:
       break;
   }
-  if (end == ChatAttemptEnd::unreached && chat_request.sent) {  // the executor cannot be sure after all
+  if (end == ChatAttemptEnd::unreached && chat_request.sent) {  // a byte may have left
     execution = ExecutionStatus::unknown;
     kind = ErrorCode::worker_broke;
   }
   if (!guard(Guard::honest_execution_status) && execution == ExecutionStatus::unknown) execution = ExecutionStatus::no;
   chat_request.execution = std::max(chat_request.execution, execution);
-  // §6.6: a broken connection may mean that the worker ended; it is asked before it gets anything more.
+  // §6.6: a broken connection may mean that the worker ended; it is probed before it is sent more.
   Worker const* const worker = fleet_.find(chat_request.worker_id);
   if (worker != nullptr &&
       (end == ChatAttemptEnd::unreached || end == ChatAttemptEnd::broke || end == ChatAttemptEnd::silent ||
@@ -419,7 +420,7 @@
     if (!choice.probe.empty()) out.probes.push_back(choice.probe);
     ++idle;
     ++ahead;
-    // §6.5: what has become hopeless is answered now, not when its time is up.
+    // §6.5: a request that cannot be placed in time is rejected now, not at its deadline.
     if (choice.decision == PlacementDecision::reject)
       reject(chat_request, Error{choice.error, "", ""}, choice.wait, out);
     else if (now + std::max(corrected_wait(choice.wait), overdue_penalty(chat_request, now)) > chat_request.deadline) {
--- a/src/routing/dispatch/dispatcher.cc
+++ b/src/routing/dispatch/dispatcher.cc
@@ -10,14 +10,16 @@
 namespace pipit {
 
 namespace {
-constexpr Micros answer_margin = millis(25);   // of the caller's time, for the answer's way
-constexpr Micros retry_time_min = millis(60);  // with less left, no other worker is tried
-constexpr int connect_attempts_max = 4;        // of a request whose answer has not begun
-constexpr Micros startup_span = seconds(5);    // after its start, while what a node knows still grows
+constexpr Micros answer_margin = millis(25);   // of the client's deadline, kept back for the way of the answer
+constexpr Micros retry_time_min = millis(60);  // before the deadline, that a retry needs
+constexpr int connect_attempts_max = 4;        // for a request whose answer has not begun
+constexpr Micros startup_span = seconds(5);    // after its start, while a node still learns of workers
 constexpr Micros startup_wait_max = millis(900);
-constexpr Micros stall_min = millis(300);    // between two ticks, of which there are twenty a second
-constexpr Micros silence_min = millis(400);  // nothing from a worker for so long while several wait: it is dark
-constexpr int silent_workers_min = 3;  // nothing from so many, and from no other: it is this node that hears nobody
+constexpr Micros stall_min =
+    millis(300);  // between two ticks, normally 50 ms apart, that counts as a stall of this node
+constexpr Micros silence_min = millis(400);  // without a byte from a worker, after which it may count as silent
+constexpr int silent_workers_min =
+    3;  // if all busy workers are silent and there are this many, the fault is on this node's side
 }  // namespace
 
 void Dispatcher::set_retry_budget(double ratio, double burst) {
@@ -61,7 +63,7 @@
   erase(request.id);
 }
 
-// Its answer has begun and cannot be completed.
+// Ends a request whose answer has begun and cannot be completed.
 void Dispatcher::abort_answer(Request& request, Micros now, DispatchEffects& out) {
   ++counters.aborted;
   out.aborted_answers.push_back(request.id);
@@ -107,7 +109,7 @@
   request.rules = rules_;
   request.arrived_at = now;
   requests_.emplace(id, std::move(made));
-  // A node that has only just begun reads the description in a moment: who asks meanwhile is kept rather than refused.
+  // A node that has just started receives the description shortly: requests wait for it instead of being rejected.
   Micros const patience =
       request.info.time_remaining > 0 ? std::min(request.info.time_remaining / 4, startup_wait_max) : startup_wait_max;
   request.placement_deadline = now + patience;
@@ -115,13 +117,13 @@
   admit(request, now, out);
 }
 
-// What the description says of it, once there is one.
+// Routes and authorizes the request by the current description, then claims quota for it or places it.
 void Dispatcher::admit(Request& request, Micros now, DispatchEffects& out) {
   request.rules = rules_;
   if (rules_->routes.empty()) return reject(request, ErrorCode::not_ready, millis(300), now, out);
   request.route = rules_->route(request.info.host, request.info.path);
   if (request.route == nullptr) {
-    // Where keys are needed a configuration that may be old refuses nothing for good.
+    // Where keys are required, an outdated configuration must not give a final "not found".
     bool const certain = !rules_->keys_required || lease_->certain(now);
     return certain ? reject(request, ErrorCode::not_found, 0, now, out)
                    : reject(request, ErrorCode::unconfirmed, millis(300), now, out);
@@ -186,7 +188,7 @@
   if (at == nullptr) return;
   if (!request.first_event_received) {
     request.first_event_received = true;
-    // What the worker took, against what was predicted without those before it in the queue.
+    // The measured time to the first event, against the prediction without the requests queued before this one.
     Micros const alone = request.predicted_first_event - request.predicted_queue_time;
     if (alone > 0 && request.predicted_queue_time < millis(20)) {
       double const seen = static_cast<double>(now - request.attempt_started_at) / static_cast<double>(alone);
@@ -217,7 +219,7 @@
     switch (end) {
       case AttemptEnd::declined:
         registry_.well(*instance, now);
-        // It is full, or it is somebody else who incarnations there now.
+        // The worker is full, or another instance runs at its address now.
         instance->ejected = now + (elsewhere ? seconds(3) : millis(120));
         if (elsewhere) exchange_.report_suspect(at);
         break;
@@ -226,7 +228,7 @@
         registry_.well(*instance, now);
         break;
       default:
-        // One slow answer among others that flow is no sign of a worker in trouble.
+        // One slow answer does not make a worker suspect while it sends bytes for other requests.
         if (end == AttemptEnd::silent && now - instance->last_byte < silence_min) break;
         if (registry_.suspect(at, now)) {
           log_event(Event::worker_suspected, at);
@@ -245,7 +247,7 @@
   conditions.may_have_run = request.may_have_run;
   RetryDecision const decision = decide_retry(conditions, progress, end);
   if (!clean && progress != AttemptProgress::none) request.may_have_run = true;
-  // What was paid for the attempt before is not spent while no further worker has been reached.
+  // A retry is paid for once a worker was reached: if the last worker was unreachable, its retry is still unspent.
   if (decision == RetryDecision::retry && request.sends > 0 && end != AttemptEnd::unreached) {
     spend_retry_budget(*request.pool);
     if (request.answer_begun) ++counters.resumed;
@@ -259,7 +261,7 @@
       ++counters.served;
       return erase(request.id);
     case RetryDecision::retry:
-      // An answer of which the caller has a part is worth waiting for as long as the caller does.
+      // A request whose answer has begun waits for a worker until its deadline.
       request.placement_deadline = request.answer_begun
                                        ? request.deadline
                                        : std::max(request.placement_deadline,
@@ -286,7 +288,7 @@
   if (at == nullptr) return;
   at->said = load;
   at->said_at = now;
-  // Only what may change a choice of somebody else is worth a word.
+  // Only a load that may change another node's placement is reported: from two fifths of the slots on.
   if (load * 5 >= at->slots * 2) exchange_.report_load(at->id, load);
 }
 
@@ -301,8 +303,8 @@
   return out;
 }
 
-// Whether several workers have requests of this node and none of them has been heard for a while. That is a sign of
-// this node's own link, which is full or cut, and not of all of them.
+// Whether several workers have requests of this node and none of them has sent a byte for a while. That points to this
+// node's own link, saturated or cut, and not to all of the workers.
 bool Dispatcher::all_workers_silent(Micros now) const {
   int busy = 0;
   for (std::pair<std::string const, Instance> const& item : registry_.all) {
@@ -314,8 +316,8 @@
   return busy >= silent_workers_min;
 }
 
-// A node that stood still has not read what came meanwhile, and one that hears no worker at all cannot tell which of
-// them is silent: neither is a silence of a worker.
+// Leaves the time since the last tick out of the workers' silence if this node was blind in it: after a stall the node
+// has not read what arrived meanwhile, and while no worker at all is heard it cannot tell which of them is silent.
 void Dispatcher::discount_blind_time(Micros now) {
   Micros const span = now - last_tick_;
   bool const blind = last_tick_ >= 0 && (span > stall_min || all_workers_silent(now));
@@ -337,7 +339,7 @@
   check_requests(now);
 }
 
-// One step of a request. The request may have ended, and is erased then.
+// One step of a request. The request is erased if it ends.
 void Dispatcher::tick_request(Request& request, Micros now, DispatchEffects& out) {
   if (request.route == nullptr) {
     if (!rules_->routes.empty() || now >= request.placement_deadline) admit(request, now, out);
@@ -347,15 +349,15 @@
   if (now >= request.deadline) return expire(request, now, out);
   if (!may_move(request, now) || !worker_silent(request, now)) return;
   if (request.sends >= request.route->attempts || !has_retry_budget(*request.pool)) return;
-  if (!has_free_alternative(request, now)) return;  // what is cut would only wait, and its worker may still answer
+  if (!has_free_alternative(request, now)) return;  // it would only wait, and its worker may still answer
   ++counters.silent_attempts;
   out.cancelled_attempts.push_back(request.id);
   on_attempt_end(request.id, AttemptEnd::silent, false, now, out);
 }
 
-// Places a request that waits for a worker, or rejects it once it has waited for long enough.
+// Places a request that waits for a worker, or rejects it once its placement deadline has passed.
 void Dispatcher::tick_waiting(Request& request, Micros now, DispatchEffects& out) {
-  // After standing still a node finds what waited for a worker past its time: nobody waits for that any more.
+  // After a stall of this node the deadline may have passed already: such a request must not be placed.
   bool const may_place = request.quota_state != QuotaState::requested && now < request.deadline;
   if (may_place && !reauthorize(request, now, out)) return;
   if (may_place) place(request, now, out);
@@ -374,7 +376,7 @@
   reject(request, ErrorCode::no_worker, millis(250), now, out);
 }
 
-// The time is over: the attempt under way is given up, and nobody is promised anything.
+// Ends a request at its deadline: cancels its attempt. If the attempt may have run, the client gets no time to retry.
 void Dispatcher::expire(Request& request, Micros now, DispatchEffects& out) {
   out.cancelled_attempts.push_back(request.id);
   bool const reached = request.progress != AttemptProgress::none || request.may_have_run;
@@ -384,8 +386,8 @@
   reject(request, ErrorCode::worker_unreached, millis(100), now, out);
 }
 
-// Whether the attempt under way may be cut for one at another worker. An answer that has begun and cannot go on
-// elsewhere is waited for, as is anything once another worker would come too late.
+// Whether the current attempt may be cancelled for one at another worker. A request stays with its worker if its answer
+// has begun and is not resumable, or if too little time is left for another worker.
 bool Dispatcher::may_move(Request const& request, Micros now) const {
   if (!request.repeatable || request.progress == AttemptProgress::none || paused_) return false;
   if (request.answer_begun && !resumable(request)) return false;
@@ -393,47 +395,49 @@
   return has_time_to_move(request, now);
 }
 
-// Whether another worker would come in time. An answer that has begun is not given up for the number of workers that
-// could not be reached.
+// Whether enough time is left for another worker. Unreachable workers do not count against a request whose answer has
+// begun.
 bool Dispatcher::has_time_to_move(Request const& request, Micros now) {
   return now + retry_time_min < request.deadline &&
          (request.answer_begun || request.connect_attempts < connect_attempts_max);
 }
 
-// Whether the worker of the attempt under way has been silent for too long (§12.5). A worker that is merely busy is no
-// better left: what was sent there would be read twice, and the crowd would feed itself. So one slow answer has to be
-// late by far, unless nothing at all comes from its worker.
+// Whether the worker of the current attempt has been silent for too long (§12.5). Leaving a worker that is merely busy
+// does not help: its prompts would be processed twice, and the overload would feed itself. So a single slow answer has
+// to be late by a wide margin, unless the worker sends nothing at all.
 bool Dispatcher::worker_silent(Request const& request, Micros now) const {
   Instance const* const at = registry_.find(request.worker_id);
-  Micros const quiet = now - request.last_event_at;
-  Micros const others = at == nullptr ? quiet : now - at->last_byte;
-  bool const still = others > silence_min;
-  Micros const most = request.first_event_received ? std::max<Micros>(silence_min * 2, request.route->gap * 2)
-                      : still
-                          ? std::max<Micros>(request.route->latency_target * 3 / 4, request.predicted_first_event * 3)
-                          : std::max<Micros>(request.route->latency_target * 2, request.predicted_first_event * 4);
-  bool const unhealthy = quiet > silence_min && others > silence_min && at != nullptr && at->running > 1 &&
-                         quiet > request.predicted_first_event * 3;
-  // A worker that announced its end may serve on for long; one whose heartbeats are late still sends what it has.
-  bool const departed = at == nullptr || (at->standing == WorkerState::ended && !at->said_farewell() && still);
-  return quiet > most || unhealthy || (departed && quiet > silence_min / 2);
-}
-
-// After each tick nobody waits beyond the time, and every request that came is under way or had one end.
+  Micros const silent_for = now - request.last_event_at;
+  Micros const worker_silent_for = at == nullptr ? silent_for : now - at->last_byte;
+  bool const no_bytes = worker_silent_for > silence_min;
+  Micros const limit = request.first_event_received ? std::max<Micros>(silence_min * 2, request.route->gap * 2)
+                       : no_bytes
+                           ? std::max<Micros>(request.route->latency_target * 3 / 4, request.predicted_first_event * 3)
+                           : std::max<Micros>(request.route->latency_target * 2, request.predicted_first_event * 4);
+  bool const unhealthy = silent_for > silence_min && worker_silent_for > silence_min && at != nullptr &&
+                         at->running > 1 && silent_for > request.predicted_first_event * 3;
+  // A worker that announced its end may serve its requests for long, and one whose heartbeats are late still sends
+  // bytes: neither has departed.
+  bool const departed = at == nullptr || (at->standing == WorkerState::ended && !at->said_farewell() && no_bytes);
+  return silent_for > limit || unhealthy || (departed && silent_for > silence_min / 2);
+}
+
+// Invariants after each tick: no request is past its deadline, and every received request is active or ended once.
 void Dispatcher::check_requests(Micros now) const {
   for (std::pair<std::uint64_t const, std::unique_ptr<Request>> const& item : requests_) {
     Request const& request = *item.second;
     bool const in_time = request.route == nullptr || now < request.deadline;
     check_invariant(in_time, Invariant::answered_in_time, [&] {
-      return "route " + request.route->name + ", " + std::to_string((now - request.deadline) / 1000) +
-             " ms late, at worker '" + request.worker_id + "'";
+      return "request " + std::to_string(request.id) + " of route " + request.route->name + " is " +
+             std::to_string((now - request.deadline) / 1000) + " ms past its deadline, at worker '" +
+             request.worker_id + "'";
     });
   }
   std::uint64_t const ended = counters.served + counters.refused + counters.failed + counters.forwarded_failures +
                               counters.aborted + counters.client_disconnects;
   check_invariant(counters.received == ended + requests_.size(), Invariant::request_ends_once, [&] {
-    return std::to_string(counters.received) + " came, " + std::to_string(ended) + " ended, " +
-           std::to_string(requests_.size()) + " are under way";
+    return std::to_string(counters.received) + " requests received, " + std::to_string(ended) + " ended, " +
+           std::to_string(requests_.size()) + " active";
   });
 }
 
--- a/src/routing/dispatch/placement.cc
+++ b/src/routing/dispatch/placement.cc
@@ -1,4 +1,4 @@
-// Which worker gets a request, and how an attempt there begins (§12.5).
+// Placement: chooses a worker for a request and starts an attempt there (§12.5).
 #include <algorithm>
 #include <cmath>
 
@@ -10,13 +10,13 @@
 
 namespace {
 constexpr Micros connect_timeout = millis(350);  // for opening a connection to a worker
-// §12.5: what a first event takes on a worker that is free, and for each token that has to be read. Learnt figures
-// take their place; these begin.
+// §12.5: predicted time to the first event on a free worker, and the costs of each uncached token, in microseconds. A
+// worker's measured pace scales the prediction.
 constexpr Micros first_event_min = millis(45);
-constexpr double token_cost = 15.5;
-constexpr double attention_cost = 0.000242;
-constexpr double prediction_error = 30000;  // how sharp a prediction is, in microseconds
-// Prices, in parts of what a late answer loses, for a token.
+constexpr double token_cost = 15.5;          // of an uncached token
+constexpr double attention_cost = 0.000242;  // of an uncached token, for each token before it
+constexpr double prediction_error = 30000;   // spread of the predicted time, in microseconds
+// Prices of a token, in units of the cost of a late answer.
 constexpr double recompute_price = 0.0005;
 constexpr double cross_zone_price = 0.0000025;
 constexpr double preferred_worker_discount = 0.00008;
@@ -27,10 +27,10 @@
   return std::max(sum, info.input_tokens);
 }
 
-// The parts that other requests may have as well; the last part is the request's own.
+// The number of parts that other requests may share; the last part is the request's own.
 std::size_t shared_parts(PromptParts const& parts) { return parts.path.empty() ? 0 : parts.path.size() - 1; }
 
-// The position of the largest of the first 'count' parts; 'count' is above 0.
+// The index of the largest of the first 'count' parts; 'count' is above 0.
 std::size_t largest_part(PromptParts const& parts, std::size_t count) {
   std::vector<std::uint32_t>::const_iterator const begin = parts.tokens.begin();
   return static_cast<std::size_t>(
@@ -38,7 +38,8 @@
 }
 }  // namespace
 
-// How long a worker takes to read a prompt of which it keeps a part: each token once, and each against all before it.
+// The time that a worker takes to process the uncached tokens of a prompt: a cost for each of them, and one for each
+// pair of it and a token before it.
 Micros Dispatcher::prefill_time(std::int64_t uncached, std::int64_t cached) {
   double const n = static_cast<double>(uncached);
   return static_cast<Micros>(n * token_cost + n * (static_cast<double>(cached) + n / 2) * attention_cost);
@@ -48,7 +49,7 @@
   if (reauthorize(request, now, out)) place(request, now, out);
 }
 
-// The workers of the request's pool that take requests and that it has not been sent to.
+// The workers of the request's pool that take requests and that have had no attempt of it.
 Dispatcher::Candidates Dispatcher::candidates_for(Request const& request, Micros now) const {
   PromptParts const& parts = request.info.parts;
   std::map<std::string, std::size_t> const hits = index_sync_.index(request.index_name).match(parts.path);
@@ -65,8 +66,8 @@
   return out;
 }
 
-// A part that no worker keeps yet is sent to the same worker by every node without any exchange between them: the first
-// in rendezvous order by the first new part. In a large fleet (§12.7) the largest shared part decides alone.
+// Every node sends a part that no worker caches yet to the same worker without any exchange between nodes: the first in
+// rendezvous order for the first uncached part. In a large fleet (§12.7) the largest shared part alone is the key.
 Dispatcher::PreferredWorker Dispatcher::preferred_worker(Request const& request, Candidates const& candidates,
                                                          Micros now) const {
   PromptParts const& parts = request.info.parts;
@@ -86,8 +87,8 @@
   return out;
 }
 
-// In a large fleet (§12.7) the home is believed to keep every shared part, so that no node has to announce what stays
-// at home.
+// In a large fleet (§12.7) the preferred worker is assumed to cache every shared part, so that nodes need not announce
+// the parts that they send there.
 void Dispatcher::assume_cached_at_preferred(Request const& request, PreferredWorker const& preferred,
                                             Candidates& candidates) const {
   if (!large_fleet_ || preferred.worker.empty()) return;
@@ -97,8 +98,8 @@
     if (candidate.worker->id == preferred.worker) candidate.cached_parts = std::max(candidate.cached_parts, shared);
 }
 
-// §12.5: every worker has a price, in parts of what a late answer loses: how likely it makes the answer late, what it
-// reads though another worker keeps it, what crosses a zone's border, and how full the worker is.
+// §12.5: the price of a worker, in units of the cost of a late answer: the probability of a late answer, the tokens
+// that it processes although another worker caches them, the tokens that cross a zone border, and the worker's load.
 Dispatcher::PlacementCost Dispatcher::cost_of(Request const& request, Candidate const& candidate,
                                               Candidates const& candidates, PreferredWorker const& preferred,
                                               Micros now) const {
@@ -113,14 +114,14 @@
   std::int64_t const prompt = prompt_tokens(request.info);
   std::int64_t const size = prompt + request.info.output_tokens;
   out.uncached_tokens = std::max<std::int64_t>(0, prompt - out.cached_tokens);
-  Micros const reading = prefill_time(out.uncached_tokens, out.cached_tokens);
+  Micros const prefill = prefill_time(out.uncached_tokens, out.cached_tokens);
   out.first_event =
-      static_cast<Micros>(worker.pace * static_cast<double>(first_event_min + reading)) + worker.busy(now);
+      static_cast<Micros>(worker.pace * static_cast<double>(first_event_min + prefill)) + worker.busy(now);
   double const latency_target = static_cast<double>(std::max<Micros>(millis(1), request.route->latency_target));
-  double const took = static_cast<double>(now - request.arrived_at + out.first_event);
-  double const blur = prediction_error + 0.12 * static_cast<double>(out.first_event);
-  out.price = 1.0 / (1.0 + std::exp(std::clamp((latency_target - took) / blur, -30.0, 30.0)));
-  out.price += 0.1 * took / latency_target;
+  double const total = static_cast<double>(now - request.arrived_at + out.first_event);
+  double const spread = prediction_error + 0.12 * static_cast<double>(out.first_event);
+  out.price = 1.0 / (1.0 + std::exp(std::clamp((latency_target - total) / spread, -30.0, 30.0)));
+  out.price += 0.1 * total / latency_target;
   out.price += recompute_price * static_cast<double>(recomputed_tokens);
   if (worker.zone != zone_) out.price += cross_zone_price * static_cast<double>(size);
   if (worker.id == preferred.worker) out.price -= preferred.weight;
@@ -133,8 +134,8 @@
   return out;
 }
 
-// Sends the request to the candidate with the least cost. Without a candidate it waits: tick() tries again, or gives up
-// in time.
+// Sends the request to the cheapest candidate. Without a candidate it keeps waiting: tick() tries again, and rejects it
+// at its placement deadline.
 void Dispatcher::place(Request& request, Micros now, DispatchEffects& out) {
   if (paused_) return;
   Candidates candidates = candidates_for(request, now);
@@ -153,7 +154,7 @@
                 best->id == preferred.worker, now, out);
 }
 
-// Whether there is a worker that it has not been sent to, that takes requests and that would probably not turn it away.
+// Whether a worker without an attempt of this request takes requests and would probably accept this one.
 bool Dispatcher::has_free_alternative(Request const& request, Micros now) const {
   return std::any_of(registry_.all.begin(), registry_.all.end(),
                      [&](std::pair<std::string const, Instance> const& item) {
@@ -165,18 +166,20 @@
 
 void Dispatcher::start_attempt(Request& request, Instance& instance, std::int64_t uncached, std::int64_t cached,
                                Micros predicted_first_event, bool is_preferred, Micros now, DispatchEffects& out) {
-  check_invariant(instance.takes(), Invariant::leaving_worker,
-                  [&] { return "request " + std::to_string(request.id) + " to " + instance.id; });
+  check_invariant(instance.takes(), Invariant::leaving_worker, [&] {
+    return "request " + std::to_string(request.id) + " is placed at worker " + instance.id +
+           ", which takes no requests";
+  });
   request.worker_id = instance.id;
   request.last_worker = instance.id;
   request.progress = request.answer_begun ? AttemptProgress::answering : AttemptProgress::none;
   request.attempt_started_at = now;
   request.last_event_at = now;
   request.predicted_first_event = predicted_first_event;
-  Micros const reading = static_cast<Micros>(instance.pace * static_cast<double>(prefill_time(uncached, cached)));
+  Micros const prefill = static_cast<Micros>(instance.pace * static_cast<double>(prefill_time(uncached, cached)));
   request.predicted_queue_time = instance.busy(now);
-  instance.work(reading, now);
-  exchange_.report_work(instance.id, reading);
+  instance.work(prefill, now);
+  exchange_.report_work(instance.id, prefill);
   request.first_event_received = false;
   request.attempted.insert(instance.id);
   ++request.connect_attempts;
@@ -195,7 +198,7 @@
         request.index_name,
         index_sync_.index(request.index_name).touch(parts.path, instance.id, 1, bounds, now, parts.tokens));
   if (large_fleet_ && !is_preferred && parts.path.size() > 1) {
-    // The shared parts alone, whole, so that no peer has to know anything to take them in.
+    // Announces all shared parts, so that a peer can apply the change without a base.
     Path const path(parts.path.begin(), parts.path.end() - 1);
     std::vector<std::uint32_t> const tokens(parts.tokens.begin(), parts.tokens.end() - 1);
     wire::DeltaT delta = index_sync_.index(request.index_name).touch(path, instance.id, 1, bounds, now, tokens);
@@ -204,17 +207,17 @@
     delta.weights = tokens;
     exchange_.report_index_change(request.index_name, std::move(delta));
   }
-  Attempt start;
-  start.request = request.id;
-  start.instance = instance.id;
-  start.address = instance.address;
-  start.connect_timeout = connect_timeout;
-  start.timeout = std::max<Micros>(millis(1), request.deadline - now);
-  start.rank = rank_of(request);
-  start.tenant = request.tenant;
-  start.keys_required = rules_->keys_required;
-  start.resumes_answer = request.answer_begun;
-  out.attempts.push_back(std::move(start));
+  Attempt attempt;
+  attempt.request = request.id;
+  attempt.instance = instance.id;
+  attempt.address = instance.address;
+  attempt.connect_timeout = connect_timeout;
+  attempt.timeout = std::max<Micros>(millis(1), request.deadline - now);
+  attempt.rank = rank_of(request);
+  attempt.tenant = request.tenant;
+  attempt.keys_required = rules_->keys_required;
+  attempt.resumes_answer = request.answer_begun;
+  out.attempts.push_back(std::move(attempt));
 }
 
 }  // namespace pipit
--- a/src/routing/dispatch/prompt_parts.cc
+++ b/src/routing/dispatch/prompt_parts.cc
@@ -1,4 +1,4 @@
-// The parts of a caller's prompt, as its field names them.
+// Parser of the header field that lists the parts of a prompt.
 #include <algorithm>
 
 #include "base/hash.h"
@@ -7,6 +7,7 @@
 namespace pipit {
 
 namespace {
+// Converts a hex digit; false for other characters.
 bool digit_of(char c, std::uint64_t& out) {
   if (c >= '0' && c <= '9')
     out = static_cast<std::uint64_t>(c - '0');
@@ -31,17 +32,17 @@
     std::size_t const colon = item.find(':');
     if (colon == std::string_view::npos || colon == 0) break;
     std::uint64_t digit = 0;
-    bool good = true;
-    for (char const c : item.substr(0, colon)) good = good && digit_of(c, digit);
+    bool valid = true;
+    for (char const c : item.substr(0, colon)) valid = valid && digit_of(c, digit);
     std::uint64_t tokens = 0;
     for (char const c : item.substr(colon + 1)) {
       if (c < '0' || c > '9' || tokens > 100000000) {
-        good = good && c == ' ';
+        valid = valid && c == ' ';
         continue;
       }
       tokens = tokens * 10 + static_cast<std::uint64_t>(c - '0');
     }
-    if (!good) break;
+    if (!valid) break;
     hash = hash_text(item.substr(0, colon), hash);
     if (hash == 0) hash = 1;
     out.path.push_back(hash);
--- a/src/routing/dispatch/share_turns.cc
+++ b/src/routing/dispatch/share_turns.cc
@@ -8,7 +8,8 @@
 namespace pipit {
 
 namespace {
-constexpr std::size_t routes_max = 4096;  // that are remembered; those of former configurations go with the rest
+constexpr std::size_t routes_max =
+    4096;  // kept in memory; beyond that all are dropped, those of former configurations among them
 constexpr std::uint64_t initial_turns_max = 997;
 }  // namespace
 
@@ -22,12 +23,13 @@
   if (turns.weights == weights) return turns;
   turns.weights = std::move(weights);
   turns.credit.assign(turns.weights.size(), 0);
-  // Somewhere in the middle of its turns, so that few requests at many nodes are spread like many at one.
+  // Skip some turns, as many as the hash of route and node says, so that few requests at each of many nodes are spread
+  // like many requests at one.
   for (std::uint64_t n = hash_text(route.name, seed_) % initial_turns_max; n > 0; --n) take_turn(turns);
   return turns;
 }
 
-// Every part is owed its share of one more request; the one that is owed most gets it.
+// Credits every share with its fraction of one more request and picks the share with the most credit.
 std::size_t ShareTurns::take_turn(Turns& turns) {
   std::int64_t const sum = std::accumulate(turns.weights.begin(), turns.weights.end(), std::int64_t{0});
   std::size_t best = turns.weights.size();
--- a/src/routing/dispatch/share_turns.h
+++ b/src/routing/dispatch/share_turns.h
@@ -1,5 +1,5 @@
-// Whose turn it is among the weighted parts of a route. PromptParts take turns by what they are owed, so that a part's
-// share holds over few requests as well; drawn by chance, 300 requests would miss it by 0.05 one time in twelve.
+// Smooth weighted round robin over the shares of a route. It keeps to the weights over few requests as well; a random
+// choice would miss a share by 0.05 over 300 requests one time in twelve.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -11,18 +11,20 @@
 
 namespace pipit {
 
+// Picks the share of a route for each request. Its state is per route and local to this node.
 class ShareTurns {
  public:
-  // 'self' sets many nodes apart: each begins at another place, so that they don't all begin with the same part.
+  // 'self' is the name of this node. It decides where the rotation starts, so that not all nodes start with the same
+  // share.
   explicit ShareTurns(std::string const& self);
 
-  // The part of the route that the next request goes to; the weights add up to more than 0.
+  // The share of the route that the next request goes to. The route's weights must add up to more than 0.
   Route::Share const& next(Route const& route);
 
  private:
   struct Turns {
     std::vector<std::int64_t> weights;
-    std::vector<double> credit;  // requests, by part
+    std::vector<double> credit;  // in requests, by share
   };
   Turns& turns_of(Route const& route);
   static std::size_t take_turn(Turns& turns);
--- a/src/routing/dispatch/tenancy.cc
+++ b/src/routing/dispatch/tenancy.cc
@@ -1,4 +1,4 @@
-// Keys and limits of tenants on the path of a request (docs/tenants.md).
+// API keys and tenants' quotas on the path of a request (docs/tenants.md).
 #include "base/invariants.h"
 #include "routing/dispatch/dispatcher.h"
 
@@ -13,8 +13,8 @@
 constexpr Micros quota_wait_max = millis(400);
 }  // namespace
 
-// Why the key of a request does not let it run; nothing when it does. A key is unknown for sure only while the
-// configuration is known to be new.
+// Why the key of a request does not authorize it; nothing if it does. A key that is not found is reported as unknown
+// only while the configuration is certain to be the newest, and as unconfirmed otherwise.
 std::optional<ErrorCode> Dispatcher::key_error(Request const& request, Description const& by, Micros now) const {
   if (!by.keys_required) return std::nullopt;
   if (!lease_->holds(now)) return ErrorCode::unconfirmed;
@@ -38,7 +38,7 @@
   return true;
 }
 
-// Whatever waited is looked at again under the configuration that is in force by now.
+// Checks the key of a request that has waited again, by the current configuration.
 bool Dispatcher::reauthorize(Request& request, Micros now, DispatchEffects& out) {
   if (std::optional<ErrorCode> const error = key_error(request, *rules_, now)) {
     reject_unauthorized(request, *error, now, out);
@@ -51,7 +51,7 @@
   return true;
 }
 
-// It must not be sent to a worker, or not once more.
+// Ends a request that is not authorized to be sent to a worker, or not to be retried.
 void Dispatcher::reject_unauthorized(Request& request, ErrorCode error, Micros now, DispatchEffects& out) {
   ++(error == ErrorCode::unknown_key ? counters.unknown_keys : counters.unconfirmed);
   if (request.answer_begun) return abort_answer(request, now, out);
@@ -65,9 +65,9 @@
   if (tenant == nullptr || !tenant->limited()) return;
   ++tenant_counters[request.tenant].quota_requests;
   request.quota_state = QuotaState::requested;
-  Micros const patience = std::clamp(request.route->latency_target / 2, quota_wait_min, quota_wait_max);
+  Micros const wait = std::clamp(request.route->latency_target / 2, quota_wait_min, quota_wait_max);
   out.quota_claims.push_back(
-      {request.id, request.tenant, request.quota_count, std::min(now + patience, request.deadline), false});
+      {request.id, request.tenant, request.quota_count, std::min(now + wait, request.deadline), false});
 }
 
 void Dispatcher::debit_retry_quota(Request const& request, DispatchEffects& out) const {
@@ -100,15 +100,15 @@
   return rules_->rank_of(*request.route, tenant);
 }
 
-// A byte of the request is about to leave. Its caller had sent it when it came, so that is the moment at which the
-// configuration that knows its key must have been new enough.
+// Checks the invariant for a request of which a byte is about to leave. The client sent the request before its arrival,
+// so its arrival is the moment for which the configuration with its key must have been confirmed.
 void Dispatcher::check_key(Request const& request) const {
   if (!lease_->needed() || !request.rules->keys_required) return;
   bool const confirmed = request.arrived_at - request.configuration_confirmed_at <= lease_->span;
   check_invariant(confirmed, Invariant::key_confirmed, [&] {
-    return "request " + std::to_string(request.id) + " came " +
+    return "request " + std::to_string(request.id) + " arrived " +
            std::to_string((request.arrived_at - request.configuration_confirmed_at) / 1000) +
-           " ms after the configuration was known to be new";
+           " ms after the last confirmation of the configuration";
   });
 }
 
