--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -1,4 +1,5 @@
-// The dispatcher alone: routes, waiting, second chances, budgets, deadlines, and seeded walks with a judge (§12.5).
+// Dispatcher without I/O: routing, waiting, retries, retry budgets, deadlines, and seeded random walks whose every
+// effect is checked (§12.5).
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,22 +11,21 @@
 
 namespace pipit {
 
-using Desks = DispatcherTest;
-
-TEST(PromptParts, hold_what_can_be_read) {
+TEST(PromptParts, parsing_stops_at_the_first_malformed_item) {
   PromptParts const two = parse_prompt_parts("5c1e07a2:800, 91bd3f06:410");
   ASSERT_EQ(two.path.size(), 2u);
   EXPECT_EQ(two.tokens, (std::vector<std::uint32_t>{800, 410}));
   EXPECT_EQ(parse_prompt_parts("5c1e07a2:800,ff:1").path[0], two.path[0]);
-  EXPECT_NE(parse_prompt_parts("ff:1,91bd3f06:410").path[1], two.path[1]) << "a part stands for all before it too";
+  EXPECT_NE(parse_prompt_parts("ff:1,91bd3f06:410").path[1], two.path[1])
+      << "the hash of a part covers the parts before it";
   EXPECT_TRUE(parse_prompt_parts("").path.empty());
   for (char const* const bad : {"xyz:1", ":1", "5c", "5c:x", ",5c:1", "5c:-1"})
     EXPECT_TRUE(parse_prompt_parts(bad).path.empty()) << bad;
-  EXPECT_EQ(parse_prompt_parts("5c:1,zz:1,5d:1").path.size(), 1u) << "what cannot be read ends the list";
-  EXPECT_TRUE(parse_prompt_parts("5c:99999999999999999999").path.empty()) << "more than any prompt holds";
+  EXPECT_EQ(parse_prompt_parts("5c:1,zz:1,5d:1").path.size(), 1u) << "a malformed item ends the list";
+  EXPECT_TRUE(parse_prompt_parts("5c:99999999999999999999").path.empty()) << "more tokens than any prompt has";
 }
 
-TEST_F(Desks, the_longest_prefix_of_the_host_takes_a_request) {
+TEST_F(DispatcherTest, the_longest_matching_prefix_of_the_host_selects_the_route) {
   std::string const rest = ",\"shares\":[{\"pool\":\"p\"}]";
   std::string text;
   struct Row {
@@ -52,7 +52,7 @@
   }
 }
 
-TEST_F(Desks, no_route_is_told_at_once) {
+TEST_F(DispatcherTest, a_request_without_a_route_is_rejected_at_once) {
   worker("w");
   EXPECT_EQ(place(1, "nowhere"), "");
   ASSERT_EQ(out.rejections.size(), 1u);
@@ -61,7 +61,7 @@
   EXPECT_TRUE(free_of_work());
 }
 
-TEST_F(Desks, before_any_description_is_known_callers_are_sent_away_for_a_while) {
+TEST_F(DispatcherTest, without_a_description_requests_are_rejected_with_a_time_to_retry) {
   dispatcher.set_description(std::make_shared<Description>());
   place(1, "once");
   ASSERT_EQ(out.rejections.size(), 1u);
@@ -69,7 +69,7 @@
   EXPECT_GT(out.rejections[0].retry_after, 0);
 }
 
-TEST_F(Desks, shares_go_by_weight) {
+TEST_F(DispatcherTest, shares_follow_their_weights) {
   dispatcher.set_description(compiled_description(route_text(
       "once", "", "{\"pool\":\"p\",\"weight\":3},{\"pool\":\"q\",\"weight\":1},{\"pool\":\"p\",\"weight\":0}")));
   worker("w", "p");
@@ -87,8 +87,8 @@
   EXPECT_TRUE(free_of_work());
 }
 
-// What the parts of a route get is looked at over a few hundred requests, wherever they come in.
-TEST(Shares, hold_over_few_requests_at_many_nodes) {
+// The weights of a route must hold over a few hundred requests, whichever nodes receive them.
+TEST(ShareTurns, weights_hold_over_few_requests_at_many_nodes) {
   struct OneNode {
     explicit OneNode(std::string const& name)
         : registry(name), exchange(name), dispatcher(name, "a", index_sync, registry, exchange) {
@@ -114,7 +114,7 @@
         int second = 0;
         for (int n = 0; n < requests; ++n) {
           DispatchEffects out;
-          all[random.below(nodes)]->dispatcher.on_request(++id, query_of(route.first), 1000, out);
+          all[random.below(nodes)]->dispatcher.on_request(++id, request_info(route.first), 1000, out);
           ASSERT_EQ(out.attempts.size(), 1u);
           second += out.attempts[0].instance == "w" ? 1 : 0;
         }
@@ -123,14 +123,14 @@
   }
 }
 
-TEST_F(Desks, only_workers_of_the_pool_that_take_requests_are_chosen) {
+TEST_F(DispatcherTest, only_serving_workers_of_the_pool_are_chosen) {
   worker("other", "q");
   worker("ending");
   registry.heartbeat(
       [this] {
-        Heartbeat word = heartbeat_of("ending", ++order);
-        word.leaving = true;
-        return word;
+        Heartbeat heartbeat = heartbeat_of("ending", ++order);
+        heartbeat.leaving = true;
+        return heartbeat;
       }(),
       now);
   worker("ended");
@@ -142,32 +142,32 @@
   EXPECT_EQ(started(1), "good");
 }
 
-TEST_F(Desks, without_a_worker_a_request_waits_and_is_refused_in_time) {
+TEST_F(DispatcherTest, without_a_worker_a_request_waits_and_is_rejected_in_time) {
   for (std::string const route : {"once", "safe", "flow", "live"}) {
-    Micros const came = now;
+    Micros const arrived_at = now;
     EXPECT_EQ(place(7, route), "");
-    EXPECT_TRUE(out.empty()) << "a worker may come in the next moment";
+    EXPECT_TRUE(out.empty()) << "a worker may register at any moment";
     wait(seconds(5));
     ASSERT_EQ(out.rejections.size(), 1u) << route;
     EXPECT_EQ(out.rejections[0].error, ErrorCode::no_worker);
     EXPECT_GT(out.rejections[0].retry_after, 0);
-    EXPECT_LT(now - came, seconds(1)) << "well before the caller gives up";
+    EXPECT_LT(now - arrived_at, seconds(1)) << "well before the client's deadline";
     EXPECT_TRUE(free_of_work());
   }
 }
 
-TEST_F(Desks, a_short_deadline_shortens_the_wait) {
-  RequestInfo query = query_of("once");
-  query.time_remaining = millis(200);
-  Micros const came = now;
-  place(1, query);
+TEST_F(DispatcherTest, a_short_deadline_shortens_the_wait) {
+  RequestInfo info = request_info("once");
+  info.time_remaining = millis(200);
+  Micros const arrived_at = now;
+  place(1, info);
   wait(seconds(5));
   ASSERT_EQ(out.rejections.size(), 1u);
-  EXPECT_LT(now - came, millis(200));
+  EXPECT_LT(now - arrived_at, millis(200));
   EXPECT_GT(out.rejections[0].retry_after, 0);
 }
 
-TEST_F(Desks, a_node_that_is_held_places_nothing) {
+TEST_F(DispatcherTest, a_paused_node_places_no_request) {
   worker("w");
   dispatcher.set_paused(true);
   EXPECT_EQ(place(1, "once"), "");
@@ -176,8 +176,9 @@
   EXPECT_EQ(started(1), "w");
 }
 
-// After a full stop every node answered "not ready" to who came first, though the description was there a moment later.
-TEST_F(Desks, who_asks_a_node_that_has_just_begun_is_kept_for_a_moment) {
+// Guards against a fault after a restart of all nodes: every node answered the first requests with "not ready",
+// although it received the description a moment later.
+TEST_F(DispatcherTest, requests_to_a_node_that_has_just_started_wait_for_its_description) {
   worker("w");
   dispatcher.set_description(std::make_shared<Description>());
   dispatcher.set_started_at(now);
@@ -186,7 +187,7 @@
   dispatcher.set_description(usual_description());
   wait(millis(100));
   EXPECT_EQ(started(1), "w");
-  // But not for ever, and not once it should know.
+  // The wait is limited, and there is none once the startup span is over.
   dispatcher.set_description(std::make_shared<Description>());
   place(2, "safe");
   Micros const from = now;
@@ -199,7 +200,7 @@
   ASSERT_EQ(out.rejections.size(), 1u);
 }
 
-TEST_F(Desks, a_second_worker_is_tried_where_nothing_has_left) {
+TEST_F(DispatcherTest, an_unreachable_worker_is_suspected_and_another_one_is_tried) {
   worker("w");
   worker("v");
   std::string const first = place(1, "once");
@@ -211,7 +212,7 @@
   EXPECT_EQ(suspects(), std::vector<std::string>{first});
 }
 
-TEST_F(Desks, attempts_are_counted_by_what_may_have_left) {
+TEST_F(DispatcherTest, attempts_count_from_the_first_byte_sent) {
   for (char const* const id : {"w1", "w2", "w3", "w4", "w5"}) worker(id);
   ASSERT_FALSE(place(1, "safe").empty());
   for (int sends = 1; sends <= 3; ++sends) {
@@ -220,13 +221,13 @@
     EXPECT_EQ(started(1).empty(), sends == 3) << sends;
   }
   ASSERT_EQ(out.rejections.size(), 1u);
-  EXPECT_GT(out.rejections[0].retry_after, 0) << "a request that may repeat may be asked for again";
+  EXPECT_GT(out.rejections[0].retry_after, 0) << "a repeatable request may be retried by the client";
   EXPECT_EQ(dispatcher.counters.sends, 3u);
   EXPECT_EQ(dispatcher.counters.retries, 2u);
   EXPECT_TRUE(free_of_work());
 }
 
-TEST_F(Desks, what_may_not_repeat_and_may_have_run_is_failed_without_a_promise) {
+TEST_F(DispatcherTest, a_request_that_may_have_run_and_is_not_repeatable_fails_without_a_time_to_retry) {
   worker("w");
   worker("v");
   for (AttemptEnd const how : {AttemptEnd::broke, AttemptEnd::silent}) {
@@ -240,7 +241,7 @@
   EXPECT_TRUE(free_of_work());
 }
 
-TEST_F(Desks, what_was_declined_goes_elsewhere_and_is_refused_when_nobody_is_left) {
+TEST_F(DispatcherTest, a_declined_request_is_retried_and_refused_when_no_worker_is_left) {
   worker("w");
   worker("v");
   std::string const first = place(1, "once");
@@ -256,7 +257,7 @@
   EXPECT_TRUE(free_of_work());
 }
 
-TEST_F(Desks, a_failure_of_the_workers_own_goes_back) {
+TEST_F(DispatcherTest, an_error_of_the_worker_is_forwarded) {
   worker("w");
   place(1, "once");
   dispatcher.on_sent(1, now);
@@ -265,19 +266,19 @@
   EXPECT_TRUE(free_of_work());
 }
 
-TEST_F(Desks, a_worker_that_breaks_while_it_is_shunned_for_being_full_is_doubted_all_the_same) {
+TEST_F(DispatcherTest, a_broken_connection_makes_an_ejected_worker_suspect) {
   worker("w");
   place(1, "safe");
   place(2, "safe");
   dispatcher.on_sent(1, now);
   dispatcher.on_sent(2, now);
   end(1, AttemptEnd::declined);
-  EXPECT_TRUE(suspects().empty()) << "a worker that declines is well";
+  EXPECT_TRUE(suspects().empty()) << "a worker that declines is healthy";
   end(2, AttemptEnd::broke);
   EXPECT_EQ(suspects(), std::vector<std::string>{"w"});
 }
 
-TEST_F(Desks, the_deadline_ends_what_is_under_way) {
+TEST_F(DispatcherTest, the_deadline_ends_an_active_request) {
   worker("w");
   struct Row {
     char const* route;
@@ -286,10 +287,10 @@
   };
   for (Row const& row : {Row{"once", false, false}, Row{"once", true, false}, Row{"live", true, true},
                          Row{"flow", true, true}, Row{"safe", true, false}}) {
-    Micros const came = now;
-    RequestInfo query = query_of(row.route);
-    query.time_remaining = millis(600);
-    ASSERT_EQ(place(1, query), "w");
+    Micros const arrived_at = now;
+    RequestInfo info = request_info(row.route);
+    info.time_remaining = millis(600);
+    ASSERT_EQ(place(1, info), "w");
     EXPECT_LE(out.attempts[0].timeout, millis(600));
     if (row.left) dispatcher.on_sent(1, now);
     if (row.began) dispatcher.on_answer_begin(1, now);
@@ -304,24 +305,24 @@
     if (!row.began) {
       EXPECT_EQ(out.rejections[0].retry_after > 0, !row.left) << row.route << " " << row.left;
     }
-    EXPECT_LE(now - came, millis(610));
+    EXPECT_LE(now - arrived_at, millis(610));
     EXPECT_TRUE(free_of_work());
   }
 }
 
-TEST_F(Desks, what_has_no_time_left_is_refused_and_not_sent) {
+TEST_F(DispatcherTest, a_request_without_time_left_is_refused_and_not_sent) {
   worker("w");
-  for (Micros const left : {Micros(1), millis(1), millis(20)}) {
-    RequestInfo query = query_of("once");
-    query.time_remaining = left;
-    EXPECT_EQ(place(1, query), "") << left;
+  for (Micros const time_left : {Micros(1), millis(1), millis(20)}) {
+    RequestInfo info = request_info("once");
+    info.time_remaining = time_left;
+    EXPECT_EQ(place(1, info), "") << time_left;
     ASSERT_EQ(out.rejections.size(), 1u);
     EXPECT_GT(out.rejections[0].retry_after, 0) << "it did not run";
     EXPECT_TRUE(free_of_work());
   }
 }
 
-TEST_F(Desks, nobody_is_told_that_nothing_was_sent_when_an_earlier_attempt_was) {
+TEST_F(DispatcherTest, a_request_with_an_earlier_attempt_is_not_reported_as_unsent) {
   worker("w");
   worker("v");
   place(1, "safe");
@@ -334,7 +335,7 @@
   EXPECT_EQ(out.rejections[0].retry_after, 0);
 }
 
-TEST_F(Desks, a_stream_moves_away_from_a_worker_that_fell_silent) {
+TEST_F(DispatcherTest, a_resumable_stream_moves_away_from_a_silent_worker) {
   worker("w");
   worker("v");
   std::string const first = place(1, "flow");
@@ -357,7 +358,7 @@
   EXPECT_TRUE(free_of_work());
 }
 
-TEST_F(Desks, what_may_not_repeat_stays_with_a_silent_worker_until_its_deadline) {
+TEST_F(DispatcherTest, a_request_that_is_not_repeatable_stays_with_a_silent_worker_until_its_deadline) {
   for (char const* const id : {"w", "v"}) worker(id);
   for (bool const began : {false, true}) {
     place(1, "live");
@@ -371,7 +372,7 @@
   }
 }
 
-TEST_F(Desks, an_answer_that_cannot_go_on_elsewhere_is_not_cut_for_a_pause) {
+TEST_F(DispatcherTest, an_answer_that_is_not_resumable_is_not_cancelled_for_a_pause) {
   worker("w");
   worker("v");
   ASSERT_FALSE(place(1, "safe").empty());
@@ -379,17 +380,17 @@
   dispatcher.on_answer_begin(1, now);
   wait(millis(2500));
   EXPECT_TRUE(out.cancelled_attempts.empty());
-  EXPECT_TRUE(out.aborted_answers.empty()) << "its route lets it take three seconds";
+  EXPECT_TRUE(out.aborted_answers.empty()) << "its route allows three seconds";
 }
 
-TEST_F(Desks, what_a_silent_worker_has_is_not_given_up_when_there_is_no_time_for_another) {
+TEST_F(DispatcherTest, an_attempt_is_not_cancelled_when_too_little_time_is_left_for_another) {
   worker("w");
   worker("v");
-  RequestInfo query = query_of("safe");
-  query.time_remaining = millis(870);
-  place(1, query);
+  RequestInfo info = request_info("safe");
+  info.time_remaining = millis(870);
+  place(1, info);
   dispatcher.on_sent(1, now);
-  // The route's aim makes it look elsewhere after some 750 ms; at 800 ms too little is left.
+  // The route's latency target makes the attempt count as silent after some 750 ms; at 800 ms too little time is left.
   dispatcher.set_paused(true);
   for (int i = 0; i < 80; ++i) dispatcher.tick(now += millis(10), out);
   dispatcher.set_paused(false);
@@ -398,19 +399,19 @@
   EXPECT_TRUE(out.empty()) << "it may still answer in time";
 }
 
-// Some workers say farewell first and serve on: what they hold is theirs, and nothing new goes there.
-TEST_F(Desks, a_worker_that_said_farewell_keeps_what_it_has_and_gets_nothing_new) {
-  for (bool const told_by_a_peer : {false, true}) {
+// Some workers announce their end and serve on: they keep their requests and are sent no new ones.
+TEST_F(DispatcherTest, a_worker_that_announced_its_end_keeps_its_requests_and_gets_no_new_ones) {
+  for (bool const announced_to_peer : {false, true}) {
     worker("w");
     ASSERT_EQ(place(1, "safe"), "w");
     dispatcher.on_sent(1, now);
     now += millis(20);
-    if (told_by_a_peer) {
+    if (announced_to_peer) {
       Registry peer("n2");
       peer.heartbeat(heartbeat_of("w", order), now);
-      std::optional<wire::EntryT> const said = peer.leave("w", ++order, now);
-      ASSERT_TRUE(said);
-      registry.take_entry(*said, now);
+      std::optional<wire::EntryT> const entry = peer.leave("w", ++order, now);
+      ASSERT_TRUE(entry);
+      registry.take_entry(*entry, now);
     } else {
       registry.leave("w", ++order, now);
     }
@@ -419,8 +420,8 @@
     dispatcher.on_sent(2, now);
     dispatcher.on_answer_begin(2, now);
     end(2, AttemptEnd::complete);
-    wait(millis(700));  // less than what makes any silent worker be left
-    EXPECT_TRUE(out.empty()) << "its worker still works on it";
+    wait(millis(700));  // less than the silence limit
+    EXPECT_TRUE(out.empty()) << "its worker still processes it";
     dispatcher.on_answer_begin(1, now);
     end(1, AttemptEnd::complete);
     EXPECT_TRUE(free_of_work());
@@ -428,8 +429,8 @@
   }
 }
 
-// Heartbeats may come seconds late: a worker from which bytes come is there.
-TEST_F(Desks, what_a_worker_has_is_not_moved_for_late_heartbeats_while_it_is_heard) {
+// Heartbeats may arrive seconds late: a worker that sends bytes is alive.
+TEST_F(DispatcherTest, requests_are_not_moved_for_late_heartbeats_while_the_worker_sends_bytes) {
   worker("w");
   ASSERT_EQ(place(1, "safe"), "w");
   dispatcher.on_sent(1, now);
@@ -450,60 +451,61 @@
     out = DispatchEffects();
     dispatcher.tick(now += millis(100), out);
     EXPECT_TRUE(out.empty()) << "turn " << turn;
-    registry.well(*registry.find("w"), now);  // something came of another request there
+    registry.well(*registry.find("w"), now);  // bytes arrived for another request
   }
   wait(seconds(1));
-  EXPECT_EQ(out.cancelled_attempts, std::vector<std::uint64_t>{1}) << "it is neither heard nor known any more";
+  EXPECT_EQ(out.cancelled_attempts, std::vector<std::uint64_t>{1}) << "the worker sends neither bytes nor heartbeats";
 }
 
-// A request that took long to read has used that much of its caller's time.
-TEST_F(Desks, the_time_that_a_request_took_to_be_read_is_not_given_to_a_worker) {
+// The time to receive a request counts against the client's deadline.
+TEST_F(DispatcherTest, the_time_to_receive_a_request_shortens_the_attempt) {
   worker("w");
-  RequestInfo query = query_of("once");
-  query.time_remaining = millis(2000);
-  query.receive_time = millis(700);
-  ASSERT_EQ(place(1, query), "w");
+  RequestInfo info = request_info("once");
+  info.time_remaining = millis(2000);
+  info.receive_time = millis(700);
+  ASSERT_EQ(place(1, info), "w");
   EXPECT_LE(out.attempts[0].timeout, millis(1300));
   EXPECT_GT(out.attempts[0].timeout, millis(1200));
-  query.time_remaining = 0;  // the route's time holds from the first byte, too
-  ASSERT_EQ(place(2, query), "w");
+  info.time_remaining = 0;  // the route's timeout starts at the first byte, too
+  ASSERT_EQ(place(2, info), "w");
   EXPECT_LE(out.attempts[0].timeout, millis(2300));
-  query.time_remaining = millis(700);
-  EXPECT_EQ(place(3, query), "");
+  info.time_remaining = millis(700);
+  EXPECT_EQ(place(3, info), "");
   ASSERT_EQ(out.rejections.size(), 1u);
   EXPECT_GT(out.rejections[0].retry_after, 0) << "it has not run and never will";
 }
 
-// The operator's time for a route holds whatever its caller would wait, and also while nothing may be placed.
-TEST_F(Desks, the_routes_time_ends_what_its_caller_would_wait_for_longer) {
+// The route's timeout applies whatever the client's deadline is, and also while the dispatcher is paused.
+TEST_F(DispatcherTest, the_routes_timeout_ends_a_request_before_a_later_client_deadline) {
   worker("w");
   for (bool const held : {false, true})
-    for (Micros const left : {Micros(0), seconds(60)})
+    for (Micros const time_left : {Micros(0), seconds(60)})
       for (char const* const route : {"once", "safe", "live", "flow"}) {
-        Micros const came = now;
-        RequestInfo query = query_of(route);
-        query.time_remaining = left;
-        ASSERT_EQ(place(1, query), "w");
+        Micros const arrived_at = now;
+        RequestInfo info = request_info(route);
+        info.time_remaining = time_left;
+        ASSERT_EQ(place(1, info), "w");
         dispatcher.on_sent(1, now);
         dispatcher.set_paused(held);
         out = DispatchEffects();
-        while (dispatcher.active_requests() > 0 && now - came < seconds(5)) dispatcher.tick(now += millis(50), out);
+        while (dispatcher.active_requests() > 0 && now - arrived_at < seconds(5))
+          dispatcher.tick(now += millis(50), out);
         dispatcher.set_paused(false);
         ASSERT_EQ(out.rejections.size(), 1u) << route;
         EXPECT_EQ(out.rejections[0].retry_after, 0) << "it may have run";
-        EXPECT_GE(now - came, millis(2950)) << "a silence is no reason to end it sooner";
-        EXPECT_LE(now - came, millis(3050));
+        EXPECT_GE(now - arrived_at, millis(2950)) << "a silent worker does not end the request sooner";
+        EXPECT_LE(now - arrived_at, millis(3050));
         EXPECT_TRUE(free_of_work());
       }
 }
 
-TEST_F(Desks, another_worker_gets_no_more_time_than_its_caller_has_left) {
+TEST_F(DispatcherTest, a_retry_gets_no_more_time_than_the_client_has_left) {
   worker("w");
   worker("v");
-  for (Micros const left : {Micros(0), millis(2500)}) {
-    RequestInfo query = query_of("safe");
-    query.time_remaining = left;
-    ASSERT_NE(place(1, query), "");
+  for (Micros const time_left : {Micros(0), millis(2500)}) {
+    RequestInfo info = request_info("safe");
+    info.time_remaining = time_left;
+    ASSERT_NE(place(1, info), "");
     Micros const end_of_first = now + out.attempts[0].timeout;
     dispatcher.on_sent(1, now);
     now += millis(800);
@@ -519,7 +521,7 @@
   }
 }
 
-TEST_F(Desks, a_caller_that_hangs_up_leaves_nothing_behind) {
+TEST_F(DispatcherTest, a_client_disconnect_releases_the_request) {
   worker("w");
   for (int stage = 0; stage < 3; ++stage) {
     place(1, "flow");
@@ -528,27 +530,27 @@
     dispatcher.on_client_disconnect(1, now);
     EXPECT_TRUE(free_of_work());
     end(1, AttemptEnd::broke);
-    EXPECT_TRUE(out.empty()) << "what comes late is nobody's";
+    EXPECT_TRUE(out.empty()) << "late events of an ended request are ignored";
   }
   EXPECT_EQ(dispatcher.counters.client_disconnects, 3u);
 }
 
-TEST_F(Desks, prompts_follow_their_openings) {
+TEST_F(DispatcherTest, prompts_with_a_common_prefix_go_to_the_same_worker) {
   for (char const* const id : {"w1", "w2", "w3", "w4"}) worker(id);
-  RequestInfo query = query_of("once");
-  query.parts = parse_prompt_parts("aa:4000,bb:50");
-  query.input_tokens = 4050;
-  std::string const home = place(1, query);
+  RequestInfo info = request_info("once");
+  info.parts = parse_prompt_parts("aa:4000,bb:50");
+  info.input_tokens = 4050;
+  std::string const home = place(1, info);
   dispatcher.on_sent(1, now);
   end(1, AttemptEnd::complete);
   for (std::uint64_t id = 2; id < 8; ++id) {
-    RequestInfo next = query;
+    RequestInfo next = info;
     next.parts = parse_prompt_parts("aa:4000,c" + std::to_string(id) + ":50");
     EXPECT_EQ(place(id, next), home);
     dispatcher.on_sent(id, now);
     end(id, AttemptEnd::complete);
   }
-  // Another node that knows nothing of it yet chooses the same one.
+  // Another node, whose index is empty, chooses the same worker.
   IndexSync other_index_sync(2);
   Registry other_registry("n2");
   for (char const* const id : {"w1", "w2", "w3", "w4"}) other_registry.heartbeat(heartbeat_of(id, 1), now);
@@ -556,12 +558,12 @@
   Dispatcher other("n2", "a", other_index_sync, other_registry, other_exchange);
   other.set_description(usual_description());
   DispatchEffects first;
-  other.on_request(1, query, now, first);
+  other.on_request(1, info, now, first);
   ASSERT_EQ(first.attempts.size(), 1u);
   EXPECT_EQ(first.attempts[0].instance, home);
 }
 
-TEST_F(Desks, near_workers_come_first_and_the_load_is_spread) {
+TEST_F(DispatcherTest, workers_of_the_own_zone_are_preferred_until_they_are_loaded) {
   worker("near");
   Heartbeat far = heartbeat_of("far", 1);
   far.zone = "b";
@@ -574,12 +576,12 @@
 }
 
 namespace {
-struct Span {
+struct WindowSum {
   std::deque<std::pair<Micros, double>> items;
   double sum = 0;
-  void add(Micros now, double what, Micros length) {
-    items.emplace_back(now, what);
-    sum += what;
+  void add(Micros now, double value, Micros length) {
+    items.emplace_back(now, value);
+    sum += value;
     while (now - items.front().first > length) {
       sum -= items.front().second;
       items.pop_front();
@@ -588,22 +590,22 @@
 };
 }  // namespace
 
-// Many nodes with one store between them. First long quiet, then workers that break every answer: in no window may the
-// re-sends of all nodes be more than their requests earn there and the store.
-TEST(Budgets, hold_over_all_nodes_in_every_window) {
+// Several nodes share one retry reserve. After a long quiet time the workers break every answer: in no window may the
+// retries of all nodes exceed what their requests earn in it plus the reserve.
+TEST(RetryBudget, holds_over_all_nodes_in_every_window) {
   constexpr double ratio = 0.15;
   constexpr double store = 18;
   for (std::size_t const count : {std::size_t(1), std::size_t(3), std::size_t(6), std::size_t(12)}) {
-    struct Box {
+    struct TestNode {
       IndexSync index_sync{1};
       std::unique_ptr<Registry> registry;
       ReportExchange exchange{"n"};
       std::unique_ptr<Dispatcher> dispatcher;
       std::uint64_t resends = 0;
     };
-    std::vector<std::unique_ptr<Box>> nodes;
+    std::vector<std::unique_ptr<TestNode>> nodes;
     for (std::size_t i = 0; i < count; ++i) {
-      nodes.push_back(std::make_unique<Box>());
+      nodes.push_back(std::make_unique<TestNode>());
       std::string const name = "n" + std::to_string(i);
       nodes[i]->registry = std::make_unique<Registry>(name);
       nodes[i]->dispatcher =
@@ -619,16 +621,16 @@
     double worst = 0;
     double worst_span = 0;
     std::uint64_t resends = 0;
-    // The sum in each window is at most 'store' when no stretch of (re-sends - ratio * requests) exceeds it.
+    // The sum in each window is at most 'store' if no stretch of (retries - ratio * requests) exceeds it.
     double stretch = 0;
-    Span asked;
-    Span again;
+    WindowSum asked;
+    WindowSum retried;
     for (int turn = 0; turn < 4000; ++turn) {
       now += millis(20);
       bool const bad = turn % 1000 > 800 && turn % 1000 < 900;
-      Box& box = *nodes[random.below(count)];
+      TestNode& box = *nodes[random.below(count)];
       DispatchEffects out;
-      box.dispatcher->on_request(++id, query_of("safe"), now, out);
+      box.dispatcher->on_request(++id, request_info("safe"), now, out);
       stretch = std::max(0.0, stretch - ratio);
       asked.add(now, 1, seconds(2));
       while (!out.attempts.empty()) {
@@ -640,8 +642,8 @@
           ++resends;
           stretch += 1;
           worst = std::max(worst, stretch);
-          again.add(now, 1, seconds(2));
-          worst_span = std::max(worst_span, again.sum - ratio * asked.sum);
+          retried.add(now, 1, seconds(2));
+          worst_span = std::max(worst_span, retried.sum - ratio * asked.sum);
         }
         box.dispatcher->on_attempt_end(id, bad ? AttemptEnd::broke : AttemptEnd::complete, false, now, out);
       }
@@ -653,8 +655,8 @@
 }
 
 namespace {
-// Sees every effect and event of a walk, and knows what may not be.
-class Judge {
+// Checks every effect and event of a random walk against the rules of at-most-once execution.
+class EffectChecker {
  public:
   struct Row {
     std::string route;
@@ -662,7 +664,7 @@
     bool active = false;
     bool left = false;   // of the attempt under way
     bool began = false;  // of the request
-    bool maybe_ran = false;
+    bool may_have_run_before = false;
     int sends = 0;
     int ends = 0;
     std::string at;
@@ -673,16 +675,17 @@
 
   void take(DispatchEffects const& out, Registry& registry) {
     for (std::uint64_t const id : out.cancelled_attempts) {
-      ASSERT_TRUE(rows.at(id).active) << id << " has no attempt that could be cut";
+      ASSERT_TRUE(rows.at(id).active) << id << " has no attempt to cancel";
       stop(rows.at(id), true);
     }
     for (Attempt const& item : out.attempts) {
       Row& row = rows.at(item.request);
-      ASSERT_FALSE(row.ended) << "an ended request is sent";
-      ASSERT_FALSE(row.active) << "two attempts at once";
-      ASSERT_TRUE(row.tried.insert(item.instance).second) << "twice to the same worker";
+      ASSERT_FALSE(row.ended) << "request " << item.request << " is sent after its end";
+      ASSERT_FALSE(row.active) << "request " << item.request << " has two attempts at once";
+      ASSERT_TRUE(row.tried.insert(item.instance).second)
+          << "request " << item.request << " is sent twice to " << item.instance;
       if (!row.may_repeat()) {
-        ASSERT_FALSE(row.maybe_ran) << "it may run twice";
+        ASSERT_FALSE(row.may_have_run_before) << "request " << item.request << " may run twice";
       }
       ASSERT_EQ(item.resumes_answer, row.began);
       Instance const* const at = registry.find(item.instance);
@@ -696,7 +699,8 @@
       Row& row = rows.at(item.request);
       ASSERT_FALSE(row.began);
       if (item.retry_after > 0 && !row.may_repeat()) {
-        ASSERT_FALSE(row.maybe_ran) << "a promise that cannot be kept";
+        ASSERT_FALSE(row.may_have_run_before)
+            << "request " << item.request << " may have run and is refused with a time to retry";
       }
       end(row);
     }
@@ -711,10 +715,10 @@
   }
   void stop(Row& row, bool may_have_run) {
     row.active = false;
-    row.maybe_ran = row.maybe_ran || (row.left && may_have_run);
+    row.may_have_run_before = row.may_have_run_before || (row.left && may_have_run);
   }
   void end(Row& row) {
-    ASSERT_EQ(++row.ends, 1) << "two ends";
+    ASSERT_EQ(++row.ends, 1) << "a request ended twice";
     ASSERT_FALSE(row.active);
     row.ended = true;
   }
@@ -722,7 +726,8 @@
 }  // namespace
 
 namespace {
-// One walk of random events; what it did is added to the sum, so that walks that show nothing are seen.
+// One walk of random events. Its counters are added to 'sum', so that the test notices walks without the events that it
+// is meant to cover.
 void walk(std::uint64_t seed, DispatchCounters& sum) {
   SCOPED_TRACE("seed " + std::to_string(seed));
   RandomSource random(seed);
@@ -735,7 +740,7 @@
   dispatcher.set_node_count(2);
   std::shared_ptr<Description const> const rules[] = {usual_description(), usual_description()};
   dispatcher.set_description(rules[0]);
-  Judge judge;
+  EffectChecker checker;
   Micros now = seconds(10);
   std::uint64_t next = 0;
   std::uint64_t order = 0;
@@ -743,53 +748,54 @@
   std::vector<std::uint64_t> open;
   for (int turn = 0; turn < 40000; ++turn) {
     now += static_cast<Micros>(random.below(static_cast<std::uint64_t>(millis(6))));
-    if (random.chance(0.003)) now += millis(900);  // nothing is heard of anybody for a while
+    if (random.chance(0.003)) now += millis(900);  // a pause without any events
     DispatchEffects out;
-    std::uint64_t const what = random.below(100);
-    if (what < 12 && next < 2500) {
+    std::uint64_t const event_kind = random.below(100);
+    if (event_kind < 12 && next < 2500) {
       std::uint64_t const id = ++next;
-      RequestInfo query = query_of(routes[random.below(4)]);
-      if (random.chance(0.3)) query.time_remaining = millis(static_cast<std::int64_t>(1 + random.below(1500)));
+      RequestInfo info = request_info(routes[random.below(4)]);
+      if (random.chance(0.3)) info.time_remaining = millis(static_cast<std::int64_t>(1 + random.below(1500)));
       if (random.chance(0.5))
-        query.parts = parse_prompt_parts("a" + std::to_string(random.below(6)) + ":300,b" + std::to_string(id) + ":9");
-      query.input_tokens = static_cast<std::int64_t>(random.below(500));
-      judge.rows[id].route = query.path.substr(1, query.path.find('/', 1) - 1);
+        info.parts = parse_prompt_parts("a" + std::to_string(random.below(6)) + ":300,b" + std::to_string(id) + ":9");
+      info.input_tokens = static_cast<std::int64_t>(random.below(500));
+      checker.rows[id].route = info.path.substr(1, info.path.find('/', 1) - 1);
       open.push_back(id);
-      dispatcher.on_request(id, std::move(query), now, out);
-    } else if (what < 24) {
+      dispatcher.on_request(id, std::move(info), now, out);
+    } else if (event_kind < 24) {
       dispatcher.tick(now, out);
-    } else if (what < 30) {
-      Heartbeat word = heartbeat_of("w" + std::to_string(random.below(6)) + "-" + std::to_string(turn / 2000), ++order);
-      word.leaving = random.chance(0.01);
-      registry.heartbeat(word, now);
-    } else if (what < 31) {
+    } else if (event_kind < 30) {
+      Heartbeat heartbeat =
+          heartbeat_of("w" + std::to_string(random.below(6)) + "-" + std::to_string(turn / 2000), ++order);
+      heartbeat.leaving = random.chance(0.01);
+      registry.heartbeat(heartbeat, now);
+    } else if (event_kind < 31) {
       if (random.chance(0.05))
         registry.leave("w" + std::to_string(random.below(6)) + "-" + std::to_string(turn / 2000), ++order, now);
-    } else if (what < 33) {
+    } else if (event_kind < 33) {
       registry.silent(now);
-    } else if (what < 34) {
+    } else if (event_kind < 34) {
       dispatcher.set_paused(random.chance(0.2));
-    } else if (what < 35) {
+    } else if (event_kind < 35) {
       dispatcher.set_description(rules[random.below(2)]);
     } else if (!open.empty()) {
       std::size_t const position = random.below(open.size());
       std::uint64_t const id = open[position];
-      Judge::Row& row = judge.rows.at(id);
+      EffectChecker::Row& row = checker.rows.at(id);
       std::uint64_t const step = random.below(20);
       if (row.ended) {
-        // An executor's late word of what has ended.
+        // A late event of the executor for a request that has ended.
         dispatcher.on_sent(id, now);
         dispatcher.on_answer_event(id, now);
         dispatcher.on_attempt_end(id, AttemptEnd::broke, false, now, out);
         open.erase(open.begin() + static_cast<std::ptrdiff_t>(position));
       } else if (step == 0) {
         dispatcher.on_client_disconnect(id, now);
-        judge.stop(row, true);
-        judge.end(row);
+        checker.stop(row, true);
+        checker.end(row);
       } else if (!row.active) {
       } else if (!row.left) {
         if (step < 5) {
-          judge.stop(row, false);
+          checker.stop(row, false);
           dispatcher.on_attempt_end(id, AttemptEnd::unreached, false, now, out);
         } else {
           row.left = true;
@@ -802,23 +808,23 @@
       } else if (step < 11) {
         if (row.began) dispatcher.on_answer_event(id, now);
       } else if (step < 13) {
-        judge.stop(row, true);
-        judge.end(row);
+        checker.stop(row, true);
+        checker.end(row);
         dispatcher.on_attempt_end(id, AttemptEnd::complete, false, now, out);
       } else {
         AttemptEnd const how = step < 15 && !row.began   ? AttemptEnd::declined
                                : step < 17 && !row.began ? AttemptEnd::failed
                                                          : AttemptEnd::broke;
-        judge.stop(row, how != AttemptEnd::declined);
+        checker.stop(row, how != AttemptEnd::declined);
         dispatcher.on_attempt_end(id, how, how == AttemptEnd::declined && random.chance(0.5), now, out);
       }
     }
-    judge.take(out, registry);
+    checker.take(out, registry);
     if (testing::Test::HasFatalFailure()) return;
     if (turn % 50 == 0) {
       std::map<std::string, std::int64_t> running;
       std::size_t alive = 0;
-      for (std::pair<std::uint64_t const, Judge::Row> const& item : judge.rows) {
+      for (std::pair<std::uint64_t const, EffectChecker::Row> const& item : checker.rows) {
         if (item.second.active) ++running[item.second.at];
         alive += item.second.ended ? 0 : 1;
       }
@@ -833,11 +839,11 @@
   for (int i = 0; i < 500; ++i) {
     DispatchEffects out;
     dispatcher.tick(now += millis(10), out);
-    judge.take(out, registry);
+    checker.take(out, registry);
     if (testing::Test::HasFatalFailure()) return;
   }
   EXPECT_EQ(dispatcher.active_requests(), 0u);
-  for (std::pair<std::uint64_t const, Judge::Row> const& item : judge.rows) {
+  for (std::pair<std::uint64_t const, EffectChecker::Row> const& item : checker.rows) {
     EXPECT_EQ(item.second.ends, 1) << item.first;
     EXPECT_LE(item.second.sends, 3) << item.first;
   }
@@ -845,7 +851,7 @@
     EXPECT_EQ(item.second.running, 0);
     EXPECT_EQ(item.second.reserved_tokens, 0);
   }
-  EXPECT_EQ(judge.rows.size(), 2500u);
+  EXPECT_EQ(checker.rows.size(), 2500u);
   DispatchCounters const& t = dispatcher.counters;
   EXPECT_EQ(t.received, t.served + t.refused + t.failed + t.aborted + t.forwarded_failures + t.client_disconnects);
   sum.retries += t.retries;
@@ -856,8 +862,8 @@
 }
 }  // namespace
 
-// A node that stood still has not read what came meanwhile: a worker's silence counts from then on.
-TEST_F(Desks, standing_still_is_no_silence_of_a_worker) {
+// A node has not read what arrived during a stall, so a worker's silence must not include the stall.
+TEST_F(DispatcherTest, a_stall_of_the_node_does_not_count_as_silence_of_a_worker) {
   worker("v");
   worker("w");
   std::string const at = place(1, "flow");
@@ -867,27 +873,27 @@
   dispatcher.tick(now += millis(50), out);
   out = DispatchEffects();
   dispatcher.tick(now += millis(2500), out);
-  EXPECT_TRUE(out.cancelled_attempts.empty()) << "what came while this node stood still lies in its socket";
+  EXPECT_TRUE(out.cancelled_attempts.empty()) << "bytes that arrived during the stall are still in the socket";
   EXPECT_TRUE(out.attempts.empty());
   dispatcher.on_answer_event(1, now);
   dispatcher.tick(now += millis(50), out);
   EXPECT_TRUE(out.cancelled_attempts.empty());
 }
 
-// Its caller waits no longer, and a worker would be handed time that nobody has.
-TEST_F(Desks, what_waited_past_its_time_while_the_node_stood_still_goes_to_no_worker) {
+// Its client waits no longer, and the attempt would have no time left.
+TEST_F(DispatcherTest, a_request_whose_deadline_passed_during_a_stall_is_not_placed) {
   ASSERT_EQ(place(1, "once"), "") << "there is no worker yet";
   dispatcher.tick(now += millis(50), out);
   ASSERT_TRUE(out.empty());
   worker("w");
   dispatcher.tick(now += seconds(4), out);
-  EXPECT_TRUE(out.attempts.empty()) << "its time was over a second before";
+  EXPECT_TRUE(out.attempts.empty()) << "its deadline had passed a second before";
   ASSERT_EQ(out.rejections.size(), 1u);
   EXPECT_GT(out.rejections[0].retry_after, 0) << "it has not run";
   EXPECT_TRUE(free_of_work());
 }
 
-TEST(Walks, end_every_request_once_and_run_it_at_most_once_where_it_must) {
+TEST(DispatcherWalk, every_request_ends_once_and_runs_at_most_once_unless_it_is_repeatable) {
   DispatchCounters sum;
   for (std::uint64_t seed = 1; seed <= 8 && !HasFatalFailure(); ++seed) walk(seed, sum);
   EXPECT_GT(sum.served, 1000u);
--- a/tests/requests.cc
+++ b/tests/requests.cc
@@ -1,7 +1,9 @@
-// The path of a request as a model: orders of events, a judge over every byte, and guards whose absence it sees
-// (docs/requests.md).
+// Model checking of the request path: orders of events, with every byte checked, and guards whose absence the checker
+// must notice (docs/requests.md).
 #include <gtest/gtest.h>
 
+#include <ostream>
+
 #include "base/events.h"
 #include "base/guards.h"
 #include "base/request_guards.h"
@@ -16,30 +18,30 @@
   return out;
 }
 
-// Events of the product are not what is looked at.
-class Requests : public testing::Test {
+// Mutes the log of the product, which is of no interest here.
+class RequestModel : public testing::Test {
  protected:
-  Requests() { mute_log(true); }
-  ~Requests() override { mute_log(false); }
+  RequestModel() { mute_log(true); }
+  ~RequestModel() override { mute_log(false); }
 };
 }  // namespace
 
-TEST_F(Requests, no_walk_breaks_a_rule) {
+TEST_F(RequestModel, no_random_walk_breaks_a_rule) {
   Exploration const result = walk_requests(1, 1500, 60, true);
   EXPECT_EQ(result.faulty, 0u) << text_of(result);
-  // The walks come to what they are for.
-  for (char const* const what : {"200", "500", "502", "503", "break", "run", "sent again", "421 of a worker", "freeze",
-                                 "farewell", "answer without length"})
-    EXPECT_GT(result.seen.count(what) == 0 ? 0 : result.seen.at(what), 50u) << what;
+  // Each event that the walks are meant to cover occurs.
+  for (char const* const event : {"200", "500", "502", "503", "break", "run", "sent again", "421 of a worker", "freeze",
+                                  "farewell", "answer without length"})
+    EXPECT_GT(result.seen.count(event) == 0 ? 0 : result.seen.at(event), 50u) << event;
 }
 
-TEST_F(Requests, no_order_of_three_events_breaks_a_rule_for_what_may_not_repeat) {
+TEST_F(RequestModel, no_order_of_three_events_breaks_a_rule_for_a_request_that_is_not_repeatable) {
   Exploration const result = explore_requests(0, 3, true);
   EXPECT_EQ(result.faulty, 0u) << text_of(result);
   EXPECT_GT(result.worlds, 30000u);
 }
 
-TEST_F(Requests, no_order_of_two_events_breaks_a_rule) {
+TEST_F(RequestModel, no_order_of_two_events_breaks_a_rule) {
   for (std::size_t kind = 0; kind < 4; ++kind) {
     Exploration const result = explore_requests(kind, 2, true);
     EXPECT_EQ(result.faulty, 0u) << text_of(result);
@@ -48,36 +50,37 @@
 }
 
 namespace {
-struct GuardAway {
+struct DisabledGuard {
   char const* name;
-  RequestGuard guard;
-  Guard other;
+  RequestGuard request_guard;
+  Guard guard;
 };
-class RequestGuards : public Requests, public testing::WithParamInterface<GuardAway> {};
+void PrintTo(DisabledGuard const& value, std::ostream* out) { *out << value.name; }
+class RequestModelGuard : public RequestModel, public testing::WithParamInterface<DisabledGuard> {};
 }  // namespace
 
-TEST_P(RequestGuards, are_missed) {
-  request_guard_off() = GetParam().guard;
-  guard_off() = GetParam().other;
+TEST_P(RequestModelGuard, the_checker_finds_a_fault_without_it) {
+  request_guard_off() = GetParam().request_guard;
+  guard_off() = GetParam().guard;
   Exploration const result = walk_requests(1, 3000, 60, true);
   request_guard_off() = RequestGuard::none;
   guard_off() = Guard::none;
   EXPECT_EQ(result.faulty, 1u);
 }
 
-INSTANTIATE_TEST_SUITE_P(Off, RequestGuards,
-                         testing::Values(GuardAway{"answer_id", RequestGuard::answer_id, Guard::none},
-                                         GuardAway{"not_run_proof", RequestGuard::not_run_proof, Guard::none},
-                                         GuardAway{"torn_visible", RequestGuard::torn_visible, Guard::none},
-                                         GuardAway{"attempts", RequestGuard::attempts, Guard::none},
-                                         GuardAway{"instance", RequestGuard::instance, Guard::none},
-                                         GuardAway{"seal", RequestGuard::seal, Guard::none},
-                                         GuardAway{"event_order", RequestGuard::event_order, Guard::none},
-                                         GuardAway{"event_end", RequestGuard::event_end, Guard::none},
-                                         GuardAway{"never_repeat", RequestGuard::none, Guard::never_repeat},
-                                         GuardAway{"honest_execution_status", RequestGuard::none,
-                                                   Guard::honest_execution_status},
-                                         GuardAway{"bucket", RequestGuard::none, Guard::bucket}),
-                         [](testing::TestParamInfo<GuardAway> const& info) { return std::string(info.param.name); });
+INSTANTIATE_TEST_SUITE_P(
+    Off, RequestModelGuard,
+    testing::Values(DisabledGuard{"answer_id", RequestGuard::answer_id, Guard::none},
+                    DisabledGuard{"not_run_proof", RequestGuard::not_run_proof, Guard::none},
+                    DisabledGuard{"torn_visible", RequestGuard::torn_visible, Guard::none},
+                    DisabledGuard{"attempts", RequestGuard::attempts, Guard::none},
+                    DisabledGuard{"instance", RequestGuard::instance, Guard::none},
+                    DisabledGuard{"seal", RequestGuard::seal, Guard::none},
+                    DisabledGuard{"event_order", RequestGuard::event_order, Guard::none},
+                    DisabledGuard{"event_end", RequestGuard::event_end, Guard::none},
+                    DisabledGuard{"never_repeat", RequestGuard::none, Guard::never_repeat},
+                    DisabledGuard{"honest_execution_status", RequestGuard::none, Guard::honest_execution_status},
+                    DisabledGuard{"bucket", RequestGuard::none, Guard::bucket}),
+    [](testing::TestParamInfo<DisabledGuard> const& info) { return std::string(info.param.name); });
 
 }  // namespace pipit
--- a/tests/routing/dispatcher_fixture.h
+++ b/tests/routing/dispatcher_fixture.h
@@ -1,4 +1,4 @@
-// A dispatcher alone, with workers that are registry entries only, under a clock that the test moves (§12.5).
+// Fixture: a dispatcher without I/O. Its workers are registry entries only, and the test sets the clock (§12.5).
 #pragma once
 #include <gtest/gtest.h>
 
@@ -9,7 +9,7 @@
 
 namespace pipit {
 
-inline constexpr char hosts[] = "api.test";
+inline constexpr char test_host[] = "api.test";
 
 inline std::shared_ptr<Description const> compiled_description(std::string const& routes) {
   Result<std::shared_ptr<Description const>> const made = read_description(
@@ -32,9 +32,9 @@
                               route_text("live", ",\"streams\":true"));
 }
 
-inline RequestInfo query_of(std::string const& route) {
+inline RequestInfo request_info(std::string const& route) {
   RequestInfo out;
-  out.host = hosts;
+  out.host = test_host;
   out.path = "/" + route + "/x";
   out.model = "m";
   out.input_tokens = 100;
@@ -62,11 +62,11 @@
   void worker(std::string const& id, std::string const& pool = "p") {
     registry.heartbeat(heartbeat_of(id, ++order, pool), now);
   }
-  // A request that was placed at once; its worker, or nothing.
-  std::string place(std::uint64_t id, std::string const& route) { return place(id, query_of(route)); }
-  std::string place(std::uint64_t id, RequestInfo query) {
+  // Sends a request to the dispatcher. Returns the worker that it was placed at, or "" if it was not placed at once.
+  std::string place(std::uint64_t id, std::string const& route) { return place(id, request_info(route)); }
+  std::string place(std::uint64_t id, RequestInfo info) {
     out = DispatchEffects();
-    dispatcher.on_request(id, std::move(query), now, out);
+    dispatcher.on_request(id, std::move(info), now, out);
     return started(id);
   }
   std::string started(std::uint64_t id) const {
@@ -78,7 +78,7 @@
     out = DispatchEffects();
     dispatcher.on_attempt_end(id, how, false, now, out);
   }
-  // Ticks until something comes out, or the time is over.
+  // Ticks until there is an effect, for 'most' at the longest.
   void wait(Micros most) {
     out = DispatchEffects();
     for (Micros const stop = now + most; now < stop && out.empty();) {
@@ -86,7 +86,7 @@
       dispatcher.tick(now, out);
     }
   }
-  // The workers that peers are told to doubt.
+  // The workers that this node reports to its peers as suspected.
   std::vector<std::string> suspects() {
     GossipPaths paths;
     paths.peers = {"n2"};
