--- a/src/node/changes.cc
+++ b/src/node/changes.cc
@@ -18,7 +18,7 @@
     change.id = plan.name + "-" + std::to_string(plan.incarnation) + "-" + std::to_string(++change_count_);
   note_call(id, change);
   if (change_forwarder_.forward_change(id, change, now, out)) return;
-  if (plan.registered && id != 0 && !replica_directory_.hears_quorum(now))
+  if (plan.registered && id != 0 && !replica_directory_.has_quorum_contact(now))
     return refuse_now(id, change, ErrorCode::no_majority, out);
   propose(id, std::move(change), now, out);
   check_replies(out);
@@ -64,7 +64,7 @@
   reply.id = id;
   reply.change = change.id;
   reply.outcome = outcome;
-  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
+  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::unchanged;
   std::uint64_t const request_id = ++next_request_id_;
   if (holds) {
     log_event(Event::value_chosen,
@@ -84,7 +84,7 @@
     if (change.type == Change::Type::register_router)
       router_registrations_.finish_registration();
     else
-      replica_set_manager_.change_ended();
+      replica_set_manager_.finish_change();
     return;
   }
   if (change.type == Change::Type::empty && holds) {
@@ -148,7 +148,7 @@
   if (zone == plan.zone) return true;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.member.zone == zone) return true;
-  for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.all())
+  for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.entries())
     if (item.second.zone == zone) return true;
   for (std::pair<std::string const, Worker> const& item : fleet.workers)
     if (item.second.row.zone == zone) return true;
--- a/src/node/configuration_authority.cc
+++ b/src/node/configuration_authority.cc
@@ -7,21 +7,21 @@
 
 namespace {
 constexpr Micros request_interval = millis(300);
-constexpr Micros request_timeout = seconds(4);  // an older question is not answered any more
+constexpr Micros request_timeout = seconds(4);  // replies to older requests are ignored
 constexpr std::size_t max_confirmed_revisions = 16;
 }  // namespace
 
-ConfigurationAuthority::ConfigurationAuthority(ConfigurationSpans const& spans, Mesh const& mesh,
+ConfigurationAuthority::ConfigurationAuthority(ConfigurationLeaseDurations const& durations, Mesh const& mesh,
                                                Learner const& learner, PeerRotation& rotation,
                                                std::function<std::uint64_t()> next_request_id)
     : mesh_(mesh),
       learner_(learner),
       rotation_(rotation),
       next_request_id_(std::move(next_request_id)),
-      key_lease_(spans.revocation, spans.in_force),
-      quota_lease_(spans.quota) {}
+      key_lease_(durations.revocation, durations.in_force),
+      quota_lease_(durations.quota) {}
 
-// Both leases rest on the same facts.
+// The same confirmation extends both leases; they differ in duration only.
 void ConfigurationAuthority::confirm_leases(Micros at) {
   key_lease_.confirm(at);
   quota_lease_.confirm(at);
@@ -35,16 +35,16 @@
   }
 }
 
-// A third of the lease before its end would be late: it is renewed from its first third on, by one replica at a time,
-// and from its half on by any peer besides, since a cut may part this node from the replicas alone.
+// Renewal in the last third of the lease would be too late. From the first third on, one replica at a time is queried;
+// from the half on, another peer as well, since a network partition may separate this node from the replicas alone.
 void ConfigurationAuthority::renew_leases(bool keys_required, Micros now, std::vector<OutgoingMessage>& outgoing) {
   update_confirmations();
-  if (!keys_required || !quota_lease_.ageing(now) || now < next_request_at_) return;
+  if (!keys_required || !quota_lease_.renewal_due(now) || now < next_request_at_) return;
   next_request_at_ = now + request_interval;
   std::erase_if(open_requests_, [now](std::pair<std::uint64_t const, Micros> const& item) {
     return now - item.second > request_timeout;
   });
-  for (std::string const& target : select_targets(now)) {
+  for (std::string const& target : select_peers_to_query(now)) {
     wire::NewestRequestT request;
     request.request_id = next_request_id_();
     open_requests_[request.request_id] = now;
@@ -52,7 +52,7 @@
   }
 }
 
-std::vector<std::string> ConfigurationAuthority::select_targets(Micros now) {
+std::vector<std::string> ConfigurationAuthority::select_peers_to_query(Micros now) {
   std::vector<std::string> replicas;
   std::vector<std::string> others;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
@@ -62,7 +62,8 @@
   std::vector<std::string> targets;
   rotation_.advance();
   if (!replicas.empty()) targets.push_back(rotation_.current(replicas));
-  if (!others.empty() && (replicas.empty() || quota_lease_.urgent(now))) targets.push_back(rotation_.current(others));
+  if (!others.empty() && (replicas.empty() || quota_lease_.renewal_urgent(now)))
+    targets.push_back(rotation_.current(others));
   return targets;
 }
 
@@ -70,14 +71,14 @@
   wire::NewestReplyT out;
   out.request_id = request_id;
   out.revision = learner_.revision();
-  if (quota_lease_.confirmed() >= 0) out.age = now - quota_lease_.confirmed();
+  if (quota_lease_.confirmed_at() >= 0) out.age = now - quota_lease_.confirmed_at();
   return out;
 }
 
-// The peer's moment lies 'age' before its reply, and its reply after this node's question: reckoned from the question,
-// it can only be taken for an earlier one than it was.
-void ConfigurationAuthority::take_reply(std::string const& from, wire::NewestReplyT const& reply, Micros now,
-                                        std::vector<OutgoingMessage>& outgoing) {
+// The peer's configuration was confirmed 'age' before its reply, and the reply was sent after this node's request.
+// Counting 'age' back from the time of the request therefore never yields a time later than the true one.
+void ConfigurationAuthority::handle_reply(std::string const& from, wire::NewestReplyT const& reply, Micros now,
+                                          std::vector<OutgoingMessage>& outgoing) {
   std::map<std::uint64_t, Micros>::iterator const request = open_requests_.find(reply.request_id);
   if (request == open_requests_.end()) return;
   Micros const sent_at = request->second;
@@ -87,8 +88,8 @@
   confirmed_at = std::max(confirmed_at, sent_at - reply.age);
   update_confirmations();
   if (confirmed_revisions_.size() > max_confirmed_revisions) confirmed_revisions_.erase(confirmed_revisions_.begin());
-  if (confirmed_revisions_.empty() || !quota_lease_.urgent(now)) return;
-  // What is newer has not come by itself.
+  if (confirmed_revisions_.empty() || !quota_lease_.renewal_urgent(now)) return;
+  // The newer value has not arrived by the normal spread of changes.
   wire::CatchUpRequestT catch_up;
   catch_up.revision = learner_.revision();
   outgoing.push_back(message_to(from, std::move(catch_up)));
--- a/src/routing/dispatch/tenancy.cc
+++ b/src/routing/dispatch/tenancy.cc
@@ -17,10 +17,10 @@
 // only while the configuration is certain to be the newest, and as unconfirmed otherwise.
 std::optional<ErrorCode> Dispatcher::key_error(Request const& request, Description const& by, Micros now) const {
   if (!by.keys_required) return std::nullopt;
-  if (!lease_->holds(now)) return ErrorCode::unconfirmed;
+  if (!lease_->valid(now)) return ErrorCode::unconfirmed;
   bool const known = request.info.key_digest && by.tenant_of(*request.info.key_digest) != nullptr;
   if (known || request.route->is_public) return std::nullopt;
-  return lease_->certain(now) ? ErrorCode::unknown_key : ErrorCode::unconfirmed;
+  return lease_->unknown_is_certain(now) ? ErrorCode::unknown_key : ErrorCode::unconfirmed;
 }
 
 bool Dispatcher::authorize(Request& request, Micros now, DispatchEffects& out) {
@@ -28,7 +28,7 @@
     reject_unauthorized(request, *error, now, out);
     return false;
   }
-  request.configuration_confirmed_at = lease_->confirmed();
+  request.configuration_confirmed_at = lease_->confirmed_at();
   if (!rules_->keys_required || !request.info.key_digest) return true;
   Tenant const* const tenant = rules_->tenant_of(*request.info.key_digest);
   if (tenant == nullptr) return true;
@@ -44,7 +44,7 @@
     reject_unauthorized(request, *error, now, out);
     return false;
   }
-  request.configuration_confirmed_at = lease_->confirmed();
+  request.configuration_confirmed_at = lease_->confirmed_at();
   Tenant const* const tenant =
       rules_->keys_required && request.info.key_digest ? rules_->tenant_of(*request.info.key_digest) : nullptr;
   request.tenant = tenant == nullptr ? "" : tenant->name;
@@ -103,8 +103,8 @@
 // Checks the invariant for a request of which a byte is about to leave. The client sent the request before its arrival,
 // so its arrival is the moment for which the configuration with its key must have been confirmed.
 void Dispatcher::check_key(Request const& request) const {
-  if (!lease_->needed() || !request.rules->keys_required) return;
-  bool const confirmed = request.arrived_at - request.configuration_confirmed_at <= lease_->span;
+  if (!lease_->required() || !request.rules->keys_required) return;
+  bool const confirmed = request.arrived_at - request.configuration_confirmed_at <= lease_->duration;
   check_invariant(confirmed, Invariant::key_confirmed, [&] {
     return "request " + std::to_string(request.id) + " arrived " +
            std::to_string((request.arrived_at - request.configuration_confirmed_at) / 1000) +
--- a/src/runtime/router_host.cc
+++ b/src/runtime/router_host.cc
@@ -19,7 +19,7 @@
 constexpr guint tick_ms = 25;
 }  // namespace
 
-RouterHost::RouterHost(Settings settings, Role role, std::optional<wire::RecordT> recovered,
+RouterHost::RouterHost(Settings settings, MemberRole role, std::optional<wire::RecordT> recovered,
                        std::unique_ptr<PosixDisk> disk, std::unique_ptr<RecordStore> store)
     : settings_(std::move(settings)), role_(role), loop_(g_main_loop_new(nullptr, FALSE)) {
   NodePlan plan;
@@ -27,25 +27,25 @@
   plan.name = settings_.name;
   plan.zone = settings_.zone;
   plan.address = settings_.mesh;
-  plan.http = settings_.http;
+  plan.http_address = settings_.http;
   plan.role = role_;
   plan.seeds = settings_.seeds;
   plan.models = settings_.models;
   plan.initial_members = settings_.initial_members;
   plan.incarnation = static_cast<std::uint64_t>(g_get_real_time());
-  plan.chance = random_seed();
+  plan.random_seed = random_seed();
   node_ = std::make_unique<Node>(plan, now(), std::move(recovered));
 
   Connections::Callbacks we;
   we.opened = [this](ConnectionId id, bool outbound, std::string const& address) {
     NodeEffects out;
-    node_->opened(id, outbound, address, now(), out);
+    node_->connection_opened(id, outbound, address, now(), out);
     act(out);
   };
   we.shut = [this](ConnectionId id) {
     NodeEffects out;
     connection_names_.erase(id);
-    node_->shut(id, now(), out);
+    node_->connection_closed(id, now(), out);
     act(out);
   };
   we.failed = [this](std::string const& address, bool refused) {
@@ -57,8 +57,8 @@
     connection_bytes_ += frame.size();
     if (settings_.faults && dropped_in(id, frame)) return true;
     NodeEffects out;
-    bool const good = node_->bytes(id, frame, now(), out);
-    if (good) traffic_.count_received(kind_of(frame), frame.size());
+    bool const good = node_->receive_frame(id, frame, now(), out);
+    if (good) traffic_.count_received(body_type_of(frame), frame.size());
     act(out);
     return good;
   };
@@ -102,7 +102,7 @@
     asked_.erase(id);
     if (callers_.erase(id) == 0) return;
     NodeEffects out;
-    node_->hung_up(id, now(), out);
+    node_->client_disconnected(id, now(), out);
     act(out);
   };
   chat_server_ =
@@ -118,7 +118,7 @@
         return;
       }
       NodeEffects out;
-      node_->disk_done(now(), out);
+      node_->record_synced(now(), out);
       act(out);
     });
 }
@@ -141,7 +141,7 @@
 bool RouterHost::dropped_in(ConnectionId id, std::string_view frame) {
   std::string name = connection_names_.count(id) ? connection_names_[id] : "";
   if (name.empty()) {
-    Result<std::unique_ptr<wire::FrameT>> seen = decode(frame);
+    Result<std::unique_ptr<wire::FrameT>> seen = decode_frame(frame);
     if (seen && seen.value()->body.type == wire::Body::Hello && seen.value()->body.AsHello()->self) {
       name = seen.value()->body.AsHello()->self->name;
       connection_names_[id] = name;
@@ -176,13 +176,13 @@
 
 // The executor: obeys what the core decided.
 void RouterHost::act(NodeEffects& out) {
-  if (out.save) disk_->save(std::move(*out.save));
+  if (out.record_to_sync) disk_->save(std::move(*out.record_to_sync));
   for (std::string const& address : out.mesh.dial_addresses) connections_->dial(address);
   for (ConnectionEffects::OutgoingFrame& send : out.mesh.outgoing_frames) {
     if (settings_.faults && dropped_out(send.connection, send.bytes)) continue;
     connection_bytes_ += send.bytes.size();
     mesh_to_[node_->mesh.zone_of(send.connection)] += send.bytes.size();
-    traffic_.count_sent(kind_of(send.bytes), send.bytes.size());
+    traffic_.count_sent(body_type_of(send.bytes), send.bytes.size());
     if (settings_.faults && fires(FaultPoint::frame_corrupted))
       for (std::size_t i = 4; i < send.bytes.size(); ++i) send.bytes[i] = static_cast<char>(send.bytes[i] ^ 0x5a);
     connections_->send(send.connection, send.bytes);
@@ -201,11 +201,11 @@
   }
   for (ChatFailure const& verdict : out.chat.failures) finish(verdict);
   for (std::uint64_t const id : out.chat.cancelled_attempts) attempts_->cut(id);
-  for (Reply const& item : out.replies) reply(item);
+  for (ChangeReply const& item : out.replies) reply(item);
   if (out.read_list) {
     if (fires(FaultPoint::list_fail)) {
       NodeEffects more;
-      node_->list(std::nullopt, true, now(), more);
+      node_->handle_worker_list(std::nullopt, true, now(), more);
       act(more);
     } else {
       attempts_->get(settings_.platform, "/workers", seconds(1),
@@ -217,15 +217,15 @@
                          if (read) rows = std::move(read.value());
                        }
                        NodeEffects more;
-                       node_->list(rows, refused || !body.empty(), now(), more);
+                       node_->handle_worker_list(rows, refused || !body.empty(), now(), more);
                        act(more);
                      });
     }
   }
-  for (Check const& check : out.checks) {
+  for (HealthCheck const& check : out.health_checks) {
     if (fires_for(FaultPoint::cut_workers, check.worker) || fires(FaultPoint::health_check_fail)) {
       NodeEffects more;
-      node_->health_report(check, std::nullopt, false, now(), more);
+      node_->handle_health_report(check, std::nullopt, false, now(), more);
       act(more);
       continue;
     }
@@ -237,7 +237,7 @@
                        if (read) report = read.value();
                      }
                      NodeEffects more;
-                     node_->health_report(check, report, refused, now(), more);
+                     node_->handle_health_report(check, report, refused, now(), more);
                      act(more);
                    });
   }
@@ -285,7 +285,8 @@
     node_->drain(now(), out);
     act(out);
   }
-  if ((node_->under_way() == 0 && chat_server_->open() == 0) || now() >= drain_until_) g_main_loop_quit(loop_);
+  if ((node_->chat_requests_in_flight() == 0 && chat_server_->open() == 0) || now() >= drain_until_)
+    g_main_loop_quit(loop_);
 }
 
 void RouterHost::reload() {
@@ -295,7 +296,7 @@
     log_event(Event::settings_rejected, "there is no settings file");
     return;
   }
-  Result<Settings> fresh = read_settings(2, argv, role_ == Role::config_store);
+  Result<Settings> fresh = read_settings(2, argv, role_ == MemberRole::config_store);
   std::string why;
   if (!fresh) {
     why = fresh.error().what;
@@ -368,8 +369,8 @@
   return code_;
 }
 
-int run_node(int argc, char** argv, Role role) {
-  bool const replica = role == Role::config_store;
+int run_node(int argc, char** argv, MemberRole role) {
+  bool const replica = role == MemberRole::config_store;
   Result<Settings> settings = read_settings(argc, argv, replica);
   if (!settings) {
     std::fprintf(stderr, "%s: %s\n", replica ? "pipitspool-config-store" : "pipitspool-router",
--- a/src/server/node_server_status.cc
+++ b/src/server/node_server_status.cc
@@ -13,7 +13,8 @@
 
 std::map<std::string, std::uint64_t> peers_by_state(Node const& node) {
   std::map<std::string, std::uint64_t> out;
-  for (State const state : {State::alive, State::suspected, State::down, State::leaving}) out[state_name(state)] = 0;
+  for (MemberState const state : {MemberState::alive, MemberState::suspected, MemberState::down, MemberState::leaving})
+    out[state_name(state)] = 0;
   for (std::pair<std::string const, Peer> const& item : node.mesh.members.peers) ++out[state_name(item.second.state())];
   return out;
 }
@@ -38,7 +39,7 @@
 
 // -1 before the first confirmation.
 std::int64_t lease_age_ms(Node const& node) {
-  Micros const at = node.key_lease().confirmed();
+  Micros const at = node.key_lease().confirmed_at();
   return at < 0 ? -1 : (now() - at) / 1000;
 }
 
@@ -49,9 +50,9 @@
   JsonWriter json;
   json.begin_object().key("name").text(plan_.node.name).key("role").text("passage").key("zone").text(plan_.node.zone);
   json.key("keeper")
-      .boolean(plan_.node.replica)
+      .boolean(plan_.node.is_replica)
       .key("ready")
-      .boolean(node_->ready())
+      .boolean(node_->is_ready())
       .key("draining")
       .boolean(stop_from_ >= 0);
   json.key("serial").number(static_cast<std::int64_t>(node_->learner.serial()));
@@ -98,7 +99,7 @@
   JsonWriter json;
   json.begin_object().key("keys_required").boolean(rules.keys_required);
   json.key("configuration_confirmed_ms_ago").number(lease_age_ms(*node_));
-  json.key("keys_taken").boolean(node_->key_lease().holds(now())).key("tenants").begin_list();
+  json.key("keys_taken").boolean(node_->key_lease().valid(now())).key("tenants").begin_list();
   for (Tenant const& tenant : rules.tenants) {
     json.begin_object().key("name").text(tenant.name).key("rank").number(tenant.rank).key("keys").begin_list();
     for (Digest const& key : tenant.keys) json.text(short_text(key));
@@ -145,14 +146,14 @@
   text.counter("pipit_frames_in_total", node_->mesh.frames_received);
   text.counter("pipit_deltas_dropped_total", node_->index_sync.dropped);
   text.counter("pipit_tree_pulls_total", node_->index_sync.pulls);
-  text.counter("pipit_clock_jumps_total", node_->jumps);
+  text.counter("pipit_clock_jumps_total", node_->clock_jumps);
   text.gauge("pipit_serial", node_->learner.serial());
   text.gauge("pipit_revision", node_->learner.revision());
   text.gauge("pipit_label", label());
   text.gauge("pipit_keepers", node_->learner.membership().replicas.size());
   text.gauge("pipit_keepers_epoch", node_->learner.membership().epoch);
-  text.gauge("pipit_quorum_heard_ms_ago", age_ms(node_->learner.last_quorum_at(), now()));
-  text.gauge("pipit_ready", node_->ready() ? 1u : 0u);
+  text.gauge("pipit_quorum_heard_ms_ago", age_ms(node_->learner.last_quorum_poll_at(), now()));
+  text.gauge("pipit_ready", node_->is_ready() ? 1u : 0u);
   text.gauge("pipit_stopping", stop_from_ >= 0 ? 1u : 0u);
   text.gauge("pipit_under_way", node_->dispatcher.active_requests());
   text.gauge("pipit_oldest_request_ms", static_cast<std::uint64_t>(node_->dispatcher.oldest_request_age(now()) / 1000));
@@ -163,7 +164,7 @@
   traffic_.write(text);
   text.gauges("pipit_peers", "state", peers_by_state(*node_));
   text.gauges("pipit_workers", "standing", workers_by_standing(*node_));
-  text.gauge("pipit_configuration_confirmed_ms_ago", age_ms(node_->key_lease().confirmed(), now()));
+  text.gauge("pipit_configuration_confirmed_ms_ago", age_ms(node_->key_lease().confirmed_at(), now()));
   text.counter("pipit_keys_unknown_total", t.unknown_keys);
   text.counter("pipit_keys_unconfirmed_total", t.unconfirmed);
   text.counter("pipit_quota_messages_total", node_->quota_authority().client().tally.messages);
--- a/testing/fleet_simulator/callers.cc
+++ b/testing/fleet_simulator/callers.cc
@@ -188,7 +188,7 @@
 void World::attempt(std::uint64_t id) {
   Wish& wish = *wishes[id];
   ++wish.attempt_count;
-  Box* const box = pick([](Box const& b) { return b.role == Role::router; });
+  Box* const box = pick([](Box const& b) { return b.role == MemberRole::router; });
   if (box == nullptr) return after(lag(), [this, id] { request_ended(id, "no", millis(500)); });
   std::uint64_t const process_id = box->process_id;
   std::string const name = box->name;
@@ -206,7 +206,7 @@
     std::uint64_t const chat_request = ++b.next_chat_request;
     b.chat_requests[chat_request] = id;
     enter(b, process_id, [chat_request, ask](Box& here, Micros t, NodeEffects& out) {
-      here.node->chat_request(chat_request, ask, t, out);
+      here.node->start_chat_request(chat_request, ask, t, out);
     });
   });
 }
--- a/testing/fleet_simulator/world.h
+++ b/testing/fleet_simulator/world.h
@@ -87,7 +87,7 @@
   }
 
   // machines
-  Box& add(std::string const& name, std::string const& address, std::string const& zone, Role role);
+  Box& add(std::string const& name, std::string const& address, std::string const& zone, MemberRole role);
   void boot(Box& box);
   void halt(Box& box, bool power);
   void freeze(Box& box, Micros span);
@@ -117,7 +117,7 @@
 
   // operators and faults
   void operate(Change::Type type, std::string const& text, std::uint64_t expected, Box& box);
-  void answered(Box& box, Reply const& reply);
+  void answered(Box& box, ChangeReply const& reply);
   void operator_turn();
   void inject_fault();
   static FaultType const* fault_type(std::string const& name);
--- a/tests/change_traffic.cc
+++ b/tests/change_traffic.cc
@@ -69,7 +69,7 @@
 class Storm {
  public:
   Storm(World& world_, std::size_t routes_) : world(world_), routes(routes_) {
-    world.on_reply = [this](Machine& machine, Reply const& reply) { answered(machine, reply); };
+    world.on_reply = [this](Machine& machine, ChangeReply const& reply) { answered(machine, reply); };
   }
 
   void order() {
@@ -93,17 +93,17 @@
     std::uint64_t const id = ++calls;
     labels[id] = change.label;
     world.enter(machine, world.machine(machine).process,
-                [id, change](Node& node, Micros now, NodeEffects& out) { node.operate(id, change, now, out); });
+                [id, change](Node& node, Micros now, NodeEffects& out) { node.submit_change(id, change, now, out); });
     return id;
   }
 
-  void answered(Machine& machine, Reply const& reply) {
+  void answered(Machine& machine, ChangeReply const& reply) {
     std::map<std::uint64_t, Change>::iterator const reading = readings.find(reply.id);
     if (reading != readings.end()) {
       Change const change = reading->second;
       readings.erase(reading);
       // An order without a clear answer may have been taken: a reading tells what the next ones build on.
-      if (reply.outcome.type == Outcome::Type::kept) confirmed = std::max(confirmed, reply.outcome.value.label);
+      if (reply.outcome.type == Outcome::Type::unchanged) confirmed = std::max(confirmed, reply.outcome.value.label);
       operate(machine.id, change);
       return;
     }
@@ -181,7 +181,7 @@
 std::size_t size_of(wire::ValuePatchT const& patch) {
   wire::ChosenT update;
   update.patch = std::make_unique<wire::ValuePatchT>(patch);
-  return encode_body(std::move(update)).size();
+  return encode_message(std::move(update)).size();
 }
 }  // namespace
 
@@ -218,7 +218,7 @@
     wire::ValueT next = base;
     next.revision = 2;
     next.text = description_of({9, routes});
-    EXPECT_LT(size_of(*patch_between(base, next)), 1024u) << routes << " routes, " << next.text.size() << " bytes";
+    EXPECT_LT(size_of(*make_value_patch(base, next)), 1024u) << routes << " routes, " << next.text.size() << " bytes";
   }
 }
 
