--- a/src/routing/chat/chat_request_reader.cc
+++ b/src/routing/chat/chat_request_reader.cc
@@ -5,6 +5,7 @@
 namespace pipit {
 
 namespace {
+// Appends the text of a message's content to the prompt. False if the content has another type.
 bool add_content(simdjson::dom::element const& content, std::string& prompt) {
   std::string_view text;
   if (!content.get_string().get(text)) {
@@ -24,19 +25,19 @@
   simdjson::dom::element root;
   simdjson::error_code const code = parser.parse(simdjson::padded_string(body)).get(root);
   if (code) return fail(ErrorCode::bad_json, simdjson::error_message(code));
-  if (!root.is_object()) return fail(ErrorCode::bad_request, "the body is not an object");
+  if (!root.is_object()) return fail(ErrorCode::bad_request, "the request body must be a JSON object");
   ChatRequestInfo out;
   std::string_view text;
   if (root["model"].get_string().get(text) || text.empty())
-    return fail(ErrorCode::bad_request, "a model is needed", "$.model");
+    return fail(ErrorCode::bad_request, "model must be a non-empty string", "$.model");
   out.facts.model = text;
   simdjson::dom::element item;
   if (!root["stream"].get(item) && item.get_bool().get(out.facts.stream))
-    return fail(ErrorCode::bad_request, "true or false is expected", "$.stream");
+    return fail(ErrorCode::bad_request, "stream must be true or false", "$.stream");
   if (!root["max_tokens"].get(item) && (item.get_int64().get(out.facts.output) || out.facts.output < 0))
-    return fail(ErrorCode::bad_request, "a whole number is expected", "$.max_tokens");
+    return fail(ErrorCode::bad_request, "max_tokens must be a non-negative integer", "$.max_tokens");
   if (!root["user"].get(item)) {
-    if (item.get_string().get(text)) return fail(ErrorCode::bad_request, "a text is expected", "$.user");
+    if (item.get_string().get(text)) return fail(ErrorCode::bad_request, "user must be a string", "$.user");
     out.facts.user = text;
   }
   out.facts.size = static_cast<std::int64_t>(body.size());
@@ -44,18 +45,21 @@
   if (api == ChatApi::chat) {
     simdjson::dom::array turns;
     if (root["messages"].get_array().get(turns) || turns.size() == 0)
-      return fail(ErrorCode::bad_request, "messages are needed", "$.messages");
+      return fail(ErrorCode::bad_request, "messages must be a non-empty array", "$.messages");
     for (simdjson::dom::element const& turn : turns) {
-      if (turn["role"].get_string().get(text)) return fail(ErrorCode::bad_request, "a role is needed", "$.messages");
+      if (turn["role"].get_string().get(text))
+        return fail(ErrorCode::bad_request, "each message needs a role, a string", "$.messages");
       prompt += text;
       prompt += '\n';
       simdjson::dom::element content;
       if (turn["content"].get(content) || !add_content(content, prompt))
-        return fail(ErrorCode::bad_request, "a content is needed", "$.messages");
+        return fail(ErrorCode::bad_request, "each message needs content: a string, an array of parts or null",
+                    "$.messages");
       prompt += '\n';
     }
   } else {
-    if (root["prompt"].get_string().get(text)) return fail(ErrorCode::bad_request, "a prompt is needed", "$.prompt");
+    if (root["prompt"].get_string().get(text))
+      return fail(ErrorCode::bad_request, "prompt must be a string", "$.prompt");
     prompt = text;
   }
   out.path = path_of(prompt);
--- a/src/routing/dispatch/dispatcher.cc
+++ b/src/routing/dispatch/dispatcher.cc
@@ -15,11 +15,9 @@
 constexpr int connect_attempts_max = 4;        // for a request whose answer has not begun
 constexpr Micros startup_span = seconds(5);    // after its start, while a node still learns of workers
 constexpr Micros startup_wait_max = millis(900);
-constexpr Micros stall_min =
-    millis(300);  // between two ticks, normally 50 ms apart, that counts as a stall of this node
+constexpr Micros stall_min = millis(300);    // between ticks, normally 50 ms apart, for a stall of this node
 constexpr Micros silence_min = millis(400);  // without a byte from a worker, after which it may count as silent
-constexpr int silent_workers_min =
-    3;  // if all busy workers are silent and there are this many, the fault is on this node's side
+constexpr int silent_workers_min = 3;        // busy workers that, all silent, point to a fault of this node
 }  // namespace
 
 void Dispatcher::set_retry_budget(double ratio, double burst) {
