--- a/src/node/node_changes.cc
+++ b/src/node/node_changes.cc
@@ -19,7 +19,7 @@
     change.id = plan.name + "-" + std::to_string(plan.incarnation) + "-" + std::to_string(++change_count_);
   record_call(id, change);
   if (change_forwarder_.forward_change(id, change, now, out)) return;
-  if (plan.workers_self_register && id != 0 && !replica_directory_.hears_quorum(now))
+  if (plan.workers_self_register && id != 0 && !replica_directory_.has_quorum_contact(now))
     return refuse_change(id, change, ErrorCode::no_majority, out);
   propose(id, std::move(change), now, out);
   check_replies(out);
@@ -65,7 +65,7 @@
   reply.id = id;
   reply.change_id = change.id;
   reply.outcome = outcome;
-  bool const in_force = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
+  bool const in_force = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::unchanged;
   std::uint64_t const request_id = ++next_request_id_;
   if (in_force) {
     log_event(Event::value_chosen,
@@ -85,7 +85,7 @@
     if (change.type == Change::Type::register_router)
       router_registrations_.finish_registration();
     else
-      replica_set_manager_.change_ended();
+      replica_set_manager_.finish_change();
     return;
   }
   if (change.type == Change::Type::empty && in_force) {
@@ -152,7 +152,7 @@
   if (zone == plan.zone) return true;
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.member.zone == zone) return true;
-  for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.all())
+  for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.entries())
     if (item.second.zone == zone) return true;
   for (std::pair<std::string const, Worker> const& item : fleet.workers)
     if (item.second.row.zone == zone) return true;
--- a/src/node/node_invariants.cc
+++ b/src/node/node_invariants.cc
@@ -32,7 +32,7 @@
   OpenCall const call = std::move(position->second);
   open_calls_.erase(position);
   Outcome const& outcome = reply.outcome;
-  bool const in_force = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
+  bool const in_force = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::unchanged;
   bool const current = call.type != Change::Type::read || !in_force || outcome.value.revision >= call.revision;
   check_invariant(current, Invariant::read_is_current, [&] {
     return "revision " + std::to_string(outcome.value.revision) + " was returned by a read, revision " +
@@ -52,7 +52,7 @@
     return "value of revision " + std::to_string(value.revision) + ", serial " + std::to_string(value.serial) +
            " follows revision " + std::to_string(self.revision) + ", serial " + std::to_string(self.serial);
   });
-  if (learner.membership().joint()) return;
+  if (learner.membership().is_joint()) return;
   // A set of this size keeps a majority when as many disks as are tolerated are lost, whichever other members are down.
   std::size_t const least = 2 * plan.tolerated_losses + 1;
   std::size_t const size = learner.membership().replicas.size();
--- a/src/node/node_registered_workers.cc
+++ b/src/node/node_registered_workers.cc
@@ -44,23 +44,23 @@
   worker_departures_.add_call(id, worker, now, out.end_answers);
 }
 
-void Node::start_request(std::uint64_t id, Query query, Micros now, NodeEffects& out) {
+void Node::start_request(std::uint64_t id, RequestInfo query, Micros now, NodeEffects& out) {
   detect_clock_jump(now);
   configuration_authority_.update_confirmations();
-  dispatcher.fresh(id, std::move(query), now, out.dispatch);
+  dispatcher.on_request(id, std::move(query), now, out.dispatch);
   process_quota(now, out);
   send_reports(now, out);
 }
 
 void Node::process_quota(Micros now, NodeEffects& out) {
   std::vector<OutgoingMessage> outgoing;
-  quota_authority_.process_needs(out.dispatch, now, outgoing);
+  quota_authority_.process_dispatch_effects(out.dispatch, now, outgoing);
   send_messages(outgoing, now, out);
 }
 
 void Node::attempt_ended(std::uint64_t id, AttemptEnd end, bool wrong_instance, Micros now, NodeEffects& out) {
   detect_clock_jump(now);
-  dispatcher.ended(id, end, wrong_instance, now, out.dispatch);
+  dispatcher.on_attempt_end(id, end, wrong_instance, now, out.dispatch);
   process_quota(now, out);
 }
 
@@ -78,7 +78,7 @@
   std::vector<std::string> forwarders{plan.name};
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.member.replica && item.second.member.zone == plan.zone && item.second.connection != 0 &&
-        item.second.state() == State::alive)
+        item.second.state() == MemberState::alive)
       forwarders.push_back(item.first);
   std::sort(forwarders.begin(), forwarders.end());
   wire::ChosenT copy;
@@ -86,7 +86,7 @@
   copy.origin = update.origin;
   if (update.value) copy.value = std::make_unique<wire::ValueT>(*update.value);
   if (update.patch) copy.patch = std::make_unique<wire::ValuePatchT>(*update.patch);
-  std::string const bytes = encode_body(std::move(copy));
+  std::string const bytes = encode_message(std::move(copy));
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     Peer const& peer = item.second;
     if (peer.connection == 0 || peer.member.replica || item.first == update.origin) continue;
@@ -125,12 +125,12 @@
 }
 
 void Node::tick_registered_workers(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out) {
-  Paths const paths = exchange_topology_.compute_paths();
+  GossipPaths const paths = exchange_topology_.compute_paths();
   // §12.7: an owner sends its entries to every peer itself; a hub also forwards them within its zone, for pairs of
   // nodes that have no connection.
-  mesh.entry_replication.forward_to_all = !paths.wide;
-  mesh.entry_replication.forward_to.clear();
-  if (paths.hub) mesh.entry_replication.forward_to.insert(paths.zone.begin(), paths.zone.end());
+  mesh.entry_replication.forward_to_all = !paths.hierarchical;
+  mesh.entry_replication.forward_targets.clear();
+  if (paths.is_hub) mesh.entry_replication.forward_targets.insert(paths.zone_peers.begin(), paths.zone_peers.end());
   if (now >= next_index_round_) {
     next_index_round_ = now + seconds(1);
     index_sync.round(
@@ -140,14 +140,14 @@
   if (now >= next_reconcile_) {
     // §4.4: restores workers that are in the entry table but missing from the registry.
     next_reconcile_ = now + seconds(30);
-    for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.all())
+    for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.entries())
       if (registry.find(item.first) == nullptr) registry.take_entry(item.second, now);
   }
   for (wire::EntryT& entry : registry.silent(now)) publish_entry(std::move(entry), now, out);
   if (now >= next_adoption_) adopt_workers(now, out);
   apply_updated_entries(now);
   worker_departures_.answer_calls(now, out.end_answers);
-  dispatcher.nodes(known_routers(true).size(), mesh.is_large_fleet());
+  dispatcher.set_node_count(known_routers(true).size(), mesh.is_large_fleet());
   update_readiness(now, out);
   configuration_authority_.renew_leases(dispatcher.description()->keys_required, now, outgoing);
   quota_authority_.tick(now, outgoing);
--- a/src/node/node_registration.cc
+++ b/src/node/node_registration.cc
@@ -44,10 +44,10 @@
 }
 
 void Node::update_dispatch_hold() {
-  if (plan.role != Role::router) return;
-  dispatcher.hold(stale_since_ >= 0);
+  if (plan.role != MemberRole::router) return;
+  dispatcher.set_paused(stale_since_ >= 0);
   bool const evicted = ready_ && router_registrations_.is_evicted();
-  chat_dispatcher.hold(stale_since_ >= 0 || evicted);
+  chat_dispatcher.set_paused(stale_since_ >= 0 || evicted);
 }
 
 bool Node::is_unconfirmed(PendingConfirmation const& pending, std::string const& name) const {
--- a/src/node/node_worker_list.cc
+++ b/src/node/node_worker_list.cc
@@ -27,7 +27,7 @@
   index_sync.tick(now, index_peers(), outgoing);
   if (now >= next_reconcile_) {
     next_reconcile_ = now + seconds(30);
-    fleet.reconcile(mesh.entry_table.all(), now);
+    fleet.reconcile(mesh.entry_table.entries(), now);
   }
   if (list_read_in_flight_ && now - list_read_started_at_ > seconds(3)) list_read_in_flight_ = false;
   if (now >= next_list_read_ && !list_read_in_flight_) {
@@ -47,7 +47,7 @@
   if (learner.value)
     for (std::unique_ptr<wire::RouterRegistrationT> const& registration : learner.value->registrations)
       names.insert(registration->name);
-  chat_dispatcher.nodes(std::move(names), router_registrations_.is_newcomer(now));
+  chat_dispatcher.set_routers(std::move(names), router_registrations_.is_newcomer(now));
   update_registration(now, out);
   send_loads(now, outgoing);
   std::set<std::string> senders = known_routers(false);
@@ -59,8 +59,8 @@
     isolated_ = isolated;
     log_event(isolated ? Event::node_isolated : Event::node_rejoined, "");
   }
-  chat_dispatcher.ready(ready_ && !isolated_);
-  chat_dispatcher.work(now, out.chat);
+  chat_dispatcher.set_ready(ready_ && !isolated_);
+  chat_dispatcher.process_backlog(now, out.chat);
   start_requested_health_checks(now, out);
 }
 
@@ -86,7 +86,7 @@
   apply_updated_entries(now);
   publish_own_entries(now, out);
   update_readiness(now, out);
-  chat_dispatcher.work(now, out.chat);
+  chat_dispatcher.process_backlog(now, out.chat);
 }
 
 void Node::handle_health_report(HealthCheck const& check, std::optional<HealthReport> const& report, bool refused,
@@ -95,12 +95,13 @@
   health_checks_in_flight_.erase(check.worker);
   fleet.health_report(check.worker, check.incarnation, check.sent_at, report, refused, now);
   apply_updated_entries(now);
-  chat_dispatcher.work(now, out.chat);
+  chat_dispatcher.process_backlog(now, out.chat);
   start_requested_health_checks(now, out);
 }
 
 void Node::publish_own_entries(Micros now, NodeEffects& out) {
-  if (plan.role != Role::router || last_list_read_at_ < 0 || now - last_list_read_at_ > seconds(5) || draining_) return;
+  if (plan.role != MemberRole::router || last_list_read_at_ < 0 || now - last_list_read_at_ > seconds(5) || draining_)
+    return;
   std::set<std::string> const names = known_routers(false);
   std::set<std::string> owned;
   for (std::pair<std::string const, Worker> const& item : fleet.workers)
@@ -111,8 +112,8 @@
   // separate key.
   std::set<std::string> marked;
   for (std::pair<std::string const, Worker> const& item : fleet.workers) {
-    std::map<std::string, wire::EntryT>::const_iterator const entry = mesh.entry_table.all().find(item.first);
-    bool const published = entry != mesh.entry_table.all().end() &&
+    std::map<std::string, wire::EntryT>::const_iterator const entry = mesh.entry_table.entries().find(item.first);
+    bool const published = entry != mesh.entry_table.entries().end() &&
                            entry->second.incarnation >= item.second.row.incarnation &&
                            entry->second.state != static_cast<std::uint8_t>(WorkerState::serving);
     if (item.second.standing != WorkerState::serving && !published && !owned.count(item.first))
@@ -125,10 +126,10 @@
   if (changed) mesh.flush_entries(out.mesh);
 }
 
-void Node::start_chat_request(std::uint64_t id, Ask ask, Micros now, NodeEffects& out) {
+void Node::start_chat_request(std::uint64_t id, ChatRequestInfo ask, Micros now, NodeEffects& out) {
   detect_clock_jump(now);
   ask.facts.zone = plan.zone;
-  chat_dispatcher.fresh(id, std::move(ask), now, out.chat);
+  chat_dispatcher.on_request(id, std::move(ask), now, out.chat);
   start_requested_health_checks(now, out);
 }
 
@@ -159,20 +160,20 @@
 // Starts the health checks that the chat dispatcher waits for before it places a request. One check per worker is in
 // flight; a lost one is repeated.
 void Node::start_requested_health_checks(Micros now, NodeEffects& out) {
-  for (std::string const& id : out.chat.asks) {
+  for (std::string const& id : out.chat.probes) {
     Worker* const worker = fleet.find(id);
     if (worker == nullptr || worker->asked >= 0) continue;
     worker->asked = now;
     start_health_check(id, now, out);
   }
-  out.chat.asks.clear();
+  out.chat.probes.clear();
 }
 
 void Node::chat_attempt_ended(std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros retry_after,
                               Micros now, NodeEffects& out) {
   detect_clock_jump(now);
-  chat_dispatcher.ended(id, end, why, retry_after, now, out.chat);
-  for (std::pair<std::string, std::uint64_t> const& suspect : out.chat.suspects) {
+  chat_dispatcher.on_attempt_end(id, end, why, retry_after, now, out.chat);
+  for (std::pair<std::string, std::uint64_t> const& suspect : out.chat.suspected_workers) {
     start_health_check(suspect.first, now, out);
     for (std::string const& name : index_peers()) {
       wire::WorkerSuspectedT message;
@@ -181,15 +182,15 @@
       mesh.send(name, std::move(message), out.mesh);
     }
   }
-  out.chat.suspects.clear();
-  chat_dispatcher.work(now, out.chat);
+  out.chat.suspected_workers.clear();
+  chat_dispatcher.process_backlog(now, out.chat);
   start_requested_health_checks(now, out);
 }
 
 void Node::client_disconnected(std::uint64_t id, Micros now, NodeEffects& out) {
   detect_clock_jump(now);
-  chat_dispatcher.hung_up(id, now, out.chat);
-  chat_dispatcher.work(now, out.chat);
+  chat_dispatcher.on_client_disconnect(id, now, out.chat);
+  chat_dispatcher.process_backlog(now, out.chat);
 }
 
 }  // namespace pipit
