--- a/src/node/listed.cc
+++ b/src/node/listed.cc
@@ -38,7 +38,7 @@
   }
   for (std::pair<std::string const, Worker> const& item : fleet.workers) {
     Worker const& worker = item.second;
-    if (worker.standing == WorkerState::ended || checking_.count(item.first)) continue;
+    if (worker.state == WorkerState::ended || checking_.count(item.first)) continue;
     if (now >= check_due_[item.first]) check_now(item.first, now, out);
   }
   // §6.6: the share of a cold worker's bound counts every node that is known, DOWN ones too, so that a cut never
@@ -52,7 +52,7 @@
   tell_loads(now, outgoing);
   std::set<std::string> senders = routers(false);
   senders.erase(plan.name);
-  fleet.sum_others(senders, now);
+  fleet.sum_peer_loads(senders, now);
   update_readiness(now, out);
   bool const alone = guard(Guard::isolation) && !list_freshness_.update(now);
   if (ready_now_ && alone != isolated_) {
@@ -112,7 +112,7 @@
     std::map<std::string, wire::EntryT>::const_iterator const said = mesh.entry_table.all().find(item.first);
     bool const told = said != mesh.entry_table.all().end() && said->second.incarnation >= item.second.row.incarnation &&
                       said->second.state != static_cast<std::uint8_t>(WorkerState::serving);
-    if (item.second.standing != WorkerState::serving && !told && !mine.count(item.first)) marked.insert(item.first);
+    if (item.second.state != WorkerState::serving && !told && !mine.count(item.first)) marked.insert(item.first);
   }
   for (wire::EntryT& entry : fleet.entries_for(marked)) {
     entry.key += "!" + plan.name;
@@ -155,8 +155,8 @@
 void Node::check_asked(Micros now, NodeEffects& out) {
   for (std::string const& id : out.chat.asks) {
     Worker* const worker = fleet.find(id);
-    if (worker == nullptr || worker->asked >= 0) continue;
-    worker->asked = now;
+    if (worker == nullptr || worker->probe_sent >= 0) continue;
+    worker->probe_sent = now;
     check_now(id, now, out);
   }
   out.chat.asks.clear();
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -99,7 +99,7 @@
                        {mesh, learner, acceptor, configuration_authority_, peer_rotation_, dispatcher}) {
   if (recovered) acceptor.emplace(std::move(*recovered));
   register_bootstrap_.mark_disk(acceptor);
-  registry.span(plan.heartbeat_interval);
+  registry.set_heartbeat_interval(plan.heartbeat_interval);
   if (plan.registered) dispatcher.begun(now);
   dispatcher.budget(plan.resend_ratio, plan.resend_store);
   dispatcher.lease_on(key_lease());
@@ -135,7 +135,7 @@
     ++jumps;
     stale_from_ = now;
     update_hold();
-    registry.stood_still(now);
+    registry.reset_silence_timers(now);
     list_flying_ = false;
     log_event(Event::clock_jumped, std::to_string((now - last_tick_) / 1000) + " ms");
   }
@@ -263,7 +263,7 @@
     case wire::Body::Loads:
       take_list_age(body.AsLoads()->age, now);
       if (plan.registered) {
-        registry.peer_loads(*body.AsLoads(), now);
+        registry.take_peer_loads(*body.AsLoads(), now);
         exchange.pass(from, *body.AsLoads());
       } else
         fleet.take_peer_loads(from, *body.AsLoads(), now);
@@ -477,10 +477,10 @@
       mesh.put_entry(std::move(*word), now);
   }
   mesh.updated_entry_keys.clear();
-  for (std::string const& id : registry.ended) index_sync.forget(id);
-  registry.ended.clear();
-  for (std::string const& name : fleet.reborn) index_sync.forget(name);
-  fleet.reborn.clear();
+  for (std::string const& id : registry.ended_workers) index_sync.forget(id);
+  registry.ended_workers.clear();
+  for (std::string const& name : fleet.restarted_workers) index_sync.forget(name);
+  fleet.restarted_workers.clear();
 }
 
 void Node::disk_done(Micros now, NodeEffects& out) {
--- a/src/node/quota_authority.cc
+++ b/src/node/quota_authority.cc
@@ -31,7 +31,7 @@
   std::optional<Acceptor>& acceptor = collaborators_.acceptor;
   if (acceptor && settled != 0 && collaborators_.configuration.may_issue_quota(now))
     acceptor->note_quota_members(settled);
-  owner_.forget(now);
+  owner_.remove_idle_buckets(now);
   if (client_.waiting() > 0) client_.tick(select_peers(), now, outgoing);
 }
 
--- a/src/node/registered.cc
+++ b/src/node/registered.cc
@@ -24,7 +24,7 @@
   bool const heard = worker_departures_.is_connected(now);
   // The others know the worker by another node, which goes on hearing it: nothing of that is taken over here, where
   // nobody would hear of it.
-  if (!heard && !word.leaving && registry.hear(word, now)) return false;
+  if (!heard && !word.leaving && registry.record_sign_of_life(word, now)) return false;
   if (std::optional<wire::EntryT> entry = registry.heartbeat(word, now)) put_entry(std::move(*entry), now, out);
   take_fresh(now);
   update_readiness(now, out);
@@ -108,12 +108,12 @@
   std::set<std::string> const here = routers(false);
   for (std::pair<std::string const, Instance> const& item : registry.all) {
     Instance const& at = item.second;
-    if (at.standing == WorkerState::ended || here.count(at.owner) > 0) continue;
+    if (at.state == WorkerState::ended || here.count(at.owner) > 0) continue;
     std::map<std::string, Peer>::const_iterator const owner = mesh.members.peers.find(at.owner);
     bool const met = owner != mesh.members.peers.end();
     // A node that is new has not met everybody yet.
     Micros const gone_for =
-        met ? now - owner->second.state_since : now - std::max(started_at_, at.known) - strange_owner;
+        met ? now - owner->second.state_since : now - std::max(started_at_, at.state_since) - strange_owner;
     if (gone_for < plan.heartbeat_interval * 2) continue;
     if (rendezvous(item.first, here) != plan.name) continue;
     put_entry(registry.adopt(item.first, now), now, out);
@@ -138,7 +138,7 @@
     for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.all())
       if (registry.find(item.first) == nullptr) registry.take_entry(item.second, now);
   }
-  for (wire::EntryT& entry : registry.silent(now)) put_entry(std::move(entry), now, out);
+  for (wire::EntryT& entry : registry.end_silent_workers(now)) put_entry(std::move(entry), now, out);
   if (now >= next_adoption_) adopt_workers(now, out);
   take_fresh(now);
   worker_departures_.answer_calls(now, out.end_answers);
--- a/src/routing/chat/chat_dispatcher.cc
+++ b/src/routing/chat/chat_dispatcher.cc
@@ -157,11 +157,11 @@
   out.service_time = service(pool);
   for (std::pair<std::string const, Worker>& item : fleet_.workers) {
     Worker& worker = item.second;
-    if (worker.row.pool != pool.name || !worker.takes()) continue;
+    if (worker.row.pool != pool.name || !worker.accepts_requests()) continue;
     if (guard(Guard::zone_veto) && shut_.count(worker.row.zone)) continue;
     if (chat_request.lane->policy.locality == Locality::only && worker.row.zone != zone_) continue;
     out.slots += worker.capacity(pool);
-    out.busy += worker.guess();
+    out.busy += worker.estimated_load();
     if (!chat_request.attempted.count(item.first)) out.workers.push_back(&worker);
   }
   return out;
@@ -171,7 +171,7 @@
 void ChatDispatcher::consider(Worker& worker, Pool const& pool, PoolCandidates const& candidates,
                               Selection& selection) {
   std::int64_t const capacity = worker.capacity(pool);
-  if (worker.guess() >= capacity) {
+  if (worker.estimated_load() >= capacity) {
     std::int64_t const nodes = static_cast<std::int64_t>(std::max<std::size_t>(1, names_.size()));
     return selection.offer_wait(candidates.service_time * static_cast<Micros>(selection.ahead + 1) * nodes /
                                 std::max<std::int64_t>(1, candidates.slots));
@@ -186,8 +186,8 @@
   }
   // §6.6: a worker that does not answer in time is passed over while others can be had.
   bool const without_share = share == 0 && guard(Guard::cold_share);
-  bool const unsure = guard(Guard::ask_first) && fleet_.unsure(worker, share, now);
-  bool const answers_late = worker.asked >= 0 && now - worker.asked > answer_most;
+  bool const unsure = guard(Guard::ask_first) && fleet_.needs_probe(worker, share, now);
+  bool const answers_late = worker.probe_sent >= 0 && now - worker.probe_sent > answer_most;
   if (unsure && (selection.confirmed_only || answers_late)) return selection.offer_wait(answer_wait);
   std::map<std::string, std::size_t>::const_iterator const hit = selection.hits.find(worker.row.id);
   std::size_t const kept_blocks = hit == selection.hits.end() ? 0 : hit->second;
@@ -206,7 +206,7 @@
 Micros ChatDispatcher::cost_of(ChatRequest const& chat_request, Worker const& worker, Pool const& pool,
                                Micros service_time, std::size_t kept_blocks) const {
   Micros cost = static_cast<Micros>(chat_request.ask.path.size() - kept_blocks) * pool.block_cost;
-  cost += service_time * worker.guess() / worker.capacity(pool) / 10;
+  cost += service_time * worker.estimated_load() / worker.capacity(pool) / 10;
   if (worker.row.zone != zone_ && chat_request.lane->policy.locality != Locality::any)
     cost += chat_request.rules->locality_cost;
   return cost;
--- a/src/routing/dispatch/dispatcher.cc
+++ b/src/routing/dispatch/dispatcher.cc
@@ -188,7 +188,7 @@
       at->pace = std::clamp(at->pace * 0.95 + std::min(seen, 3.0) * 0.05, 0.8, 3.0);
     }
   }
-  registry_.well(*at, now);
+  registry_.record_response(*at, now);
 }
 
 void Dispatcher::unmarked(std::uint64_t id) {
@@ -211,14 +211,14 @@
   if (instance != nullptr) {
     switch (end) {
       case AttemptEnd::declined:
-        registry_.well(*instance, now);
+        registry_.record_response(*instance, now);
         // It is full, or it is somebody else who incarnations there now.
         instance->ejected = now + (elsewhere ? seconds(3) : millis(120));
         if (elsewhere) exchange_.suspect(at);
         break;
       case AttemptEnd::complete:
       case AttemptEnd::failed:
-        registry_.well(*instance, now);
+        registry_.record_response(*instance, now);
         break;
       default:
         // One slow answer among others that flow is no sign of a worker in trouble.
@@ -278,8 +278,8 @@
   std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const position = requests_.find(id);
   Instance* const at = position == requests_.end() ? nullptr : registry_.find(position->second->at);
   if (at == nullptr) return;
-  at->said = load;
-  at->said_at = now;
+  at->reported_load = load;
+  at->reported_load_at = now;
   // Only what may change a choice of somebody else is worth a word.
   if (load * 5 >= at->slots * 2) exchange_.load(at->id, load);
 }
@@ -406,7 +406,7 @@
   bool const unhealthy =
       quiet > quiet_least && others > quiet_least && at != nullptr && at->running > 1 && quiet > request.guess * 3;
   // A worker that announced its end may serve on for long; one whose heartbeats are late still sends what it has.
-  bool const departed = at == nullptr || (at->standing == WorkerState::ended && !at->said_farewell() && still);
+  bool const departed = at == nullptr || (at->state == WorkerState::ended && !at->has_deregistered() && still);
   return quiet > most || unhealthy || (departed && quiet > quiet_least / 2);
 }
 
--- a/src/routing/dispatch/parts.cc
+++ b/src/routing/dispatch/parts.cc
@@ -23,7 +23,7 @@
 Parts parse_parts(std::string_view text) {
   Parts out;
   std::uint64_t hash = 1;
-  while (!text.empty() && out.path.size() < block_most) {
+  while (!text.empty() && out.path.size() < max_path_blocks) {
     std::size_t const cut = std::min(text.find(','), text.size());
     std::string_view item = text.substr(0, cut);
     text.remove_prefix(std::min(cut + 1, text.size()));
--- a/src/routing/dispatch/placement.cc
+++ b/src/routing/dispatch/placement.cc
@@ -56,7 +56,8 @@
   Candidates out;
   for (std::pair<std::string const, Instance>& item : registry_.all) {
     Instance& worker = item.second;
-    if (worker.pool != request.pool->name || !worker.takes() || request.attempted.count(item.first)) continue;
+    if (worker.pool != request.pool->name || !worker.accepts_requests() || request.attempted.count(item.first))
+      continue;
     std::map<std::string, std::size_t>::const_iterator const hit = hits.find(item.first);
     std::size_t const kept_parts = hit == hits.end() ? 0 : std::min(hit->second, parts.tokens.size());
     out.list.push_back({&worker, kept_parts});
@@ -154,14 +155,14 @@
   return std::any_of(registry_.all.begin(), registry_.all.end(),
                      [&](std::pair<std::string const, Instance> const& item) {
                        Instance const& at = item.second;
-                       return at.pool == request.pool->name && at.takes() && at.ejected <= now &&
+                       return at.pool == request.pool->name && at.accepts_requests() && at.ejected <= now &&
                               at.load(now) < at.slots && request.attempted.count(item.first) == 0;
                      });
 }
 
 void Dispatcher::begin(Request& request, Instance& instance, std::int64_t missing, std::int64_t kept, Micros guess,
                        bool at_home, Micros now, DispatchEffects& out) {
-  check_invariant(instance.takes(), Invariant::leaving_worker,
+  check_invariant(instance.accepts_requests(), Invariant::leaving_worker,
                   [&] { return "request " + std::to_string(request.id) + " to " + instance.id; });
   request.at = instance.id;
   request.last_worker = instance.id;
--- a/src/routing/fleet/fleet.cc
+++ b/src/routing/fleet/fleet.cc
@@ -12,9 +12,9 @@
 namespace pipit {
 
 namespace {
-constexpr int revive_after = 4;
+constexpr int listings_to_restore = 4;
 
-bool text_of(simdjson::dom::element const& row, char const* key, std::string& out) {
+bool read_text_field(simdjson::dom::element const& row, char const* key, std::string& out) {
   std::string_view view;
   if (row[key].get_string().get(view) || view.empty()) return false;
   out = view;
@@ -22,7 +22,7 @@
 }
 }  // namespace
 
-Result<std::vector<ListRow>> read_list(std::string_view text) {
+Result<std::vector<ListRow>> read_worker_list(std::string_view text) {
   simdjson::dom::parser parser;
   simdjson::dom::element root;
   simdjson::dom::array items;
@@ -33,9 +33,9 @@
   for (simdjson::dom::element const& item : items) {
     ListRow row;
     std::string state;
-    if (!text_of(item, "id", row.id) || !text_of(item, "address", row.address) || !text_of(item, "zone", row.zone) ||
-        !text_of(item, "pool", row.pool) || !text_of(item, "state", state) ||
-        item["incarnation"].get_uint64().get(row.incarnation))
+    if (!read_text_field(item, "id", row.id) || !read_text_field(item, "address", row.address) ||
+        !read_text_field(item, "zone", row.zone) || !read_text_field(item, "pool", row.pool) ||
+        !read_text_field(item, "state", state) || item["incarnation"].get_uint64().get(row.incarnation))
       return fail(ErrorCode::bad_request, "a row of the list lacks a field");
     if (state != "serving" && state != "leaving")
       return fail(ErrorCode::bad_request, "a row of the list has the state " + state);
@@ -73,25 +73,25 @@
 
 void Fleet::begin_incarnation(Worker& worker, std::uint64_t incarnation) {
   worker.row.incarnation = incarnation;
-  worker.standing = WorkerState::serving;
-  worker.absent = false;
-  worker.listings_since_absence = 0;
-  worker.woke = -1;
+  worker.state = WorkerState::serving;
+  worker.removed_from_list = false;
+  worker.listings_since_removal = 0;
+  worker.warm_up_start = -1;
   worker.unhealthy = true;
-  worker.ever = false;
+  worker.was_healthy = false;
   worker.suspected = false;
-  worker.awake = 0;
-  worker.misses = 0;
+  worker.reported_uptime = 0;
+  worker.missed_health_checks = 0;
   worker.demand = 0;
-  reborn.push_back(worker.row.id);
+  restarted_workers.push_back(worker.row.id);
   log_event(Event::worker_joined, worker.row.id + " incarnation " + std::to_string(incarnation));
 }
 
-void Fleet::bury(Worker& worker, WorkerState standing) {
-  if (worker.standing == WorkerState::serving || standing == WorkerState::ended) worker.standing = standing;
-  worker.buried = std::max(worker.buried, worker.row.incarnation);
-  worker.listings_since_absence = 0;
-  log_event(standing == WorkerState::ended ? Event::worker_removed : Event::worker_leaving, worker.row.id);
+void Fleet::end_incarnation(Worker& worker, WorkerState state) {
+  if (worker.state == WorkerState::serving || state == WorkerState::ended) worker.state = state;
+  worker.last_ended_incarnation = std::max(worker.last_ended_incarnation, worker.row.incarnation);
+  worker.listings_since_removal = 0;
+  log_event(state == WorkerState::ended ? Event::worker_removed : Event::worker_leaving, worker.row.id);
 }
 
 void Fleet::take_list(std::vector<ListRow> const& rows, Micros now) {
@@ -113,25 +113,25 @@
     worker.row.pool = row.pool;
     worker.row.slots = slots;
     if (row.leaving && guard(Guard::local_veto)) {
-      worker.absent = false;
-      if (worker.standing == WorkerState::serving) bury(worker, WorkerState::draining);
-    } else if (worker.standing == WorkerState::ended && worker.absent &&
-               ++worker.listings_since_absence >= revive_after) {
+      worker.removed_from_list = false;
+      if (worker.state == WorkerState::serving) end_incarnation(worker, WorkerState::draining);
+    } else if (worker.state == WorkerState::ended && worker.removed_from_list &&
+               ++worker.listings_since_removal >= listings_to_restore) {
       // It was absent from a reading and has been listed ever since: the absence was the list's fault.
       begin_incarnation(worker, row.incarnation);
-      worker.buried = row.incarnation - 1;
+      worker.last_ended_incarnation = row.incarnation - 1;
     }
   }
   for (std::pair<std::string const, Worker>& item : workers) {
     Worker& worker = item.second;
     if (seen.count(item.first)) continue;
-    worker.listings_since_absence = 0;
+    worker.listings_since_removal = 0;
     if (!guard(Guard::local_veto)) continue;
     if (!worker.listed) continue;  // known by entries only: this node's list may be behind
     worker.listed = false;
-    if (worker.standing == WorkerState::ended) continue;
-    worker.absent = worker.standing == WorkerState::serving;
-    bury(worker, WorkerState::ended);
+    if (worker.state == WorkerState::ended) continue;
+    worker.removed_from_list = worker.state == WorkerState::serving;
+    end_incarnation(worker, WorkerState::ended);
   }
 }
 
@@ -156,12 +156,12 @@
     begin_incarnation(worker, entry.incarnation);
   }
   if (!guard(Guard::tombstone) && entry.incarnation == worker.row.incarnation && said == WorkerState::serving)
-    worker.standing = said;
+    worker.state = said;
   // §4.3: an entry can end a incarnation; only this node's own list or a new incarnation can undo that.
   if (entry.incarnation == worker.row.incarnation && said != WorkerState::serving &&
-      worker.standing == WorkerState::serving) {
-    worker.absent = said == WorkerState::ended;
-    bury(worker, said);
+      worker.state == WorkerState::serving) {
+    worker.removed_from_list = said == WorkerState::ended;
+    end_incarnation(worker, said);
   }
 }
 
@@ -177,7 +177,8 @@
 void Fleet::reconcile(std::map<std::string, wire::EntryT> const& entries, Micros now) {
   for (std::pair<std::string const, wire::EntryT> const& item : entries) {
     Worker const* const worker = find(worker_of(item.first));
-    if (worker != nullptr && worker->buried >= item.second.incarnation && guard(Guard::tombstone)) continue;
+    if (worker != nullptr && worker->last_ended_incarnation >= item.second.incarnation && guard(Guard::tombstone))
+      continue;
     take_entry(item.second, now);
   }
 }
@@ -187,37 +188,37 @@
   Worker* const worker = find(id);
   if (worker == nullptr || incarnation != worker->row.incarnation) return;
   if (!report) {
-    ++worker->misses;
-    worker->asked = -1;
-    if (!worker->unhealthy && (refused || worker->misses >= 2)) {
+    ++worker->missed_health_checks;
+    worker->probe_sent = -1;
+    if (!worker->unhealthy && (refused || worker->missed_health_checks >= 2)) {
       worker->unhealthy = true;
       log_event(Event::worker_unhealthy, id);
     }
     return;
   }
-  worker->misses = 0;
+  worker->missed_health_checks = 0;
   if (report->incarnation < worker->row.incarnation) return;  // an older incarnation still answers at this address
   if (report->incarnation > worker->row.incarnation) begin_incarnation(*worker, report->incarnation);
   worker->demand = report->demand;
   worker->reported = now;
   worker->confirmed = std::max(worker->confirmed, asked);
-  worker->asked = -1;
+  worker->probe_sent = -1;
   // Only what was asked after the doubt answers it.
   if (asked >= worker->suspected_at) worker->suspected = false;
   // A worker that says it woke later than it said before has lost what it kept, whatever its incarnation.
-  if (!worker->unhealthy && report->awake + seconds(1) < worker->awake) {
+  if (!worker->unhealthy && report->awake + seconds(1) < worker->reported_uptime) {
     worker->unhealthy = true;
-    worker->ever = false;
-    reborn.push_back(id);
+    worker->was_healthy = false;
+    restarted_workers.push_back(id);
   }
-  worker->awake = report->awake;
+  worker->reported_uptime = report->awake;
   if (worker->unhealthy) {
     // §6.6: cold is what woke a short while ago, and what comes back from the dark. A worker that woke before this
     // machine's clock began has been warm for all of it: below 0 would say that nothing is known.
-    worker->woke = worker->ever ? now : std::max<Micros>(0, now - report->awake);
+    worker->warm_up_start = worker->was_healthy ? now : std::max<Micros>(0, now - report->awake);
     worker->unhealthy = false;
-    if (worker->ever) log_event(Event::worker_recovered, id);
-    worker->ever = true;
+    if (worker->was_healthy) log_event(Event::worker_recovered, id);
+    worker->was_healthy = true;
   }
 }
 
@@ -228,7 +229,7 @@
   return static_cast<std::int64_t>(rendezvous_rank(worker.row.id, self, names)) < bound ? 1 : 0;
 }
 
-bool Fleet::unsure(Worker const& worker, std::int64_t share, Micros now) const {
+bool Fleet::needs_probe(Worker const& worker, std::int64_t share, Micros now) const {
   if (share <= 0) return worker.confirmed < now - millis(50);
   std::int64_t n = 0;
   for (Micros const at : worker.sends)
@@ -248,9 +249,9 @@
   for (std::unique_ptr<wire::LoadT> const& load : loads.list) item.attempts[load->worker] = load->attempts;
 }
 
-void Fleet::sum_others(std::set<std::string> const& senders, Micros now) {
+void Fleet::sum_peer_loads(std::set<std::string> const& senders, Micros now) {
   constexpr Micros lately = millis(1500);
-  bool exact = true;
+  bool peer_loads_complete = true;
   std::map<std::string, std::int64_t> sums;
   for (std::map<std::string, PeerLoads>::iterator it = peer_loads_.begin(); it != peer_loads_.end();) {
     if (now - it->second.at > seconds(10)) {
@@ -262,12 +263,12 @@
   }
   for (std::string const& name : senders) {
     std::map<std::string, PeerLoads>::const_iterator const position = peer_loads_.find(name);
-    exact = exact && position != peer_loads_.end() && now - position->second.at <= lately;
+    peer_loads_complete = peer_loads_complete && position != peer_loads_.end() && now - position->second.at <= lately;
   }
   for (std::pair<std::string const, Worker>& item : workers) {
     std::map<std::string, std::int64_t>::const_iterator const sum = sums.find(item.first);
-    item.second.others = sum == sums.end() ? 0 : sum->second;
-    item.second.exact = exact;
+    item.second.peer_attempts = sum == sums.end() ? 0 : sum->second;
+    item.second.peer_loads_complete = peer_loads_complete;
   }
 }
 
@@ -296,7 +297,7 @@
     entry.zone = worker.row.zone;
     entry.pool = worker.row.pool;
     entry.slots = static_cast<std::uint32_t>(worker.row.slots);
-    entry.state = static_cast<std::uint8_t>(worker.standing);
+    entry.state = static_cast<std::uint8_t>(worker.state);
     out.push_back(std::move(entry));
   }
   return out;
--- a/src/routing/fleet/fleet.h
+++ b/src/routing/fleet/fleet.h
@@ -31,47 +31,48 @@
 
 struct Worker {
   ListRow row;
-  WorkerState standing = WorkerState::serving;
-  bool listed = false;             // in this node's last whole reading
-  int listings_since_absence = 0;  // whole readings in a row that list it after it was gone
-  std::uint64_t buried = 0;        // incarnations up to this one take no more requests
-  bool absent = false;             // buried because it was not listed, not because it was leaving
+  WorkerState state = WorkerState::serving;
+  bool listed = false;                       // in this node's last whole reading
+  int listings_since_removal = 0;            // whole readings in a row that list it after it was gone
+  std::uint64_t last_ended_incarnation = 0;  // incarnations up to this one take no more requests
+  bool removed_from_list = false;  // last_ended_incarnation because it was not listed, not because it was leaving
   bool unhealthy = true;           // until it answers
-  bool ever = false;               // it has answered once
+  bool was_healthy = false;        // it has answered once
   bool suspected = false;          // a connection to it broke; it is asked before it is sent anything more
   Micros suspected_at = 0;
-  Micros awake = 0;  // as last reported
-  int misses = 0;
+  Micros reported_uptime = 0;  // as last reported
+  int missed_health_checks = 0;
   std::int64_t demand = 0;  // as last reported
   Micros reported = 0;
-  Micros woke = -1;                // when it woke or came back from the dark; -1: not known, so cold
+  Micros warm_up_start = -1;       // when it woke or came back from the dark; -1: not known, so cold
   std::multiset<Micros> attempts;  // this node's running attempts, by their start
   std::deque<Micros> sends;        // this node's sends within the last window
   Micros confirmed = -1;           // when the last question was asked that this incarnation answered
-  Micros asked = -1;               // since when an answer is awaited before more is sent
-  std::int64_t own_since() const {
+  Micros probe_sent = -1;          // since when an answer is awaited before more is sent
+  std::int64_t attempts_since_report() const {
     return static_cast<std::int64_t>(std::distance(attempts.lower_bound(reported), attempts.end()));
   }
-  std::uint64_t sent = 0;   // attempts that this node ever began there
-  std::int64_t others = 0;  // attempts of peers, as they told last
-  bool exact = false;       // every peer that may send has told lately
+  std::uint64_t sent = 0;            // attempts that this node ever began there
+  std::int64_t peer_attempts = 0;    // attempts of peers, as they told last
+  bool peer_loads_complete = false;  // every peer that may send has told lately
   // §6.4: what all nodes told counts, when all told; else the late report counts too.
-  std::int64_t guess() const {
-    std::int64_t const reported_attempts = others + static_cast<std::int64_t>(attempts.size());
-    return exact ? reported_attempts : std::max<std::int64_t>(demand + own_since(), reported_attempts);
+  std::int64_t estimated_load() const {
+    std::int64_t const reported_attempts = peer_attempts + static_cast<std::int64_t>(attempts.size());
+    return peer_loads_complete ? reported_attempts
+                               : std::max<std::int64_t>(demand + attempts_since_report(), reported_attempts);
   }
   std::int64_t capacity(Pool const& pool) const { return row.slots > 0 ? row.slots : pool.slots; }
-  bool takes() const { return standing == WorkerState::serving && !unhealthy && !suspected; }
+  bool accepts_requests() const { return state == WorkerState::serving && !unhealthy && !suspected; }
 };
 
 // Parses the platform's list. A torn or odd text is a failed reading, never a departure.
-Result<std::vector<ListRow>> read_list(std::string_view text);
+Result<std::vector<ListRow>> read_worker_list(std::string_view text);
 Result<HealthReport> read_health_report(std::string_view text);
 
 class Fleet {
  public:
   // Names of workers whose incarnation ended or began anew, whose prefixes are to be forgotten.
-  std::vector<std::string> reborn;
+  std::vector<std::string> restarted_workers;
 
   void take_list(std::vector<ListRow> const& rows, Micros now);
   void take_entry(wire::EntryT const& entry, Micros now);
@@ -85,7 +86,7 @@
 
   // A peer tells how many attempts it has at each worker; 'senders' are the peers that may have any.
   void take_peer_loads(std::string const& peer, wire::LoadsT const& loads, Micros now);
-  void sum_others(std::set<std::string> const& senders, Micros now);
+  void sum_peer_loads(std::set<std::string> const& senders, Micros now);
   wire::LoadsT own_loads() const;
 
   // What this node writes of the workers whose entries it owns.
@@ -95,13 +96,13 @@
   // because this node's clock and the worker's differ (§6.6).
   Micros cold_for(Worker const& worker, Micros span, Micros now) const {
     Micros const most = span + span / 16;
-    return worker.woke < 0 ? most : std::max<Micros>(0, worker.woke + most - now);
+    return worker.warm_up_start < 0 ? most : std::max<Micros>(0, worker.warm_up_start + most - now);
   }
   // Whether this node may send to a cold worker now.
   bool has_cold_capacity(Worker& worker, std::int64_t share, Micros now) const;
   // Whether this node has sent its share since the worker last answered: it may have ended and come back since.
   // A node without a share asks right before it sends.
-  bool unsure(Worker const& worker, std::int64_t share, Micros now) const;
+  bool needs_probe(Worker const& worker, std::int64_t share, Micros now) const;
   // How many sends this node has to a cold worker in one window.
   std::int64_t cold_share(Worker const& worker, std::int64_t bound, std::string const& self,
                           std::set<std::string> const& names) const;
@@ -117,7 +118,7 @@
   };
   std::map<std::string, PeerLoads> peer_loads_;
   void begin_incarnation(Worker& worker, std::uint64_t incarnation);
-  void bury(Worker& worker, WorkerState standing);
+  void end_incarnation(Worker& worker, WorkerState state);
 };
 
 // The name that comes first for a key in rendezvous order.
--- a/src/routing/index/index.cc
+++ b/src/routing/index/index.cc
@@ -6,29 +6,29 @@
 
 namespace pipit {
 
-Index::Keep* Index::fresh_keep() {
-  if (free_keeps_.empty()) return &pool_.emplace_back();
-  Keep* const out = free_keeps_.back();
-  free_keeps_.pop_back();
+Index::CacheEntry* Index::allocate_entry() {
+  if (free_entries_.empty()) return &entry_storage_.emplace_back();
+  CacheEntry* const out = free_entries_.back();
+  free_entries_.pop_back();
   return out;
 }
 
-Index::Shelf* Index::shelf_for(std::string const& worker, std::uint64_t incarnation) {
-  std::unique_ptr<Shelf>& slot = shelves_[worker];
+Index::WorkerCache* Index::cache_for(std::string const& worker, std::uint64_t incarnation) {
+  std::unique_ptr<WorkerCache>& slot = caches_[worker];
   if (!slot) {
-    slot = std::make_unique<Shelf>();
+    slot = std::make_unique<WorkerCache>();
     slot->worker = worker;
     slot->incarnation = incarnation;
   }
   if (slot->incarnation > incarnation) return nullptr;  // said of an older incarnation
   if (slot->incarnation < incarnation) {
-    clear(*slot);
+    clear_cache(*slot);
     slot->incarnation = incarnation;
   }
   return slot.get();
 }
 
-Index::PrefixNode* Index::grow(std::uint64_t hash, std::uint64_t parent, std::uint32_t weight) {
+Index::PrefixNode* Index::add_prefix_node(std::uint64_t hash, std::uint64_t parent, std::uint32_t weight) {
   tsl::robin_map<std::uint64_t, std::unique_ptr<PrefixNode>>::iterator const position = prefix_nodes_.find(hash);
   if (position != prefix_nodes_.end()) return position->second.get();
   std::unique_ptr<PrefixNode> made = std::make_unique<PrefixNode>();
@@ -42,25 +42,25 @@
   return out;
 }
 
-void Index::keep(PrefixNode& prefix_node, Shelf& shelf, Micros now) {
-  for (Keep& item : prefix_node.keeps) {
-    if (item.shelf != &shelf) continue;
-    shelf.keeps.erase(shelf.keeps.iterator_to(item));
+void Index::record(PrefixNode& prefix_node, WorkerCache& cache, Micros now) {
+  for (CacheEntry& item : prefix_node.entries) {
+    if (item.cache != &cache) continue;
+    cache.entries.erase(cache.entries.iterator_to(item));
     item.last = now;
-    shelf.keeps.push_back(item);
+    cache.entries.push_back(item);
     return;
   }
-  Keep* const made = fresh_keep();
+  CacheEntry* const made = allocate_entry();
   made->prefix_node = &prefix_node;
-  made->shelf = &shelf;
+  made->cache = &cache;
   made->last = now;
-  prefix_node.keeps.push_back(*made);
-  shelf.keeps.push_back(*made);
-  shelf.count += prefix_node.weight;
+  prefix_node.entries.push_back(*made);
+  cache.entries.push_back(*made);
+  cache.weight += prefix_node.weight;
 }
 
 void Index::prune(PrefixNode* prefix_node) {
-  while (prefix_node != nullptr && prefix_node->keeps.empty() && prefix_node->children == 0) {
+  while (prefix_node != nullptr && prefix_node->entries.empty() && prefix_node->children == 0) {
     tsl::robin_map<std::uint64_t, std::unique_ptr<PrefixNode>>::iterator const up =
         prefix_nodes_.find(prefix_node->parent);
     PrefixNode* const parent = up == prefix_nodes_.end() ? nullptr : up->second.get();
@@ -70,22 +70,22 @@
   }
 }
 
-void Index::drop(Keep& item) {
+void Index::remove(CacheEntry& item) {
   PrefixNode* const prefix_node = item.prefix_node;
-  item.shelf->keeps.erase(item.shelf->keeps.iterator_to(item));
-  item.shelf->count -= prefix_node->weight;
-  prefix_node->keeps.erase(prefix_node->keeps.iterator_to(item));
-  free_keeps_.push_back(&item);
+  item.cache->entries.erase(item.cache->entries.iterator_to(item));
+  item.cache->weight -= prefix_node->weight;
+  prefix_node->entries.erase(prefix_node->entries.iterator_to(item));
+  free_entries_.push_back(&item);
   prune(prefix_node);
 }
 
-void Index::clear(Shelf& shelf) {
-  while (!shelf.keeps.empty()) drop(shelf.keeps.front());
+void Index::clear_cache(WorkerCache& cache) {
+  while (!cache.entries.empty()) remove(cache.entries.front());
 }
 
-void Index::trim(Shelf& shelf, Bounds const& bounds, Micros now) {
-  while (!shelf.keeps.empty() && (shelf.count > bounds.blocks || now - shelf.keeps.front().last > bounds.age))
-    drop(shelf.keeps.front());
+void Index::evict(WorkerCache& cache, Bounds const& bounds, Micros now) {
+  while (!cache.entries.empty() && (cache.weight > bounds.blocks || now - cache.entries.front().last > bounds.age))
+    remove(cache.entries.front());
 }
 
 std::map<std::string, std::size_t> Index::match(Path const& path) const {
@@ -96,13 +96,13 @@
         prefix_nodes_.find(hash);
     if (position == prefix_nodes_.end()) break;
     bool any = false;
-    for (Keep const& item : position->second->keeps) {
+    for (CacheEntry const& item : position->second->entries) {
       if (depth == 0) {
-        out[item.shelf->worker] = 1;
+        out[item.cache->worker] = 1;
         any = true;
         continue;
       }
-      std::map<std::string, std::size_t>::iterator const run = out.find(item.shelf->worker);
+      std::map<std::string, std::size_t>::iterator const run = out.find(item.cache->worker);
       if (run != out.end() && run->second == depth) {
         run->second = depth + 1;
         any = true;
@@ -119,10 +119,10 @@
   wire::DeltaT out;
   out.worker = worker;
   out.incarnation = incarnation;
-  Shelf* const shelf = shelf_for(worker, incarnation);
-  if (shelf == nullptr) return out;
+  WorkerCache* const cache = cache_for(worker, incarnation);
+  if (cache == nullptr) return out;
   std::uint64_t parent = 0;
-  std::vector<PrefixNode*> line;
+  std::vector<PrefixNode*> nodes;
   for (std::size_t i = 0; i < path.size(); ++i) {
     std::uint64_t const hash = path[i];
     std::uint32_t const weight = i < weights.size() ? weights[i] : 1;
@@ -130,63 +130,63 @@
     if (known && out.tail.empty()) out.base = hash;
     if (!known) out.tail.push_back(hash);
     if (!known && !weights.empty()) out.weights.push_back(weight);
-    line.push_back(grow(hash, parent, weight));
+    nodes.push_back(add_prefix_node(hash, parent, weight));
     parent = hash;
   }
   // The leaf counts as older than its root, so that a worker's prefixes are forgotten from their ends (§6.2).
-  for (std::size_t i = line.size(); i-- > 0;) keep(*line[i], *shelf, now);
-  trim(*shelf, bounds, now);
+  for (std::size_t i = nodes.size(); i-- > 0;) record(*nodes[i], *cache, now);
+  evict(*cache, bounds, now);
   return out;
 }
 
 bool Index::apply(wire::DeltaT const& delta, Bounds const& bounds, Micros now) {
-  // First the shelf: a new incarnation empties it, and what only the former one kept ends with that, the base perhaps
+  // First the cache: a new incarnation empties it, and what only the former one kept ends with that, the base perhaps
   // too.
-  Shelf* const shelf = shelf_for(delta.worker, delta.incarnation);
+  WorkerCache* const cache = cache_for(delta.worker, delta.incarnation);
   if (delta.base != 0 && prefix_nodes_.find(delta.base) == prefix_nodes_.end()) return false;
-  if (shelf == nullptr) return true;
-  std::vector<PrefixNode*> line;
+  if (cache == nullptr) return true;
+  std::vector<PrefixNode*> nodes;
   for (std::uint64_t hash = delta.base; hash != 0;) {
     tsl::robin_map<std::uint64_t, std::unique_ptr<PrefixNode>>::const_iterator const position =
         prefix_nodes_.find(hash);
-    if (position == prefix_nodes_.end() || line.size() > block_most) break;
-    line.push_back(position->second.get());
+    if (position == prefix_nodes_.end() || nodes.size() > max_path_blocks) break;
+    nodes.push_back(position->second.get());
     hash = position->second->parent;
   }
-  std::reverse(line.begin(), line.end());
+  std::reverse(nodes.begin(), nodes.end());
   std::uint64_t parent = delta.base;
   for (std::size_t i = 0; i < delta.tail.size(); ++i) {
     std::uint64_t const hash = delta.tail[i];
-    if (hash == 0 || line.size() > block_most) break;
-    line.push_back(grow(hash, parent, i < delta.weights.size() ? delta.weights[i] : 1));
+    if (hash == 0 || nodes.size() > max_path_blocks) break;
+    nodes.push_back(add_prefix_node(hash, parent, i < delta.weights.size() ? delta.weights[i] : 1));
     parent = hash;
   }
-  for (std::size_t i = line.size(); i-- > 0;) keep(*line[i], *shelf, now);
-  trim(*shelf, bounds, now);
+  for (std::size_t i = nodes.size(); i-- > 0;) record(*nodes[i], *cache, now);
+  evict(*cache, bounds, now);
   return true;
 }
 
 void Index::forget(std::string const& worker) {
-  std::map<std::string, std::unique_ptr<Shelf>>::iterator const position = shelves_.find(worker);
-  if (position != shelves_.end()) clear(*position->second);
+  std::map<std::string, std::unique_ptr<WorkerCache>>::iterator const position = caches_.find(worker);
+  if (position != caches_.end()) clear_cache(*position->second);
 }
 
 void Index::age(Bounds const& bounds, Micros now) {
-  for (std::pair<std::string const, std::unique_ptr<Shelf>>& item : shelves_) trim(*item.second, bounds, now);
+  for (std::pair<std::string const, std::unique_ptr<WorkerCache>>& item : caches_) evict(*item.second, bounds, now);
 }
 
-std::size_t Index::kept_blocks(std::string const& worker) const {
-  std::map<std::string, std::unique_ptr<Shelf>>::const_iterator const position = shelves_.find(worker);
-  return position == shelves_.end() ? 0 : position->second->count;
+std::size_t Index::cached_weight(std::string const& worker) const {
+  std::map<std::string, std::unique_ptr<WorkerCache>>::const_iterator const position = caches_.find(worker);
+  return position == caches_.end() ? 0 : position->second->weight;
 }
 
-std::vector<std::uint64_t> Index::order() const {
+std::vector<std::uint64_t> Index::traversal_order() const {
   // Parents before children: by depth, then by hash, so that equal trees give equal orders.
   std::vector<std::pair<std::size_t, std::uint64_t>> rows;
   for (std::pair<std::uint64_t, std::unique_ptr<PrefixNode>> const& item : prefix_nodes_) {
     std::size_t depth = 0;
     std::uint64_t up = item.second->parent;
-    while (up != 0 && depth <= block_most) {
+    while (up != 0 && depth <= max_path_blocks) {
       tsl::robin_map<std::uint64_t, std::unique_ptr<PrefixNode>>::const_iterator const position =
           prefix_nodes_.find(up);
       if (position == prefix_nodes_.end()) break;
@@ -209,28 +209,28 @@
   out->hash = hash;
   out->parent = position->second->parent;
   out->weight = position->second->weight;
-  for (Keep const& item : position->second->keeps) {
-    out->workers.push_back(item.shelf->worker);
-    out->incarnations.push_back(item.shelf->incarnation);
+  for (CacheEntry const& item : position->second->entries) {
+    out->workers.push_back(item.cache->worker);
+    out->incarnations.push_back(item.cache->incarnation);
     out->ages.push_back(now - item.last);
   }
   return out;
 }
 
-void Index::learn(wire::PrefixNodeT const& item, Bounds const& bounds, Micros now) {
+void Index::merge_prefix_node(wire::PrefixNodeT const& item, Bounds const& bounds, Micros now) {
   std::size_t const n = std::min({item.workers.size(), item.incarnations.size(), item.ages.size()});
-  std::vector<Shelf*> on;
+  std::vector<WorkerCache*> on;
   // All shelves before the first prefix node is held: one that a new incarnation empties may end the very prefix node,
   // or its parent.
-  for (std::size_t i = 0; i < n; ++i) on.push_back(shelf_for(item.workers[i], item.incarnations[i]));
+  for (std::size_t i = 0; i < n; ++i) on.push_back(cache_for(item.workers[i], item.incarnations[i]));
   if (item.hash == 0 || (item.parent != 0 && prefix_nodes_.find(item.parent) == prefix_nodes_.end())) return;
-  PrefixNode* const made = grow(item.hash, item.parent, item.weight);
+  PrefixNode* const made = add_prefix_node(item.hash, item.parent, item.weight);
   for (std::size_t i = 0; i < n; ++i) {
-    Shelf* const shelf = on[i];
-    if (shelf == nullptr || shelf->count >= bounds.blocks || item.ages[i] > bounds.age) continue;
+    WorkerCache* const cache = on[i];
+    if (cache == nullptr || cache->weight >= bounds.blocks || item.ages[i] > bounds.age) continue;
     bool have = false;
-    for (Keep const& old : made->keeps) have = have || old.shelf == shelf;
-    if (!have) keep(*made, *shelf, now - std::max<Micros>(0, item.ages[i]));
+    for (CacheEntry const& old : made->entries) have = have || old.cache == cache;
+    if (!have) record(*made, *cache, now - std::max<Micros>(0, item.ages[i]));
   }
   prune(made);
 }
@@ -238,7 +238,7 @@
 std::uint64_t Index::digest() const {
   std::uint64_t out = 0;
   for (std::pair<std::uint64_t, std::unique_ptr<PrefixNode>> const& item : prefix_nodes_)
-    for (Keep const& k : item.second->keeps) out ^= hash_text(k.shelf->worker, item.first);
+    for (CacheEntry const& k : item.second->entries) out ^= hash_text(k.cache->worker, item.first);
   return out;
 }
 
--- a/src/routing/index/index.h
+++ b/src/routing/index/index.h
@@ -1,4 +1,4 @@
-// The prefix index of one model: which worker probably still keeps which opening (§6.1, §6.2).
+// The prefix index of one model: which worker probably still entries which opening (§6.1, §6.2).
 #pragma once
 #include <tsl/robin_map.h>
 
@@ -37,57 +37,57 @@
   void age(Bounds const& bounds, Micros now);
 
   // Repair: the whole tree, parents before children, in pages.
-  std::vector<std::uint64_t> order() const;
+  std::vector<std::uint64_t> traversal_order() const;
   std::unique_ptr<wire::PrefixNodeT> prefix_node(std::uint64_t hash, Micros now) const;
-  void learn(wire::PrefixNodeT const& prefix_node, Bounds const& bounds, Micros now);
+  void merge_prefix_node(wire::PrefixNodeT const& prefix_node, Bounds const& bounds, Micros now);
 
   std::size_t size() const { return prefix_nodes_.size(); }
-  std::size_t kept_blocks(std::string const& worker) const;
+  std::size_t cached_weight(std::string const& worker) const;
   std::uint64_t digest() const;
 
  private:
   struct PrefixNode;
-  struct Keep;
+  struct CacheEntry;
   using ByAge = boost::intrusive::list_base_hook<boost::intrusive::tag<struct AgeTag>,
                                                  boost::intrusive::link_mode<boost::intrusive::normal_link>>;
   using ByPrefixNode = boost::intrusive::list_base_hook<boost::intrusive::tag<struct PrefixNodeTag>,
                                                         boost::intrusive::link_mode<boost::intrusive::normal_link>>;
-  struct Shelf;
-  struct Keep : ByAge, ByPrefixNode {
+  struct WorkerCache;
+  struct CacheEntry : ByAge, ByPrefixNode {
     PrefixNode* prefix_node = nullptr;
-    Shelf* shelf = nullptr;
+    WorkerCache* cache = nullptr;
     Micros last = 0;
   };
-  using AgeList = boost::intrusive::list<Keep, boost::intrusive::base_hook<ByAge>>;
-  using PrefixNodeList = boost::intrusive::list<Keep, boost::intrusive::base_hook<ByPrefixNode>>;
+  using AgeList = boost::intrusive::list<CacheEntry, boost::intrusive::base_hook<ByAge>>;
+  using PrefixNodeList = boost::intrusive::list<CacheEntry, boost::intrusive::base_hook<ByPrefixNode>>;
   struct PrefixNode {
     std::uint64_t hash = 0;
     std::uint64_t parent = 0;
     std::uint32_t weight = 1;
     std::size_t children = 0;
-    PrefixNodeList keeps;
+    PrefixNodeList entries;
   };
   // What one worker is believed to keep, oldest first.
-  struct Shelf {
+  struct WorkerCache {
     std::string worker;
     std::uint64_t incarnation = 0;
-    AgeList keeps;
-    std::size_t count = 0;
+    AgeList entries;
+    std::size_t weight = 0;
   };
 
-  Shelf* shelf_for(std::string const& worker, std::uint64_t incarnation);
-  PrefixNode* grow(std::uint64_t hash, std::uint64_t parent, std::uint32_t weight);
-  void keep(PrefixNode& prefix_node, Shelf& shelf, Micros now);
-  void drop(Keep& keep);
+  WorkerCache* cache_for(std::string const& worker, std::uint64_t incarnation);
+  PrefixNode* add_prefix_node(std::uint64_t hash, std::uint64_t parent, std::uint32_t weight);
+  void record(PrefixNode& prefix_node, WorkerCache& cache, Micros now);
+  void remove(CacheEntry& entry);
   void prune(PrefixNode* prefix_node);
-  void clear(Shelf& shelf);
-  void trim(Shelf& shelf, Bounds const& bounds, Micros now);
-  Keep* fresh_keep();
+  void clear_cache(WorkerCache& cache);
+  void evict(WorkerCache& cache, Bounds const& bounds, Micros now);
+  CacheEntry* allocate_entry();
 
   tsl::robin_map<std::uint64_t, std::unique_ptr<PrefixNode>> prefix_nodes_;
-  std::map<std::string, std::unique_ptr<Shelf>> shelves_;
-  std::deque<Keep> pool_;
-  std::vector<Keep*> free_keeps_;
+  std::map<std::string, std::unique_ptr<WorkerCache>> caches_;
+  std::deque<CacheEntry> entry_storage_;
+  std::vector<CacheEntry*> free_entries_;
 };
 
 }  // namespace pipit
--- a/src/routing/index/index_sync.cc
+++ b/src/routing/index/index_sync.cc
@@ -5,16 +5,16 @@
 namespace pipit {
 
 namespace {
-constexpr std::size_t backlog_most = 4096;
+constexpr std::size_t max_backlog_deltas = 4096;
 constexpr std::size_t page_bytes = 2u << 20;
-constexpr Micros stall = seconds(5);
-constexpr Micros pull_gap = seconds(5);
+constexpr Micros stall_timeout = seconds(5);
+constexpr Micros min_pull_interval = seconds(5);
 }  // namespace
 
 void IndexSync::queue(std::string const& model, wire::DeltaT delta) {
   if (delta.base == 0 && delta.tail.empty()) return;
   std::vector<wire::DeltaT>& list = backlog_[model];
-  if (list.size() >= backlog_most) {
+  if (list.size() >= max_backlog_deltas) {
     ++dropped;  // best effort: a peer that misses it pulls the tree when it meets a path it does not know
     return;
   }
@@ -36,15 +36,16 @@
     }
   }
   for (std::pair<std::string const, Index>& item : trees_) item.second.age(bounds(item.first), now);
-  for (std::map<std::pair<std::string, std::uint64_t>, Shot>::iterator it = shots_.begin(); it != shots_.end();)
-    it = now - it->second.at > seconds(15) ? shots_.erase(it) : std::next(it);
+  for (std::map<std::pair<std::string, std::uint64_t>, TreeSnapshot>::iterator it = snapshots_.begin();
+       it != snapshots_.end();)
+    it = now - it->second.at > seconds(15) ? snapshots_.erase(it) : std::next(it);
 }
 
-void IndexSync::ask(std::string const& model, Pull& pull, Micros now, std::vector<std::string> const& peers,
-                    std::vector<OutgoingMessage>& out) {
+void IndexSync::request_tree(std::string const& model, Pull& pull, Micros now, std::vector<std::string> const& peers,
+                             std::vector<OutgoingMessage>& out) {
   if (peers.empty()) {
-    pull.live = false;
-    pull.ended = now;
+    pull.active = false;
+    pull.ended_at = now;
     return;
   }
   // Another peer than the one that stalled, where there is one.
@@ -53,27 +54,27 @@
     for (std::string const& other : peers)
       if (other != pull.from) pick = other;
   pull.from = pick;
-  pull.number = ++next_;
+  pull.number = ++last_pull_number_;
   pull.page = 0;
-  pull.moved = now;
+  pull.last_progress = now;
   ++pull.attempts;
-  wire::TreeRequestT request_id;
-  request_id.model = model;
-  request_id.pull = pull.number;
-  out.push_back(message_to(pick, std::move(request_id)));
+  wire::TreeRequestT request;
+  request.model = model;
+  request.pull = pull.number;
+  out.push_back(message_to(pick, std::move(request)));
 }
 
 void IndexSync::tick(Micros now, std::vector<std::string> const& peers, std::vector<OutgoingMessage>& out) {
   for (std::pair<std::string const, Pull>& item : pulling_) {
     Pull& pull = item.second;
-    if (!pull.live || now - pull.moved < stall) continue;
+    if (!pull.active || now - pull.last_progress < stall_timeout) continue;
     ++stalls;
     log_event(Event::tree_stalled, item.first + " from " + pull.from);
     if (pull.attempts > 3) {
-      pull.live = false;
-      pull.ended = now;
+      pull.active = false;
+      pull.ended_at = now;
     } else {
-      ask(item.first, pull, now, peers, out);
+      request_tree(item.first, pull, now, peers, out);
     }
   }
 }
@@ -88,33 +89,33 @@
       if (!tree.apply(*delta, bound, now)) lost = true;
     Pull& pull = pulling_[batch->model];
     // Unknown paths that come while a pull is under way are folded into it; pulls of a model keep a distance.
-    if (lost && !pull.live && now - pull.ended >= pull_gap) {
-      pull.live = true;
+    if (lost && !pull.active && now - pull.ended_at >= min_pull_interval) {
+      pull.active = true;
       pull.attempts = 0;
       ++pulls;
-      ask(batch->model, pull, now, peers(), out);
+      request_tree(batch->model, pull, now, peers(), out);
     }
     return;
   }
-  if (wire::TreeRequestT const* const request_id = body.AsTreeRequest()) {
-    std::map<std::string, Index>::const_iterator const tree = trees_.find(request_id->model);
+  if (wire::TreeRequestT const* const request = body.AsTreeRequest()) {
+    std::map<std::string, Index>::const_iterator const tree = trees_.find(request->model);
     wire::TreePageT page;
-    page.model = request_id->model;
-    page.pull = request_id->pull;
-    page.page = request_id->page;
+    page.model = request->model;
+    page.pull = request->pull;
+    page.page = request->page;
     page.last = true;
     if (tree != trees_.end()) {
-      Shot& shot = shots_[{from, request_id->pull}];
-      if (request_id->page == 0) shot.order = tree->second.order();
-      shot.at = now;
+      TreeSnapshot& snapshot = snapshots_[{from, request->pull}];
+      if (request->page == 0) snapshot.order = tree->second.traversal_order();
+      snapshot.at = now;
       std::size_t at = 0;
       // Pages hold a fixed count of prefix nodes, so that any page can be asked for on its own.
       constexpr std::size_t prefix_nodes = page_bytes / 256;
-      for (at = request_id->page * prefix_nodes; at < shot.order.size() && page.list.size() < prefix_nodes; ++at)
-        if (std::unique_ptr<wire::PrefixNodeT> prefix_node = tree->second.prefix_node(shot.order[at], now))
+      for (at = request->page * prefix_nodes; at < snapshot.order.size() && page.list.size() < prefix_nodes; ++at)
+        if (std::unique_ptr<wire::PrefixNodeT> prefix_node = tree->second.prefix_node(snapshot.order[at], now))
           page.list.push_back(std::move(prefix_node));
-      page.last = at >= shot.order.size();
-      if (page.last) shots_.erase({from, request_id->pull});
+      page.last = at >= snapshot.order.size();
+      if (page.last) snapshots_.erase({from, request->pull});
     }
     out.push_back(message_to(from, std::move(page)));
     return;
@@ -123,22 +124,23 @@
     std::map<std::string, Pull>::iterator const position = pulling_.find(page->model);
     if (position == pulling_.end()) return;
     Pull& pull = position->second;
-    if (!pull.live || pull.from != from || pull.number != page->pull || pull.page != page->page) return;
+    if (!pull.active || pull.from != from || pull.number != page->pull || pull.page != page->page) return;
     Index& tree = trees_[page->model];
     Index::Bounds const bound = bounds(page->model);
-    for (std::unique_ptr<wire::PrefixNodeT> const& prefix_node : page->list) tree.learn(*prefix_node, bound, now);
-    pull.moved = now;
+    for (std::unique_ptr<wire::PrefixNodeT> const& prefix_node : page->list)
+      tree.merge_prefix_node(*prefix_node, bound, now);
+    pull.last_progress = now;
     if (page->last) {
-      pull.live = false;
-      pull.ended = now;
+      pull.active = false;
+      pull.ended_at = now;
       log_event(Event::tree_pulled, page->model + " from " + from);
       return;
     }
-    wire::TreeRequestT request_id;
-    request_id.model = page->model;
-    request_id.pull = pull.number;
-    request_id.page = ++pull.page;
-    out.push_back(message_to(from, std::move(request_id)));
+    wire::TreeRequestT request;
+    request.model = page->model;
+    request.pull = pull.number;
+    request.page = ++pull.page;
+    out.push_back(message_to(from, std::move(request)));
   }
 }
 
--- a/src/routing/index/index_sync.h
+++ b/src/routing/index/index_sync.h
@@ -44,23 +44,23 @@
     std::string from;
     std::uint32_t page = 0;
     int attempts = 0;
-    Micros moved = 0;
-    bool live = false;
-    Micros ended = -seconds(60);
+    Micros last_progress = 0;
+    bool active = false;
+    Micros ended_at = -seconds(60);
   };
-  struct Shot {  // the order of a tree that a peer is pulling
+  struct TreeSnapshot {  // the order of a tree that a peer is pulling
     std::vector<std::uint64_t> order;
     Micros at = 0;
   };
-  void ask(std::string const& model, Pull& pull, Micros now, std::vector<std::string> const& peers,
-           std::vector<OutgoingMessage>& out);
+  void request_tree(std::string const& model, Pull& pull, Micros now, std::vector<std::string> const& peers,
+                    std::vector<OutgoingMessage>& out);
 
   RandomSource random_;
   std::map<std::string, Index> trees_;
   std::map<std::string, std::vector<wire::DeltaT>> backlog_;
   std::map<std::string, Pull> pulling_;
-  std::map<std::pair<std::string, std::uint64_t>, Shot> shots_;
-  std::uint64_t next_ = 0;
+  std::map<std::pair<std::string, std::uint64_t>, TreeSnapshot> snapshots_;
+  std::uint64_t last_pull_number_ = 0;
 };
 
 }  // namespace pipit
--- a/src/routing/index/path.h
+++ b/src/routing/index/path.h
@@ -7,7 +7,7 @@
 namespace pipit {
 
 constexpr std::size_t block_size = 128;
-constexpr std::size_t block_most = 256;
+constexpr std::size_t max_path_blocks = 256;
 using Path = std::vector<std::uint64_t>;
 
 Path path_of(std::string_view prompt);
--- a/src/routing/tenants/quota_budget.h
+++ b/src/routing/tenants/quota_budget.h
@@ -27,11 +27,11 @@
     double const rate = static_cast<double>(tenant.rate);
     double const steady = rate * window;
     double const allowed = (steady + static_cast<double>(tenant.burst)) * (1 + terms.overshoot) + terms.slack;
-    return QuotaBudget{rate, (allowed - steady) * kept_back};
+    return QuotaBudget{rate, (allowed - steady) * usable_fraction};
   }
 
  private:
-  static constexpr double kept_back = 0.95;
+  static constexpr double usable_fraction = 0.95;
 };
 
 // What a request counts for in a tenant's limit.
--- a/src/routing/tenants/quota_client.cc
+++ b/src/routing/tenants/quota_client.cc
@@ -7,14 +7,15 @@
 namespace pipit {
 
 namespace {
-constexpr Micros answer_within = millis(120);
-constexpr Micros dry_most = millis(400);  // an owner that had too little is asked again after so long at the most
-constexpr Micros dry_least = millis(20);
-constexpr std::size_t dry_count_most = 20000;
-constexpr std::size_t peers_attempted_most = 3;
-
-wire::QuotaRequestT question(std::uint64_t request_id, std::string const& tenant, std::int64_t count,
-                             QuotaPurpose purpose) {
+constexpr Micros reply_timeout = millis(120);
+constexpr Micros longest_backoff =
+    millis(400);  // an owner that had too little is asked again after so long at the most
+constexpr Micros shortest_backoff = millis(20);
+constexpr std::size_t max_exhausted_owners = 20000;
+constexpr std::size_t max_peers_attempted = 3;
+
+wire::QuotaRequestT make_request(std::uint64_t request_id, std::string const& tenant, std::int64_t count,
+                                 QuotaPurpose purpose) {
   wire::QuotaRequestT out;
   out.request_id = request_id;
   out.tenant = tenant;
@@ -24,30 +25,32 @@
 }
 }  // namespace
 
-void QuotaClient::begin(QuotaRequest const& wanted, std::int64_t chunk_most, QuotaPeers const& peers, Micros now,
+void QuotaClient::begin(QuotaRequest const& wanted, std::int64_t max_chunk, QuotaPeers const& peers, Micros now,
                         std::vector<OutgoingMessage>& out) {
   ++tally.asked;
-  Ask ask;
-  ask.wanted = wanted;
-  ask.chunk_most = std::max<std::int64_t>(1, chunk_most);
-  ask.missing = wanted.count;
-  ask_next(++next_, std::move(ask), peers, now, out);
+  PendingRequest pending;
+  pending.wanted = wanted;
+  pending.max_chunk = std::max<std::int64_t>(1, max_chunk);
+  pending.missing = wanted.count;
+  send_next(++next_, std::move(pending), peers, now, out);
 }
 
 // Owners in an order of this node's and the tenant's own, so that neither all nodes nor all tenants crowd on one. One
 // that lately had too little is passed over.
-std::optional<std::string> QuotaClient::next_owner(Ask& ask, QuotaPeers const& peers, Micros now) const {
+std::optional<std::string> QuotaClient::next_owner(PendingRequest& pending, QuotaPeers const& peers, Micros now) const {
   std::string best;
   std::uint64_t best_rank = 0;
   for (std::string const& owner : peers.owners) {
-    if (ask.attempted.count(owner) > 0) continue;
-    std::map<Key, Dry>::const_iterator const position = dry_.find(Key(ask.wanted.tenant, owner));
-    if (position != dry_.end() && now < position->second.until && ask.chunk >= position->second.count) {
+    if (pending.attempted.count(owner) > 0) continue;
+    std::map<Key, ExhaustedOwner>::const_iterator const position =
+        exhausted_owners_.find(Key(pending.wanted.tenant, owner));
+    if (position != exhausted_owners_.end() && now < position->second.until &&
+        pending.chunk >= position->second.count) {
       Micros const wait = position->second.until - now;
-      ask.wait = ask.wait < 0 ? wait : std::min(ask.wait, wait);
+      pending.wait = pending.wait < 0 ? wait : std::min(pending.wait, wait);
       continue;
     }
-    std::uint64_t const rank = hash_text(owner, hash_text(ask.wanted.tenant, hash_text(self_)));
+    std::uint64_t const rank = hash_text(owner, hash_text(pending.wanted.tenant, hash_text(self_)));
     if (!best.empty() && rank <= best_rank) continue;
     best = owner;
     best_rank = rank;
@@ -56,84 +59,86 @@
 }
 
 // Where no owner is reached a peer may reach one: a few are tried, by turns.
-std::optional<std::string> QuotaClient::next_peer(Ask const& ask, QuotaPeers const& peers) const {
-  if (!peers.owners.empty() || peers.others.empty() || ask.attempted.size() >= peers_attempted_most)
+std::optional<std::string> QuotaClient::next_peer(PendingRequest const& pending, QuotaPeers const& peers) const {
+  if (!peers.owners.empty() || peers.others.empty() || pending.attempted.size() >= max_peers_attempted)
     return std::nullopt;
   for (std::size_t n = 0; n < peers.others.size(); ++n) {
     std::string const& peer = peers.others[(next_ + n) % peers.others.size()];
-    if (ask.attempted.count(peer) == 0) return peer;
+    if (pending.attempted.count(peer) == 0) return peer;
   }
   return std::nullopt;
 }
 
-void QuotaClient::ask_next(std::uint64_t request_id, Ask ask, QuotaPeers const& peers, Micros now,
-                           std::vector<OutgoingMessage>& out) {
-  if (ask.missing <= 0) return finish(ask, QuotaResult::Type::granted, out);
-  ask.chunk = std::min(ask.missing, ask.chunk_most);
-  std::optional<std::string> to = now < ask.wanted.due ? next_owner(ask, peers, now) : std::nullopt;
-  ask.through_peer = false;
-  if (!to && now < ask.wanted.due) {
-    to = next_peer(ask, peers);
-    ask.through_peer = to.has_value();
+void QuotaClient::send_next(std::uint64_t request_id, PendingRequest pending, QuotaPeers const& peers, Micros now,
+                            std::vector<OutgoingMessage>& out) {
+  if (pending.missing <= 0) return finish(pending, QuotaResult::Type::granted, out);
+  pending.chunk = std::min(pending.missing, pending.max_chunk);
+  std::optional<std::string> to = now < pending.wanted.due ? next_owner(pending, peers, now) : std::nullopt;
+  pending.through_peer = false;
+  if (!to && now < pending.wanted.due) {
+    to = next_peer(pending, peers);
+    pending.through_peer = to.has_value();
   }
-  if (!to) return finish(ask, ask.wait >= 0 ? QuotaResult::Type::refused : QuotaResult::Type::unreachable, out);
-  ask.at = *to;
-  ask.attempted[*to] = 1;
-  ask.due = std::min(now + answer_within, ask.wanted.due);
-  wire::QuotaRequestT message = question(request_id, ask.wanted.tenant, ask.chunk, QuotaPurpose::ask);
-  if (ask.through_peer) {
+  if (!to) return finish(pending, pending.wait >= 0 ? QuotaResult::Type::refused : QuotaResult::Type::unreachable, out);
+  pending.target = *to;
+  pending.attempted[*to] = 1;
+  pending.due = std::min(now + reply_timeout, pending.wanted.due);
+  wire::QuotaRequestT message = make_request(request_id, pending.wanted.tenant, pending.chunk, QuotaPurpose::ask);
+  if (pending.through_peer) {
     message.origin = self_;
     message.hops = 1;
   }
   ++tally.messages;
-  out.push_back(message_to(ask.at, std::move(message)));
-  asks_.insert_or_assign(request_id, std::move(ask));
+  out.push_back(message_to(pending.target, std::move(message)));
+  pending_.insert_or_assign(request_id, std::move(pending));
 }
 
 void QuotaClient::take(std::string const& from, wire::QuotaReplyT const& reply, QuotaPeers const& peers, Micros now,
                        std::vector<OutgoingMessage>& out) {
-  std::map<std::uint64_t, Ask>::iterator const position = asks_.find(reply.request_id);
-  if (position == asks_.end() || position->second.at != from) {
+  std::map<std::uint64_t, PendingRequest>::iterator const position = pending_.find(reply.request_id);
+  if (position == pending_.end() || position->second.target != from) {
     // Too late: the request went on or is gone.
     if (!reply.granted) return;
     ++tally.given_back;
-    out.push_back(message_to(from, question(0, reply.tenant, reply.count, QuotaPurpose::give_back)));
+    out.push_back(message_to(from, make_request(0, reply.tenant, reply.count, QuotaPurpose::give_back)));
     return;
   }
-  Ask ask = std::move(position->second);
-  asks_.erase(position);
+  PendingRequest pending = std::move(position->second);
+  pending_.erase(position);
   if (reply.granted) {
-    ask.given.push_back(Given{from, ask.chunk});
-    ask.missing -= ask.chunk;
-    ask.attempted.clear();
-    ask.attempted[from] = 1;
+    pending.grants.push_back(Grant{from, pending.chunk});
+    pending.missing -= pending.chunk;
+    pending.attempted.clear();
+    pending.attempted[from] = 1;
   } else if (reply.wait > 0) {
-    ask.wait = ask.wait < 0 ? reply.wait : std::min<Micros>(ask.wait, reply.wait);
-    if (!ask.through_peer && dry_.size() < dry_count_most)
-      dry_[Key(ask.wanted.tenant, from)] = Dry{now + std::clamp<Micros>(reply.wait, dry_least, dry_most), ask.chunk};
+    pending.wait = pending.wait < 0 ? reply.wait : std::min<Micros>(pending.wait, reply.wait);
+    if (!pending.through_peer && exhausted_owners_.size() < max_exhausted_owners)
+      exhausted_owners_[Key(pending.wanted.tenant, from)] =
+          ExhaustedOwner{now + std::clamp<Micros>(reply.wait, shortest_backoff, longest_backoff), pending.chunk};
   }
-  ask_next(reply.request_id, std::move(ask), peers, now, out);
+  send_next(reply.request_id, std::move(pending), peers, now, out);
 }
 
 void QuotaClient::tick(QuotaPeers const& peers, Micros now, std::vector<OutgoingMessage>& out) {
-  std::erase_if(dry_, [now](std::pair<Key const, Dry> const& item) { return now >= item.second.until; });
+  std::erase_if(exhausted_owners_,
+                [now](std::pair<Key const, ExhaustedOwner> const& item) { return now >= item.second.until; });
   std::vector<std::uint64_t> late;
-  for (std::pair<std::uint64_t const, Ask> const& item : asks_)
+  for (std::pair<std::uint64_t const, PendingRequest> const& item : pending_)
     if (now >= item.second.due) late.push_back(item.first);
   for (std::uint64_t const request_id : late) {
     ++tally.timeouts;
-    Ask ask = std::move(asks_.at(request_id));
-    asks_.erase(request_id);
+    PendingRequest pending = std::move(pending_.at(request_id));
+    pending_.erase(request_id);
     // Under another number: an answer to the former question goes back.
-    ask_next(++next_, std::move(ask), peers, now, out);
+    send_next(++next_, std::move(pending), peers, now, out);
   }
 }
 
 void QuotaClient::cancel(std::uint64_t request, std::vector<OutgoingMessage>& out) {
-  for (std::map<std::uint64_t, Ask>::iterator it = asks_.begin(); it != asks_.end(); ++it) {
+  for (std::map<std::uint64_t, PendingRequest>::iterator it = pending_.begin(); it != pending_.end(); ++it) {
     if (it->second.wanted.request != request) continue;
-    give_back(it->second, out);
-    asks_.erase(it);
+    return_grants(it->second, out);
+    pending_.erase(it);
     return;
   }
 }
@@ -142,19 +147,19 @@
                         std::vector<OutgoingMessage>& out) {
   if (peers.owners.empty()) return;
   std::string const& owner = peers.owners[++next_ % peers.owners.size()];
-  out.push_back(message_to(owner, question(0, tenant, count, QuotaPurpose::debit)));
+  out.push_back(message_to(owner, make_request(0, tenant, count, QuotaPurpose::debit)));
 }
 
-void QuotaClient::give_back(Ask const& ask, std::vector<OutgoingMessage>& out) {
-  for (Given const& item : ask.given) {
+void QuotaClient::return_grants(PendingRequest const& pending, std::vector<OutgoingMessage>& out) {
+  for (Grant const& item : pending.grants) {
     ++tally.given_back;
-    out.push_back(message_to(item.owner, question(0, ask.wanted.tenant, item.count, QuotaPurpose::give_back)));
+    out.push_back(message_to(item.owner, make_request(0, pending.wanted.tenant, item.count, QuotaPurpose::give_back)));
   }
 }
 
-void QuotaClient::finish(Ask const& ask, QuotaResult::Type type, std::vector<OutgoingMessage>& out) {
-  if (type != QuotaResult::Type::granted) give_back(ask, out);
-  results.push_back(QuotaResult{ask.wanted.request, type, std::max<Micros>(0, ask.wait)});
+void QuotaClient::finish(PendingRequest const& pending, QuotaResult::Type type, std::vector<OutgoingMessage>& out) {
+  if (type != QuotaResult::Type::granted) return_grants(pending, out);
+  results.push_back(QuotaResult{pending.wanted.request, type, std::max<Micros>(0, pending.wait)});
 }
 
 }  // namespace pipit
--- a/src/routing/tenants/quota_client.h
+++ b/src/routing/tenants/quota_client.h
@@ -45,7 +45,7 @@
   QuotaClient(std::string self, std::uint64_t first_request) : self_(std::move(self)), next_(first_request) {}
 
   // 'piece_most': more is not asked of one owner at once.
-  void begin(QuotaRequest const& wanted, std::int64_t chunk_most, QuotaPeers const& peers, Micros now,
+  void begin(QuotaRequest const& wanted, std::int64_t max_chunk, QuotaPeers const& peers, Micros now,
              std::vector<OutgoingMessage>& out);
   void take(std::string const& from, wire::QuotaReplyT const& reply, QuotaPeers const& peers, Micros now,
             std::vector<OutgoingMessage>& out);
@@ -56,7 +56,7 @@
   // What is sent once more is counted where it can be, and nobody waits for that.
   void debit(std::string const& tenant, std::int64_t count, QuotaPeers const& peers, std::vector<OutgoingMessage>& out);
   std::vector<QuotaResult> results;  // for the caller to take
-  std::size_t waiting() const { return asks_.size(); }
+  std::size_t waiting() const { return pending_.size(); }
 
   struct Tally {
     std::uint64_t asked = 0, messages = 0, timeouts = 0, given_back = 0;
@@ -64,39 +64,39 @@
   Tally tally;
 
  private:
-  struct Given {
+  struct Grant {
     std::string owner;
     std::int64_t count = 0;
   };
-  struct Ask {
+  struct PendingRequest {
     QuotaRequest wanted;
-    std::int64_t chunk_most = 0;
-    std::vector<Given> given;
+    std::int64_t max_chunk = 0;
+    std::vector<Grant> grants;
     std::int64_t missing = 0;
     std::map<std::string, int> attempted;  // owners or peers since one last gave something
-    std::string at;                        // who is asked now
+    std::string target;                    // who is asked now
     std::int64_t chunk = 0;                // for how much
     bool through_peer = false;
     Micros due = 0;
     Micros wait = -1;  // the shortest that an owner told
   };
-  struct Dry {  // an owner that had less than 'count'
+  struct ExhaustedOwner {  // an owner that had less than 'count'
     Micros until = 0;
     std::int64_t count = 0;
   };
   using Key = std::pair<std::string, std::string>;  // tenant, owner
 
-  void ask_next(std::uint64_t request_id, Ask ask, QuotaPeers const& peers, Micros now,
-                std::vector<OutgoingMessage>& out);
-  std::optional<std::string> next_owner(Ask& ask, QuotaPeers const& peers, Micros now) const;
-  std::optional<std::string> next_peer(Ask const& ask, QuotaPeers const& peers) const;
-  void give_back(Ask const& ask, std::vector<OutgoingMessage>& out);
-  void finish(Ask const& ask, QuotaResult::Type type, std::vector<OutgoingMessage>& out);
+  void send_next(std::uint64_t request_id, PendingRequest pending, QuotaPeers const& peers, Micros now,
+                 std::vector<OutgoingMessage>& out);
+  std::optional<std::string> next_owner(PendingRequest& pending, QuotaPeers const& peers, Micros now) const;
+  std::optional<std::string> next_peer(PendingRequest const& pending, QuotaPeers const& peers) const;
+  void return_grants(PendingRequest const& pending, std::vector<OutgoingMessage>& out);
+  void finish(PendingRequest const& pending, QuotaResult::Type type, std::vector<OutgoingMessage>& out);
 
   std::string const self_;
   std::uint64_t next_;
-  std::map<std::uint64_t, Ask> asks_;
-  std::map<Key, Dry> dry_;
+  std::map<std::uint64_t, PendingRequest> pending_;
+  std::map<Key, ExhaustedOwner> exhausted_owners_;
 };
 
 }  // namespace pipit
--- a/src/routing/tenants/quota_owner.cc
+++ b/src/routing/tenants/quota_owner.cc
@@ -8,9 +8,9 @@
 namespace pipit {
 
 namespace {
-constexpr double micros_a_second = 1e6;
-constexpr std::size_t tenants_most = 100000;  // whose buckets are kept at once
-constexpr Micros never = seconds(3600);
+constexpr double micros_per_second = 1e6;
+constexpr std::size_t max_buckets = 100000;  // whose buckets are kept at once
+constexpr Micros longest_wait = seconds(3600);
 }  // namespace
 
 QuotaOwner::Bucket& QuotaOwner::bucket(Tenant const& tenant, double share, Micros active_since, Micros now) {
@@ -18,7 +18,7 @@
   double const rate = budget.rate * share;
   double const depth = budget.depth * share;
   std::map<std::string, Bucket>::iterator position = buckets_.find(tenant.name);
-  if (position != buckets_.end() && position->second.began < active_since) {
+  if (position != buckets_.end() && position->second.started_at < active_since) {
     // The part was lost in between: others may have handed it out.
     buckets_.erase(position);
     position = buckets_.end();
@@ -26,16 +26,16 @@
   if (position == buckets_.end()) {
     // Nobody asked before: the bucket has filled since this node has its part.
     Bucket fresh;
-    fresh.began = active_since;
-    fresh.at = active_since;
+    fresh.started_at = active_since;
+    fresh.updated_at = active_since;
     position = buckets_.emplace(tenant.name, fresh).first;
   }
   Bucket& out = position->second;
-  double const refilled = rate * static_cast<double>(std::max<Micros>(0, now - out.at)) / micros_a_second;
+  double const refilled = rate * static_cast<double>(std::max<Micros>(0, now - out.updated_at)) / micros_per_second;
   double const level = std::min(depth, out.level + refilled);
   out.allowed += std::max(0.0, level - out.level);
   out.level = level;
-  out.at = now;
+  out.updated_at = now;
   return out;
 }
 
@@ -57,9 +57,10 @@
   ++tally.refused;
   double const rate = static_cast<double>(tenant.rate) * share;
   QuotaDecision out;
-  double const lacks = wanted - from.level;
+  double const shortfall = wanted - from.level;
   out.wait =
-      rate > 0 ? static_cast<Micros>(std::min(static_cast<double>(never), lacks / rate * micros_a_second)) : never;
+      rate > 0 ? static_cast<Micros>(std::min(static_cast<double>(longest_wait), shortfall / rate * micros_per_second))
+               : longest_wait;
   return out;
 }
 
@@ -74,10 +75,10 @@
   to.level = std::min(QuotaBudget::of(tenant, terms_).depth * share, to.level + back);
 }
 
-void QuotaOwner::forget(Micros now) {
-  if (buckets_.size() < tenants_most) return;
+void QuotaOwner::remove_idle_buckets(Micros now) {
+  if (buckets_.size() < max_buckets) return;
   std::erase_if(buckets_, [&](std::pair<std::string const, Bucket> const& item) {
-    return now - item.second.at > terms_.window * 2;
+    return now - item.second.updated_at > terms_.window * 2;
   });
 }
 
--- a/src/routing/tenants/quota_owner.h
+++ b/src/routing/tenants/quota_owner.h
@@ -26,7 +26,7 @@
   // Takes back what was granted and surely not used.
   void give_back(Tenant const& tenant, std::int64_t count, double share, Micros active_since, Micros now);
   // Forgets tenants of which nobody has asked for longer than a window.
-  void forget(Micros now);
+  void remove_idle_buckets(Micros now);
 
   struct Tally {
     std::uint64_t granted = 0;
@@ -38,8 +38,8 @@
  private:
   struct Bucket {
     double level = 0;
-    Micros at = 0;  // when the level was reckoned
-    Micros began = 0;
+    Micros updated_at = 0;  // when the level was reckoned
+    Micros started_at = 0;
     double granted = 0;  // less what was given back, since it began
     double allowed = 0;  // what may have been granted since then: the first level and all that came in
   };
--- a/src/routing/tenants/quota_shares.cc
+++ b/src/routing/tenants/quota_shares.cc
@@ -6,7 +6,7 @@
 
 namespace pipit {
 
-double QuotaShares::part_in(std::vector<wire::ReplicaT> const& replicas) const {
+double QuotaShares::share_in(std::vector<wire::ReplicaT> const& replicas) const {
   for (wire::ReplicaT const& replica : replicas)
     if (replica.name == self_) return 1.0 / static_cast<double>(replicas.size());
   return 0;
@@ -15,38 +15,39 @@
 void QuotaShares::note(Membership const& members, Micros now) {
   if (members.empty() || (known_ && members.fingerprint() == fingerprint_)) return;
   Micros const until = guard(Guard::quota_handover) ? now + superseded_lifetime_ : now;
-  for (Part& part : parts_)
-    if (part.until < 0) part.until = until;
+  for (TimedShare& item : shares_)
+    if (item.until < 0) item.until = until;
   // What was in force before this process began is not known: it may have had no part.
-  if (!known_ && members.fingerprint() != stored_fingerprint_) parts_.push_back(Part{0, until});
+  if (!known_ && members.fingerprint() != stored_fingerprint_) shares_.push_back(TimedShare{0, until});
   known_ = true;
   fingerprint_ = members.fingerprint();
-  parts_.push_back(Part{part_in(members.replicas), -1});
-  if (members.joint()) parts_.push_back(Part{part_in(members.former), -1});
-  names_.clear();
-  for (wire::ReplicaT const& replica : members.replicas) names_.push_back(replica.name);
+  shares_.push_back(TimedShare{share_in(members.replicas), -1});
+  if (members.joint()) shares_.push_back(TimedShare{share_in(members.former), -1});
+  owners_.clear();
+  for (wire::ReplicaT const& replica : members.replicas) owners_.push_back(replica.name);
 }
 
 double QuotaShares::share(Micros now) {
-  std::erase_if(parts_, [now](Part const& part) { return part.until >= 0 && now > part.until; });
-  double out = parts_.empty() ? 0 : 1;
-  for (Part const& part : parts_) out = std::min(out, part.share);
+  std::erase_if(shares_, [now](TimedShare const& item) { return item.until >= 0 && now > item.until; });
+  double out = shares_.empty() ? 0 : 1;
+  for (TimedShare const& item : shares_) out = std::min(out, item.share);
   if (out <= 0)
-    since_ = -1;
-  else if (since_ < 0)
-    since_ = now;
+    active_since_ = -1;
+  else if (active_since_ < 0)
+    active_since_ = now;
   return out;
 }
 
 std::uint64_t QuotaShares::settled(Micros now) {
   share(now);
-  bool const all_in_force = std::all_of(parts_.begin(), parts_.end(), [](Part const& part) { return part.until < 0; });
+  bool const all_in_force =
+      std::all_of(shares_.begin(), shares_.end(), [](TimedShare const& item) { return item.until < 0; });
   return known_ && all_in_force ? fingerprint_ : 0;
 }
 
 Micros QuotaShares::active_since(Micros now) {
   share(now);
-  return since_;
+  return active_since_;
 }
 
 }  // namespace pipit
--- a/src/routing/tenants/quota_shares.h
+++ b/src/routing/tenants/quota_shares.h
@@ -27,23 +27,23 @@
   // The fingerprint of the set in force, once nobody may go by an older one any more; 0 before.
   std::uint64_t settled(Micros now);
   // Whoever may be asked: the members of the newest set.
-  std::vector<std::string> const& owners() const { return names_; }
+  std::vector<std::string> const& owners() const { return owners_; }
 
  private:
-  struct Part {
+  struct TimedShare {
     double share = 0;
     Micros until = -1;  // -1: it is one of the set that is in force
   };
-  double part_in(std::vector<wire::ReplicaT> const& replicas) const;
+  double share_in(std::vector<wire::ReplicaT> const& replicas) const;
 
   std::string const self_;
   Micros const superseded_lifetime_;
   std::uint64_t const stored_fingerprint_;
   std::uint64_t fingerprint_ = 0;
   bool known_ = false;
-  std::vector<Part> parts_;
-  std::vector<std::string> names_;
-  Micros since_ = -1;
+  std::vector<TimedShare> shares_;
+  std::vector<std::string> owners_;
+  Micros active_since_ = -1;
 };
 
 }  // namespace pipit
--- a/src/runtime/router_host.cc
+++ b/src/runtime/router_host.cc
@@ -213,7 +213,7 @@
                        std::optional<std::vector<ListRow>> rows;
                        if (good) {
                          Result<std::vector<ListRow>> read =
-                             read_list(fires(FaultPoint::list_torn) ? body.substr(0, body.size() / 2) : body);
+                             read_worker_list(fires(FaultPoint::list_torn) ? body.substr(0, body.size() / 2) : body);
                          if (read) rows = std::move(read.value());
                        }
                        NodeEffects more;
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -39,14 +39,14 @@
     static char const* const state_names[] = {"serving", "leaving", "gone"};
     json.begin_object().key("id").text(item.first).key("zone").text(worker.row.zone).key("pool").text(worker.row.pool);
     json.key("standing")
-        .text(state_names[static_cast<std::size_t>(worker.standing)])
+        .text(state_names[static_cast<std::size_t>(worker.state)])
         .key("dark")
         .boolean(worker.unhealthy);
     json.key("incarnation").number(static_cast<std::int64_t>(worker.row.incarnation));
     Pool const* const pool = node_->chat_dispatcher.description()->pool(worker.row.pool);
     std::int64_t const slots = pool != nullptr ? worker.capacity(*pool) : worker.row.slots;
     json.key("slots").number(slots).key("sent").number(static_cast<std::int64_t>(worker.sent));
-    json.key("demand").number(worker.guess()).end_object();
+    json.key("demand").number(worker.estimated_load()).end_object();
   }
   json.end_list().key("backlog").number(static_cast<std::int64_t>(node_->chat_dispatcher.waiting()));
   json.key("under_way").number(static_cast<std::int64_t>(node_->under_way())).end_object();
--- a/src/server/node_server_status.cc
+++ b/src/server/node_server_status.cc
@@ -22,7 +22,7 @@
   std::map<std::string, std::uint64_t> out = {{"serving", 0}, {"leaving", 0}, {"gone", 0}, {"doubted", 0}};
   static char const* const names[] = {"serving", "leaving", "gone"};
   for (std::pair<std::string const, Instance> const& item : node.registry.all) {
-    ++out[names[static_cast<std::size_t>(item.second.standing)]];
+    ++out[names[static_cast<std::size_t>(item.second.state)]];
     if (item.second.suspected >= 0) ++out["doubted"];
   }
   return out;
@@ -79,7 +79,7 @@
     Instance const& at = item.second;
     static char const* const names[] = {"serving", "leaving", "gone"};
     json.begin_object().key("id").text(at.id).key("zone").text(at.zone).key("pool").text(at.pool);
-    json.key("standing").text(names[static_cast<std::size_t>(at.standing)]).key("owner").text(at.owner);
+    json.key("standing").text(names[static_cast<std::size_t>(at.state)]).key("owner").text(at.owner);
     json.key("doubted")
         .boolean(at.suspected >= 0)
         .key("slots")
--- a/testing/fleet_simulator/faults.cc
+++ b/testing/fleet_simulator/faults.cc
@@ -29,7 +29,7 @@
             for (std::pair<std::string const, Worker> const& w : item.second->node->fleet.workers)
               std::printf("%s knows %s incarnation %llu standing %d dark %d doubted %d zone %s\n", item.first.c_str(),
                           w.first.c_str(), static_cast<unsigned long long>(w.second.row.incarnation),
-                          static_cast<int>(w.second.standing), w.second.unhealthy, w.second.suspected,
+                          static_cast<int>(w.second.state), w.second.unhealthy, w.second.suspected,
                           w.second.row.zone.c_str());
       if (back_at < 0)
         fault("N12 service was not back twelve seconds after a full loss");
--- a/testing/request_model_checker/world.cc
+++ b/testing/request_model_checker/world.cc
@@ -163,7 +163,7 @@
   dispatcher.tick(loop_time(), out);
   relay->act(out);
   relay->close_expired(loop_time());
-  registry.silent(loop_time());
+  registry.end_silent_workers(loop_time());
 }
 
 // ---- callers ----
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -444,13 +444,13 @@
   gone.slots = 8;
   gone.state = static_cast<std::uint8_t>(WorkerState::ended);
   registry.take_entry(gone, now);
-  ASSERT_EQ(registry.find("w")->standing, WorkerState::ended);
+  ASSERT_EQ(registry.find("w")->state, WorkerState::ended);
   worker("v");
   for (int turn = 0; turn < 8; ++turn) {
     out = DispatchEffects();
     dispatcher.tick(now += millis(100), out);
     EXPECT_TRUE(out.empty()) << "turn " << turn;
-    registry.well(*registry.find("w"), now);  // something came of another request there
+    registry.record_response(*registry.find("w"), now);  // something came of another request there
   }
   wait(seconds(1));
   EXPECT_EQ(out.cuts, std::vector<std::uint64_t>{1}) << "it is neither heard nor known any more";
@@ -687,7 +687,7 @@
       ASSERT_EQ(item.resumed, row.began);
       Instance const* const at = registry.find(item.instance);
       ASSERT_NE(at, nullptr);
-      ASSERT_TRUE(at->takes());
+      ASSERT_TRUE(at->accepts_requests());
       row.active = true;
       row.left = false;
       row.at = item.instance;
@@ -728,7 +728,7 @@
   RandomSource random(seed);
   IndexSync index_sync(seed);
   Registry registry("n1");
-  registry.span(millis(1000));
+  registry.set_heartbeat_interval(millis(1000));
   Exchange exchange("n1");
   Dispatcher dispatcher("n1", "a", index_sync, registry, exchange);
   dispatcher.budget(0.3, 10);
@@ -766,7 +766,7 @@
       if (random.chance(0.05))
         registry.leave("w" + std::to_string(random.below(6)) + "-" + std::to_string(turn / 2000), ++order, now);
     } else if (what < 33) {
-      registry.silent(now);
+      registry.end_silent_workers(now);
     } else if (what < 34) {
       dispatcher.hold(random.chance(0.2));
     } else if (what < 35) {
--- a/tests/fleet_traffic.cc
+++ b/tests/fleet_traffic.cc
@@ -96,12 +96,12 @@
   std::size_t serving_at(MachineId id) {
     std::size_t out = 0;
     for (std::pair<std::string const, Instance> const& item : world.machine(id).node->registry.all)
-      if (item.second.standing == WorkerState::serving) ++out;
+      if (item.second.state == WorkerState::serving) ++out;
     return out;
   }
   bool serves(std::size_t number, MachineId seen_by) {
     Instance const* const item = world.machine(seen_by).node->registry.find(workers[number].id);
-    return item != nullptr && item->standing == WorkerState::serving;
+    return item != nullptr && item->state == WorkerState::serving;
   }
   // One worker says farewell at its node.
   void end_worker(std::size_t number) {
--- a/tests/index.cc
+++ b/tests/index.cc
@@ -9,13 +9,13 @@
 namespace pipit {
 
 namespace {
-Path line(std::uint64_t seed, std::size_t n) {
+Path chained_path(std::uint64_t seed, std::size_t n) {
   Path out;
   std::uint64_t hash = seed;
   for (std::size_t i = 0; i < n; ++i) out.push_back(hash = hash_bits(hash + 1));
   return out;
 }
-Index::Bounds const wide{1000, seconds(100)};
+Index::Bounds const wide_bounds{1000, seconds(100)};
 }  // namespace
 
 TEST(Answers, an_id_is_whole_or_another_s) {
@@ -40,42 +40,42 @@
 
 TEST(Index, forgets_from_the_ends_by_size_and_age_and_whole_on_a_new_life) {
   Index index;
-  Path const path = line(1, 10);
+  Path const path = chained_path(1, 10);
   index.touch(path, "w", 1, {6, seconds(10)}, seconds(1));
-  EXPECT_EQ(index.kept_blocks("w"), 6u);
+  EXPECT_EQ(index.cached_weight("w"), 6u);
   EXPECT_EQ(index.match(path)["w"], 6u);
   index.age({6, seconds(10)}, seconds(12));
-  EXPECT_EQ(index.kept_blocks("w"), 0u);
+  EXPECT_EQ(index.cached_weight("w"), 0u);
   EXPECT_EQ(index.size(), 0u);
-  index.touch(path, "w", 1, wide, seconds(20));
-  index.touch(line(2, 3), "w", 2, wide, seconds(21));
+  index.touch(path, "w", 1, wide_bounds, seconds(20));
+  index.touch(chained_path(2, 3), "w", 2, wide_bounds, seconds(21));
   EXPECT_EQ(index.match(path).count("w"), 0u) << "what a former life kept is gone";
-  index.touch(path, "w", 1, wide, seconds(22));
+  index.touch(path, "w", 1, wide_bounds, seconds(22));
   EXPECT_EQ(index.match(path).count("w"), 0u) << "news of a former life is none";
 }
 
 TEST(Index, a_page_that_tells_of_a_new_life_ends_what_it_stands_on) {
   // The prefix node that the page names was kept by the former incarnation alone: it goes with it.
   Index index;
-  Path const path = line(1, 2);
-  index.touch(path, "w", 1, wide, seconds(1));
+  Path const path = chained_path(1, 2);
+  index.touch(path, "w", 1, wide_bounds, seconds(1));
   wire::PrefixNodeT item;
   item.hash = path[1];
   item.parent = path[0];
   item.workers = {"w"};
   item.incarnations = {2};
   item.ages = {0};
-  index.learn(item, wide, seconds(2));
-  EXPECT_EQ(index.kept_blocks("w"), 0u);
+  index.merge_prefix_node(item, wide_bounds, seconds(2));
+  EXPECT_EQ(index.cached_weight("w"), 0u);
   EXPECT_EQ(index.size(), 0u);
   // A delta on a base that ends in the same way asks for the tree.
-  index.touch(path, "w", 2, wide, seconds(3));
+  index.touch(path, "w", 2, wide_bounds, seconds(3));
   wire::DeltaT delta;
   delta.worker = "w";
   delta.incarnation = 3;
   delta.base = path[1];
   delta.tail = {77};
-  EXPECT_FALSE(index.apply(delta, wide, seconds(4)));
+  EXPECT_FALSE(index.apply(delta, wide_bounds, seconds(4)));
   EXPECT_EQ(index.size(), 0u);
 }
 
@@ -98,14 +98,14 @@
   std::vector<OutgoingMessage> out;
   std::vector<std::pair<std::string, std::vector<std::string>>> const to_b = {{"b", {}}};
   for (std::uint64_t i = 0; i < 12000; ++i)
-    a.queue("m", a.index("m").touch(line(i, 2), "w" + std::to_string(i % 5), 1, bounds("m"), seconds(1)));
+    a.queue("m", a.index("m").touch(chained_path(i, 2), "w" + std::to_string(i % 5), 1, bounds("m"), seconds(1)));
   a.round(seconds(1), to_b, bounds, out);
   EXPECT_GT(a.dropped, 0u) << "the backlog is bounded";
   out.clear();  // and this batch is lost
-  a.queue("m", a.index("m").touch(line(7, 3), "w1", 1, bounds("m"), seconds(2)));
+  a.queue("m", a.index("m").touch(chained_path(7, 3), "w1", 1, bounds("m"), seconds(2)));
   a.round(seconds(2), {{"b", {"other"}}}, bounds, out);
   EXPECT_TRUE(out.empty()) << "a peer that does not serve the model is told nothing";
-  a.queue("m", a.index("m").touch(line(7, 3), "w2", 1, bounds("m"), seconds(3)));
+  a.queue("m", a.index("m").touch(chained_path(7, 3), "w2", 1, bounds("m"), seconds(3)));
   a.round(seconds(3), to_b, bounds, out);
   ASSERT_EQ(out.size(), 1u);
   int pages = 0;
--- a/tests/registry.cc
+++ b/tests/registry.cc
@@ -1,4 +1,4 @@
-// Workers that register themselves: heartbeats, silence, farewells, doubts, and what peers say of them (§12.3).
+// RegistryTest that register themselves: heartbeats, silence, farewells, doubts, and what peers say of them (§12.3).
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace pipit {
 
 namespace {
-constexpr Micros gap = millis(1000);
+constexpr Micros heartbeat_interval = millis(1000);
 
 Heartbeat heartbeat_of(std::string const& id, std::uint64_t order, bool leaving = false) {
   Heartbeat out;
@@ -22,7 +22,7 @@
   return out;
 }
 
-wire::EntryT entry_of(std::string const& id, std::uint64_t order, WorkerState standing, std::string const& owner) {
+wire::EntryT entry_of(std::string const& id, std::uint64_t order, WorkerState state, std::string const& owner) {
   wire::EntryT out;
   out.key = id;
   out.owner = owner;
@@ -31,168 +31,169 @@
   out.zone = "a";
   out.pool = "p";
   out.slots = 8;
-  out.state = static_cast<std::uint8_t>(standing);
+  out.state = static_cast<std::uint8_t>(state);
   return out;
 }
 
-WorkerState standing_of(Registry& registry, std::string const& id) {
+WorkerState state_of(Registry& registry, std::string const& id) {
   Instance const* const item = registry.find(id);
-  return item == nullptr ? WorkerState::ended : item->standing;
+  return item == nullptr ? WorkerState::ended : item->state;
 }
 
-class Workers : public testing::Test {
+class RegistryTest : public testing::Test {
  protected:
-  Workers() { registry.span(gap); }
+  RegistryTest() { registry.set_heartbeat_interval(heartbeat_interval); }
   Registry registry{"n1"};
 };
 }  // namespace
 
-TEST_F(Workers, a_heartbeat_is_written_down_only_when_it_says_something_new) {
+TEST_F(RegistryTest, a_heartbeat_is_written_down_only_when_it_says_something_new) {
   std::optional<wire::EntryT> const first = registry.heartbeat(heartbeat_of("w", 1), 0);
   ASSERT_TRUE(first);
   EXPECT_EQ(first->key, "w");
   EXPECT_EQ(first->state, static_cast<std::uint8_t>(WorkerState::serving));
   EXPECT_EQ(first->slots, 8u);
-  EXPECT_FALSE(registry.heartbeat(heartbeat_of("w", 2), gap));
+  EXPECT_FALSE(registry.heartbeat(heartbeat_of("w", 2), heartbeat_interval));
   Heartbeat moved = heartbeat_of("w", 3);
   moved.address = "127.0.0.1:9001";
-  std::optional<wire::EntryT> const second = registry.heartbeat(moved, 2 * gap);
+  std::optional<wire::EntryT> const second = registry.heartbeat(moved, 2 * heartbeat_interval);
   ASSERT_TRUE(second);
   EXPECT_EQ(second->address, moved.address);
   Heartbeat wider = moved;
   wider.order = 4;
   wider.slots = 9;
-  EXPECT_TRUE(registry.heartbeat(wider, 3 * gap));
+  EXPECT_TRUE(registry.heartbeat(wider, 3 * heartbeat_interval));
 }
 
-TEST_F(Workers, a_late_heartbeat_changes_nothing) {
+TEST_F(RegistryTest, a_late_heartbeat_changes_nothing) {
   registry.heartbeat(heartbeat_of("w", 5), 0);
   Heartbeat late = heartbeat_of("w", 4, true);
   late.address = "127.0.0.1:1";
   EXPECT_FALSE(registry.heartbeat(late, 10));
   EXPECT_EQ(registry.find("w")->address, "127.0.0.1:9000");
-  EXPECT_EQ(registry.find("w")->standing, WorkerState::serving);
+  EXPECT_EQ(registry.find("w")->state, WorkerState::serving);
   EXPECT_EQ(registry.find("w")->order, 5u);
-  EXPECT_EQ(registry.find("w")->heard, 0);
+  EXPECT_EQ(registry.find("w")->last_heartbeat, 0);
 }
 
-TEST_F(Workers, leaving_is_not_taken_back) {
+TEST_F(RegistryTest, leaving_is_not_taken_back) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   EXPECT_TRUE(registry.heartbeat(heartbeat_of("w", 2, true), 10));
-  EXPECT_EQ(standing_of(registry, "w"), WorkerState::draining);
-  EXPECT_FALSE(registry.find("w")->takes());
+  EXPECT_EQ(state_of(registry, "w"), WorkerState::draining);
+  EXPECT_FALSE(registry.find("w")->accepts_requests());
   registry.heartbeat(heartbeat_of("w", 3), 20);
-  EXPECT_EQ(standing_of(registry, "w"), WorkerState::draining);
+  EXPECT_EQ(state_of(registry, "w"), WorkerState::draining);
 }
 
-TEST_F(Workers, leaving_is_not_taken_back_by_a_peer_that_missed_it) {
+TEST_F(RegistryTest, leaving_is_not_taken_back_by_a_peer_that_missed_it) {
   registry.heartbeat(heartbeat_of("w", 2, true), 0);
   // The peer took a later heartbeat and had not heard that the worker is leaving.
   std::optional<wire::EntryT> const said = registry.take_entry(entry_of("w", 3, WorkerState::serving, "n2"), 10);
-  EXPECT_EQ(standing_of(registry, "w"), WorkerState::draining);
+  EXPECT_EQ(state_of(registry, "w"), WorkerState::draining);
   ASSERT_TRUE(said);
   EXPECT_EQ(said->state, static_cast<std::uint8_t>(WorkerState::draining));
 }
 
-TEST_F(Workers, after_its_farewell_nothing_that_it_said_counts) {
+TEST_F(RegistryTest, after_its_farewell_nothing_that_it_said_counts) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   std::optional<wire::EntryT> const bye = registry.leave("w", 2, 10);
   ASSERT_TRUE(bye);
   EXPECT_EQ(bye->state, static_cast<std::uint8_t>(WorkerState::ended));
-  EXPECT_EQ(std::count(registry.ended.begin(), registry.ended.end(), "w"), 1);
+  EXPECT_EQ(std::count(registry.ended_workers.begin(), registry.ended_workers.end(), "w"), 1);
   EXPECT_FALSE(registry.heartbeat(heartbeat_of("w", 3), 20));
-  EXPECT_EQ(standing_of(registry, "w"), WorkerState::ended);
+  EXPECT_EQ(state_of(registry, "w"), WorkerState::ended);
   EXPECT_FALSE(registry.leave("nobody", 1, 20));
   // Nor at a peer that has the farewell, whichever came first there.
   Registry peer("n2");
   peer.heartbeat(heartbeat_of("w", 1), 0);
   EXPECT_FALSE(peer.take_entry(*bye, 30));
   EXPECT_FALSE(peer.heartbeat(heartbeat_of("w", 3), 40));
-  EXPECT_EQ(standing_of(peer, "w"), WorkerState::ended);
+  EXPECT_EQ(state_of(peer, "w"), WorkerState::ended);
 }
 
-TEST_F(Workers, a_farewell_is_remembered_for_a_while_wherever_it_was_heard) {
+TEST_F(RegistryTest, a_farewell_is_remembered_for_a_while_wherever_it_was_heard) {
   // Known here for long, but its heartbeats went to another node.
   registry.take_entry(entry_of("w", 5, WorkerState::serving, "n2"), 0);
   Micros const now = seconds(600);
   registry.take_entry(entry_of("w", 1000009, WorkerState::ended, "n2"), now);
-  registry.silent(now + millis(50));
+  registry.end_silent_workers(now + millis(50));
   EXPECT_FALSE(registry.heartbeat(heartbeat_of("w", 8), now + millis(100)));
-  EXPECT_EQ(standing_of(registry, "w"), WorkerState::ended);
-  registry.silent(now + seconds(120));
+  EXPECT_EQ(state_of(registry, "w"), WorkerState::ended);
+  registry.end_silent_workers(now + seconds(120));
   EXPECT_EQ(registry.find("w"), nullptr);
 }
 
-TEST_F(Workers, silence_ends_a_worker_and_its_next_heartbeat_brings_it_back) {
+TEST_F(RegistryTest, silence_ends_a_worker_and_its_next_heartbeat_brings_it_back) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
-  EXPECT_TRUE(registry.silent(2 * gap).empty());
-  std::vector<wire::EntryT> const gone = registry.silent(3 * gap + 1);
+  EXPECT_TRUE(registry.end_silent_workers(2 * heartbeat_interval).empty());
+  std::vector<wire::EntryT> const gone = registry.end_silent_workers(3 * heartbeat_interval + 1);
   ASSERT_EQ(gone.size(), 1u);
   EXPECT_EQ(gone[0].key, "w");
   EXPECT_EQ(gone[0].state, static_cast<std::uint8_t>(WorkerState::ended));
-  EXPECT_TRUE(registry.silent(4 * gap).empty()) << "it is said once";
-  EXPECT_TRUE(registry.heartbeat(heartbeat_of("w", 2), 5 * gap));
-  EXPECT_EQ(standing_of(registry, "w"), WorkerState::serving);
+  EXPECT_TRUE(registry.end_silent_workers(4 * heartbeat_interval).empty()) << "it is said once";
+  EXPECT_TRUE(registry.heartbeat(heartbeat_of("w", 2), 5 * heartbeat_interval));
+  EXPECT_EQ(state_of(registry, "w"), WorkerState::serving);
 }
 
 // Heartbeats may come seconds late: what its answers bring speaks for a worker as well.
-TEST_F(Workers, a_worker_whose_answers_come_is_not_silent) {
+TEST_F(RegistryTest, a_worker_whose_answers_come_is_not_silent) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   registry.heartbeat(heartbeat_of("v", 1), 0);
-  registry.well(*registry.find("w"), 2 * gap);
-  std::vector<wire::EntryT> const gone = registry.silent(4 * gap);
+  registry.record_response(*registry.find("w"), 2 * heartbeat_interval);
+  std::vector<wire::EntryT> const gone = registry.end_silent_workers(4 * heartbeat_interval);
   ASSERT_EQ(gone.size(), 1u);
   EXPECT_EQ(gone[0].key, "v");
-  EXPECT_EQ(standing_of(registry, "w"), WorkerState::serving);
-  EXPECT_EQ(registry.silent(6 * gap).size(), 1u) << "but they end, too";
+  EXPECT_EQ(state_of(registry, "w"), WorkerState::serving);
+  EXPECT_EQ(registry.end_silent_workers(6 * heartbeat_interval).size(), 1u) << "but they end, too";
 }
 
-TEST_F(Workers, only_the_node_that_took_the_last_word_judges_silence) {
+TEST_F(RegistryTest, only_the_node_that_took_the_last_word_judges_silence) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   registry.take_entry(entry_of("w", 2, WorkerState::serving, "n2"), 10);
-  EXPECT_TRUE(registry.silent(seconds(20)).empty());
-  EXPECT_EQ(standing_of(registry, "w"), WorkerState::serving);
+  EXPECT_TRUE(registry.end_silent_workers(seconds(20)).empty());
+  EXPECT_EQ(state_of(registry, "w"), WorkerState::serving);
 }
 
-TEST_F(Workers, a_doubted_worker_falls_silent_sooner) {
+TEST_F(RegistryTest, a_doubted_worker_falls_silent_sooner) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   registry.heartbeat(heartbeat_of("v", 1), 0);
   EXPECT_TRUE(registry.suspect("w", millis(100)));
-  std::vector<wire::EntryT> const gone = registry.silent(2 * gap);
+  std::vector<wire::EntryT> const gone = registry.end_silent_workers(2 * heartbeat_interval);
   ASSERT_EQ(gone.size(), 1u);
   EXPECT_EQ(gone[0].key, "w");
-  EXPECT_EQ(standing_of(registry, "v"), WorkerState::serving);
+  EXPECT_EQ(state_of(registry, "v"), WorkerState::serving);
 }
 
 // Where connections to many workers break at once, this node or its network is in trouble, not each of them.
-TEST_F(Workers, doubts_of_many_workers_at_once_make_none_fall_silent_sooner) {
+TEST_F(RegistryTest, doubts_of_many_workers_at_once_make_none_fall_silent_sooner) {
   for (std::size_t const broken : {std::size_t(2), std::size_t(5)}) {
     registry.all.clear();
     for (int n = 0; n < 12; ++n) registry.heartbeat(heartbeat_of("w" + std::to_string(n), 1), 0);
     for (std::size_t n = 0; n < broken; ++n) registry.suspect("w" + std::to_string(n), millis(100));
-    EXPECT_EQ(registry.silent(2 * gap).size(), broken < 3 ? broken : 0u);
-    EXPECT_TRUE(registry.silent(3 * gap - 1).empty());
-    EXPECT_EQ(registry.silent(3 * gap + 1).size(), broken < 3 ? 12 - broken : 12u) << "but silence ends them all";
+    EXPECT_EQ(registry.end_silent_workers(2 * heartbeat_interval).size(), broken < 3 ? broken : 0u);
+    EXPECT_TRUE(registry.end_silent_workers(3 * heartbeat_interval - 1).empty());
+    EXPECT_EQ(registry.end_silent_workers(3 * heartbeat_interval + 1).size(), broken < 3 ? 12 - broken : 12u)
+        << "but silence ends them all";
   }
   // Old doubts of workers that others hear of are no sign of trouble here.
   registry.all.clear();
   for (int n = 0; n < 12; ++n) registry.take_entry(entry_of("v" + std::to_string(n), 1, WorkerState::serving, "n2"), 0);
   for (int n = 0; n < 12; ++n) registry.suspect("v" + std::to_string(n), 0);
-  registry.heartbeat(heartbeat_of("w", 1), 10 * gap);
-  registry.suspect("w", 10 * gap);
-  EXPECT_EQ(registry.silent(12 * gap).size(), 1u);
+  registry.heartbeat(heartbeat_of("w", 1), 10 * heartbeat_interval);
+  registry.suspect("w", 10 * heartbeat_interval);
+  EXPECT_EQ(registry.end_silent_workers(12 * heartbeat_interval).size(), 1u);
 }
 
-TEST_F(Workers, a_node_that_stood_still_blames_nobody) {
+TEST_F(RegistryTest, a_node_that_stood_still_blames_nobody) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   Micros const now = seconds(30);
-  registry.stood_still(now);
-  EXPECT_TRUE(registry.silent(now).empty());
-  EXPECT_TRUE(registry.silent(now + 2 * gap).empty());
-  EXPECT_EQ(registry.silent(now + 4 * gap).size(), 1u);
+  registry.reset_silence_timers(now);
+  EXPECT_TRUE(registry.end_silent_workers(now).empty());
+  EXPECT_TRUE(registry.end_silent_workers(now + 2 * heartbeat_interval).empty());
+  EXPECT_EQ(registry.end_silent_workers(now + 4 * heartbeat_interval).size(), 1u);
 }
 
-TEST_F(Workers, doubts_shun_longer_each_time_and_a_good_word_ends_them) {
+TEST_F(RegistryTest, doubts_shun_longer_each_time_and_a_good_word_ends_them) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   Instance& item = *registry.find("w");
   EXPECT_FALSE(registry.suspect("nobody", 0));
@@ -208,15 +209,15 @@
     now = item.ejected + 1;
   }
   EXPECT_EQ(last, seconds(5));
-  registry.well(item, now);
-  EXPECT_EQ(item.faults, 0);
+  registry.record_response(item, now);
+  EXPECT_EQ(item.consecutive_failures, 0);
   EXPECT_LT(item.suspected, 0);
   EXPECT_LE(item.ejected, now);
   EXPECT_TRUE(registry.suspect("w", now));
   EXPECT_LT(item.ejected - now, last) << "it counts from the beginning again";
 }
 
-TEST_F(Workers, a_heartbeat_after_one_doubt_answers_it) {
+TEST_F(RegistryTest, a_heartbeat_after_one_doubt_answers_it) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   registry.suspect("w", 10);
   registry.heartbeat(heartbeat_of("w", 2), 20);
@@ -224,21 +225,21 @@
   EXPECT_LE(registry.find("w")->ejected, 20);
 }
 
-TEST_F(Workers, a_peer_that_knows_less_is_told_so) {
+TEST_F(RegistryTest, a_peer_that_knows_less_is_told_so) {
   registry.heartbeat(heartbeat_of("w", 7), 0);
   registry.leave("w", 8, 10);
   std::optional<wire::EntryT> const said = registry.take_entry(entry_of("w", 7, WorkerState::serving, "n2"), 20);
   ASSERT_TRUE(said);
   EXPECT_EQ(said->state, static_cast<std::uint8_t>(WorkerState::ended));
-  EXPECT_EQ(standing_of(registry, "w"), WorkerState::ended);
+  EXPECT_EQ(state_of(registry, "w"), WorkerState::ended);
   // What it is told settles the matter there too.
   Registry peer("n2");
   peer.heartbeat(heartbeat_of("w", 7), 0);
   EXPECT_FALSE(peer.take_entry(*said, 30));
-  EXPECT_EQ(standing_of(peer, "w"), WorkerState::ended);
+  EXPECT_EQ(state_of(peer, "w"), WorkerState::ended);
 }
 
-TEST_F(Workers, odd_entries_are_passed_over) {
+TEST_F(RegistryTest, odd_entries_are_passed_over) {
   EXPECT_FALSE(registry.take_entry(entry_of("w!n2", 1, WorkerState::ended, "n2"), 0));
   wire::EntryT odd = entry_of("w", 1, WorkerState::serving, "n2");
   odd.state = 9;
@@ -246,13 +247,13 @@
   EXPECT_TRUE(registry.all.empty());
 }
 
-TEST_F(Workers, an_entry_of_a_former_life_of_this_node_gives_the_worker_a_span_to_call) {
+TEST_F(RegistryTest, an_entry_of_a_former_life_of_this_node_gives_the_worker_a_span_to_call) {
   registry.take_entry(entry_of("w", 3, WorkerState::serving, "n1"), seconds(50));
-  EXPECT_TRUE(registry.silent(seconds(50) + 2 * gap).empty());
-  EXPECT_EQ(registry.silent(seconds(50) + 4 * gap).size(), 1u);
+  EXPECT_TRUE(registry.end_silent_workers(seconds(50) + 2 * heartbeat_interval).empty());
+  EXPECT_EQ(registry.end_silent_workers(seconds(50) + 4 * heartbeat_interval).size(), 1u);
 }
 
-TEST_F(Workers, what_peers_tell_of_loads_is_taken_in) {
+TEST_F(RegistryTest, what_peers_tell_of_loads_is_taken_in) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   Instance& item = *registry.find("w");
   for (std::int64_t n = 1; n <= 2; ++n) {
@@ -264,7 +265,7 @@
       row->reading = static_cast<std::uint32_t>(millis(100) * n);
       loads.list.push_back(std::move(row));
     }
-    registry.peer_loads(loads, n * millis(40));
+    registry.take_peer_loads(loads, n * millis(40));
   }
   // Work adds up and passes with time; a load takes the place of the one before it.
   EXPECT_EQ(item.busy(millis(80)), millis(40) + millis(100) + millis(200) - millis(80));
@@ -276,24 +277,24 @@
   EXPECT_EQ(registry.find("unknown"), nullptr);
 }
 
-TEST_F(Workers, old_loads_count_no_more) {
+TEST_F(RegistryTest, old_loads_count_no_more) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   wire::LoadsT loads;
   loads.list.push_back(std::make_unique<wire::LoadT>());
   loads.list[0]->worker = "w";
   loads.list[0]->attempts = 5;
-  registry.peer_loads(loads, 0);
+  registry.take_peer_loads(loads, 0);
   EXPECT_EQ(registry.find("w")->load(millis(100)), 5);
   EXPECT_EQ(registry.find("w")->load(seconds(10)), 0);
 }
 
-TEST_F(Workers, a_peers_doubt_shuns_the_worker_here) {
+TEST_F(RegistryTest, a_peers_doubt_shuns_the_worker_here) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   wire::LoadsT loads;
   loads.list.push_back(std::make_unique<wire::LoadT>());
   loads.list[0]->worker = "w";
   loads.list[0]->suspected = true;
-  registry.peer_loads(loads, millis(10));
+  registry.take_peer_loads(loads, millis(10));
   EXPECT_GT(registry.find("w")->ejected, millis(10));
 }
 
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -239,7 +239,7 @@
   connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine +
                           "X-Pipit-Load: 9223372036854775807,9223372036854775807,8\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("yes"));
-  EXPECT_GT(registry.find("w")->said, 0);
+  EXPECT_GT(registry.find("w")->reported_load, 0);
   EXPECT_TRUE(quiet());
 }
 
--- a/tests/wide.cc
+++ b/tests/wide.cc
@@ -200,7 +200,7 @@
   field.run(millis(300));
   for (std::unique_ptr<Node> const& node : field.nodes)
     for (std::pair<std::string const, Instance> const& item : node->registry.all)
-      EXPECT_EQ(item.second.standing, WorkerState::draining) << item.first << " at " << node->plan.name;
+      EXPECT_EQ(item.second.state, WorkerState::draining) << item.first << " at " << node->plan.name;
 }
 
 // Full tables on every ping and everything told to everybody ended 72 small machines. What a calm second costs a node
@@ -363,7 +363,7 @@
   NodeEffects out;
   EXPECT_FALSE(field.nodes[5]->heartbeat(word_of("w", 6), field.now, out)) << "the worker is to call the next node";
   EXPECT_EQ(field.nodes[5]->registry.find("w")->owner, field.nodes[1]->plan.name);
-  EXPECT_EQ(field.nodes[5]->registry.find("w")->standing, WorkerState::serving) << "its own callers are served on";
+  EXPECT_EQ(field.nodes[5]->registry.find("w")->state, WorkerState::serving) << "its own callers are served on";
   NodeEffects other;
   EXPECT_TRUE(field.nodes[2]->heartbeat(word_of("w", 7), field.now, other));
 }
@@ -386,8 +386,8 @@
     }
     for (std::size_t n = 0; n < count; ++n) {
       if (n == 4) continue;
-      EXPECT_EQ(field.nodes[n]->registry.find("lost")->standing, WorkerState::ended) << n << " of " << count;
-      EXPECT_EQ(field.nodes[n]->registry.find("here")->standing, WorkerState::serving) << n << " of " << count;
+      EXPECT_EQ(field.nodes[n]->registry.find("lost")->state, WorkerState::ended) << n << " of " << count;
+      EXPECT_EQ(field.nodes[n]->registry.find("here")->state, WorkerState::serving) << n << " of " << count;
     }
   }
 }
--- a/tests/worker_ends.cc
+++ b/tests/worker_ends.cc
@@ -53,7 +53,7 @@
   // Whether it knows that this worker leaves or is gone.
   bool knows_end(std::string const& worker) const {
     Instance const* const at = node->registry.find(worker);
-    return at != nullptr && at->standing != WorkerState::serving;
+    return at != nullptr && at->state != WorkerState::serving;
   }
   bool connected() const { return node->mesh.open_connections() > 0 && !node->mesh.members.peers.empty(); }
 
