--- a/src/routing/fleet/fleet.cc
+++ b/src/routing/fleet/fleet.cc
@@ -101,7 +101,7 @@
     Worker& worker = workers[row.id];
     bool const first = worker.row.id.empty();
     if (first) worker.row = row;
-    if (row.incarnation < worker.row.incarnation) continue;  // the list is behind what the worker said itself
+    if (row.incarnation < worker.row.incarnation) continue;  // the list is older than the worker's own report
     if (first || row.incarnation > worker.row.incarnation) {
       worker.row = row;
       begin_incarnation(worker, row.incarnation);
@@ -117,7 +117,7 @@
       if (worker.state == WorkerState::serving) end_incarnation(worker, WorkerState::draining);
     } else if (worker.state == WorkerState::ended && worker.removed_from_list &&
                ++worker.listings_since_removal >= listings_to_restore) {
-      // It was absent from a reading and has been listed ever since: the absence was the list's fault.
+      // It was missing from one list and is in every list since: the list was wrong.
       begin_incarnation(worker, row.incarnation);
       worker.last_ended_incarnation = row.incarnation - 1;
     }
@@ -127,7 +127,7 @@
     if (seen.count(item.first)) continue;
     worker.listings_since_removal = 0;
     if (!guard(Guard::local_veto)) continue;
-    if (!worker.listed) continue;  // known by entries only: this node's list may be behind
+    if (!worker.listed) continue;  // known from entries only: this node's list may be older
     worker.listed = false;
     if (worker.state == WorkerState::ended) continue;
     worker.removed_from_list = worker.state == WorkerState::serving;
@@ -136,7 +136,7 @@
 }
 
 void Fleet::take_entry(wire::EntryT const& entry, Micros now) {
-  // "w2!p3" is what p3 says of w2 besides its owner: only an end counts (§4.3).
+  // "w2!p3" is a report on w2 by p3, which doesn't own w2: only an end counts (§4.3).
   std::string const id = worker_of(entry.key);
   if (id.empty() || (is_secondary_report(entry.key) && entry.state == static_cast<std::uint8_t>(WorkerState::serving)))
     return;
@@ -157,7 +157,7 @@
   }
   if (!guard(Guard::tombstone) && entry.incarnation == worker.row.incarnation && said == WorkerState::serving)
     worker.state = said;
-  // §4.3: an entry can end a incarnation; only this node's own list or a new incarnation can undo that.
+  // §4.3: an entry can end an incarnation; only this node's own list or a new incarnation can revert that.
   if (entry.incarnation == worker.row.incarnation && said != WorkerState::serving &&
       worker.state == WorkerState::serving) {
     worker.removed_from_list = said == WorkerState::ended;
@@ -203,9 +203,9 @@
   worker->reported = now;
   worker->confirmed = std::max(worker->confirmed, asked);
   worker->probe_sent = -1;
-  // Only what was asked after the doubt answers it.
+  // Only a health check sent after the suspicion clears it.
   if (asked >= worker->suspected_at) worker->suspected = false;
-  // A worker that says it woke later than it said before has lost what it kept, whatever its incarnation.
+  // An uptime below the one reported before means that the worker has lost its cache, whatever its incarnation.
   if (!worker->unhealthy && report->awake + seconds(1) < worker->reported_uptime) {
     worker->unhealthy = true;
     worker->was_healthy = false;
@@ -213,8 +213,8 @@
   }
   worker->reported_uptime = report->awake;
   if (worker->unhealthy) {
-    // §6.6: cold is what woke a short while ago, and what comes back from the dark. A worker that woke before this
-    // machine's clock began has been warm for all of it: below 0 would say that nothing is known.
+    // §6.6: a worker is cold shortly after it woke up or after an outage. For a worker that woke up before this
+    // machine's clock began the time is 0, as a negative one would mean that it is unknown.
     worker->warm_up_start = worker->was_healthy ? now : std::max<Micros>(0, now - report->awake);
     worker->unhealthy = false;
     if (worker->was_healthy) log_event(Event::worker_recovered, id);
@@ -318,7 +318,7 @@
   std::uint64_t const seed = hash_text(key);
   std::string const* first = nullptr;
   std::uint64_t most = 0;
-  // Of equal hashes the name that sorts first goes before, as in rendezvous_rank().
+  // For equal hashes the name that sorts first wins, as in rendezvous_rank().
   for (std::string const& name : names) {
     std::uint64_t const own = hash_text(name, seed);
     if (first != nullptr && own <= most) continue;
--- a/src/routing/index/index.cc
+++ b/src/routing/index/index.cc
@@ -20,7 +20,7 @@
     slot->worker = worker;
     slot->incarnation = incarnation;
   }
-  if (slot->incarnation > incarnation) return nullptr;  // said of an older incarnation
+  if (slot->incarnation > incarnation) return nullptr;  // about an older incarnation
   if (slot->incarnation < incarnation) {
     clear_cache(*slot);
     slot->incarnation = incarnation;
@@ -133,15 +133,15 @@
     nodes.push_back(add_prefix_node(hash, parent, weight));
     parent = hash;
   }
-  // The leaf counts as older than its root, so that a worker's prefixes are forgotten from their ends (§6.2).
+  // Leaves count as older than their parents, so that a worker's prefixes are evicted from the leaves up (§6.2).
   for (std::size_t i = nodes.size(); i-- > 0;) record(*nodes[i], *cache, now);
   evict(*cache, bounds, now);
   return out;
 }
 
 bool Index::apply(wire::DeltaT const& delta, Bounds const& bounds, Micros now) {
-  // First the cache: a new incarnation empties it, and what only the former one kept ends with that, the base perhaps
-  // too.
+  // The cache first: a new incarnation empties it, which removes prefix nodes that only the former one had, perhaps the
+  // base too.
   WorkerCache* const cache = cache_for(delta.worker, delta.incarnation);
   if (delta.base != 0 && prefix_nodes_.find(delta.base) == prefix_nodes_.end()) return false;
   if (cache == nullptr) return true;
@@ -220,8 +220,8 @@
 void Index::merge_prefix_node(wire::PrefixNodeT const& item, Bounds const& bounds, Micros now) {
   std::size_t const n = std::min({item.workers.size(), item.incarnations.size(), item.ages.size()});
   std::vector<WorkerCache*> on;
-  // All shelves before the first prefix node is held: one that a new incarnation empties may end the very prefix node,
-  // or its parent.
+  // All caches are looked up before a prefix node is referenced: emptying one for a new incarnation may remove that
+  // prefix node or its parent.
   for (std::size_t i = 0; i < n; ++i) on.push_back(cache_for(item.workers[i], item.incarnations[i]));
   if (item.hash == 0 || (item.parent != 0 && prefix_nodes_.find(item.parent) == prefix_nodes_.end())) return;
   PrefixNode* const made = add_prefix_node(item.hash, item.parent, item.weight);
--- a/src/routing/index/index.h
+++ b/src/routing/index/index.h
@@ -1,4 +1,4 @@
-// The prefix index of one model: which worker probably still entries which opening (§6.1, §6.2).
+// The prefix index of one model: which workers probably have which prompt prefixes cached (§6.1, §6.2).
 #pragma once
 #include <tsl/robin_map.h>
 
@@ -15,34 +15,42 @@
 
 namespace pipit {
 
+// Tree of prompt prefixes, with the workers that are assumed to have each prefix cached.
 class Index {
  public:
-  // 'blocks' bounds the sum of weights: blocks of one length weigh 1 each, a caller's own parts weigh their tokens.
+  // Bounds for one worker. 'blocks' limits the sum of weights: blocks of fixed length weigh 1 each, prefix parts that
+  // the client names weigh their tokens.
   struct Bounds {
     std::size_t blocks = 4096;
     Micros age = seconds(900);
   };
 
-  // How many blocks of the path each worker is believed to keep, from the root on.
+  // Number of leading blocks of the path that each worker is assumed to have cached.
   std::map<std::string, std::size_t> match(Path const& path) const;
 
-  // A prompt was sent to a worker. Says what peers must be told: the deepest block that was known before,
-  // and the hashes behind it.
+  // Records that a prompt was sent to a worker. Returns the delta for peers: the deepest block that was already known
+  // and the hashes below it. 'weights': one for each block; empty: 1 each.
   wire::DeltaT touch(Path const& path, std::string const& worker, std::uint64_t incarnation, Bounds const& bounds,
                      Micros now, std::vector<std::uint32_t> const& weights = {});
-  // A peer's choice. False when its base is not known here: then the tree must be pulled.
+  // Applies a peer's delta. False if its base is unknown here: then the tree must be pulled.
   bool apply(wire::DeltaT const& delta, Bounds const& bounds, Micros now);
+  // Removes all entries of a worker.
   void forget(std::string const& worker);
-  // Drops what is older than the bound for each worker.
+  // Evicts the entries of each worker that exceed the bounds.
   void age(Bounds const& bounds, Micros now);
 
-  // Repair: the whole tree, parents before children, in pages.
+  // For a pull of the tree by a peer: the hashes of all prefix nodes, parents before children.
   std::vector<std::uint64_t> traversal_order() const;
+  // Null if the hash is unknown.
   std::unique_ptr<wire::PrefixNodeT> prefix_node(std::uint64_t hash, Micros now) const;
+  // Adds a prefix node received from a peer; it is ignored if its parent is unknown.
   void merge_prefix_node(wire::PrefixNodeT const& prefix_node, Bounds const& bounds, Micros now);
 
+  // Number of prefix nodes.
   std::size_t size() const { return prefix_nodes_.size(); }
+  // Sum of the weights of the blocks that the worker is assumed to have cached.
   std::size_t cached_weight(std::string const& worker) const;
+  // Hash of all pairs of prefix and worker; equal for indexes with equal contents.
   std::uint64_t digest() const;
 
  private:
@@ -56,7 +64,7 @@
   struct CacheEntry : ByAge, ByPrefixNode {
     PrefixNode* prefix_node = nullptr;
     WorkerCache* cache = nullptr;
-    Micros last = 0;
+    Micros last = 0;  // last use
   };
   using AgeList = boost::intrusive::list<CacheEntry, boost::intrusive::base_hook<ByAge>>;
   using PrefixNodeList = boost::intrusive::list<CacheEntry, boost::intrusive::base_hook<ByPrefixNode>>;
@@ -67,7 +75,7 @@
     std::size_t children = 0;
     PrefixNodeList entries;
   };
-  // What one worker is believed to keep, oldest first.
+  // The prefixes that one worker is assumed to have cached, least recently used first.
   struct WorkerCache {
     std::string worker;
     std::uint64_t incarnation = 0;
--- a/src/routing/index/index_sync.cc
+++ b/src/routing/index/index_sync.cc
@@ -15,7 +15,7 @@
   if (delta.base == 0 && delta.tail.empty()) return;
   std::vector<wire::DeltaT>& list = backlog_[model];
   if (list.size() >= max_backlog_deltas) {
-    ++dropped;  // best effort: a peer that misses it pulls the tree when it meets a path it does not know
+    ++dropped;  // best effort: a peer that misses it pulls the tree when it receives a delta with an unknown base
     return;
   }
   list.push_back(std::move(delta));
@@ -48,7 +48,7 @@
     pull.ended_at = now;
     return;
   }
-  // Another peer than the one that stalled, where there is one.
+  // Prefers a peer other than the one that stalled.
   std::string pick = peers[random_.below(peers.size())];
   if (pick == pull.from && peers.size() > 1)
     for (std::string const& other : peers)
@@ -88,7 +88,7 @@
     for (std::unique_ptr<wire::DeltaT> const& delta : batch->list)
       if (!tree.apply(*delta, bound, now)) lost = true;
     Pull& pull = pulling_[batch->model];
-    // Unknown paths that come while a pull is under way are folded into it; pulls of a model keep a distance.
+    // An unknown base received during a pull starts no second one, and pulls of a model have a minimum interval.
     if (lost && !pull.active && now - pull.ended_at >= min_pull_interval) {
       pull.active = true;
       pull.attempts = 0;
@@ -109,7 +109,7 @@
       if (request->page == 0) snapshot.order = tree->second.traversal_order();
       snapshot.at = now;
       std::size_t at = 0;
-      // Pages hold a fixed count of prefix nodes, so that any page can be asked for on its own.
+      // Pages have a fixed number of prefix nodes, so that any page can be requested on its own.
       constexpr std::size_t prefix_nodes = page_bytes / 256;
       for (at = request->page * prefix_nodes; at < snapshot.order.size() && page.list.size() < prefix_nodes; ++at)
         if (std::unique_ptr<wire::PrefixNodeT> prefix_node = tree->second.prefix_node(snapshot.order[at], now))
--- a/src/routing/index/index_sync.h
+++ b/src/routing/index/index_sync.h
@@ -1,4 +1,4 @@
-// How indexes follow one another: batches of deltas each round, and pulls of a whole tree (§6.3).
+// Synchronisation of prefix indexes between nodes: batches of deltas each round, and pulls of a complete tree (§6.3).
 #pragma once
 #include <functional>
 #include <map>
@@ -11,6 +11,7 @@
 
 namespace pipit {
 
+// Owns the indexes of all models and keeps them in step with those of the peers, best effort.
 class IndexSync {
  public:
   explicit IndexSync(std::uint64_t seed) : random_(seed) {}
@@ -18,23 +19,29 @@
   using BoundsOf = std::function<Index::Bounds(std::string const& model)>;
   using PeersOf = std::function<std::vector<std::string>()>;
 
+  // The index of a model, created if there is none.
   Index& index(std::string const& model) { return trees_[model]; }
   std::map<std::string, Index> const& all() const { return trees_; }
+  // Queues a delta for the next round; it is dropped if the backlog is full.
   void queue(std::string const& model, wire::DeltaT delta);
-  // Once a round: one batch for each model to each peer that serves it.
+  // Called once a round: sends one batch for each model to each peer that serves it and ages the indexes. 'peers':
+  // names with the models that each serves; none listed: all models.
   void round(Micros now, std::vector<std::pair<std::string, std::vector<std::string>>> const& peers,
              BoundsOf const& bounds, std::vector<OutgoingMessage>& out);
+  // Restarts stalled pulls at another peer; gives up after a few attempts.
   void tick(Micros now, std::vector<std::string> const& peers, std::vector<OutgoingMessage>& out);
-  // 'peers' is asked only when a tree must be pulled; the bounds once for a batch.
+  // Handles deltas, tree requests and tree pages from a peer. 'peers' is called only if a tree must be pulled, 'bounds'
+  // once for each batch.
   void take(std::string const& from, wire::BodyUnion const& body, Micros now, BoundsOf const& bounds,
             PeersOf const& peers, std::vector<OutgoingMessage>& out);
   void take(std::string const& from, wire::BodyUnion const& body, Micros now, BoundsOf const& bounds,
             std::vector<std::string> const& peers, std::vector<OutgoingMessage>& out) {
     take(from, body, now, bounds, PeersOf([&peers] { return peers; }), out);
   }
+  // Removes a worker from all indexes.
   void forget(std::string const& worker);
 
-  std::uint64_t dropped = 0;  // deltas that found the backlog full
+  std::uint64_t dropped = 0;  // deltas dropped because the backlog was full
   std::uint64_t pulls = 0;
   std::uint64_t stalls = 0;
 
@@ -48,7 +55,7 @@
     bool active = false;
     Micros ended_at = -seconds(60);
   };
-  struct TreeSnapshot {  // the order of a tree that a peer is pulling
+  struct TreeSnapshot {  // traversal order of a tree that a peer is pulling
     std::vector<std::uint64_t> order;
     Micros at = 0;
   };
--- a/src/routing/registry/registry.cc
+++ b/src/routing/registry/registry.cc
@@ -11,7 +11,8 @@
 constexpr Micros first_ejection = millis(600);
 constexpr Micros longest_ejection = seconds(5);
 constexpr Micros ended_retention = seconds(60);
-constexpr std::size_t min_mass_suspicions = 3;  // suspected workers that are no accident, where few are known
+constexpr std::size_t min_mass_suspicions =
+    3;  // this many suspected at once have a common cause, even if few are known
 }  // namespace
 
 Instance* Registry::find(std::string const& id) {
@@ -52,7 +53,7 @@
 std::optional<wire::EntryT> Registry::heartbeat(Heartbeat const& heartbeat, Micros now) {
   Instance& item = all[heartbeat.id];
   bool const first = item.id.empty();
-  if (!first && heartbeat.order < item.order) return std::nullopt;  // a late call
+  if (!first && heartbeat.order < item.order) return std::nullopt;  // a delayed heartbeat
   bool update = first || item.owner != self_ || item.address != heartbeat.address || item.zone != heartbeat.zone ||
                 item.pool != heartbeat.pool || item.slots != heartbeat.slots;
   if (first) {
@@ -67,11 +68,11 @@
   item.order = heartbeat.order;
   item.owner = self_;
   item.last_heartbeat = now;
-  // What it says after the doubt answers the doubt; what has failed since is counted on.
+  // A heartbeat received after the suspicion clears it; an ejection after repeated failures stays.
   if (item.suspected >= 0 && item.consecutive_failures <= 1) item.ejected = -1;
   item.suspected = -1;
   WorkerState const reported = heartbeat.leaving ? WorkerState::draining : WorkerState::serving;
-  // §4.3: an end that this incarnation announced is final; only silence is taken back.
+  // §4.3: an end announced by this incarnation is final; only an end by timeout is revoked.
   bool const end_is_final =
       item.state == WorkerState::draining && reported == WorkerState::serving && guard(Guard::tombstone);
   if (item.state != reported && !end_is_final) {
@@ -118,8 +119,8 @@
     log_event(Event::worker_joined, entry.key + " at " + entry.address);
   } else if ((entry.incarnation < item.order || item.state == WorkerState::draining) &&
              item.state != WorkerState::serving && reported == WorkerState::serving && guard(Guard::local_veto)) {
-    // It knows less than this node: said again, with a later stamp, so that the others hear it too (§12.3). An end that
-    // the worker announced is not taken back, whoever took its last heartbeat.
+    // The peer's information is older: this node's entry is written again with a later stamp, so that all peers receive
+    // it (§12.3). An end that the worker announced is not revoked, whichever node took its last heartbeat.
     item.order = std::max(item.order, entry.incarnation);
     return entry_of(item);
   }
@@ -136,7 +137,7 @@
   return std::nullopt;
 }
 
-// Connections to many workers that break together speak of this node's network, not of each worker.
+// Connections to many workers that break together point to this node's network rather than to each worker.
 bool Registry::many_suspected(Micros now) const {
   std::size_t const suspected = static_cast<std::size_t>(
       std::count_if(all.begin(), all.end(), [&](std::pair<std::string const, Instance> const& item) {
@@ -183,7 +184,8 @@
 bool Registry::suspect(std::string const& id, Micros now) {
   Instance* const item = find(id);
   if (item == nullptr) return false;
-  if (item->suspected >= 0 && item->ejected > now) return false;  // shunned for being full is no doubt
+  if (item->suspected >= 0 && item->ejected > now)
+    return false;  // an ejection without suspicion (an overloaded worker) doesn't count
   ++item->consecutive_failures;
   item->suspected = now;
   item->ejected =
--- a/src/routing/registry/registry.h
+++ b/src/routing/registry/registry.h
@@ -1,4 +1,4 @@
-// Workers that say themselves that they are there: every node's table of them (design §12.3).
+// Table of the workers that register themselves by heartbeats; every node has one (design §12.3).
 #pragma once
 #include <map>
 #include <optional>
@@ -11,21 +11,22 @@
 
 namespace pipit {
 
-// What a worker says of itself. Each start of a worker has an id of its own.
+// Registration data that a worker sends. Each start of a worker has a new id.
 struct Heartbeat {
   std::string id;
   std::string address;
   std::string zone;
   std::string pool;
   std::int64_t slots = 0;
-  std::uint64_t order = 0;  // rises with each call of this worker, so that a late one is known
+  std::uint64_t order = 0;  // sequence number; rises with each call of this worker, so that delayed calls are ignored
   bool leaving = false;
 };
 
-// What a farewell adds to a worker's call number: nothing that it said before or says after counts any more, wherever
-// the entry comes, and silence is told from a farewell by it.
+// Added to a worker's sequence number when the worker deregisters: no heartbeat that it sent before or sends afterwards
+// is accepted, at any node that the entry reaches. The number also tells a deregistration from a timeout.
 constexpr std::uint64_t deregistration_step = 1000000;
 
+// One start of a worker, as this node knows it. Times are monotonic.
 struct Instance {
   std::string id;
   std::string address;
@@ -34,65 +35,79 @@
   std::int64_t slots = 1;
   WorkerState state = WorkerState::serving;
   std::uint64_t order = 0;
-  std::string owner;             // the node that took its last word that said something new
-  Micros last_heartbeat = -1;    // when this node took a heartbeat; -1 for never
-  Micros state_since = 0;        // since when it stands here, or is gone
-  Micros suspected = -1;         // since when a broken or silent connection speaks against it
-  Micros ejected = -1;           // until when it gets nothing while others are there
-  int consecutive_failures = 0;  // in a row
-  Micros last_byte = -1;         // when anything last came from it
-  Micros last_sent = -1;         // when this node last sent it a request; -1: never
+  std::string owner;           // node that took the last heartbeat with new data
+  Micros last_heartbeat = -1;  // when this node last took a heartbeat; -1: never
+  Micros state_since = 0;      // when the worker was added to this table, or when it ended
+  Micros suspected = -1;       // since when a broken or silent connection makes it suspect; -1: not suspected
+  Micros ejected = -1;         // until when it gets no requests while other workers are available
+  int consecutive_failures = 0;
+  Micros last_byte = -1;  // when this node last received data from it; -1: never
+  Micros last_sent = -1;  // when this node last sent it a request; -1: never
 
-  // This node's attempts there, and what they are held to cost the worker.
+  // This node's running attempts at the worker and their estimated cost.
   std::int64_t running = 0;
-  std::int64_t reserved_tokens = 0;  // tokens that its running requests take
-  // Prompts are read one after the other: until when those that all nodes are known to have sent keep it busy (§12.5).
+  std::int64_t reserved_tokens = 0;  // tokens of the running requests
+  // A worker reads prompts one after the other: when it will have read all prompts that, as far as this node knows, any
+  // node has sent it (§12.5).
   Micros busy_until = 0;
-  double pace = 1.0;  // how much longer first events have taken there of late than predicted
-  // What its answers told, here or at a peer: requests that run and wait, and when.
+  double pace = 1.0;  // recent ratio of the measured to the predicted time of the first event
+  // Running and queued requests as last reported in a response, here or at a peer, and the time of the report.
   std::int64_t reported_load = 0;
   Micros reported_load_at = -1;
 
+  // Estimated requests at the worker: the report if it is recent and above this node's own count.
   std::int64_t load(Micros now) const {
     return reported_load_at >= 0 && now - reported_load_at < millis(1500) && reported_load > running ? reported_load
                                                                                                      : running;
   }
+  // Time left until the worker has read all known prompts.
   Micros busy(Micros now) const { return busy_until > now ? busy_until - now : 0; }
+  // Adds the reading time of one prompt.
   void work(Micros span, Micros now) { busy_until = (busy_until > now ? busy_until : now) + span; }
+  // Whether new requests may be sent to the worker.
   bool accepts_requests() const { return state == WorkerState::serving; }
-  // Whether it announced its end itself, here or at a peer: it may still serve what it has.
+  // Whether the worker deregistered itself, here or at a peer; it may still finish its running requests.
   bool has_deregistered() const { return order >= deregistration_step; }
 };
 
+// Tracks registered workers and judges those whose heartbeats this node takes. Methods that return an entry leave it to
+// the caller to write it to the entry table.
 class Registry {
  public:
   explicit Registry(std::string self) : self_(std::move(self)) {}
+  // Silence timeouts are multiples of this interval.
   void set_heartbeat_interval(Micros heartbeat_interval) { heartbeat_interval_ = heartbeat_interval; }
 
-  // A worker called here. The entry to be written, when its word says something new.
+  // Takes a heartbeat sent to this node. Returns the entry to write if the worker's data or state changed.
   std::optional<wire::EntryT> heartbeat(Heartbeat const& heartbeat, Micros now);
-  // A word that a worker is to say elsewhere too: a known one is there, and nothing else changes. False for others.
+  // Takes a heartbeat while this node is cut off from its peers, whose node that owns the worker goes on receiving its
+  // heartbeats: only records that the worker is alive. False if the worker is unknown or owned by this node.
   bool record_sign_of_life(Heartbeat const& heartbeat, Micros now);
+  // Deregisters a worker for good. Returns the entry to write; none if the worker is unknown.
   std::optional<wire::EntryT> leave(std::string const& id, std::uint64_t order, Micros now);
-  // A known worker whose owner is gone is this node's from now on: it has a span to say something. The entry to write.
+  // Takes over a known worker whose owner is gone; its silence timeout starts anew. Returns the entry to write.
   wire::EntryT adopt(std::string const& id, Micros now);
-  // An entry that the entry table took from a peer. What this node must say against it, when it knows better.
+  // Applies an entry received from a peer. Returns the entry to write against it if this node has newer information.
   std::optional<wire::EntryT> take_entry(wire::EntryT const& entry, Micros now);
-  // Workers of this node whose heartbeats have stopped; entries to be written of them.
+  // Ends workers of this node whose heartbeats have timed out and returns the entries to write. Removes workers that
+  // ended long ago.
   std::vector<wire::EntryT> end_silent_workers(Micros now);
-  // This node stood still: that it heard nothing says nothing.
+  // Restarts all silence timeouts after this node was paused, since it could not receive heartbeats meanwhile.
   void reset_silence_timers(Micros now);
 
-  // A connection to the worker broke or stays silent, here or at a peer. True when that is news.
+  // Suspects and ejects a worker whose connection broke or is silent, here or at a peer. False if the worker is unknown
+  // or already ejected under suspicion.
   bool suspect(std::string const& id, Micros now);
+  // Records that the worker responded: clears suspicion, ejection and the count of failures.
   void record_response(Instance& instance, Micros now);
 
-  // What peers tell of workers: what they gave them to read, what these said of their load, and doubts.
+  // Applies a peer's report: prompts it sent to workers, loads reported to it, and its suspicions.
   void take_peer_loads(wire::LoadsT const& loads, Micros now);
 
+  // Null if the worker is unknown.
   Instance* find(std::string const& id);
   std::map<std::string, Instance> all;
-  std::vector<std::string> ended_workers;  // ids whose kept parts and connections are no more; the core empties it
+  std::vector<std::string> ended_workers;  // ids whose index entries must be removed; cleared by the node
 
  private:
   wire::EntryT entry_of(Instance const& instance) const;
--- a/src/routing/tenants/quota_budget.h
+++ b/src/routing/tenants/quota_budget.h
@@ -1,4 +1,4 @@
-// What a tenant's limit allows, as a rate and a depth that are split among the nodes that hand it out
+// A tenant's limit as the rate and depth of a token bucket, which is split among the nodes that own the quota
 // (docs/tenants.md).
 #pragma once
 #include <algorithm>
@@ -9,19 +9,20 @@
 
 namespace pipit {
 
-// How strictly limits are judged: in each window a tenant may have (rate x window + burst) x (1 + overshoot) + slack.
+// Tolerance for limits: in any window a tenant may be granted (rate x window + burst) x (1 + overshoot) + slack.
 struct QuotaTerms {
   Micros window = seconds(8);
   double overshoot = 0;
-  double slack = 0;  // in what the limit counts
+  double slack = 0;  // in the limit's unit, requests or tokens
 };
 
+// Token bucket parameters of a tenant's limit, in the limit's unit.
 struct QuotaBudget {
-  double rate = 0;   // a second
-  double depth = 0;  // that may gather while nothing is asked for
+  double rate = 0;   // per second
+  double depth = 0;  // most that accumulates while nothing is requested
 
-  // Over all owners of the limit. In any window they give rate x window + depth at most, which is what the terms allow
-  // less a twentieth of what they allow beyond the rate.
+  // The budget of all owners together. In any window they grant at most rate x window + depth, which is what the terms
+  // allow less a twentieth of what they allow beyond the rate.
   static QuotaBudget of(Tenant const& tenant, QuotaTerms const& terms) {
     double const window = static_cast<double>(terms.window) / 1e6;
     double const rate = static_cast<double>(tenant.rate);
@@ -34,7 +35,8 @@
   static constexpr double usable_fraction = 0.95;
 };
 
-// What a request counts for in a tenant's limit.
+// Cost of a request in the unit of the tenant's limit. 'names_tokens': whether the request states its number of tokens;
+// otherwise the tenant's default applies.
 inline std::int64_t quota_count(Tenant const& tenant, bool names_tokens, std::int64_t tokens) {
   if (tenant.unit == CountingUnit::requests) return 1;
   return names_tokens ? std::max<std::int64_t>(0, tokens) : tenant.plain_tokens;
--- a/src/routing/tenants/quota_client.cc
+++ b/src/routing/tenants/quota_client.cc
@@ -8,8 +8,7 @@
 
 namespace {
 constexpr Micros reply_timeout = millis(120);
-constexpr Micros longest_backoff =
-    millis(400);  // an owner that had too little is asked again after so long at the most
+constexpr Micros longest_backoff = millis(400);  // longest time for which an owner that refused is skipped
 constexpr Micros shortest_backoff = millis(20);
 constexpr std::size_t max_exhausted_owners = 20000;
 constexpr std::size_t max_peers_attempted = 3;
@@ -35,8 +34,8 @@
   send_next(++next_, std::move(pending), peers, now, out);
 }
 
-// Owners in an order of this node's and the tenant's own, so that neither all nodes nor all tenants crowd on one. One
-// that lately had too little is passed over.
+// The order of the owners depends on this node and the tenant, so that neither all nodes nor all tenants ask the same
+// owner first. An owner that recently had too little is skipped.
 std::optional<std::string> QuotaClient::next_owner(PendingRequest& pending, QuotaPeers const& peers, Micros now) const {
   std::string best;
   std::uint64_t best_rank = 0;
@@ -58,7 +57,7 @@
   return best.empty() ? std::nullopt : std::optional<std::string>(best);
 }
 
-// Where no owner is reached a peer may reach one: a few are tried, by turns.
+// If this node reaches no owner, a peer may: tries a few of them in rotation.
 std::optional<std::string> QuotaClient::next_peer(PendingRequest const& pending, QuotaPeers const& peers) const {
   if (!peers.owners.empty() || peers.others.empty() || pending.attempted.size() >= max_peers_attempted)
     return std::nullopt;
@@ -97,7 +96,7 @@
                        std::vector<OutgoingMessage>& out) {
   std::map<std::uint64_t, PendingRequest>::iterator const position = pending_.find(reply.request_id);
   if (position == pending_.end() || position->second.target != from) {
-    // Too late: the request went on or is gone.
+    // A late reply: the request was sent to another owner or was cancelled.
     if (!reply.granted) return;
     ++tally.given_back;
     out.push_back(message_to(from, make_request(0, reply.tenant, reply.count, QuotaPurpose::give_back)));
@@ -129,7 +128,7 @@
     ++tally.timeouts;
     PendingRequest pending = std::move(pending_.at(request_id));
     pending_.erase(request_id);
-    // Under another number: an answer to the former question goes back.
+    // A new request id, so that a late grant for the former one is returned.
     send_next(++next_, std::move(pending), peers, now, out);
   }
 }
--- a/src/routing/tenants/quota_client.h
+++ b/src/routing/tenants/quota_client.h
@@ -1,6 +1,6 @@
-// Asks for parts of tenants' limits on behalf of this node's requests. Each request asks for itself, after it came: so
-// whatever runs in a window was also granted in it. Owners are asked one after the other until one gives the whole;
-// what is more than one of them may ever have is asked for in pieces.
+// Requests quota from the owners of tenants' limits on behalf of this node's client requests. Quota is requested for
+// each client request after it arrived, so whatever runs in a window was also granted in it. Owners are asked one after
+// the other until one grants the full amount; an amount above what one of them can ever have is requested in chunks.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -15,49 +15,55 @@
 
 namespace pipit {
 
+// Purpose of a QuotaRequest message: request quota, count usage after the fact, or return unused quota.
 enum class QuotaPurpose : std::uint8_t { ask, debit, give_back };
 
-// Who can be asked at the moment.
+// Nodes that can be asked for quota at the moment.
 struct QuotaPeers {
-  std::vector<std::string> owners;  // that are reached, this node among them where it is one
-  std::vector<std::string> others;  // peers that may reach an owner, where none is reached here
-  std::size_t owner_count = 0;      // of all, reached or not
+  std::vector<std::string> owners;  // owners in reach, including this node if it is one
+  std::vector<std::string> others;  // peers that may reach an owner, if this node reaches none
+  std::size_t owner_count = 0;      // number of owners, in reach or not
 };
 
+// Quota needed by one client request.
 struct QuotaRequest {
   std::uint64_t request = 0;
   std::string tenant;
   std::int64_t count = 0;
-  Micros due = 0;  // when it is no use any more
+  Micros due = 0;  // deadline after which the quota is useless
 };
 
-// How a request's asking ended.
+// Outcome of a QuotaRequest.
 struct QuotaResult {
   enum class Type : std::uint8_t { granted, refused, unreachable };
   std::uint64_t request = 0;
   Type type = Type::unreachable;
-  Micros wait = 0;  // of a refusal
+  Micros wait = 0;  // if refused: time until an owner may have the quota
 };
 
+// Sends quota requests and collects their results. Messages to send are appended to 'out'.
 class QuotaClient {
  public:
-  // 'first_request' numbers the questions of this incarnation of the node.
+  // 'first_request': request ids of this incarnation of the node follow this number.
   QuotaClient(std::string self, std::uint64_t first_request) : self_(std::move(self)), next_(first_request) {}
 
-  // 'piece_most': more is not asked of one owner at once.
+  // Starts to request quota. 'max_chunk': the most to request from one owner at once.
   void begin(QuotaRequest const& wanted, std::int64_t max_chunk, QuotaPeers const& peers, Micros now,
              std::vector<OutgoingMessage>& out);
+  // Handles a reply. Returns a grant that came after its request had moved on.
   void take(std::string const& from, wire::QuotaReplyT const& reply, QuotaPeers const& peers, Micros now,
             std::vector<OutgoingMessage>& out);
-  // Questions that were not answered in time go to the next owner.
+  // Sends requests that were not answered in time to the next owner.
   void tick(QuotaPeers const& peers, Micros now, std::vector<OutgoingMessage>& out);
-  // The request is gone: what was granted for it goes back.
+  // Abandons a client request and returns what was granted for it.
   void cancel(std::uint64_t request, std::vector<OutgoingMessage>& out);
-  // What is sent once more is counted where it can be, and nobody waits for that.
+  // Counts a retried attempt against the tenant's limit at one of the owners in reach, without waiting for a reply.
   void debit(std::string const& tenant, std::int64_t count, QuotaPeers const& peers, std::vector<OutgoingMessage>& out);
-  std::vector<QuotaResult> results;  // for the caller to take
+  std::vector<QuotaResult> results;  // consumed and cleared by the caller
+  // Number of pending requests.
   std::size_t waiting() const { return pending_.size(); }
 
+  // Counters since the start of the process.
   struct Tally {
     std::uint64_t asked = 0, messages = 0, timeouts = 0, given_back = 0;
   };
@@ -73,12 +79,12 @@
     std::int64_t max_chunk = 0;
     std::vector<Grant> grants;
     std::int64_t missing = 0;
-    std::map<std::string, int> attempted;  // owners or peers since one last gave something
-    std::string target;                    // who is asked now
-    std::int64_t chunk = 0;                // for how much
+    std::map<std::string, int> attempted;  // owners or peers asked since the last grant
+    std::string target;                    // owner or peer that was asked last
+    std::int64_t chunk = 0;                // amount requested from the target
     bool through_peer = false;
     Micros due = 0;
-    Micros wait = -1;  // the shortest that an owner told
+    Micros wait = -1;  // the shortest wait in a refusal; -1: no refusal
   };
   struct ExhaustedOwner {  // an owner that had less than 'count'
     Micros until = 0;
--- a/src/routing/tenants/quota_owner.cc
+++ b/src/routing/tenants/quota_owner.cc
@@ -9,7 +9,7 @@
 
 namespace {
 constexpr double micros_per_second = 1e6;
-constexpr std::size_t max_buckets = 100000;  // whose buckets are kept at once
+constexpr std::size_t max_buckets = 100000;  // idle buckets are removed above this number
 constexpr Micros longest_wait = seconds(3600);
 }  // namespace
 
@@ -19,12 +19,12 @@
   double const depth = budget.depth * share;
   std::map<std::string, Bucket>::iterator position = buckets_.find(tenant.name);
   if (position != buckets_.end() && position->second.started_at < active_since) {
-    // The part was lost in between: others may have handed it out.
+    // This node had no share for a time, during which other nodes may have granted it.
     buckets_.erase(position);
     position = buckets_.end();
   }
   if (position == buckets_.end()) {
-    // Nobody asked before: the bucket has filled since this node has its part.
+    // First request for the tenant: the bucket has been filling since this node got its share.
     Bucket fresh;
     fresh.started_at = active_since;
     fresh.updated_at = active_since;
--- a/src/routing/tenants/quota_shares.cc
+++ b/src/routing/tenants/quota_shares.cc
@@ -17,7 +17,7 @@
   Micros const until = guard(Guard::quota_handover) ? now + superseded_lifetime_ : now;
   for (TimedShare& item : shares_)
     if (item.until < 0) item.until = until;
-  // What was in force before this process began is not known: it may have had no part.
+  // The set in force before this process started is unknown; this node may have had no share in it.
   if (!known_ && members.fingerprint() != stored_fingerprint_) shares_.push_back(TimedShare{0, until});
   known_ = true;
   fingerprint_ = members.fingerprint();
--- a/tests/index.cc
+++ b/tests/index.cc
@@ -1,4 +1,4 @@
-// The prefix index: what is believed kept, what is forgotten, and how indexes follow one another; warm workers.
+// The prefix index: matching, eviction and synchronisation between nodes; also the warm-up of workers.
 #include <gtest/gtest.h>
 
 #include "base/events.h"
@@ -18,7 +18,7 @@
 Index::Bounds const wide_bounds{1000, seconds(100)};
 }  // namespace
 
-TEST(Answers, an_id_is_whole_or_another_s) {
+TEST(ChatRequestReader, response_id_must_contain_the_complete_request_id) {
   EXPECT_TRUE(answers_to("chatcmpl-p1-5-1", "p1-5-1"));
   EXPECT_TRUE(answers_to("p1-5-1", "p1-5-1"));
   EXPECT_TRUE(answers_to("p1-5-12/p1-5-1", "p1-5-1"));
@@ -27,7 +27,7 @@
   EXPECT_FALSE(answers_to("", "p1-5-1"));
 }
 
-TEST(Index, paths_share_what_prompts_share) {
+TEST(Index, paths_of_prompts_with_a_common_prefix_share_its_blocks) {
   std::string const open(1000, 'a');
   Path const a = path_of(open + std::string(500, 'b'));
   Path const b = path_of(open + std::string(500, 'c'));
@@ -38,7 +38,7 @@
   EXPECT_TRUE(path_of("short").empty());
 }
 
-TEST(Index, forgets_from_the_ends_by_size_and_age_and_whole_on_a_new_life) {
+TEST(Index, entries_are_evicted_by_size_and_age_and_cleared_by_a_new_incarnation) {
   Index index;
   Path const path = chained_path(1, 10);
   index.touch(path, "w", 1, {6, seconds(10)}, seconds(1));
@@ -49,13 +49,14 @@
   EXPECT_EQ(index.size(), 0u);
   index.touch(path, "w", 1, wide_bounds, seconds(20));
   index.touch(chained_path(2, 3), "w", 2, wide_bounds, seconds(21));
-  EXPECT_EQ(index.match(path).count("w"), 0u) << "what a former life kept is gone";
+  EXPECT_EQ(index.match(path).count("w"), 0u) << "entries of the former incarnation are removed";
   index.touch(path, "w", 1, wide_bounds, seconds(22));
-  EXPECT_EQ(index.match(path).count("w"), 0u) << "news of a former life is none";
+  EXPECT_EQ(index.match(path).count("w"), 0u) << "an update about a former incarnation is ignored";
 }
 
-TEST(Index, a_page_that_tells_of_a_new_life_ends_what_it_stands_on) {
-  // The prefix node that the page names was kept by the former incarnation alone: it goes with it.
+TEST(Index, page_with_a_new_incarnation_may_remove_its_own_prefix_node) {
+  // Only the former incarnation had the prefix node of the page, so the node is removed with that incarnation's
+  // entries.
   Index index;
   Path const path = chained_path(1, 2);
   index.touch(path, "w", 1, wide_bounds, seconds(1));
@@ -68,7 +69,7 @@
   index.merge_prefix_node(item, wide_bounds, seconds(2));
   EXPECT_EQ(index.cached_weight("w"), 0u);
   EXPECT_EQ(index.size(), 0u);
-  // A delta on a base that ends in the same way asks for the tree.
+  // A delta whose base is removed in the same way makes the tree be pulled.
   index.touch(path, "w", 2, wide_bounds, seconds(3));
   wire::DeltaT delta;
   delta.worker = "w";
@@ -79,19 +80,19 @@
   EXPECT_EQ(index.size(), 0u);
 }
 
-TEST(Fleet, a_worker_older_than_this_machine_s_clock_is_warm) {
+TEST(Fleet, worker_that_woke_before_the_local_clock_began_is_warm) {
   mute_log(true);
   Fleet fleet;
   fleet.take_list({ListRow{"w", "10.0.0.1:1", "z", "main", 1, 60, false}}, seconds(100));
   HealthReport report;
   report.incarnation = 1;
   report.awake = seconds(3600);
-  EXPECT_GT(fleet.cold_for(*fleet.find("w"), seconds(5), seconds(101)), 0) << "nothing is known of it yet";
+  EXPECT_GT(fleet.cold_for(*fleet.find("w"), seconds(5), seconds(101)), 0) << "no health report yet";
   fleet.health_report("w", 1, seconds(100), report, false, seconds(101));
   EXPECT_EQ(fleet.cold_for(*fleet.find("w"), seconds(5), seconds(101)), 0);
 }
 
-TEST(IndexSync, peers_agree_and_a_lost_batch_starts_one_pull_in_pages) {
+TEST(IndexSync, lost_batch_starts_one_paged_pull_after_which_the_indexes_agree) {
   IndexSync a(1);
   IndexSync b(2);
   IndexSync::BoundsOf const bounds = [](std::string const&) { return Index::Bounds{2000000, seconds(1000)}; };
@@ -101,15 +102,15 @@
     a.queue("m", a.index("m").touch(chained_path(i, 2), "w" + std::to_string(i % 5), 1, bounds("m"), seconds(1)));
   a.round(seconds(1), to_b, bounds, out);
   EXPECT_GT(a.dropped, 0u) << "the backlog is bounded";
-  out.clear();  // and this batch is lost
+  out.clear();  // this batch is lost
   a.queue("m", a.index("m").touch(chained_path(7, 3), "w1", 1, bounds("m"), seconds(2)));
   a.round(seconds(2), {{"b", {"other"}}}, bounds, out);
-  EXPECT_TRUE(out.empty()) << "a peer that does not serve the model is told nothing";
+  EXPECT_TRUE(out.empty()) << "a peer that doesn't serve the model gets no batch";
   a.queue("m", a.index("m").touch(chained_path(7, 3), "w2", 1, bounds("m"), seconds(3)));
   a.round(seconds(3), to_b, bounds, out);
   ASSERT_EQ(out.size(), 1u);
   int pages = 0;
-  // Carries messages to and fro until both are still; the first page is lost, and asked for again after the stall.
+  // Delivers messages until neither side sends any; the first page is lost and requested again after the stall timeout.
   std::vector<OutgoingMessage> to_a;
   b.take("a", out[0].body, seconds(3), bounds, {"a"}, to_a);
   ASSERT_EQ(to_a.size(), 1u);
--- a/tests/keys.cc
+++ b/tests/keys.cc
@@ -1,5 +1,5 @@
-// Keys on the path of a request: what callers without one are told, what workers see, and what happens to a request
-// that waits while its key is taken away (docs/tenants.md).
+// API keys of client requests: responses to clients without a valid key, what workers receive, and requests whose key
+// is revoked while they wait (docs/tenants.md).
 #include <gtest/gtest.h>
 
 #include "base/invariants.h"
@@ -11,9 +11,9 @@
 std::string const mine = "X-Pipit-Attempt: r1\r\n";
 std::string const whole_answer = "HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 2\r\n\r\nok";
 
-class Keyed : public Passing {
+class ApiKeys : public Passing {
  protected:
-  Keyed() : lease(seconds(5)) {
+  ApiKeys() : lease(seconds(5)) {
     dispatcher.lease_on(lease);
     lease.confirm(g_get_monotonic_time());
     configure("[{\"name\":\"weavers\",\"keys\":[\"key-1\",\"key-2\"]}]");
@@ -31,7 +31,7 @@
     dispatcher.tick(g_get_monotonic_time(), out);
     obey(out);
   }
-  // The configuration was last confirmed so long ago; it still lets requests run.
+  // Replaces the lease by one that was confirmed 'age' ago and is still valid.
   void age_lease(Micros age) {
     older = std::make_unique<ConfigurationLease>(seconds(5), seconds(2));
     older->confirm(g_get_monotonic_time() - age);
@@ -43,7 +43,7 @@
 std::string const good = "Authorization: Bearer key-1\r\n";
 }  // namespace
 
-TEST_F(Keyed, a_worker_sees_the_tenant_and_never_the_key) {
+TEST_F(ApiKeys, worker_receives_the_tenant_but_not_the_key) {
   worker("w1");
   ask("POST", "/once/x",
       "authorization: bearer key-2\r\nX-Pipit-Tenant: somebody\r\nx-pipit-tenant: else\r\n"
@@ -58,7 +58,7 @@
   EXPECT_TRUE(hears("ok"));
 }
 
-TEST_F(Keyed, callers_without_a_known_key_get_401_and_no_worker_hears_of_it) {
+TEST_F(ApiKeys, unknown_key_gets_401_and_reaches_no_worker) {
   worker("w1");
   for (std::string const& fields :
        {std::string(), std::string("Authorization: Bearer key-3\r\n"), std::string("Authorization: Token key-1\r\n"),
@@ -75,7 +75,7 @@
   EXPECT_TRUE(quiet());
 }
 
-TEST_F(Keyed, a_public_route_needs_no_key_and_names_no_tenant_that_a_caller_made_up) {
+TEST_F(ApiKeys, public_route_needs_no_key_and_drops_the_clients_tenant_header) {
   worker("w1");
   ask("POST", "/open/x", "X-Pipit-Tenant: weavers\r\nAuthorization: Bearer key-3\r\n");
   ASSERT_EQ(reached(), "w1");
@@ -86,7 +86,7 @@
   EXPECT_TRUE(hears("ok"));
 }
 
-TEST_F(Keyed, without_tenants_the_field_passes_as_any_other) {
+TEST_F(ApiKeys, authorization_header_is_forwarded_if_no_tenants_are_configured) {
   Result<std::shared_ptr<Description const>> const rules =
       read_description("{\"format\":1,\"lanes\":[],\"pools\":[{\"name\":\"p\",\"model\":\"m\"}],\"routes\":[" +
                        route_text("once", "") + "]}");
@@ -99,7 +99,7 @@
   EXPECT_TRUE(hears("ok"));
 }
 
-TEST_F(Keyed, without_the_lease_nobody_is_let_in_and_nobody_is_said_to_be_unknown) {
+TEST_F(ApiKeys, without_a_valid_lease_every_key_and_path_gets_503) {
   ConfigurationLease ended(millis(1));
   dispatcher.lease_on(ended);
   worker("w1");
@@ -111,13 +111,13 @@
   }
   caller.reset();
   ask("POST", "/nowhere/x", good);
-  EXPECT_TRUE(hears("HTTP/1.1 503")) << "a path that the newest configuration may know";
+  EXPECT_TRUE(hears("HTTP/1.1 503")) << "the newest configuration may have this path";
   EXPECT_EQ(workers.at("w1")->got(), "");
 }
 
-// A node that hears little may hold a configuration that others replaced some seconds ago: what it does not know of is
-// not refused for good.
-TEST_F(Keyed, what_is_unknown_is_refused_for_good_only_by_a_configuration_that_was_just_confirmed) {
+// A node with a bad connection may have a configuration that was replaced some seconds ago: it must not refuse unknown
+// keys and paths permanently.
+TEST_F(ApiKeys, unknown_keys_and_paths_are_refused_permanently_only_after_a_recent_confirmation) {
   worker("w1");
   age_lease(seconds(3));
   for (std::string const& path : {std::string("/nowhere/x"), std::string("/once/x")}) {
@@ -127,7 +127,7 @@
   }
   caller.reset();
   ask("POST", "/once/x", good);
-  EXPECT_EQ(reached(), "w1") << "a key that is known still lets a request run";
+  EXPECT_EQ(reached(), "w1") << "a known key is still accepted";
   connection_of("w1").send(whole_answer);
   EXPECT_TRUE(hears("ok"));
   age_lease(seconds(1));
@@ -136,7 +136,7 @@
   EXPECT_TRUE(hears("HTTP/1.1 404"));
 }
 
-TEST_F(Keyed, a_request_that_waits_for_a_worker_is_not_sent_once_its_key_is_gone) {
+TEST_F(ApiKeys, waiting_request_is_not_sent_after_its_key_was_revoked) {
   ask("POST", "/once/x", good);
   EXPECT_TRUE(until([&] { return dispatcher.under_way() == 1; }));
   configure("[{\"name\":\"weavers\",\"keys\":[\"key-2\"]}]");
@@ -146,7 +146,7 @@
   EXPECT_EQ(workers.at("w1")->got(), "");
 }
 
-TEST_F(Keyed, a_request_is_not_sent_to_another_worker_once_its_key_is_gone) {
+TEST_F(ApiKeys, request_is_not_retried_after_its_key_was_revoked) {
   worker("w1");
   worker("w2");
   ask("POST", "/safe/x", good);
@@ -158,7 +158,7 @@
   EXPECT_EQ(caller->got.find("200"), std::string::npos);
 }
 
-TEST_F(Keyed, a_key_that_passed_on_to_another_tenant_names_that_one) {
+TEST_F(ApiKeys, key_moved_to_another_tenant_names_the_new_tenant) {
   ask("POST", "/once/x", good);
   EXPECT_TRUE(until([&] { return dispatcher.under_way() == 1; }));
   configure("[{\"name\":\"potters\",\"keys\":[\"key-1\"]}]");
@@ -170,7 +170,7 @@
   EXPECT_TRUE(hears("ok"));
 }
 
-TEST_F(Keyed, beyond_the_limit_is_refused_at_once_with_when_to_come_back) {
+TEST_F(ApiKeys, request_over_the_limit_gets_429_with_retry_after) {
   worker("w1");
   configure("[{\"name\":\"weavers\",\"keys\":[\"key-1\"],\"counts\":\"tokens\",\"plain_tokens\":70,\"rate\":10}]");
   quota_answer = QuotaResult::Type::refused;
@@ -182,12 +182,12 @@
   EXPECT_EQ(quota_needs[0].count, 1234);
   quota_answer = QuotaResult::Type::unreachable;
   ask("POST", "/once/x", good);
-  EXPECT_TRUE(hears("HTTP/1.1 503")) << "nobody knows whether it is beyond the limit";
+  EXPECT_TRUE(hears("HTTP/1.1 503")) << "whether the request is over the limit is unknown";
   EXPECT_EQ(quota_needs[1].count, 70);
   EXPECT_EQ(workers.at("w1")->got(), "");
 }
 
-TEST_F(Keyed, what_is_sent_again_is_counted_again) {
+TEST_F(ApiKeys, retry_is_counted_against_the_limit_again) {
   worker("w1");
   worker("w2");
   configure("[{\"name\":\"weavers\",\"keys\":[\"key-1\"],\"rate\":10}]");
--- a/tests/registry.cc
+++ b/tests/registry.cc
@@ -1,4 +1,4 @@
-// RegistryTest that register themselves: heartbeats, silence, farewells, doubts, and what peers say of them (§12.3).
+// Registry of workers: heartbeats, silence timeouts, deregistration, suspicion and reports of peers (§12.3).
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -47,7 +47,7 @@
 };
 }  // namespace
 
-TEST_F(RegistryTest, a_heartbeat_is_written_down_only_when_it_says_something_new) {
+TEST_F(RegistryTest, heartbeat_returns_an_entry_only_for_new_data) {
   std::optional<wire::EntryT> const first = registry.heartbeat(heartbeat_of("w", 1), 0);
   ASSERT_TRUE(first);
   EXPECT_EQ(first->key, "w");
@@ -65,7 +65,7 @@
   EXPECT_TRUE(registry.heartbeat(wider, 3 * heartbeat_interval));
 }
 
-TEST_F(RegistryTest, a_late_heartbeat_changes_nothing) {
+TEST_F(RegistryTest, delayed_heartbeat_is_ignored) {
   registry.heartbeat(heartbeat_of("w", 5), 0);
   Heartbeat late = heartbeat_of("w", 4, true);
   late.address = "127.0.0.1:1";
@@ -76,7 +76,7 @@
   EXPECT_EQ(registry.find("w")->last_heartbeat, 0);
 }
 
-TEST_F(RegistryTest, leaving_is_not_taken_back) {
+TEST_F(RegistryTest, draining_is_not_revoked_by_a_heartbeat) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   EXPECT_TRUE(registry.heartbeat(heartbeat_of("w", 2, true), 10));
   EXPECT_EQ(state_of(registry, "w"), WorkerState::draining);
@@ -85,16 +85,16 @@
   EXPECT_EQ(state_of(registry, "w"), WorkerState::draining);
 }
 
-TEST_F(RegistryTest, leaving_is_not_taken_back_by_a_peer_that_missed_it) {
+TEST_F(RegistryTest, draining_is_not_revoked_by_a_peer_that_missed_it) {
   registry.heartbeat(heartbeat_of("w", 2, true), 0);
-  // The peer took a later heartbeat and had not heard that the worker is leaving.
+  // The peer took a later heartbeat and didn't know that the worker is leaving.
   std::optional<wire::EntryT> const said = registry.take_entry(entry_of("w", 3, WorkerState::serving, "n2"), 10);
   EXPECT_EQ(state_of(registry, "w"), WorkerState::draining);
   ASSERT_TRUE(said);
   EXPECT_EQ(said->state, static_cast<std::uint8_t>(WorkerState::draining));
 }
 
-TEST_F(RegistryTest, after_its_farewell_nothing_that_it_said_counts) {
+TEST_F(RegistryTest, heartbeats_are_ignored_after_deregistration) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   std::optional<wire::EntryT> const bye = registry.leave("w", 2, 10);
   ASSERT_TRUE(bye);
@@ -103,7 +103,7 @@
   EXPECT_FALSE(registry.heartbeat(heartbeat_of("w", 3), 20));
   EXPECT_EQ(state_of(registry, "w"), WorkerState::ended);
   EXPECT_FALSE(registry.leave("nobody", 1, 20));
-  // Nor at a peer that has the farewell, whichever came first there.
+  // The same at a peer that has received the entry, in either order.
   Registry peer("n2");
   peer.heartbeat(heartbeat_of("w", 1), 0);
   EXPECT_FALSE(peer.take_entry(*bye, 30));
@@ -111,8 +111,8 @@
   EXPECT_EQ(state_of(peer, "w"), WorkerState::ended);
 }
 
-TEST_F(RegistryTest, a_farewell_is_remembered_for_a_while_wherever_it_was_heard) {
-  // Known here for long, but its heartbeats went to another node.
+TEST_F(RegistryTest, deregistration_is_retained_for_a_while_on_every_node) {
+  // Known here for a long time, but its heartbeats went to another node.
   registry.take_entry(entry_of("w", 5, WorkerState::serving, "n2"), 0);
   Micros const now = seconds(600);
   registry.take_entry(entry_of("w", 1000009, WorkerState::ended, "n2"), now);
@@ -123,20 +123,20 @@
   EXPECT_EQ(registry.find("w"), nullptr);
 }
 
-TEST_F(RegistryTest, silence_ends_a_worker_and_its_next_heartbeat_brings_it_back) {
+TEST_F(RegistryTest, silent_worker_ends_and_its_next_heartbeat_restores_it) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   EXPECT_TRUE(registry.end_silent_workers(2 * heartbeat_interval).empty());
   std::vector<wire::EntryT> const gone = registry.end_silent_workers(3 * heartbeat_interval + 1);
   ASSERT_EQ(gone.size(), 1u);
   EXPECT_EQ(gone[0].key, "w");
   EXPECT_EQ(gone[0].state, static_cast<std::uint8_t>(WorkerState::ended));
-  EXPECT_TRUE(registry.end_silent_workers(4 * heartbeat_interval).empty()) << "it is said once";
+  EXPECT_TRUE(registry.end_silent_workers(4 * heartbeat_interval).empty()) << "the end is reported once";
   EXPECT_TRUE(registry.heartbeat(heartbeat_of("w", 2), 5 * heartbeat_interval));
   EXPECT_EQ(state_of(registry, "w"), WorkerState::serving);
 }
 
-// Heartbeats may come seconds late: what its answers bring speaks for a worker as well.
-TEST_F(RegistryTest, a_worker_whose_answers_come_is_not_silent) {
+// Heartbeats may be seconds late: data received in responses is a sign of life as well.
+TEST_F(RegistryTest, response_counts_as_sign_of_life) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   registry.heartbeat(heartbeat_of("v", 1), 0);
   registry.record_response(*registry.find("w"), 2 * heartbeat_interval);
@@ -144,17 +144,18 @@
   ASSERT_EQ(gone.size(), 1u);
   EXPECT_EQ(gone[0].key, "v");
   EXPECT_EQ(state_of(registry, "w"), WorkerState::serving);
-  EXPECT_EQ(registry.end_silent_workers(6 * heartbeat_interval).size(), 1u) << "but they end, too";
+  EXPECT_EQ(registry.end_silent_workers(6 * heartbeat_interval).size(), 1u)
+      << "without further responses it ends as well";
 }
 
-TEST_F(RegistryTest, only_the_node_that_took_the_last_word_judges_silence) {
+TEST_F(RegistryTest, only_the_owner_ends_a_silent_worker) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   registry.take_entry(entry_of("w", 2, WorkerState::serving, "n2"), 10);
   EXPECT_TRUE(registry.end_silent_workers(seconds(20)).empty());
   EXPECT_EQ(state_of(registry, "w"), WorkerState::serving);
 }
 
-TEST_F(RegistryTest, a_doubted_worker_falls_silent_sooner) {
+TEST_F(RegistryTest, suspected_worker_has_a_shorter_silence_timeout) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   registry.heartbeat(heartbeat_of("v", 1), 0);
   EXPECT_TRUE(registry.suspect("w", millis(100)));
@@ -164,8 +165,8 @@
   EXPECT_EQ(state_of(registry, "v"), WorkerState::serving);
 }
 
-// Where connections to many workers break at once, this node or its network is in trouble, not each of them.
-TEST_F(RegistryTest, doubts_of_many_workers_at_once_make_none_fall_silent_sooner) {
+// If connections to many workers break at once, the fault is with this node or its network, not with each worker.
+TEST_F(RegistryTest, mass_suspicion_does_not_shorten_silence_timeouts) {
   for (std::size_t const broken : {std::size_t(2), std::size_t(5)}) {
     registry.all.clear();
     for (int n = 0; n < 12; ++n) registry.heartbeat(heartbeat_of("w" + std::to_string(n), 1), 0);
@@ -173,9 +174,9 @@
     EXPECT_EQ(registry.end_silent_workers(2 * heartbeat_interval).size(), broken < 3 ? broken : 0u);
     EXPECT_TRUE(registry.end_silent_workers(3 * heartbeat_interval - 1).empty());
     EXPECT_EQ(registry.end_silent_workers(3 * heartbeat_interval + 1).size(), broken < 3 ? 12 - broken : 12u)
-        << "but silence ends them all";
+        << "silence ends all of them";
   }
-  // Old doubts of workers that others hear of are no sign of trouble here.
+  // Old suspicions of workers that other nodes own don't count as trouble of this node.
   registry.all.clear();
   for (int n = 0; n < 12; ++n) registry.take_entry(entry_of("v" + std::to_string(n), 1, WorkerState::serving, "n2"), 0);
   for (int n = 0; n < 12; ++n) registry.suspect("v" + std::to_string(n), 0);
@@ -184,7 +185,7 @@
   EXPECT_EQ(registry.end_silent_workers(12 * heartbeat_interval).size(), 1u);
 }
 
-TEST_F(RegistryTest, a_node_that_stood_still_blames_nobody) {
+TEST_F(RegistryTest, silence_timeouts_restart_after_a_pause_of_the_node) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   Micros const now = seconds(30);
   registry.reset_silence_timers(now);
@@ -193,7 +194,7 @@
   EXPECT_EQ(registry.end_silent_workers(now + 4 * heartbeat_interval).size(), 1u);
 }
 
-TEST_F(RegistryTest, doubts_shun_longer_each_time_and_a_good_word_ends_them) {
+TEST_F(RegistryTest, ejection_grows_with_each_suspicion_and_a_response_clears_it) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   Instance& item = *registry.find("w");
   EXPECT_FALSE(registry.suspect("nobody", 0));
@@ -201,7 +202,7 @@
   Micros last = 0;
   for (int i = 0; i < 8; ++i) {
     EXPECT_TRUE(registry.suspect("w", now)) << i;
-    EXPECT_FALSE(registry.suspect("w", now + 1)) << "no news while it is shunned";
+    EXPECT_FALSE(registry.suspect("w", now + 1)) << "not reported while the worker is ejected";
     Micros const span = item.ejected - now;
     EXPECT_GE(span, last);
     EXPECT_LE(span, seconds(5));
@@ -214,10 +215,10 @@
   EXPECT_LT(item.suspected, 0);
   EXPECT_LE(item.ejected, now);
   EXPECT_TRUE(registry.suspect("w", now));
-  EXPECT_LT(item.ejected - now, last) << "it counts from the beginning again";
+  EXPECT_LT(item.ejected - now, last) << "the ejection time starts from its minimum again";
 }
 
-TEST_F(RegistryTest, a_heartbeat_after_one_doubt_answers_it) {
+TEST_F(RegistryTest, heartbeat_clears_a_single_suspicion) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   registry.suspect("w", 10);
   registry.heartbeat(heartbeat_of("w", 2), 20);
@@ -225,21 +226,21 @@
   EXPECT_LE(registry.find("w")->ejected, 20);
 }
 
-TEST_F(RegistryTest, a_peer_that_knows_less_is_told_so) {
+TEST_F(RegistryTest, outdated_entry_of_a_peer_is_answered_with_the_newer_one) {
   registry.heartbeat(heartbeat_of("w", 7), 0);
   registry.leave("w", 8, 10);
   std::optional<wire::EntryT> const said = registry.take_entry(entry_of("w", 7, WorkerState::serving, "n2"), 20);
   ASSERT_TRUE(said);
   EXPECT_EQ(said->state, static_cast<std::uint8_t>(WorkerState::ended));
   EXPECT_EQ(state_of(registry, "w"), WorkerState::ended);
-  // What it is told settles the matter there too.
+  // The answer ends the worker at the peer too.
   Registry peer("n2");
   peer.heartbeat(heartbeat_of("w", 7), 0);
   EXPECT_FALSE(peer.take_entry(*said, 30));
   EXPECT_EQ(state_of(peer, "w"), WorkerState::ended);
 }
 
-TEST_F(RegistryTest, odd_entries_are_passed_over) {
+TEST_F(RegistryTest, invalid_entries_are_ignored) {
   EXPECT_FALSE(registry.take_entry(entry_of("w!n2", 1, WorkerState::ended, "n2"), 0));
   wire::EntryT odd = entry_of("w", 1, WorkerState::serving, "n2");
   odd.state = 9;
@@ -247,13 +248,13 @@
   EXPECT_TRUE(registry.all.empty());
 }
 
-TEST_F(RegistryTest, an_entry_of_a_former_life_of_this_node_gives_the_worker_a_span_to_call) {
+TEST_F(RegistryTest, own_entry_from_before_a_restart_starts_a_new_silence_timeout) {
   registry.take_entry(entry_of("w", 3, WorkerState::serving, "n1"), seconds(50));
   EXPECT_TRUE(registry.end_silent_workers(seconds(50) + 2 * heartbeat_interval).empty());
   EXPECT_EQ(registry.end_silent_workers(seconds(50) + 4 * heartbeat_interval).size(), 1u);
 }
 
-TEST_F(RegistryTest, what_peers_tell_of_loads_is_taken_in) {
+TEST_F(RegistryTest, loads_reported_by_peers_are_applied) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   Instance& item = *registry.find("w");
   for (std::int64_t n = 1; n <= 2; ++n) {
@@ -267,17 +268,17 @@
     }
     registry.take_peer_loads(loads, n * millis(40));
   }
-  // Work adds up and passes with time; a load takes the place of the one before it.
+  // Reading times add up and elapse; a load report replaces the one before it.
   EXPECT_EQ(item.busy(millis(80)), millis(40) + millis(100) + millis(200) - millis(80));
   EXPECT_EQ(item.busy(millis(300)), millis(40));
   EXPECT_EQ(item.busy(seconds(1)), 0);
   EXPECT_EQ(item.load(millis(100)), 4);
   item.running = 6;
-  EXPECT_EQ(item.load(millis(100)), 6) << "what this node runs there is known for sure";
+  EXPECT_EQ(item.load(millis(100)), 6) << "this node's own count is exact";
   EXPECT_EQ(registry.find("unknown"), nullptr);
 }
 
-TEST_F(RegistryTest, old_loads_count_no_more) {
+TEST_F(RegistryTest, old_load_reports_expire) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   wire::LoadsT loads;
   loads.list.push_back(std::make_unique<wire::LoadT>());
@@ -288,7 +289,7 @@
   EXPECT_EQ(registry.find("w")->load(seconds(10)), 0);
 }
 
-TEST_F(RegistryTest, a_peers_doubt_shuns_the_worker_here) {
+TEST_F(RegistryTest, suspicion_reported_by_a_peer_ejects_the_worker) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   wire::LoadsT loads;
   loads.list.push_back(std::make_unique<wire::LoadT>());
--- a/tests/tenants.cc
+++ b/tests/tenants.cc
@@ -1,4 +1,4 @@
-// Keys and limits of tenants: how a configuration names them, the lease that keys need, and how limits are handed out
+// API keys and limits of tenants: their configuration, the configuration lease that keys need, and how quota is granted
 // (docs/tenants.md).
 #include <gtest/gtest.h>
 
@@ -64,7 +64,7 @@
 }
 }  // namespace
 
-TEST(Tenants, are_read_from_a_configuration) {
+TEST(Tenants, configuration_is_parsed) {
   Result<std::shared_ptr<Description const>> const read = with_tenants(
       "[{\"name\":\"kaje80\",\"api_keys\":[\"one\",\"two\"],\"priority\":1,\"counting_unit\":\"by_tokens\","
       "\"uncached_tokens\":200,\"requests_per_s\":926801,\"burst_size\":5},{\"name\":\"free\",\"api_keys\":[\"three\"]}"
@@ -85,10 +85,10 @@
   EXPECT_EQ(made.tenant_of(key_digest_of("four")), nullptr);
   EXPECT_TRUE(made.route("h", "/open/x")->is_public);
   EXPECT_FALSE(made.route("H", "/x")->is_public);
-  EXPECT_TRUE(with_tenants("[]").value()->keys_required) << "a list without tenants lets nobody in";
+  EXPECT_TRUE(with_tenants("[]").value()->keys_required) << "a list without tenants accepts no key";
 }
 
-TEST(Tenants, are_read_in_the_products_own_language) {
+TEST(Tenants, description_format_is_parsed) {
   std::string const head = "{\"format\":1,\"pools\":[],\"lanes\":[],\"tenants\":";
   Result<std::shared_ptr<Description const>> const read = read_description(
       head +
@@ -111,10 +111,10 @@
   EXPECT_FALSE(read_description(
       "{\"format\":1,\"pools\":[{\"name\":\"p\",\"model\":\"m\"}],\"lanes\":[{\"name\":\"l\",\"binding\":"
       "\"match always; pool p\"}],\"tenants\":[]}"))
-      << "lanes would let everybody in";
+      << "lanes would accept requests without a key";
 }
 
-TEST(Tenants, bad_ones_are_refused_and_no_fault_names_a_key) {
+TEST(Tenants, invalid_tenants_are_rejected_and_errors_contain_no_key) {
   for (char const* const bad : {
            "7",
            "{}",
@@ -138,11 +138,11 @@
     EXPECT_EQ(answer_for(read.error()).status, 400u);
     EXPECT_EQ((read.error().what + read.error().where).find("secretkey"), std::string::npos) << read.error().what;
   }
-  // The same key twice in one tenant's own list harms nobody; a field that is not known is left alone.
+  // A duplicate key within one tenant is accepted; an unknown field is ignored.
   EXPECT_TRUE(with_tenants("[{\"name\":\"t\",\"api_keys\":[\"k\",\"k\"],\"colour\":\"red\"}]"));
 }
 
-TEST(Tenants, ten_thousand_keys_and_a_key_of_eight_kilobytes_are_read) {
+TEST(Tenants, ten_thousand_keys_and_a_key_of_eight_kilobytes_are_parsed) {
   std::string keys = "\"" + std::string(8192, 'k') + "\"";
   for (int n = 0; n < 10000; ++n) keys += ",\"key-" + std::to_string(n) + "\"";
   Result<std::shared_ptr<Description const>> const read =
@@ -152,7 +152,7 @@
   EXPECT_NE(read.value()->tenant_of(key_digest_of("key-9999")), nullptr);
 }
 
-TEST(Tenants, ranks_go_before_those_of_routes) {
+TEST(Tenants, tenant_priority_takes_precedence_over_route_priority) {
   std::shared_ptr<Description const> const made =
       with_tenants(
           "[{\"name\":\"a\",\"api_keys\":[\"1\"],\"priority\":1},{\"name\":\"b\",\"api_keys\":[\"2\"],"
@@ -164,28 +164,28 @@
                                 made->rank_of(first, made->tenant("b")), made->rank_of(second, made->tenant("b"))};
   EXPECT_TRUE(std::is_sorted(std::begin(ranks), std::end(ranks)));
   EXPECT_EQ(std::set<std::int64_t>(std::begin(ranks), std::end(ranks)).size(), 4u);
-  EXPECT_EQ(made->rank_of(second, nullptr), 1) << "without a tenant the route's own";
+  EXPECT_EQ(made->rank_of(second, nullptr), 1) << "without a tenant the route's priority applies";
 }
 
-TEST(ConfigurationLease, runs_from_the_moment_of_the_question) {
+TEST(ConfigurationLease, duration_counts_from_the_confirmed_moment) {
   ConfigurationLease lease(seconds(4));
-  EXPECT_FALSE(lease.valid(seconds(1))) << "none before the first confirmation";
+  EXPECT_FALSE(lease.valid(seconds(1))) << "not valid before the first confirmation";
   lease.confirm(seconds(10));
   EXPECT_TRUE(lease.valid(seconds(14)));
   EXPECT_FALSE(lease.valid(seconds(14) + 1));
   lease.confirm(seconds(9));
-  EXPECT_TRUE(lease.valid(seconds(14))) << "an older confirmation takes nothing away";
-  EXPECT_TRUE(ConfigurationLease().valid(seconds(99))) << "where none is needed it always holds";
+  EXPECT_TRUE(lease.valid(seconds(14))) << "an older confirmation doesn't shorten the lease";
+  EXPECT_TRUE(ConfigurationLease().valid(seconds(99))) << "a lease that isn't required is always valid";
 }
 
-TEST(QuotaOwner, grants_no_more_than_the_terms_allow_in_any_window) {
+TEST(QuotaOwner, grants_stay_within_the_terms_in_any_window) {
   QuotaTerms const terms = strict_terms();
   for (Tenant const& tenant : {tenant_of(36000, 36000), tenant_of(926801, 926801), tenant_of(1000, 0)}) {
     QuotaOwner owner(terms);
     double const allowed =
         (static_cast<double>(tenant.rate) * 8 + static_cast<double>(tenant.burst)) * 1.1 + terms.slack;
     std::vector<std::pair<Micros, std::int64_t>> grants;
-    // Quiet for long, then far beyond the limit.
+    // No requests for a minute, then far more than the limit.
     for (Micros now = seconds(60); now < seconds(90); now += millis(3)) {
       std::int64_t const count = 50 + (now / 1000) % 12000;
       if (owner.ask(tenant, count, 1, 0, now).granted) grants.emplace_back(now, count);
@@ -198,11 +198,11 @@
     }
     double all = 0;
     for (std::pair<Micros, std::int64_t> const& grant : grants) all += static_cast<double>(grant.second);
-    EXPECT_GT(all, static_cast<double>(tenant.rate) * 29) << "and what is due is granted";
+    EXPECT_GT(all, static_cast<double>(tenant.rate) * 29) << "the owner grants what the rate allows";
   }
 }
 
-TEST(QuotaOwner, refuses_nothing_below_the_limit_and_says_when_to_come_back) {
+TEST(QuotaOwner, requests_below_the_limit_are_granted_and_refusals_state_the_wait) {
   QuotaOwner owner(strict_terms());
   Tenant const tenant = tenant_of(36000, 36000);
   for (Micros now = seconds(10); now < seconds(40); now += millis(400))
@@ -214,16 +214,16 @@
   EXPECT_TRUE(owner.ask(tenant, 13000, 1, 0, seconds(40) + refused.wait + 1).granted);
 }
 
-TEST(QuotaOwner, that_begins_has_granted_nothing_and_has_nothing_to_grant) {
+TEST(QuotaOwner, buckets_start_empty) {
   QuotaOwner owner(strict_terms());
   Tenant const tenant = tenant_of(100000, 100000);
   EXPECT_FALSE(owner.ask(tenant, 1000, 1, seconds(50), seconds(50)).granted);
   EXPECT_TRUE(owner.ask(tenant, 1000, 1, seconds(50), seconds(51)).granted);
-  // Its part was lost and came back: what had gathered is gone.
+  // The node lost its share and got it back: the bucket is empty again.
   EXPECT_FALSE(owner.ask(tenant, 1000, 1, seconds(60), seconds(60)).granted);
 }
 
-TEST(QuotaOwner, counts_what_is_sent_again_and_takes_back_what_was_not_used) {
+TEST(QuotaOwner, retries_are_debited_and_unused_grants_returned) {
   QuotaOwner owner(strict_terms());
   Tenant const tenant = tenant_of(10000, 0);
   Micros const now = seconds(100);
@@ -235,10 +235,10 @@
   owner.debit(tenant, depth, 1, 0, now);
   EXPECT_FALSE(owner.ask(tenant, 100, 1, 0, now).granted);
   owner.give_back(tenant, depth * 10, 1, 0, now);
-  EXPECT_FALSE(owner.ask(tenant, depth + 1, 1, 0, now).granted) << "no more comes back than was granted";
+  EXPECT_FALSE(owner.ask(tenant, depth + 1, 1, 0, now).granted) << "no more is returned than was granted";
 }
 
-TEST(QuotaShares, sum_up_to_one_at_most_while_sets_follow_one_another) {
+TEST(QuotaShares, sum_never_exceeds_one_during_replica_set_changes) {
   Micros const fence = seconds(5);
   std::vector<std::string> const names = {"a", "b", "c", "d", "e"};
   struct Step {
@@ -256,7 +256,7 @@
     double sum = 0;
     for (std::size_t n = 0; n < names.size(); ++n) {
       QuotaShares& node = nodes.at(names[n]);
-      // Each hears of a set at another time, "c" as late as its lease lets it go by the old one.
+      // Each node learns of a set at a different time, "c" as late as its lease lets it act on the old one.
       Micros const late = names[n] == "c" ? fence : static_cast<Micros>(n) * millis(150);
       for (Step const& step : steps)
         if (now >= step.chosen + late && now < step.chosen + late + millis(50)) node.note(step.set, now);
@@ -271,9 +271,9 @@
   EXPECT_EQ(nodes.at("e").share(seconds(60)), 0);
 }
 
-// A full stop of all replicas costs no wait: who goes by the set that it went by before knows that nobody goes by an
-// older one.
-TEST(QuotaShares, are_back_at_once_after_a_restart_with_the_same_set) {
+// After a stop of all replicas there is no wait: a node whose set is the one it had settled on before knows that no
+// node acts on an older one.
+TEST(QuotaShares, share_is_restored_immediately_after_a_restart_with_the_same_set) {
   QuotaShares former("a", seconds(5));
   Membership const set = set_of(4, {"a", "b"});
   former.note(set, seconds(1));
@@ -285,32 +285,32 @@
   EXPECT_EQ(again.share(seconds(10)), 0.5);
   QuotaShares other("a", seconds(5), settled);
   other.note(set_of(5, {"a", "b"}), seconds(10));
-  EXPECT_EQ(other.share(seconds(10)), 0) << "another set, though the same names";
+  EXPECT_EQ(other.share(seconds(10)), 0) << "another set with the same names";
 }
 
-TEST(QuotaShares, without_their_fence_would_be_handed_out_twice) {
+TEST(QuotaShares, without_the_handover_guard_shares_are_granted_twice) {
   guard_off() = Guard::quota_handover;
   QuotaShares old_one("a", seconds(5));
   QuotaShares fresh("b", seconds(5));
   old_one.note(set_of(1, {"a"}), 0);
   fresh.note(set_of(2, {"b"}), seconds(10));
-  // "a" is cut off and has not heard of the second set.
+  // "a" is cut off and hasn't learned of the second set.
   EXPECT_GT(old_one.share(seconds(10) + 1) + fresh.share(seconds(10) + 1), 1);
   guard_off() = Guard::none;
 }
 
 namespace {
-// A client of three owners, whose messages the test carries.
-class Asking : public testing::Test {
+// A quota client with three owners; the test answers its messages.
+class QuotaClientTest : public testing::Test {
  protected:
-  Asking() : client("n1", 100) {
+  QuotaClientTest() : client("n1", 100) {
     peers.owners = {"a", "b", "c"};
     peers.owner_count = 3;
   }
   void begin(std::int64_t count, std::int64_t piece) {
     client.begin(QuotaRequest{7, "t", count, now + millis(400)}, piece, peers, now, sent);
   }
-  // Answers the one question that is under way.
+  // Answers the pending request.
   void answer(bool granted, Micros wait = 0) {
     ASSERT_FALSE(sent.empty());
     wire::QuotaRequestT const ask = *sent.back().body.AsQuotaRequest();
@@ -338,7 +338,7 @@
 };
 }  // namespace
 
-TEST_F(Asking, one_owner_grants) {
+TEST_F(QuotaClientTest, one_owner_grants_the_request) {
   begin(100, 1000);
   answer(true);
   ASSERT_EQ(client.results.size(), 1u);
@@ -347,23 +347,23 @@
   EXPECT_EQ(client.waiting(), 0u);
 }
 
-TEST_F(Asking, all_owners_are_asked_before_it_is_refused) {
+TEST_F(QuotaClientTest, request_is_refused_only_after_all_owners_refused) {
   begin(100, 1000);
   for (int n = 0; n < 3; ++n) answer(false, millis(300 + n));
   ASSERT_EQ(client.results.size(), 1u);
   EXPECT_EQ(client.results[0].type, QuotaResult::Type::refused);
   EXPECT_EQ(client.results[0].wait, millis(300));
   EXPECT_EQ(std::set<std::string>(asked.begin(), asked.end()).size(), 3u);
-  // The next one is refused at once, with no message, until an owner may have as much again.
+  // The next request is refused immediately, without a message, until an owner may have that much again.
   std::size_t const messages = sent.size();
   begin(100, 1000);
   EXPECT_EQ(sent.size(), messages);
   EXPECT_EQ(client.results.back().type, QuotaResult::Type::refused);
   begin(50, 1000);
-  EXPECT_EQ(sent.size(), messages + 1) << "a smaller one may still fit";
+  EXPECT_EQ(sent.size(), messages + 1) << "an owner may still have a smaller amount";
 }
 
-TEST_F(Asking, what_is_more_than_one_owner_may_have_is_asked_for_in_pieces) {
+TEST_F(QuotaClientTest, large_amounts_are_requested_in_chunks) {
   begin(250, 100);
   for (int n = 0; n < 3; ++n) answer(true);
   ASSERT_EQ(client.results.size(), 1u);
@@ -371,7 +371,7 @@
   EXPECT_EQ(given_back(), 0u);
 }
 
-TEST_F(Asking, pieces_go_back_where_the_whole_was_not_granted) {
+TEST_F(QuotaClientTest, chunks_are_returned_if_the_rest_is_refused) {
   begin(250, 100);
   answer(true);
   for (int n = 0; n < 3 && client.results.empty(); ++n) answer(false, millis(500));
@@ -380,7 +380,7 @@
   EXPECT_EQ(given_back(), 1u);
 }
 
-TEST_F(Asking, an_owner_that_is_silent_is_passed_over_and_its_late_grant_goes_back) {
+TEST_F(QuotaClientTest, silent_owner_is_skipped_and_its_late_grant_returned) {
   begin(100, 1000);
   OutgoingMessage const first = sent.back();
   now += millis(150);
@@ -397,7 +397,7 @@
   EXPECT_TRUE(client.results.empty());
 }
 
-TEST_F(Asking, with_no_owner_in_reach_a_peer_is_asked_and_without_one_nobody_says_refused) {
+TEST_F(QuotaClientTest, peer_is_asked_if_no_owner_is_reachable_and_without_peers_the_result_is_unreachable) {
   peers.owners.clear();
   peers.others = {"x"};
   begin(100, 1000);
