--- a/src/node/listed.cc
+++ b/src/node/listed.cc
@@ -27,7 +27,7 @@
   index_sync.tick(now, index_peers(), outgoing);
   if (now >= next_reconcile_) {
     next_reconcile_ = now + seconds(30);
-    fleet.reconcile(mesh.entry_table.all(), now);
+    fleet.reconcile(mesh.entry_table.entries(), now);
   }
   if (list_flying_ && now - list_flew_ > seconds(3)) list_flying_ = false;
   if (now >= next_list_ && !list_flying_) {
@@ -47,7 +47,7 @@
   if (learner.value)
     for (std::unique_ptr<wire::RouterRegistrationT> const& registration : learner.value->registrations)
       names.insert(registration->name);
-  chat_dispatcher.nodes(std::move(names), router_registrations_.is_newcomer(now));
+  chat_dispatcher.set_routers(std::move(names), router_registrations_.is_newcomer(now));
   update_registration(now, out);
   tell_loads(now, outgoing);
   std::set<std::string> senders = routers(false);
@@ -59,8 +59,8 @@
     isolated_ = alone;
     log_event(alone ? Event::node_isolated : Event::node_rejoined, "");
   }
-  chat_dispatcher.ready(ready_now_ && !isolated_);
-  chat_dispatcher.work(now, out.chat);
+  chat_dispatcher.set_ready(ready_now_ && !isolated_);
+  chat_dispatcher.process_backlog(now, out.chat);
   check_asked(now, out);
 }
 
@@ -85,7 +85,7 @@
   take_fresh(now);
   own_entries(now, out);
   update_readiness(now, out);
-  chat_dispatcher.work(now, out.chat);
+  chat_dispatcher.process_backlog(now, out.chat);
 }
 
 void Node::health_report(Check const& check, std::optional<HealthReport> const& report, bool refused, Micros now,
@@ -94,12 +94,12 @@
   checking_.erase(check.worker);
   fleet.health_report(check.worker, check.incarnation, check.asked, report, refused, now);
   take_fresh(now);
-  chat_dispatcher.work(now, out.chat);
+  chat_dispatcher.process_backlog(now, out.chat);
   check_asked(now, out);
 }
 
 void Node::own_entries(Micros now, NodeEffects& out) {
-  if (plan.role != Role::router || listed_at_ < 0 || now - listed_at_ > seconds(5) || leaving_) return;
+  if (plan.role != MemberRole::router || listed_at_ < 0 || now - listed_at_ > seconds(5) || leaving_) return;
   std::set<std::string> const names = routers(false);
   std::set<std::string> mine;
   for (std::pair<std::string const, Worker> const& item : fleet.workers)
@@ -109,8 +109,9 @@
   // §4.3: the owner may have missed a mark that this node read. Then this node says so under a key of its own.
   std::set<std::string> marked;
   for (std::pair<std::string const, Worker> const& item : fleet.workers) {
-    std::map<std::string, wire::EntryT>::const_iterator const said = mesh.entry_table.all().find(item.first);
-    bool const told = said != mesh.entry_table.all().end() && said->second.incarnation >= item.second.row.incarnation &&
+    std::map<std::string, wire::EntryT>::const_iterator const said = mesh.entry_table.entries().find(item.first);
+    bool const told = said != mesh.entry_table.entries().end() &&
+                      said->second.incarnation >= item.second.row.incarnation &&
                       said->second.state != static_cast<std::uint8_t>(WorkerState::serving);
     if (item.second.state != WorkerState::serving && !told && !mine.count(item.first)) marked.insert(item.first);
   }
@@ -121,10 +122,10 @@
   if (any) mesh.flush_entries(out.mesh);
 }
 
-void Node::chat_request(std::uint64_t id, Ask ask, Micros now, NodeEffects& out) {
+void Node::chat_request(std::uint64_t id, ChatRequestInfo ask, Micros now, NodeEffects& out) {
   watch_clock(now);
   ask.facts.zone = plan.zone;
-  chat_dispatcher.fresh(id, std::move(ask), now, out.chat);
+  chat_dispatcher.on_request(id, std::move(ask), now, out.chat);
   check_asked(now, out);
 }
 
@@ -153,20 +154,20 @@
 
 // Placing waits for a worker's word: it is asked once, and again when that was lost.
 void Node::check_asked(Micros now, NodeEffects& out) {
-  for (std::string const& id : out.chat.asks) {
+  for (std::string const& id : out.chat.probes) {
     Worker* const worker = fleet.find(id);
     if (worker == nullptr || worker->probe_sent >= 0) continue;
     worker->probe_sent = now;
     check_now(id, now, out);
   }
-  out.chat.asks.clear();
+  out.chat.probes.clear();
 }
 
 void Node::chat_attempt_ended(std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros back, Micros now,
                               NodeEffects& out) {
   watch_clock(now);
-  chat_dispatcher.ended(id, end, why, back, now, out.chat);
-  for (std::pair<std::string, std::uint64_t> const& suspect : out.chat.suspects) {
+  chat_dispatcher.on_attempt_end(id, end, why, back, now, out.chat);
+  for (std::pair<std::string, std::uint64_t> const& suspect : out.chat.suspected_workers) {
     check_now(suspect.first, now, out);
     for (std::string const& name : index_peers()) {
       wire::WorkerSuspectedT word;
@@ -175,15 +176,15 @@
       mesh.send(name, std::move(word), out.mesh);
     }
   }
-  out.chat.suspects.clear();
-  chat_dispatcher.work(now, out.chat);
+  out.chat.suspected_workers.clear();
+  chat_dispatcher.process_backlog(now, out.chat);
   check_asked(now, out);
 }
 
 void Node::hung_up(std::uint64_t id, Micros now, NodeEffects& out) {
   watch_clock(now);
-  chat_dispatcher.hung_up(id, now, out.chat);
-  chat_dispatcher.work(now, out.chat);
+  chat_dispatcher.on_client_disconnect(id, now, out.chat);
+  chat_dispatcher.process_backlog(now, out.chat);
 }
 
 }  // namespace pipit
--- a/src/routing/tenants/quota_shares.cc
+++ b/src/routing/tenants/quota_shares.cc
@@ -22,7 +22,7 @@
   known_ = true;
   fingerprint_ = members.fingerprint();
   shares_.push_back(TimedShare{share_in(members.replicas), -1});
-  if (members.joint()) shares_.push_back(TimedShare{share_in(members.former), -1});
+  if (members.is_joint()) shares_.push_back(TimedShare{share_in(members.former), -1});
   owners_.clear();
   for (wire::ReplicaT const& replica : members.replicas) owners_.push_back(replica.name);
 }
--- a/src/server/node_server.h
+++ b/src/server/node_server.h
@@ -36,7 +36,7 @@
  public:
   // A call at the control address. False: it is not one of the caller's own paths.
   using Control = std::function<bool(Server::Call&)>;
-  using Done = std::function<void(Reply const&)>;
+  using Done = std::function<void(ChangeReply const&)>;
   using PeriodicCheck = std::function<void()>;
 
   explicit NodeServer(NodeServerPlan plan);
@@ -80,7 +80,7 @@
   std::string status() const;
   std::string metrics() const;
   std::string tenants() const;
-  std::map<std::string, std::uint64_t> by_tenant(std::uint64_t TenantTally::*of) const;
+  std::map<std::string, std::uint64_t> by_tenant(std::uint64_t TenantCounters::*of) const;
 
   NodeServerPlan const plan_;
   GMainLoop* loop_;
--- a/testing/control_plane_simulator/operators.cc
+++ b/testing/control_plane_simulator/operators.cc
@@ -25,7 +25,7 @@
 
 Operators::Operators(World& world_, Judge& judge_, OperatorPlan plan_)
     : plan(plan_), world(world_), judge(judge_), random(hash_bits(world_.plan.seed) ^ 0x0b5e55ed) {
-  world.on_reply = [this](Machine& machine, Reply const& reply) { answered(machine, reply); };
+  world.on_reply = [this](Machine& machine, ChangeReply const& reply) { answered(machine, reply); };
   world.on_end = [this](Machine& machine) { ended(machine); };
 }
 
@@ -104,18 +104,18 @@
   calls[id] = call;
   ++world.machine(call.machine).calls_under_way;
   world.enter(call.machine, call.process, [id, change = std::move(change)](Node& node, Micros now, NodeEffects& out) {
-    node.operate(id, change, now, out);
+    node.submit_change(id, change, now, out);
   });
 }
 
-void Operators::answered(Machine& machine, Reply const& reply) {
+void Operators::answered(Machine& machine, ChangeReply const& reply) {
   std::map<std::uint64_t, Call>::iterator const position = calls.find(reply.id);
   if (position == calls.end() || position->second.process != machine.process) return;
   Call const call = std::move(position->second);
   calls.erase(position);
   --machine.calls_under_way;
   Outcome const& outcome = reply.outcome;
-  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::kept;
+  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::unchanged;
   if (call.reading) {
     if (!holds) return answer(call, Verdict::unclear, "", 0, "");
     Configuration const found = configuration_of(outcome.value);
@@ -123,23 +123,23 @@
   }
   if (judge.order(call.order).amend && !call.looked) return amend_read(call, reply);
   if (outcome.type == Outcome::Type::chosen) return answer(call, Verdict::confirmed, "", 0, "");
-  unsigned const status = outcome.type == Outcome::Type::kept ? 504 : error_code_row(outcome.error.code).status;
+  unsigned const status = outcome.type == Outcome::Type::unchanged ? 504 : error_code_row(outcome.error.code).status;
   bool const clear = outcome.type == Outcome::Type::refused && status < 500 && status != 429;
   answer(call, clear ? Verdict::stale : Verdict::unclear, outcome.error.what, 0, "");
 }
 
 // As the shell does it: what an amend builds on is read from the register, then the whole is proposed.
-void Operators::amend_read(Call call, Reply const& reply) {
+void Operators::amend_read(Call call, ChangeReply const& reply) {
   Outcome const& outcome = reply.outcome;
   if (outcome.type == Outcome::Type::refused || outcome.type == Outcome::Type::unknown)
     return answer(call, Verdict::unclear, "", 0, "");
   Order const& order = judge.order(call.order);
   std::string const id = change_id("amend", order.base, order.body);
-  OrderStanding const standing = standing_of_order(outcome.value, id, OrderBase{order.base, true});
-  if (standing == OrderStanding::taken) return answer(call, Verdict::confirmed, "", 0, "");
-  if (unknown_outcome_of_order(outcome.value, standing)) return answer(call, Verdict::unclear, "", 0, "");
-  if (standing == OrderStanding::outdated)
-    return answer(call, Verdict::stale, outdated_error(outcome.value, true).what, 0, "");
+  OrderStatus const standing = order_status(outcome.value, id, OrderBase{order.base, true});
+  if (standing == OrderStatus::already_taken) return answer(call, Verdict::confirmed, "", 0, "");
+  if (unknown_outcome_error(outcome.value, standing)) return answer(call, Verdict::unclear, "", 0, "");
+  if (standing == OrderStatus::base_outdated)
+    return answer(call, Verdict::stale, stale_base_error(outcome.value, true).what, 0, "");
   Configuration const found = configuration_of(outcome.value);
   std::string const text = text_of(call.order, found.text);
   judge.makes(call.order, text);
--- a/testing/fleet_simulator/world.h
+++ b/testing/fleet_simulator/world.h
@@ -87,7 +87,7 @@
   }
 
   // machines
-  Box& add(std::string const& name, std::string const& address, std::string const& zone, Role role);
+  Box& add(std::string const& name, std::string const& address, std::string const& zone, MemberRole role);
   void boot(Box& box);
   void halt(Box& box, bool power);
   void freeze(Box& box, Micros span);
@@ -105,7 +105,7 @@
   void save(Box& box, wire::RecordT record);
 
   // workers and callers
-  void attempt(Box& box, Start const& start);
+  void attempt(Box& box, ChatAttemptStart const& start);
   void arrive(std::string const& box, std::uint64_t process_id, std::uint64_t chat_request, int attempt,
               std::string const& worker, std::uint64_t worker_process_id, std::uint64_t wish, Micros stall);
   void start_process(WorkerProcess& process);
@@ -117,7 +117,7 @@
 
   // operators and faults
   void operate(Change::Type type, std::string const& text, std::uint64_t expected, Box& box);
-  void answered(Box& box, Reply const& reply);
+  void answered(Box& box, ChangeReply const& reply);
   void operator_turn();
   void inject_fault();
   static FaultType const* fault_type(std::string const& name);
--- a/testing/quota_simulator/load.cc
+++ b/testing/quota_simulator/load.cc
@@ -48,13 +48,13 @@
   first_limits = limits;
   for (double const limit : limits) history.push_back({Limits{0, limit}});
   world.on_plan = [this](NodePlan& made) {
-    made.revocation = plan.revocation - millis(300);
-    made.quota.window = static_cast<Micros>(window_s * 1e6);
-    made.quota.overshoot = overshoot;
-    made.quota.slack = slack;
+    made.revocation_bound = plan.revocation - millis(300);
+    made.quota_terms.window = static_cast<Micros>(window_s * 1e6);
+    made.quota_terms.overshoot = overshoot;
+    made.quota_terms.slack = slack;
   };
   world.on_dispatch = [this](Machine& machine, DispatchEffects& out) { took(machine, out); };
-  world.on_reply = [this](Machine&, Reply const& reply) {
+  world.on_reply = [this](Machine&, ChangeReply const& reply) {
     std::map<std::uint64_t, std::function<void()>>::iterator const position = waiting.find(reply.id);
     if (position == waiting.end()) return;
     std::function<void()> const done = std::move(position->second);
@@ -100,7 +100,7 @@
   Machine& machine = world.machine(target);
   if (machine.up()) change.expected = machine.node->learner.serial();
   world.enter(target, machine.process,
-              [call, change](Node& node, Micros now, NodeEffects& out) { node.operate(call, change, now, out); });
+              [call, change](Node& node, Micros now, NodeEffects& out) { node.submit_change(call, change, now, out); });
   world.after(seconds(3), [this, call] {
     std::map<std::uint64_t, std::function<void()>>::iterator const position = waiting.find(call);
     if (position == waiting.end()) return;
@@ -148,7 +148,7 @@
     message.slots = 100000;
     message.order = heartbeat_order;
     world.enter(id, machine.process,
-                [message](Node& node, Micros now, NodeEffects& out) { node.heartbeat(message, now, out); });
+                [message](Node& node, Micros now, NodeEffects& out) { node.handle_heartbeat(message, now, out); });
   }
   world.after(heartbeat_interval, [this] { heartbeat(); });
 }
@@ -187,7 +187,7 @@
   MachineId at = random.below(world.size());
   if (crowded && random.chance(0.9)) at = *crowded;
   Machine& machine = world.machine(at);
-  if (!machine.up() || machine.removed || !machine.node->ready()) return;
+  if (!machine.up() || machine.removed || !machine.node->is_ready()) return;
   Sent sent;
   sent.tenant = tenant;
   sent.at = world.now();
@@ -204,19 +204,19 @@
   ++figures[tenant].sent;
   std::uint64_t const id = ++next_id;
   under_way[id] = sent;
-  Query query;
+  RequestInfo query;
   query.host = "h";
   query.path = "/x";
-  query.names_tokens = true;
-  query.tokens_in = sent.count;
-  query.key = key_digest_of(key_of(tenant, !sent.revoked_key && key_revoked[tenant]));
-  query.remaining = seconds(3);
+  query.has_token_counts = true;
+  query.input_tokens = sent.count;
+  query.key_digest = key_digest_of(key_of(tenant, !sent.revoked_key && key_revoked[tenant]));
+  query.time_remaining = seconds(3);
   world.enter(at, machine.process,
-              [id, query](Node& node, Micros now, NodeEffects& out) { node.request(id, query, now, out); });
+              [id, query](Node& node, Micros now, NodeEffects& out) { node.start_request(id, query, now, out); });
 }
 
 void Load::took(Machine& machine, DispatchEffects& out) {
-  for (Attempt const& start : out.starts) {
+  for (Attempt const& start : out.attempts) {
     std::map<std::uint64_t, Sent>::iterator const position = under_way.find(start.request);
     if (position == under_way.end()) continue;
     judge_run(position->second);
@@ -226,23 +226,23 @@
     std::uint64_t const incarnation = machine.process;
     world.after(millis(5), [this, id, at, incarnation] {
       world.enter(at, incarnation, [id](Node& node, Micros now, NodeEffects& done) {
-        node.dispatcher.sent(id, now);
+        node.dispatcher.on_sent(id, now);
         node.attempt_ended(id, AttemptEnd::complete, false, now, done);
       });
     });
   }
-  for (Denial const& denial : out.denials) {
+  for (Rejection const& denial : out.rejections) {
     std::map<std::uint64_t, Sent>::iterator const position = under_way.find(denial.request);
     if (position == under_way.end()) continue;
     Sent const& sent = position->second;
     TenantFigures& of = figures[sent.tenant];
-    if (denial.kind == ErrorCode::over_quota) {
+    if (denial.error == ErrorCode::over_quota) {
       ++of.refused;
       if (sent.due) ++of.refused_below;
     } else {
       ++of.unserved;
     }
-    if (denial.kind == ErrorCode::unknown_key && !sent.revoked_key) find("a key that holds is said to be unknown");
+    if (denial.error == ErrorCode::unknown_key && !sent.revoked_key) find("a key that holds is said to be unknown");
     under_way.erase(position);
   }
 }
--- a/tests/node/change_forwarder.cc
+++ b/tests/node/change_forwarder.cc
@@ -1,4 +1,4 @@
-// Changes that another node is asked to propose, and those proposed for others (src/node/change_forwarder.h).
+// Changes forwarded to other nodes, and changes proposed for other nodes (src/node/change_forwarder.h).
 #include "node/change_forwarder.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
   Change change;
 };
 
-// The node "m" is no replica; "b" is the only one of the set, and its quorum was heard at time 0.
+// The node under test is "m" and has no replica; "b" is the only member of the set and answered a poll at time 0.
 struct ForwarderFixture : ReplicaFixture {
   ForwarderFixture() {
     plan.name = "m";
@@ -40,11 +40,11 @@
     return out;
   }
 
-  // The bodies that were sent since the last call.
+  // The bodies of the frames sent since the last call.
   std::vector<wire::BodyUnion> sent() {
     std::vector<wire::BodyUnion> bodies;
     for (ConnectionEffects::OutgoingFrame const& send : out.mesh.outgoing_frames)
-      bodies.push_back(std::move(decode(send.bytes).value()->body));
+      bodies.push_back(std::move(decode_frame(send.bytes).value()->body));
     out.mesh.outgoing_frames.clear();
     return bodies;
   }
@@ -72,7 +72,7 @@
 }
 }  // namespace
 
-TEST(ChangeForwarder, ForwardsOperatorsChangesToTheProposingReplica) {
+TEST(ChangeForwarder, operator_changes_go_to_the_proposing_replica) {
   ForwarderFixture fixture;
   ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
   std::vector<wire::BodyUnion> bodies = fixture.sent();
@@ -82,7 +82,7 @@
   EXPECT_EQ(bodies[0].AsForwardedChange()->id, "change-1");
 }
 
-TEST(ChangeForwarder, ForwardsNothingOfItsOwnNorOfMembers) {
+TEST(ChangeForwarder, internal_and_membership_changes_are_not_forwarded) {
   ForwarderFixture fixture;
   EXPECT_FALSE(fixture.forwarder.forward_change(0, apply_text("new"), 0, fixture.out));
   Change admission;
@@ -91,17 +91,17 @@
   fixture.plan.name = "b";  // the proposing replica itself
   EXPECT_FALSE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
   fixture.plan.name = "m";
-  fixture.plan.registered = false;
+  fixture.plan.workers_self_register = false;
   EXPECT_FALSE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
   EXPECT_TRUE(fixture.out.mesh.outgoing_frames.empty());
 }
 
-TEST(ChangeForwarder, WithoutAQuorumAsksRoutersInTurn) {
+TEST(ChangeForwarder, changes_go_to_routers_in_turn_without_a_quorum) {
   ForwarderFixture fixture;
   Micros const later = seconds(60);
   EXPECT_FALSE(fixture.forwarder.forward_change(7, apply_text("new"), later, fixture.out));
-  fixture.add_peer("r1", State::alive, 21).member.replica = false;
-  fixture.add_peer("r2", State::alive, 22).member.replica = false;
+  fixture.add_peer("r1", MemberState::alive, 21).member.replica = false;
+  fixture.add_peer("r2", MemberState::alive, 22).member.replica = false;
   for (int count = 0; count < 3; ++count)
     ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), later, fixture.out));
   ASSERT_EQ(fixture.out.mesh.outgoing_frames.size(), 3u);
@@ -110,73 +110,73 @@
   EXPECT_EQ(fixture.out.mesh.outgoing_frames[2].connection, 21u);
 }
 
-TEST(ChangeForwarder, PassesTheAnswerOnOnce) {
+TEST(ChangeForwarder, reply_of_the_proposer_is_returned_once) {
   ForwarderFixture fixture;
   ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
   wire::ForwardedChangeReplyT const reply = fixture.reply_of(Outcome::Type::chosen);
-  fixture.forwarder.take_reply("stranger", reply, 0, fixture.out);
+  fixture.forwarder.handle_reply("stranger", reply, 0, fixture.out);
   EXPECT_TRUE(fixture.out.replies.empty());
-  fixture.forwarder.take_reply("b", reply, 0, fixture.out);
-  fixture.forwarder.take_reply("b", reply, 0, fixture.out);
+  fixture.forwarder.handle_reply("b", reply, 0, fixture.out);
+  fixture.forwarder.handle_reply("b", reply, 0, fixture.out);
   ASSERT_EQ(fixture.out.replies.size(), 1u);
   EXPECT_EQ(fixture.out.replies[0].id, 7u);
-  EXPECT_EQ(fixture.out.replies[0].change, "change-1");
+  EXPECT_EQ(fixture.out.replies[0].change_id, "change-1");
   EXPECT_EQ(fixture.out.replies[0].outcome.type, Outcome::Type::chosen);
 }
 
-TEST(ChangeForwarder, ProposesItselfWhatIsNotAnsweredInTime) {
+TEST(ChangeForwarder, change_without_a_timely_reply_is_proposed_locally) {
   ForwarderFixture fixture;
   ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
-  fixture.forwarder.advance(millis(600) - 1, fixture.out);
+  fixture.forwarder.tick(millis(600) - 1, fixture.out);
   EXPECT_TRUE(fixture.proposed.empty());
-  fixture.forwarder.advance(millis(600), fixture.out);
-  fixture.forwarder.advance(millis(601), fixture.out);
+  fixture.forwarder.tick(millis(600), fixture.out);
+  fixture.forwarder.tick(millis(601), fixture.out);
   ASSERT_EQ(fixture.proposed.size(), 1u);
   EXPECT_EQ(fixture.proposed[0].id, 7u);
   EXPECT_TRUE(fixture.proposed[0].change.proposed_elsewhere);
 }
 
-TEST(ChangeForwarder, ProposesItselfWhatACutOffReplicaRefuses) {
+TEST(ChangeForwarder, change_refused_by_a_cut_off_replica_is_proposed_locally) {
   ForwarderFixture fixture;
   ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
-  fixture.forwarder.take_reply("b", fixture.reply_of(Outcome::Type::refused, ErrorCode::no_majority), 0, fixture.out);
+  fixture.forwarder.handle_reply("b", fixture.reply_of(Outcome::Type::refused, ErrorCode::no_majority), 0, fixture.out);
   ASSERT_EQ(fixture.proposed.size(), 1u);
   EXPECT_FALSE(fixture.proposed[0].change.proposed_elsewhere);
   EXPECT_TRUE(fixture.out.replies.empty());
 }
 
-TEST(ChangeForwarder, SendsTheTextAgainWhenItsPatchHasAnotherBase) {
+TEST(ChangeForwarder, full_text_is_sent_when_the_replica_lacks_the_base_of_the_patch) {
   ForwarderFixture fixture;
   ASSERT_TRUE(fixture.forwarder.forward_change(7, apply_text("new"), 0, fixture.out));
   fixture.sent();
   wire::ForwardedChangeReplyT reply = fixture.reply_of(Outcome::Type::refused);
   reply.need_text = true;
-  fixture.forwarder.take_reply("b", reply, 0, fixture.out);
+  fixture.forwarder.handle_reply("b", reply, 0, fixture.out);
   std::vector<wire::BodyUnion> bodies = fixture.sent();
   ASSERT_EQ(bodies.size(), 1u);
   EXPECT_EQ(bodies[0].AsForwardedChange()->text, "new");
   EXPECT_EQ(bodies[0].AsForwardedChange()->request_id, 101u);
 }
 
-TEST(ChangeForwarder, ProposesForOthersAndAnswersThem) {
+TEST(ChangeForwarder, forwarded_change_is_proposed_and_answered) {
   ForwarderFixture fixture;
   wire::ForwardedChangeT request;
   request.request_id = 55;
   request.type = static_cast<std::uint8_t>(Change::Type::apply);
   request.id = "theirs";
   request.text = "new";
-  fixture.forwarder.take_change("b", request, 0, fixture.out);
+  fixture.forwarder.handle_forwarded_change("b", request, 0, fixture.out);
   ASSERT_EQ(fixture.proposed.size(), 1u);
   EXPECT_EQ(fixture.proposed[0].change.id, "theirs");
-  // What was proposed for another node is never forwarded again.
+  // A change proposed for another node is never forwarded again.
   EXPECT_FALSE(fixture.forwarder.forward_change(fixture.proposed[0].id, apply_text("new"), 0, fixture.out));
-  Reply own;
+  ChangeReply own;
   own.id = 7;
-  Reply theirs;
+  ChangeReply theirs;
   theirs.id = fixture.proposed[0].id;
   theirs.outcome.type = Outcome::Type::chosen;
   fixture.out.replies = {own, theirs};
-  fixture.forwarder.advance(0, fixture.out);
+  fixture.forwarder.tick(0, fixture.out);
   ASSERT_EQ(fixture.out.replies.size(), 1u);
   EXPECT_EQ(fixture.out.replies[0].id, 7u);
   std::vector<wire::BodyUnion> bodies = fixture.sent();
@@ -184,14 +184,14 @@
   EXPECT_EQ(bodies[0].AsForwardedChangeReply()->request_id, 55u);
 }
 
-TEST(ChangeForwarder, AsksForTheTextOfAPatchWithAnUnknownBase) {
+TEST(ChangeForwarder, full_text_is_requested_for_a_patch_with_an_unknown_base) {
   ForwarderFixture fixture;
   wire::ForwardedChangeT request;
   request.request_id = 55;
   request.type = static_cast<std::uint8_t>(Change::Type::apply);
   request.revision = 999;
   request.patch = std::make_unique<wire::TextPatchT>();
-  fixture.forwarder.take_change("b", request, 0, fixture.out);
+  fixture.forwarder.handle_forwarded_change("b", request, 0, fixture.out);
   EXPECT_TRUE(fixture.proposed.empty());
   std::vector<wire::BodyUnion> bodies = fixture.sent();
   ASSERT_EQ(bodies.size(), 1u);
--- a/tests/node/quota_authority.cc
+++ b/tests/node/quota_authority.cc
@@ -1,4 +1,4 @@
-// Quota between a node's dispatcher, its client and its own part of the limits. Without sockets.
+// Quota requests between a node's dispatcher, its quota client and its own part of the limits. Without sockets.
 #include "node/quota_authority.h"
 
 #include <gtest/gtest.h>
@@ -6,8 +6,8 @@
 namespace pipit {
 
 namespace {
-constexpr Micros span = seconds(3);
-constexpr Micros settled_at = seconds(100);  // long after the first set of replicas came into force
+constexpr Micros lease_duration = seconds(3);
+constexpr Micros settled_at = seconds(100);  // long after the first replica set came into force
 
 class QuotaAuthorityTest : public testing::Test {
  protected:
@@ -17,8 +17,8 @@
         registry("n1"),
         exchange("n1"),
         dispatcher("n1", "z", index_sync, registry, exchange),
-        configuration({span, 0, span}, mesh, learner, rotation, [this] { return ++last_request; }),
-        quota(plan(), {mesh, learner, acceptor, configuration, rotation, dispatcher}) {
+        configuration({lease_duration, 0, lease_duration}, mesh, learner, rotation, [this] { return ++last_request; }),
+        quota(options(), {mesh, learner, acceptor, configuration, rotation, dispatcher}) {
     std::shared_ptr<Description> const description = std::make_shared<Description>();
     description->keys_required = true;
     Tenant tenant;
@@ -27,13 +27,13 @@
     tenant.rate = 10;
     tenant.burst = 100;
     description->tenants.push_back(tenant);
-    dispatcher.in_force(description);
+    dispatcher.set_description(description);
   }
 
-  static QuotaAuthorityPlan plan() {
-    QuotaAuthorityPlan out;
+  static QuotaAuthorityOptions options() {
+    QuotaAuthorityOptions out;
     out.self = "n1";
-    out.fence = span;
+    out.fence = lease_duration;
     return out;
   }
   void connect(std::string const& name) {
@@ -41,7 +41,7 @@
     peer.member.name = name;
     peer.connection = mesh.members.peers.size();
   }
-  // Puts a set of replicas in force and confirms it until after 'settled_at'.
+  // Puts a replica set in force, and confirms the configuration as of 'settled_at'.
   void set_replicas(std::vector<std::string> const& names) {
     Membership members;
     members.epoch = 1;
@@ -52,7 +52,7 @@
     }
     wire::ValueT value;
     value.revision = 1;
-    put_membership(members, value);
+    store_membership(members, value);
     ASSERT_TRUE(learner.adopt(value, 0));
     std::vector<OutgoingMessage> outgoing;
     quota.tick(0, outgoing);
@@ -67,9 +67,9 @@
     out.purpose = static_cast<std::uint8_t>(purpose);
     return out;
   }
-  std::vector<OutgoingMessage> take_request(wire::QuotaRequestT const& body, Micros now) {
+  std::vector<OutgoingMessage> handle_request(wire::QuotaRequestT const& body, Micros now) {
     std::vector<OutgoingMessage> outgoing;
-    quota.take_request("n2", body, now, outgoing);
+    quota.handle_request("n2", body, now, outgoing);
     return outgoing;
   }
 
@@ -79,7 +79,7 @@
   PeerRotation rotation;
   IndexSync index_sync;
   Registry registry;
-  Exchange exchange;
+  ReportExchange exchange;
   Dispatcher dispatcher;
   std::uint64_t last_request = 0;
   ConfigurationAuthority configuration;
@@ -87,72 +87,73 @@
 };
 }  // namespace
 
-TEST_F(QuotaAuthorityTest, NodeThatIsNoOwnerPassesAQuestionOnOnce) {
+TEST_F(QuotaAuthorityTest, request_at_a_node_that_is_not_an_owner_is_forwarded_once) {
   connect("n3");
   set_replicas({"n3"});
-  std::vector<OutgoingMessage> const passed = take_request(request(QuotaPurpose::ask, 1), settled_at);
-  ASSERT_EQ(passed.size(), 1u);
-  EXPECT_EQ(passed[0].to, "n3");
-  ASSERT_EQ(passed[0].body.type, wire::Body::QuotaRequest);
-  EXPECT_EQ(passed[0].body.AsQuotaRequest()->hops, 0);
+  std::vector<OutgoingMessage> const forwarded = handle_request(request(QuotaPurpose::ask, 1), settled_at);
+  ASSERT_EQ(forwarded.size(), 1u);
+  EXPECT_EQ(forwarded[0].to, "n3");
+  ASSERT_EQ(forwarded[0].body.type, wire::Body::QuotaRequest);
+  EXPECT_EQ(forwarded[0].body.AsQuotaRequest()->hops, 0);
 
   wire::QuotaRequestT last_hop = request(QuotaPurpose::ask, 1);
   last_hop.hops = 0;
-  std::vector<OutgoingMessage> const refused = take_request(last_hop, settled_at);
+  std::vector<OutgoingMessage> const refused = handle_request(last_hop, settled_at);
   ASSERT_EQ(refused.size(), 1u);
   EXPECT_EQ(refused[0].to, "n2");
   ASSERT_EQ(refused[0].body.type, wire::Body::QuotaReply);
   EXPECT_FALSE(refused[0].body.AsQuotaReply()->granted);
 }
 
-TEST_F(QuotaAuthorityTest, OwnerGrantsOnlyWhileTheConfigurationIsConfirmed) {
+TEST_F(QuotaAuthorityTest, owner_grants_only_while_the_configuration_is_confirmed) {
   set_replicas({"n1"});
-  // The bucket begins with the first question, empty.
-  take_request(request(QuotaPurpose::ask, 1), settled_at);
+  // The bucket is created empty by the first request.
+  handle_request(request(QuotaPurpose::ask, 1), settled_at);
   Micros const filled_at = settled_at + seconds(1);
-  std::vector<OutgoingMessage> const granted = take_request(request(QuotaPurpose::ask, 1), filled_at);
+  std::vector<OutgoingMessage> const granted = handle_request(request(QuotaPurpose::ask, 1), filled_at);
   ASSERT_EQ(granted.size(), 1u);
   ASSERT_EQ(granted[0].body.type, wire::Body::QuotaReply);
   EXPECT_EQ(granted[0].body.AsQuotaReply()->request_id, 4u);
   EXPECT_TRUE(granted[0].body.AsQuotaReply()->granted);
 
-  std::vector<OutgoingMessage> const refused = take_request(request(QuotaPurpose::ask, 1), settled_at + span + 1);
+  std::vector<OutgoingMessage> const refused =
+      handle_request(request(QuotaPurpose::ask, 1), settled_at + lease_duration + 1);
   ASSERT_EQ(refused.size(), 1u);
   EXPECT_FALSE(refused[0].body.AsQuotaReply()->granted);
 }
 
-TEST_F(QuotaAuthorityTest, DebitsAndReturnsAreNotAnswered) {
+TEST_F(QuotaAuthorityTest, debits_and_returns_get_no_reply) {
   set_replicas({"n1"});
-  EXPECT_TRUE(take_request(request(QuotaPurpose::debit, 1), settled_at).empty());
-  EXPECT_TRUE(take_request(request(QuotaPurpose::give_back, 1), settled_at).empty());
+  EXPECT_TRUE(handle_request(request(QuotaPurpose::debit, 1), settled_at).empty());
+  EXPECT_TRUE(handle_request(request(QuotaPurpose::give_back, 1), settled_at).empty());
 }
 
-TEST_F(QuotaAuthorityTest, ReplyForAnotherNodeIsPassedOn) {
+TEST_F(QuotaAuthorityTest, reply_for_another_node_is_forwarded) {
   wire::QuotaReplyT reply;
   reply.origin = "n5";
   reply.granted = true;
   std::vector<OutgoingMessage> outgoing;
-  quota.take_reply("n3", reply, 0, outgoing);
+  quota.handle_reply("n3", reply, 0, outgoing);
   ASSERT_EQ(outgoing.size(), 1u);
   EXPECT_EQ(outgoing[0].to, "n5");
   EXPECT_TRUE(outgoing[0].body.AsQuotaReply()->granted);
 }
 
-TEST_F(QuotaAuthorityTest, NeedsOfTheDispatcherAreAskedForOnce) {
+TEST_F(QuotaAuthorityTest, quota_need_of_the_dispatcher_is_requested_once) {
   connect("n3");
   set_replicas({"n3"});
   DispatchEffects effects;
-  effects.quota_needs.push_back(QuotaNeed{1, "t", 1, settled_at + seconds(1), false});
+  effects.quota_claims.push_back(QuotaClaim{1, "t", 1, settled_at + seconds(1), false});
   std::vector<OutgoingMessage> outgoing;
-  quota.process_needs(effects, settled_at, outgoing);
+  quota.process_dispatch_effects(effects, settled_at, outgoing);
   ASSERT_EQ(outgoing.size(), 1u);
   EXPECT_EQ(outgoing[0].to, "n3");
   EXPECT_EQ(outgoing[0].body.AsQuotaRequest()->purpose, static_cast<std::uint8_t>(QuotaPurpose::ask));
   EXPECT_EQ(quota.client().waiting(), 1u);
   outgoing.clear();
-  quota.process_needs(effects, settled_at, outgoing);
+  quota.process_dispatch_effects(effects, settled_at, outgoing);
   EXPECT_TRUE(outgoing.empty());
-  EXPECT_TRUE(effects.quota_needs.empty());
+  EXPECT_TRUE(effects.quota_claims.empty());
 }
 
 }  // namespace pipit
