--- a/src/node/node_registered_workers.cc
+++ b/src/node/node_registered_workers.cc
@@ -25,7 +25,7 @@
   bool const connected = worker_departures_.is_connected(now);
   // Another node owns the worker and still receives its heartbeats. A node that is cut off does not take the worker
   // over, since the others would not learn of it.
-  if (!connected && !heartbeat.leaving && registry.hear(heartbeat, now)) return false;
+  if (!connected && !heartbeat.leaving && registry.record_sign_of_life(heartbeat, now)) return false;
   if (std::optional<wire::EntryT> entry = registry.heartbeat(heartbeat, now))
     publish_entry(std::move(*entry), now, out);
   apply_updated_entries(now);
@@ -112,12 +112,12 @@
   std::set<std::string> const alive = known_routers(false);
   for (std::pair<std::string const, Instance> const& item : registry.all) {
     Instance const& at = item.second;
-    if (at.standing == WorkerState::ended || alive.count(at.owner) > 0) continue;
+    if (at.state == WorkerState::ended || alive.count(at.owner) > 0) continue;
     std::map<std::string, Peer>::const_iterator const owner = mesh.members.peers.find(at.owner);
     bool const owner_known = owner != mesh.members.peers.end();
     // A node that has just started is not connected to all others yet, and may not know the owner.
-    Micros const absent_for =
-        owner_known ? now - owner->second.state_since : now - std::max(started_at_, at.known) - unknown_owner_grace;
+    Micros const absent_for = owner_known ? now - owner->second.state_since
+                                          : now - std::max(started_at_, at.state_since) - unknown_owner_grace;
     if (absent_for < plan.heartbeat_interval * 2) continue;
     if (rendezvous(item.first, alive) != plan.name) continue;
     publish_entry(registry.adopt(item.first, now), now, out);
@@ -143,7 +143,7 @@
     for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.all())
       if (registry.find(item.first) == nullptr) registry.take_entry(item.second, now);
   }
-  for (wire::EntryT& entry : registry.silent(now)) publish_entry(std::move(entry), now, out);
+  for (wire::EntryT& entry : registry.end_silent_workers(now)) publish_entry(std::move(entry), now, out);
   if (now >= next_adoption_) adopt_workers(now, out);
   apply_updated_entries(now);
   worker_departures_.answer_calls(now, out.end_answers);
--- a/src/node/node_worker_list.cc
+++ b/src/node/node_worker_list.cc
@@ -38,7 +38,7 @@
   }
   for (std::pair<std::string const, Worker> const& item : fleet.workers) {
     Worker const& worker = item.second;
-    if (worker.standing == WorkerState::ended || health_checks_in_flight_.count(item.first)) continue;
+    if (worker.state == WorkerState::ended || health_checks_in_flight_.count(item.first)) continue;
     if (now >= next_health_check_[item.first]) start_health_check(item.first, now, out);
   }
   // §6.6: a cold worker's limit is divided among all known nodes, including those that are down, so that a network
@@ -52,7 +52,7 @@
   send_loads(now, outgoing);
   std::set<std::string> senders = known_routers(false);
   senders.erase(plan.name);
-  fleet.sum_others(senders, now);
+  fleet.sum_peer_loads(senders, now);
   update_readiness(now, out);
   bool const isolated = guard(Guard::isolation) && !list_freshness_.update(now);
   if (ready_ && isolated != isolated_) {
@@ -115,8 +115,7 @@
     bool const published = entry != mesh.entry_table.all().end() &&
                            entry->second.incarnation >= item.second.row.incarnation &&
                            entry->second.state != static_cast<std::uint8_t>(WorkerState::serving);
-    if (item.second.standing != WorkerState::serving && !published && !owned.count(item.first))
-      marked.insert(item.first);
+    if (item.second.state != WorkerState::serving && !published && !owned.count(item.first)) marked.insert(item.first);
   }
   for (wire::EntryT& entry : fleet.entries_for(marked)) {
     entry.key += "!" + plan.name;
@@ -161,8 +160,8 @@
 void Node::start_requested_health_checks(Micros now, NodeEffects& out) {
   for (std::string const& id : out.chat.asks) {
     Worker* const worker = fleet.find(id);
-    if (worker == nullptr || worker->asked >= 0) continue;
-    worker->asked = now;
+    if (worker == nullptr || worker->probe_sent >= 0) continue;
+    worker->probe_sent = now;
     start_health_check(id, now, out);
   }
   out.chat.asks.clear();
