--- a/src/routing/fleet/fleet.cc
+++ b/src/routing/fleet/fleet.cc
@@ -26,8 +26,10 @@
   simdjson::dom::parser parser;
   simdjson::dom::element root;
   simdjson::dom::array items;
-  if (parser.parse(simdjson::padded_string(text)).get(root)) return fail(ErrorCode::bad_json, "the list is not JSON");
-  if (root["workers"].get_array().get(items)) return fail(ErrorCode::bad_request, "the list has no workers");
+  if (parser.parse(simdjson::padded_string(text)).get(root))
+    return fail(ErrorCode::bad_json, "the worker list is not valid JSON");
+  if (root["workers"].get_array().get(items))
+    return fail(ErrorCode::bad_request, "the worker list has no array \"workers\"");
   std::vector<ListRow> out;
   std::set<std::string> seen;
   for (simdjson::dom::element const& item : items) {
@@ -36,12 +38,13 @@
     if (!read_text_field(item, "id", row.id) || !read_text_field(item, "address", row.address) ||
         !read_text_field(item, "zone", row.zone) || !read_text_field(item, "pool", row.pool) ||
         !read_text_field(item, "state", state) || item["incarnation"].get_uint64().get(row.incarnation))
-      return fail(ErrorCode::bad_request, "a row of the list lacks a field");
+      return fail(ErrorCode::bad_request, "a row of the worker list lacks a required field");
     if (state != "serving" && state != "leaving")
-      return fail(ErrorCode::bad_request, "a row of the list has the state " + state);
+      return fail(ErrorCode::bad_request, "a row of the worker list has the unknown state " + state);
     if (!good_address(row.address))
-      return fail(ErrorCode::bad_request, "a row of the list has the address " + row.address);
-    if (!seen.insert(row.id).second) return fail(ErrorCode::bad_request, "the list names " + row.id + " twice");
+      return fail(ErrorCode::bad_request, "a row of the worker list has the invalid address " + row.address);
+    if (!seen.insert(row.id).second)
+      return fail(ErrorCode::bad_request, "the worker list contains " + row.id + " twice");
     row.leaving = state == "leaving";
     std::int64_t slots = 0;
     if (!item["slots"].get_int64().get(slots)) row.slots = slots;
@@ -60,7 +63,7 @@
   if (parser.parse(simdjson::padded_string(text)).get(root) || root["incarnation"].get_uint64().get(out.incarnation) ||
       root["active"].get_int64().get(active) || root["queued"].get_int64().get(queued) ||
       root["awake_ms"].get_int64().get(awake))
-    return fail(ErrorCode::worker_wrong, "the health report cannot be read");
+    return fail(ErrorCode::worker_wrong, "the worker's health report cannot be parsed");
   out.demand = active + queued;
   out.awake = millis(awake);
   return out;
@@ -141,7 +144,7 @@
   if (id.empty() || (is_secondary_report(entry.key) && entry.state == static_cast<std::uint8_t>(WorkerState::serving)))
     return;
   Worker& worker = workers[id];
-  WorkerState const said = static_cast<WorkerState>(entry.state);
+  WorkerState const reported = static_cast<WorkerState>(entry.state);
   bool const first = worker.row.id.empty();
   if (first || entry.incarnation > worker.row.incarnation) {
     if (!good_address(entry.address)) {
@@ -155,13 +158,13 @@
     worker.row.slots = entry.slots;
     begin_incarnation(worker, entry.incarnation);
   }
-  if (!guard(Guard::tombstone) && entry.incarnation == worker.row.incarnation && said == WorkerState::serving)
-    worker.state = said;
+  if (!guard(Guard::tombstone) && entry.incarnation == worker.row.incarnation && reported == WorkerState::serving)
+    worker.state = reported;
   // §4.3: an entry can end an incarnation; only this node's own list or a new incarnation can revert that.
-  if (entry.incarnation == worker.row.incarnation && said != WorkerState::serving &&
+  if (entry.incarnation == worker.row.incarnation && reported != WorkerState::serving &&
       worker.state == WorkerState::serving) {
-    worker.removed_from_list = said == WorkerState::ended;
-    end_incarnation(worker, said);
+    worker.removed_from_list = reported == WorkerState::ended;
+    end_incarnation(worker, reported);
   }
 }
 
--- a/src/routing/tenants/quota_owner.cc
+++ b/src/routing/tenants/quota_owner.cc
@@ -49,7 +49,7 @@
     ++tally.granted;
     tally.count += static_cast<std::uint64_t>(count);
     check_invariant(from.granted <= from.allowed + 1, Invariant::quota_kept, [&] {
-      return "tenant " + tenant.name + ": " + std::to_string(from.granted) + " granted of " +
+      return "tenant " + tenant.name + ": granted " + std::to_string(from.granted) + ", allowed " +
              std::to_string(from.allowed);
     });
     return QuotaDecision{true, 0};
