--- a/src/routing/index/index.cc
+++ b/src/routing/index/index.cc
@@ -219,18 +219,18 @@
 
 void Index::merge_prefix_node(wire::PrefixNodeT const& item, Bounds const& bounds, Micros now) {
   std::size_t const n = std::min({item.workers.size(), item.incarnations.size(), item.ages.size()});
-  std::vector<WorkerCache*> on;
+  std::vector<WorkerCache*> caches;
   // All caches are looked up before a prefix node is referenced: emptying one for a new incarnation may remove that
   // prefix node or its parent.
-  for (std::size_t i = 0; i < n; ++i) on.push_back(cache_for(item.workers[i], item.incarnations[i]));
+  for (std::size_t i = 0; i < n; ++i) caches.push_back(cache_for(item.workers[i], item.incarnations[i]));
   if (item.hash == 0 || (item.parent != 0 && prefix_nodes_.find(item.parent) == prefix_nodes_.end())) return;
   PrefixNode* const made = add_prefix_node(item.hash, item.parent, item.weight);
   for (std::size_t i = 0; i < n; ++i) {
-    WorkerCache* const cache = on[i];
+    WorkerCache* const cache = caches[i];
     if (cache == nullptr || cache->weight >= bounds.blocks || item.ages[i] > bounds.age) continue;
-    bool have = false;
-    for (CacheEntry const& old : made->entries) have = have || old.cache == cache;
-    if (!have) record(*made, *cache, now - std::max<Micros>(0, item.ages[i]));
+    bool already_cached = false;
+    for (CacheEntry const& old : made->entries) already_cached = already_cached || old.cache == cache;
+    if (!already_cached) record(*made, *cache, now - std::max<Micros>(0, item.ages[i]));
   }
   prune(made);
 }
@@ -238,7 +238,7 @@
 std::uint64_t Index::digest() const {
   std::uint64_t out = 0;
   for (std::pair<std::uint64_t, std::unique_ptr<PrefixNode>> const& item : prefix_nodes_)
-    for (CacheEntry const& k : item.second->entries) out ^= hash_text(k.cache->worker, item.first);
+    for (CacheEntry const& entry : item.second->entries) out ^= hash_text(entry.cache->worker, item.first);
   return out;
 }
 
--- a/src/routing/tenants/quota_client.cc
+++ b/src/routing/tenants/quota_client.cc
@@ -24,14 +24,14 @@
 }
 }  // namespace
 
-void QuotaClient::begin(QuotaRequest const& wanted, std::int64_t max_chunk, QuotaPeers const& peers, Micros now,
+void QuotaClient::begin(QuotaRequest const& need, std::int64_t max_chunk, QuotaPeers const& peers, Micros now,
                         std::vector<OutgoingMessage>& out) {
   ++tally.asked;
   PendingRequest pending;
-  pending.wanted = wanted;
+  pending.need = need;
   pending.max_chunk = std::max<std::int64_t>(1, max_chunk);
-  pending.missing = wanted.count;
-  send_next(++next_, std::move(pending), peers, now, out);
+  pending.missing = need.count;
+  send_next(++last_request_id_, std::move(pending), peers, now, out);
 }
 
 // The order of the owners depends on this node and the tenant, so that neither all nodes nor all tenants ask the same
@@ -42,14 +42,14 @@
   for (std::string const& owner : peers.owners) {
     if (pending.attempted.count(owner) > 0) continue;
     std::map<Key, ExhaustedOwner>::const_iterator const position =
-        exhausted_owners_.find(Key(pending.wanted.tenant, owner));
+        exhausted_owners_.find(Key(pending.need.tenant, owner));
     if (position != exhausted_owners_.end() && now < position->second.until &&
         pending.chunk >= position->second.count) {
       Micros const wait = position->second.until - now;
       pending.wait = pending.wait < 0 ? wait : std::min(pending.wait, wait);
       continue;
     }
-    std::uint64_t const rank = hash_text(owner, hash_text(pending.wanted.tenant, hash_text(self_)));
+    std::uint64_t const rank = hash_text(owner, hash_text(pending.need.tenant, hash_text(self_)));
     if (!best.empty() && rank <= best_rank) continue;
     best = owner;
     best_rank = rank;
@@ -62,7 +62,7 @@
   if (!peers.owners.empty() || peers.others.empty() || pending.attempted.size() >= max_peers_attempted)
     return std::nullopt;
   for (std::size_t n = 0; n < peers.others.size(); ++n) {
-    std::string const& peer = peers.others[(next_ + n) % peers.others.size()];
+    std::string const& peer = peers.others[(last_request_id_ + n) % peers.others.size()];
     if (pending.attempted.count(peer) == 0) return peer;
   }
   return std::nullopt;
@@ -72,17 +72,17 @@
                             std::vector<OutgoingMessage>& out) {
   if (pending.missing <= 0) return finish(pending, QuotaResult::Type::granted, out);
   pending.chunk = std::min(pending.missing, pending.max_chunk);
-  std::optional<std::string> to = now < pending.wanted.due ? next_owner(pending, peers, now) : std::nullopt;
+  std::optional<std::string> to = now < pending.need.due ? next_owner(pending, peers, now) : std::nullopt;
   pending.through_peer = false;
-  if (!to && now < pending.wanted.due) {
+  if (!to && now < pending.need.due) {
     to = next_peer(pending, peers);
     pending.through_peer = to.has_value();
   }
   if (!to) return finish(pending, pending.wait >= 0 ? QuotaResult::Type::refused : QuotaResult::Type::unreachable, out);
   pending.target = *to;
   pending.attempted[*to] = 1;
-  pending.due = std::min(now + reply_timeout, pending.wanted.due);
-  wire::QuotaRequestT message = make_request(request_id, pending.wanted.tenant, pending.chunk, QuotaPurpose::ask);
+  pending.due = std::min(now + reply_timeout, pending.need.due);
+  wire::QuotaRequestT message = make_request(request_id, pending.need.tenant, pending.chunk, QuotaPurpose::ask);
   if (pending.through_peer) {
     message.origin = self_;
     message.hops = 1;
@@ -112,7 +112,7 @@
   } else if (reply.wait > 0) {
     pending.wait = pending.wait < 0 ? reply.wait : std::min<Micros>(pending.wait, reply.wait);
     if (!pending.through_peer && exhausted_owners_.size() < max_exhausted_owners)
-      exhausted_owners_[Key(pending.wanted.tenant, from)] =
+      exhausted_owners_[Key(pending.need.tenant, from)] =
           ExhaustedOwner{now + std::clamp<Micros>(reply.wait, shortest_backoff, longest_backoff), pending.chunk};
   }
   send_next(reply.request_id, std::move(pending), peers, now, out);
@@ -129,13 +129,13 @@
     PendingRequest pending = std::move(pending_.at(request_id));
     pending_.erase(request_id);
     // A new request id, so that a late grant for the former one is returned.
-    send_next(++next_, std::move(pending), peers, now, out);
+    send_next(++last_request_id_, std::move(pending), peers, now, out);
   }
 }
 
 void QuotaClient::cancel(std::uint64_t request, std::vector<OutgoingMessage>& out) {
   for (std::map<std::uint64_t, PendingRequest>::iterator it = pending_.begin(); it != pending_.end(); ++it) {
-    if (it->second.wanted.request != request) continue;
+    if (it->second.need.request != request) continue;
     return_grants(it->second, out);
     pending_.erase(it);
     return;
@@ -145,20 +145,20 @@
 void QuotaClient::debit(std::string const& tenant, std::int64_t count, QuotaPeers const& peers,
                         std::vector<OutgoingMessage>& out) {
   if (peers.owners.empty()) return;
-  std::string const& owner = peers.owners[++next_ % peers.owners.size()];
+  std::string const& owner = peers.owners[++last_request_id_ % peers.owners.size()];
   out.push_back(message_to(owner, make_request(0, tenant, count, QuotaPurpose::debit)));
 }
 
 void QuotaClient::return_grants(PendingRequest const& pending, std::vector<OutgoingMessage>& out) {
   for (Grant const& item : pending.grants) {
     ++tally.given_back;
-    out.push_back(message_to(item.owner, make_request(0, pending.wanted.tenant, item.count, QuotaPurpose::give_back)));
+    out.push_back(message_to(item.owner, make_request(0, pending.need.tenant, item.count, QuotaPurpose::give_back)));
   }
 }
 
 void QuotaClient::finish(PendingRequest const& pending, QuotaResult::Type type, std::vector<OutgoingMessage>& out) {
   if (type != QuotaResult::Type::granted) return_grants(pending, out);
-  results.push_back(QuotaResult{pending.wanted.request, type, std::max<Micros>(0, pending.wait)});
+  results.push_back(QuotaResult{pending.need.request, type, std::max<Micros>(0, pending.wait)});
 }
 
 }  // namespace pipit
--- a/src/routing/tenants/quota_client.h
+++ b/src/routing/tenants/quota_client.h
@@ -45,10 +45,11 @@
 class QuotaClient {
  public:
   // 'first_request': request ids of this incarnation of the node follow this number.
-  QuotaClient(std::string self, std::uint64_t first_request) : self_(std::move(self)), next_(first_request) {}
+  QuotaClient(std::string self, std::uint64_t first_request)
+      : self_(std::move(self)), last_request_id_(first_request) {}
 
   // Starts to request quota. 'max_chunk': the most to request from one owner at once.
-  void begin(QuotaRequest const& wanted, std::int64_t max_chunk, QuotaPeers const& peers, Micros now,
+  void begin(QuotaRequest const& need, std::int64_t max_chunk, QuotaPeers const& peers, Micros now,
              std::vector<OutgoingMessage>& out);
   // Handles a reply. Returns a grant that came after its request had moved on.
   void take(std::string const& from, wire::QuotaReplyT const& reply, QuotaPeers const& peers, Micros now,
@@ -75,7 +76,7 @@
     std::int64_t count = 0;
   };
   struct PendingRequest {
-    QuotaRequest wanted;
+    QuotaRequest need;
     std::int64_t max_chunk = 0;
     std::vector<Grant> grants;
     std::int64_t missing = 0;
@@ -100,7 +101,7 @@
   void finish(PendingRequest const& pending, QuotaResult::Type type, std::vector<OutgoingMessage>& out);
 
   std::string const self_;
-  std::uint64_t next_;
+  std::uint64_t last_request_id_;
   std::map<std::uint64_t, PendingRequest> pending_;
   std::map<Key, ExhaustedOwner> exhausted_owners_;
 };
--- a/tests/keys.cc
+++ b/tests/keys.cc
@@ -8,8 +8,8 @@
 namespace pipit {
 
 namespace {
-std::string const mine = "X-Pipit-Attempt: r1\r\n";
-std::string const whole_answer = "HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 2\r\n\r\nok";
+std::string const attempt_header = "X-Pipit-Attempt: r1\r\n";
+std::string const whole_answer = "HTTP/1.1 200 OK\r\n" + attempt_header + "Content-Length: 2\r\n\r\nok";
 
 class ApiKeys : public Passing {
  protected:
@@ -33,14 +33,14 @@
   }
   // Replaces the lease by one that was confirmed 'age' ago and is still valid.
   void age_lease(Micros age) {
-    older = std::make_unique<ConfigurationLease>(seconds(5), seconds(2));
-    older->confirm(g_get_monotonic_time() - age);
-    dispatcher.set_lease(*older);
+    aged_lease = std::make_unique<ConfigurationLease>(seconds(5), seconds(2));
+    aged_lease->confirm(g_get_monotonic_time() - age);
+    dispatcher.set_lease(*aged_lease);
   }
   ConfigurationLease lease;
-  std::unique_ptr<ConfigurationLease> older;
+  std::unique_ptr<ConfigurationLease> aged_lease;
 };
-std::string const good = "Authorization: Bearer key-1\r\n";
+std::string const valid_key_header = "Authorization: Bearer key-1\r\n";
 }  // namespace
 
 TEST_F(ApiKeys, worker_receives_the_tenant_but_not_the_key) {
@@ -49,11 +49,11 @@
       "authorization: bearer key-2\r\nX-Pipit-Tenant: somebody\r\nx-pipit-tenant: else\r\n"
       "Connection: X-Pipit-Tenant, Authorization\r\n");
   ASSERT_EQ(reached(), "w1");
-  std::string const got = workers.at("w1")->got();
-  EXPECT_NE(got.find("X-Pipit-Tenant: weavers\r\n"), std::string::npos) << got;
-  EXPECT_EQ(got.find("key-2"), std::string::npos) << got;
-  EXPECT_EQ(got.find("somebody"), std::string::npos) << got;
-  EXPECT_EQ(got.find("else"), std::string::npos) << got;
+  std::string const received = workers.at("w1")->got();
+  EXPECT_NE(received.find("X-Pipit-Tenant: weavers\r\n"), std::string::npos) << received;
+  EXPECT_EQ(received.find("key-2"), std::string::npos) << received;
+  EXPECT_EQ(received.find("somebody"), std::string::npos) << received;
+  EXPECT_EQ(received.find("else"), std::string::npos) << received;
   connection_of("w1").send(whole_answer);
   EXPECT_TRUE(hears("ok"));
 }
@@ -63,7 +63,8 @@
   for (std::string const& fields :
        {std::string(), std::string("Authorization: Bearer key-3\r\n"), std::string("Authorization: Token key-1\r\n"),
         std::string("Authorization: Bearer\r\n"), std::string("Authorization: Bearer \r\n"),
-        std::string("Authorization: key-1\r\n"), good + good, good + "authorization: Bearer key-9\r\n",
+        std::string("Authorization: key-1\r\n"), valid_key_header + valid_key_header,
+        valid_key_header + "authorization: Bearer key-9\r\n",
         "Authorization: Bearer " + std::string(8192, 'k') + "\r\n"}) {
     caller.reset();
     ask("POST", "/once/x", fields);
@@ -79,9 +80,9 @@
   worker("w1");
   ask("POST", "/open/x", "X-Pipit-Tenant: weavers\r\nAuthorization: Bearer key-3\r\n");
   ASSERT_EQ(reached(), "w1");
-  std::string const got = workers.at("w1")->got();
-  EXPECT_EQ(got.find("weavers"), std::string::npos) << got;
-  EXPECT_EQ(got.find("key-3"), std::string::npos) << got;
+  std::string const received = workers.at("w1")->got();
+  EXPECT_EQ(received.find("weavers"), std::string::npos) << received;
+  EXPECT_EQ(received.find("key-3"), std::string::npos) << received;
   connection_of("w1").send(whole_answer);
   EXPECT_TRUE(hears("ok"));
 }
@@ -103,14 +104,14 @@
   ConfigurationLease ended(millis(1));
   dispatcher.set_lease(ended);
   worker("w1");
-  for (std::string const& fields : {good, std::string("Authorization: Bearer key-3\r\n")}) {
+  for (std::string const& fields : {valid_key_header, std::string("Authorization: Bearer key-3\r\n")}) {
     caller.reset();
     ask("POST", "/once/x", fields);
     EXPECT_TRUE(hears("HTTP/1.1 503")) << caller->got;
     EXPECT_TRUE(hears("Retry-After:"));
   }
   caller.reset();
-  ask("POST", "/nowhere/x", good);
+  ask("POST", "/nowhere/x", valid_key_header);
   EXPECT_TRUE(hears("HTTP/1.1 503")) << "the newest configuration may have this path";
   EXPECT_EQ(workers.at("w1")->got(), "");
 }
@@ -122,22 +123,22 @@
   age_lease(seconds(3));
   for (std::string const& path : {std::string("/nowhere/x"), std::string("/once/x")}) {
     caller.reset();
-    ask("POST", path, path == "/nowhere/x" ? good : "Authorization: Bearer key-3\r\n");
+    ask("POST", path, path == "/nowhere/x" ? valid_key_header : "Authorization: Bearer key-3\r\n");
     EXPECT_TRUE(hears("HTTP/1.1 503")) << path << caller->got;
   }
   caller.reset();
-  ask("POST", "/once/x", good);
+  ask("POST", "/once/x", valid_key_header);
   EXPECT_EQ(reached(), "w1") << "a known key is still accepted";
   connection_of("w1").send(whole_answer);
   EXPECT_TRUE(hears("ok"));
   age_lease(seconds(1));
   caller.reset();
-  ask("POST", "/nowhere/x", good);
+  ask("POST", "/nowhere/x", valid_key_header);
   EXPECT_TRUE(hears("HTTP/1.1 404"));
 }
 
 TEST_F(ApiKeys, waiting_request_is_not_sent_after_its_key_was_revoked) {
-  ask("POST", "/once/x", good);
+  ask("POST", "/once/x", valid_key_header);
   EXPECT_TRUE(until([&] { return dispatcher.active_requests() == 1; }));
   configure("[{\"name\":\"weavers\",\"keys\":[\"key-2\"]}]");
   worker("w1");
@@ -149,7 +150,7 @@
 TEST_F(ApiKeys, request_is_not_retried_after_its_key_was_revoked) {
   worker("w1");
   worker("w2");
-  ask("POST", "/safe/x", good);
+  ask("POST", "/safe/x", valid_key_header);
   std::string const first = reached();
   configure("[{\"name\":\"weavers\",\"keys\":[]}]");
   connection_of(first).link->close();
@@ -159,7 +160,7 @@
 }
 
 TEST_F(ApiKeys, key_moved_to_another_tenant_names_the_new_tenant) {
-  ask("POST", "/once/x", good);
+  ask("POST", "/once/x", valid_key_header);
   EXPECT_TRUE(until([&] { return dispatcher.active_requests() == 1; }));
   configure("[{\"name\":\"potters\",\"keys\":[\"key-1\"]}]");
   worker("w1");
@@ -174,14 +175,14 @@
   worker("w1");
   configure("[{\"name\":\"weavers\",\"keys\":[\"key-1\"],\"counts\":\"tokens\",\"plain_tokens\":70,\"rate\":10}]");
   quota_answer = QuotaResult::Type::refused;
-  ask("POST", "/once/x", good + "X-Pipit-Tokens: 1200,34\r\n");
+  ask("POST", "/once/x", valid_key_header + "X-Pipit-Tokens: 1200,34\r\n");
   EXPECT_TRUE(hears("HTTP/1.1 429")) << caller->got;
   EXPECT_TRUE(hears("Retry-After: 1.500\r\n")) << caller->got;
   ASSERT_EQ(quota_needs.size(), 1u);
   EXPECT_EQ(quota_needs[0].tenant, "weavers");
   EXPECT_EQ(quota_needs[0].count, 1234);
   quota_answer = QuotaResult::Type::unreachable;
-  ask("POST", "/once/x", good);
+  ask("POST", "/once/x", valid_key_header);
   EXPECT_TRUE(hears("HTTP/1.1 503")) << "whether the request is over the limit is unknown";
   EXPECT_EQ(quota_needs[1].count, 70);
   EXPECT_EQ(workers.at("w1")->got(), "");
@@ -191,7 +192,7 @@
   worker("w1");
   worker("w2");
   configure("[{\"name\":\"weavers\",\"keys\":[\"key-1\"],\"rate\":10}]");
-  ask("POST", "/safe/x", good);
+  ask("POST", "/safe/x", valid_key_header);
   std::string const first = reached();
   connection_of(first).link->close();
   std::string const second = reached(first);
--- a/tests/registry.cc
+++ b/tests/registry.cc
@@ -88,17 +88,17 @@
 TEST_F(RegistryTest, draining_is_not_revoked_by_a_peer_that_missed_it) {
   registry.heartbeat(heartbeat_of("w", 2, true), 0);
   // The peer took a later heartbeat and didn't know that the worker is leaving.
-  std::optional<wire::EntryT> const said = registry.take_entry(entry_of("w", 3, WorkerState::serving, "n2"), 10);
+  std::optional<wire::EntryT> const answer = registry.take_entry(entry_of("w", 3, WorkerState::serving, "n2"), 10);
   EXPECT_EQ(state_of(registry, "w"), WorkerState::draining);
-  ASSERT_TRUE(said);
-  EXPECT_EQ(said->state, static_cast<std::uint8_t>(WorkerState::draining));
+  ASSERT_TRUE(answer);
+  EXPECT_EQ(answer->state, static_cast<std::uint8_t>(WorkerState::draining));
 }
 
 TEST_F(RegistryTest, heartbeats_are_ignored_after_deregistration) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
-  std::optional<wire::EntryT> const bye = registry.leave("w", 2, 10);
-  ASSERT_TRUE(bye);
-  EXPECT_EQ(bye->state, static_cast<std::uint8_t>(WorkerState::ended));
+  std::optional<wire::EntryT> const deregistration = registry.leave("w", 2, 10);
+  ASSERT_TRUE(deregistration);
+  EXPECT_EQ(deregistration->state, static_cast<std::uint8_t>(WorkerState::ended));
   EXPECT_EQ(std::count(registry.ended_workers.begin(), registry.ended_workers.end(), "w"), 1);
   EXPECT_FALSE(registry.heartbeat(heartbeat_of("w", 3), 20));
   EXPECT_EQ(state_of(registry, "w"), WorkerState::ended);
@@ -106,7 +106,7 @@
   // The same at a peer that has received the entry, in either order.
   Registry peer("n2");
   peer.heartbeat(heartbeat_of("w", 1), 0);
-  EXPECT_FALSE(peer.take_entry(*bye, 30));
+  EXPECT_FALSE(peer.take_entry(*deregistration, 30));
   EXPECT_FALSE(peer.heartbeat(heartbeat_of("w", 3), 40));
   EXPECT_EQ(state_of(peer, "w"), WorkerState::ended);
 }
@@ -126,10 +126,10 @@
 TEST_F(RegistryTest, silent_worker_ends_and_its_next_heartbeat_restores_it) {
   registry.heartbeat(heartbeat_of("w", 1), 0);
   EXPECT_TRUE(registry.end_silent_workers(2 * heartbeat_interval).empty());
-  std::vector<wire::EntryT> const gone = registry.end_silent_workers(3 * heartbeat_interval + 1);
-  ASSERT_EQ(gone.size(), 1u);
-  EXPECT_EQ(gone[0].key, "w");
-  EXPECT_EQ(gone[0].state, static_cast<std::uint8_t>(WorkerState::ended));
+  std::vector<wire::EntryT> const ended = registry.end_silent_workers(3 * heartbeat_interval + 1);
+  ASSERT_EQ(ended.size(), 1u);
+  EXPECT_EQ(ended[0].key, "w");
+  EXPECT_EQ(ended[0].state, static_cast<std::uint8_t>(WorkerState::ended));
   EXPECT_TRUE(registry.end_silent_workers(4 * heartbeat_interval).empty()) << "the end is reported once";
   EXPECT_TRUE(registry.heartbeat(heartbeat_of("w", 2), 5 * heartbeat_interval));
   EXPECT_EQ(state_of(registry, "w"), WorkerState::serving);
@@ -140,9 +140,9 @@
   registry.heartbeat(heartbeat_of("w", 1), 0);
   registry.heartbeat(heartbeat_of("v", 1), 0);
   registry.record_response(*registry.find("w"), 2 * heartbeat_interval);
-  std::vector<wire::EntryT> const gone = registry.end_silent_workers(4 * heartbeat_interval);
-  ASSERT_EQ(gone.size(), 1u);
-  EXPECT_EQ(gone[0].key, "v");
+  std::vector<wire::EntryT> const ended = registry.end_silent_workers(4 * heartbeat_interval);
+  ASSERT_EQ(ended.size(), 1u);
+  EXPECT_EQ(ended[0].key, "v");
   EXPECT_EQ(state_of(registry, "w"), WorkerState::serving);
   EXPECT_EQ(registry.end_silent_workers(6 * heartbeat_interval).size(), 1u)
       << "without further responses it ends as well";
@@ -159,9 +159,9 @@
   registry.heartbeat(heartbeat_of("w", 1), 0);
   registry.heartbeat(heartbeat_of("v", 1), 0);
   EXPECT_TRUE(registry.suspect("w", millis(100)));
-  std::vector<wire::EntryT> const gone = registry.end_silent_workers(2 * heartbeat_interval);
-  ASSERT_EQ(gone.size(), 1u);
-  EXPECT_EQ(gone[0].key, "w");
+  std::vector<wire::EntryT> const ended = registry.end_silent_workers(2 * heartbeat_interval);
+  ASSERT_EQ(ended.size(), 1u);
+  EXPECT_EQ(ended[0].key, "w");
   EXPECT_EQ(state_of(registry, "v"), WorkerState::serving);
 }
 
@@ -229,14 +229,14 @@
 TEST_F(RegistryTest, outdated_entry_of_a_peer_is_answered_with_the_newer_one) {
   registry.heartbeat(heartbeat_of("w", 7), 0);
   registry.leave("w", 8, 10);
-  std::optional<wire::EntryT> const said = registry.take_entry(entry_of("w", 7, WorkerState::serving, "n2"), 20);
-  ASSERT_TRUE(said);
-  EXPECT_EQ(said->state, static_cast<std::uint8_t>(WorkerState::ended));
+  std::optional<wire::EntryT> const answer = registry.take_entry(entry_of("w", 7, WorkerState::serving, "n2"), 20);
+  ASSERT_TRUE(answer);
+  EXPECT_EQ(answer->state, static_cast<std::uint8_t>(WorkerState::ended));
   EXPECT_EQ(state_of(registry, "w"), WorkerState::ended);
   // The answer ends the worker at the peer too.
   Registry peer("n2");
   peer.heartbeat(heartbeat_of("w", 7), 0);
-  EXPECT_FALSE(peer.take_entry(*said, 30));
+  EXPECT_FALSE(peer.take_entry(*answer, 30));
   EXPECT_EQ(state_of(peer, "w"), WorkerState::ended);
 }
 
--- a/tests/tenants.cc
+++ b/tests/tenants.cc
@@ -307,15 +307,15 @@
     peers.owners = {"a", "b", "c"};
     peers.owner_count = 3;
   }
-  void begin(std::int64_t count, std::int64_t piece) {
-    client.begin(QuotaRequest{7, "t", count, now + millis(400)}, piece, peers, now, sent);
+  void begin(std::int64_t count, std::int64_t max_chunk) {
+    client.begin(QuotaRequest{7, "t", count, now + millis(400)}, max_chunk, peers, now, sent);
   }
   // Answers the pending request.
   void answer(bool granted, Micros wait = 0) {
     ASSERT_FALSE(sent.empty());
     wire::QuotaRequestT const ask = *sent.back().body.AsQuotaRequest();
     std::string const from = sent.back().to;
-    asked.push_back(from);
+    targets.push_back(from);
     wire::QuotaReplyT reply;
     reply.request_id = ask.request_id;
     reply.tenant = ask.tenant;
@@ -333,7 +333,7 @@
   QuotaClient client;
   QuotaPeers peers;
   std::vector<OutgoingMessage> sent;
-  std::vector<std::string> asked;
+  std::vector<std::string> targets;
   Micros now = seconds(1);
 };
 }  // namespace
@@ -353,7 +353,7 @@
   ASSERT_EQ(client.results.size(), 1u);
   EXPECT_EQ(client.results[0].type, QuotaResult::Type::refused);
   EXPECT_EQ(client.results[0].wait, millis(300));
-  EXPECT_EQ(std::set<std::string>(asked.begin(), asked.end()).size(), 3u);
+  EXPECT_EQ(std::set<std::string>(targets.begin(), targets.end()).size(), 3u);
   // The next request is refused immediately, without a message, until an owner may have that much again.
   std::size_t const messages = sent.size();
   begin(100, 1000);
