--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -108,7 +108,7 @@
                        {mesh, learner, acceptor, configuration_authority_, peer_rotation_, dispatcher}) {
   if (recovered) acceptor.emplace(std::move(*recovered));
   register_bootstrap_.mark_awaiting_bootstrap(acceptor);
-  registry.span(plan.heartbeat_interval);
+  registry.set_heartbeat_interval(plan.heartbeat_interval);
   if (plan.workers_self_register) dispatcher.set_started_at(now);
   dispatcher.set_retry_budget(plan.retry_budget_ratio, plan.retry_budget_limit);
   dispatcher.set_lease(key_lease());
@@ -145,7 +145,7 @@
     ++clock_jumps;
     stale_since_ = now;
     update_dispatch_pause();
-    registry.stood_still(now);
+    registry.reset_silence_timers(now);
     list_read_in_flight_ = false;
     log_event(Event::clock_jumped, std::to_string((now - last_tick_) / 1000) + " ms");
   }
@@ -275,7 +275,7 @@
     case wire::Body::Loads:
       note_peer_list_age(body.AsLoads()->age, now);
       if (plan.workers_self_register) {
-        registry.peer_loads(*body.AsLoads(), now);
+        registry.take_peer_loads(*body.AsLoads(), now);
         exchange.relay(from, *body.AsLoads());
       } else
         fleet.take_peer_loads(from, *body.AsLoads(), now);
@@ -491,10 +491,10 @@
       mesh.put_entry(std::move(*refutation), now);
   }
   mesh.updated_entry_keys.clear();
-  for (std::string const& id : registry.ended) index_sync.forget(id);
-  registry.ended.clear();
-  for (std::string const& name : fleet.reborn) index_sync.forget(name);
-  fleet.reborn.clear();
+  for (std::string const& id : registry.ended_workers) index_sync.forget(id);
+  registry.ended_workers.clear();
+  for (std::string const& name : fleet.restarted_workers) index_sync.forget(name);
+  fleet.restarted_workers.clear();
 }
 
 void Node::record_synced(Micros now, NodeEffects& out) {
--- a/src/routing/dispatch/dispatcher.cc
+++ b/src/routing/dispatch/dispatcher.cc
@@ -193,7 +193,7 @@
       at->pace = std::clamp(at->pace * 0.95 + std::min(seen, 3.0) * 0.05, 0.8, 3.0);
     }
   }
-  registry_.well(*at, now);
+  registry_.record_response(*at, now);
 }
 
 void Dispatcher::on_event_without_id(std::uint64_t id) {
@@ -216,14 +216,14 @@
   if (instance != nullptr) {
     switch (end) {
       case AttemptEnd::declined:
-        registry_.well(*instance, now);
+        registry_.record_response(*instance, now);
         // The worker is full, or another instance runs at its address now.
         instance->ejected = now + (elsewhere ? seconds(3) : millis(120));
         if (elsewhere) exchange_.report_suspect(at);
         break;
       case AttemptEnd::complete:
       case AttemptEnd::failed:
-        registry_.well(*instance, now);
+        registry_.record_response(*instance, now);
         break;
       default:
         // One slow answer does not make a worker suspect while it sends bytes for other requests.
@@ -284,8 +284,8 @@
   std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const position = requests_.find(id);
   Instance* const at = position == requests_.end() ? nullptr : registry_.find(position->second->worker_id);
   if (at == nullptr) return;
-  at->said = load;
-  at->said_at = now;
+  at->reported_load = load;
+  at->reported_load_at = now;
   // Only a load that may change another node's placement is reported: from two fifths of the slots on.
   if (load * 5 >= at->slots * 2) exchange_.report_load(at->id, load);
 }
@@ -416,7 +416,7 @@
                          at->running > 1 && silent_for > request.predicted_first_event * 3;
   // A worker that announced its end may serve its requests for long, and one whose heartbeats are late still sends
   // bytes: neither has departed.
-  bool const departed = at == nullptr || (at->standing == WorkerState::ended && !at->said_farewell() && no_bytes);
+  bool const departed = at == nullptr || (at->state == WorkerState::ended && !at->has_deregistered() && no_bytes);
   return silent_for > limit || unhealthy || (departed && silent_for > silence_min / 2);
 }
 
--- a/src/routing/fleet/fleet.cc
+++ b/src/routing/fleet/fleet.cc
@@ -12,9 +12,9 @@
 namespace pipit {
 
 namespace {
-constexpr int revive_after = 4;
+constexpr int listings_to_restore = 4;
 
-bool text_of(simdjson::dom::element const& row, char const* key, std::string& out) {
+bool read_text_field(simdjson::dom::element const& row, char const* key, std::string& out) {
   std::string_view view;
   if (row[key].get_string().get(view) || view.empty()) return false;
   out = view;
@@ -22,26 +22,29 @@
 }
 }  // namespace
 
-Result<std::vector<ListRow>> read_list(std::string_view text) {
+Result<std::vector<ListRow>> read_worker_list(std::string_view text) {
   simdjson::dom::parser parser;
   simdjson::dom::element root;
   simdjson::dom::array items;
-  if (parser.parse(simdjson::padded_string(text)).get(root)) return fail(ErrorCode::bad_json, "the list is not JSON");
-  if (root["workers"].get_array().get(items)) return fail(ErrorCode::bad_request, "the list has no workers");
+  if (parser.parse(simdjson::padded_string(text)).get(root))
+    return fail(ErrorCode::bad_json, "the worker list is not valid JSON");
+  if (root["workers"].get_array().get(items))
+    return fail(ErrorCode::bad_request, "the worker list has no array \"workers\"");
   std::vector<ListRow> out;
   std::set<std::string> seen;
   for (simdjson::dom::element const& item : items) {
     ListRow row;
     std::string state;
-    if (!text_of(item, "id", row.id) || !text_of(item, "address", row.address) || !text_of(item, "zone", row.zone) ||
-        !text_of(item, "pool", row.pool) || !text_of(item, "state", state) ||
-        item["incarnation"].get_uint64().get(row.incarnation))
-      return fail(ErrorCode::bad_request, "a row of the list lacks a field");
+    if (!read_text_field(item, "id", row.id) || !read_text_field(item, "address", row.address) ||
+        !read_text_field(item, "zone", row.zone) || !read_text_field(item, "pool", row.pool) ||
+        !read_text_field(item, "state", state) || item["incarnation"].get_uint64().get(row.incarnation))
+      return fail(ErrorCode::bad_request, "a row of the worker list lacks a required field");
     if (state != "serving" && state != "leaving")
-      return fail(ErrorCode::bad_request, "a row of the list has the state " + state);
+      return fail(ErrorCode::bad_request, "a row of the worker list has the unknown state " + state);
     if (!good_address(row.address))
-      return fail(ErrorCode::bad_request, "a row of the list has the address " + row.address);
-    if (!seen.insert(row.id).second) return fail(ErrorCode::bad_request, "the list names " + row.id + " twice");
+      return fail(ErrorCode::bad_request, "a row of the worker list has the invalid address " + row.address);
+    if (!seen.insert(row.id).second)
+      return fail(ErrorCode::bad_request, "the worker list contains " + row.id + " twice");
     row.leaving = state == "leaving";
     std::int64_t slots = 0;
     if (!item["slots"].get_int64().get(slots)) row.slots = slots;
@@ -60,7 +63,7 @@
   if (parser.parse(simdjson::padded_string(text)).get(root) || root["incarnation"].get_uint64().get(out.incarnation) ||
       root["active"].get_int64().get(active) || root["queued"].get_int64().get(queued) ||
       root["awake_ms"].get_int64().get(awake))
-    return fail(ErrorCode::worker_wrong, "the health report cannot be read");
+    return fail(ErrorCode::worker_wrong, "the worker's health report cannot be parsed");
   out.demand = active + queued;
   out.awake = millis(awake);
   return out;
@@ -73,25 +76,25 @@
 
 void Fleet::begin_incarnation(Worker& worker, std::uint64_t incarnation) {
   worker.row.incarnation = incarnation;
-  worker.standing = WorkerState::serving;
-  worker.absent = false;
-  worker.listings_since_absence = 0;
-  worker.woke = -1;
+  worker.state = WorkerState::serving;
+  worker.removed_from_list = false;
+  worker.listings_since_removal = 0;
+  worker.warm_up_start = -1;
   worker.unhealthy = true;
-  worker.ever = false;
+  worker.was_healthy = false;
   worker.suspected = false;
-  worker.awake = 0;
-  worker.misses = 0;
+  worker.reported_uptime = 0;
+  worker.missed_health_checks = 0;
   worker.demand = 0;
-  reborn.push_back(worker.row.id);
+  restarted_workers.push_back(worker.row.id);
   log_event(Event::worker_joined, worker.row.id + " incarnation " + std::to_string(incarnation));
 }
 
-void Fleet::bury(Worker& worker, WorkerState standing) {
-  if (worker.standing == WorkerState::serving || standing == WorkerState::ended) worker.standing = standing;
-  worker.buried = std::max(worker.buried, worker.row.incarnation);
-  worker.listings_since_absence = 0;
-  log_event(standing == WorkerState::ended ? Event::worker_removed : Event::worker_leaving, worker.row.id);
+void Fleet::end_incarnation(Worker& worker, WorkerState state) {
+  if (worker.state == WorkerState::serving || state == WorkerState::ended) worker.state = state;
+  worker.last_ended_incarnation = std::max(worker.last_ended_incarnation, worker.row.incarnation);
+  worker.listings_since_removal = 0;
+  log_event(state == WorkerState::ended ? Event::worker_removed : Event::worker_leaving, worker.row.id);
 }
 
 void Fleet::take_list(std::vector<ListRow> const& rows, Micros now) {
@@ -101,7 +104,7 @@
     Worker& worker = workers[row.id];
     bool const first = worker.row.id.empty();
     if (first) worker.row = row;
-    if (row.incarnation < worker.row.incarnation) continue;  // the list is behind what the worker said itself
+    if (row.incarnation < worker.row.incarnation) continue;  // the list is older than the worker's own report
     if (first || row.incarnation > worker.row.incarnation) {
       worker.row = row;
       begin_incarnation(worker, row.incarnation);
@@ -113,35 +116,35 @@
     worker.row.pool = row.pool;
     worker.row.slots = slots;
     if (row.leaving && guard(Guard::local_veto)) {
-      worker.absent = false;
-      if (worker.standing == WorkerState::serving) bury(worker, WorkerState::draining);
-    } else if (worker.standing == WorkerState::ended && worker.absent &&
-               ++worker.listings_since_absence >= revive_after) {
-      // It was absent from a reading and has been listed ever since: the absence was the list's fault.
+      worker.removed_from_list = false;
+      if (worker.state == WorkerState::serving) end_incarnation(worker, WorkerState::draining);
+    } else if (worker.state == WorkerState::ended && worker.removed_from_list &&
+               ++worker.listings_since_removal >= listings_to_restore) {
+      // It was missing from one list and is in every list since: the list was wrong.
       begin_incarnation(worker, row.incarnation);
-      worker.buried = row.incarnation - 1;
+      worker.last_ended_incarnation = row.incarnation - 1;
     }
   }
   for (std::pair<std::string const, Worker>& item : workers) {
     Worker& worker = item.second;
     if (seen.count(item.first)) continue;
-    worker.listings_since_absence = 0;
+    worker.listings_since_removal = 0;
     if (!guard(Guard::local_veto)) continue;
-    if (!worker.listed) continue;  // known by entries only: this node's list may be behind
+    if (!worker.listed) continue;  // known from entries only: this node's list may be older
     worker.listed = false;
-    if (worker.standing == WorkerState::ended) continue;
-    worker.absent = worker.standing == WorkerState::serving;
-    bury(worker, WorkerState::ended);
+    if (worker.state == WorkerState::ended) continue;
+    worker.removed_from_list = worker.state == WorkerState::serving;
+    end_incarnation(worker, WorkerState::ended);
   }
 }
 
 void Fleet::take_entry(wire::EntryT const& entry, Micros now) {
-  // "w2!p3" is what p3 says of w2 besides its owner: only an end counts (§4.3).
+  // "w2!p3" is a report on w2 by p3, which doesn't own w2: only an end counts (§4.3).
   std::string const id = worker_of(entry.key);
   if (id.empty() || (is_secondary_report(entry.key) && entry.state == static_cast<std::uint8_t>(WorkerState::serving)))
     return;
   Worker& worker = workers[id];
-  WorkerState const said = static_cast<WorkerState>(entry.state);
+  WorkerState const reported = static_cast<WorkerState>(entry.state);
   bool const first = worker.row.id.empty();
   if (first || entry.incarnation > worker.row.incarnation) {
     if (!good_address(entry.address)) {
@@ -155,13 +158,13 @@
     worker.row.slots = entry.slots;
     begin_incarnation(worker, entry.incarnation);
   }
-  if (!guard(Guard::tombstone) && entry.incarnation == worker.row.incarnation && said == WorkerState::serving)
-    worker.standing = said;
-  // §4.3: an entry can end a incarnation; only this node's own list or a new incarnation can undo that.
-  if (entry.incarnation == worker.row.incarnation && said != WorkerState::serving &&
-      worker.standing == WorkerState::serving) {
-    worker.absent = said == WorkerState::ended;
-    bury(worker, said);
+  if (!guard(Guard::tombstone) && entry.incarnation == worker.row.incarnation && reported == WorkerState::serving)
+    worker.state = reported;
+  // §4.3: an entry can end an incarnation; only this node's own list or a new incarnation can revert that.
+  if (entry.incarnation == worker.row.incarnation && reported != WorkerState::serving &&
+      worker.state == WorkerState::serving) {
+    worker.removed_from_list = reported == WorkerState::ended;
+    end_incarnation(worker, reported);
   }
 }
 
@@ -177,7 +180,8 @@
 void Fleet::reconcile(std::map<std::string, wire::EntryT> const& entries, Micros now) {
   for (std::pair<std::string const, wire::EntryT> const& item : entries) {
     Worker const* const worker = find(worker_of(item.first));
-    if (worker != nullptr && worker->buried >= item.second.incarnation && guard(Guard::tombstone)) continue;
+    if (worker != nullptr && worker->last_ended_incarnation >= item.second.incarnation && guard(Guard::tombstone))
+      continue;
     take_entry(item.second, now);
   }
 }
@@ -187,37 +191,37 @@
   Worker* const worker = find(id);
   if (worker == nullptr || incarnation != worker->row.incarnation) return;
   if (!report) {
-    ++worker->misses;
-    worker->asked = -1;
-    if (!worker->unhealthy && (refused || worker->misses >= 2)) {
+    ++worker->missed_health_checks;
+    worker->probe_sent = -1;
+    if (!worker->unhealthy && (refused || worker->missed_health_checks >= 2)) {
       worker->unhealthy = true;
       log_event(Event::worker_unhealthy, id);
     }
     return;
   }
-  worker->misses = 0;
+  worker->missed_health_checks = 0;
   if (report->incarnation < worker->row.incarnation) return;  // an older incarnation still answers at this address
   if (report->incarnation > worker->row.incarnation) begin_incarnation(*worker, report->incarnation);
   worker->demand = report->demand;
   worker->reported = now;
   worker->confirmed = std::max(worker->confirmed, asked);
-  worker->asked = -1;
-  // Only what was asked after the doubt answers it.
+  worker->probe_sent = -1;
+  // Only a health check sent after the suspicion clears it.
   if (asked >= worker->suspected_at) worker->suspected = false;
-  // A worker that says it woke later than it said before has lost what it kept, whatever its incarnation.
-  if (!worker->unhealthy && report->awake + seconds(1) < worker->awake) {
+  // An uptime below the one reported before means that the worker has lost its cache, whatever its incarnation.
+  if (!worker->unhealthy && report->awake + seconds(1) < worker->reported_uptime) {
     worker->unhealthy = true;
-    worker->ever = false;
-    reborn.push_back(id);
+    worker->was_healthy = false;
+    restarted_workers.push_back(id);
   }
-  worker->awake = report->awake;
+  worker->reported_uptime = report->awake;
   if (worker->unhealthy) {
-    // §6.6: cold is what woke a short while ago, and what comes back from the dark. A worker that woke before this
-    // machine's clock began has been warm for all of it: below 0 would say that nothing is known.
-    worker->woke = worker->ever ? now : std::max<Micros>(0, now - report->awake);
+    // §6.6: a worker is cold shortly after it woke up or after an outage. For a worker that woke up before this
+    // machine's clock began the time is 0, as a negative one would mean that it is unknown.
+    worker->warm_up_start = worker->was_healthy ? now : std::max<Micros>(0, now - report->awake);
     worker->unhealthy = false;
-    if (worker->ever) log_event(Event::worker_recovered, id);
-    worker->ever = true;
+    if (worker->was_healthy) log_event(Event::worker_recovered, id);
+    worker->was_healthy = true;
   }
 }
 
@@ -228,7 +232,7 @@
   return static_cast<std::int64_t>(rendezvous_rank(worker.row.id, self, names)) < bound ? 1 : 0;
 }
 
-bool Fleet::unsure(Worker const& worker, std::int64_t share, Micros now) const {
+bool Fleet::needs_probe(Worker const& worker, std::int64_t share, Micros now) const {
   if (share <= 0) return worker.confirmed < now - millis(50);
   std::int64_t n = 0;
   for (Micros const at : worker.sends)
@@ -248,9 +252,9 @@
   for (std::unique_ptr<wire::LoadT> const& load : loads.list) item.attempts[load->worker] = load->attempts;
 }
 
-void Fleet::sum_others(std::set<std::string> const& senders, Micros now) {
+void Fleet::sum_peer_loads(std::set<std::string> const& senders, Micros now) {
   constexpr Micros lately = millis(1500);
-  bool exact = true;
+  bool peer_loads_complete = true;
   std::map<std::string, std::int64_t> sums;
   for (std::map<std::string, PeerLoads>::iterator it = peer_loads_.begin(); it != peer_loads_.end();) {
     if (now - it->second.at > seconds(10)) {
@@ -262,12 +266,12 @@
   }
   for (std::string const& name : senders) {
     std::map<std::string, PeerLoads>::const_iterator const position = peer_loads_.find(name);
-    exact = exact && position != peer_loads_.end() && now - position->second.at <= lately;
+    peer_loads_complete = peer_loads_complete && position != peer_loads_.end() && now - position->second.at <= lately;
   }
   for (std::pair<std::string const, Worker>& item : workers) {
     std::map<std::string, std::int64_t>::const_iterator const sum = sums.find(item.first);
-    item.second.others = sum == sums.end() ? 0 : sum->second;
-    item.second.exact = exact;
+    item.second.peer_attempts = sum == sums.end() ? 0 : sum->second;
+    item.second.peer_loads_complete = peer_loads_complete;
   }
 }
 
@@ -296,7 +300,7 @@
     entry.zone = worker.row.zone;
     entry.pool = worker.row.pool;
     entry.slots = static_cast<std::uint32_t>(worker.row.slots);
-    entry.state = static_cast<std::uint8_t>(worker.standing);
+    entry.state = static_cast<std::uint8_t>(worker.state);
     out.push_back(std::move(entry));
   }
   return out;
@@ -317,7 +321,7 @@
   std::uint64_t const seed = hash_text(key);
   std::string const* first = nullptr;
   std::uint64_t most = 0;
-  // Of equal hashes the name that sorts first goes before, as in rendezvous_rank().
+  // For equal hashes the name that sorts first wins, as in rendezvous_rank().
   for (std::string const& name : names) {
     std::uint64_t const own = hash_text(name, seed);
     if (first != nullptr && own <= most) continue;
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -445,13 +445,13 @@
   gone.slots = 8;
   gone.state = static_cast<std::uint8_t>(WorkerState::ended);
   registry.take_entry(gone, now);
-  ASSERT_EQ(registry.find("w")->standing, WorkerState::ended);
+  ASSERT_EQ(registry.find("w")->state, WorkerState::ended);
   worker("v");
   for (int turn = 0; turn < 8; ++turn) {
     out = DispatchEffects();
     dispatcher.tick(now += millis(100), out);
     EXPECT_TRUE(out.empty()) << "turn " << turn;
-    registry.well(*registry.find("w"), now);  // bytes arrived for another request
+    registry.record_response(*registry.find("w"), now);  // bytes arrived for another request
   }
   wait(seconds(1));
   EXPECT_EQ(out.cancelled_attempts, std::vector<std::uint64_t>{1}) << "the worker sends neither bytes nor heartbeats";
@@ -690,7 +690,7 @@
       ASSERT_EQ(item.resumes_answer, row.began);
       Instance const* const at = registry.find(item.instance);
       ASSERT_NE(at, nullptr);
-      ASSERT_TRUE(at->takes());
+      ASSERT_TRUE(at->accepts_requests());
       row.active = true;
       row.left = false;
       row.at = item.instance;
@@ -733,7 +733,7 @@
   RandomSource random(seed);
   IndexSync index_sync(seed);
   Registry registry("n1");
-  registry.span(millis(1000));
+  registry.set_heartbeat_interval(millis(1000));
   ReportExchange exchange("n1");
   Dispatcher dispatcher("n1", "a", index_sync, registry, exchange);
   dispatcher.set_retry_budget(0.3, 10);
@@ -772,7 +772,7 @@
       if (random.chance(0.05))
         registry.leave("w" + std::to_string(random.below(6)) + "-" + std::to_string(turn / 2000), ++order, now);
     } else if (event_kind < 33) {
-      registry.silent(now);
+      registry.end_silent_workers(now);
     } else if (event_kind < 34) {
       dispatcher.set_paused(random.chance(0.2));
     } else if (event_kind < 35) {
--- a/tests/worker_end_acknowledgement.cc
+++ b/tests/worker_end_acknowledgement.cc
@@ -53,7 +53,7 @@
   // Whether this node's registry shows the worker as leaving or ended.
   bool knows_end(std::string const& worker) const {
     Instance const* const at = node->registry.find(worker);
-    return at != nullptr && at->standing != WorkerState::serving;
+    return at != nullptr && at->state != WorkerState::serving;
   }
   bool connected() const { return node->mesh.open_connections() > 0 && !node->mesh.members.peers.empty(); }
 
