--- a/src/consensus/register/orders.h
+++ b/src/consensus/register/orders.h
@@ -17,7 +17,7 @@
 std::uint64_t serial_of_order(wire::ValueT const& value, std::string const& id);
 // Adds the order that produced the value's present serial and label, and forgets the oldest beyond the limit.
 void remember_order(wire::ValueT& value, std::string const& id);
-// Whether an order with this base may have been applied and forgotten since. It cannot be refused then.
+// Whether an order with this base may have been applied and forgotten since. Such an order cannot be refused.
 bool order_may_be_forgotten(wire::ValueT const& value, std::uint64_t based_on_label, std::uint64_t based_on_serial,
                             bool by_label);
 // The status of an operator's order relative to a value.
--- a/tests/stored_data.cc
+++ b/tests/stored_data.cc
@@ -1,4 +1,4 @@
-// Data folders of replicas that former programs wrote (tests/data/records) are opened with all that is in them.
+// Data folders written by earlier releases (tests/data/records) are opened without loss of data.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -21,33 +21,33 @@
 
 constexpr std::uint64_t unused_disk_id = 9;
 
-// A copy in memory of a folder that was read from the disk.
+// An in-memory copy of a folder on disk.
 class CopiedDisk : public Disk {
  public:
   explicit CopiedDisk(std::string const& folder) {
     for (std::filesystem::directory_entry const& entry : std::filesystem::directory_iterator(folder)) {
       std::ifstream file(entry.path(), std::ios::binary);
-      files[entry.path().filename().string()] =
+      files_[entry.path().filename().string()] =
           std::string(std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>());
     }
   }
 
-  bool exists(std::string const& name) override { return files.count(name) > 0; }
-  Result<std::string> read(std::string const& name) override { return files[name]; }
+  bool exists(std::string const& name) override { return files_.count(name) > 0; }
+  Result<std::string> read(std::string const& name) override { return files_[name]; }
   Result<void> write(std::string const& name, std::string const& bytes) override {
-    std::string& content = files[name];
+    std::string& content = files_[name];
     if (content.size() < bytes.size()) content.resize(bytes.size());
     content.replace(0, bytes.size(), bytes);
     return boost::outcome_v2::success();
   }
   Result<void> allocate(std::string const& name, std::size_t size) override {
-    files[name] = std::string(size, '\0');
+    files_[name] = std::string(size, '\0');
     return boost::outcome_v2::success();
   }
-  std::size_t file_count() const { return files.size(); }
+  std::size_t file_count() const { return files_.size(); }
 
  private:
-  std::map<std::string, std::string> files;
+  std::map<std::string, std::string> files_;
 };
 
 std::string folder_of(unsigned format) {
@@ -56,7 +56,7 @@
 
 std::string cluster_of(unsigned format) { return "cluster-" + std::to_string(format); }
 
-// The format that a file says, before the store converts it. The record lies behind a header of 32 bytes.
+// The format stored in the first file, before any conversion by the store. The record follows a header of 32 bytes.
 std::uint32_t format_on_disk(unsigned format) {
   constexpr std::size_t header_size = 32;
   CopiedDisk disk(folder_of(format));
@@ -85,7 +85,7 @@
 
 std::string const last_text = R"({"format":1,"pools":[{"name":"main","model":"m4","slots":60}],"lanes":[]})";
 
-// What the folders of all formats hold alike: the last of four changes, and a promise for a later ballot.
+// Contents common to the folders of all formats: the last of four changes, and a promise for a later ballot.
 void expect_common(wire::RecordT const& record, unsigned format) {
   EXPECT_EQ(record.cluster, cluster_of(format));
   EXPECT_EQ(record.name, "k1");
@@ -106,7 +106,7 @@
   expect_registration(*value.evicted.front(), "p2", "127.0.0.1:7005", 42);
 }
 
-// The set of replicas before the change that formats 2 and 3 hold half done.
+// The replicas before the membership change that is in progress in the folders of formats 2 and 3.
 void expect_first_replicas(std::vector<std::unique_ptr<wire::ReplicaT>> const& replicas, unsigned format) {
   std::uint64_t const first_disk = 1000u * format + 1;
   ASSERT_EQ(replicas.size(), 3u);
@@ -115,7 +115,7 @@
   expect_replica(*replicas[2], "k3", first_disk + 2, "127.0.0.1:7003");
 }
 
-// The orders that formats 2 and 3 remember: serials 11 to 14, and up to 10 forgotten.
+// The remembered orders in formats 2 and 3: serials 11 to 14; orders up to serial 10 are forgotten.
 void expect_orders(wire::ValueT const& value) {
   EXPECT_EQ(value.serial, 14u);
   ASSERT_EQ(value.orders.size(), 4u);
@@ -140,7 +140,7 @@
 
 std::vector<std::string> const bootstrap_seeds = {"127.0.0.1:7001", "127.0.0.1:7002"};
 
-// The record as the store opens it; one without a value where it is refused.
+// The record as opened by the store; an empty record if the store refuses the folder.
 wire::RecordT opened(CopiedDisk& disk, unsigned format) {
   RecordStore store(disk, cluster_of(format), "k1");
   bool blank = true;
@@ -152,14 +152,14 @@
 
 }  // namespace
 
-TEST(StoredData, the_folders_were_written_in_their_formats) {
-  EXPECT_EQ(format_on_disk(1), 0u);  // the first format had no such field
+TEST(StoredData, folders_have_their_original_formats) {
+  EXPECT_EQ(format_on_disk(1), 0u);  // format 1 has no such field
   EXPECT_EQ(format_on_disk(2), 2u);
   EXPECT_EQ(format_on_disk(3), 3u);
   for (unsigned format = 1; format <= 3; ++format) EXPECT_EQ(CopiedDisk(folder_of(format)).file_count(), 5u);
 }
 
-TEST(StoredData, a_folder_of_the_first_format_is_opened_and_its_orders_are_known) {
+TEST(StoredData, orders_of_format_1_are_migrated) {
   CopiedDisk disk(folder_of(1));
   Acceptor const acceptor(opened(disk, 1));
   wire::RecordT const& record = acceptor.durable_state();
@@ -177,19 +177,19 @@
   EXPECT_EQ(value.forgotten_serial, 0u);
 }
 
-TEST(StoredData, what_the_first_format_remembered_lies_on_the_disk_as_names) {
+TEST(StoredData, format_1_stores_remembered_orders_by_name) {
   CopiedDisk disk(folder_of(1));
   wire::RecordT const record = opened(disk, 1);
   ASSERT_NE(record.value, nullptr);
   ASSERT_EQ(record.value->past.size(), 3u);
   for (std::uint64_t serial = 1; serial <= 3; ++serial) {
-    wire::RememberedChangeT const& mark = *record.value->past[serial - 1];
-    EXPECT_EQ(mark.serial, serial);
-    EXPECT_EQ(mark.change, "order-" + std::to_string(serial));
+    wire::RememberedChangeT const& remembered = *record.value->past[serial - 1];
+    EXPECT_EQ(remembered.serial, serial);
+    EXPECT_EQ(remembered.change, "order-" + std::to_string(serial));
   }
 }
 
-TEST(StoredData, a_folder_of_the_second_format_is_opened) {
+TEST(StoredData, format_2_is_opened) {
   CopiedDisk disk(folder_of(2));
   Acceptor const acceptor(opened(disk, 2));
   wire::RecordT const& record = acceptor.durable_state();
@@ -201,7 +201,7 @@
   expect_joint_replicas(*record.value, 2);
 }
 
-TEST(StoredData, a_folder_of_the_third_format_is_opened) {
+TEST(StoredData, format_3_is_opened) {
   CopiedDisk disk(folder_of(3));
   Acceptor const acceptor(opened(disk, 3));
   wire::RecordT const& record = acceptor.durable_state();
@@ -213,7 +213,7 @@
   expect_joint_replicas(*record.value, 3);
 }
 
-TEST(StoredData, a_folder_of_each_format_is_written_on) {
+TEST(StoredData, each_format_can_be_updated) {
   for (unsigned format = 1; format <= 3; ++format) {
     SCOPED_TRACE(format);
     CopiedDisk disk(folder_of(format));
@@ -231,17 +231,17 @@
     std::optional<wire::RecordT> const changed = acceptor.step(replies);
     ASSERT_TRUE(changed);
     ASSERT_TRUE(store.save(*changed));
-    wire::RecordT const again = opened(disk, format);
-    expect_ballot(again.promised, 17, 79);
-    expect_ballot(again.accepted, 14, 77);
-    ASSERT_NE(again.value, nullptr);
-    EXPECT_EQ(again.value->text, last_text);
-    EXPECT_EQ(serial_of_order(*again.value, "order-3"), format == 1 ? 3u : 13u);
+    wire::RecordT const reopened = opened(disk, format);
+    expect_ballot(reopened.promised, 17, 79);
+    expect_ballot(reopened.accepted, 14, 77);
+    ASSERT_NE(reopened.value, nullptr);
+    EXPECT_EQ(reopened.value->text, last_text);
+    EXPECT_EQ(serial_of_order(*reopened.value, "order-3"), format == 1 ? 3u : 13u);
   }
 }
 
-// A record that this program writes again is, byte for byte, the one that the former program of this format wrote.
-TEST(StoredData, a_record_of_the_present_format_is_written_with_the_same_bytes) {
+// Saving a recovered record reproduces, byte for byte, the record written by the earlier release of the same format.
+TEST(StoredData, record_of_the_present_format_is_reproduced_byte_for_byte) {
   CopiedDisk disk(folder_of(3));
   wire::RecordT const record = opened(disk, 3);
   flatbuffers::FlatBufferBuilder builder(1024);
--- a/tests/text_patch.cc
+++ b/tests/text_patch.cc
@@ -1,5 +1,5 @@
-// Texts and values as differences to others: any patch yields exactly its text or nothing, costs no more than the text
-// itself and a constant, and takes a bounded time whatever the texts are.
+// Text and value patches: applying a patch yields exactly the patched text or nothing; a patch is larger than the text
+// by at most a constant, and takes a bounded time for any texts.
 #include <gtest/gtest.h>
 
 #include <ctime>
@@ -16,12 +16,12 @@
 constexpr std::size_t frame_overhead = 512;
 
 std::size_t size_of(wire::TextPatchT const& patch) {
-  wire::ForwardedChangeT ask;
-  ask.patch = std::make_unique<wire::TextPatchT>(patch);
-  return encode_body(std::move(ask)).size();
+  wire::ForwardedChangeT request;
+  request.patch = std::make_unique<wire::TextPatchT>(patch);
+  return encode_body(std::move(request)).size();
 }
 
-// Letters, or commas with the given chance.
+// A text of random letters, with a comma at each position with the probability `commas`.
 std::string random_text(RandomSource& random, std::size_t length, std::size_t alphabet, double commas) {
   std::string out;
   for (std::size_t n = 0; n < length; ++n)
@@ -29,7 +29,7 @@
   return out;
 }
 
-// Puts in, takes out, doubles, or moves a piece.
+// Inserts, erases, duplicates or moves a random piece of the text.
 void edit(RandomSource& random, std::string& text) {
   std::size_t const from = random.below(text.size() + 1);
   std::size_t const length = std::min<std::size_t>(random.below(60), text.size() - from);
@@ -51,12 +51,12 @@
   }
 }
 
-void expect_patch(std::string const& base, std::string const& next, std::string const& what) {
+void expect_patch(std::string const& base, std::string const& next, std::string const& description) {
   std::unique_ptr<wire::TextPatchT> const patch = make_text_patch(base, next);
-  std::optional<std::string> const made = apply_text_patch(base, *patch);
-  ASSERT_TRUE(made) << what;
-  ASSERT_EQ(*made, next) << what;
-  EXPECT_LE(size_of(*patch), next.size() + frame_overhead) << what;
+  std::optional<std::string> const result = apply_text_patch(base, *patch);
+  ASSERT_TRUE(result) << description;
+  ASSERT_EQ(*result, next) << description;
+  EXPECT_LE(size_of(*patch), next.size() + frame_overhead) << description;
 }
 
 double processor_seconds() {
@@ -80,7 +80,7 @@
 }
 }  // namespace
 
-TEST(TextPatch, yields_the_text_whatever_was_edited) {
+TEST(TextPatch, patch_reproduces_any_edited_text) {
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
     RandomSource random(seed);
     std::string const base =
@@ -92,7 +92,7 @@
   }
 }
 
-TEST(TextPatch, a_patch_for_another_base_yields_nothing) {
+TEST(TextPatch, patch_for_another_base_is_rejected) {
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
     RandomSource random(seed);
     std::string const base = random_text(random, 800, 26, 0.1);
@@ -100,12 +100,12 @@
     edit(random, next);
     std::string other = base;
     other[random.below(other.size())] ^= 1;
-    std::optional<std::string> const made = apply_text_patch(other, *make_text_patch(base, next));
-    EXPECT_TRUE(!made || *made == next) << seed;
+    std::optional<std::string> const result = apply_text_patch(other, *make_text_patch(base, next));
+    EXPECT_TRUE(!result || *result == next) << seed;
   }
 }
 
-TEST(TextPatch, a_malformed_patch_yields_nothing) {
+TEST(TextPatch, malformed_patch_is_rejected) {
   std::string const base = repeated("route,", 600);
   std::unique_ptr<wire::TextPatchT> const good = make_text_patch(base, base + "more");
   ASSERT_TRUE(apply_text_patch(base, *good));
@@ -117,7 +117,8 @@
       {wire::TextCopy(0, 600, 3)},
       {wire::TextCopy(0, 600, 5)},
       {},
-      std::vector<wire::TextCopy>(100000, wire::TextCopy(0, 600, 0)),  // far beyond what a description may have
+      // The result would be far above the size limit of a description.
+      std::vector<wire::TextCopy>(100000, wire::TextCopy(0, 600, 0)),
   };
   for (std::vector<wire::TextCopy> const& copies : bad) {
     wire::TextPatchT patch = *good;
@@ -126,10 +127,10 @@
   }
   wire::TextPatchT other = *good;
   ++other.digest_low;
-  EXPECT_FALSE(apply_text_patch(base, other)) << "another digest";
+  EXPECT_FALSE(apply_text_patch(base, other)) << "a patch with another digest was applied";
 }
 
-TEST(TextPatch, the_largest_texts_take_a_bounded_time) {
+TEST(TextPatch, largest_texts_take_a_bounded_time) {
   std::size_t const size = description_limit;
   RandomSource random(7);
   std::string const texts[] = {
@@ -146,16 +147,16 @@
     for (std::string const& next : texts) {
       double const before = processor_seconds();
       std::unique_ptr<wire::TextPatchT> const patch = make_text_patch(base, next);
-      std::optional<std::string> const made = apply_text_patch(base, *patch);
+      std::optional<std::string> const result = apply_text_patch(base, *patch);
       EXPECT_LT(processor_seconds() - before, 3.0);
-      ASSERT_TRUE(made);
-      EXPECT_TRUE(*made == next);
+      ASSERT_TRUE(result);
+      EXPECT_TRUE(*result == next);
       EXPECT_LE(size_of(*patch), next.size() + frame_overhead);
     }
 }
 
-// A hundred edits over 2 MiB cost what they change.
-TEST(TextPatch, many_edits_of_a_large_text_cost_what_they_change) {
+// The size of a patch for 100 edits of a text near the size limit depends on the edits, not on the text.
+TEST(TextPatch, patch_size_depends_on_the_edits_only) {
   RandomSource random(11);
   std::string const base = numbered(description_limit - 65536, 7);
   std::string next = base;
@@ -165,8 +166,8 @@
   EXPECT_LT(size_of(*patch), 40000u);
 }
 
-// The turn alone does not say which value it is: two that were never chosen may share one.
-TEST(ValuePatch, fits_only_the_value_that_it_was_made_for) {
+// The revision does not identify a value: two values that were never chosen may have the same revision.
+TEST(ValuePatch, patch_applies_to_its_base_only) {
   wire::ValueT base;
   base.revision = 5;
   base.serial = 4;
