--- a/src/node/registered.cc
+++ b/src/node/registered.cc
@@ -41,23 +41,23 @@
   worker_departures_.add_call(id, worker, now, out.end_answers);
 }
 
-void Node::request(std::uint64_t id, Query query, Micros now, NodeEffects& out) {
+void Node::request(std::uint64_t id, RequestInfo query, Micros now, NodeEffects& out) {
   watch_clock(now);
   configuration_authority_.update_confirmations();
-  dispatcher.fresh(id, std::move(query), now, out.dispatch);
+  dispatcher.on_request(id, std::move(query), now, out.dispatch);
   process_quota(now, out);
   exchange_now(now, out);
 }
 
 void Node::process_quota(Micros now, NodeEffects& out) {
   std::vector<OutgoingMessage> outgoing;
-  quota_authority_.process_needs(out.dispatch, now, outgoing);
+  quota_authority_.process_dispatch_effects(out.dispatch, now, outgoing);
   dispatch(outgoing, now, out);
 }
 
 void Node::attempt_ended(std::uint64_t id, AttemptEnd end, bool elsewhere, Micros now, NodeEffects& out) {
   watch_clock(now);
-  dispatcher.ended(id, end, elsewhere, now, out.dispatch);
+  dispatcher.on_attempt_end(id, end, elsewhere, now, out.dispatch);
   process_quota(now, out);
 }
 
@@ -74,7 +74,7 @@
   std::vector<std::string> hands{plan.name};
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers)
     if (item.second.member.replica && item.second.member.zone == plan.zone && item.second.connection != 0 &&
-        item.second.state() == State::alive)
+        item.second.state() == MemberState::alive)
       hands.push_back(item.first);
   std::sort(hands.begin(), hands.end());
   wire::ChosenT copy;
@@ -82,7 +82,7 @@
   copy.origin = update.origin;
   if (update.value) copy.value = std::make_unique<wire::ValueT>(*update.value);
   if (update.patch) copy.patch = std::make_unique<wire::ValuePatchT>(*update.patch);
-  std::string const bytes = encode_body(std::move(copy));
+  std::string const bytes = encode_message(std::move(copy));
   for (std::pair<std::string const, Peer> const& item : mesh.members.peers) {
     Peer const& peer = item.second;
     if (peer.connection == 0 || peer.member.replica || item.first == update.origin) continue;
@@ -121,11 +121,11 @@
 }
 
 void Node::tick_registered(Micros now, std::vector<OutgoingMessage>& outgoing, NodeEffects& out) {
-  Paths const ways = exchange_topology_.compute_paths();
+  GossipPaths const ways = exchange_topology_.compute_paths();
   // §12.7: an owner tells every peer itself; a hub tells its zone besides, for pairs that have no connection.
-  mesh.entry_replication.forward_to_all = !ways.wide;
-  mesh.entry_replication.forward_to.clear();
-  if (ways.hub) mesh.entry_replication.forward_to.insert(ways.zone.begin(), ways.zone.end());
+  mesh.entry_replication.forward_to_all = !ways.hierarchical;
+  mesh.entry_replication.forward_targets.clear();
+  if (ways.is_hub) mesh.entry_replication.forward_targets.insert(ways.zone_peers.begin(), ways.zone_peers.end());
   if (now >= next_round_) {
     next_round_ = now + seconds(1);
     index_sync.round(
@@ -135,14 +135,14 @@
   if (now >= next_reconcile_) {
     // §4.4: what the entry table holds and the table lost.
     next_reconcile_ = now + seconds(30);
-    for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.all())
+    for (std::pair<std::string const, wire::EntryT> const& item : mesh.entry_table.entries())
       if (registry.find(item.first) == nullptr) registry.take_entry(item.second, now);
   }
   for (wire::EntryT& entry : registry.silent(now)) put_entry(std::move(entry), now, out);
   if (now >= next_adoption_) adopt_workers(now, out);
   take_fresh(now);
   worker_departures_.answer_calls(now, out.end_answers);
-  dispatcher.nodes(routers(true).size(), mesh.is_large_fleet());
+  dispatcher.set_node_count(routers(true).size(), mesh.is_large_fleet());
   update_readiness(now, out);
   configuration_authority_.renew_leases(dispatcher.description()->keys_required, now, outgoing);
   quota_authority_.tick(now, outgoing);
--- a/src/node/worker_departures.cc
+++ b/src/node/worker_departures.cc
@@ -8,7 +8,7 @@
 namespace pipit {
 
 namespace {
-constexpr Micros acknowledgement_timeout = millis(600);  // a worker waits a second for its answer
+constexpr Micros acknowledgement_timeout = millis(600);  // workers time out after one second
 }  // namespace
 
 WorkerDepartures::WorkerDepartures(std::string self, Mesh const& mesh, Learner const& learner,
@@ -16,12 +16,12 @@
     : self_(std::move(self)), mesh_(mesh), learner_(learner), has_quorum_(std::move(has_quorum)) {}
 
 void WorkerDepartures::add_call(std::uint64_t id, std::string const& worker, Micros now,
-                                std::vector<EndAnswer>& answers) {
+                                std::vector<DepartureAnswer>& answers) {
   pending_calls_[id] = PendingCall{worker, now + acknowledgement_timeout};
   answer_calls(now, answers);
 }
 
-void WorkerDepartures::answer_calls(Micros now, std::vector<EndAnswer>& answers) {
+void WorkerDepartures::answer_calls(Micros now, std::vector<DepartureAnswer>& answers) {
   for (std::map<std::uint64_t, PendingCall>::iterator it = pending_calls_.begin(); it != pending_calls_.end();) {
     PendingCall const& call = it->second;
     bool const quorum = reached_quorum(call.worker);
@@ -31,7 +31,7 @@
       continue;
     }
     if (quorum) check_acknowledgement(call.worker);
-    answers.push_back(EndAnswer{it->first, quorum});
+    answers.push_back(DepartureAnswer{it->first, quorum});
     it = pending_calls_.erase(it);
   }
 }
@@ -51,12 +51,13 @@
 bool WorkerDepartures::reached_all_connected(std::string const& worker) const {
   return std::all_of(mesh_.members.peers.begin(), mesh_.members.peers.end(),
                      [&](std::pair<std::string const, Peer> const& item) {
-                       bool const connected = item.second.connection != 0 && item.second.state() == State::alive;
+                       bool const connected = item.second.connection != 0 && item.second.state() == MemberState::alive;
                        return !connected || mesh_.entry_replication.is_replicated(item.first, worker);
                      });
 }
 
-// A quorum of the replicas reaches every node that others reach, since each replica passes the entry on.
+// Each replica forwards the entry, so an entry held by a quorum of the replicas spreads to every node that is
+// reachable.
 bool WorkerDepartures::reached_quorum(std::string const& worker) const {
   Membership const& members = learner_.membership();
   if (members.empty()) return reached_majority_of_nodes(worker);
@@ -70,23 +71,23 @@
 
 bool WorkerDepartures::reached_majority_of_nodes(std::string const& worker) const {
   std::size_t all = 1;
-  std::size_t informed = 1;
+  std::size_t replicated = 1;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
     if (mesh_.members.cannot_be_serving(item.first)) continue;
     ++all;
-    if (mesh_.entry_replication.is_replicated(item.first, worker)) ++informed;
+    if (mesh_.entry_replication.is_replicated(item.first, worker)) ++replicated;
   }
-  return informed * 2 > all;
+  return replicated * 2 > all;
 }
 
 void WorkerDepartures::check_acknowledgement(std::string const& worker) const {
   bool alone = true;
-  bool informed = false;
+  bool replicated = false;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
     alone = alone && mesh_.members.cannot_be_serving(item.first);
-    informed = informed || mesh_.entry_replication.is_replicated(item.first, worker);
+    replicated = replicated || mesh_.entry_replication.is_replicated(item.first, worker);
   }
-  check_invariant(alone || informed, Invariant::end_is_known, [&] {
+  check_invariant(alone || replicated, Invariant::end_is_known, [&] {
     return worker + ", " + std::to_string(mesh_.members.peers.size()) + " peers, " +
            std::to_string(mesh_.open_connections()) + " connections";
   });
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -72,14 +72,14 @@
   we.frame = [this](ConnectionId id, std::string_view frame) {
     NodeEffects out;
     bool const good = node_->bytes(id, frame, now(), out);
-    if (good) traffic_.count_received(kind_of(frame), frame.size());
+    if (good) traffic_.count_received(body_type_of(frame), frame.size());
     act(out);
     return good;
   };
   connections_ = std::make_unique<Connections>(std::move(we));
 
   RequestProxy::Callbacks proxy_callbacks;
-  proxy_callbacks.request = [this](std::uint64_t id, Query query) {
+  proxy_callbacks.request = [this](std::uint64_t id, RequestInfo query) {
     NodeEffects out;
     node_->request(id, std::move(query), now(), out);
     act(out);
@@ -89,7 +89,7 @@
     node_->attempt_ended(id, end, elsewhere, now(), out);
     act(out);
   };
-  proxy_callbacks.disconnected = [this](std::uint64_t id) { return node_->dispatcher.hung_up(id, now()); };
+  proxy_callbacks.disconnected = [this](std::uint64_t id) { return node_->dispatcher.on_client_disconnect(id, now()); };
   proxy_ = std::make_unique<RequestProxy>(node_->dispatcher, plan_.dialect, plan_.own_host, std::move(proxy_callbacks));
   control_server_ = std::make_unique<Server>(
       Server::Callbacks{[this](Server::Call&& call) { on_call(std::move(call)); }, [](std::uint64_t) {}});
@@ -126,7 +126,7 @@
   if (out.save && disk_) disk_->save(std::move(*out.save));
   for (std::string const& address : out.mesh.dial_addresses) connections_->dial(address);
   for (ConnectionEffects::OutgoingFrame const& send : out.mesh.outgoing_frames) {
-    traffic_.count_sent(kind_of(send.bytes), send.bytes.size());
+    traffic_.count_sent(body_type_of(send.bytes), send.bytes.size());
     connections_->send(send.connection, send.bytes);
   }
   for (ConnectionId const id : out.mesh.closed_connections) connections_->shut(id);
@@ -139,13 +139,13 @@
     asked_.erase(position);
     done(item);
   }
-  std::vector<EndAnswer> const end_answers = std::move(out.end_answers);
-  for (EndAnswer const& item : end_answers) {
+  std::vector<DepartureAnswer> const end_answers = std::move(out.end_answers);
+  for (DepartureAnswer const& item : end_answers) {
     std::map<std::uint64_t, EndDone>::iterator const position = ends_asked_.find(item.id);
     if (position == ends_asked_.end()) continue;
     EndDone const done = std::move(position->second);
     ends_asked_.erase(position);
-    done(item.known);
+    done(item.acknowledged);
   }
   if (limits_of_ != node_->dispatcher.description()) {
     limits_of_ = node_->dispatcher.description();
--- a/testing/fleet_simulator/parts.h
+++ b/testing/fleet_simulator/parts.h
@@ -8,7 +8,7 @@
   std::string name, address, zone;
   std::vector<std::string> seeds;
   std::string seeded_at;
-  Role role = Role::router;
+  MemberRole role = MemberRole::router;
   std::unique_ptr<Node> node;
   std::uint64_t process_id = 0;
   bool frozen = false;
@@ -27,7 +27,7 @@
   std::uint64_t next_chat_request = 0;
   std::uint64_t serial = 0;
   Micros troubled = -seconds(60);  // when it was last cut, frozen, ended or started
-  Tally banked;
+  ChatCounters banked;
   bool up() const { return node != nullptr; }
 };
 
--- a/tests/node/replica_directory.cc
+++ b/tests/node/replica_directory.cc
@@ -1,4 +1,4 @@
-// What a node says of the replicas that it knows (src/node/replica_directory.h).
+// A node's view of the replicas that it knows (src/node/replica_directory.h).
 #include "node/replica_directory.h"
 
 #include <gtest/gtest.h>
@@ -10,60 +10,60 @@
 
 namespace pipit {
 
-TEST(ReplicaDirectory, NamesConnectedReplicasAndItself) {
+TEST(ReplicaDirectory, connected_replicas_include_this_node) {
   ReplicaFixture fixture;
   fixture.add_peer("c");
-  fixture.add_peer("b", State::alive, 0);
+  fixture.add_peer("b", MemberState::alive, 0);
   fixture.add_peer("router").member.replica = false;
-  fixture.add_peer("store").member.role = static_cast<std::uint8_t>(Role::config_store);
+  fixture.add_peer("store").member.role = static_cast<std::uint8_t>(MemberRole::config_store);
   EXPECT_EQ(fixture.directory.connected_replicas(), (std::vector<std::string>{"a", "c", "store"}));
   fixture.acceptor.reset();
   EXPECT_EQ(fixture.directory.connected_replicas(), (std::vector<std::string>{"c", "store"}));
 }
 
-TEST(ReplicaDirectory, KnowsAddressesOfPeersOnly) {
+TEST(ReplicaDirectory, address_of_an_unknown_node_is_empty) {
   ReplicaFixture fixture;
   fixture.add_peer("b");
   EXPECT_EQ(fixture.directory.address_of("b"), "host-b");
-  EXPECT_EQ(fixture.directory.address_of("nobody"), "");
+  EXPECT_EQ(fixture.directory.address_of("unknown"), "");
 }
 
-TEST(ReplicaDirectory, ForgetsADiskThatDidNotAnswerLately) {
+TEST(ReplicaDirectory, disk_without_a_recent_answer_is_not_returned) {
   ReplicaFixture fixture;
   fixture.observe("b", 7, seconds(10));
   EXPECT_EQ(fixture.directory.recent_disk("b", seconds(2), seconds(12) - 1), std::optional<std::uint64_t>(7));
   EXPECT_EQ(fixture.directory.recent_disk("b", seconds(2), seconds(12)), std::nullopt);
-  EXPECT_EQ(fixture.directory.recent_disk("nobody", seconds(2), 0), std::nullopt);
+  EXPECT_EQ(fixture.directory.recent_disk("unknown", seconds(2), 0), std::nullopt);
 }
 
-TEST(ReplicaDirectory, TellsWhoLeaves) {
+TEST(ReplicaDirectory, leaving_and_retiring_replicas_are_leaving) {
   ReplicaFixture fixture;
   fixture.add_peer("b");
   EXPECT_FALSE(fixture.directory.is_leaving("b"));
   fixture.observe("b", 2, 0).retiring = true;
   EXPECT_TRUE(fixture.directory.is_leaving("b"));
-  fixture.add_peer("c", State::leaving);
+  fixture.add_peer("c", MemberState::leaving);
   EXPECT_TRUE(fixture.directory.is_leaving("c"));
   EXPECT_FALSE(fixture.directory.is_leaving("a"));
   fixture.retiring = true;
   EXPECT_TRUE(fixture.directory.is_leaving("a"));
 }
 
-TEST(ReplicaDirectory, ReachesAReplicaOnItsOwnDiskOnly) {
+TEST(ReplicaDirectory, replica_is_reachable_only_on_its_own_disk) {
   ReplicaFixture fixture;
   EXPECT_TRUE(fixture.directory.is_reachable(replica_on_disk("a", 1)));
   EXPECT_FALSE(fixture.directory.is_reachable(replica_on_disk("a", 5)));
   fixture.add_peer("b");
-  EXPECT_TRUE(fixture.directory.is_reachable(replica_on_disk("b", 2)));  // not seen on another disk
+  EXPECT_TRUE(fixture.directory.is_reachable(replica_on_disk("b", 2)));  // no answer from another disk was seen
   fixture.observe("b", 3, 0);
   EXPECT_FALSE(fixture.directory.is_reachable(replica_on_disk("b", 2)));
-  fixture.add_peer("c", State::suspected);
+  fixture.add_peer("c", MemberState::suspected);
   EXPECT_FALSE(fixture.directory.is_reachable(replica_on_disk("c", 3)));
   fixture.leaving = true;
   EXPECT_FALSE(fixture.directory.is_reachable(replica_on_disk("a", 1)));
 }
 
-TEST(ReplicaDirectory, CountsAMajorityByDisks) {
+TEST(ReplicaDirectory, majority_counts_only_answers_from_the_disks_of_the_set) {
   ReplicaFixture fixture;
   std::vector<wire::ReplicaT> const set = {replica_on_disk("a", 1), replica_on_disk("b", 2), replica_on_disk("c", 3)};
   fixture.observe("a", 1, seconds(9));
@@ -74,7 +74,7 @@
   EXPECT_FALSE(fixture.directory.majority_answered(set, seconds(2), seconds(11)));
 }
 
-TEST(ReplicaDirectory, WaitsForEveryMemberWithinOnePoll) {
+TEST(ReplicaDirectory, all_members_answered_requires_every_member_within_one_poll) {
   ReplicaFixture fixture;
   fixture.choose_set({replica_on_disk("a", 1), replica_on_disk("b", 2)}, 0);
   fixture.observe("a", 1, seconds(10));
@@ -84,20 +84,20 @@
   EXPECT_FALSE(fixture.directory.all_members_answered(seconds(10) + millis(800)));
 }
 
-TEST(ReplicaDirectory, HearsAQuorumWhileItAnswersAndIsConnected) {
+TEST(ReplicaDirectory, quorum_contact_requires_recent_answers_and_connections) {
   ReplicaFixture fixture;
   std::vector<wire::ReplicaT> const set = {replica_on_disk("a", 1), replica_on_disk("b", 2), replica_on_disk("c", 3)};
   fixture.choose_set(set, 0);
   fixture.add_peer("b");
-  EXPECT_FALSE(fixture.directory.hears_quorum(0));  // never polled
+  EXPECT_FALSE(fixture.directory.has_quorum_contact(0));  // never polled
   fixture.poll_answered_by({set[0], set[1]}, seconds(5));
-  EXPECT_TRUE(fixture.directory.hears_quorum(seconds(5) + millis(1300)));
-  EXPECT_FALSE(fixture.directory.hears_quorum(seconds(5) + millis(1300) + 1));
-  fixture.add_peer("b", State::alive, 0);
-  EXPECT_FALSE(fixture.directory.hears_quorum(seconds(5)));
+  EXPECT_TRUE(fixture.directory.has_quorum_contact(seconds(5) + millis(1300)));
+  EXPECT_FALSE(fixture.directory.has_quorum_contact(seconds(5) + millis(1300) + 1));
+  fixture.add_peer("b", MemberState::alive, 0);
+  EXPECT_FALSE(fixture.directory.has_quorum_contact(seconds(5)));
 }
 
-TEST(ReplicaDirectory, TheFirstReachableReplicaByNameProposes) {
+TEST(ReplicaDirectory, first_reachable_replica_by_name_proposes) {
   ReplicaFixture fixture;
   EXPECT_EQ(fixture.directory.proposing_replica(), "");
   fixture.choose_set({replica_on_disk("c", 3), replica_on_disk("b", 2), replica_on_disk("a", 1)}, 0);
@@ -106,7 +106,7 @@
   EXPECT_EQ(fixture.directory.proposing_replica(), "a");
   fixture.leaving = true;
   EXPECT_EQ(fixture.directory.proposing_replica(), "b");
-  fixture.add_peer("b", State::down);
+  fixture.add_peer("b", MemberState::down);
   EXPECT_EQ(fixture.directory.proposing_replica(), "c");
 }
 
--- a/tests/text_patch.cc
+++ b/tests/text_patch.cc
@@ -18,7 +18,7 @@
 std::size_t size_of(wire::TextPatchT const& patch) {
   wire::ForwardedChangeT request;
   request.patch = std::make_unique<wire::TextPatchT>(patch);
-  return encode_body(std::move(request)).size();
+  return encode_message(std::move(request)).size();
 }
 
 // A text of random letters, with a comma at each position with the probability `commas`.
