--- a/src/consensus/register/proposer.h
+++ b/src/consensus/register/proposer.h
@@ -40,6 +40,7 @@
 // the first pending change is the one in progress.
 class Proposer {
  public:
+  // Called on the node's loop, from within a call of the proposer, with the outcome of a change.
   using DoneCallback = std::function<void(Outcome const&)>;
   // `self` is the node's name. The seed must differ in each incarnation: proposer and request ids are drawn from it.
   Proposer(std::string self, std::uint64_t seed, ProposerOptions options = {});
--- a/tests/register.cc
+++ b/tests/register.cc
@@ -203,7 +203,7 @@
 // so that a ballot just above the last rejection would always be outbid.
 TEST(Proposer, membership_change_is_not_starved_by_changes_of_a_rival) {
   Cluster cluster(members_of(1, {"k1", "k2", "k3"}), {"k4"});
-  std::vector<std::string> const progress{"k1", "k2", "k4"};
+  std::vector<std::string> const reachable{"k1", "k2", "k4"};
   std::uint64_t label = 0;
   bool is_chosen = false;
   Change replace = cluster.admit("k4", 1);
@@ -214,8 +214,8 @@
       cluster.now));
   for (int turn = 0; turn < 12 && !is_chosen; ++turn) {
     for (int change = 0; change < 2; ++change, ++label)
-      cluster.propose("p1", cluster.apply("text-" + std::to_string(label), label, label + 1), progress);
-    cluster.tick_proposer("p2", progress, progress);
+      cluster.propose("p1", cluster.apply("text-" + std::to_string(label), label, label + 1), reachable);
+    cluster.tick_proposer("p2", reachable, reachable);
   }
   EXPECT_TRUE(is_chosen);
   EXPECT_EQ(cluster.proposer("p2").membership().epoch, 3u);
