--- a/src/node/exchange_topology.cc
+++ b/src/node/exchange_topology.cc
@@ -29,28 +29,28 @@
 }
 
 GossipPaths ExchangeTopology::compute_paths() const {
-  GossipPaths out;
-  out.hierarchical = mesh_.is_large_fleet();
+  GossipPaths paths;
+  paths.hierarchical = mesh_.is_large_fleet();
   std::set<std::string> other_zones;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
     if (!is_reachable(item.second)) continue;
     std::string const& zone = item.second.member.zone;
-    if (!out.hierarchical)
-      out.peers.push_back(item.first);
+    if (!paths.hierarchical)
+      paths.peers.push_back(item.first);
     else if (zone == plan_.zone)
-      out.zone_peers.push_back(item.first);
+      paths.zone_peers.push_back(item.first);
     else
       other_zones.insert(zone);
   }
-  if (!out.hierarchical) return out;
+  if (!paths.hierarchical) return paths;
   std::string const own_hub = select_hub(plan_.zone);
-  out.is_hub = own_hub == plan_.name;
-  if (!out.is_hub) {
-    out.zone_hub = own_hub;
-    return out;
+  paths.is_hub = own_hub == plan_.name;
+  if (!paths.is_hub) {
+    paths.zone_hub = own_hub;
+    return paths;
   }
-  for (std::string const& zone : other_zones) out.remote_hubs.push_back(select_hub(zone));
-  return out;
+  for (std::string const& zone : other_zones) paths.remote_hubs.push_back(select_hub(zone));
+  return paths;
 }
 
 }  // namespace pipit
--- a/src/node/replica_set_manager.cc
+++ b/src/node/replica_set_manager.cc
@@ -199,8 +199,8 @@
 // §5.8, §12.3: the largest odd number of the available replicas, at most seven; a set of the next even size tolerates
 // no more losses.
 std::size_t ReplicaSetManager::target_replica_count() const {
-  if (!plan_.registered) return std::max<std::size_t>(1, plan_.initial_members.size());
-  std::size_t all = plan_.replica && !directory_.is_leaving(plan_.name) ? 1 : 0;
+  if (!plan_.workers_self_register) return std::max<std::size_t>(1, plan_.initial_members.size());
+  std::size_t all = plan_.is_replica && !directory_.is_leaving(plan_.name) ? 1 : 0;
   for (std::pair<std::string const, Peer> const& item : mesh_.members.peers) {
     MemberState const state = item.second.state();
     bool const stays =
@@ -214,7 +214,7 @@
 // A majority must remain after the loss of as many disks as are tolerated. Members that merely lost power return with
 // all that they acknowledged, so acknowledged changes must never be held by a smaller set alone.
 std::size_t ReplicaSetManager::required_replica_count() const {
-  return std::clamp(2 * plan_.tolerated + 1, min_replicas, max_replicas);
+  return std::clamp(2 * plan_.tolerated_losses + 1, min_replicas, max_replicas);
 }
 
 bool ReplicaSetManager::set_may_shrink() const {
--- a/tests/mesh.cc
+++ b/tests/mesh.cc
@@ -46,10 +46,10 @@
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeEffects out;
-  node.opened(1, false, "", 0, out);
+  node.connection_opened(1, false, "", 0, out);
   wire::HelloT older = hello("pipit", "b");
   older.format = frame_format_version - 1;
-  node.bytes(1, encode_message(std::move(older)), 0, out);
+  node.receive_frame(1, encode_message(std::move(older)), 0, out);
   EXPECT_EQ(out.mesh.closed_connections, std::vector<ConnectionId>{1});
   EXPECT_EQ(node.mesh.members.peers.count("b"), 0u);
 }
@@ -72,9 +72,9 @@
       bad[4 + random.below(bad.size() - 4)] = static_cast<char>(random.next());
     Node node(plan(), 0, std::nullopt);
     NodeEffects out;
-    node.opened(1, false, "", 0, out);
-    ASSERT_TRUE(node.bytes(1, encode_message(hello("pipit", "b")), 0, out));
-    if (node.bytes(1, bad, 1, out)) ++taken;  // a frame that still verifies is handled like any other
+    node.connection_opened(1, false, "", 0, out);
+    ASSERT_TRUE(node.receive_frame(1, encode_message(hello("pipit", "b")), 0, out));
+    if (node.receive_frame(1, bad, 1, out)) ++taken;  // a frame that still verifies is handled like any other
   }
   EXPECT_LT(taken, 4000);
 }
@@ -83,8 +83,8 @@
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeEffects out;
-  node.opened(1, false, "", 0, out);
-  node.bytes(1, encode_message(hello("other", "b")), 0, out);
+  node.connection_opened(1, false, "", 0, out);
+  node.receive_frame(1, encode_message(hello("other", "b")), 0, out);
   EXPECT_EQ(out.mesh.closed_connections, std::vector<ConnectionId>{1});
   EXPECT_TRUE(node.mesh.members.peers.empty());
 }
@@ -93,12 +93,13 @@
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeEffects out;
-  node.opened(1, true, "10.0.0.2:1", 0, out);  // 'a' sorts first, so the connection that it opened would be kept
-  node.bytes(1, encode_message(hello("pipit", "b")), 0, out);
+  node.connection_opened(1, true, "10.0.0.2:1", 0,
+                         out);  // 'a' sorts first, so the connection that it opened would be kept
+  node.receive_frame(1, encode_message(hello("pipit", "b")), 0, out);
   wire::HelloT next = hello("pipit", "b");
   next.self->incarnation = 6;
-  node.opened(2, false, "", millis(10), out);
-  node.bytes(2, encode_message(std::move(next)), millis(10), out);
+  node.connection_opened(2, false, "", millis(10), out);
+  node.receive_frame(2, encode_message(std::move(next)), millis(10), out);
   EXPECT_EQ(node.mesh.members.peers.at("b").connection, 2u);
   EXPECT_EQ(out.mesh.closed_connections, std::vector<ConnectionId>{1});
 }
@@ -107,9 +108,9 @@
   mute_log(true);
   Node node(plan(), 0, std::nullopt);
   NodeEffects out;
-  node.opened(1, false, "", 0, out);
-  node.bytes(1, encode_message(hello("pipit", "b")), 0, out);
-  node.shut(1, millis(10), out);
+  node.connection_opened(1, false, "", 0, out);
+  node.receive_frame(1, encode_message(hello("pipit", "b")), 0, out);
+  node.connection_closed(1, millis(10), out);
   out = NodeEffects();
   node.tick(millis(20), out);
   wire::HelloT moved = hello("pipit", "b");
@@ -119,9 +120,9 @@
   update.table.push_back(std::make_unique<wire::MemberT>(*moved.self));
   wire::HelloT third = hello("pipit", "c");
   third.self->address = "10.0.0.3:1";
-  node.opened(2, false, "", millis(30), out);
-  node.bytes(2, encode_message(std::move(third)), millis(30), out);
-  node.bytes(2, encode_message(std::move(update)), millis(40), out);
+  node.connection_opened(2, false, "", millis(30), out);
+  node.receive_frame(2, encode_message(std::move(third)), millis(30), out);
+  node.receive_frame(2, encode_message(std::move(update)), millis(40), out);
   node.dial_failed("10.0.0.2:1", false, millis(900), out);
   out = NodeEffects();
   node.tick(millis(1500), out);
