--- a/programs/pipitspoolctl/main.cc
+++ b/programs/pipitspoolctl/main.cc
@@ -81,7 +81,7 @@
   if (ended) return *ended;
   std::string const verb = arguments.empty() ? "" : arguments[0];
   bool const two = arguments.size() == 2;
-  if (!good_address(node)) {
+  if (!is_valid_address(node)) {
     std::fprintf(stderr, "pipitspoolctl: node: '%s' is not an IP number with a port\n", node.c_str());
     return 2;
   }
--- a/programs/zone_drill/main.cc
+++ b/programs/zone_drill/main.cc
@@ -259,7 +259,7 @@
   std::function<void()> const print_help = [&] { std::cout << flags; };
   std::optional<int> const ended = read_flags("pipitspool-zone-drill", argc, argv, flags, print_help);
   if (ended) return *ended;
-  if (!good_address(node) || zone.empty() || observe_s <= 5 || observe_s > 600 || most <= 0 || most > 1) {
+  if (!is_valid_address(node) || zone.empty() || observe_s <= 5 || observe_s > 600 || most <= 0 || most > 1) {
     std::fprintf(stderr,
                  "pipitspool-zone-drill: --node IP:port, --zone, a --hold above 5 and at most 600, and --most up to 1 "
                  "are needed\n");
--- a/src/base/digest.cc
+++ b/src/base/digest.cc
@@ -12,7 +12,7 @@
   return Digest{hash.high64, hash.low64};
 }
 
-std::string to_text(Digest const& digest) {
+std::string to_hex(Digest const& digest) {
   char out[33];
   std::snprintf(out, sizeof out, "%016llx%016llx", static_cast<unsigned long long>(digest.high),
                 static_cast<unsigned long long>(digest.low));
--- a/src/base/digest.h
+++ b/src/base/digest.h
@@ -17,6 +17,6 @@
 // The digest of a text, equal in every process.
 Digest digest_of(std::string_view text);
 // 32 hexadecimal digits.
-std::string to_text(Digest const& digest);
+std::string to_hex(Digest const& digest);
 
 }  // namespace pipit
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -69,7 +69,7 @@
   char const* name;
   unsigned status;  // of HTTP
   ExecutionStatus execution;
-  Micros wait;  // microseconds before a retry; 0 for no retry
+  Micros retry_after;  // microseconds before a retry; 0 for no retry
   char const* text;
 };
 ErrorCodeRow const& error_code_row(ErrorCode code);
@@ -92,14 +92,14 @@
 }
 
 // A failure as the HTTP answer to whoever asked.
-struct Answer {
+struct ErrorResponse {
   unsigned status = 500;
-  Micros wait = 0;   // microseconds before a retry; 0 for no retry
-  std::string body;  // JSON
+  Micros retry_after = 0;  // microseconds before a retry; 0 for no retry
+  std::string body;        // JSON
 };
 // The answer to a request of which it is known whether it ran; 'wait' is dropped unless it certainly did not.
-Answer answer_for(Error const& error, ExecutionStatus execution, Micros wait);
+ErrorResponse error_response(Error const& error, ExecutionStatus execution, Micros retry_after);
 // The same with the code's own execution status and wait.
-Answer answer_for(Error const& error);
+ErrorResponse error_response(Error const& error);
 
 }  // namespace pipit
--- a/src/base/fault_points.cc
+++ b/src/base/fault_points.cc
@@ -66,8 +66,8 @@
   return true;
 }
 
-bool fires(FaultPoint point) { return fire(point, nullptr); }
-bool fires_for(FaultPoint point, std::string const& name) { return fire(point, &name); }
+bool fault_fires(FaultPoint point) { return fire(point, nullptr); }
+bool fault_fires_for(FaultPoint point, std::string const& name) { return fire(point, &name); }
 
 std::string fault_arg(FaultPoint point) {
   std::lock_guard<std::mutex> const lock(table_mutex);
--- a/src/base/fault_points.h
+++ b/src/base/fault_points.h
@@ -52,9 +52,9 @@
 // Disarms a point. Returns false for one that was never armed.
 bool disarm_fault(unsigned number);
 // Whether the point fires now; a firing is counted and uses up one of its times.
-bool fires(FaultPoint point);
-// As fires(), for points whose argument is a list of names: true when 'name' is among them.
-bool fires_for(FaultPoint point, std::string const& name);
+bool fault_fires(FaultPoint point);
+// As fault_fires(), for points whose argument is a list of names: true when 'name' is among them.
+bool fault_fires_for(FaultPoint point, std::string const& name);
 // The argument that the point was last armed with; empty for one that was never armed.
 std::string fault_arg(FaultPoint point);
 // How often the point fired since it was last armed.
--- a/src/base/guards.cc
+++ b/src/base/guards.cc
@@ -17,7 +17,7 @@
   return rows;
 }
 
-Guard& guard_off() {
+Guard& disabled_guard() {
   thread_local Guard off = Guard::none;
   return off;
 }
--- a/src/base/guards.h
+++ b/src/base/guards.h
@@ -49,8 +49,8 @@
 GuardRow const* guard_rows(std::size_t& count);
 
 // The guard that is switched off in this thread; Guard::none in the product.
-Guard& guard_off();
+Guard& disabled_guard();
 // Whether a guard is on.
-inline bool guard(Guard item) { return guard_off() != item; }
+inline bool guard_enabled(Guard item) { return disabled_guard() != item; }
 
 }  // namespace pipit
--- a/src/base/invariants.cc
+++ b/src/base/invariants.cc
@@ -27,17 +27,17 @@
   return rows;
 }
 
-void violated(Invariant invariant, std::string const& detail) {
+void report_violation(Invariant invariant, std::string const& detail) {
   // A proof that switches a guard off brings violations about on purpose; the product never does.
-  if (guard_off() != Guard::none || request_guard_off() != RequestGuard::none) return;
+  if (disabled_guard() != Guard::none || disabled_request_guard() != RequestGuard::none) return;
   std::size_t const index = static_cast<std::size_t>(invariant);
   if (++counts[index] > log_limit) return;
   log_always(Event::invariant_violated, std::string(rows[index].name) + " (" + rows[index].text + "): " + detail);
 }
 
-std::uint64_t violations(Invariant invariant) { return counts[static_cast<std::size_t>(invariant)]; }
+std::uint64_t violation_count(Invariant invariant) { return counts[static_cast<std::size_t>(invariant)]; }
 
-std::uint64_t violations() {
+std::uint64_t violation_count() {
   std::uint64_t out = 0;
   for (std::atomic<std::uint64_t> const& count : counts) out += count;
   return out;
@@ -52,7 +52,7 @@
 }
 
 std::uint64_t ExpectedViolations::seen(Invariant invariant) const {
-  return violations(invariant) - before_[static_cast<std::size_t>(invariant)];
+  return violation_count(invariant) - before_[static_cast<std::size_t>(invariant)];
 }
 
 }  // namespace pipit
--- a/src/base/invariants.h
+++ b/src/base/invariants.h
@@ -43,17 +43,17 @@
 InvariantRow const* invariant_rows(std::size_t& count);
 
 // Counts a violation and logs it, also where the log is muted. 'detail' names what is needed to explain it.
-void violated(Invariant invariant, std::string const& detail);
+void report_violation(Invariant invariant, std::string const& detail);
 
 // Checks one invariant; the detail is only made when it does not hold.
 template <class Detail>
 void check_invariant(bool holds, Invariant invariant, Detail&& detail) {
-  if (!holds) violated(invariant, detail());
+  if (!holds) report_violation(invariant, detail());
 }
 
 // Violations since the start of this process, by invariant and of all.
-std::uint64_t violations(Invariant invariant);
-std::uint64_t violations();
+std::uint64_t violation_count(Invariant invariant);
+std::uint64_t violation_count();
 
 // For tests of the checks themselves: violations that were brought about on purpose are taken back.
 class ExpectedViolations {
--- a/src/base/ip.cc
+++ b/src/base/ip.cc
@@ -23,7 +23,7 @@
   return inet_pton(AF_INET, host.c_str(), buffer) == 1;
 }
 
-bool good_address(std::string const& text) {
+bool is_valid_address(std::string const& text) {
   std::string host;
   std::uint16_t port = 0;
   return split_address(text, host, port);
--- a/src/base/ip.h
+++ b/src/base/ip.h
@@ -8,5 +8,5 @@
 // port 0; host and port are then not to be used.
 bool split_address(std::string const& text, std::string& host, std::uint16_t& port);
 // Whether split_address() takes the text.
-bool good_address(std::string const& text);
+bool is_valid_address(std::string const& text);
 }  // namespace pipit
--- a/src/base/key_digest.cc
+++ b/src/base/key_digest.cc
@@ -31,6 +31,6 @@
   return out;
 }
 
-std::string short_text(Digest const& key) { return to_text(key).substr(0, short_digits); }
+std::string abbreviated_digest(Digest const& key) { return to_hex(key).substr(0, short_digits); }
 
 }  // namespace pipit
--- a/src/base/key_digest.h
+++ b/src/base/key_digest.h
@@ -11,6 +11,6 @@
 // The first 128 bits of the key's SHA-256: unlike digest_of(), it gives nothing of the key away.
 Digest key_digest_of(std::string_view key);
 // Eight hexadecimal digits that name a key in logs, errors and status pages.
-std::string short_text(Digest const& key);
+std::string abbreviated_digest(Digest const& key);
 
 }  // namespace pipit
--- a/src/base/metrics_text.cc
+++ b/src/base/metrics_text.cc
@@ -27,7 +27,7 @@
   std::size_t count = 0;
   InvariantRow const* const rows = invariant_rows(count);
   std::map<std::string, std::uint64_t> values;
-  for (std::size_t i = 0; i < count; ++i) values[rows[i].name] = violations(static_cast<Invariant>(i));
+  for (std::size_t i = 0; i < count; ++i) values[rows[i].name] = violation_count(static_cast<Invariant>(i));
   counters("pipit_invariant_violations_total", "invariant", values);
 }
 
--- a/src/base/request_guards.h
+++ b/src/base/request_guards.h
@@ -18,11 +18,11 @@
 };
 
 // The guard that is switched off in this thread; RequestGuard::none in the product.
-inline RequestGuard& request_guard_off() {
+inline RequestGuard& disabled_request_guard() {
   static thread_local RequestGuard off = RequestGuard::none;
   return off;
 }
 // Whether a guard is on.
-inline bool guard(RequestGuard item) { return request_guard_off() != item; }
+inline bool guard_enabled(RequestGuard item) { return disabled_request_guard() != item; }
 
 }  // namespace pipit
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -70,7 +70,7 @@
       "body", options::value(&raw.body)->default_value(4096), "the largest body of a request, in KiB")(
       "faults", options::value(&settings.faults)->default_value(false), "allow fault points to be armed (tests only)");
   if (replica) {
-    keys.add_options()("data", options::value(&settings.data), "the data folder")(
+    keys.add_options()("data", options::value(&settings.data_directory), "the data folder")(
         "founders", options::value(&raw.initial_members), "names of the first keepers, with commas between");
   } else {
     keys.add_options()("platform", options::value(&settings.platform), "IP:port of the platform's list of workers")(
@@ -117,7 +117,7 @@
 }
 
 Result<void> check_address(std::string const& key, std::string const& value) {
-  if (good_address(value)) return boost::outcome_v2::success();
+  if (is_valid_address(value)) return boost::outcome_v2::success();
   return fail(ErrorCode::bad_settings, key + ": '" + value + "' is not an IP number with a port from 1 to 65535");
 }
 
@@ -145,13 +145,13 @@
   if (raw.body < 1 || raw.body > body_limit) return fail(ErrorCode::bad_settings, "body: from 1 to 65536 KiB");
   settings.grace = seconds(raw.grace);
   settings.drain = seconds(raw.drain);
-  settings.body = static_cast<std::size_t>(raw.body) << 10;
+  settings.max_body_bytes = static_cast<std::size_t>(raw.body) << 10;
   return boost::outcome_v2::success();
 }
 
 // Checks the settings of a replica alone; its data folder is made when it is not there.
 Result<void> check_replica(Settings const& settings) {
-  std::string const& folder = settings.data;
+  std::string const& folder = settings.data_directory;
   struct stat info;
   if (folder.empty()) return fail(ErrorCode::bad_settings, "data: the data folder is needed");
   if (::stat(folder.c_str(), &info) != 0 && ::mkdir(folder.c_str(), 0755) != 0)
--- a/src/config/description/builder.cc
+++ b/src/config/description/builder.cc
@@ -66,7 +66,7 @@
     std::map<Digest, std::size_t>::const_iterator const other = description_->tenants_by_key.find(key);
     if (other != description_->tenants_by_key.end() && other->second != index)
       return fail(ErrorCode::bad_description,
-                  "the key " + short_text(key) + " of tenant '" + tenant.name + "' is also one of tenant '" +
+                  "the key " + abbreviated_digest(key) + " of tenant '" + tenant.name + "' is also one of tenant '" +
                       description_->tenants[other->second].name + "'",
                   place + ".keys");
     description_->tenants_by_key[key] = index;
--- a/src/consensus/register/acceptor.cc
+++ b/src/consensus/register/acceptor.cc
@@ -92,7 +92,7 @@
   wire::PromiseT reply;
   reply.request_id = request.request_id;
   reply.disk = state_.disk;
-  reply.ok = state_.promised < request.ballot || !guard(Guard::promise);
+  reply.ok = state_.promised < request.ballot || !guard_enabled(Guard::promise);
   if (reply.ok) state_.promised = request.ballot;
   reply.promised = state_.promised;
   reply.accepted = state_.accepted;
@@ -117,7 +117,7 @@
   reply.disk = state_.disk;
   reply.promised = state_.promised;
   bool changed = false;
-  bool const outdated = request.ballot < state_.promised && guard(Guard::promise);
+  bool const outdated = request.ballot < state_.promised && guard_enabled(Guard::promise);
   if (!outdated && same_ballot(request.ballot, state_.accepted)) {
     reply.ok = true;  // a repeated request; a ballot has one value
     check_invariant(
@@ -172,7 +172,7 @@
     return std::nullopt;
   }
   sync_in_progress_ = true;
-  if (!guard(Guard::sync_first)) {
+  if (!guard_enabled(Guard::sync_first)) {
     for (OutgoingMessage& reply : replies) out.push_back(std::move(reply));
     replies.clear();
   }
--- a/src/consensus/register/membership.cc
+++ b/src/consensus/register/membership.cc
@@ -13,7 +13,7 @@
 
 bool contains_replica(std::vector<wire::ReplicaT> const& replicas, std::string const& name, std::uint64_t disk) {
   for (wire::ReplicaT const& replica : replicas)
-    if (replica.name == name && (replica.disk == disk || !guard(Guard::disk_id))) return true;
+    if (replica.name == name && (replica.disk == disk || !guard_enabled(Guard::disk_id))) return true;
   return false;
 }
 
@@ -55,7 +55,7 @@
 
 bool Membership::is_quorum(Voters const& voters) const {
   if (!is_majority(replicas, voters)) return false;
-  return !is_joint() || !guard(Guard::joint) || is_majority(former, voters);
+  return !is_joint() || !guard_enabled(Guard::joint) || is_majority(former, voters);
 }
 
 std::vector<std::string> Membership::participant_names() const {
--- a/src/consensus/register/proposer.cc
+++ b/src/consensus/register/proposer.cc
@@ -138,7 +138,7 @@
   cached_ballot_ = highest_accepted_ballot_;
   cached_value_ = *highest_accepted_value_;
   Membership const found = membership_of(*highest_accepted_value_);
-  if (found.fingerprint() == membership_.fingerprint() || !guard(Guard::found_set)) return true;
+  if (found.fingerprint() == membership_.fingerprint() || !guard_enabled(Guard::found_set)) return true;
   // Phase one counts only at a quorum of the membership in the value that it found; it is repeated with that one.
   membership_ = found;
   return false;
@@ -196,7 +196,7 @@
 }
 
 void Proposer::draft_joint_step() {
-  bool const is_chosen = chosen_joint_fingerprint_ == membership_.fingerprint() || !guard(Guard::joint_chosen);
+  bool const is_chosen = chosen_joint_fingerprint_ == membership_.fingerprint() || !guard_enabled(Guard::joint_chosen);
   draft_type_ = is_chosen ? DraftType::leave_joint : DraftType::confirm_joint;
   if (!is_chosen) return;
   draft_.former.clear();
@@ -253,7 +253,7 @@
 void Proposer::apply_description(Change const& change) {
   bool const by_label = change.label > 0;
   OrderStatus const status = order_status(draft_, change.id, OrderBase{change.expected, by_label});
-  if (status != OrderStatus::applicable && guard(Guard::expected)) {
+  if (status != OrderStatus::applicable && guard_enabled(Guard::expected)) {
     rejection_ = stale_base_error(draft_, by_label);
   } else if (by_label && change.label <= draft_.label) {
     rejection_ = Error{
--- a/src/mesh/connections/connection_table.cc
+++ b/src/mesh/connections/connection_table.cc
@@ -136,7 +136,7 @@
   for (std::pair<std::string const, Peer>& item : members_.peers) {
     Peer& peer = item.second;
     if (peer.connection != 0 || peer.state() == MemberState::leaving) continue;
-    if (peer.state() == MemberState::down && !guard(Guard::redial)) continue;
+    if (peer.state() == MemberState::down && !guard_enabled(Guard::redial)) continue;
     // The node whose name sorts first opens the pair's connection; the other one dials when none was opened in time
     // (§3.2).
     bool const is_opener = members_.self.name < item.first;
@@ -159,7 +159,7 @@
 
 void ConnectionTable::dial_seeds(Micros now, ConnectionEffects& out) {
   for (Seed& seed : seeds_) {
-    if (seed.dialling || now < seed.next_dial || (seed.dial_backoff > 0 && !guard(Guard::redial))) continue;
+    if (seed.dialling || now < seed.next_dial || (seed.dial_backoff > 0 && !guard_enabled(Guard::redial))) continue;
     if (is_seed_reachable(seed.address)) continue;
     seed.dial_backoff = std::clamp(seed.dial_backoff * 2, settings_.dial_backoff_min, settings_.dial_backoff_max);
     seed.next_dial = now + seed.dial_backoff;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -141,7 +141,7 @@
 }
 
 void Node::detect_clock_jump(Micros now) {
-  if (now - last_tick_ > clock_jump_threshold && guard(Guard::fresh_start)) {
+  if (now - last_tick_ > clock_jump_threshold && guard_enabled(Guard::fresh_start)) {
     ++clock_jumps;
     stale_since_ = now;
     update_dispatch_pause();
@@ -253,7 +253,7 @@
       if (position != pending_confirmations_.end() && body.AsChosenAck()->serial >= position->second.serial) {
         position->second.confirmed.insert(from);
         for (std::string const& name : body.AsChosenAck()->routers)
-          if (name != plan.name && guard(Guard::confirm_all)) position->second.unconfirmed.insert(name);
+          if (name != plan.name && guard_enabled(Guard::confirm_all)) position->second.unconfirmed.insert(name);
       }
       complete_confirmations(now, out);
       break;
@@ -379,7 +379,7 @@
     update.patch = make_value_patch(*base, value);
   else
     update.value = std::make_unique<wire::ValueT>(value);
-  if (!guard(Guard::spread)) return;
+  if (!guard_enabled(Guard::spread)) return;
   if (plan.workers_self_register && mesh.is_large_fleet()) {
     // §12.7: sent to the replicas, which forward it within their zones, and to every node of a zone without a connected
     // replica.
@@ -558,7 +558,7 @@
   apply_updated_entries(now);
   std::vector<OutgoingMessage> outgoing;
   if (now >= next_poll_ &&
-      (guard(Guard::spread) || learner.confirmed_at < 0 || plan.role == MemberRole::config_store)) {
+      (guard_enabled(Guard::spread) || learner.confirmed_at < 0 || plan.role == MemberRole::config_store)) {
     next_poll_ = now + poll_interval();
     learner.poll(now, replica_directory_.connected_replicas(), list_freshness_.age(now), outgoing);
     register_bootstrap_.propose_initial_membership(now, outgoing);
--- a/src/node/node_changes.cc
+++ b/src/node/node_changes.cc
@@ -94,16 +94,17 @@
     pending.deadline = now + confirmation_timeout;
     // All router nodes that may be serving must confirm: those in the member table, and all that are registered (§5.9).
     for (std::string const& name : known_routers(true))
-      if (guard(Guard::confirm_all)) pending.unconfirmed.insert(name);
+      if (guard_enabled(Guard::confirm_all)) pending.unconfirmed.insert(name);
     for (std::unique_ptr<wire::RouterRegistrationT> const& registration : outcome.value.registrations)
-      if (guard(Guard::registrations) && guard(Guard::confirm_all)) pending.unconfirmed.insert(registration->name);
+      if (guard_enabled(Guard::registrations) && guard_enabled(Guard::confirm_all))
+        pending.unconfirmed.insert(registration->name);
     pending.unconfirmed.erase(plan.name);
     pending.reply = std::move(reply);
     pending_confirmations_.emplace(request_id, std::move(pending));
     complete_confirmations(now, out);
     return;
   }
-  if (outcome.type == Outcome::Type::chosen && guard(Guard::spread)) {
+  if (outcome.type == Outcome::Type::chosen && guard_enabled(Guard::spread)) {
     // §5.5: the change is acknowledged once half of the router nodes hold it, so that it reaches all nodes whatever
     // happens to the others.
     PendingConfirmation pending;
--- a/src/node/node_worker_list.cc
+++ b/src/node/node_worker_list.cc
@@ -59,7 +59,7 @@
   senders.erase(plan.name);
   fleet.sum_peer_loads(senders, now);
   update_readiness(now, out);
-  bool const isolated = guard(Guard::isolation) && !list_freshness_.update(now);
+  bool const isolated = guard_enabled(Guard::isolation) && !list_freshness_.update(now);
   if (ready_ && isolated != isolated_) {
     isolated_ = isolated;
     log_event(isolated ? Event::node_isolated : Event::node_rejoined, "");
--- a/src/node/router_registrations.cc
+++ b/src/node/router_registrations.cc
@@ -17,7 +17,7 @@
     : options_(std::move(options)), mesh_(mesh), learner_(learner) {}
 
 bool RouterRegistrations::is_registered() const {
-  if (!guard(Guard::registrations) || !options_.required) return true;
+  if (!guard_enabled(Guard::registrations) || !options_.required) return true;
   if (!learner_.value) return false;
   wire::RouterRegistrationT const* const registration = registration_of(*learner_.value, options_.name);
   return registration != nullptr && registration->incarnation == mesh_.members.self.incarnation;
@@ -31,7 +31,7 @@
 }
 
 bool RouterRegistrations::is_evicted() const {
-  if (!guard(Guard::registrations) || registered_at_ >= 0 || !learner_.value) return false;
+  if (!guard_enabled(Guard::registrations) || registered_at_ >= 0 || !learner_.value) return false;
   for (std::unique_ptr<wire::RouterRegistrationT> const& item : learner_.value->evicted)
     if (item->name == options_.name && item->incarnation >= mesh_.members.self.incarnation) return true;
   return false;
--- a/src/routing/chat/chat_dispatcher.cc
+++ b/src/routing/chat/chat_dispatcher.cc
@@ -33,7 +33,7 @@
   ++counters.refused;
   ErrorCodeRow const& row = error_code_row(error.code);
   ExecutionStatus const execution = chat_request.attempts == 0 ? row.execution : chat_request.execution;
-  if (retry_after == 0) retry_after = row.wait;
+  if (retry_after == 0) retry_after = row.retry_after;
   // Many clients that are rejected together must not retry together: the delay is spread over up to twice its length.
   if (error.code == ErrorCode::crowded || error.code == ErrorCode::backlog_full || error.code == ErrorCode::expired)
     retry_after += static_cast<Micros>(hash_bits(chat_request.id ^ hash_text(self_)) %
@@ -162,7 +162,7 @@
   for (std::pair<std::string const, Worker>& item : fleet_.workers) {
     Worker& worker = item.second;
     if (worker.row.pool != pool.name || !worker.accepts_requests()) continue;
-    if (guard(Guard::zone_veto) && drained_zones_.count(worker.row.zone)) continue;
+    if (guard_enabled(Guard::zone_veto) && drained_zones_.count(worker.row.zone)) continue;
     if (chat_request.lane->policy.locality == Locality::only && worker.row.zone != zone_) continue;
     out.slots += worker.capacity(pool);
     out.busy += worker.estimated_load();
@@ -183,14 +183,14 @@
   Micros const now = selection.now;
   std::int64_t const share = newcomer_ ? 0 : fleet_.cold_share(worker, pool.cold, self_, router_names_);
   Micros const cold = fleet_.cold_for(worker, pool.cold_span, now);
-  if (cold > 0 && guard(Guard::cold_share) && !fleet_.has_cold_capacity(worker, share, now)) {
+  if (cold > 0 && guard_enabled(Guard::cold_share) && !fleet_.has_cold_capacity(worker, share, now)) {
     selection.cold_shares += share;
     if (selection.first_warm_in < 0 || cold < selection.first_warm_in) selection.first_warm_in = cold;
     return;
   }
   // §6.6: a worker that does not answer its probe in time is skipped while others are available.
-  bool const without_share = share == 0 && guard(Guard::cold_share);
-  bool const unsure = guard(Guard::ask_first) && fleet_.needs_probe(worker, share, now);
+  bool const without_share = share == 0 && guard_enabled(Guard::cold_share);
+  bool const unsure = guard_enabled(Guard::ask_first) && fleet_.needs_probe(worker, share, now);
   bool const answers_late = worker.probe_sent >= 0 && now - worker.probe_sent > probe_timeout;
   if (unsure && (selection.confirmed_only || answers_late)) return selection.offer_wait(unsure_worker_wait);
   std::map<std::string, std::size_t>::const_iterator const hit = selection.hits.find(worker.row.id);
@@ -357,7 +357,8 @@
     execution = ExecutionStatus::unknown;
     kind = ErrorCode::worker_broke;
   }
-  if (!guard(Guard::honest_execution_status) && execution == ExecutionStatus::unknown) execution = ExecutionStatus::no;
+  if (!guard_enabled(Guard::honest_execution_status) && execution == ExecutionStatus::unknown)
+    execution = ExecutionStatus::no;
   chat_request.execution = std::max(chat_request.execution, execution);
   // §6.6: a broken connection may mean that the worker ended; it is probed before it is sent more.
   Worker const* const worker = fleet_.find(chat_request.worker_id);
@@ -367,11 +368,11 @@
       fleet_.suspect(chat_request.worker_id, chat_request.incarnation, now))
     out.suspected_workers.emplace_back(chat_request.worker_id, chat_request.incarnation);
   log_event(Event::chat_attempt_failed, chat_request.worker_id + " " + error_code_row(kind).name + " " + reason);
-  bool const may_repeat = chat_request.repeatable || !chat_request.sent || !guard(Guard::never_repeat);
+  bool const may_repeat = chat_request.repeatable || !chat_request.sent || !guard_enabled(Guard::never_repeat);
   bool const retry = !chat_request.answer_begun && may_repeat && !draining_ &&
                      chat_request.attempts < chat_request.lane->policy.max_attempts &&
                      now < chat_request.deadline + chat_request.lane->policy.answer &&
-                     (retry_budget_ >= 1.0 || !guard(Guard::bucket));
+                     (retry_budget_ >= 1.0 || !guard_enabled(Guard::bucket));
   if (retry) {
     Placement const choice = select(chat_request, 0, now, true);
     if (choice.decision == PlacementDecision::place) return start_attempt(chat_request, choice, now, out);
--- a/src/routing/dispatch/dispatcher.cc
+++ b/src/routing/dispatch/dispatcher.cc
@@ -36,11 +36,13 @@
   return out;
 }
 
-bool Dispatcher::has_retry_budget(Pool const& pool) { return retry_budget(pool).tokens >= 1 || !guard(Guard::bucket); }
+bool Dispatcher::has_retry_budget(Pool const& pool) {
+  return retry_budget(pool).tokens >= 1 || !guard_enabled(Guard::bucket);
+}
 
 bool Dispatcher::spend_retry_budget(Pool const& pool) {
   RetryBudget& budget = retry_budget(pool);
-  if (budget.tokens < 1 && guard(Guard::bucket)) return false;
+  if (budget.tokens < 1 && guard_enabled(Guard::bucket)) return false;
   budget.tokens -= 1;
   return true;
 }
@@ -239,7 +241,7 @@
   RetryConditions conditions;
   conditions.repeatable = request.repeatable;
   conditions.resumable = resumable(request);
-  conditions.attempts_left = request.sends < request.route->attempts || !guard(RequestGuard::attempts);
+  conditions.attempts_left = request.sends < request.route->attempts || !guard_enabled(RequestGuard::attempts);
   conditions.budget_left = has_retry_budget(*request.pool);
   conditions.time_left = has_time_to_move(request, now);
   conditions.may_have_run = request.may_have_run;
--- a/src/routing/dispatch/retry_decision.cc
+++ b/src/routing/dispatch/retry_decision.cc
@@ -15,7 +15,8 @@
   }
   // Whether the client may be told that the request did not run. A repeatable request is safe to send again even if an
   // earlier attempt ran.
-  bool const may_refuse = conditions.repeatable || !conditions.may_have_run || !guard(Guard::honest_execution_status);
+  bool const may_refuse =
+      conditions.repeatable || !conditions.may_have_run || !guard_enabled(Guard::honest_execution_status);
   switch (end) {
     case AttemptEnd::unreached:
       // No byte left this node, so another worker can be tried at no cost.
@@ -29,8 +30,8 @@
     default:
       if (progress == AttemptProgress::none)
         return conditions.time_left ? RetryDecision::retry : may_refuse ? RetryDecision::refuse : RetryDecision::fail;
-      if (!guard(Guard::never_repeat) && may_retry) return RetryDecision::retry;
-      if (!guard(Guard::honest_execution_status) && !may_retry) return RetryDecision::refuse;
+      if (!guard_enabled(Guard::never_repeat) && may_retry) return RetryDecision::retry;
+      if (!guard_enabled(Guard::honest_execution_status) && !may_retry) return RetryDecision::refuse;
       return conditions.repeatable ? (may_retry ? RetryDecision::retry : RetryDecision::refuse) : RetryDecision::fail;
   }
 }
--- a/src/routing/fleet/fleet.cc
+++ b/src/routing/fleet/fleet.cc
@@ -41,7 +41,7 @@
       return fail(ErrorCode::bad_request, "a row of the worker list lacks a required field");
     if (state != "serving" && state != "leaving")
       return fail(ErrorCode::bad_request, "a row of the worker list has the unknown state " + state);
-    if (!good_address(row.address))
+    if (!is_valid_address(row.address))
       return fail(ErrorCode::bad_request, "a row of the worker list has the invalid address " + row.address);
     if (!seen.insert(row.id).second)
       return fail(ErrorCode::bad_request, "the worker list contains " + row.id + " twice");
@@ -115,7 +115,7 @@
     worker.row.zone = row.zone;
     worker.row.pool = row.pool;
     worker.row.slots = slots;
-    if (row.leaving && guard(Guard::local_veto)) {
+    if (row.leaving && guard_enabled(Guard::local_veto)) {
       worker.removed_from_list = false;
       if (worker.state == WorkerState::serving) end_incarnation(worker, WorkerState::draining);
     } else if (worker.state == WorkerState::ended && worker.removed_from_list &&
@@ -129,7 +129,7 @@
     Worker& worker = item.second;
     if (seen.count(item.first)) continue;
     worker.listings_since_removal = 0;
-    if (!guard(Guard::local_veto)) continue;
+    if (!guard_enabled(Guard::local_veto)) continue;
     if (!worker.listed) continue;  // known from entries only: this node's list may be older
     worker.listed = false;
     if (worker.state == WorkerState::ended) continue;
@@ -147,7 +147,7 @@
   WorkerState const reported = static_cast<WorkerState>(entry.state);
   bool const first = worker.row.id.empty();
   if (first || entry.incarnation > worker.row.incarnation) {
-    if (!good_address(entry.address)) {
+    if (!is_valid_address(entry.address)) {
       if (first) workers.erase(id);
       return;
     }
@@ -158,7 +158,8 @@
     worker.row.slots = entry.slots;
     begin_incarnation(worker, entry.incarnation);
   }
-  if (!guard(Guard::tombstone) && entry.incarnation == worker.row.incarnation && reported == WorkerState::serving)
+  if (!guard_enabled(Guard::tombstone) && entry.incarnation == worker.row.incarnation &&
+      reported == WorkerState::serving)
     worker.state = reported;
   // §4.3: an entry can end an incarnation; only this node's own list or a new incarnation can revert that.
   if (entry.incarnation == worker.row.incarnation && reported != WorkerState::serving &&
@@ -180,7 +181,8 @@
 void Fleet::reconcile(std::map<std::string, wire::EntryT> const& entries, Micros now) {
   for (std::pair<std::string const, wire::EntryT> const& item : entries) {
     Worker const* const worker = find(worker_of(item.first));
-    if (worker != nullptr && worker->last_ended_incarnation >= item.second.incarnation && guard(Guard::tombstone))
+    if (worker != nullptr && worker->last_ended_incarnation >= item.second.incarnation &&
+        guard_enabled(Guard::tombstone))
       continue;
     take_entry(item.second, now);
   }
--- a/src/routing/registry/registry.cc
+++ b/src/routing/registry/registry.cc
@@ -74,7 +74,7 @@
   WorkerState const reported = heartbeat.leaving ? WorkerState::draining : WorkerState::serving;
   // §4.3: an end announced by this incarnation is final; only an end by timeout is revoked.
   bool const end_is_final =
-      item.state == WorkerState::draining && reported == WorkerState::serving && guard(Guard::tombstone);
+      item.state == WorkerState::draining && reported == WorkerState::serving && guard_enabled(Guard::tombstone);
   if (item.state != reported && !end_is_final) {
     set_state(item, reported, now);
     update = true;
@@ -118,7 +118,8 @@
     item.state = reported;
     log_event(Event::worker_joined, entry.key + " at " + entry.address);
   } else if ((entry.incarnation < item.order || item.state == WorkerState::draining) &&
-             item.state != WorkerState::serving && reported == WorkerState::serving && guard(Guard::local_veto)) {
+             item.state != WorkerState::serving && reported == WorkerState::serving &&
+             guard_enabled(Guard::local_veto)) {
     // The peer's information is older: this node's entry is written again with a later stamp, so that all peers receive
     // it (§12.3). An end that the worker announced is not revoked, whichever node took its last heartbeat.
     item.order = std::max(item.order, entry.incarnation);
--- a/src/routing/tenants/configuration_lease.h
+++ b/src/routing/tenants/configuration_lease.h
@@ -23,7 +23,7 @@
   // Records that the local configuration was the newest one at that moment; an older confirmation is ignored.
   void confirm(Micros at) { confirmed_at_ = std::max(confirmed_at_, at); }
   // False where the lease is switched off: then it is always valid.
-  bool required() const { return duration > 0 && guard(Guard::lease); }
+  bool required() const { return duration > 0 && guard_enabled(Guard::lease); }
   // Whether requests may be accepted with the keys in the local configuration.
   bool valid(Micros now) const { return !required() || (confirmed_at_ >= 0 && now - confirmed_at_ <= duration); }
   // Whether a key or a path unknown to the local configuration is certainly missing from the newest one as well.
--- a/src/routing/tenants/quota_shares.cc
+++ b/src/routing/tenants/quota_shares.cc
@@ -14,7 +14,7 @@
 
 void QuotaShares::note(Membership const& members, Micros now) {
   if (members.empty() || (known_ && members.fingerprint() == fingerprint_)) return;
-  Micros const until = guard(Guard::quota_handover) ? now + superseded_lifetime_ : now;
+  Micros const until = guard_enabled(Guard::quota_handover) ? now + superseded_lifetime_ : now;
   for (TimedShare& item : shares_)
     if (item.until < 0) item.until = until;
   // The set in force before this process started is unknown; this node may have had no share in it.
--- a/src/runtime/disk/disk_task.cc
+++ b/src/runtime/disk/disk_task.cc
@@ -70,16 +70,16 @@
 }
 
 Result<void> PosixDisk::write(std::string const& name, std::string const& bytes) {
-  if (fires(FaultPoint::end_before_sync)) ::_exit(41);
-  if (fires(FaultPoint::disk_slow))
+  if (fault_fires(FaultPoint::end_before_sync)) ::_exit(41);
+  if (fault_fires(FaultPoint::disk_slow))
     g_usleep(static_cast<gulong>(std::stoll("0" + fault_arg(FaultPoint::disk_slow)) * 1000));
   Handle const file{::open((folder_ + "/" + name).c_str(), O_WRONLY | O_CLOEXEC)};
   if (file.fd < 0) return fail(ErrorCode::bad_disk, why("cannot open", name));
-  if (fires(FaultPoint::disk_full)) {
+  if (fault_fires(FaultPoint::disk_full)) {
     errno = ENOSPC;
     return fail(ErrorCode::bad_disk, why("cannot write", name));
   }
-  bool const torn = fires(FaultPoint::disk_torn);
+  bool const torn = fault_fires(FaultPoint::disk_torn);
   std::size_t const size = torn ? bytes.size() / 2 : bytes.size();
   std::size_t at = 0;
   while (at < size) {
@@ -89,7 +89,7 @@
     at += static_cast<std::size_t>(n);
   }
   if (torn) ::_exit(42);
-  if (fires(FaultPoint::disk_fail)) return fail(ErrorCode::bad_disk, "cannot sync " + name + ": fault point 10");
+  if (fault_fires(FaultPoint::disk_fail)) return fail(ErrorCode::bad_disk, "cannot sync " + name + ": fault point 10");
   if (::fdatasync(file.fd) != 0) return fail(ErrorCode::bad_disk, why("cannot sync", name));
   return boost::outcome_v2::success();
 }
@@ -147,7 +147,7 @@
       g_usleep(100000);
       saved = store_->save(job->record);
     }
-    if (saved && fires(FaultPoint::end_after_sync)) ::_exit(43);
+    if (saved && fault_fires(FaultPoint::end_after_sync)) ::_exit(43);
     Done* const result = new Done{done_, static_cast<bool>(saved), saved ? "" : saved.error().what};
     g_idle_add_full(
         G_PRIORITY_HIGH,
--- a/src/runtime/http/chat_server.cc
+++ b/src/runtime/http/chat_server.cc
@@ -102,7 +102,7 @@
       soup_message_headers_get_content_length(head) > static_cast<goffset>(server.body_most_)) {
     ++server.broken;
     open_call->called = true;
-    Answer const out = answer_for(
+    ErrorResponse const out = error_response(
         Error{ErrorCode::too_large, "a body has at most " + std::to_string(server.body_most_) + " bytes", ""});
     soup_message_headers_replace(soup_server_message_get_response_headers(message), "Connection", "close");
     server.answer(open_call->id, out);
@@ -235,9 +235,9 @@
   soup_server_message_unpause(open_call.message);
 }
 
-void ChatServer::answer(std::uint64_t id, Answer const& out) {
+void ChatServer::answer(std::uint64_t id, ErrorResponse const& out) {
   std::map<std::string, std::string> more;
-  if (out.wait > 0) more["Retry-After"] = std::to_string((out.wait + seconds(1) - 1) / seconds(1));
+  if (out.retry_after > 0) more["Retry-After"] = std::to_string((out.retry_after + seconds(1) - 1) / seconds(1));
   answer(id, out.status, "application/json", out.body, more);
 }
 
--- a/src/runtime/http/chat_server.h
+++ b/src/runtime/http/chat_server.h
@@ -33,7 +33,7 @@
   Result<void> listen(std::string const& address);
   void answer(std::uint64_t id, unsigned status, std::string const& type, std::string const& body,
               std::map<std::string, std::string> const& more = {});
-  void answer(std::uint64_t id, Answer const& answer);
+  void answer(std::uint64_t id, ErrorResponse const& answer);
   // A stream: a head, pieces, and its end; or a last piece after which the body is broken off.
   void write_chunk(std::uint64_t id, std::string const& bytes, std::map<std::string, std::string> const& more = {});
   void end(std::uint64_t id);
--- a/src/runtime/http/chat_upstream.cc
+++ b/src/runtime/http/chat_upstream.cc
@@ -85,8 +85,8 @@
   attempt->stop = g_cancellable_new();
   attempt->message = soup_message_new("POST", ("http://" + start.address + path).c_str());
   attempts_[start.chat_request] = attempt;
-  if (attempt->message == nullptr || fires(FaultPoint::attempt_unreached) ||
-      fires_for(FaultPoint::cut_workers, start.worker)) {
+  if (attempt->message == nullptr || fault_fires(FaultPoint::attempt_unreached) ||
+      fault_fires_for(FaultPoint::cut_workers, start.worker)) {
     std::shared_ptr<ChatAttempt>* const attempt_owner = new std::shared_ptr<ChatAttempt>(attempt);
     g_idle_add(
         [](gpointer data) -> gboolean {
@@ -120,7 +120,7 @@
   if (attempt.over) return;
   attempt.upstream->callbacks_.sent(attempt.start.chat_request);
   attempt.upstream->arm(attempt, attempt.start.first_byte_timeout);
-  if (fires(FaultPoint::attempt_break_sent)) g_cancellable_cancel(attempt.stop);
+  if (fault_fires(FaultPoint::attempt_break_sent)) g_cancellable_cancel(attempt.stop);
 }
 
 void ChatUpstream::finish(ChatAttempt& attempt, ChatAttemptEnd end, std::string const& why, Micros back) {
@@ -227,7 +227,7 @@
     ++attempt.events;
     callbacks_.event(attempt.start.chat_request, event);
     arm(attempt, attempt.start.idle_timeout);
-    if (fires(FaultPoint::attempt_break_begun)) return finish(attempt, ChatAttemptEnd::torn, "fault point 9");
+    if (fault_fires(FaultPoint::attempt_break_begun)) return finish(attempt, ChatAttemptEnd::torn, "fault point 9");
   }
   if (attempt.splitter.size() > answer_most) finish(attempt, ChatAttemptEnd::wrong, "a piece is larger than the limit");
 }
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -37,9 +37,9 @@
 }
 
 void RouterHost::on_chat_request(ChatServer::Call const& call, bool chat) {
-  if (call.body.size() > settings_.body)
-    return refuse(call.id,
-                  Error{ErrorCode::too_large, "a body has at most " + std::to_string(settings_.body) + " bytes", ""});
+  if (call.body.size() > settings_.max_body_bytes)
+    return refuse(call.id, Error{ErrorCode::too_large,
+                                 "a body has at most " + std::to_string(settings_.max_body_bytes) + " bytes", ""});
   Result<ChatRequestInfo> ask = parse_chat_request(call.body, chat ? ChatApi::chat : ChatApi::completion);
   if (!ask) return refuse(call.id, ask.error());
   ask.value().lane = call.header("X-Pipit-Lane");
@@ -127,9 +127,9 @@
   if (outcome.type == Outcome::Type::refused || outcome.type == Outcome::Type::unknown) {
     ++kinds_[error_code_row(outcome.error.code).name];
     ErrorCodeRow const& row = error_code_row(outcome.error.code);
-    Answer const out = answer_for(outcome.error);
+    ErrorResponse const out = error_response(outcome.error);
     std::map<std::string, std::string> more = {{"X-Pipit-Change", item.change_id}};
-    if (row.wait > 0) more["Retry-After"] = std::to_string((row.wait + seconds(1) - 1) / seconds(1));
+    if (row.retry_after > 0) more["Retry-After"] = std::to_string((row.retry_after + seconds(1) - 1) / seconds(1));
     return chat_server_->answer(item.id, out.status, "application/json", out.body, more);
   }
   wire::ValueT const& value = outcome.value;
--- a/src/runtime/router_host.cc
+++ b/src/runtime/router_host.cc
@@ -105,8 +105,8 @@
     node_->client_disconnected(id, now(), out);
     act(out);
   };
-  chat_server_ =
-      std::make_unique<ChatServer>(std::move(server_callbacks), std::max(settings_.body, description_limit + 4096));
+  chat_server_ = std::make_unique<ChatServer>(std::move(server_callbacks),
+                                              std::max(settings_.max_body_bytes, description_limit + 4096));
 
   if (store)
     disk_ = std::make_unique<DiskTask>(std::move(disk), std::move(store), [this](bool good, std::string const& why) {
@@ -147,28 +147,28 @@
       connection_names_[id] = name;
     }
   }
-  return fires_for(FaultPoint::cut_in, name);
+  return fault_fires_for(FaultPoint::cut_in, name);
 }
 
 bool RouterHost::dropped_out(ConnectionId id, std::string const& frame) {
   std::map<ConnectionId, std::string>::const_iterator const position = connection_names_.find(id);
-  if (position != connection_names_.end() && fires_for(FaultPoint::cut_out, position->second)) return true;
+  if (position != connection_names_.end() && fault_fires_for(FaultPoint::cut_out, position->second)) return true;
   wire::Frame const* const seen = flatbuffers::GetSizePrefixedRoot<wire::Frame>(frame.data());
   switch (seen->body_type()) {
     case wire::Body::Chosen:
-      return fires(FaultPoint::spread_lost);
+      return fault_fires(FaultPoint::spread_lost);
     case wire::Body::Promise:
-      return fires(FaultPoint::promise_lost);
+      return fault_fires(FaultPoint::promise_lost);
     case wire::Body::Accepted:
-      return fires(FaultPoint::accepted_lost);
+      return fault_fires(FaultPoint::accepted_lost);
     case wire::Body::ChosenAck:
-      return fires(FaultPoint::confirm_lost);
+      return fault_fires(FaultPoint::confirm_lost);
     case wire::Body::Deltas:
-      return fires(FaultPoint::delta_lost);
+      return fault_fires(FaultPoint::delta_lost);
     case wire::Body::TreePage:
-      return fires(FaultPoint::page_lost);
+      return fault_fires(FaultPoint::page_lost);
     case wire::Body::Entries:
-      return fires(FaultPoint::entries_lost);
+      return fault_fires(FaultPoint::entries_lost);
     default:
       return false;
   }
@@ -183,7 +183,7 @@
     connection_bytes_ += send.bytes.size();
     mesh_to_[node_->mesh.zone_of(send.connection)] += send.bytes.size();
     traffic_.count_sent(body_type_of(send.bytes), send.bytes.size());
-    if (settings_.faults && fires(FaultPoint::frame_corrupted))
+    if (settings_.faults && fault_fires(FaultPoint::frame_corrupted))
       for (std::size_t i = 4; i < send.bytes.size(); ++i) send.bytes[i] = static_cast<char>(send.bytes[i] ^ 0x5a);
     connections_->send(send.connection, send.bytes);
   }
@@ -203,27 +203,27 @@
   for (std::uint64_t const id : out.chat.cancelled_attempts) attempts_->cut(id);
   for (ChangeReply const& item : out.replies) reply(item);
   if (out.read_list) {
-    if (fires(FaultPoint::list_fail)) {
+    if (fault_fires(FaultPoint::list_fail)) {
       NodeEffects more;
       node_->handle_worker_list(std::nullopt, true, now(), more);
       act(more);
     } else {
-      attempts_->get(settings_.platform, "/workers", seconds(1),
-                     [this](bool good, bool refused, std::string const& body) {
-                       std::optional<std::vector<ListRow>> rows;
-                       if (good) {
-                         Result<std::vector<ListRow>> read =
-                             read_worker_list(fires(FaultPoint::list_torn) ? body.substr(0, body.size() / 2) : body);
-                         if (read) rows = std::move(read.value());
-                       }
-                       NodeEffects more;
-                       node_->handle_worker_list(rows, refused || !body.empty(), now(), more);
-                       act(more);
-                     });
+      attempts_->get(
+          settings_.platform, "/workers", seconds(1), [this](bool good, bool refused, std::string const& body) {
+            std::optional<std::vector<ListRow>> rows;
+            if (good) {
+              Result<std::vector<ListRow>> read =
+                  read_worker_list(fault_fires(FaultPoint::list_torn) ? body.substr(0, body.size() / 2) : body);
+              if (read) rows = std::move(read.value());
+            }
+            NodeEffects more;
+            node_->handle_worker_list(rows, refused || !body.empty(), now(), more);
+            act(more);
+          });
     }
   }
   for (HealthCheck const& check : out.health_checks) {
-    if (fires_for(FaultPoint::cut_workers, check.worker) || fires(FaultPoint::health_check_fail)) {
+    if (fault_fires_for(FaultPoint::cut_workers, check.worker) || fault_fires(FaultPoint::health_check_fail)) {
       NodeEffects more;
       node_->handle_health_report(check, std::nullopt, false, now(), more);
       act(more);
@@ -245,12 +245,12 @@
 
 void RouterHost::refuse(std::uint64_t id, Error const& error) {
   ++kinds_[error_code_row(error.code).name];
-  chat_server_->answer(id, answer_for(error));
+  chat_server_->answer(id, error_response(error));
 }
 
 void RouterHost::finish(ChatFailure const& verdict) {
   ++kinds_[error_code_row(verdict.error.code).name];
-  Answer const out = answer_for(verdict.error, verdict.execution, verdict.retry_after);
+  ErrorResponse const out = error_response(verdict.error, verdict.execution, verdict.retry_after);
   std::map<std::uint64_t, Caller>::iterator const position = callers_.find(verdict.chat_request);
   if (position == callers_.end()) return;
   bool const begun = position->second.begun;
@@ -304,7 +304,7 @@
     Settings const& s = fresh.value();
     // What a process is cannot change while it incarnations; what it allows can.
     if (s.name != settings_.name || s.cluster != settings_.cluster || s.zone != settings_.zone ||
-        s.mesh != settings_.mesh || s.http != settings_.http || s.data != settings_.data ||
+        s.mesh != settings_.mesh || s.http != settings_.http || s.data_directory != settings_.data_directory ||
         s.initial_members != settings_.initial_members || s.models != settings_.models || s.seeds != settings_.seeds ||
         s.faults != settings_.faults || s.log != settings_.log)
       why = "only platform, grace, drain and body can change without a restart";
@@ -315,7 +315,7 @@
   }
   settings_.grace = fresh.value().grace;
   settings_.drain = fresh.value().drain;
-  settings_.body = fresh.value().body;
+  settings_.max_body_bytes = fresh.value().max_body_bytes;
   settings_.platform = fresh.value().platform;
   log_event(Event::settings_applied, settings_.file);
 }
@@ -386,7 +386,7 @@
   std::unique_ptr<PosixDisk> disk;
   std::unique_ptr<RecordStore> store;
   if (replica) {
-    disk = std::make_unique<PosixDisk>(settings.value().data);
+    disk = std::make_unique<PosixDisk>(settings.value().data_directory);
     store = std::make_unique<RecordStore>(*disk, settings.value().cluster, settings.value().name);
     Result<void> const locked = disk->lock();
     bool blank = false;
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -223,7 +223,7 @@
   if (call.head.method == "GET" && call.head.target == "/v1/status") return answer(id, 200, status());
   if (call.head.method == "GET" && call.head.target == "/v1/tenants") return answer(id, 200, tenants());
   if (call.head.method == "GET" && call.head.target == "/metrics") return answer(id, 200, metrics());
-  answer(id, 404, answer_for(Error{ErrorCode::not_found, "", ""}).body);
+  answer(id, 404, error_response(Error{ErrorCode::not_found, "", ""}).body);
 }
 
 void NodeServer::stop() {
--- a/src/server/node_server_status.cc
+++ b/src/server/node_server_status.cc
@@ -102,7 +102,7 @@
   json.key("keys_taken").boolean(node_->key_lease().valid(now())).key("tenants").begin_list();
   for (Tenant const& tenant : rules.tenants) {
     json.begin_object().key("name").text(tenant.name).key("rank").number(tenant.rank).key("keys").begin_list();
-    for (Digest const& key : tenant.keys) json.text(short_text(key));
+    for (Digest const& key : tenant.keys) json.text(abbreviated_digest(key));
     json.end_list().key("counts").text(tenant.unit == CountingUnit::tokens ? "tokens" : "requests");
     json.key("rate").number(tenant.rate).key("burst").number(tenant.burst);
     TenantCounters const asked = value_at(node_->dispatcher.tenant_counters, tenant.name);
--- a/src/server/request_proxy.cc
+++ b/src/server/request_proxy.cc
@@ -211,7 +211,7 @@
   ++kinds[error_code_row(denial.error).name];
   ExecutionStatus const execution =
       denial.retry_after > 0 ? ExecutionStatus::no : error_code_row(denial.error).execution;
-  Answer const answer = answer_for(Error{denial.error, "", ""}, execution, denial.retry_after);
+  ErrorResponse const answer = error_response(Error{denial.error, "", ""}, execution, denial.retry_after);
   Head head;
   // What may be asked again has not run, whatever the kind says of other cases.
   head.status = denial.retry_after > 0 && !promises(answer.status) ? 503 : answer.status;
@@ -254,7 +254,7 @@
   caller.tail.clear();
   Head head = caller.head;
   head.set(dialect_.remaining, std::to_string(std::max<Micros>(1, attempt.timeout / 1000)));
-  if (guard(RequestGuard::instance)) head.set(dialect_.instance, attempt.instance);
+  if (guard_enabled(RequestGuard::instance)) head.set(dialect_.instance, attempt.instance);
   head.set(dialect_.rank, std::to_string(std::clamp<std::int64_t>(attempt.rank, 0, 9)));
   if (attempt.keys_required) put_tenant(head, dialect_, attempt.tenant);
   if (caller.resumed && !caller.last_event.empty()) head.set(dialect_.after, caller.last_event);
@@ -269,7 +269,7 @@
   Caller& caller = position->second;
   if (head.status < 200) return Upstream::Owner::other;
   std::string const whose = head.get(dialect_.attempt);
-  bool const mine = whose == caller.attempt || !guard(RequestGuard::answer_id);
+  bool const mine = whose == caller.attempt || !guard_enabled(RequestGuard::answer_id);
   if (!whose.empty() && !mine) return Upstream::Owner::other;
   if (names_two(head, dialect_.attempt)) return Upstream::Owner::nobody;
   if (std::string const* const load = head.find(dialect_.load)) {
@@ -280,16 +280,17 @@
   }
   bool const not_run = head.find(dialect_.not_run) != nullptr;
   caller.elsewhere = head.status == 421;
-  caller.declined = not_run || caller.elsewhere || (head.status == 429 && !guard(RequestGuard::not_run_proof));
+  caller.declined = not_run || caller.elsewhere || (head.status == 429 && !guard_enabled(RequestGuard::not_run_proof));
   caller.failing = !caller.declined && head.status >= 300;
   caller.withheld = caller.failing && promises(head.status);
   // A refusal may come without the id, but then only where nothing was asked before: it might be a late one for that.
-  bool const unnamed_refusal = caller.declined && (first || !guard(RequestGuard::answer_id));
+  bool const unnamed_refusal = caller.declined && (first || !guard_enabled(RequestGuard::answer_id));
   if (whose.empty() && !mine && !unnamed_refusal) {
     caller.declined = caller.elsewhere = false;
     return Upstream::Owner::nobody;
   }
-  bool const sealed = dialect_.seal.empty() || !guard(RequestGuard::seal) || head.find(dialect_.seal) != nullptr;
+  bool const sealed =
+      dialect_.seal.empty() || !guard_enabled(RequestGuard::seal) || head.find(dialect_.seal) != nullptr;
   if (!caller.declined && !caller.failing && !sealed) return Upstream::Owner::nobody;
   caller.unbounded = head.length < 0 && !head.chunked && !bodiless(head.status) && caller.head.method != "HEAD";
   if (caller.resumed) return Upstream::Owner::asker;
@@ -318,7 +319,8 @@
     std::string const name = id_of(event);
     std::uint64_t number = 0;
     // A worker that takes a stream up may begin a little before the place that it was told.
-    if (caller.resumed && known && guard(RequestGuard::event_order) && number_of(name, number) && number <= last)
+    if (caller.resumed && known && guard_enabled(RequestGuard::event_order) && number_of(name, number) &&
+        number <= last)
       continue;
     std::uint64_t before = 0;
     bool const first_of_resumed = caller.resumed && number_of(caller.last_event, before) && number_of(name, number);
@@ -383,8 +385,8 @@
 // A worker may break off anywhere. Where only the connection's end tells the end of a stream, that is whole only after
 // a whole event.
 bool RequestProxy::stops_in_event(Caller const& caller) {
-  return caller.streams && caller.unbounded && guard(RequestGuard::event_end) && !caller.tail.ends_with("\n\n") &&
-         !caller.tail.ends_with("\r\n\r\n");
+  return caller.streams && caller.unbounded && guard_enabled(RequestGuard::event_end) &&
+         !caller.tail.ends_with("\n\n") && !caller.tail.ends_with("\r\n\r\n");
 }
 
 void RequestProxy::on_done(std::uint64_t id) {
@@ -414,7 +416,7 @@
   if (position == callers_.end()) return;
   position->second.failure = why;
   log_event(Event::attempt_failed, position->second.attempt + " at " + position->second.instance + " " + why);
-  if (end == Upstream::End::torn && !guard(RequestGuard::torn_visible)) return on_done(id);
+  if (end == Upstream::End::torn && !guard_enabled(RequestGuard::torn_visible)) return on_done(id);
   // What the worker said before it broke off holds: it did not run the request.
   if (position->second.declined) return decline(id, position->second);
   callbacks_.ended(id, end == Upstream::End::unreached ? AttemptEnd::unreached : AttemptEnd::broke, false);
--- a/testing/common/violations.h
+++ b/testing/common/violations.h
@@ -8,8 +8,8 @@
 
 // Prints how many invariants were violated in this process; true when any was.
 inline bool report_violations() {
-  if (violations() == 0) return false;
-  std::printf("%llu violations of invariants\n", static_cast<unsigned long long>(violations()));
+  if (violation_count() == 0) return false;
+  std::printf("%llu violations of invariants\n", static_cast<unsigned long long>(violation_count()));
   return true;
 }
 
--- a/testing/fleet_simulator/main.cc
+++ b/testing/fleet_simulator/main.cc
@@ -74,7 +74,7 @@
   std::vector<std::thread> team;
   for (unsigned i = 0; i < std::max(1u, loud ? 1 : jobs); ++i)
     team.emplace_back([&] {
-      guard_off() = guard;
+      disabled_guard() = guard;
       for (std::uint64_t seed = next++; seed < from + count; seed = next++) {
         WorldPlan plan;
         plan.shape = shape;
--- a/testing/quota_simulator/main.cc
+++ b/testing/quota_simulator/main.cc
@@ -66,6 +66,7 @@
       found = found || !load.findings.empty();
     }
   }
-  if (violations() > 0) std::printf("%llu invariants were violated\n", static_cast<unsigned long long>(violations()));
-  return found || violations() > 0 ? 1 : 0;
+  if (violation_count() > 0)
+    std::printf("%llu invariants were violated\n", static_cast<unsigned long long>(violation_count()));
+  return found || violation_count() > 0 ? 1 : 0;
 }
--- a/testing/register_model_checker/main.cc
+++ b/testing/register_model_checker/main.cc
@@ -42,7 +42,7 @@
   GuardRow const* const rows = guard_rows(count);
   for (std::size_t i = 0; i < count; ++i)
     if (name == rows[i].name) {
-      guard_off() = static_cast<Guard>(i);
+      disabled_guard() = static_cast<Guard>(i);
       return true;
     }
   return false;
--- a/tests/fleet_simulation.cc
+++ b/tests/fleet_simulation.cc
@@ -113,9 +113,9 @@
   bool broken = false;
   for (std::uint64_t seed = row.first_seed; seed < row.first_seed + row.seed_count && !broken; ++seed) {
     ASSERT_TRUE(run_fleet(row.shape, seed, row.only).faults.empty()) << "seed " << seed << " fails with all guards on";
-    guard_off() = row.guard;
+    disabled_guard() = row.guard;
     WorldEnd const end = run_fleet(row.shape, seed, row.only);
-    guard_off() = Guard::none;
+    disabled_guard() = Guard::none;
     for (std::string const& fault : end.faults) broken = broken || fault.rfind(row.property, 0) == 0;
   }
   EXPECT_TRUE(broken) << "no seed broke " << row.property << " with the guard off";
--- a/tests/invariants.cc
+++ b/tests/invariants.cc
@@ -14,9 +14,10 @@
 
 namespace {
 class FailOnViolation : public testing::EmptyTestEventListener {
-  void OnTestStart(testing::TestInfo const&) override { before = violations(); }
+  void OnTestStart(testing::TestInfo const&) override { before = violation_count(); }
   void OnTestEnd(testing::TestInfo const&) override {
-    if (violations() != before) ADD_FAILURE() << violations() - before << " violations of invariants, logged above";
+    if (violation_count() != before)
+      ADD_FAILURE() << violation_count() - before << " violations of invariants, logged above";
   }
   std::uint64_t before = 0;
 };
@@ -70,9 +71,9 @@
 
 TEST(Invariants, are_silent_where_a_proof_switches_a_guard_off) {
   ExpectedViolations expected;
-  guard_off() = Guard::promise;
-  violated(Invariant::promise_kept, "");
-  guard_off() = Guard::none;
+  disabled_guard() = Guard::promise;
+  report_violation(Invariant::promise_kept, "");
+  disabled_guard() = Guard::none;
   EXPECT_EQ(expected.seen(Invariant::promise_kept), 0u);
 }
 
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -278,7 +278,7 @@
   for (std::string const& row : rows) {
     Result<Configuration> const made = read_complete_configuration(row);
     ASSERT_FALSE(made) << row;
-    EXPECT_EQ(answer_for(made.error()).status, 400u) << made.error().what << "\n" << row;
+    EXPECT_EQ(error_response(made.error()).status, 400u) << made.error().what << "\n" << row;
     EXPECT_FALSE(made.error().what.empty());
   }
 }
@@ -350,7 +350,7 @@
         "{\"version\":5,\"upsert\":{\"routes\":{}}}", "{\"version\":5,\"upsert\":{\"labels\":[{\"name\":\"x\"}]}}"}) {
     Result<Configuration> const made = apply_changes(base, bad);
     ASSERT_FALSE(made) << bad;
-    EXPECT_EQ(answer_for(made.error()).status, 400u) << bad << ": " << made.error().what;
+    EXPECT_EQ(error_response(made.error()).status, 400u) << bad << ": " << made.error().what;
   }
 }
 
--- a/tests/register_model_checker.cc
+++ b/tests/register_model_checker.cc
@@ -41,8 +41,8 @@
 // A guard that is off until the end of the test.
 class Unguarded {
  public:
-  explicit Unguarded(Guard guard) { guard_off() = guard; }
-  ~Unguarded() { guard_off() = Guard::none; }
+  explicit Unguarded(Guard guard) { disabled_guard() = guard; }
+  ~Unguarded() { disabled_guard() = Guard::none; }
   Unguarded(Unguarded const&) = delete;
   Unguarded& operator=(Unguarded const&) = delete;
 };
@@ -91,9 +91,9 @@
   EXPECT_NE(finding.fault, "") << words_of(scenario, finding);
   EXPECT_NE(finding.fault.find(step_text), std::string::npos) << words_of(scenario, finding);
   EXPECT_EQ(replay(scenario, finding.trace).fault, finding.fault);
-  guard_off() = Guard::none;
+  disabled_guard() = Guard::none;
   EXPECT_EQ(replay(scenario, finding.trace).fault, "") << "the same steps with the guard on";
-  guard_off() = guard;
+  disabled_guard() = guard;
 }
 
 void expect_explored_fault(Guard guard, std::string const& name, std::string const& step_text) {
--- a/tests/requests.cc
+++ b/tests/requests.cc
@@ -60,11 +60,11 @@
 }  // namespace
 
 TEST_P(RequestModelGuard, the_checker_finds_a_fault_without_it) {
-  request_guard_off() = GetParam().request_guard;
-  guard_off() = GetParam().guard;
+  disabled_request_guard() = GetParam().request_guard;
+  disabled_guard() = GetParam().guard;
   Exploration const result = walk_requests(1, 3000, 60, true);
-  request_guard_off() = RequestGuard::none;
-  guard_off() = Guard::none;
+  disabled_request_guard() = RequestGuard::none;
+  disabled_guard() = Guard::none;
   EXPECT_EQ(result.faulty, 1u);
 }
 
--- a/tests/tables.cc
+++ b/tests/tables.cc
@@ -31,7 +31,7 @@
 TEST(Tables, what_did_not_run_says_when_to_come_back) {
   for (std::size_t i = 0; i < error_code_count(); ++i) {
     ErrorCodeRow const& row = error_code_row(static_cast<ErrorCode>(i));
-    Answer const out = answer_for(Error{static_cast<ErrorCode>(i), "", ""});
+    ErrorResponse const out = error_response(Error{static_cast<ErrorCode>(i), "", ""});
     bool const offered = out.body.find("retry_after_ms") != std::string::npos;
     if (row.execution != ExecutionStatus::no) {
       EXPECT_FALSE(offered) << row.name << " may have run, and is offered again";
--- a/tests/tenant_load.cc
+++ b/tests/tenant_load.cc
@@ -67,9 +67,9 @@
 
 TEST(TenantGuards, without_the_lease_a_node_that_is_cut_off_lets_old_keys_in) {
   mute_log(true);
-  guard_off() = Guard::lease;
+  disabled_guard() = Guard::lease;
   std::vector<std::string> const found = findings_of("cut_nodes", 6);
-  guard_off() = Guard::none;
+  disabled_guard() = Guard::none;
   mute_log(false);
   EXPECT_FALSE(found.empty());
 }
--- a/tests/tenants.cc
+++ b/tests/tenants.cc
@@ -135,7 +135,7 @@
        }) {
     Result<std::shared_ptr<Description const>> const read = with_tenants(bad);
     ASSERT_FALSE(read) << bad;
-    EXPECT_EQ(answer_for(read.error()).status, 400u);
+    EXPECT_EQ(error_response(read.error()).status, 400u);
     EXPECT_EQ((read.error().what + read.error().where).find("secretkey"), std::string::npos) << read.error().what;
   }
   // A duplicate key within one tenant is accepted; an unknown field is ignored.
@@ -289,14 +289,14 @@
 }
 
 TEST(QuotaShares, without_the_handover_guard_shares_are_granted_twice) {
-  guard_off() = Guard::quota_handover;
+  disabled_guard() = Guard::quota_handover;
   QuotaShares old_one("a", seconds(5));
   QuotaShares fresh("b", seconds(5));
   old_one.note(set_of(1, {"a"}), 0);
   fresh.note(set_of(2, {"b"}), seconds(10));
   // "a" is cut off and hasn't learned of the second set.
   EXPECT_GT(old_one.share(seconds(10) + 1) + fresh.share(seconds(10) + 1), 1);
-  guard_off() = Guard::none;
+  disabled_guard() = Guard::none;
 }
 
 namespace {
