--- a/src/config/description/builder.cc
+++ b/src/config/description/builder.cc
@@ -7,60 +7,60 @@
 namespace pipit {
 
 namespace {
-constexpr std::size_t tenant_name_most = 128;
+constexpr std::size_t max_tenant_name_size = 128;
 
 // A tenant's name goes to workers as the value of a header field.
-bool good_tenant_name(std::string const& name) {
-  if (name.empty() || name.size() > tenant_name_most) return false;
+bool is_valid_tenant_name(std::string const& name) {
+  if (name.empty() || name.size() > max_tenant_name_size) return false;
   return std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < '\x7f'; });
 }
 }  // namespace
 
-Result<void> DescriptionBuilder::add(Pool pool, std::string const& place) {
+Result<void> DescriptionBuilder::add(Pool pool, std::string const& path) {
   if (!pool_names_.insert(pool.name).second)
-    return fail(ErrorCode::bad_description, "the pool '" + pool.name + "' stands twice", place + ".name");
+    return fail(ErrorCode::bad_description, "the pool '" + pool.name + "' stands twice", path + ".name");
   description_->pools.push_back(std::move(pool));
   return boost::outcome_v2::success();
 }
 
-Result<void> DescriptionBuilder::add(Lane lane, std::string const& place) {
+Result<void> DescriptionBuilder::add(Lane lane, std::string const& path) {
   if (!lane_names_.insert(lane.name).second)
-    return fail(ErrorCode::bad_description, "the lane '" + lane.name + "' stands twice", place + ".name");
+    return fail(ErrorCode::bad_description, "the lane '" + lane.name + "' stands twice", path + ".name");
   description_->lanes.push_back(std::move(lane));
   return boost::outcome_v2::success();
 }
 
-Result<void> DescriptionBuilder::add(Route route, std::string const& place) {
+Result<void> DescriptionBuilder::add(Route route, std::string const& path) {
   if (route.prefix.empty() || route.prefix.front() != '/' || route.prefix.back() != '/')
-    return fail(ErrorCode::bad_description, "a prefix begins and ends with a slash", place + ".prefix");
+    return fail(ErrorCode::bad_description, "a prefix begins and ends with a slash", path + ".prefix");
   std::int64_t weights = 0;
   for (Route::Share const& share : route.shares) {
-    if (!has_pool(share.pool)) return fail(ErrorCode::bad_description, "there is no pool '" + share.pool + "'", place);
+    if (!has_pool(share.pool)) return fail(ErrorCode::bad_description, "there is no pool '" + share.pool + "'", path);
     weights += share.weight;
   }
-  if (weights <= 0) return fail(ErrorCode::bad_description, "the weights add up to 0", place + ".shares");
+  if (weights <= 0) return fail(ErrorCode::bad_description, "the weights add up to 0", path + ".shares");
   if (route.request_timeout <= 0)
     return fail(ErrorCode::bad_description, "a request that may be held for no time is never served",
-                place + ".hold_ms");
+                path + ".hold_ms");
   if (!route_names_.insert(route.name).second)
-    return fail(ErrorCode::bad_description, "the route '" + route.name + "' stands twice", place + ".name");
-  std::string const host = lower_host(route.host);
-  if (!route_places_.insert(host + " " + route.prefix).second)
-    return fail(ErrorCode::bad_description, "two routes share host and prefix", place);
+    return fail(ErrorCode::bad_description, "the route '" + route.name + "' stands twice", path + ".name");
+  std::string const host = lowercase_host(route.host);
+  if (!route_keys_.insert(host + " " + route.prefix).second)
+    return fail(ErrorCode::bad_description, "two routes share host and prefix", path);
   description_->route_ranks.insert(route.rank);
   description_->routes_by_host[host].push_back(description_->routes.size());
   description_->routes.push_back(std::move(route));
   return boost::outcome_v2::success();
 }
 
-Result<void> DescriptionBuilder::add(Tenant tenant, std::string const& place) {
+Result<void> DescriptionBuilder::add(Tenant tenant, std::string const& path) {
   require_keys();
-  if (!good_tenant_name(tenant.name))
+  if (!is_valid_tenant_name(tenant.name))
     return fail(ErrorCode::bad_description,
-                "a tenant's name is 1 to " + std::to_string(tenant_name_most) + " visible ASCII characters",
-                place + ".name");
+                "a tenant's name is 1 to " + std::to_string(max_tenant_name_size) + " visible ASCII characters",
+                path + ".name");
   if (!tenant_names_.insert(tenant.name).second)
-    return fail(ErrorCode::bad_description, "the tenant '" + tenant.name + "' stands twice", place + ".name");
+    return fail(ErrorCode::bad_description, "the tenant '" + tenant.name + "' stands twice", path + ".name");
   std::size_t const index = description_->tenants.size();
   for (Digest const& key : tenant.keys) {
     std::map<Digest, std::size_t>::const_iterator const other = description_->tenants_by_key.find(key);
@@ -68,7 +68,7 @@
       return fail(ErrorCode::bad_description,
                   "the key " + abbreviated_digest(key) + " of tenant '" + tenant.name + "' is also one of tenant '" +
                       description_->tenants[other->second].name + "'",
-                  place + ".keys");
+                  path + ".keys");
     description_->tenants_by_key[key] = index;
   }
   description_->tenant_ranks.insert(tenant.rank);
@@ -81,13 +81,13 @@
     return fail(ErrorCode::bad_description, "lanes know no keys: a description with tenants has routes alone",
                 "$.tenants");
   for (std::size_t i = 0; i < description_->lanes.size(); ++i) {
-    std::string const place = "$.lanes[" + std::to_string(i) + "].binding";
+    std::string const path = "$.lanes[" + std::to_string(i) + "].binding";
     std::string model;
     for (Binding::Choice const& choice : description_->lanes[i].binding.pools) {
-      Pool const* const pool = description_->pool(choice.pool);
-      if (pool == nullptr) return fail(ErrorCode::bad_description, "there is no pool '" + choice.pool + "'", place);
+      Pool const* const pool = description_->find_pool(choice.pool);
+      if (pool == nullptr) return fail(ErrorCode::bad_description, "there is no pool '" + choice.pool + "'", path);
       if (!model.empty() && model != pool->model)
-        return fail(ErrorCode::bad_description, "the lane's pools serve different models", place);
+        return fail(ErrorCode::bad_description, "the lane's pools serve different models", path);
       model = pool->model;
     }
   }
--- a/src/config/description/description.cc
+++ b/src/config/description/description.cc
@@ -7,29 +7,29 @@
 namespace pipit {
 
 namespace {
-constexpr std::int64_t rank_most = 9;  // that a worker takes
+constexpr std::int64_t max_rank = 9;  // that a worker takes
 
 // How many of the numbers are smaller.
-std::size_t index_in(std::set<std::int64_t> const& numbers, std::int64_t number) {
+std::size_t count_below(std::set<std::int64_t> const& numbers, std::int64_t number) {
   return static_cast<std::size_t>(std::distance(numbers.begin(), numbers.lower_bound(number)));
 }
 }  // namespace
 
-Pool const* Description::pool(std::string_view name) const {
+Pool const* Description::find_pool(std::string_view name) const {
   for (Pool const& item : pools)
     if (item.name == name) return &item;
   return nullptr;
 }
 
-std::string lower_host(std::string_view host) {
+std::string lowercase_host(std::string_view host) {
   std::string out(host);
   for (char& c : out) c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
   return out;
 }
 
-Route const* Description::route(std::string_view host, std::string_view path) const {
+Route const* Description::find_route(std::string_view host, std::string_view path) const {
   std::unordered_map<std::string, std::vector<std::size_t>>::const_iterator const of_host =
-      routes_by_host.find(lower_host(host));
+      routes_by_host.find(lowercase_host(host));
   if (of_host == routes_by_host.end()) return nullptr;
   Route const* best = nullptr;
   for (std::size_t const index : of_host->second) {
@@ -40,30 +40,30 @@
   return best;
 }
 
-Tenant const* Description::tenant_of(Digest const& key) const {
+Tenant const* Description::find_tenant_by_key(Digest const& key) const {
   std::map<Digest, std::size_t>::const_iterator const position = tenants_by_key.find(key);
   return position == tenants_by_key.end() ? nullptr : &tenants[position->second];
 }
 
-Tenant const* Description::tenant(std::string_view name) const {
+Tenant const* Description::find_tenant(std::string_view name) const {
   for (Tenant const& item : tenants)
     if (item.name == name) return &item;
   return nullptr;
 }
 
 std::int64_t Description::rank_of(Route const& route, Tenant const* tenant) const {
-  if (tenant == nullptr) return std::min(route.rank, rank_most);
+  if (tenant == nullptr) return std::min(route.rank, max_rank);
   std::size_t const steps = std::max<std::size_t>(1, route_ranks.size());
-  std::size_t const of_route = index_in(route_ranks, route.rank);
-  std::size_t const of_tenant = index_in(tenant_ranks, tenant->rank);
+  std::size_t const of_route = count_below(route_ranks, route.rank);
+  std::size_t const of_tenant = count_below(tenant_ranks, tenant->rank);
   std::size_t const all = steps * std::max<std::size_t>(1, tenant_ranks.size());
   std::size_t const place = of_tenant * steps + of_route;
   // With more ranks than there are numbers, neighbours share one.
-  std::size_t const numbers = static_cast<std::size_t>(rank_most) + 1;
+  std::size_t const numbers = static_cast<std::size_t>(max_rank) + 1;
   return static_cast<std::int64_t>(all <= numbers ? place : place * numbers / all);
 }
 
-Lane const* Description::lane(std::string_view name) const {
+Lane const* Description::find_lane(std::string_view name) const {
   for (Lane const& item : lanes)
     if (item.name == name) return &item;
   return nullptr;
--- a/src/config/description/description_reader.cc
+++ b/src/config/description/description_reader.cc
@@ -38,9 +38,9 @@
   JsonValueReader text_into(std::string& out);
   JsonValueReader name_into(std::string& out);
   JsonValueReader boolean_into(bool& out);
-  JsonValueReader number_into(std::int64_t& out, std::int64_t least, std::int64_t most);
-  // A time as a number of units, 'most' of them at most.
-  JsonValueReader time_into(Micros& out, Micros unit, std::int64_t most);
+  JsonValueReader number_into(std::int64_t& out, std::int64_t min, std::int64_t max);
+  // A time as a number of units, from 0 to 'max'.
+  JsonValueReader time_into(Micros& out, Micros unit, std::int64_t max);
 
   JsonReader reader_;
   DescriptionBuilder builder_;
@@ -67,15 +67,15 @@
   return [this, &out](JsonElement const& value, std::string const& path) { return reader_.boolean(value, path, out); };
 }
 
-JsonValueReader DescriptionParser::number_into(std::int64_t& out, std::int64_t least, std::int64_t most) {
-  return [this, &out, least, most](JsonElement const& value, std::string const& path) {
-    return reader_.number(value, path, least, most, out);
+JsonValueReader DescriptionParser::number_into(std::int64_t& out, std::int64_t min, std::int64_t max) {
+  return [this, &out, min, max](JsonElement const& value, std::string const& path) {
+    return reader_.number(value, path, min, max, out);
   };
 }
 
-JsonValueReader DescriptionParser::time_into(Micros& out, Micros unit, std::int64_t most) {
-  return [this, &out, unit, most](JsonElement const& value, std::string const& path) {
-    return reader_.time(value, path, unit, most, out);
+JsonValueReader DescriptionParser::time_into(Micros& out, Micros unit, std::int64_t max) {
+  return [this, &out, unit, max](JsonElement const& value, std::string const& path) {
+    return reader_.time(value, path, unit, max, out);
   };
 }
 
@@ -85,15 +85,15 @@
       {"name", name_into(pool.name)},
       {"model", text_into(pool.model)},
       {"slots", number_into(pool.slots, 1, 100000)},
-      {"cold_per_second", number_into(pool.cold, 1, 100000)},
-      {"cold_ms", time_into(pool.cold_span, millisecond, 600000)},
+      {"cold_per_second", number_into(pool.cold_rate, 1, 100000)},
+      {"cold_ms", time_into(pool.cold_period, millisecond, 600000)},
       {"cache_blocks", number_into(pool.cache_blocks, 0, 10000000)},
-      {"cache_s", time_into(pool.cache_age, second, 864000)},
+      {"cache_s", time_into(pool.cache_ttl, second, 864000)},
       {"block_us", time_into(pool.block_cost, microsecond, 10000000)},
-      {"service_ms", time_into(pool.service, millisecond, 3600000)},
-      {"connections", number_into(pool.connections, 0, 1000000)},
+      {"service_ms", time_into(pool.initial_service_time, millisecond, 3600000)},
+      {"connections", number_into(pool.max_connections, 0, 1000000)},
       {"cache_tokens", number_into(pool.cache_tokens, 0, 1000000000000)},
-      {"stride", number_into(pool.stride, 1, 100000)},
+      {"stride", number_into(pool.tokens_per_event, 1, 100000)},
   };
   if (!reader_.object(value, path, fields, {"name", "model"})) return false;
   return reader_.check(builder_.add(std::move(pool), path));
@@ -161,9 +161,9 @@
       {"resumable", boolean_into(route.resumable)},
       {"hold_ms", time_into(route.request_timeout, millisecond, max_milliseconds)},
       {"aim_ms", time_into(route.latency_target, millisecond, max_milliseconds)},
-      {"gap_ms", time_into(route.gap, millisecond, max_milliseconds)},
+      {"gap_ms", time_into(route.max_event_gap, millisecond, max_milliseconds)},
       {"rank", number_into(route.rank, 0, 1000)},
-      {"attempts", number_into(route.attempts, 1, 1000)},
+      {"attempts", number_into(route.max_attempts, 1, 1000)},
       {"public", boolean_into(route.is_public)},
   };
   if (!reader_.object(value, path, fields, {"name", "host", "prefix", "shares"})) return false;
@@ -198,7 +198,7 @@
       {"rank", number_into(tenant.rank, 0, 1000)},
       {"counts", [&](JsonElement const& item,
                      std::string const& item_path) { return read_counting_unit(item, item_path, tenant.unit); }},
-      {"plain_tokens", number_into(tenant.plain_tokens, 0, max_quota)},
+      {"plain_tokens", number_into(tenant.default_tokens, 0, max_quota)},
       {"rate", number_into(tenant.rate, 0, max_quota)},
       {"burst", number_into(tenant.burst, 0, max_quota)},
   };
@@ -208,10 +208,10 @@
 
 bool DescriptionParser::read_limits(JsonElement const& value, std::string const& path) {
   JsonFieldReaders const fields = {
-      {"head_bytes", number_into(call_limits_.head_bytes, 1, max_size)},
-      {"body_bytes", number_into(call_limits_.body_bytes, 0, max_size)},
-      {"head_ms", time_into(call_limits_.head_time, millisecond, max_milliseconds)},
-      {"idle_ms", time_into(call_limits_.idle, millisecond, max_milliseconds)},
+      {"head_bytes", number_into(call_limits_.max_header_bytes, 1, max_size)},
+      {"body_bytes", number_into(call_limits_.max_body_bytes, 0, max_size)},
+      {"head_ms", time_into(call_limits_.header_timeout, millisecond, max_milliseconds)},
+      {"idle_ms", time_into(call_limits_.idle_timeout, millisecond, max_milliseconds)},
   };
   return reader_.object(value, path, fields, {});
 }
@@ -237,9 +237,9 @@
   };
   if (!reader_.object(root, "$", fields, {"format", "pools", "lanes"}))
     return boost::outcome_v2::failure(reader_.error());
-  builder_.limits(call_limits_);
-  builder_.source(std::move(source));
-  builder_.locality_cost(locality_cost);
+  builder_.set_limits(call_limits_);
+  builder_.set_source(std::move(source));
+  builder_.set_locality_cost(locality_cost);
   return builder_.finish();
 }
 
@@ -247,11 +247,11 @@
 
 Result<std::shared_ptr<Description const>> read_description(std::string_view text) {
   if (text.size() > description_limit)
-    return fail(ErrorCode::too_large, "a description has at most " + std::to_string(description_limit) + " bytes");
+    return fail(ErrorCode::too_large, "a description has at max " + std::to_string(description_limit) + " bytes");
   simdjson::dom::parser parser;
   JsonElement root;
   simdjson::error_code const code = parser.parse(simdjson::padded_string(text)).get(root);
-  if (code) return fail(ErrorCode::bad_json, simdjson::error_message(code), json_error_place(text));
+  if (code) return fail(ErrorCode::bad_json, simdjson::error_message(code), json_error_location(text));
   return DescriptionParser().parse(root);
 }
 
--- a/src/config/description/json_reader.cc
+++ b/src/config/description/json_reader.cc
@@ -7,34 +7,34 @@
 namespace {
 constexpr std::size_t max_name_size = 64;
 
-bool walk(simdjson::ondemand::value value);
+bool read_value(simdjson::ondemand::value value);
 
-bool walk_object(simdjson::ondemand::value value) {
+bool read_object(simdjson::ondemand::value value) {
   simdjson::ondemand::object object;
   if (value.get_object().get(object)) return false;
   for (simdjson::simdjson_result<simdjson::ondemand::field> field : object) {
     simdjson::ondemand::value inner;
-    if (field.error() || field.value().get(inner) || !walk(inner)) return false;
+    if (field.error() || field.value().get(inner) || !read_value(inner)) return false;
   }
   return true;
 }
 
-bool walk_array(simdjson::ondemand::value value) {
+bool read_array(simdjson::ondemand::value value) {
   simdjson::ondemand::array array;
   if (value.get_array().get(array)) return false;
   for (simdjson::simdjson_result<simdjson::ondemand::value> item : array) {
     simdjson::ondemand::value inner;
-    if (item.get(inner) || !walk(inner)) return false;
+    if (item.get(inner) || !read_value(inner)) return false;
   }
   return true;
 }
 
 // Reads a value with all that it contains; false at the first fault, where the document then stands.
-bool walk(simdjson::ondemand::value value) {
+bool read_value(simdjson::ondemand::value value) {
   simdjson::ondemand::json_type type;
   if (value.type().get(type)) return false;
-  if (type == simdjson::ondemand::json_type::object) return walk_object(value);
-  if (type == simdjson::ondemand::json_type::array) return walk_array(value);
+  if (type == simdjson::ondemand::json_type::object) return read_object(value);
+  if (type == simdjson::ondemand::json_type::array) return read_array(value);
   if (type == simdjson::ondemand::json_type::string) return !value.get_string().error();
   if (type == simdjson::ondemand::json_type::number) return !value.get_double().error();
   if (type == simdjson::ondemand::json_type::boolean) return !value.get_bool().error();
@@ -42,8 +42,8 @@
 }
 }  // namespace
 
-bool JsonReader::fail_at(std::string const& path, std::string why, ErrorCode code) {
-  error_ = Error{code, std::move(why), path};
+bool JsonReader::fail_at(std::string const& path, std::string message, ErrorCode code) {
+  error_ = Error{code, std::move(message), path};
   return false;
 }
 
@@ -102,33 +102,33 @@
   return !value.get_bool().get(out) || fail_at(path, "true or false is expected");
 }
 
-bool JsonReader::number(JsonElement const& value, std::string const& path, std::int64_t least, std::int64_t most,
+bool JsonReader::number(JsonElement const& value, std::string const& path, std::int64_t min, std::int64_t max,
                         std::int64_t& out) {
   if (value.get_int64().get(out)) return fail_at(path, "a whole number is expected");
-  if (out < least || out > most)
-    return fail_at(path, "the number is not within " + std::to_string(least) + " and " + std::to_string(most));
+  if (out < min || out > max)
+    return fail_at(path, "the number is not within " + std::to_string(min) + " and " + std::to_string(max));
   return true;
 }
 
-bool JsonReader::time(JsonElement const& value, std::string const& path, Micros unit, std::int64_t most, Micros& out) {
+bool JsonReader::time(JsonElement const& value, std::string const& path, Micros unit, std::int64_t max, Micros& out) {
   std::int64_t count = 0;
-  if (!number(value, path, 0, most, count)) return false;
+  if (!number(value, path, 0, max, count)) return false;
   out = count * unit;
   return true;
 }
 
-std::string json_error_place(std::string_view text) {
+std::string json_error_location(std::string_view text) {
   simdjson::padded_string const pad(text);
   simdjson::ondemand::parser parser;
   simdjson::ondemand::document doc;
   if (parser.iterate(pad).get(doc)) return "line 1, column 1";
   simdjson::ondemand::value root;
-  if (!doc.get_value().get(root)) walk(root);
+  if (!doc.get_value().get(root)) read_value(root);
   char const* position = nullptr;
-  if (doc.current_location().get(position) || position == nullptr) return place_of(text, text.size());
+  if (doc.current_location().get(position) || position == nullptr) return line_and_column(text, text.size());
   std::ptrdiff_t const off = position - pad.data();
-  if (off < 0 || static_cast<std::size_t>(off) > text.size()) return place_of(text, text.size());
-  return place_of(text, static_cast<std::size_t>(off));
+  if (off < 0 || static_cast<std::size_t>(off) > text.size()) return line_and_column(text, text.size());
+  return line_and_column(text, static_cast<std::size_t>(off));
 }
 
 }  // namespace pipit
--- a/src/config/description/json_reader.h
+++ b/src/config/description/json_reader.h
@@ -26,7 +26,7 @@
   Error const& error() const { return error_; }
 
   // Notes a fault; returns false.
-  bool fail_at(std::string const& path, std::string why, ErrorCode code = ErrorCode::bad_description);
+  bool fail_at(std::string const& path, std::string message, ErrorCode code = ErrorCode::bad_description);
   // Notes the fault of a result, if it has one; returns whether it has none.
   bool check(Result<void> const& result);
 
@@ -39,16 +39,15 @@
   // A text of at most 64 letters, digits, '_' and '-' that begins with a letter or '_'.
   bool name(JsonElement const& value, std::string const& path, std::string& out);
   bool boolean(JsonElement const& value, std::string const& path, bool& out);
-  bool number(JsonElement const& value, std::string const& path, std::int64_t least, std::int64_t most,
-              std::int64_t& out);
-  // A time as a number of units, from 0 to 'most'; a unit is given in microseconds.
-  bool time(JsonElement const& value, std::string const& path, Micros unit, std::int64_t most, Micros& out);
+  bool number(JsonElement const& value, std::string const& path, std::int64_t min, std::int64_t max, std::int64_t& out);
+  // A time as a number of units, from 0 to 'max'; a unit is given in microseconds.
+  bool time(JsonElement const& value, std::string const& path, Micros unit, std::int64_t max, Micros& out);
 
  private:
   Error error_;
 };
 
 // Where a malformed JSON text is broken: its line and column.
-std::string json_error_place(std::string_view text);
+std::string json_error_location(std::string_view text);
 
 }  // namespace pipit
--- a/src/config/rules/compiler.cc
+++ b/src/config/rules/compiler.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr std::int64_t longest_time_s = 3600;
-constexpr std::int64_t highest_urgency = 9;
-constexpr std::int64_t largest_backlog = 100000;
+constexpr std::int64_t max_time_s = 3600;
+constexpr std::int64_t max_urgency = 9;
+constexpr std::int64_t max_backlog_limit = 100000;
 constexpr std::int64_t max_attempts_limit = 5;
 
 Result<void> failure(Error error) { return boost::outcome_v2::failure(std::move(error)); }
@@ -25,19 +25,19 @@
     out = seconds(token.number * 60);
   else
     return false;
-  return out > 0 && out <= seconds(longest_time_s);
+  return out > 0 && out <= seconds(max_time_s);
 }
 
-bool read_number(Token const& token, std::int64_t least, std::int64_t most, std::int64_t& out) {
+bool read_number(Token const& token, std::int64_t min, std::int64_t max, std::int64_t& out) {
   if (token.kind != TokenKind::number || !token.unit.empty()) return false;
-  if (token.number < least || token.number > most) return false;
+  if (token.number < min || token.number > max) return false;
   out = token.number;
   return true;
 }
 
-bool read_repeat(Token const& token, bool& safe) {
+bool read_repeat(Token const& token, bool& repeatable) {
   if (token.kind != TokenKind::identifier || (token.text != "never" && token.text != "safe")) return false;
-  safe = token.text == "safe";
+  repeatable = token.text == "safe";
   return true;
 }
 
@@ -60,16 +60,15 @@
 // when it does, and null when there is no such word.
 char const* read_policy_setting(std::string const& name, Token const& value, Policy& out) {
   static char const* const takes_time = "takes a time such as 800ms or 2s, up to 60m";
-  if (name == "wait") return check(read_time(value, out.wait), takes_time);
-  if (name == "answer") return check(read_time(value, out.answer), takes_time);
-  if (name == "stall") return check(read_time(value, out.stall), takes_time);
-  if (name == "urgency")
-    return check(read_number(value, 0, highest_urgency, out.urgency), "takes a number from 0 to 9");
+  if (name == "wait") return check(read_time(value, out.queue_timeout), takes_time);
+  if (name == "answer") return check(read_time(value, out.first_byte_timeout), takes_time);
+  if (name == "stall") return check(read_time(value, out.stall_timeout), takes_time);
+  if (name == "urgency") return check(read_number(value, 0, max_urgency, out.urgency), "takes a number from 0 to 9");
   if (name == "backlog")
-    return check(read_number(value, 0, largest_backlog, out.backlog), "takes a number up to 100000");
+    return check(read_number(value, 0, max_backlog_limit, out.max_backlog), "takes a number up to 100000");
   if (name == "tries")
     return check(read_number(value, 1, max_attempts_limit, out.max_attempts), "takes a number from 1 to 5");
-  if (name == "repeat") return check(read_repeat(value, out.safe), "takes never or safe");
+  if (name == "repeat") return check(read_repeat(value, out.repeatable), "takes never or safe");
   if (name == "locality") return check(read_locality(value, out.locality), "takes prefer, only or any");
   return nullptr;
 }
--- a/src/config/rules/condition.cc
+++ b/src/config/rules/condition.cc
@@ -9,15 +9,15 @@
 using Operation = Condition::Operation;
 using Instruction = Condition::Instruction;
 
-std::string const& text_field(Field field, Facts const& facts) {
+std::string const& text_field(Field field, RequestAttributes const& facts) {
   if (field == Field::model) return facts.model;
   if (field == Field::user) return facts.user;
   return facts.zone;
 }
 
-std::int64_t number_field(Field field, Facts const& facts, std::int64_t load_percent) {
+std::int64_t number_field(Field field, RequestAttributes const& facts, std::int64_t load_percent) {
   if (field == Field::size) return facts.size;
-  if (field == Field::output) return facts.output;
+  if (field == Field::output) return facts.max_tokens;
   return load_percent;
 }
 
@@ -50,7 +50,7 @@
 }
 
 // The result of an instruction that compares one field.
-bool compare_field(Instruction const& instruction, Facts const& facts, std::int64_t load_percent) {
+bool compare_field(Instruction const& instruction, RequestAttributes const& facts, std::int64_t load_percent) {
   Field const field = static_cast<Field>(instruction.field);
   switch (field_descriptions[instruction.field].type) {
     case FieldType::text:
@@ -65,7 +65,7 @@
 
 }  // namespace
 
-bool Condition::holds(Facts const& facts, std::int64_t load_percent) const {
+bool Condition::matches(RequestAttributes const& facts, std::int64_t load_percent) const {
   if (instructions.empty()) return true;
   std::vector<bool> stack;
   for (Instruction const& instruction : instructions) {
--- a/src/config/rules/lexer.cc
+++ b/src/config/rules/lexer.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::int64_t largest_number = 1000000000000;
+constexpr std::int64_t max_number = 1000000000000;
 constexpr std::string_view symbols[] = {";", "(", ")", "=", "!=", "<", "<=", ">", ">="};
 
 bool is_alphabetic(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_'; }
@@ -59,7 +59,7 @@
   Result<void> read_number(Token& token) {
     token.kind = TokenKind::number;
     while (more() && is_digit(text_[position_])) {
-      if (token.number > largest_number) return error("the number is too large", token);
+      if (token.number > max_number) return error("the number is too large", token);
       token.number = token.number * 10 + (text_[position_++] - '0');
     }
     while (more() && (is_alphabetic(text_[position_]) || text_[position_] == '%')) token.unit += text_[position_++];
@@ -79,15 +79,15 @@
     token.kind = TokenKind::symbol;
     char const first = text_[position_++];
     token.text = first;
-    bool const may_be_two = first == '<' || first == '>' || first == '!';
-    if (may_be_two && more() && text_[position_] == '=') token.text += text_[position_++];
+    bool const may_have_two_characters = first == '<' || first == '>' || first == '!';
+    if (may_have_two_characters && more() && text_[position_] == '=') token.text += text_[position_++];
     for (std::string_view const symbol : symbols)
       if (symbol == token.text) return boost::outcome_v2::success();
     return error("'" + token.text + "' has no meaning here", token);
   }
 
-  Result<void> error(std::string why, Token const& token) const {
-    return fail(ErrorCode::bad_language, std::move(why), place_of(text_, token.offset));
+  Result<void> error(std::string message, Token const& token) const {
+    return fail(ErrorCode::bad_language, std::move(message), line_and_column(text_, token.offset));
   }
 
   std::string_view const text_;
@@ -96,7 +96,7 @@
 
 }  // namespace
 
-std::string place_of(std::string_view text, std::size_t offset) {
+std::string line_and_column(std::string_view text, std::size_t offset) {
   std::size_t line = 1;
   std::size_t column = 1;
   for (std::size_t i = 0; i < offset && i < text.size(); ++i) {
--- a/src/config/rules/parser.cc
+++ b/src/config/rules/parser.cc
@@ -8,7 +8,7 @@
 
 using Operation = Condition::Operation;
 
-constexpr int deepest_nesting = 32;
+constexpr int max_nesting_depth = 32;
 
 struct SymbolOperation {
   std::string_view symbol;
@@ -20,7 +20,7 @@
     {"=", Operation::equal},   {"!=", Operation::not_equal},
 };
 
-std::string name_of(Condition::Instruction const& instruction) {
+std::string field_name(Condition::Instruction const& instruction) {
   return std::string(field_descriptions[instruction.field].name);
 }
 
@@ -51,7 +51,7 @@
 }
 
 bool Parser::parse_not(Condition& out, Error& error, int depth) {
-  if (depth > deepest_nesting) {
+  if (depth > max_nesting_depth) {
     error = error_here("the condition is nested too deeply");
     return false;
   }
@@ -101,7 +101,7 @@
   } else if (take_keyword("starts")) {
     out.operation = Operation::text_starts_with;
   } else {
-    error = error_here("'" + name_of(out) + "' takes =, != or starts");
+    error = error_here("'" + field_name(out) + "' takes =, != or starts");
     return false;
   }
   if (peek().kind != TokenKind::text) {
@@ -118,7 +118,7 @@
     out.operation = row.operation;
     return parse_number(out, error);
   }
-  error = error_here("'" + name_of(out) + "' takes <, <=, >, >=, = or !=");
+  error = error_here("'" + field_name(out) + "' takes <, <=, >, >=, = or !=");
   return false;
 }
 
@@ -128,16 +128,16 @@
     return false;
   }
   Token const& value = take();
-  bool const is_share = static_cast<Field>(out.field) == Field::demand;
-  if (is_share ? value.unit == "%" : value.unit.empty()) {
+  bool const is_percentage = static_cast<Field>(out.field) == Field::demand;
+  if (is_percentage ? value.unit == "%" : value.unit.empty()) {
     out.number = value.number;
     return true;
   }
-  if (value.unit == "k" && !is_share) {
+  if (value.unit == "k" && !is_percentage) {
     out.number = value.number * 1000;
     return true;
   }
-  error = error_at(value.offset, is_share ? "demand is given in %" : "the unit '" + value.unit + "' does not fit");
+  error = error_at(value.offset, is_percentage ? "demand is given in %" : "the unit '" + value.unit + "' does not fit");
   return false;
 }
 
--- a/src/config/rules/parser.h
+++ b/src/config/rules/parser.h
@@ -24,9 +24,9 @@
   bool take_keyword(std::string_view name) { return take_if(TokenKind::identifier, name); }
   bool take_symbol(std::string_view name) { return take_if(TokenKind::symbol, name); }
 
-  Error error_here(std::string why) const { return error_at(peek().offset, std::move(why)); }
-  Error error_at(std::size_t offset, std::string why) const {
-    return Error{ErrorCode::bad_language, std::move(why), place_of(text_, offset)};
+  Error error_here(std::string message) const { return error_at(peek().offset, std::move(message)); }
+  Error error_at(std::size_t offset, std::string message) const {
+    return Error{ErrorCode::bad_language, std::move(message), line_and_column(text_, offset)};
   }
 
   // Parses a condition and appends its instructions to `out`; `error` is set when it returns false.
--- a/src/config/rules/rules.h
+++ b/src/config/rules/rules.h
@@ -16,12 +16,12 @@
 namespace pipit {
 
 // What a condition can look at: the facts of one request.
-struct Facts {
+struct RequestAttributes {
   std::string model;
   std::string user;
-  std::string zone;         // of the node that was asked
-  std::int64_t size = 0;    // bytes of the caller's body
-  std::int64_t output = 0;  // tokens asked for, 0 when not said
+  std::string zone;             // of the node that was asked
+  std::int64_t size = 0;        // bytes of the caller's body
+  std::int64_t max_tokens = 0;  // tokens asked for, 0 when not said
   bool stream = false;
 };
 
@@ -54,7 +54,7 @@
   };
 
   // Whether the condition is true. load_percent: the busy part of the slots of the pool that a `when` belongs to.
-  bool holds(Facts const& facts, std::int64_t load_percent) const;
+  bool matches(RequestAttributes const& facts, std::int64_t load_percent) const;
   // Whether any instruction looks at the pool's load.
   bool reads_load() const;
 
@@ -77,13 +77,13 @@
 
 // How the requests of a lane are treated; the values here stand for words that a policy leaves out.
 struct Policy {
-  Micros wait = seconds(2);       // longest time in the queue
-  Micros answer = seconds(30);    // longest time until the first byte
-  Micros stall = seconds(15);     // longest pause between two pieces
-  std::int64_t urgency = 5;       // 0 to 9; the higher goes first
-  std::int64_t backlog = 100;     // most requests that wait
-  std::int64_t max_attempts = 2;  // most attempts, the first with them
-  bool safe = false;              // whether the work may be repeated
+  Micros queue_timeout = seconds(2);        // longest time in the queue
+  Micros first_byte_timeout = seconds(30);  // longest time until the first byte
+  Micros stall_timeout = seconds(15);       // longest pause between two pieces
+  std::int64_t urgency = 5;                 // 0 to 9; the higher goes first
+  std::int64_t max_backlog = 100;           // most requests that wait
+  std::int64_t max_attempts = 2;            // most attempts, the first with them
+  bool repeatable = false;                  // whether the work may be repeated
   Locality locality = Locality::prefer;
 };
 
@@ -92,6 +92,6 @@
 Result<Policy> compile_policy(std::string_view text);
 
 // "line 1, column 7" of a byte in a text.
-std::string place_of(std::string_view text, std::size_t offset);
+std::string line_and_column(std::string_view text, std::size_t offset);
 
 }  // namespace pipit
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -178,11 +178,11 @@
   for (Pool const& pool : chat_dispatcher.description()->pools)
     if (pool.model == model) {
       out.blocks = static_cast<std::size_t>(pool.cache_blocks);
-      out.age = pool.cache_age;
+      out.age = pool.cache_ttl;
     } else if (plan.workers_self_register && model.compare(0, pool.name.size() + 1, pool.name + "/") == 0) {
       // Routed requests have one prefix tree for each pool and model; its blocks are counted in tokens (§12.5).
       out.blocks = static_cast<std::size_t>(pool.cache_tokens > 0 ? pool.cache_tokens : pool.cache_blocks);
-      out.age = pool.cache_age;
+      out.age = pool.cache_ttl;
     }
   return out;
 }
--- a/src/node/quota_authority.cc
+++ b/src/node/quota_authority.cc
@@ -57,7 +57,7 @@
     client_.debit(need.tenant, need.count, peers, outgoing);
     return;
   }
-  Tenant const* const tenant = dependencies_.dispatcher.description()->tenant(need.tenant);
+  Tenant const* const tenant = dependencies_.dispatcher.description()->find_tenant(need.tenant);
   double const owners = static_cast<double>(std::max<std::size_t>(1, peers.owner_count));
   double const depth = tenant == nullptr ? 0 : QuotaBudget::of(*tenant, options_.terms).depth;
   std::int64_t const per_owner = static_cast<std::int64_t>(depth / owners);
@@ -67,7 +67,7 @@
 QuotaDecision QuotaAuthority::decide_request(wire::QuotaRequestT const& request, Micros now) {
   shares_.note(dependencies_.learner.membership(), now);
   dependencies_.configuration.update_confirmations();
-  Tenant const* const tenant = dependencies_.dispatcher.description()->tenant(request.tenant);
+  Tenant const* const tenant = dependencies_.dispatcher.description()->find_tenant(request.tenant);
   double const share = shares_.share(now);
   bool const confirmed = dependencies_.configuration.may_issue_quota(now);
   if (tenant == nullptr || share <= 0 || !confirmed || request.count < 0) return QuotaDecision{};
--- a/src/routing/chat/chat_dispatcher.cc
+++ b/src/routing/chat/chat_dispatcher.cc
@@ -26,7 +26,7 @@
 
 Micros ChatDispatcher::service_time(Pool const& pool) const {
   std::map<std::string, double>::const_iterator const seen = measured_service_times_.find(pool.name);
-  return seen == measured_service_times_.end() ? pool.service : static_cast<Micros>(seen->second);
+  return seen == measured_service_times_.end() ? pool.initial_service_time : static_cast<Micros>(seen->second);
 }
 
 void ChatDispatcher::reject(ChatRequest& chat_request, Error error, Micros retry_after, ChatEffects& out) {
@@ -83,35 +83,35 @@
   chat_requests_.emplace(id, std::move(made));
   if (draining_) return reject(chat_request, Error{ErrorCode::draining, "", ""}, 0, out);
   if (!ready_) return reject(chat_request, Error{ErrorCode::not_ready, "", ""}, 0, out);
-  Facts const& facts = chat_request.info.facts;
+  RequestAttributes const& facts = chat_request.info.facts;
   bool model_known = false;
   for (Pool const& pool : rules_->pools) model_known = model_known || pool.model == facts.model;
   if (!model_known)
     return reject(chat_request, Error{ErrorCode::unknown_model, "no pool serves the model '" + facts.model + "'", ""},
                   0, out);
   if (!chat_request.info.lane.empty()) {
-    chat_request.lane = rules_->lane(chat_request.info.lane);
+    chat_request.lane = rules_->find_lane(chat_request.info.lane);
     if (chat_request.lane == nullptr)
       return reject(chat_request,
                     Error{ErrorCode::unknown_lane, "there is no lane '" + chat_request.info.lane + "'", ""}, 0, out);
-    if (!chat_request.lane->binding.match.holds(facts, 0))
+    if (!chat_request.lane->binding.match.matches(facts, 0))
       return reject(
           chat_request,
           Error{ErrorCode::unknown_lane, "the lane '" + chat_request.info.lane + "' does not take this request", ""}, 0,
           out);
   } else {
     for (Lane const& lane : rules_->lanes)
-      if (chat_request.lane == nullptr && lane.binding.match.holds(facts, 0)) chat_request.lane = &lane;
+      if (chat_request.lane == nullptr && lane.binding.match.matches(facts, 0)) chat_request.lane = &lane;
     if (chat_request.lane == nullptr)
       return reject(chat_request, Error{ErrorCode::unknown_lane, "no lane takes this request", ""}, 0, out);
   }
-  chat_request.model = rules_->pool(chat_request.lane->binding.pools.front().pool)->model;
+  chat_request.model = rules_->find_pool(chat_request.lane->binding.pools.front().pool)->model;
   if (chat_request.model != facts.model)
     return reject(chat_request,
                   Error{ErrorCode::unknown_model, "the lane does not serve the model '" + facts.model + "'", ""}, 0,
                   out);
-  chat_request.repeatable = chat_request.lane->policy.safe || chat_request.info.repeatable;
-  chat_request.deadline = now + chat_request.lane->policy.wait;
+  chat_request.repeatable = chat_request.lane->policy.repeatable || chat_request.info.repeatable;
+  chat_request.deadline = now + chat_request.lane->policy.queue_timeout;
   std::size_t ahead = 0;
   for (ChatRequest const& other : backlog_) {
     if (!(other < chat_request)) break;
@@ -126,11 +126,12 @@
   // §6.5: a request is admitted only if its corrected predicted wait is at most half of the lane's wait. The mean does
   // not cover more urgent requests that arrive later; without this margin they cause late rejections.
   chat_request.predicted_wait = choice.wait;
-  if (choice.decision == PlacementDecision::wait && corrected_wait(choice.wait) > chat_request.lane->policy.wait / 2)
+  if (choice.decision == PlacementDecision::wait &&
+      corrected_wait(choice.wait) > chat_request.lane->policy.queue_timeout / 2)
     return reject(chat_request, Error{ErrorCode::crowded, "", ""},
                   std::clamp<Micros>(choice.wait, millis(500), seconds(10)), out);
   std::int64_t& count = lane_backlogs_[chat_request.lane->name];
-  if (count >= chat_request.lane->policy.backlog)
+  if (count >= chat_request.lane->policy.max_backlog)
     return reject(chat_request, Error{ErrorCode::backlog_full, "", ""},
                   std::clamp<Micros>(choice.wait, millis(500), seconds(10)), out);
   ++count;
@@ -145,10 +146,10 @@
   Selection selection{chat_request, ahead, now, confirmed_only,
                       index_sync_.index(chat_request.model).match(chat_request.info.path)};
   for (Binding::Choice const& option : chat_request.lane->binding.pools) {
-    Pool const& pool = *chat_request.rules->pool(option.pool);
+    Pool const& pool = *chat_request.rules->find_pool(option.pool);
     PoolCandidates const candidates = candidates_in(pool, chat_request);
     if (candidates.slots == 0) continue;
-    if (!option.when.holds(chat_request.info.facts, candidates.busy * 100 / candidates.slots)) continue;
+    if (!option.when.matches(chat_request.info.facts, candidates.busy * 100 / candidates.slots)) continue;
     for (Worker* const worker : candidates.workers) consider(*worker, pool, candidates, selection);
     if (selection.best.worker != nullptr) return placement(selection);
   }
@@ -181,8 +182,8 @@
                                 std::max<std::int64_t>(1, candidates.slots));
   }
   Micros const now = selection.now;
-  std::int64_t const share = newcomer_ ? 0 : fleet_.cold_share(worker, pool.cold, self_, router_names_);
-  Micros const cold = fleet_.cold_for(worker, pool.cold_span, now);
+  std::int64_t const share = newcomer_ ? 0 : fleet_.cold_share(worker, pool.cold_rate, self_, router_names_);
+  Micros const cold = fleet_.cold_for(worker, pool.cold_period, now);
   if (cold > 0 && guard_enabled(Guard::cold_share) && !fleet_.has_cold_capacity(worker, share, now)) {
     selection.cold_shares += share;
     if (selection.first_warm_in < 0 || cold < selection.first_warm_in) selection.first_warm_in = cold;
@@ -250,7 +251,7 @@
     --lane_backlogs_[chat_request.lane->name];
   }
   Worker& worker = *choice.worker;
-  Pool const& pool = *chat_request.rules->pool(worker.row.pool);
+  Pool const& pool = *chat_request.rules->find_pool(worker.row.pool);
   bool const first = chat_request.attempts == 0;
   ++chat_request.attempts;
   chat_request.sent = false;
@@ -274,12 +275,13 @@
   ++worker.sent;
   while (!worker.sends.empty() && now - worker.sends.front() >= Fleet::cold_window) worker.sends.pop_front();
   worker.sends.push_back(now);
-  Index::Bounds const bounds{static_cast<std::size_t>(pool.cache_blocks), pool.cache_age};
+  Index::Bounds const bounds{static_cast<std::size_t>(pool.cache_blocks), pool.cache_ttl};
   index_sync_.queue(chat_request.model,
                     index_sync_.index(chat_request.model)
                         .touch(chat_request.info.path, worker.row.id, worker.row.incarnation, bounds, now));
   out.attempts.push_back(ChatAttemptStart{chat_request.id, chat_request.attempts, worker.row.id, worker.row.address,
-                                          chat_request.lane->policy.answer, chat_request.lane->policy.stall});
+                                          chat_request.lane->policy.first_byte_timeout,
+                                          chat_request.lane->policy.stall_timeout});
 }
 
 void ChatDispatcher::on_sent(std::uint64_t id) {
@@ -305,7 +307,8 @@
   if (served) {
     double& seen =
         measured_service_times_
-            .try_emplace(chat_request.pool, static_cast<double>(chat_request.rules->pool(chat_request.pool)->service))
+            .try_emplace(chat_request.pool,
+                         static_cast<double>(chat_request.rules->find_pool(chat_request.pool)->initial_service_time))
             .first->second;
     seen = seen * 0.95 + static_cast<double>(now - chat_request.attempt_started_at) * 0.05;
   }
@@ -371,7 +374,7 @@
   bool const may_repeat = chat_request.repeatable || !chat_request.sent || !guard_enabled(Guard::never_repeat);
   bool const retry = !chat_request.answer_begun && may_repeat && !draining_ &&
                      chat_request.attempts < chat_request.lane->policy.max_attempts &&
-                     now < chat_request.deadline + chat_request.lane->policy.answer &&
+                     now < chat_request.deadline + chat_request.lane->policy.first_byte_timeout &&
                      (retry_budget_ >= 1.0 || !guard_enabled(Guard::bucket));
   if (retry) {
     Placement const choice = select(chat_request, 0, now, true);
@@ -425,7 +428,7 @@
     if (choice.decision == PlacementDecision::reject)
       reject(chat_request, Error{choice.error, "", ""}, choice.wait, out);
     else if (now + std::max(corrected_wait(choice.wait), overdue_penalty(chat_request, now)) > chat_request.deadline) {
-      observe_wait(chat_request, chat_request.lane->policy.wait);
+      observe_wait(chat_request, chat_request.lane->policy.queue_timeout);
       reject(chat_request, Error{ErrorCode::crowded, "", ""}, std::clamp<Micros>(choice.wait, millis(500), seconds(10)),
              out);
     }
--- a/src/routing/chat/chat_dispatcher.h
+++ b/src/routing/chat/chat_dispatcher.h
@@ -30,7 +30,7 @@
 // What the chat dispatcher needs of a client's request.
 struct ChatRequestInfo {
   std::string lane;  // as named by the client, or empty
-  Facts facts;
+  RequestAttributes facts;
   Path path;                // of the prompt's blocks, for the prefix index
   bool repeatable = false;  // the client allows the request to run more than once
 };
--- a/src/routing/chat/chat_request_reader.cc
+++ b/src/routing/chat/chat_request_reader.cc
@@ -34,7 +34,7 @@
   simdjson::dom::element item;
   if (!root["stream"].get(item) && item.get_bool().get(out.facts.stream))
     return fail(ErrorCode::bad_request, "stream must be true or false", "$.stream");
-  if (!root["max_tokens"].get(item) && (item.get_int64().get(out.facts.output) || out.facts.output < 0))
+  if (!root["max_tokens"].get(item) && (item.get_int64().get(out.facts.max_tokens) || out.facts.max_tokens < 0))
     return fail(ErrorCode::bad_request, "max_tokens must be a non-negative integer", "$.max_tokens");
   if (!root["user"].get(item)) {
     if (item.get_string().get(text)) return fail(ErrorCode::bad_request, "user must be a string", "$.user");
--- a/src/routing/dispatch/dispatcher.cc
+++ b/src/routing/dispatch/dispatcher.cc
@@ -121,14 +121,14 @@
 void Dispatcher::admit(Request& request, Micros now, DispatchEffects& out) {
   request.rules = rules_;
   if (rules_->routes.empty()) return reject(request, ErrorCode::not_ready, millis(300), now, out);
-  request.route = rules_->route(request.info.host, request.info.path);
+  request.route = rules_->find_route(request.info.host, request.info.path);
   if (request.route == nullptr) {
     // Where keys are required, an outdated configuration must not give a final "not found".
     bool const certain = !rules_->keys_required || lease_->unknown_is_certain(now);
     return certain ? reject(request, ErrorCode::not_found, 0, now, out)
                    : reject(request, ErrorCode::unconfirmed, millis(300), now, out);
   }
-  request.pool = rules_->pool(share_turns_.next(*request.route).pool);
+  request.pool = rules_->find_pool(share_turns_.next(*request.route).pool);
   if (request.pool == nullptr) return reject(request, ErrorCode::no_worker, millis(500), now, out);
   request.repeatable = request.route->repeatable || (request.route->streams && request.route->resumable);
   if (!authorize(request, now, out)) return;
@@ -163,9 +163,9 @@
   ++counters.sends;
   if (++request.sends > 1) ++counters.retries;
   check_key(request);
-  bool const allowed = request.sends <= std::max<std::int64_t>(1, request.route->attempts);
+  bool const allowed = request.sends <= std::max<std::int64_t>(1, request.route->max_attempts);
   check_invariant(allowed, Invariant::attempt_limit, [&] {
-    return "route " + request.route->name + " allows " + std::to_string(request.route->attempts) + ", sent " +
+    return "route " + request.route->name + " allows " + std::to_string(request.route->max_attempts) + ", sent " +
            std::to_string(request.sends) + " times, now to " + request.worker_id;
   });
   if (request.progress == AttemptProgress::none) request.progress = AttemptProgress::sent;
@@ -241,7 +241,7 @@
   RetryConditions conditions;
   conditions.repeatable = request.repeatable;
   conditions.resumable = resumable(request);
-  conditions.attempts_left = request.sends < request.route->attempts || !guard_enabled(RequestGuard::attempts);
+  conditions.attempts_left = request.sends < request.route->max_attempts || !guard_enabled(RequestGuard::attempts);
   conditions.budget_left = has_retry_budget(*request.pool);
   conditions.time_left = has_time_to_move(request, now);
   conditions.may_have_run = request.may_have_run;
@@ -348,7 +348,7 @@
   if (request.worker_id.empty()) return tick_waiting(request, now, out);
   if (now >= request.deadline) return expire(request, now, out);
   if (!may_move(request, now) || !worker_silent(request, now)) return;
-  if (request.sends >= request.route->attempts || !has_retry_budget(*request.pool)) return;
+  if (request.sends >= request.route->max_attempts || !has_retry_budget(*request.pool)) return;
   if (!has_free_alternative(request, now)) return;  // it would only wait, and its worker may still answer
   ++counters.silent_attempts;
   out.cancelled_attempts.push_back(request.id);
@@ -410,10 +410,10 @@
   Micros const silent_for = now - request.last_event_at;
   Micros const worker_silent_for = at == nullptr ? silent_for : now - at->last_byte;
   bool const no_bytes = worker_silent_for > silence_min;
-  Micros const limit = request.first_event_received ? std::max<Micros>(silence_min * 2, request.route->gap * 2)
-                       : no_bytes
-                           ? std::max<Micros>(request.route->latency_target * 3 / 4, request.predicted_first_event * 3)
-                           : std::max<Micros>(request.route->latency_target * 2, request.predicted_first_event * 4);
+  Micros const limit =
+      request.first_event_received ? std::max<Micros>(silence_min * 2, request.route->max_event_gap * 2)
+      : no_bytes ? std::max<Micros>(request.route->latency_target * 3 / 4, request.predicted_first_event * 3)
+                 : std::max<Micros>(request.route->latency_target * 2, request.predicted_first_event * 4);
   bool const unhealthy = silent_for > silence_min && worker_silent_for > silence_min && at != nullptr &&
                          at->running > 1 && silent_for > request.predicted_first_event * 3;
   // A worker that announced its end may serve its requests for long, and one whose heartbeats are late still sends
--- a/src/routing/dispatch/placement.cc
+++ b/src/routing/dispatch/placement.cc
@@ -193,7 +193,7 @@
   Index::Bounds bounds;
   bounds.blocks = static_cast<std::size_t>(request.pool->cache_tokens > 0 ? request.pool->cache_tokens
                                                                           : request.pool->cache_blocks);
-  bounds.age = request.pool->cache_age;
+  bounds.age = request.pool->cache_ttl;
   if (!large_fleet_ && !parts.path.empty())
     exchange_.report_index_change(
         request.index_name,
--- a/src/routing/dispatch/tenancy.cc
+++ b/src/routing/dispatch/tenancy.cc
@@ -18,7 +18,7 @@
 std::optional<ErrorCode> Dispatcher::key_error(Request const& request, Description const& by, Micros now) const {
   if (!by.keys_required) return std::nullopt;
   if (!lease_->valid(now)) return ErrorCode::unconfirmed;
-  bool const known = request.info.key_digest && by.tenant_of(*request.info.key_digest) != nullptr;
+  bool const known = request.info.key_digest && by.find_tenant_by_key(*request.info.key_digest) != nullptr;
   if (known || request.route->is_public) return std::nullopt;
   return lease_->unknown_is_certain(now) ? ErrorCode::unknown_key : ErrorCode::unconfirmed;
 }
@@ -30,7 +30,7 @@
   }
   request.configuration_confirmed_at = lease_->confirmed_at();
   if (!rules_->keys_required || !request.info.key_digest) return true;
-  Tenant const* const tenant = rules_->tenant_of(*request.info.key_digest);
+  Tenant const* const tenant = rules_->find_tenant_by_key(*request.info.key_digest);
   if (tenant == nullptr) return true;
   request.tenant = tenant->name;
   request.quota_count =
@@ -46,7 +46,7 @@
   }
   request.configuration_confirmed_at = lease_->confirmed_at();
   Tenant const* const tenant =
-      rules_->keys_required && request.info.key_digest ? rules_->tenant_of(*request.info.key_digest) : nullptr;
+      rules_->keys_required && request.info.key_digest ? rules_->find_tenant_by_key(*request.info.key_digest) : nullptr;
   request.tenant = tenant == nullptr ? "" : tenant->name;
   return true;
 }
@@ -61,7 +61,7 @@
 
 void Dispatcher::request_quota(Request& request, Micros now, DispatchEffects& out) {
   if (request.tenant.empty() || request.quota_count <= 0) return;
-  Tenant const* const tenant = rules_->tenant_of(*request.info.key_digest);
+  Tenant const* const tenant = rules_->find_tenant_by_key(*request.info.key_digest);
   if (tenant == nullptr || !tenant->limited()) return;
   ++tenant_counters[request.tenant].quota_requests;
   request.quota_state = QuotaState::requested;
@@ -96,7 +96,7 @@
 }
 
 std::int64_t Dispatcher::rank_of(Request const& request) const {
-  Tenant const* const tenant = request.tenant.empty() ? nullptr : rules_->tenant(request.tenant);
+  Tenant const* const tenant = request.tenant.empty() ? nullptr : rules_->find_tenant(request.tenant);
   return rules_->rank_of(*request.route, tenant);
 }
 
--- a/src/routing/tenants/quota_budget.h
+++ b/src/routing/tenants/quota_budget.h
@@ -39,7 +39,7 @@
 // otherwise the tenant's default applies.
 inline std::int64_t quota_count(Tenant const& tenant, bool names_tokens, std::int64_t tokens) {
   if (tenant.unit == CountingUnit::requests) return 1;
-  return names_tokens ? std::max<std::int64_t>(0, tokens) : tenant.plain_tokens;
+  return names_tokens ? std::max<std::int64_t>(0, tokens) : tenant.default_tokens;
 }
 
 }  // namespace pipit
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -52,7 +52,7 @@
         .key("dark")
         .boolean(worker.unhealthy);
     json.key("incarnation").number(static_cast<std::int64_t>(worker.row.incarnation));
-    Pool const* const pool = node_->chat_dispatcher.description()->pool(worker.row.pool);
+    Pool const* const pool = node_->chat_dispatcher.description()->find_pool(worker.row.pool);
     std::int64_t const slots = pool != nullptr ? worker.capacity(*pool) : worker.row.slots;
     json.key("slots").number(slots).key("sent").number(static_cast<std::int64_t>(worker.sent));
     json.key("demand").number(worker.estimated_load()).end_object();
--- a/src/server/request_proxy.cc
+++ b/src/server/request_proxy.cc
@@ -122,10 +122,10 @@
 
 void RequestProxy::limits(CallLimits const& from) {
   Server::Limits out;
-  out.head_most = static_cast<std::size_t>(from.head_bytes);
-  out.body_most = static_cast<std::size_t>(from.body_bytes);
-  out.head_time = from.head_time;
-  out.idle = from.idle;
+  out.head_most = static_cast<std::size_t>(from.max_header_bytes);
+  out.body_most = static_cast<std::size_t>(from.max_body_bytes);
+  out.head_time = from.header_timeout;
+  out.idle = from.idle_timeout;
   server.limit(out);
 }
 
--- a/testing/fake_backend/main.cc
+++ b/testing/fake_backend/main.cc
@@ -184,7 +184,7 @@
     run->id = id == nullptr ? "none" : id;
     run->tag = ask.value().facts.user;
     run->path = ask.value().path;
-    run->chunks = ask.value().facts.output > 0 ? ask.value().facts.output : 16;
+    run->chunks = ask.value().facts.max_tokens > 0 ? ask.value().facts.max_tokens : 16;
     run->stream = ask.value().facts.stream;
     run->odd = odd_now;
     run->name = plan.id + "." + std::to_string(plan.incarnation) + "." + std::to_string(++runs);
--- a/tests/dispatcher.cc
+++ b/tests/dispatcher.cc
@@ -47,7 +47,7 @@
       {"v1", "api.test", "/v1/chat"},     {"root", "api.test", "/v1"},
   };
   for (Row const& row : asked) {
-    Route const* const route = description->route(row.host, row.prefix);
+    Route const* const route = description->find_route(row.host, row.prefix);
     EXPECT_EQ(route == nullptr ? "" : route->name, row.name) << row.host << row.prefix;
   }
 }
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -205,27 +205,27 @@
   EXPECT_TRUE(chat.streams && chat.resumable && !chat.repeatable);
   EXPECT_EQ(chat.request_timeout, seconds(260));
   EXPECT_EQ(chat.latency_target, millis(900));
-  EXPECT_EQ(chat.gap, millis(200));
+  EXPECT_EQ(chat.max_event_gap, millis(200));
   EXPECT_EQ(chat.rank, 2);
-  EXPECT_EQ(chat.attempts, 3);
+  EXPECT_EQ(chat.max_attempts, 3);
   Route const& embed = description->routes[1];
   EXPECT_TRUE(embed.repeatable && !embed.streams);
   ASSERT_EQ(embed.shares.size(), 2u);
   EXPECT_EQ(embed.shares[0].pool, pool_of("big_llm"));
   EXPECT_EQ(embed.shares[0].weight, 3);
   EXPECT_FALSE(description->routes[2].repeatable);
-  EXPECT_EQ(description->routes[2].attempts, 1);
-  Pool const* const pool = description->pool(pool_of("big_llm"));
+  EXPECT_EQ(description->routes[2].max_attempts, 1);
+  Pool const* const pool = description->find_pool(pool_of("big_llm"));
   ASSERT_NE(pool, nullptr);
   EXPECT_EQ(pool->slots, 12);
   EXPECT_EQ(pool->cache_tokens, 260000);
-  EXPECT_EQ(pool->stride, 4);
-  EXPECT_EQ(pool->connections, 200);
+  EXPECT_EQ(pool->tokens_per_event, 4);
+  EXPECT_EQ(pool->max_connections, 200);
   EXPECT_EQ(pool->model, "m");
-  EXPECT_EQ(description->limits.head_bytes, 8192);
-  EXPECT_EQ(description->limits.body_bytes, 1000000);
-  EXPECT_EQ(description->limits.head_time, seconds(3));
-  EXPECT_EQ(description->limits.idle, seconds(20));
+  EXPECT_EQ(description->limits.max_header_bytes, 8192);
+  EXPECT_EQ(description->limits.max_body_bytes, 1000000);
+  EXPECT_EQ(description->limits.header_timeout, seconds(3));
+  EXPECT_EQ(description->limits.idle_timeout, seconds(20));
 }
 
 // The register may hold what an older version wrote: a description in the product's own language with its source.
@@ -237,7 +237,7 @@
       "\"source\":\"{\\\"version\\\":3,\\\"routes\\\":[],\\\"services\\\":[]}\"}";
   Result<std::shared_ptr<Description const>> const read = read_configuration(old);
   ASSERT_TRUE(read) << read.error().what;
-  EXPECT_NE(read.value()->route("h", "/x"), nullptr);
+  EXPECT_NE(read.value()->find_route("h", "/x"), nullptr);
   EXPECT_EQ(source_of(old), sent);
 }
 
@@ -310,8 +310,8 @@
   EXPECT_EQ(description->routes[1].name, "once");
   EXPECT_EQ(description->routes[1].request_timeout, millis(2000));
   EXPECT_EQ(description->routes[1].shares[0].pool, pool_of("tiny"));
-  EXPECT_EQ(description->pool(pool_of("small")), nullptr);
-  EXPECT_EQ(description->limits.head_bytes, 4096);
+  EXPECT_EQ(description->find_pool(pool_of("small")), nullptr);
+  EXPECT_EQ(description->limits.max_header_bytes, 4096);
   simdjson::dom::parser parser;
   simdjson::dom::element root;
   std::uint64_t version = 0;
--- a/tests/rules.cc
+++ b/tests/rules.cc
@@ -23,14 +23,14 @@
   for (Row const& row : rows) {
     Result<Binding> const made = compile_binding("match " + std::string(row.code) + "; pool p");
     ASSERT_TRUE(made) << row.code << ": " << made.error().what;
-    Facts facts;
+    RequestAttributes facts;
     facts.model = "tribute";
     facts.size = 10;
     facts.stream = true;
-    EXPECT_EQ(made.value().match.holds(facts, 0), row.small) << row.code;
+    EXPECT_EQ(made.value().match.matches(facts, 0), row.small) << row.code;
     facts.size = 90000;
     facts.stream = false;
-    EXPECT_EQ(made.value().match.holds(facts, 0), row.large) << row.code;
+    EXPECT_EQ(made.value().match.matches(facts, 0), row.large) << row.code;
   }
 }
 
@@ -63,9 +63,9 @@
   Result<Policy> const good =
       compile_policy("wait 800ms; urgency 7; repeat safe; backlog 9; tries 3; answer 1m; stall 5s; locality only");
   ASSERT_TRUE(good);
-  EXPECT_EQ(good.value().wait, millis(800));
-  EXPECT_EQ(good.value().answer, seconds(60));
-  EXPECT_TRUE(good.value().safe);
+  EXPECT_EQ(good.value().queue_timeout, millis(800));
+  EXPECT_EQ(good.value().first_byte_timeout, seconds(60));
+  EXPECT_TRUE(good.value().repeatable);
 }
 
 TEST(Description, refusals_name_their_path) {
--- a/tests/tenants.cc
+++ b/tests/tenants.cc
@@ -72,19 +72,19 @@
   ASSERT_TRUE(read) << read.error().what;
   Description const& made = *read.value();
   EXPECT_TRUE(made.keys_required);
-  Tenant const* const tenant = made.tenant_of(key_digest_of("two"));
+  Tenant const* const tenant = made.find_tenant_by_key(key_digest_of("two"));
   ASSERT_NE(tenant, nullptr);
   EXPECT_EQ(tenant->name, "kaje80");
   EXPECT_EQ(tenant->rank, 1);
   EXPECT_EQ(tenant->unit, CountingUnit::tokens);
-  EXPECT_EQ(tenant->plain_tokens, 200);
+  EXPECT_EQ(tenant->default_tokens, 200);
   EXPECT_EQ(tenant->rate, 926801);
   EXPECT_EQ(tenant->burst, 5);
-  EXPECT_EQ(made.tenant_of(key_digest_of("three"))->name, "free");
-  EXPECT_FALSE(made.tenant("free")->limited());
-  EXPECT_EQ(made.tenant_of(key_digest_of("four")), nullptr);
-  EXPECT_TRUE(made.route("h", "/open/x")->is_public);
-  EXPECT_FALSE(made.route("H", "/x")->is_public);
+  EXPECT_EQ(made.find_tenant_by_key(key_digest_of("three"))->name, "free");
+  EXPECT_FALSE(made.find_tenant("free")->limited());
+  EXPECT_EQ(made.find_tenant_by_key(key_digest_of("four")), nullptr);
+  EXPECT_TRUE(made.find_route("h", "/open/x")->is_public);
+  EXPECT_FALSE(made.find_route("H", "/x")->is_public);
   EXPECT_TRUE(with_tenants("[]").value()->keys_required) << "a list without tenants accepts no key";
 }
 
@@ -95,11 +95,11 @@
       "[{\"name\":\"t\",\"keys\":[\"one\"],\"rank\":2,\"counts\":\"tokens\",\"plain_tokens\":7,\"rate\":10,"
       "\"burst\":20}]}");
   ASSERT_TRUE(read) << read.error().what;
-  Tenant const* const tenant = read.value()->tenant_of(key_digest_of("one"));
+  Tenant const* const tenant = read.value()->find_tenant_by_key(key_digest_of("one"));
   ASSERT_NE(tenant, nullptr);
   EXPECT_EQ(tenant->rank, 2);
   EXPECT_EQ(tenant->unit, CountingUnit::tokens);
-  EXPECT_EQ(tenant->plain_tokens, 7);
+  EXPECT_EQ(tenant->default_tokens, 7);
   EXPECT_EQ(tenant->rate, 10);
   EXPECT_EQ(tenant->burst, 20);
   for (char const* const bad :
@@ -148,8 +148,8 @@
   Result<std::shared_ptr<Description const>> const read =
       with_tenants("[{\"name\":\"t\",\"api_keys\":[" + keys + "]}]");
   ASSERT_TRUE(read) << read.error().what;
-  EXPECT_NE(read.value()->tenant_of(key_digest_of(std::string(8192, 'k'))), nullptr);
-  EXPECT_NE(read.value()->tenant_of(key_digest_of("key-9999")), nullptr);
+  EXPECT_NE(read.value()->find_tenant_by_key(key_digest_of(std::string(8192, 'k'))), nullptr);
+  EXPECT_NE(read.value()->find_tenant_by_key(key_digest_of("key-9999")), nullptr);
 }
 
 TEST(Tenants, tenant_priority_takes_precedence_over_route_priority) {
@@ -160,8 +160,9 @@
           .value();
   Route const& second = made->routes[0];
   Route const& first = made->routes[1];
-  std::int64_t const ranks[] = {made->rank_of(first, made->tenant("a")), made->rank_of(second, made->tenant("a")),
-                                made->rank_of(first, made->tenant("b")), made->rank_of(second, made->tenant("b"))};
+  std::int64_t const ranks[] = {
+      made->rank_of(first, made->find_tenant("a")), made->rank_of(second, made->find_tenant("a")),
+      made->rank_of(first, made->find_tenant("b")), made->rank_of(second, made->find_tenant("b"))};
   EXPECT_TRUE(std::is_sorted(std::begin(ranks), std::end(ranks)));
   EXPECT_EQ(std::set<std::int64_t>(std::begin(ranks), std::end(ranks)).size(), 4u);
   EXPECT_EQ(made->rank_of(second, nullptr), 1) << "without a tenant the route's priority applies";
