--- a/src/base/digest.h
+++ b/src/base/digest.h
@@ -1,4 +1,4 @@
-// 128-bit digests by xxHash: two texts that share one do not occur in practice (they are no guard against an enemy).
+// 128-bit xxHash digests. Accidental collisions do not occur in practice; not safe against crafted input.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -14,9 +14,9 @@
   bool operator<(Digest const& other) const { return high != other.high ? high < other.high : low < other.low; }
 };
 
-// The digest of a text, equal in every process.
+// Returns the digest of a text, equal in every process.
 Digest digest_of(std::string_view text);
-// 32 hexadecimal digits.
+// Returns the digest as 32 hexadecimal digits.
 std::string to_hex(Digest const& digest);
 
 }  // namespace pipit
--- a/src/base/fault_points.cc
+++ b/src/base/fault_points.cc
@@ -23,9 +23,9 @@
 };
 std::mutex table_mutex;
 std::map<unsigned, ArmedFault> table;  // by number; guarded by table_mutex
-std::atomic<bool> any_armed{false};    // stays true once a point was armed, so that the product never takes the lock
+std::atomic<bool> any_armed{false};  // set by the first arming and never reset; keeps the product from taking the lock
 
-// Fires an armed point; with a name only when the argument lists it.
+// Fires the point if it is armed and, unless 'name' is null, its argument lists the name.
 bool fire(FaultPoint point, std::string const* name) {
   if (!any_armed.load(std::memory_order_relaxed)) return false;
   std::lock_guard<std::mutex> const lock(table_mutex);
--- a/src/base/flags.h
+++ b/src/base/flags.h
@@ -1,4 +1,4 @@
-// Reading the command line of a tool.
+// Parses the command line of a tool.
 #pragma once
 #include <boost/program_options.hpp>
 #include <functional>
@@ -6,9 +6,9 @@
 
 namespace pipit {
 
-// Writes a command line into the variables that the flags name. Returns the exit code of a tool that ends here: 0 after
-// --help, for which 'print_help' is called, and 2 after a bad flag, which is named on the error output. Nothing when
-// the tool is to run. Words without a flag are bad unless 'positional' says what they are.
+// Parses a command line into the variables bound to 'flags'. Returns nullopt if the tool is to run, else its exit code:
+// 0 after --help, for which 'print_help' is called, and 2 after an invalid flag, which is reported on standard error.
+// Positional arguments are invalid unless 'positional' describes them.
 std::optional<int> read_flags(char const* program, int argc, char** argv,
                               boost::program_options::options_description const& flags,
                               std::function<void()> const& print_help,
--- a/src/base/invariants.cc
+++ b/src/base/invariants.cc
@@ -15,9 +15,9 @@
     PIPIT_INVARIANTS(INVARIANT)
 #undef INVARIANT
 };
-static_assert(std::size(rows) <= 64, "ExpectedViolations keeps 64 counts");
+static_assert(std::size(rows) <= 64, "ExpectedViolations has room for 64 counts");
 
-constexpr std::uint64_t log_limit = 100;  // lines for one invariant: the first ones explain it, the rest is counted
+constexpr std::uint64_t log_limit = 100;  // log lines per invariant; later violations are only counted
 
 std::atomic<std::uint64_t> counts[std::size(rows)];
 }  // namespace
@@ -28,7 +28,7 @@
 }
 
 void report_violation(Invariant invariant, std::string const& detail) {
-  // A proof that switches a guard off brings violations about on purpose; the product never does.
+  // A test that disables a guard causes violations on purpose; the product never disables one.
   if (disabled_guard() != Guard::none || disabled_request_guard() != RequestGuard::none) return;
   std::size_t const index = static_cast<std::size_t>(invariant);
   if (++counts[index] > log_limit) return;
--- a/src/base/invariants.h
+++ b/src/base/invariants.h
@@ -1,5 +1,5 @@
-// Invariants: promises that the product checks while it runs (docs/invariants.md). A violation changes no behaviour; it
-// is counted by name, shown in the metrics and logged with what explains it. Tests, simulations and soaks fail on any.
+// Invariants that the product checks at run time (docs/invariants.md). A violation changes no behaviour: it is counted
+// by name, exported as a metric and logged with details. Tests, simulations and soaks fail on any violation.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -7,25 +7,25 @@
 
 namespace pipit {
 
-// INVARIANT(name, names in docs/promises.md of the promises that it guards, sentence)
-#define PIPIT_INVARIANTS(INVARIANT)                                                                              \
-  INVARIANT(single_run, "TWICE N1", "what may not be repeated is sent again only when no attempt may have run")  \
-  INVARIANT(true_refusal, "REFUSED N2", "what may have run is not refused with a promise that it has not")       \
-  INVARIANT(own_answer, "MIXED N4", "a success that is passed on names the request and bears the seal")          \
-  INVARIANT(stream_order, "ORDER N3", "event ids that were passed on only rise within one answer")               \
-  INVARIANT(attempt_limit, "BUDGET N10", "no more workers get a request than its route allows")                  \
-  INVARIANT(leaving_worker, "DRAIN N5", "nothing is sent to a worker that is known to leave")                    \
-  INVARIANT(answered_in_time, "CONFIG", "no request is left without an end after its time")                      \
-  INVARIANT(request_ends_once, "MIXED", "every request that came has one end or is under way")                   \
-  INVARIANT(revision_rises, "CONFIG N7", "the configuration that is in force never goes back")                   \
-  INVARIANT(agreement, "CONFIG N8", "two chosen values of one revision are the same")                            \
-  INVARIANT(read_is_current, "CONFIG N9", "a reading is no older than what was known when it was asked")         \
-  INVARIANT(taken_is_not_refused, "CONFIG N8", "an order that a chosen value remembers is not refused")          \
-  INVARIANT(promise_kept, "CONFIG N9", "an acceptor never goes below its promise, nor changes a ballot's value") \
-  INVARIANT(quorum_possible, "LOST", "a set of keepers is never made smaller than the losses allow")             \
-  INVARIANT(end_is_known, "DRAIN N5", "the end of a worker is acknowledged only once peers know it")             \
-  INVARIANT(key_confirmed, "CONFIG", "a key lets a request run only while the configuration is known to be new") \
-  INVARIANT(quota_kept, "QUOTA", "no more of a tenant's limit is granted here than this node's share of it")
+// INVARIANT(name, names of the promises in docs/promises.md that it protects, sentence)
+#define PIPIT_INVARIANTS(INVARIANT)                                                                                 \
+  INVARIANT(single_run, "TWICE N1", "a request that may not repeat is retried only when no attempt may have run")   \
+  INVARIANT(true_refusal, "REFUSED N2", "a request that may have run is not rejected as not run")                   \
+  INVARIANT(own_answer, "MIXED N4", "a forwarded success carries the request id and the seal")                      \
+  INVARIANT(stream_order, "ORDER N3", "forwarded event ids only increase within one answer")                        \
+  INVARIANT(attempt_limit, "BUDGET N10", "a request is sent to no more workers than its route allows")              \
+  INVARIANT(leaving_worker, "DRAIN N5", "nothing is sent to a worker that is known to be leaving")                  \
+  INVARIANT(answered_in_time, "CONFIG", "every request ends before its deadline")                                   \
+  INVARIANT(request_ends_once, "MIXED", "every accepted request is in flight or has exactly one outcome")           \
+  INVARIANT(revision_rises, "CONFIG N7", "the revision of the configuration in force never decreases")              \
+  INVARIANT(agreement, "CONFIG N8", "two chosen values of one revision are equal")                                  \
+  INVARIANT(read_is_current, "CONFIG N9", "a read returns no older value than was known when it was requested")     \
+  INVARIANT(taken_is_not_refused, "CONFIG N8", "an order that a chosen value contains is not rejected")             \
+  INVARIANT(promise_kept, "CONFIG N9", "an acceptor never breaks its promise or changes a ballot's value")          \
+  INVARIANT(quorum_possible, "LOST", "a replica set never becomes smaller than the tolerated losses require")       \
+  INVARIANT(end_is_known, "DRAIN N5", "the end of a worker is acknowledged only after peers know of it")            \
+  INVARIANT(key_confirmed, "CONFIG", "a key admits a request only while the configuration is confirmed as current") \
+  INVARIANT(quota_kept, "QUOTA", "this node grants no more of a tenant's limit than its own share")
 
 enum class Invariant : std::uint8_t {
 #define INVARIANT(name, promises, text) name,
@@ -39,30 +39,31 @@
   char const* promises;
   char const* text;
 };
-// The first row; 'count' is set to their number.
+// Returns the first row of the table and sets 'count' to the number of rows.
 InvariantRow const* invariant_rows(std::size_t& count);
 
-// Counts a violation and logs it, also where the log is muted. 'detail' names what is needed to explain it.
+// Counts a violation and logs it, even while the log is muted. 'detail' holds the values that explain it. Thread-safe.
 void report_violation(Invariant invariant, std::string const& detail);
 
-// Checks one invariant; the detail is only made when it does not hold.
+// Reports a violation of the invariant unless 'holds'; only then is the detail function called.
 template <class Detail>
 void check_invariant(bool holds, Invariant invariant, Detail&& detail) {
   if (!holds) report_violation(invariant, detail());
 }
 
-// Violations since the start of this process, by invariant and of all.
+// Violations of one invariant since the start of this process.
 std::uint64_t violation_count(Invariant invariant);
+// Violations of all invariants since the start of this process.
 std::uint64_t violation_count();
 
-// For tests of the checks themselves: violations that were brought about on purpose are taken back.
+// For tests of the checks themselves: the destructor resets the counts, so that deliberate violations fail no test.
 class ExpectedViolations {
  public:
   ExpectedViolations();
   ~ExpectedViolations();
   ExpectedViolations(ExpectedViolations const&) = delete;
   ExpectedViolations& operator=(ExpectedViolations const&) = delete;
-  // Those of this invariant since this object was made.
+  // Returns the violations of this invariant since this object was created.
   std::uint64_t seen(Invariant invariant) const;
 
  private:
--- a/src/base/json_writer.h
+++ b/src/base/json_writer.h
@@ -1,4 +1,4 @@
-// A small writer of JSON text. Reading is simdjson's work (§2.4).
+// A small JSON writer. JSON is read with simdjson (§2.4).
 #pragma once
 #include <cstdint>
 #include <string>
@@ -6,18 +6,18 @@
 
 namespace pipit {
 
-// A text in quotes, escaped for JSON.
+// Returns a text in quotes, escaped for JSON.
 std::string json_text(std::string_view raw);
 
-// Builds one JSON text from left to right; it puts in the commas.
+// Builds one JSON text from left to right and inserts the commas.
 class JsonWriter {
  public:
-  // Objects and lists; each begin needs its end.
+  // Begin and end an object or a list; each begin needs its end.
   JsonWriter& begin_object() { return begin('{'); }
   JsonWriter& end_object() { return end('}'); }
   JsonWriter& begin_list() { return begin('['); }
   JsonWriter& end_list() { return end(']'); }
-  // The key of the next value in an object.
+  // Writes the key of the next value in an object.
   JsonWriter& key(std::string_view name) {
     separate();
     out_ += json_text(name);
@@ -25,13 +25,13 @@
     after_key_ = true;
     return *this;
   }
-  // Values.
+  // Write one value.
   JsonWriter& text(std::string_view raw) { return put(json_text(raw)); }
   JsonWriter& number(std::int64_t n) { return put(std::to_string(n)); }
   JsonWriter& boolean(bool yes) { return put(yes ? "true" : "false"); }
-  // A value that is JSON already; it is not checked.
+  // Writes a value that is JSON already; it is not validated.
   JsonWriter& raw(std::string_view json) { return put(json); }
-  // The finished text; the writer is not to be used after it.
+  // Returns the finished text; the writer must not be used afterwards.
   std::string take() { return std::move(out_); }
 
  private:
--- a/src/base/key_digest.h
+++ b/src/base/key_digest.h
@@ -1,5 +1,5 @@
-// Digests of callers' keys. A key itself is compared nowhere and kept nowhere beside the operators' own text; logs,
-// errors and status pages show the first digits of its digest at most.
+// Digests of API keys. Keys are compared by digest only and stored only in the operators' own configuration text; logs,
+// errors and status pages show at most the first digits of the digest.
 #pragma once
 #include <string>
 #include <string_view>
@@ -8,9 +8,9 @@
 
 namespace pipit {
 
-// The first 128 bits of the key's SHA-256: unlike digest_of(), it gives nothing of the key away.
+// Returns the first 128 bits of the key's SHA-256, which, unlike digest_of(), reveals nothing about the key.
 Digest key_digest_of(std::string_view key);
-// Eight hexadecimal digits that name a key in logs, errors and status pages.
+// Returns the first eight hexadecimal digits, which identify a key in logs, errors and status pages.
 std::string abbreviated_digest(Digest const& key);
 
 }  // namespace pipit
--- a/src/base/metrics_text.h
+++ b/src/base/metrics_text.h
@@ -1,4 +1,4 @@
-// The text of a metrics page, one row after the other, in Prometheus' form.
+// Builds a metrics page in the Prometheus text format.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -6,19 +6,19 @@
 
 namespace pipit {
 
-// Names are in Prometheus' form; each is to be added once.
+// Collects metrics; each name must be added once.
 class MetricsText {
  public:
-  // A number that only rises.
+  // Adds a counter, which never decreases.
   void counter(char const* name, std::uint64_t value) { row(name, "counter", value); }
-  // A number that rises and falls.
+  // Adds a gauge.
   void gauge(char const* name, std::uint64_t value) { row(name, "gauge", value); }
-  // One name with a value for each value of a label.
+  // Adds a counter or gauge with one row for each value of a label.
   void counters(char const* name, char const* label, std::map<std::string, std::uint64_t> const& values);
   void gauges(char const* name, char const* label, std::map<std::string, std::uint64_t> const& values);
-  // Violations of each invariant, also those without any: a missing row would say nothing.
+  // Adds the violations of each invariant, including zeros: a missing row could not be told from a missing check.
   void invariants();
-  // The finished page; the object is not to be used after it.
+  // Returns the finished page; the object must not be used afterwards.
   std::string take() { return std::move(out_); }
 
  private:
--- a/src/base/micros.h
+++ b/src/base/micros.h
@@ -1,13 +1,13 @@
-// Time: whole microseconds on a monotonic clock, which the process passes in, so that simulators can pass their own
+// Time in whole microseconds of a monotonic clock. Callers pass the time in, so that simulators can use their own clock
 // (§2.2).
 #pragma once
 #include <cstdint>
 
 namespace pipit {
-// A time or a span, in microseconds.
+// A point in time or a duration, in microseconds.
 using Micros = std::int64_t;
-// A span of n milliseconds.
+// A duration of n milliseconds.
 constexpr Micros millis(std::int64_t n) { return n * 1000; }
-// A span of n seconds.
+// A duration of n seconds.
 constexpr Micros seconds(std::int64_t n) { return n * 1000000; }
 }  // namespace pipit
--- a/src/base/request_guards.h
+++ b/src/base/request_guards.h
@@ -1,28 +1,29 @@
-// Guards on the path of a request, which the tests switch off one at a time, to show that the checkers notice
-// (docs/requests.md). In the product they are all on.
+// Guards of request forwarding, which tests disable one at a time, to show that the checkers detect the resulting fault
+// (docs/requests.md). In the product all of them are enabled.
 #pragma once
 #include <cstdint>
 
 namespace pipit {
 
+// The guards of request forwarding.
 enum class RequestGuard : std::uint8_t {
-  answer_id,      // an answer belongs to the request whose id it bears
-  not_run_proof,  // only the mark, or 421, says that a request did not run
-  torn_visible,   // an answer that was torn does not look whole
-  attempts,       // no more workers than the route allows
-  instance,       // the worker is told which one it is taken for
-  seal,           // a success bears the worker's seal
-  event_order,    // a stream that was taken up elsewhere repeats no event
-  event_end,      // a stream that ends with its connection is whole only after a whole event
+  answer_id,      // an answer is matched to the request whose id it carries
+  not_run_proof,  // only the not-run header or status 421 proves that a request did not run
+  torn_visible,   // a truncated answer is not passed on as complete
+  attempts,       // a request is sent to no more workers than its route allows
+  instance,       // a request names the worker instance that it is meant for
+  seal,           // a success carries the worker's seal
+  event_order,    // a stream that is resumed at another worker repeats no event
+  event_end,      // a stream that ends with its connection is complete only after a complete event
   none
 };
 
-// The guard that is switched off in this thread; RequestGuard::none in the product.
+// The guard that is disabled in this thread; RequestGuard::none in the product.
 inline RequestGuard& disabled_request_guard() {
   static thread_local RequestGuard off = RequestGuard::none;
   return off;
 }
-// Whether a guard is on.
+// Returns whether a guard is enabled in this thread.
 inline bool guard_enabled(RequestGuard item) { return disabled_request_guard() != item; }
 
 }  // namespace pipit
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -20,7 +20,7 @@
 constexpr std::int64_t span_limit = 600;    // seconds
 constexpr std::int64_t body_limit = 65536;  // KiB
 
-// Values that are converted after they were read: lists with commas between, seconds, KiB.
+// Raw values that are converted after reading: lists with commas between, seconds, KiB.
 struct RawValues {
   std::string seeds;
   std::string models;
@@ -30,7 +30,7 @@
   std::int64_t body = 4096;
 };
 
-// The items of a list with commas between, without spaces around them; empty items are left out.
+// Splits a list at its commas and trims spaces; empty items are left out.
 std::vector<std::string> split(std::string const& text) {
   std::vector<std::string> out;
   std::stringstream lines(text);
@@ -43,7 +43,7 @@
   return out;
 }
 
-// Whether a text may be the name of a node, zone or cluster.
+// Returns whether a text is a valid name of a node, zone or cluster.
 bool good_name(std::string const& text) {
   if (text.empty() || text.size() > name_limit) return false;
   for (char const c : text)
@@ -52,29 +52,30 @@
       return false;
   return true;
 }
-// The keys of one program, which write into 'settings' and 'raw' when they are read.
+// Declares the keys of one program; parsing writes their values into 'settings' and 'raw'.
 options::options_description describe_keys(Settings& settings, RawValues& raw, bool replica) {
   options::options_description keys(
-      replica ? "pipitspool-config-store: a keeper of the description. Keys, as flags or in the settings file"
+      replica ? "pipitspool-config-store: a replica of the configuration. Keys, as flags or in the settings file"
               : "pipitspool-router: a router node. Keys, as flags or in the settings file");
   keys.add_options()("name", options::value(&settings.name), "the node's name, unique in the cluster")(
       "cluster", options::value(&settings.cluster)->default_value("pipit"), "the cluster's name")(
-      "zone", options::value(&settings.zone), "the zone it stands in")(
-      "mesh", options::value(&settings.mesh), "IP:port on which peers reach it")("http", options::value(&settings.http),
-                                                                                 "IP:port for callers and operators")(
+      "zone", options::value(&settings.zone), "the zone of the node")("mesh", options::value(&settings.mesh),
+                                                                      "IP:port for connections from peers")(
+      "http", options::value(&settings.http), "IP:port for clients and operators")(
       "seeds", options::value(&raw.seeds), "up to three IP:port of other nodes, with commas between")(
-      "log", options::value(&settings.log), "a file for the log; standard output without it")(
+      "log", options::value(&settings.log), "the log file; default: standard output")(
       "grace", options::value(&raw.grace)->default_value(2),
-      "seconds after SIGTERM in which /ready says no and requests are still taken")(
-      "drain", options::value(&raw.drain)->default_value(10), "seconds that a planned stop gives work in flight")(
+      "seconds after SIGTERM in which /ready says no and requests are still accepted")(
+      "drain", options::value(&raw.drain)->default_value(10),
+      "seconds that a planned stop allows for requests in flight")(
       "body", options::value(&raw.body)->default_value(4096), "the largest body of a request, in KiB")(
       "faults", options::value(&settings.faults)->default_value(false), "allow fault points to be armed (tests only)");
   if (replica) {
     keys.add_options()("data", options::value(&settings.data_directory), "the data folder")(
-        "founders", options::value(&raw.initial_members), "names of the first keepers, with commas between");
+        "founders", options::value(&raw.initial_members), "names of the initial replicas, with commas between");
   } else {
-    keys.add_options()("platform", options::value(&settings.platform), "IP:port of the platform's list of workers")(
-        "models", options::value(&raw.models), "models that it serves, with commas between; all without it");
+    keys.add_options()("platform", options::value(&settings.platform), "IP:port of the platform's worker list")(
+        "models", options::value(&raw.models), "models that the router serves, with commas between; default: all");
   }
   return keys;
 }
@@ -85,7 +86,7 @@
   return text.str();
 }
 
-// Reads the flags, then the settings file for the keys that no flag names.
+// Parses the flags, then the settings file for the keys that no flag sets.
 Result<void> parse(int argc, char const* const* argv, options::options_description const& keys, Settings& settings) {
   options::options_description flags;
   flags.add(keys);
@@ -113,7 +114,7 @@
 
 Result<void> check_name(std::string const& key, std::string const& value) {
   if (good_name(value)) return boost::outcome_v2::success();
-  return fail(ErrorCode::bad_settings, key + ": letters, digits, '-', '_' and '.', at most 64, are needed");
+  return fail(ErrorCode::bad_settings, key + ": letters, digits, '-', '_' and '.' are allowed, 1 to 64 characters");
 }
 
 Result<void> check_address(std::string const& key, std::string const& value) {
@@ -132,7 +133,8 @@
   if (Result<void> checked = check_address("http", settings.http); !checked) return checked;
   if (!replica || !settings.platform.empty())
     if (Result<void> checked = check_address("platform", settings.platform); !checked) return checked;
-  if (settings.seeds.size() > seed_limit) return fail(ErrorCode::bad_settings, "seeds: at most three are taken");
+  if (settings.seeds.size() > seed_limit)
+    return fail(ErrorCode::bad_settings, "seeds: at most three addresses are allowed");
   for (std::string const& seed : settings.seeds)
     if (Result<void> checked = check_address("seeds", seed); !checked) return checked;
   return boost::outcome_v2::success();
@@ -149,19 +151,19 @@
   return boost::outcome_v2::success();
 }
 
-// Checks the settings of a replica alone; its data folder is made when it is not there.
+// Validates the settings that only a replica has; creates its data folder if it is missing.
 Result<void> check_replica(Settings const& settings) {
   std::string const& folder = settings.data_directory;
   struct stat info;
-  if (folder.empty()) return fail(ErrorCode::bad_settings, "data: the data folder is needed");
+  if (folder.empty()) return fail(ErrorCode::bad_settings, "data: the data folder is missing");
   if (::stat(folder.c_str(), &info) != 0 && ::mkdir(folder.c_str(), 0755) != 0)
-    return fail(ErrorCode::bad_settings, "data: the folder " + folder + " is not there and cannot be made");
+    return fail(ErrorCode::bad_settings, "data: the folder " + folder + " does not exist and cannot be created");
   bool const usable = ::access(folder.c_str(), W_OK | X_OK) == 0 && ::stat(folder.c_str(), &info) == 0;
   if (!usable || !S_ISDIR(info.st_mode))
-    return fail(ErrorCode::bad_settings, "data: the folder " + folder + " cannot be written");
+    return fail(ErrorCode::bad_settings, "data: the folder " + folder + " is not a writable folder");
   std::set<std::string> const unique(settings.initial_members.begin(), settings.initial_members.end());
   if (unique.size() != settings.initial_members.size())
-    return fail(ErrorCode::bad_settings, "founders: a name stands twice");
+    return fail(ErrorCode::bad_settings, "founders: a name is listed twice");
   return boost::outcome_v2::success();
 }
 }  // namespace
