--- a/src/config/description/builder.cc
+++ b/src/config/description/builder.cc
@@ -9,7 +9,7 @@
 namespace {
 constexpr std::size_t max_tenant_name_size = 128;
 
-// A tenant's name goes to workers as the value of a header field.
+// Whether a text is a valid tenant name; names are sent to workers as the value of a header field.
 bool is_valid_tenant_name(std::string const& name) {
   if (name.empty() || name.size() > max_tenant_name_size) return false;
   return std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < '\x7f'; });
@@ -18,35 +18,35 @@
 
 Result<void> DescriptionBuilder::add(Pool pool, std::string const& path) {
   if (!pool_names_.insert(pool.name).second)
-    return fail(ErrorCode::bad_description, "the pool '" + pool.name + "' stands twice", path + ".name");
+    return fail(ErrorCode::bad_description, "the pool '" + pool.name + "' is defined twice", path + ".name");
   description_->pools.push_back(std::move(pool));
   return boost::outcome_v2::success();
 }
 
 Result<void> DescriptionBuilder::add(Lane lane, std::string const& path) {
   if (!lane_names_.insert(lane.name).second)
-    return fail(ErrorCode::bad_description, "the lane '" + lane.name + "' stands twice", path + ".name");
+    return fail(ErrorCode::bad_description, "the lane '" + lane.name + "' is defined twice", path + ".name");
   description_->lanes.push_back(std::move(lane));
   return boost::outcome_v2::success();
 }
 
 Result<void> DescriptionBuilder::add(Route route, std::string const& path) {
   if (route.prefix.empty() || route.prefix.front() != '/' || route.prefix.back() != '/')
-    return fail(ErrorCode::bad_description, "a prefix begins and ends with a slash", path + ".prefix");
+    return fail(ErrorCode::bad_description, "the prefix of a route must begin and end with a slash", path + ".prefix");
   std::int64_t weights = 0;
   for (Route::Share const& share : route.shares) {
     if (!has_pool(share.pool)) return fail(ErrorCode::bad_description, "there is no pool '" + share.pool + "'", path);
     weights += share.weight;
   }
-  if (weights <= 0) return fail(ErrorCode::bad_description, "the weights add up to 0", path + ".shares");
+  if (weights <= 0)
+    return fail(ErrorCode::bad_description, "the weights of the route's shares add up to 0", path + ".shares");
   if (route.request_timeout <= 0)
-    return fail(ErrorCode::bad_description, "a request that may be held for no time is never served",
-                path + ".hold_ms");
+    return fail(ErrorCode::bad_description, "the request timeout of a route must be above 0", path + ".hold_ms");
   if (!route_names_.insert(route.name).second)
-    return fail(ErrorCode::bad_description, "the route '" + route.name + "' stands twice", path + ".name");
+    return fail(ErrorCode::bad_description, "the route '" + route.name + "' is defined twice", path + ".name");
   std::string const host = lowercase_host(route.host);
   if (!route_keys_.insert(host + " " + route.prefix).second)
-    return fail(ErrorCode::bad_description, "two routes share host and prefix", path);
+    return fail(ErrorCode::bad_description, "two routes have the same host and prefix", path);
   description_->route_ranks.insert(route.rank);
   description_->routes_by_host[host].push_back(description_->routes.size());
   description_->routes.push_back(std::move(route));
@@ -60,7 +60,7 @@
                 "a tenant's name is 1 to " + std::to_string(max_tenant_name_size) + " visible ASCII characters",
                 path + ".name");
   if (!tenant_names_.insert(tenant.name).second)
-    return fail(ErrorCode::bad_description, "the tenant '" + tenant.name + "' stands twice", path + ".name");
+    return fail(ErrorCode::bad_description, "the tenant '" + tenant.name + "' is defined twice", path + ".name");
   std::size_t const index = description_->tenants.size();
   for (Digest const& key : tenant.keys) {
     std::map<Digest, std::size_t>::const_iterator const other = description_->tenants_by_key.find(key);
@@ -78,8 +78,8 @@
 
 Result<std::shared_ptr<Description const>> DescriptionBuilder::finish() {
   if (description_->keys_required && !description_->lanes.empty())
-    return fail(ErrorCode::bad_description, "lanes know no keys: a description with tenants has routes alone",
-                "$.tenants");
+    return fail(ErrorCode::bad_description,
+                "lanes do not support keys: a description with tenants may have routes only", "$.tenants");
   for (std::size_t i = 0; i < description_->lanes.size(); ++i) {
     std::string const path = "$.lanes[" + std::to_string(i) + "].binding";
     std::string model;
--- a/src/config/description/builder.h
+++ b/src/config/description/builder.h
@@ -1,6 +1,5 @@
-// Puts a description together from typed items and checks what holds between them: names that stand twice, names that
-// lead nowhere, routes with one host and prefix, keys of two tenants. Every reader of a configuration language ends
-// here.
+// Builds a description from typed items and checks them against each other: duplicate names, unknown names, routes with
+// the same host and prefix, keys shared by two tenants. The readers of all configuration languages use it.
 #pragma once
 #include <memory>
 #include <string>
@@ -11,23 +10,24 @@
 
 namespace pipit {
 
-// State: the description so far with the names in it. Items may be added in any order but for the pools that a route
-// names. After an error the builder is not used any more.
+// Holds the description under construction and the names in it. Items may be added in any order, except that a route
+// must follow the pools that it names. The builder must not be used after an error.
 class DescriptionBuilder {
  public:
-  // 'path' is where the item stands in the text, for the fault.
+  // Each adds one item. 'path' is the location of the item in the text, for error messages.
   Result<void> add(Pool pool, std::string const& path);
   Result<void> add(Lane lane, std::string const& path);
-  // The pools that it names were added before it.
+  // The pools of the route must have been added before.
   Result<void> add(Route route, std::string const& path);
   Result<void> add(Tenant tenant, std::string const& path);
-  // From here on a request needs a tenant's key, though no tenant may have been added.
+  // Makes requests need a tenant's key, even if no tenant is added.
   void require_keys() { description_->keys_required = true; }
   void set_limits(CallLimits const& limits) { description_->limits = limits; }
   void set_source(std::string text) { description_->source = std::move(text); }
   void set_locality_cost(Micros cost) { description_->locality_cost = cost; }
+  // Whether a pool of this name was added.
   bool has_pool(std::string const& name) const { return pool_names_.count(name) > 0; }
-  // Checks the lanes, and hands the description over.
+  // Checks the lanes and returns the finished description.
   Result<std::shared_ptr<Description const>> finish();
 
  private:
--- a/src/config/description/description.cc
+++ b/src/config/description/description.cc
@@ -7,9 +7,9 @@
 namespace pipit {
 
 namespace {
-constexpr std::int64_t max_rank = 9;  // that a worker takes
+constexpr std::int64_t max_rank = 9;  // the lowest priority that a worker accepts
 
-// How many of the numbers are smaller.
+// Returns how many of the numbers are smaller.
 std::size_t count_below(std::set<std::int64_t> const& numbers, std::int64_t number) {
   return static_cast<std::size_t>(std::distance(numbers.begin(), numbers.lower_bound(number)));
 }
@@ -28,11 +28,11 @@
 }
 
 Route const* Description::find_route(std::string_view host, std::string_view path) const {
-  std::unordered_map<std::string, std::vector<std::size_t>>::const_iterator const of_host =
+  std::unordered_map<std::string, std::vector<std::size_t>>::const_iterator const host_routes =
       routes_by_host.find(lowercase_host(host));
-  if (of_host == routes_by_host.end()) return nullptr;
+  if (host_routes == routes_by_host.end()) return nullptr;
   Route const* best = nullptr;
-  for (std::size_t const index : of_host->second) {
+  for (std::size_t const index : host_routes->second) {
     Route const& item = routes[index];
     if (path.substr(0, item.prefix.size()) != item.prefix) continue;
     if (best == nullptr || best->prefix.size() < item.prefix.size()) best = &item;
@@ -54,13 +54,13 @@
 std::int64_t Description::rank_of(Route const& route, Tenant const* tenant) const {
   if (tenant == nullptr) return std::min(route.rank, max_rank);
   std::size_t const steps = std::max<std::size_t>(1, route_ranks.size());
-  std::size_t const of_route = count_below(route_ranks, route.rank);
-  std::size_t const of_tenant = count_below(tenant_ranks, tenant->rank);
-  std::size_t const all = steps * std::max<std::size_t>(1, tenant_ranks.size());
-  std::size_t const place = of_tenant * steps + of_route;
-  // With more ranks than there are numbers, neighbours share one.
+  std::size_t const route_index = count_below(route_ranks, route.rank);
+  std::size_t const tenant_index = count_below(tenant_ranks, tenant->rank);
+  std::size_t const combinations = steps * std::max<std::size_t>(1, tenant_ranks.size());
+  std::size_t const position = tenant_index * steps + route_index;
+  // With more combinations than numbers, adjacent combinations share a number.
   std::size_t const numbers = static_cast<std::size_t>(max_rank) + 1;
-  return static_cast<std::int64_t>(all <= numbers ? place : place * numbers / all);
+  return static_cast<std::int64_t>(combinations <= numbers ? position : position * numbers / combinations);
 }
 
 Lane const* Description::find_lane(std::string_view name) const {
--- a/src/config/description/description_reader.cc
+++ b/src/config/description/description_reader.cc
@@ -1,4 +1,4 @@
-// Reads a description from the JSON text that the register holds.
+// Reads a description from the JSON text that the register stores.
 #include "base/key_digest.h"
 #include "config/description/builder.h"
 #include "config/description/description.h"
@@ -15,7 +15,8 @@
 constexpr Micros millisecond = millis(1);
 constexpr Micros second = seconds(1);
 
-// Reads one description, item by item in the order of the text, into a builder that checks how the items fit.
+// Parses one description, item by item in the order of the text, into a builder that checks the items against each
+// other.
 class DescriptionParser {
  public:
   Result<std::shared_ptr<Description const>> parse(JsonElement const& root);
@@ -33,13 +34,13 @@
   bool read_counting_unit(JsonElement const& value, std::string const& path, CountingUnit& out);
 
   using ItemReader = bool (DescriptionParser::*)(JsonElement const& value, std::string const& path);
-  // Readers of one field into a variable, which must outlive them.
+  // Each returns a reader that stores one field in a variable, which must outlive the reader.
   JsonValueReader each_with(ItemReader read_item);
   JsonValueReader text_into(std::string& out);
   JsonValueReader name_into(std::string& out);
   JsonValueReader boolean_into(bool& out);
   JsonValueReader number_into(std::int64_t& out, std::int64_t min, std::int64_t max);
-  // A time as a number of units, from 0 to 'max'.
+  // Reads a duration, an integer number of units from 0 to 'max'.
   JsonValueReader time_into(Micros& out, Micros unit, std::int64_t max);
 
   JsonReader reader_;
@@ -132,7 +133,7 @@
   return reader_.check(builder_.add(std::move(lane), path));
 }
 
-// The pools that shares name stand before the routes in the text.
+// The pools that shares name must precede the routes in the text.
 bool DescriptionParser::read_share(JsonElement const& value, std::string const& path, std::vector<Route::Share>& out) {
   Route::Share share;
   JsonFieldReaders const fields = {
--- a/src/config/description/json_reader.cc
+++ b/src/config/description/json_reader.cc
@@ -29,7 +29,7 @@
   return true;
 }
 
-// Reads a value with all that it contains; false at the first fault, where the document then stands.
+// Reads a value and all values in it. Returns false at the first error, which is then the location of the document.
 bool read_value(simdjson::ondemand::value value) {
   simdjson::ondemand::json_type type;
   if (value.type().get(type)) return false;
@@ -61,8 +61,8 @@
   for (simdjson::dom::key_value_pair const& item : items) {
     std::string const inner = path + "." + std::string(item.key);
     JsonFieldReaders::const_iterator const field = fields.find(item.key);
-    if (field == fields.end()) return fail_at(inner, "there is no field of this name");
-    if (!names.insert(item.key).second) return fail_at(inner, "the field stands twice");
+    if (field == fields.end()) return fail_at(inner, "unknown field");
+    if (!names.insert(item.key).second) return fail_at(inner, "the field is given twice");
     if (!field->second(item.value, inner)) return false;
   }
   for (std::string_view const name : required)
--- a/src/config/rules/compiler.cc
+++ b/src/config/rules/compiler.cc
@@ -14,7 +14,7 @@
 
 Result<void> failure(Error error) { return boost::outcome_v2::failure(std::move(error)); }
 
-// The time that a number with a unit stands for, when it is more than nothing and at most an hour.
+// Reads a number with a unit as a duration. Returns false unless it is above 0 and at most an hour.
 bool read_time(Token const& token, Micros& out) {
   if (token.kind != TokenKind::number) return false;
   if (token.unit == "ms")
@@ -56,8 +56,8 @@
 
 char const* check(bool good, char const* expected) { return good ? "" : expected; }
 
-// Reads the value of one setting of a policy. Returns what the word takes when the value does not fit, an empty text
-// when it does, and null when there is no such word.
+// Reads the value of one setting of a policy. Returns an empty text if the value is valid, a text that describes the
+// valid values if it is not, and null if there is no such setting.
 char const* read_policy_setting(std::string const& name, Token const& value, Policy& out) {
   static char const* const takes_time = "takes a time such as 800ms or 2s, up to 60m";
   if (name == "wait") return check(read_time(value, out.queue_timeout), takes_time);
@@ -76,7 +76,8 @@
 Result<void> parse_match(Parser& parser, std::size_t offset, Condition& match) {
   Error error;
   if (!parser.parse_condition(match, error)) return failure(error);
-  if (match.reads_load()) return failure(parser.error_at(offset, "demand belongs to a pool's 'when', not to 'match'"));
+  if (match.reads_load())
+    return failure(parser.error_at(offset, "'demand' is allowed in a pool's 'when' only, not in 'match'"));
   return boost::outcome_v2::success();
 }
 
@@ -87,14 +88,14 @@
   choice.pool = parser.take().text;
   for (Binding::Choice const& earlier : pools)
     if (earlier.pool == choice.pool)
-      return failure(parser.error_at(choice.offset, "the pool '" + choice.pool + "' stands twice"));
+      return failure(parser.error_at(choice.offset, "the pool '" + choice.pool + "' is listed twice"));
   Error error;
   if (parser.take_keyword("when") && !parser.parse_condition(choice.when, error)) return failure(error);
   pools.push_back(std::move(choice));
   return boost::outcome_v2::success();
 }
 
-// The end of a clause: the end of the text, or a ';'.
+// Reads the end of a clause: a ';' or the end of the text.
 Result<void> end_clause(Parser& parser) {
   if (parser.at_end() || parser.take_symbol(";")) return boost::outcome_v2::success();
   return failure(parser.error_here("a ';' is expected"));
@@ -112,7 +113,7 @@
     std::size_t const offset = parser.peek().offset;
     Result<void> clause = boost::outcome_v2::success();
     if (parser.take_keyword("match")) {
-      if (matched) return boost::outcome_v2::failure(parser.error_at(offset, "'match' stands twice"));
+      if (matched) return boost::outcome_v2::failure(parser.error_at(offset, "'match' is given twice"));
       matched = true;
       clause = parse_match(parser, offset, out.match);
     } else if (parser.take_keyword("pool")) {
@@ -136,14 +137,14 @@
   std::set<std::string> seen;
   while (!parser.at_end()) {
     if (parser.peek().kind != TokenKind::identifier)
-      return boost::outcome_v2::failure(parser.error_here("a policy's word is expected"));
+      return boost::outcome_v2::failure(parser.error_here("the name of a policy setting is expected"));
     Token const name = parser.take();
     if (!seen.insert(name.text).second)
-      return boost::outcome_v2::failure(parser.error_at(name.offset, "'" + name.text + "' stands twice"));
+      return boost::outcome_v2::failure(parser.error_at(name.offset, "'" + name.text + "' is given twice"));
     Token const value = parser.take();
     char const* const expected = read_policy_setting(name.text, value, out);
     if (expected == nullptr)
-      return boost::outcome_v2::failure(parser.error_at(name.offset, "there is no policy word '" + name.text + "'"));
+      return boost::outcome_v2::failure(parser.error_at(name.offset, "there is no policy setting '" + name.text + "'"));
     if (*expected != '\0')
       return boost::outcome_v2::failure(parser.error_at(value.offset, "'" + name.text + "' " + expected));
     Result<void> const ended = end_clause(parser);
--- a/src/config/rules/condition.cc
+++ b/src/config/rules/condition.cc
@@ -9,15 +9,15 @@
 using Operation = Condition::Operation;
 using Instruction = Condition::Instruction;
 
-std::string const& text_field(Field field, RequestAttributes const& facts) {
-  if (field == Field::model) return facts.model;
-  if (field == Field::user) return facts.user;
-  return facts.zone;
+std::string const& text_field(Field field, RequestAttributes const& attributes) {
+  if (field == Field::model) return attributes.model;
+  if (field == Field::user) return attributes.user;
+  return attributes.zone;
 }
 
-std::int64_t number_field(Field field, RequestAttributes const& facts, std::int64_t load_percent) {
-  if (field == Field::size) return facts.size;
-  if (field == Field::output) return facts.max_tokens;
+std::int64_t number_field(Field field, RequestAttributes const& attributes, std::int64_t load_percent) {
+  if (field == Field::size) return attributes.size;
+  if (field == Field::output) return attributes.max_tokens;
   return load_percent;
 }
 
@@ -49,28 +49,28 @@
   }
 }
 
-// The result of an instruction that compares one field.
-bool compare_field(Instruction const& instruction, RequestAttributes const& facts, std::int64_t load_percent) {
+// Returns the result of an instruction that tests one field.
+bool compare_field(Instruction const& instruction, RequestAttributes const& attributes, std::int64_t load_percent) {
   Field const field = static_cast<Field>(instruction.field);
   switch (field_descriptions[instruction.field].type) {
     case FieldType::text:
-      return compare_text(instruction, text_field(field, facts));
+      return compare_text(instruction, text_field(field, attributes));
     case FieldType::number:
-      return compare_number(instruction, number_field(field, facts, load_percent));
+      return compare_number(instruction, number_field(field, attributes, load_percent));
     case FieldType::boolean:
       break;
   }
-  return facts.stream;
+  return attributes.stream;
 }
 
 }  // namespace
 
-bool Condition::matches(RequestAttributes const& facts, std::int64_t load_percent) const {
+bool Condition::matches(RequestAttributes const& attributes, std::int64_t load_percent) const {
   if (instructions.empty()) return true;
   std::vector<bool> stack;
   for (Instruction const& instruction : instructions) {
     if (instruction.operation <= Operation::is_set) {
-      stack.push_back(compare_field(instruction, facts, load_percent));
+      stack.push_back(compare_field(instruction, attributes, load_percent));
     } else if (instruction.operation == Operation::always) {
       stack.push_back(true);
     } else if (instruction.operation == Operation::logical_not) {
--- a/src/config/rules/condition_fields.h
+++ b/src/config/rules/condition_fields.h
@@ -1,4 +1,4 @@
-// The closed list of what a condition can name (§5.2).
+// The fields that a condition can test (§5.2).
 #pragma once
 #include <cstdint>
 #include <string_view>
@@ -15,19 +15,23 @@
   FIELD(demand, number)               \
   FIELD(stream, boolean)
 
+// A field of a request or of a pool's load.
 enum class Field : std::uint8_t {
 #define FIELD(name, type) name,
   PIPIT_CONDITION_FIELDS(FIELD)
 #undef FIELD
 };
 
+// The type of a field.
 enum class FieldType : std::uint8_t { text, number, boolean };
 
+// The name and type of a field.
 struct FieldDescription {
   std::string_view name;
   FieldType type;
 };
 
+// All fields, indexed by Field.
 constexpr FieldDescription field_descriptions[] = {
 #define FIELD(name, type) {#name, FieldType::type},
     PIPIT_CONDITION_FIELDS(FIELD)
--- a/src/config/rules/lexer.cc
+++ b/src/config/rules/lexer.cc
@@ -35,7 +35,7 @@
  private:
   bool more() const { return position_ < text_.size(); }
 
-  // Whether anything follows.
+  // Returns whether any text follows the spaces.
   bool skip_spaces() {
     while (more() && is_space(text_[position_])) ++position_;
     return more();
@@ -70,7 +70,7 @@
     token.kind = TokenKind::text;
     ++position_;
     while (more() && text_[position_] != '"') token.text += text_[position_++];
-    if (!more()) return error("the quoted text has no end", token);
+    if (!more()) return error("the quoted text has no closing quote", token);
     ++position_;
     return boost::outcome_v2::success();
   }
@@ -83,7 +83,7 @@
     if (may_have_two_characters && more() && text_[position_] == '=') token.text += text_[position_++];
     for (std::string_view const symbol : symbols)
       if (symbol == token.text) return boost::outcome_v2::success();
-    return error("'" + token.text + "' has no meaning here", token);
+    return error("'" + token.text + "' is not a symbol of the language", token);
   }
 
   Result<void> error(std::string message, Token const& token) const {
--- a/src/config/rules/lexer.h
+++ b/src/config/rules/lexer.h
@@ -1,4 +1,4 @@
-// Splits a text of the rule language into words, numbers, quoted texts and symbols (§5.2).
+// The lexer of the rule language: identifiers, numbers, quoted texts and symbols (§5.2).
 #pragma once
 #include <cstdint>
 #include <string>
@@ -9,17 +9,19 @@
 
 namespace pipit {
 
+// The kind of a token; `end` marks the end of the text.
 enum class TokenKind : std::uint8_t { identifier, number, text, symbol, end };
 
+// A token of the rule language.
 struct Token {
   TokenKind kind = TokenKind::end;
-  std::string text;         // the word, the symbol, or what stands between the quotes
-  std::int64_t number = 0;  // a number's value, without its unit
-  std::string unit;         // what stands right behind a number: s, ms, %, k
-  std::size_t offset = 0;   // of its first byte in the text
+  std::string text;         // the identifier, the symbol, or the quoted text without its quotes
+  std::int64_t number = 0;  // value of a number, without its unit
+  std::string unit;         // unit that follows a number: s, ms, %, k
+  std::size_t offset = 0;   // byte offset in the text
 };
 
-// All tokens of the text, with one of the kind `end` last; an error names the place of what is not understood.
+// Returns all tokens of the text, followed by one of kind `end`. An error contains the location of the invalid token.
 Result<std::vector<Token>> tokenize(std::string_view text);
 
 }  // namespace pipit
--- a/src/config/rules/parser.h
+++ b/src/config/rules/parser.h
@@ -1,4 +1,4 @@
-// A cursor over the tokens of a rule, and the grammar of conditions (§5.2).
+// A token cursor for rules, and the parser of conditions (§5.2).
 #pragma once
 #include <string>
 #include <string_view>
@@ -10,20 +10,22 @@
 
 namespace pipit {
 
-// Walks the tokens of one text; nothing outlives the compilation of that text.
+// Reads the tokens of one text in order. A parser lives only while that text is compiled.
 class Parser {
  public:
-  // `text` must outlive the parser; it is what `tokens` was made from.
+  // `tokens` are those of `text`, which must outlive the parser.
   Parser(std::string_view text, std::vector<Token> tokens) : text_(text), tokens_(std::move(tokens)) {}
 
+  // Returns the current token.
   Token const& peek() const { return tokens_[position_]; }
-  // The token here, and a step on; the last one stays.
+  // Returns the current token and advances, but not beyond the `end` token.
   Token const& take() { return tokens_[position_ + 1 < tokens_.size() ? position_++ : position_]; }
   bool at_end() const { return peek().kind == TokenKind::end; }
-  // Takes the token here if it is this keyword or symbol; else nothing moves.
+  // Advances and returns true if the current token is this keyword or symbol.
   bool take_keyword(std::string_view name) { return take_if(TokenKind::identifier, name); }
   bool take_symbol(std::string_view name) { return take_if(TokenKind::symbol, name); }
 
+  // Returns an error at the current token, or at a byte offset.
   Error error_here(std::string message) const { return error_at(peek().offset, std::move(message)); }
   Error error_at(std::size_t offset, std::string message) const {
     return Error{ErrorCode::bad_language, std::move(message), line_and_column(text_, offset)};
--- a/src/config/rules/rules.h
+++ b/src/config/rules/rules.h
@@ -15,20 +15,20 @@
 
 namespace pipit {
 
-// What a condition can look at: the facts of one request.
+// The attributes of a request that conditions can test.
 struct RequestAttributes {
   std::string model;
   std::string user;
-  std::string zone;             // of the node that was asked
-  std::int64_t size = 0;        // bytes of the caller's body
-  std::int64_t max_tokens = 0;  // tokens asked for, 0 when not said
-  bool stream = false;
+  std::string zone;             // zone of the node that received the request
+  std::int64_t size = 0;        // size of the request body, in bytes
+  std::int64_t max_tokens = 0;  // max_tokens of the request; 0 if not given
+  bool stream = false;          // whether a streamed answer is requested
 };
 
-// A compiled condition: instructions for a small stack machine. Without instructions it holds always.
+// A compiled condition: instructions for a small stack machine. A condition without instructions is always true.
 class Condition {
  public:
-  // Those that compare a field come first, up to is_set.
+  // The operations that test a field come first, up to is_set.
   enum class Operation : std::uint8_t {
     text_equal,
     text_not_equal,
@@ -45,53 +45,55 @@
     logical_not,
     always
   };
-  // One instruction; it takes its operands from the stack and leaves its result there.
+  // One instruction; it pops its operands from the stack and pushes its result.
   struct Instruction {
     Operation operation;
-    std::uint8_t field = 0;   // a Field (condition_fields.h), for those that compare one
-    std::int64_t number = 0;  // what a number is compared with
-    std::string text;         // what a text is compared with
+    std::uint8_t field = 0;   // a Field (condition_fields.h), for operations that test one
+    std::int64_t number = 0;  // the constant that a number field is compared with
+    std::string text;         // the constant that a text field is compared with
   };
 
-  // Whether the condition is true. load_percent: the busy part of the slots of the pool that a `when` belongs to.
-  bool matches(RequestAttributes const& facts, std::int64_t load_percent) const;
-  // Whether any instruction looks at the pool's load.
+  // Returns whether the condition is true. load_percent: the share of busy slots in the pool that the `when` belongs
+  // to.
+  bool matches(RequestAttributes const& attributes, std::int64_t load_percent) const;
+  // Returns whether any instruction tests the pool's load.
   bool reads_load() const;
 
   std::vector<Instruction> instructions;
 };
 
-// Which requests a lane takes, and the pools that may serve them, the preferred first.
+// A compiled binding: the requests that a lane accepts, and the pools that may serve them in order of preference.
 struct Binding {
+  // One pool, and the condition under which it may serve a request.
   struct Choice {
     std::string pool;
-    std::size_t offset = 0;  // of the pool's name in the text, for messages
+    std::size_t offset = 0;  // byte offset of the pool's name in the text, for error messages
     Condition when;
   };
   Condition match;
   std::vector<Choice> pools;
 };
 
-// How much a worker's zone counts: nearer ones first, only the same zone, or not at all.
+// How the zone of a worker affects placement: the node's own zone is preferred, required or ignored.
 enum class Locality : std::uint8_t { prefer, only, any };
 
-// How the requests of a lane are treated; the values here stand for words that a policy leaves out.
+// A compiled policy: how the requests of a lane are handled. The initial values are the defaults.
 struct Policy {
-  Micros queue_timeout = seconds(2);        // longest time in the queue
+  Micros queue_timeout = seconds(2);        // longest time in the backlog
   Micros first_byte_timeout = seconds(30);  // longest time until the first byte
-  Micros stall_timeout = seconds(15);       // longest pause between two pieces
-  std::int64_t urgency = 5;                 // 0 to 9; the higher goes first
-  std::int64_t max_backlog = 100;           // most requests that wait
-  std::int64_t max_attempts = 2;            // most attempts, the first with them
-  bool repeatable = false;                  // whether the work may be repeated
+  Micros stall_timeout = seconds(15);       // longest pause between two chunks of an answer
+  std::int64_t urgency = 5;                 // 0 to 9; a higher number is served first
+  std::int64_t max_backlog = 100;           // most waiting requests
+  std::int64_t max_attempts = 2;            // most attempts, including the first
+  bool repeatable = false;                  // whether a request may run more than once
   Locality locality = Locality::prefer;
 };
 
-// Compile one text of the description; errors have the kind bad_language and the place in the text.
+// Compile a binding or policy text; errors have the code bad_language and the location in the text.
 Result<Binding> compile_binding(std::string_view text);
 Result<Policy> compile_policy(std::string_view text);
 
-// "line 1, column 7" of a byte in a text.
+// Returns the location of a byte offset in a text, as in "line 1, column 7".
 std::string line_and_column(std::string_view text, std::size_t offset);
 
 }  // namespace pipit
--- a/tests/invariants.cc
+++ b/tests/invariants.cc
@@ -1,4 +1,5 @@
-// Every test fails when an invariant is violated in it, and each invariant is told where operators look.
+// Makes every test of this program fail if an invariant is violated in it, and tests that violations are documented,
+// counted, logged and exported as metrics.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -17,7 +18,7 @@
   void OnTestStart(testing::TestInfo const&) override { before = violation_count(); }
   void OnTestEnd(testing::TestInfo const&) override {
     if (violation_count() != before)
-      ADD_FAILURE() << violation_count() - before << " violations of invariants, logged above";
+      ADD_FAILURE() << violation_count() - before << " invariant violations; see the log above";
   }
   std::uint64_t before = 0;
 };
@@ -36,7 +37,7 @@
 }
 }  // namespace
 
-TEST(Invariants, stand_in_their_page_and_in_the_metrics) {
+TEST(Invariants, all_are_documented_and_exported_as_metrics) {
   std::ifstream file(std::string(SOURCE) + "/docs/invariants.md");
   std::stringstream page;
   page << file.rdbuf();
@@ -53,23 +54,23 @@
   }
 }
 
-TEST(Invariants, violations_are_counted_by_name_and_told_in_the_metrics) {
+TEST(Invariants, violations_are_counted_logged_and_exported_by_name) {
   ExpectedViolations expected;
   testing::internal::CaptureStdout();
-  check_invariant(true, Invariant::agreement, [] { return std::string("never made"); });
-  check_invariant(false, Invariant::agreement, [] { return std::string("what explains it"); });
+  check_invariant(true, Invariant::agreement, [] { return std::string("must not be evaluated"); });
+  check_invariant(false, Invariant::agreement, [] { return std::string("detail of the violation"); });
   std::string const log = testing::internal::GetCapturedStdout();
   EXPECT_EQ(expected.seen(Invariant::agreement), 1u);
   EXPECT_EQ(expected.seen(Invariant::single_run), 0u);
   EXPECT_NE(log.find("E910"), std::string::npos) << log;
   EXPECT_NE(log.find("agreement"), std::string::npos) << log;
-  EXPECT_NE(log.find("what explains it"), std::string::npos) << log;
+  EXPECT_NE(log.find("detail of the violation"), std::string::npos) << log;
   MetricsText text;
   text.invariants();
   EXPECT_NE(text.take().find("{invariant=\"agreement\"} 1\n"), std::string::npos);
 }
 
-TEST(Invariants, are_silent_where_a_proof_switches_a_guard_off) {
+TEST(Invariants, violations_are_not_counted_while_a_guard_is_disabled) {
   ExpectedViolations expected;
   disabled_guard() = Guard::promise;
   report_violation(Invariant::promise_kept, "");
@@ -77,8 +78,8 @@
   EXPECT_EQ(expected.seen(Invariant::promise_kept), 0u);
 }
 
-// What the checks are for: two values that were chosen at one revision, and a ballot that gets another value.
-TEST(Invariants, two_values_of_one_revision_are_noticed) {
+// Two different values chosen at one revision violate agreement.
+TEST(Invariants, two_values_of_one_revision_violate_agreement) {
   ExpectedViolations expected;
   Learner learner(1);
   EXPECT_TRUE(learner.adopt(value_of(5, "one"), 0));
@@ -88,7 +89,8 @@
   EXPECT_EQ(expected.seen(Invariant::agreement), 1u);
 }
 
-TEST(Invariants, a_ballot_with_two_values_is_noticed) {
+// An acceptor that accepts a second, different value for one ballot breaks its promise.
+TEST(Invariants, a_ballot_with_two_values_violates_promise_kept) {
   ExpectedViolations expected;
   wire::RecordT blank;
   blank.name = "k";
@@ -96,11 +98,11 @@
   Acceptor acceptor(std::move(blank));
   std::vector<OutgoingMessage> out;
   for (char const* const text : {"one", "one", "two"}) {
-    wire::AcceptT ask;
-    ask.ballot = wire::Ballot(4, 9);
-    ask.value = std::make_unique<wire::ValueT>(value_of(7, text));
+    wire::AcceptT accept;
+    accept.ballot = wire::Ballot(4, 9);
+    accept.value = std::make_unique<wire::ValueT>(value_of(7, text));
     wire::BodyUnion body;
-    body.Set(std::move(ask));
+    body.Set(std::move(accept));
     acceptor.enqueue("p", std::move(body));
     if (acceptor.step(out)) acceptor.on_synced(out);
     EXPECT_EQ(expected.seen(Invariant::promise_kept), std::string(text) == "two" ? 1u : 0u);
--- a/tests/rules.cc
+++ b/tests/rules.cc
@@ -1,15 +1,15 @@
-// The language and the description: what is taken, and where a refusal points.
+// The rule language and the description: which texts are accepted, and which location an error names.
 #include <gtest/gtest.h>
 
 #include "config/description/description.h"
 
 namespace pipit {
 
-TEST(Rules, conditions_bind_as_written) {
+TEST(Rules, conditions_evaluate_with_operator_precedence) {
   struct Row {
     char const* code;
-    bool small;  // for a body of 10 bytes that streams
-    bool large;  // for one of 90000 that does not
+    bool small;  // expected result for a request with a body of 10 bytes and a streamed answer
+    bool large;  // expected result for one with a body of 90000 bytes and no stream
   };
   Row const rows[] = {
       {"size < 100", true, false},
@@ -23,21 +23,21 @@
   for (Row const& row : rows) {
     Result<Binding> const made = compile_binding("match " + std::string(row.code) + "; pool p");
     ASSERT_TRUE(made) << row.code << ": " << made.error().what;
-    RequestAttributes facts;
-    facts.model = "tribute";
-    facts.size = 10;
-    facts.stream = true;
-    EXPECT_EQ(made.value().match.matches(facts, 0), row.small) << row.code;
-    facts.size = 90000;
-    facts.stream = false;
-    EXPECT_EQ(made.value().match.matches(facts, 0), row.large) << row.code;
+    RequestAttributes attributes;
+    attributes.model = "tribute";
+    attributes.size = 10;
+    attributes.stream = true;
+    EXPECT_EQ(made.value().match.matches(attributes, 0), row.small) << row.code;
+    attributes.size = 90000;
+    attributes.stream = false;
+    EXPECT_EQ(made.value().match.matches(attributes, 0), row.large) << row.code;
   }
 }
 
-TEST(Rules, refusals_name_their_place) {
+TEST(Rules, compile_errors_name_line_and_column) {
   struct Row {
     char const* code;
-    char const* place;
+    char const* location;
   };
   Row const bindings[] = {
       {"match size << 3; pool p", "line 1, column 13"},
@@ -54,7 +54,7 @@
   for (Row const& row : bindings) {
     Result<Binding> const made = compile_binding(row.code);
     ASSERT_FALSE(made) << row.code;
-    EXPECT_EQ(made.error().where, row.place) << row.code << ": " << made.error().what;
+    EXPECT_EQ(made.error().where, row.location) << row.code << ": " << made.error().what;
     EXPECT_EQ(made.error().code, ErrorCode::bad_language);
   }
   for (char const* const code : {"wait 2", "wait 0s", "urgency 10", "repeat maybe", "wait 1s; wait 2s", "colour red",
@@ -68,11 +68,11 @@
   EXPECT_TRUE(good.value().repeatable);
 }
 
-TEST(Description, refusals_name_their_path) {
+TEST(Description, errors_name_the_path_of_the_invalid_value) {
   struct Row {
     char const* text;
-    ErrorCode kind;
-    char const* place;
+    ErrorCode code;
+    char const* location;
   };
   Row const rows[] = {
       {"{\"format\":1,\n \"pools\":[}", ErrorCode::bad_json, "line 2, column 11"},
@@ -93,8 +93,8 @@
   for (Row const& row : rows) {
     Result<std::shared_ptr<Description const>> const made = read_description(row.text);
     ASSERT_FALSE(made) << row.text;
-    EXPECT_EQ(made.error().code, row.kind) << row.text;
-    EXPECT_EQ(made.error().where, row.place) << row.text << ": " << made.error().what;
+    EXPECT_EQ(made.error().code, row.code) << row.text;
+    EXPECT_EQ(made.error().where, row.location) << row.text << ": " << made.error().what;
   }
   EXPECT_EQ(read_description(std::string(description_limit + 1, ' ')).error().code, ErrorCode::too_large);
 }
