--- a/src/base/error.h
+++ b/src/base/error.h
@@ -58,6 +58,7 @@
   ERROR_CODE(bad_disk, 500, no, 0, "the data folder cannot be used")                                         \
   ERROR_CODE(internal, 500, unknown, 0, "the node failed to answer the request")
 
+// The error codes of the table above.
 enum class ErrorCode : std::uint8_t {
 #define ERROR_CODE(name, status, execution, wait, text) name,
   PIPIT_ERROR_CODES(ERROR_CODE)
--- a/src/base/events.h
+++ b/src/base/events.h
@@ -26,7 +26,7 @@
   EVENT(203, foreign_cluster, WARNING, "a node of another cluster opened a connection")                     \
   EVENT(204, frame_too_large, ERROR, "a frame over the size limit was not sent")                            \
   EVENT(205, peer_backlog_dropped, WARNING, "a peer read too slowly; the connection to it was dropped")     \
-  EVENT(206, mesh_traffic_high, INFO, "mesh traffic between this node and its peers is high")               \
+  EVENT(206, mesh_traffic_high, INFO, "mesh traffic of this node was high within one second")               \
   EVENT(210, peer_alive, INFO, "a peer is alive")                                                           \
   EVENT(211, peer_suspected, WARNING, "a peer did not answer a probe")                                      \
   EVENT(212, peer_down, WARNING, "a peer is down")                                                          \
@@ -74,6 +74,7 @@
   EVENT(901, fault_fired, WARNING, "a fault point fired")                                                   \
   EVENT(910, invariant_violated, ERROR, "an invariant was violated")
 
+// The events of the log; the value is the number.
 enum class Event : unsigned {
 #define EVENT(number, name, level, text) name = number,
   PIPIT_EVENTS(EVENT)
--- a/src/base/fault_points.h
+++ b/src/base/fault_points.h
@@ -32,6 +32,7 @@
   FAULT(22, promise_lost, "a Promise of the register (phase 1) is not sent")                               \
   FAULT(23, accepted_lost, "an Accepted of the register (phase 2) is not sent")
 
+// The fault points of the table above; the value is the number.
 enum class FaultPoint : std::uint8_t {
 #define FAULT(number, name, text) name = number,
   PIPIT_FAULTS(FAULT)
@@ -47,7 +48,8 @@
 // Returns the first row of the table and sets 'count' to the number of rows.
 FaultRow const* fault_rows(std::size_t& count);
 
-// Arms a point to fire 'times' times (0: until disarmed), with an argument. Returns false for an unknown number.
+// Arms a point with an argument, to fire 'times' times (0: until it is disarmed). Returns false if the number is
+// unknown.
 bool arm_fault(unsigned number, std::string const& arg, std::uint64_t times);
 // Disarms a point. Returns false if it was never armed.
 bool disarm_fault(unsigned number);
--- a/src/base/guards.h
+++ b/src/base/guards.h
@@ -23,7 +23,7 @@
   GUARD(joint, "N9", "a joint replica set needs a majority of both parts")                              \
   GUARD(found_set, "N9", "phase 1 needs a quorum of the replica set that it reads")                     \
   GUARD(joint_chosen, "N9", "a joint set is settled only after it is chosen")                           \
-  GUARD(bucket, "N10", "first attempts pay for retries")                                                \
+  GUARD(bucket, "N10", "the retry budget is earned by first attempts")                                  \
   GUARD(cold_share, "N11", "each node sends a cold worker only its own share")                          \
   GUARD(ask_first, "N11", "a worker is probed before it is sent more than a share")                     \
   GUARD(registrations, "N6", "routers are registered, and a zone drain waits for those registered")     \
@@ -32,6 +32,7 @@
   GUARD(lease, "keys", "keys are accepted only under a lease on the configuration")                     \
   GUARD(quota_handover, "quota", "a new quota owner waits until the former one stops")
 
+// The guards of the table above.
 enum class Guard : std::uint8_t {
 #define GUARD(name, point, text) name,
   PIPIT_GUARDS(GUARD)
--- a/src/base/invariants.h
+++ b/src/base/invariants.h
@@ -15,7 +15,7 @@
   INVARIANT(stream_order, "ORDER N3", "forwarded event ids only increase within one answer")                        \
   INVARIANT(attempt_limit, "BUDGET N10", "a request is sent to no more workers than its route allows")              \
   INVARIANT(leaving_worker, "DRAIN N5", "nothing is sent to a worker that is known to be leaving")                  \
-  INVARIANT(answered_in_time, "CONFIG", "every request ends before its deadline")                                   \
+  INVARIANT(answered_in_time, "CONFIG", "no request remains in flight after its deadline")                          \
   INVARIANT(request_ends_once, "MIXED", "every accepted request is in flight or has exactly one outcome")           \
   INVARIANT(revision_rises, "CONFIG N7", "the revision of the configuration in force never decreases")              \
   INVARIANT(agreement, "CONFIG N8", "two chosen values of one revision are equal")                                  \
@@ -27,6 +27,7 @@
   INVARIANT(key_confirmed, "CONFIG", "a key admits a request only while the configuration is confirmed as current") \
   INVARIANT(quota_kept, "QUOTA", "this node grants no more of a tenant's limit than its own share")
 
+// The invariants of the table above.
 enum class Invariant : std::uint8_t {
 #define INVARIANT(name, promises, text) name,
   PIPIT_INVARIANTS(INVARIANT)
--- a/src/config/description/builder.h
+++ b/src/config/description/builder.h
@@ -22,6 +22,7 @@
   Result<void> add(Tenant tenant, std::string const& path);
   // Makes requests need a tenant's key, even if no tenant is added.
   void require_keys() { description_->keys_required = true; }
+  // Set fields of the description that need no check.
   void set_limits(CallLimits const& limits) { description_->limits = limits; }
   void set_source(std::string text) { description_->source = std::move(text); }
   void set_locality_cost(Micros cost) { description_->locality_cost = cost; }
--- a/src/config/description/json_reader.cc
+++ b/src/config/description/json_reader.cc
@@ -95,7 +95,9 @@
     bool const alphabetic = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_';
     valid = valid && (alphabetic || (i > 0 && ((c >= '0' && c <= '9') || c == '-')));
   }
-  return valid || fail_at(path, "a name is letters, digits, '_' and '-', begins with a letter, and has at most 64");
+  return valid ||
+         fail_at(path,
+                 "a name is letters, digits, '_' and '-', begins with a letter or '_', and has at most 64 characters");
 }
 
 bool JsonReader::boolean(JsonElement const& value, std::string const& path, bool& out) {
@@ -106,7 +108,7 @@
                         std::int64_t& out) {
   if (value.get_int64().get(out)) return fail_at(path, "a whole number is expected");
   if (out < min || out > max)
-    return fail_at(path, "the number is not within " + std::to_string(min) + " and " + std::to_string(max));
+    return fail_at(path, "the number must be from " + std::to_string(min) + " to " + std::to_string(max));
   return true;
 }
 
--- a/src/config/rules/parser.cc
+++ b/src/config/rules/parser.cc
@@ -75,13 +75,13 @@
     return true;
   }
   if (peek().kind != TokenKind::identifier) {
-    error = error_here("a field's name is expected");
+    error = error_here("the name of a field is expected");
     return false;
   }
   std::size_t field = 0;
   while (field < std::size(field_descriptions) && field_descriptions[field].name != peek().text) ++field;
   if (field == std::size(field_descriptions)) {
-    error = error_here("there is no field '" + peek().text + "'");
+    error = error_here("unknown field '" + peek().text + "'");
     return false;
   }
   take();
@@ -137,7 +137,8 @@
     out.number = value.number * 1000;
     return true;
   }
-  error = error_at(value.offset, is_percentage ? "demand is given in %" : "the unit '" + value.unit + "' does not fit");
+  error = error_at(value.offset, is_percentage ? "'demand' needs a number with the unit %"
+                                               : "the unit '" + value.unit + "' is not allowed here");
   return false;
 }
 
--- a/src/node/node_invariants.cc
+++ b/src/node/node_invariants.cc
@@ -10,7 +10,7 @@
 constexpr Micros not_ready_log_interval = seconds(5);  // between two log lines
 constexpr Micros not_ready_log_delay = seconds(3);     // from the node's start to the first line
 
-// Whether the outcome says that the change was not chosen and never will be.
+// Returns whether the outcome guarantees that the change was not chosen and never will be.
 bool is_final_refusal(Outcome const& outcome) {
   if (outcome.type != Outcome::Type::refused) return false;
   return outcome.error.code == ErrorCode::stale_serial || outcome.error.code == ErrorCode::bad_description;
@@ -45,7 +45,7 @@
   });
 }
 
-// A chosen value is about to come into force here.
+// Checks a chosen value before it takes effect on this node.
 void Node::check_value(wire::ValueT const& value) {
   wire::MemberT const& self = mesh.members.self;
   check_invariant(value.revision >= self.revision && value.serial >= self.serial, Invariant::revision_rises, [&] {
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -29,7 +29,7 @@
   bool const chat = call.path == "/v1/chat/completions";
   if (chat || call.path == "/v1/completions") {
     if (role_ != MemberRole::router)
-      return refuse(call.id, Error{ErrorCode::not_found, "a keeper serves no requests", ""});
+      return refuse(call.id, Error{ErrorCode::not_found, "a replica serves no requests", ""});
     if (call.method != "POST") return refuse(call.id, Error{ErrorCode::bad_method, "", ""});
     return on_chat_request(call, chat);
   }
