--- a/programs/pipitspoolctl/main.cc
+++ b/programs/pipitspoolctl/main.cc
@@ -19,7 +19,7 @@
 
 namespace options = boost::program_options;
 
-int show(OperatorReply const& reply) {
+int print_reply(OperatorReply const& reply) {
   int const code = exit_code_of(reply);
   if (reply.status == 0) {
     std::fprintf(stderr, "pipitspoolctl: the node is not reached: %s\n", reply.why.c_str());
@@ -31,7 +31,7 @@
   return code;
 }
 
-bool slurp(std::string const& path, std::string& out) {
+bool read_file(std::string const& path, std::string& out) {
   std::stringstream text;
   if (path == "-") {
     text << std::cin.rdbuf();
@@ -64,13 +64,13 @@
   std::vector<std::string> arguments;
   std::string node = "127.0.0.1:7080";
   std::string expect;
-  bool serial_only = false;
-  unsigned within = 20;
+  bool marks_only = false;
+  unsigned wait_timeout_s = 20;
   options::options_description flags("Flags");
   flags.add_options()("node", options::value(&node), "IP:port of any node (default 127.0.0.1:7080)")(
       "expect", options::value(&expect), "the serial that the change expects")(
-      "marks", options::bool_switch(&serial_only), "print serial and emptied zones, not the text")(
-      "within", options::value(&within), "seconds that 'wait' waits at most (default 20)")("help", "this text");
+      "marks", options::bool_switch(&marks_only), "print serial and emptied zones, not the text")(
+      "within", options::value(&wait_timeout_s), "seconds that 'wait' waits at most (default 20)")("help", "this text");
   options::options_description all;
   all.add(flags);
   all.add_options()("words", options::value(&arguments));
@@ -79,69 +79,71 @@
   std::function<void()> const print_help = [&] { std::cout << usage << flags; };
   std::optional<int> const ended = read_flags("pipitspoolctl", argc, argv, all, print_help, &positions);
   if (ended) return *ended;
-  std::string const verb = arguments.empty() ? "" : arguments[0];
-  bool const two = arguments.size() == 2;
+  std::string const command = arguments.empty() ? "" : arguments[0];
+  bool const has_argument = arguments.size() == 2;
   if (!good_address(node)) {
     std::fprintf(stderr, "pipitspoolctl: node: '%s' is not an IP number with a port\n", node.c_str());
     return 2;
   }
-  if (verb == "check" && two) {
+  if (command == "check" && has_argument) {
     std::string text;
-    if (!slurp(arguments[1], text)) {
+    if (!read_file(arguments[1], text)) {
       std::fprintf(stderr, "pipitspoolctl: the file %s cannot be read\n", arguments[1].c_str());
       return 2;
     }
-    Result<std::shared_ptr<Description const>> const made = read_description(text);
-    if (!made) {
-      std::fprintf(stderr, "pipitspoolctl: %s: %s: %s\n", error_code_row(made.error().code).name,
-                   made.error().where.c_str(), made.error().what.c_str());
+    Result<std::shared_ptr<Description const>> const description = read_description(text);
+    if (!description) {
+      std::fprintf(stderr, "pipitspoolctl: %s: %s: %s\n", error_code_row(description.error().code).name,
+                   description.error().where.c_str(), description.error().what.c_str());
       return 2;
     }
-    std::printf("good: %zu pools, %zu lanes\n", made.value()->pools.size(), made.value()->lanes.size());
+    std::printf("good: %zu pools, %zu lanes\n", description.value()->pools.size(), description.value()->lanes.size());
     return 0;
   }
-  if (verb == "apply" && two) {
+  if (command == "apply" && has_argument) {
     std::string text;
-    if (!slurp(arguments[1], text)) {
+    if (!read_file(arguments[1], text)) {
       std::fprintf(stderr, "pipitspoolctl: the file %s cannot be read\n", arguments[1].c_str());
       return 2;
     }
     if (expect.empty()) {
-      OperatorReply const present = call_operator_api("GET", node, "/v1/description", nullptr, "");
-      if (present.status != 200) return show(present);
-      expect = present.serial;
+      OperatorReply const current = call_operator_api("GET", node, "/v1/description", nullptr, "");
+      if (current.status != 200) return print_reply(current);
+      expect = current.serial;
     }
-    return show(call_operator_api("PUT", node, "/v1/description", &text, expect));
+    return print_reply(call_operator_api("PUT", node, "/v1/description", &text, expect));
   }
-  if (verb == "read" && arguments.size() == 1) {
+  if (command == "read" && arguments.size() == 1) {
     OperatorReply const reply = call_operator_api("GET", node, "/v1/description", nullptr, "");
-    if (reply.status != 200) return show(reply);
-    if (serial_only)
+    if (reply.status != 200) return print_reply(reply);
+    if (marks_only)
       std::printf("serial %s emptied %s\n", reply.serial.c_str(), reply.drained_zones.c_str());
     else
       std::fwrite(reply.body.data(), 1, reply.body.size(), stdout);
     return 0;
   }
-  if ((verb == "empty" || verb == "refill") && two) {
-    std::string const none;
-    return show(call_operator_api("POST", node, "/v1/zones/" + arguments[1] + "/" + verb, &none, ""));
+  if ((command == "empty" || command == "refill") && has_argument) {
+    std::string const empty_body;
+    return print_reply(call_operator_api("POST", node, "/v1/zones/" + arguments[1] + "/" + command, &empty_body, ""));
   }
-  if (verb == "forget" && two) {
-    std::string const none;
-    return show(call_operator_api("POST", node, "/v1/nodes/" + arguments[1] + "/forget", &none, ""));
+  if (command == "forget" && has_argument) {
+    std::string const empty_body;
+    return print_reply(call_operator_api("POST", node, "/v1/nodes/" + arguments[1] + "/forget", &empty_body, ""));
   }
-  if (verb == "change" && two) return show(call_operator_api("GET", node, "/v1/changes/" + arguments[1], nullptr, ""));
-  if (verb == "status" && arguments.size() == 1) return show(call_operator_api("GET", node, "/v1/status", nullptr, ""));
-  if (verb == "tenants" && arguments.size() == 1)
-    return show(call_operator_api("GET", node, "/v1/tenants", nullptr, ""));
-  if (verb == "wait" && arguments.size() == 1) {
-    Micros const stop = g_get_monotonic_time() + seconds(within);
+  if (command == "change" && has_argument)
+    return print_reply(call_operator_api("GET", node, "/v1/changes/" + arguments[1], nullptr, ""));
+  if (command == "status" && arguments.size() == 1)
+    return print_reply(call_operator_api("GET", node, "/v1/status", nullptr, ""));
+  if (command == "tenants" && arguments.size() == 1)
+    return print_reply(call_operator_api("GET", node, "/v1/tenants", nullptr, ""));
+  if (command == "wait" && arguments.size() == 1) {
+    Micros const deadline = g_get_monotonic_time() + seconds(wait_timeout_s);
     OperatorReply reply = call_operator_api("GET", node, "/ready", nullptr, "");
-    while (reply.status != 200 && g_get_monotonic_time() < stop) {
+    while (reply.status != 200 && g_get_monotonic_time() < deadline) {
       g_usleep(100000);
       reply = call_operator_api("GET", node, "/ready", nullptr, "");
     }
-    return show(reply);
+    return print_reply(reply);
   }
   std::fputs(usage, stderr);
   return 2;
--- a/programs/zone_drill/main.cc
+++ b/programs/zone_drill/main.cc
@@ -24,7 +24,7 @@
 
 namespace options = boost::program_options;
 
-volatile sig_atomic_t stopped = 0;
+volatile sig_atomic_t interrupted = 0;
 Micros now() { return g_get_monotonic_time(); }
 
 struct Worker {
@@ -34,8 +34,8 @@
   std::int64_t demand = 0;
   std::uint64_t sent = 0;
 };
-struct View {  // what one node says
-  bool good = false;
+struct NodeStatus {  // what one node says
+  bool valid = false;
   bool router = false;
   bool ready = false;
   std::uint64_t serial = 0;
@@ -45,8 +45,8 @@
   std::string name;
 };
 
-View read_view(std::string const& address) {
-  View out;
+NodeStatus read_status(std::string const& address) {
+  NodeStatus out;
   OperatorReply const reply = call_operator_api("GET", address, "/v1/status", nullptr, "");
   simdjson::dom::parser parser;
   simdjson::dom::element root;
@@ -81,38 +81,38 @@
       return out;
     if (role == "passage" && state == "alive") out.routers[std::string(name)] = http;
   }
-  out.good = true;
+  out.valid = true;
   return out;
 }
 
 // A pause between two looks, ended early by a signal.
-void pause_for(Micros span) {
+void pause_unless_interrupted(Micros span) {
   Micros const end = now() + span;
-  while (now() < end && !stopped) g_usleep(20000);
+  while (now() < end && !interrupted) g_usleep(20000);
 }
 
 class Drill {
  public:
-  Drill(std::string node, std::string zone, double observe_s, double most)
+  Drill(std::string node, std::string zone, double hold_s, double max_demand_share)
       : node_(std::move(node)),
         zone_(std::move(zone)),
-        observation_span_(static_cast<Micros>(observe_s * 1e6)),
-        most_(most) {}
+        observation_time_(static_cast<Micros>(hold_s * 1e6)),
+        max_demand_share_(max_demand_share) {}
 
   int run() {
-    View const first = read_view(node_);
-    if (!first.good) return refuse("the node " + node_ + " is not reached");
-    std::string const why = unfit(first);
+    NodeStatus const first = read_status(node_);
+    if (!first.valid) return refuse("the node " + node_ + " is not reached");
+    std::string const why = unfit_reason(first);
     if (!why.empty()) return refuse(why);
     routers_ = first.routers;
     if (first.router) routers_[first.name] = node_;
     // From here on the zone is put back, whatever happens.
-    bool const clean = empty_and_watch();
-    bool const back = refill();
-    report(back);
-    if (!back) return 5;
-    if (stopped) return 3;
-    return clean && faults_.empty() ? 0 : 1;
+    bool const observed = drain_and_observe();
+    bool const refilled = refill();
+    report(refilled);
+    if (!refilled) return 5;
+    if (interrupted) return 3;
+    return observed && faults_.empty() ? 0 : 1;
   }
 
  private:
@@ -122,98 +122,99 @@
   }
 
   // Why the fleet cannot do without the zone now; empty when it can.
-  std::string unfit(View const& view) const {
+  std::string unfit_reason(NodeStatus const& status) const {
     std::int64_t demand = 0;
-    std::int64_t rest = 0;
-    std::size_t inside = 0;
-    for (std::pair<std::string const, Worker> const& item : view.workers) {
+    std::int64_t other_slots = 0;
+    std::size_t workers_in_zone = 0;
+    for (std::pair<std::string const, Worker> const& item : status.workers) {
       if (!item.second.serving) continue;
       demand += item.second.demand;
       if (item.second.zone == zone_)
-        ++inside;
+        ++workers_in_zone;
       else
-        rest += item.second.slots;
+        other_slots += item.second.slots;
     }
-    if (!view.drained_zones.empty()) return "the zone " + *view.drained_zones.begin() + " is emptied already";
-    if (inside == 0) return "no worker serves in the zone " + zone_;
-    if (rest == 0 || static_cast<double>(demand) > most_ * static_cast<double>(rest))
-      return "the other zones have " + std::to_string(rest) + " slots for a demand of " + std::to_string(demand);
+    if (!status.drained_zones.empty()) return "the zone " + *status.drained_zones.begin() + " is emptied already";
+    if (workers_in_zone == 0) return "no worker serves in the zone " + zone_;
+    if (other_slots == 0 || static_cast<double>(demand) > max_demand_share_ * static_cast<double>(other_slots))
+      return "the other zones have " + std::to_string(other_slots) + " slots for a demand of " + std::to_string(demand);
     return "";
   }
 
-  void error(std::string const& what) {
+  void add_fault(std::string const& what) {
     if (std::find(faults_.begin(), faults_.end(), what) == faults_.end()) faults_.push_back(what);
   }
 
-  bool empty_and_watch() {
-    Micros const asked = now();
-    std::string const none;
+  bool drain_and_observe() {
+    Micros const started_at = now();
+    std::string const empty_body;
     OperatorReply reply;
     do {
-      reply = call_operator_api("POST", node_, "/v1/zones/" + zone_ + "/empty", &none, "");
+      reply = call_operator_api("POST", node_, "/v1/zones/" + zone_ + "/empty", &empty_body, "");
       if (reply.status == 200) break;
-      pause_for(millis(500));
-    } while (!stopped && now() - asked < seconds(20));
+      pause_unless_interrupted(millis(500));
+    } while (!interrupted && now() - started_at < seconds(20));
     if (reply.status != 200) {
-      error("the zone was not confirmed empty: " + reply.body);
+      add_fault("the zone was not confirmed empty: " + reply.body);
       return false;
     }
-    Micros const yes = now();
-    confirmed_ = yes - asked;
+    Micros const confirmed_at = now();
+    confirmation_time_ = confirmed_at - started_at;
     simdjson::dom::parser parser;
     simdjson::dom::element root;
     std::uint64_t serial = 0;
     if (parser.parse(simdjson::padded_string(reply.body)).get(root) || root["serial"].get_uint64().get(serial))
-      error("the answer has no serial");
+      add_fault("the answer has no serial");
     std::map<std::string, std::uint64_t> sent;  // node and worker, as of five seconds after the yes
-    while (!stopped && now() - yes < observation_span_) {
+    while (!interrupted && now() - confirmed_at < observation_time_) {
       for (std::pair<std::string const, std::string> const& router : routers_) {
-        View const view = read_view(router.second);
-        Micros const age = now() - yes;
-        if (!view.good) {
-          error(router.first + " was not reached");
+        NodeStatus const status = read_status(router.second);
+        Micros const age = now() - confirmed_at;
+        if (!status.valid) {
+          add_fault(router.first + " was not reached");
           continue;
         }
         ++samples_;
-        if (age > seconds(2) && view.serial < serial)
-          error(router.first + " has not the serial in force after two seconds");
-        if (!view.ready) error(router.first + " was not ready");
-        for (std::pair<std::string const, Worker> const& item : view.workers) {
+        if (age > seconds(2) && status.serial < serial)
+          add_fault(router.first + " has not the serial in force after two seconds");
+        if (!status.ready) add_fault(router.first + " was not ready");
+        for (std::pair<std::string const, Worker> const& item : status.workers) {
           std::string const key = router.first + " " + item.first;
-          std::uint64_t const before = sent.count(key) ? sent[key] : item.second.sent;
+          std::uint64_t const previous = sent.count(key) ? sent[key] : item.second.sent;
           sent[key] = item.second.sent;
-          if (item.second.sent == before) continue;
+          if (item.second.sent == previous) continue;
           if (item.second.zone != zone_) {
-            elsewhere_ += item.second.sent - before;
+            sent_elsewhere_ += item.second.sent - previous;
           } else {
-            last_inside_ = std::max(last_inside_, age);
-            if (age > seconds(5)) error(router.first + " sent to " + item.first + " after five seconds");
+            last_sent_to_zone_ = std::max(last_sent_to_zone_, age);
+            if (age > seconds(5)) add_fault(router.first + " sent to " + item.first + " after five seconds");
           }
         }
       }
-      pause_for(millis(250));
+      pause_unless_interrupted(millis(250));
     }
     // A drill that saw no traffic has shown nothing.
-    if (!stopped && elsewhere_ == 0) error("no traffic was seen while the zone was empty");
-    if (!stopped && observation_span_ <= seconds(5)) error("the hold was too short to see the promise kept");
+    if (!interrupted && sent_elsewhere_ == 0) add_fault("no traffic was seen while the zone was empty");
+    if (!interrupted && observation_time_ <= seconds(5)) add_fault("the hold was too short to see the promise kept");
     return true;
   }
 
   bool refill() {
-    std::string const none;
-    Micros const asked = now();
-    while (now() - asked < seconds(30)) {
-      if (call_operator_api("POST", node_, "/v1/zones/" + zone_ + "/refill", &none, "").status == 200) return true;
+    std::string const empty_body;
+    Micros const started_at = now();
+    while (now() - started_at < seconds(30)) {
+      if (call_operator_api("POST", node_, "/v1/zones/" + zone_ + "/refill", &empty_body, "").status == 200)
+        return true;
       // Any node proposes; the next may be reached where this one is not.
       for (std::pair<std::string const, std::string> const& router : routers_)
-        if (call_operator_api("POST", router.second, "/v1/zones/" + zone_ + "/refill", &none, "").status == 200)
+        if (call_operator_api("POST", router.second, "/v1/zones/" + zone_ + "/refill", &empty_body, "").status == 200)
           return true;
       g_usleep(300000);
     }
     return false;
   }
 
-  void report(bool back) const {
+  void report(bool refilled) const {
     JsonWriter json;
     json.begin_object()
         .key("zone")
@@ -223,53 +224,55 @@
         .key("looks")
         .number(samples_);
     json.key("confirmed_ms")
-        .number(confirmed_ / 1000)
+        .number(confirmation_time_ / 1000)
         .key("last_inside_ms")
-        .number(last_inside_ / 1000)
+        .number(last_sent_to_zone_ / 1000)
         .key("sent_elsewhere")
-        .number(static_cast<std::int64_t>(elsewhere_));
-    json.key("put_back").boolean(back).key("interrupted").boolean(stopped != 0).key("faults").begin_list();
+        .number(static_cast<std::int64_t>(sent_elsewhere_));
+    json.key("put_back").boolean(refilled).key("interrupted").boolean(interrupted != 0).key("faults").begin_list();
     for (std::string const& item : faults_) json.text(item);
     json.end_list().end_object();
-    std::printf("%s\n%s\n", json.take().c_str(), faults_.empty() && back && !stopped ? "PASS" : "FAIL");
+    std::printf("%s\n%s\n", json.take().c_str(), faults_.empty() && refilled && !interrupted ? "PASS" : "FAIL");
   }
 
   std::string const node_;
   std::string const zone_;
-  Micros const observation_span_;
-  double const most_;
+  Micros const observation_time_;
+  double const max_demand_share_;
   std::map<std::string, std::string> routers_;
   std::vector<std::string> faults_;
-  Micros confirmed_ = 0;
-  Micros last_inside_ = 0;
-  std::uint64_t elsewhere_ = 0;
+  Micros confirmation_time_ = 0;
+  Micros last_sent_to_zone_ = 0;
+  std::uint64_t sent_elsewhere_ = 0;
   std::int64_t samples_ = 0;
 };
 
 int run(int argc, char** argv) {
   std::string node = "127.0.0.1:7080";
   std::string zone;
-  double observe_s = 10;
-  double most = 0.8;
+  double hold_s = 10;
+  double max_demand_share = 0.8;
   options::options_description flags(
       "pipitspool-zone-drill: takes a zone out of a live fleet, watches the promises, and puts it back");
   flags.add_options()("node", options::value(&node), "IP:port of any node")("zone", options::value(&zone), "the zone")(
-      "hold", options::value(&observe_s), "seconds without it, above 5")(
-      "most", options::value(&most), "how much of the other zones' slots the demand may take")("help", "this text");
+      "hold", options::value(&hold_s), "seconds without it, above 5")(
+      "most", options::value(&max_demand_share), "how much of the other zones' slots the demand may take")("help",
+                                                                                                           "this text");
   std::function<void()> const print_help = [&] { std::cout << flags; };
   std::optional<int> const ended = read_flags("pipitspool-zone-drill", argc, argv, flags, print_help);
   if (ended) return *ended;
-  if (!good_address(node) || zone.empty() || observe_s <= 5 || observe_s > 600 || most <= 0 || most > 1) {
+  if (!good_address(node) || zone.empty() || hold_s <= 5 || hold_s > 600 || max_demand_share <= 0 ||
+      max_demand_share > 1) {
     std::fprintf(stderr,
                  "pipitspool-zone-drill: --node IP:port, --zone, a --hold above 5 and at most 600, and --most up to 1 "
                  "are needed\n");
     return 2;
   }
   struct sigaction act = {};
-  act.sa_handler = [](int) { stopped = 1; };
+  act.sa_handler = [](int) { interrupted = 1; };
   sigaction(SIGINT, &act, nullptr);
   sigaction(SIGTERM, &act, nullptr);
-  return Drill(node, zone, observe_s, most).run();
+  return Drill(node, zone, hold_s, max_demand_share).run();
 }
 
 }  // namespace
--- a/testing/fuzz/configurations.cc
+++ b/testing/fuzz/configurations.cc
@@ -48,7 +48,7 @@
 }
 
 // What two readings of one text must have in common.
-std::string gist(Result<std::shared_ptr<Description const>> const& read) {
+std::string summary_of(Result<std::shared_ptr<Description const>> const& read) {
   if (!read) return read.error().where + " " + read.error().what;
   std::string out = std::to_string(read.value()->routes.size());
   for (Tenant const& tenant : read.value()->tenants)
@@ -57,19 +57,20 @@
 }
 }  // namespace
 
-void fuzz_configurations(std::uint64_t seed, FuzzCount& count) {
+void fuzz_configurations(std::uint64_t seed, FuzzReport& report) {
   RandomSource random(seed);
   std::string const text = mutated(random);
   Result<std::shared_ptr<Description const>> const read = platform::read_configuration(text);
-  ++count.inputs;
-  ++(read ? count.whole : count.refused);
+  ++report.inputs;
+  ++(read ? report.complete_messages : report.refused);
   std::string const where = " (seed " + std::to_string(seed) + "): " + text;
-  if (gist(read) != gist(platform::read_configuration(text))) count.fault = "it is read otherwise again" + where;
+  if (summary_of(read) != summary_of(platform::read_configuration(text)))
+    report.fault = "it is read otherwise again" + where;
   // A name that was made out of a key by chance is no key.
-  bool const named = text.find("\"name\":\"s3cretkey") != std::string::npos;
-  if (!read && !named && (read.error().what + read.error().where).find(secret) != std::string::npos)
-    count.fault = "a fault shows a key: " + read.error().what + where;
-  if (platform::read_complete_configuration(text) && !read) count.fault = "what was accepted cannot be read" + where;
+  bool const key_in_name = text.find("\"name\":\"s3cretkey") != std::string::npos;
+  if (!read && !key_in_name && (read.error().what + read.error().where).find(secret) != std::string::npos)
+    report.fault = "a fault shows a key: " + read.error().what + where;
+  if (platform::read_complete_configuration(text) && !read) report.fault = "what was accepted cannot be read" + where;
 }
 
 }  // namespace pipit
--- a/testing/fuzz/main.cc
+++ b/testing/fuzz/main.cc
@@ -26,12 +26,13 @@
   }
   using Clock = std::chrono::steady_clock;
   Clock::time_point const end = Clock::now() + std::chrono::seconds(seconds);
-  pipit::FuzzCount count;
-  while (count.fault.empty() && (seconds > 0 ? Clock::now() < end : count.inputs < inputs))
-    (count.inputs % 4 == 3 ? pipit::fuzz_configurations : pipit::fuzz_readers)(seed + count.inputs, count);
-  std::cout << count.inputs << " inputs from seed " << seed << ", " << count.garbage << " of them by chance alone; "
-            << count.whole << " messages read whole, " << count.refused << " inputs refused\n";
-  if (count.fault.empty()) return 0;
-  std::cout << "FAULT " << count.fault << "\n";
+  pipit::FuzzReport report;
+  while (report.fault.empty() && (seconds > 0 ? Clock::now() < end : report.inputs < inputs))
+    (report.inputs % 4 == 3 ? pipit::fuzz_configurations : pipit::fuzz_readers)(seed + report.inputs, report);
+  std::cout << report.inputs << " inputs from seed " << seed << ", " << report.random_inputs
+            << " of them by chance alone; " << report.complete_messages << " messages read whole, " << report.refused
+            << " inputs refused\n";
+  if (report.fault.empty()) return 0;
+  std::cout << "FAULT " << report.fault << "\n";
   return 1;
 }
--- a/testing/fuzz/readers.cc
+++ b/testing/fuzz/readers.cc
@@ -10,8 +10,8 @@
 namespace pipit {
 
 namespace {
-constexpr std::size_t head_most = 2048;
-constexpr std::size_t body_most = 4096;
+constexpr std::size_t max_head_bytes = 2048;
+constexpr std::size_t max_body_bytes = 4096;
 
 std::string const request_seeds[] = {
     "GET /a?b=c HTTP/1.1\r\nHost: h.test\r\n\r\n",
@@ -53,30 +53,30 @@
                                  "Connection: close\r\n",
                                  "GET / HTTP/1.1\r\n"};
 
-struct Outcome {
+struct ReadResult {
   std::string messages;  // line, fields and body of each that was whole
-  std::size_t whole = 0;
+  std::size_t complete_messages = 0;
   bool refused = false;
-  bool rests = true;          // between messages at the end
-  bool ends_complete = true;  // what the end of the connection makes of the rest
-  bool operator==(Outcome const&) const = default;
+  bool idle_at_end = true;   // between messages at the end
+  bool eof_accepted = true;  // what the end of the connection makes of the rest
+  bool operator==(ReadResult const&) const = default;
 };
 
-Outcome read(bool requests, std::string_view text, std::vector<std::size_t> const& cuts) {
-  Outcome out;
+ReadResult read(bool requests, std::string_view text, std::vector<std::size_t> const& cuts) {
+  ReadResult out;
   Reader reader(requests);
-  reader.limit(head_most, body_most);
-  std::string now;
+  reader.limit(max_head_bytes, max_body_bytes);
+  std::string message;
   reader.callbacks.head = [&](Head& head) {
-    now = (requests ? head.method + " " + head.target : std::to_string(head.status)) + (head.keep ? " k|" : "|");
-    for (std::pair<std::string, std::string> const& item : head.fields) now += item.first + "=" + item.second + "|";
+    message = (requests ? head.method + " " + head.target : std::to_string(head.status)) + (head.keep ? " k|" : "|");
+    for (std::pair<std::string, std::string> const& item : head.fields) message += item.first + "=" + item.second + "|";
     return true;
   };
-  reader.callbacks.body = [&now](std::string_view bytes) { now.append(bytes); };
+  reader.callbacks.body = [&message](std::string_view bytes) { message.append(bytes); };
   reader.callbacks.complete = [&] {
-    ++out.whole;
-    out.messages += now + "\n";
-    now.clear();
+    ++out.complete_messages;
+    out.messages += message + "\n";
+    message.clear();
   };
   std::size_t from = 0;
   for (std::size_t n = 0; n <= cuts.size(); ++n) {
@@ -86,26 +86,26 @@
     std::string_view rest = piece;
     from = to;
     while (!rest.empty()) {
-      std::size_t const took = reader.feed(rest);
+      std::size_t const consumed = reader.feed(rest);
       if (reader.error() != Reader::Error::none) {
         out.refused = true;
         return out;
       }
-      rest.remove_prefix(std::min(took, rest.size()));
+      rest.remove_prefix(std::min(consumed, rest.size()));
       if (reader.complete())
         reader.next();
-      else if (!rest.empty() && took == 0) {
+      else if (!rest.empty() && consumed == 0) {
         out.refused = true;
         return out;
       }
     }
   }
-  out.rests = reader.idle();
-  out.ends_complete = reader.eof();
+  out.idle_at_end = reader.idle();
+  out.eof_accepted = reader.eof();
   return out;
 }
 
-std::string by_chance(RandomSource& random) {
+std::string random_bytes(RandomSource& random) {
   std::string out;
   std::size_t const size = 1 + random.below(200);
   for (std::size_t n = 0; n < size; ++n) out += static_cast<char>(random.below(256));
@@ -140,7 +140,7 @@
   return out;
 }
 
-std::string shown(std::string const& text) {
+std::string escape(std::string const& text) {
   std::string out;
   char escaped[8];
   for (char const c : text) {
@@ -151,30 +151,31 @@
 }
 }  // namespace
 
-void fuzz_readers(std::uint64_t seed, FuzzCount& count) {
+void fuzz_readers(std::uint64_t seed, FuzzReport& report) {
   RandomSource random(seed);
   bool const requests = random.below(2) == 0;
-  bool const garbage = random.chance(0.1);
-  std::string const text = garbage ? by_chance(random) : mutated(random, requests);
-  Outcome const whole = read(requests, text, {});
-  std::vector<std::size_t> few;
-  for (std::size_t n = random.below(4); n > 0; --n) few.push_back(random.below(text.size() + 1));
-  std::sort(few.begin(), few.end());
-  std::vector<std::size_t> each;
-  for (std::size_t n = 1; n < text.size(); ++n) each.push_back(n);
-  ++count.inputs;
-  count.whole += whole.whole;
-  count.refused += whole.refused ? 1 : 0;
-  count.garbage += garbage ? 1 : 0;
-  std::string const where = " (seed " + std::to_string(seed) + "): " + shown(text);
-  if (!(read(requests, text, few) == whole)) count.fault = "in pieces it is read otherwise" + where;
-  if (!(read(requests, text, each) == whole)) count.fault = "byte by byte it is read otherwise" + where;
-  if (garbage && whole.whole > 0) count.fault = "bytes by chance are a message" + where;
+  bool const is_random = random.chance(0.1);
+  std::string const text = is_random ? random_bytes(random) : mutated(random, requests);
+  ReadResult const uncut = read(requests, text, {});
+  std::vector<std::size_t> few_cuts;
+  for (std::size_t n = random.below(4); n > 0; --n) few_cuts.push_back(random.below(text.size() + 1));
+  std::sort(few_cuts.begin(), few_cuts.end());
+  std::vector<std::size_t> every_cut;
+  for (std::size_t n = 1; n < text.size(); ++n) every_cut.push_back(n);
+  ++report.inputs;
+  report.complete_messages += uncut.complete_messages;
+  report.refused += uncut.refused ? 1 : 0;
+  report.random_inputs += is_random ? 1 : 0;
+  std::string const where = " (seed " + std::to_string(seed) + "): " + escape(text);
+  if (!(read(requests, text, few_cuts) == uncut)) report.fault = "in pieces it is read otherwise" + where;
+  if (!(read(requests, text, every_cut) == uncut)) report.fault = "byte by byte it is read otherwise" + where;
+  if (is_random && uncut.complete_messages > 0) report.fault = "bytes by chance are a message" + where;
   // The last byte of a message that announces its end is needed for it.
-  for (std::string const& good : answer_seeds) {
-    if (requests || garbage || text != good) continue;
-    Outcome const cut = read(false, std::string_view(good).substr(0, good.size() - 1), {});
-    if (cut.whole >= whole.whole || cut.ends_complete) count.fault = "a cut answer looks whole" + where;
+  for (std::string const& answer : answer_seeds) {
+    if (requests || is_random || text != answer) continue;
+    ReadResult const truncated = read(false, std::string_view(answer).substr(0, answer.size() - 1), {});
+    if (truncated.complete_messages >= uncut.complete_messages || truncated.eof_accepted)
+      report.fault = "a cut answer looks whole" + where;
   }
 }
 
--- a/testing/request_model_checker/explore.cc
+++ b/testing/request_model_checker/explore.cc
@@ -6,34 +6,34 @@
 namespace pipit {
 
 namespace {
-void take(Exploration& out, RequestWorld& world) {
+void add_result(Exploration& out, RequestPathModel& model) {
   ++out.worlds;
-  for (std::pair<std::string const, std::size_t> const& item : world.seen) out.seen[item.first] += item.second;
-  if (world.faults.empty()) return;
-  if (++out.faulty == 1) out.fault_trace = world.trace;
+  for (std::pair<std::string const, std::size_t> const& item : model.seen) out.seen[item.first] += item.second;
+  if (model.faults.empty()) return;
+  if (++out.faulty == 1) out.fault_trace = model.trace;
 }
 }  // namespace
 
-Exploration walk_requests(std::uint64_t first, std::size_t worlds, std::size_t events, bool stop) {
+Exploration walk_requests(std::uint64_t first, std::size_t worlds, std::size_t events, bool stop_at_fault) {
   Exploration out;
   for (std::uint64_t seed = first; seed < first + worlds; ++seed) {
     RandomSource random(seed);
-    RequestWorld world([&random](std::size_t n) { return static_cast<std::size_t>(random.below(n)); });
-    for (std::size_t n = 0; n < events && world.faults.empty(); ++n) {
+    RequestPathModel model([&random](std::size_t n) { return static_cast<std::size_t>(random.below(n)); });
+    for (std::size_t n = 0; n < events && model.faults.empty(); ++n) {
       std::uint64_t const side = random.below(8);
-      world.step(side < 2   ? RequestWorld::Side::caller
-                 : side < 7 ? RequestWorld::Side::worker
-                            : RequestWorld::Side::world);
+      model.step(side < 2   ? RequestPathModel::Side::caller
+                 : side < 7 ? RequestPathModel::Side::worker
+                            : RequestPathModel::Side::environment);
     }
-    if (world.faults.empty()) world.finish();
-    if (!world.faults.empty() && out.faulty == 0) world.trace.push_back("seed " + std::to_string(seed));
-    take(out, world);
-    if (stop && out.faulty > 0) break;
+    if (model.faults.empty()) model.finish();
+    if (!model.faults.empty() && out.faulty == 0) model.trace.push_back("seed " + std::to_string(seed));
+    add_result(out, model);
+    if (stop_at_fault && out.faulty > 0) break;
   }
   return out;
 }
 
-Exploration explore_requests(std::size_t kind, std::size_t events, bool stop) {
+Exploration explore_requests(std::size_t kind, std::size_t events, bool stop_at_fault) {
   struct Choice {
     std::size_t taken;
     std::size_t ways;
@@ -44,22 +44,22 @@
     std::size_t next = 0;
     bool open = true;  // beyond the events asked for, the first way is taken
     {
-      RequestWorld::Choose const choose = [&](std::size_t n) -> std::size_t {
+      RequestPathModel::Choose const choose = [&](std::size_t n) -> std::size_t {
         if (!open) return 0;
         if (next == script.size()) script.push_back({0, n});
         return script[next++].taken;
       };
-      RequestWorld world(choose);
+      RequestPathModel model(choose);
       open = false;
-      world.begin(kind, true);
+      model.begin(kind, true);
       open = true;
-      for (std::size_t n = 0; n < events && world.faults.empty(); ++n)
-        world.step(static_cast<RequestWorld::Side>(choose(3)));
+      for (std::size_t n = 0; n < events && model.faults.empty(); ++n)
+        model.step(static_cast<RequestPathModel::Side>(choose(3)));
       open = false;
-      if (world.faults.empty()) world.finish();
-      take(out, world);
+      if (model.faults.empty()) model.finish();
+      add_result(out, model);
     }
-    if (stop && out.faulty > 0) return out;
+    if (stop_at_fault && out.faulty > 0) return out;
     script.resize(next);
     while (!script.empty() && script.back().taken + 1 == script.back().ways) script.pop_back();
     if (script.empty()) return out;
--- a/testing/request_model_checker/explore.h
+++ b/testing/request_model_checker/explore.h
@@ -15,8 +15,8 @@
 };
 
 // Worlds of that many events, one for each seed from 'first' on; ends at the first fault if 'stop' says so.
-Exploration walk_requests(std::uint64_t first, std::size_t worlds, std::size_t events, bool stop);
+Exploration walk_requests(std::uint64_t first, std::size_t worlds, std::size_t events, bool stop_at_fault);
 // A request of a kind (0 once, 1 safe, 2 live, 3 flow) that its worker has read, then every choice of so many events.
-Exploration explore_requests(std::size_t kind, std::size_t events, bool stop);
+Exploration explore_requests(std::size_t kind, std::size_t events, bool stop_at_fault);
 
 }  // namespace pipit
--- a/testing/request_model_checker/world.cc
+++ b/testing/request_model_checker/world.cc
@@ -10,13 +10,13 @@
 namespace pipit {
 
 namespace {
-constexpr char const* kinds[] = {"once", "safe", "live", "flow"};
-constexpr std::size_t attempts_most = 2;
+constexpr char const* request_kinds[] = {"once", "safe", "live", "flow"};
+constexpr std::size_t max_attempts = 2;
 constexpr double budget_ratio = 0.2;
-constexpr double budget_store = 2;
-constexpr std::size_t events_most = 3;  // of an answer
-constexpr std::size_t answer_ways = 22;
-constexpr std::size_t world_events = 12;
+constexpr double budget_limit = 2;
+constexpr std::size_t max_events = 3;  // of an answer
+constexpr std::size_t answer_variants = 22;
+constexpr std::size_t environment_event_kinds = 12;
 
 Dialect dialect() {
   Dialect out;
@@ -40,19 +40,19 @@
   return made ? made.value() : nullptr;
 }
 
-std::string event_of(std::string const& id, std::size_t n) {
+std::string event_text(std::string const& id, std::size_t n) {
   return "id: " + std::to_string(n) + "\ndata: " + id + "." + std::to_string(n) + "\n\n";
 }
 std::string complete_body(std::string const& id) {
   std::string out;
-  for (std::size_t n = 1; n <= events_most; ++n) out += event_of(id, n);
+  for (std::size_t n = 1; n <= max_events; ++n) out += event_text(id, n);
   return out;
 }
 bool socket_pair(int (&ends)[2]) {
   return ::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, ends) == 0;
 }
 // Reads what is there. False once the other end is closed.
-bool read_all(int fd, std::string& out) {
+bool drain_socket(int fd, std::string& out) {
   char buffer[16384];
   for (;;) {
     ssize_t const n = ::recv(fd, buffer, sizeof buffer, 0);
@@ -63,114 +63,114 @@
     return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
   }
 }
-bool promise(unsigned status) { return status == 408 || status == 421 || status == 429 || status == 503; }
+bool promises_not_run(unsigned status) { return status == 408 || status == 421 || status == 429 || status == 503; }
 }  // namespace
 
-struct RequestWorld::CallerSide {
+struct RequestPathModel::CallerConnection {
   std::string name;
   int fd = -1;
   std::unique_ptr<Reader> reader;
-  std::string waits;  // id of the try that it waits for, or nothing
-  std::string rest;   // of a request that has been sent in part
+  std::string awaited_id;  // id of the try that it waits for, or nothing
+  std::string unsent;      // of a request that has been sent in part
   Head head;
   std::string body;
   bool complete = false;
-  ~CallerSide() {
+  ~CallerConnection() {
     if (fd >= 0) ::close(fd);
   }
 };
 
-struct RequestWorld::WorkerSide {
+struct RequestPathModel::WorkerConnection {
   int fd = -1;
   Reader reader{true};
   Head head;
   std::string body;
   std::string unread;
-  std::string current;  // id of the request that it holds
-  bool has_run = false;
-  std::size_t carried = 0;  // requests that came on it
-  std::size_t events = 0;   // of its answer that have been sent, with its head
-  std::size_t first = 1;    // event that it begins with
-  bool headed = false;
-  ~WorkerSide() {
+  std::string current_id;  // id of the request that it holds
+  bool request_run = false;
+  std::size_t request_count = 0;  // requests that came on it
+  std::size_t events_sent = 0;    // of its answer that have been sent, with its head
+  std::size_t first_event = 1;    // event that it begins with
+  bool head_sent = false;
+  ~WorkerConnection() {
     if (fd >= 0) ::close(fd);
   }
 };
 
-struct RequestWorld::Worker {
+struct RequestPathModel::Worker {
   std::string address;
   std::string id;
   int process_count = 0;
-  bool up = true;
-  bool elsewhere = false;  // another service holds the address
-  std::vector<std::unique_ptr<WorkerSide>> sides;
+  bool running = true;
+  bool address_reassigned = false;  // another service holds the address
+  std::vector<std::unique_ptr<WorkerConnection>> connections;
 };
 
-RequestWorld::RequestWorld(Choose choose_) : choose(std::move(choose_)) {
+RequestPathModel::RequestPathModel(Choose choice) : choose(std::move(choice)) {
   descriptions[0] = compiled_description(1000, true);
   descriptions[1] = compiled_description(400, false);
   dispatcher.set_description(descriptions[0]);
-  dispatcher.set_retry_budget(budget_ratio, budget_store);
+  dispatcher.set_retry_budget(budget_ratio, budget_limit);
   RequestProxy::Callbacks callbacks;
   callbacks.request = [this](std::uint64_t id, RequestInfo query) {
     DispatchEffects out;
     dispatcher.on_request(id, std::move(query), loop_time(), out);
-    relay->act(out);
+    proxy->act(out);
   };
   callbacks.ended = [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
     DispatchEffects out;
     dispatcher.on_attempt_end(id, end, elsewhere, loop_time(), out);
-    relay->act(out);
+    proxy->act(out);
   };
   callbacks.disconnected = [this](std::uint64_t id) { return dispatcher.on_client_disconnect(id, loop_time()); };
-  relay = std::make_unique<RequestProxy>(dispatcher, dialect(), "", std::move(callbacks));
-  relay->upstream.dial_by([this](std::string const& address, std::string const&, Micros) { return dial(address); });
+  proxy = std::make_unique<RequestProxy>(dispatcher, dialect(), "", std::move(callbacks));
+  proxy->upstream.dial_by([this](std::string const& address, std::string const&, Micros) { return dial(address); });
   for (int n = 0; n < 2; ++n) {
-    callers.push_back(std::make_unique<CallerSide>());
+    callers.push_back(std::make_unique<CallerConnection>());
     callers.back()->name = "caller " + std::to_string(n + 1);
     workers.push_back(std::make_unique<Worker>());
     workers.back()->address = "10.0.0." + std::to_string(n + 1) + ":80";
-    revive(*workers.back(), false);
+    start_process(*workers.back(), false);
     heartbeat(*workers.back(), false);
   }
 }
 
-RequestWorld::~RequestWorld() {
-  relay.reset();
+RequestPathModel::~RequestPathModel() {
+  proxy.reset();
   while (g_main_context_iteration(nullptr, FALSE)) {
   }
 }
 
-void RequestWorld::fault(std::string const& text) {
+void RequestPathModel::add_fault(std::string const& text) {
   faults.push_back(text);
-  note("FAULT " + text);
+  record_event("FAULT " + text);
 }
-void RequestWorld::note(std::string const& text) { trace.push_back(text); }
+void RequestPathModel::record_event(std::string const& text) { trace.push_back(text); }
 
-void RequestWorld::pump() {
+void RequestPathModel::run_event_loop() {
   for (int turn = 0; turn < 500; ++turn) {
     bool more = false;
     while (g_main_context_iteration(nullptr, FALSE)) more = true;
-    for (std::unique_ptr<CallerSide> const& caller : callers) more = read_caller(*caller) || more;
+    for (std::unique_ptr<CallerConnection> const& caller : callers) more = read_caller(*caller) || more;
     if (!more) return;
   }
-  fault("the loop does not come to rest");
+  add_fault("the loop does not come to rest");
 }
 
-void RequestWorld::tick(Micros span) {
+void RequestPathModel::advance_time(Micros span) {
   time.advance(span);
   DispatchEffects out;
   dispatcher.tick(loop_time(), out);
-  relay->act(out);
-  relay->close_expired(loop_time());
+  proxy->act(out);
+  proxy->close_expired(loop_time());
   registry.end_silent_workers(loop_time());
 }
 
 // ---- callers ----
 
-void RequestWorld::connect(CallerSide& caller) {
+void RequestPathModel::connect(CallerConnection& caller) {
   int ends[2];
-  if (!socket_pair(ends)) return fault("no sockets");
+  if (!socket_pair(ends)) return add_fault("no sockets");
   caller.fd = ends[0];
   caller.reader = std::make_unique<Reader>(false);
   caller.complete = false;
@@ -181,295 +181,299 @@
   };
   caller.reader->callbacks.body = [&caller](std::string_view bytes) { caller.body.append(bytes); };
   caller.reader->callbacks.complete = [&caller] { caller.complete = true; };
-  relay->server.adopt(Link::adopt(ends[1]));
+  proxy->server.adopt(Link::adopt(ends[1]));
 }
 
-void RequestWorld::send_request(CallerSide& caller, std::size_t kind) {
+void RequestPathModel::send_request(CallerConnection& caller, std::size_t kind) {
   if (caller.fd < 0) connect(caller);
-  Attempt item;
-  item.id = "r" + std::to_string(attempts.size() + 1);
-  item.kind = kinds[kind];
+  ClientRequest item;
+  item.id = "r" + std::to_string(requests.size() + 1);
+  item.kind = request_kinds[kind];
   item.repeatable = item.kind == "safe" || item.kind == "flow";
   item.body = "body of " + item.id;
   std::string const text = "POST /" + item.kind + "/x HTTP/1.1\r\nHost: h.test\r\nX-Pipit-Attempt: " + item.id +
                            "\r\nContent-Length: " + std::to_string(item.body.size()) + "\r\n\r\n" + item.body;
   std::size_t const cut = choose(2) == 0 ? text.size() / 2 : text.size();
-  note(caller.name + " sends " + item.id + " (" + item.kind + ")" + (cut < text.size() ? ", half of it" : ""));
-  caller.waits = item.id;
-  caller.rest = text.substr(cut);
-  item.sent = caller.rest.empty();
-  order.push_back(item.id);
-  attempts.emplace(item.id, item);
-  if (::send(caller.fd, text.data(), cut, MSG_NOSIGNAL) < 0) lose_caller(caller, true);
+  record_event(caller.name + " sends " + item.id + " (" + item.kind + ")" + (cut < text.size() ? ", half of it" : ""));
+  caller.awaited_id = item.id;
+  caller.unsent = text.substr(cut);
+  item.sent = caller.unsent.empty();
+  request_order.push_back(item.id);
+  requests.emplace(item.id, item);
+  if (::send(caller.fd, text.data(), cut, MSG_NOSIGNAL) < 0) close_caller(caller, true);
 }
 
 // The connection ended on the router's side.
-void RequestWorld::lose_caller(CallerSide& caller, bool reset) {
+void RequestPathModel::close_caller(CallerConnection& caller, bool reset) {
   if (caller.fd < 0) return;
   ::close(caller.fd);
   caller.fd = -1;
-  if (!caller.waits.empty()) {
-    attempts.at(caller.waits).broken = true;
+  if (!caller.awaited_id.empty()) {
+    requests.at(caller.awaited_id).connection_lost = true;
     ++seen["break"];
-    note(caller.name + " sees its connection end while " + caller.waits + " waits");
+    record_event(caller.name + " sees its connection end while " + caller.awaited_id + " waits");
   }
-  caller.waits.clear();
-  caller.rest.clear();
+  caller.awaited_id.clear();
+  caller.unsent.clear();
 }
 
-bool RequestWorld::read_caller(CallerSide& caller) {
+bool RequestPathModel::read_caller(CallerConnection& caller) {
   if (caller.fd < 0) return false;
-  std::string got;
-  bool const open = read_all(caller.fd, got);
-  std::string_view rest = got;
+  std::string received;
+  bool const open = drain_socket(caller.fd, received);
+  std::string_view rest = received;
   while (!rest.empty() && caller.fd >= 0) {
-    if (caller.waits.empty()) {
-      fault(caller.name + " gets bytes that it does not wait for: " + std::string(rest));
+    if (caller.awaited_id.empty()) {
+      add_fault(caller.name + " gets bytes that it does not wait for: " + std::string(rest));
       break;
     }
-    std::size_t const took = caller.reader->feed(rest);
+    std::size_t const consumed = caller.reader->feed(rest);
     if (caller.reader->error() != Reader::Error::none) {
-      fault(caller.name + " gets bytes that are no answer");
+      add_fault(caller.name + " gets bytes that are no answer");
       break;
     }
-    rest.remove_prefix(std::min(took, rest.size()));
+    rest.remove_prefix(std::min(consumed, rest.size()));
     if (!caller.complete) continue;
     caller.complete = false;
     caller.reader->next();
     judge_answer(caller);
   }
-  if (open) return !got.empty();
-  if (!caller.waits.empty() && !caller.reader->idle() && caller.reader->eof())
-    fault("an answer to " + caller.waits + " ends with its connection");
-  lose_caller(caller, false);
+  if (open) return !received.empty();
+  if (!caller.awaited_id.empty() && !caller.reader->idle() && caller.reader->eof())
+    add_fault("an answer to " + caller.awaited_id + " ends with its connection");
+  close_caller(caller, false);
   return true;
 }
 
-void RequestWorld::judge_answer(CallerSide& caller) {
-  Attempt& item = attempts.at(caller.waits);
+void RequestPathModel::judge_answer(CallerConnection& caller) {
+  ClientRequest& item = requests.at(caller.awaited_id);
   unsigned const status = caller.head.status;
   std::string const seal = caller.head.get("X-Seal");
-  note(caller.name + " gets " + std::to_string(status) + " for " + item.id);
+  record_event(caller.name + " gets " + std::to_string(status) + " for " + item.id);
   ++seen[std::to_string(status)];
-  caller.waits.clear();
-  caller.rest.clear();
+  caller.awaited_id.clear();
+  caller.unsent.clear();
   item.answered = true;
   if (status >= 200 && status < 300) {
-    if (caller.head.get("X-Pipit-Attempt") != item.id) fault(item.id + " gets an answer to another");
+    if (caller.head.get("X-Pipit-Attempt") != item.id) add_fault(item.id + " gets an answer to another");
     if (caller.body != complete_body(item.id))
-      fault(item.id + " gets another body than its own whole one: " + caller.body);
-    if (item.runs == 0) fault(item.id + " has a success and did not run");
-    if (seal.empty() || item.run_seals.count(seal) == 0) fault(item.id + " has a success without its worker's seal");
+      add_fault(item.id + " gets another body than its own whole one: " + caller.body);
+    if (item.runs == 0) add_fault(item.id + " has a success and did not run");
+    if (seal.empty() || item.run_seals.count(seal) == 0)
+      add_fault(item.id + " has a success without its worker's seal");
     return;
   }
   if (!seal.empty()) {
-    if (item.run_seals.count(seal) == 0) fault(item.id + " bears the seal of a worker that did not run it");
-    if (std::count(item.failures.begin(), item.failures.end(), status) == 0)
-      fault(item.id + " bears a seal and a status that no worker gave");
-    if (caller.body != "failed " + item.id) fault(item.id + " gets another failure's body: " + caller.body);
+    if (item.run_seals.count(seal) == 0) add_fault(item.id + " bears the seal of a worker that did not run it");
+    if (std::count(item.failure_statuses.begin(), item.failure_statuses.end(), status) == 0)
+      add_fault(item.id + " bears a seal and a status that no worker gave");
+    if (caller.body != "failed " + item.id) add_fault(item.id + " gets another failure's body: " + caller.body);
   }
-  if (!promise(status) || item.repeatable) return;
-  item.refused = true;
-  if (item.runs > 0) fault(item.id + " has run and is told not to have");
-}
-
-void RequestWorld::caller_event() {
-  CallerSide& caller = *callers[choose(callers.size())];
-  if (caller.waits.empty()) return send_request(caller, choose(std::size(kinds)));
-  Attempt& item = attempts.at(caller.waits);
-  if (!caller.rest.empty()) {
-    note(caller.name + " sends the rest of " + caller.waits);
-    std::string const rest = std::move(caller.rest);
-    caller.rest.clear();
+  if (!promises_not_run(status) || item.repeatable) return;
+  item.promised_not_run = true;
+  if (item.runs > 0) add_fault(item.id + " has run and is told not to have");
+}
+
+void RequestPathModel::caller_event() {
+  CallerConnection& caller = *callers[choose(callers.size())];
+  if (caller.awaited_id.empty()) return send_request(caller, choose(std::size(request_kinds)));
+  ClientRequest& item = requests.at(caller.awaited_id);
+  if (!caller.unsent.empty()) {
+    record_event(caller.name + " sends the rest of " + caller.awaited_id);
+    std::string const rest = std::move(caller.unsent);
+    caller.unsent.clear();
     item.sent = true;
-    if (::send(caller.fd, rest.data(), rest.size(), MSG_NOSIGNAL) < 0) lose_caller(caller, true);
+    if (::send(caller.fd, rest.data(), rest.size(), MSG_NOSIGNAL) < 0) close_caller(caller, true);
     return;
   }
   if (choose(3) != 0) return;
-  note(caller.name + " goes away");
-  item.given_up = true;
+  record_event(caller.name + " goes away");
+  item.abandoned = true;
   ++seen["caller gone"];
   ::close(caller.fd);
   caller.fd = -1;
-  caller.waits.clear();
+  caller.awaited_id.clear();
 }
 
 // ---- workers ----
 
-std::shared_ptr<Link> RequestWorld::dial(std::string const& address) {
+std::shared_ptr<Link> RequestPathModel::dial(std::string const& address) {
   for (std::unique_ptr<Worker> const& worker : workers) {
-    if (worker->address != address || !worker->up) continue;
+    if (worker->address != address || !worker->running) continue;
     int ends[2];
     if (!socket_pair(ends)) break;
-    std::unique_ptr<WorkerSide> side = std::make_unique<WorkerSide>();
-    side->fd = ends[0];
-    WorkerSide* const at = side.get();
-    side->reader.callbacks.head = [at](Head& head) {
+    std::unique_ptr<WorkerConnection> connection = std::make_unique<WorkerConnection>();
+    connection->fd = ends[0];
+    WorkerConnection* const at = connection.get();
+    connection->reader.callbacks.head = [at](Head& head) {
       at->head = head;
       at->body.clear();
       return true;
     };
-    side->reader.callbacks.body = [at](std::string_view bytes) { at->body.append(bytes); };
-    worker->sides.push_back(std::move(side));
+    connection->reader.callbacks.body = [at](std::string_view bytes) { at->body.append(bytes); };
+    worker->connections.push_back(std::move(connection));
     return Link::opening(ends[1], seconds(60));
   }
   return Link::dial("nowhere", "", millis(1));
 }
 
-void RequestWorld::heartbeat(Worker const& worker, bool leaving) {
+void RequestPathModel::heartbeat(Worker const& worker, bool leaving) {
   Heartbeat message;
   message.id = worker.id;
   message.address = worker.address;
   message.zone = "a";
   message.pool = "p";
   message.slots = 8;
-  message.order = ++heartbeats;
+  message.order = ++heartbeat_count;
   message.leaving = leaving;
   registry.heartbeat(message, loop_time());
 }
 
-void RequestWorld::crash(Worker& worker) {
-  worker.sides.clear();
-  worker.up = false;
+void RequestPathModel::crash(Worker& worker) {
+  worker.connections.clear();
+  worker.running = false;
 }
 
-void RequestWorld::revive(Worker& worker, bool elsewhere) {
-  worker.sides.clear();
-  worker.up = true;
-  worker.elsewhere = elsewhere;
-  worker.id = (elsewhere ? "x" : "w") + worker.address.substr(7, 1) + "-" + std::to_string(++worker.process_count);
+void RequestPathModel::start_process(Worker& worker, bool address_reassigned) {
+  worker.connections.clear();
+  worker.running = true;
+  worker.address_reassigned = address_reassigned;
+  worker.id = (address_reassigned ? "x" : "w") + worker.address.substr(7, 1) + "-" + std::to_string(++worker.process_count);
 }
 
-void RequestWorld::send(WorkerSide& side, std::string const& bytes) {
-  if (side.fd >= 0) (void)!::send(side.fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
+void RequestPathModel::send(WorkerConnection& connection, std::string const& bytes) {
+  if (connection.fd >= 0) (void)!::send(connection.fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
 }
 
-void RequestWorld::shut(WorkerSide& side) {
-  if (side.fd >= 0) ::close(side.fd);
-  side.fd = -1;
-  side.current.clear();
+void RequestPathModel::close_connection(WorkerConnection& connection) {
+  if (connection.fd >= 0) ::close(connection.fd);
+  connection.fd = -1;
+  connection.current_id.clear();
 }
 
-void RequestWorld::read_worker(Worker& worker, WorkerSide& side) {
-  if (side.fd < 0) return;
-  bool const open = read_all(side.fd, side.unread);
-  while (side.current.empty() && !side.unread.empty()) {
-    std::size_t const took = side.reader.feed(side.unread);
-    if (side.reader.error() != Reader::Error::none) return fault(worker.id + " gets what is no request");
-    side.unread.erase(0, took);
-    if (!side.reader.complete()) break;
-    side.reader.next();
-    arrive(worker, side, side.head, side.body);
+void RequestPathModel::read_worker(Worker& worker, WorkerConnection& connection) {
+  if (connection.fd < 0) return;
+  bool const open = drain_socket(connection.fd, connection.unread);
+  while (connection.current_id.empty() && !connection.unread.empty()) {
+    std::size_t const consumed = connection.reader.feed(connection.unread);
+    if (connection.reader.error() != Reader::Error::none) return add_fault(worker.id + " gets what is no request");
+    connection.unread.erase(0, consumed);
+    if (!connection.reader.complete()) break;
+    connection.reader.next();
+    receive_request(worker, connection, connection.head, connection.body);
   }
-  if (!open && side.current.empty()) shut(side);
+  if (!open && connection.current_id.empty()) close_connection(connection);
 }
 
-void RequestWorld::arrive(Worker& worker, WorkerSide& side, Head const& head, std::string const& body) {
+void RequestPathModel::receive_request(Worker& worker, WorkerConnection& connection, Head const& head,
+                                       std::string const& body) {
   std::string const id = head.get("X-Pipit-Attempt");
-  note(worker.id + " has " + id);
-  std::map<std::string, Attempt>::iterator const position = attempts.find(id);
-  if (position == attempts.end() || !position->second.sent)
-    return fault(worker.id + " gets " + id + ", which nobody sent");
-  Attempt& item = position->second;
+  record_event(worker.id + " has " + id);
+  std::map<std::string, ClientRequest>::iterator const position = requests.find(id);
+  if (position == requests.end() || !position->second.sent)
+    return add_fault(worker.id + " gets " + id + ", which nobody sent");
+  ClientRequest& item = position->second;
   if (body != item.body || head.target != "/" + item.kind + "/x" || head.method != "POST")
-    fault(id + " arrives changed");
-  if (++item.arrivals > attempts_most) fault(id + " comes to more workers than its route allows");
+    add_fault(id + " arrives changed");
+  if (++item.deliveries > max_attempts) add_fault(id + " comes to more workers than its route allows");
   std::string const wanted = head.get("X-Pipit-Instance");
   if (!wanted.empty() && wanted != worker.id) {
     ++seen["421 of a worker"];
-    return send(side, "HTTP/1.1 421 Elsewhere\r\nX-Instance-Id: " + worker.id + "\r\nContent-Length: 0\r\n\r\n");
+    return send(connection, "HTTP/1.1 421 Elsewhere\r\nX-Instance-Id: " + worker.id + "\r\nContent-Length: 0\r\n\r\n");
   }
-  side.current = id;
-  ++side.carried;
-  side.has_run = false;
-  side.headed = false;
-  side.events = 0;
+  connection.current_id = id;
+  ++connection.request_count;
+  connection.request_run = false;
+  connection.head_sent = false;
+  connection.events_sent = 0;
   std::string const after = head.get("Last-Event-Id");
-  side.first = after.empty() ? 1 : static_cast<std::size_t>(std::strtoull(after.c_str(), nullptr, 10)) + 1;
+  connection.first_event = after.empty() ? 1 : static_cast<std::size_t>(std::strtoull(after.c_str(), nullptr, 10)) + 1;
   // A worker that takes a stream up may begin a little before the place that it was told.
-  if (side.first > 1 && choose(2) == 0) --side.first;
+  if (connection.first_event > 1 && choose(2) == 0) --connection.first_event;
 }
 
-void RequestWorld::run(Worker& worker, WorkerSide& side) {
-  if (side.has_run) return;
-  side.has_run = true;
-  Attempt& item = attempts.at(side.current);
+void RequestPathModel::run_request(Worker& worker, WorkerConnection& connection) {
+  if (connection.request_run) return;
+  connection.request_run = true;
+  ClientRequest& item = requests.at(connection.current_id);
   ++item.runs;
   item.run_seals.insert("s-" + worker.id);
   ++seen["run"];
-  note(worker.id + " runs " + item.id);
-  if (worker.elsewhere) fault("another service runs " + item.id);
-  if (!item.repeatable && item.runs > 1) fault(item.id + " runs twice");
-  if (item.refused) fault(item.id + " runs after it was promised not to");
+  record_event(worker.id + " runs " + item.id);
+  if (worker.address_reassigned) add_fault("another service runs " + item.id);
+  if (!item.repeatable && item.runs > 1) add_fault(item.id + " runs twice");
+  if (item.promised_not_run) add_fault(item.id + " runs after it was promised not to");
 }
 
-std::string RequestWorld::success_head(Worker const& worker, Attempt const& item) const {
+std::string RequestPathModel::success_head(Worker const& worker, ClientRequest const& item) const {
   return "HTTP/1.1 200 OK\r\nX-Pipit-Attempt: " + item.id + "\r\nX-Seal: s-" + worker.id + "\r\n";
 }
 
 // Every event from the first that is asked for, as one body.
-std::string RequestWorld::rest_of_body(Attempt const& item, WorkerSide const& side) {
+std::string RequestPathModel::rest_of_body(ClientRequest const& item, WorkerConnection const& connection) {
   std::string body;
-  for (std::size_t n = side.first; n <= events_most; ++n) body += event_of(item.id, n);
+  for (std::size_t n = connection.first_event; n <= max_events; ++n) body += event_text(item.id, n);
   return body;
 }
 
-std::string RequestWorld::full_answer(Worker const& worker, Attempt const& item, std::string const& body) const {
+std::string RequestPathModel::full_answer(Worker const& worker, ClientRequest const& item,
+                                          std::string const& body) const {
   return success_head(worker, item) + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
 // The whole answer (way 0), or its next part. True when it is over.
-bool RequestWorld::answer_properly(Worker& worker, WorkerSide& side, std::size_t way) {
-  Attempt& item = attempts.at(side.current);
-  run(worker, side);
-  if (!side.headed && way == 0) {
-    send(side, full_answer(worker, item, rest_of_body(item, side)));
+bool RequestPathModel::answer_success(Worker& worker, WorkerConnection& connection, std::size_t variant) {
+  ClientRequest& item = requests.at(connection.current_id);
+  run_request(worker, connection);
+  if (!connection.head_sent && variant == 0) {
+    send(connection, full_answer(worker, item, rest_of_body(item, connection)));
     return true;
   }
-  if (!side.headed) {
-    side.headed = true;
-    side.events = side.first - 1;
-    send(side, success_head(worker, item) + "Transfer-Encoding: chunked\r\n\r\n");
+  if (!connection.head_sent) {
+    connection.head_sent = true;
+    connection.events_sent = connection.first_event - 1;
+    send(connection, success_head(worker, item) + "Transfer-Encoding: chunked\r\n\r\n");
   }
-  while (side.events < events_most) {
-    ++side.events;
-    send(side, chunk_text(event_of(item.id, side.events)));
-    if (way > 0) break;
+  while (connection.events_sent < max_events) {
+    ++connection.events_sent;
+    send(connection, chunk_text(event_text(item.id, connection.events_sent)));
+    if (variant > 0) break;
   }
-  if (way == 0) send(side, "0\r\n\r\n");
-  return way == 0;
+  if (variant == 0) send(connection, "0\r\n\r\n");
+  return variant == 0;
 }
 
 // A refusal that names the request, one that does not, or a failure after it ran.
-void RequestWorld::answer_failure(Worker& worker, WorkerSide& side, std::size_t way) {
-  Attempt& item = attempts.at(side.current);
+void RequestPathModel::answer_failure(Worker& worker, WorkerConnection& connection, std::size_t variant) {
+  ClientRequest& item = requests.at(connection.current_id);
   std::string const id = "X-Pipit-Attempt: " + item.id + "\r\n";
-  if (way == 3) return send(side, "HTTP/1.1 503 Busy\r\n" + id + "X-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
-  if (way == 4) return send(side, "HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 4\r\n\r\nbusy");
-  unsigned const status = way == 5 ? 500 : way == 6 ? 429 : 503;
-  run(worker, side);
-  item.failures.push_back(status);
-  send(side, "HTTP/1.1 " + std::to_string(status) + " Odd\r\n" + id + "X-Seal: s-" + worker.id +
-                 "\r\nContent-Length: " + std::to_string(7 + item.id.size()) + "\r\n\r\nfailed " + item.id);
+  if (variant == 3)
+    return send(connection, "HTTP/1.1 503 Busy\r\n" + id + "X-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+  if (variant == 4) return send(connection, "HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 4\r\n\r\nbusy");
+  unsigned const status = variant == 5 ? 500 : variant == 6 ? 429 : 503;
+  run_request(worker, connection);
+  item.failure_statuses.push_back(status);
+  send(connection, "HTTP/1.1 " + std::to_string(status) + " Odd\r\n" + id + "X-Seal: s-" + worker.id +
+                       "\r\nContent-Length: " + std::to_string(7 + item.id.size()) + "\r\n\r\nfailed " + item.id);
 }
 
 // An answer to an earlier request comes first (way 8), and perhaps alone. True when its own answer is over.
-bool RequestWorld::answer_late(Worker& worker, WorkerSide& side, std::size_t way) {
-  Attempt const& item = attempts.at(side.current);
-  Attempt const& other = attempts.at(order[choose(order.size())]);
+bool RequestPathModel::answer_late(Worker& worker, WorkerConnection& connection, std::size_t variant) {
+  ClientRequest const& item = requests.at(connection.current_id);
+  ClientRequest const& other = requests.at(request_order[choose(request_order.size())]);
   if (other.id == item.id || other.run_seals.count("s-" + worker.id) == 0) return false;
-  send(side, full_answer(worker, other, complete_body(other.id)));
-  run(worker, side);
-  if (way == 8) send(side, full_answer(worker, item, rest_of_body(item, side)));
-  return way == 8;
+  send(connection, full_answer(worker, other, complete_body(other.id)));
+  run_request(worker, connection);
+  if (variant == 8) send(connection, full_answer(worker, item, rest_of_body(item, connection)));
+  return variant == 8;
 }
 
 // An answer that breaks the protocol, after the request ran. Its text, from the answer as it should be.
-std::string RequestWorld::malformed_answer(Worker const& worker, Attempt const& item, std::string const& body,
-                                           std::size_t way) const {
+std::string RequestPathModel::malformed_answer(Worker const& worker, ClientRequest const& item, std::string const& body,
+                                               std::size_t variant) const {
   std::string const answer = full_answer(worker, item, body);
   std::string const length = "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-  switch (way) {
+  switch (variant) {
     case 10:
       return answer + answer;
     case 11:
@@ -488,44 +492,45 @@
 }
 
 // No length: the end of the connection ends the answer, perhaps too early (way 20).
-void RequestWorld::answer_without_length(Worker& worker, WorkerSide& side, std::size_t way) {
-  Attempt const& item = attempts.at(side.current);
-  std::string const body = rest_of_body(item, side);
-  run(worker, side);
+void RequestPathModel::answer_without_length(Worker& worker, WorkerConnection& connection, std::size_t variant) {
+  ClientRequest const& item = requests.at(connection.current_id);
+  std::string const body = rest_of_body(item, connection);
+  run_request(worker, connection);
   ++seen["answer without length"];
   // Of what is no stream nobody could tell that it stopped in the middle.
-  bool const stops = way == 20 && (item.kind == "live" || item.kind == "flow");
-  send(side, success_head(worker, item) + "\r\n" + (stops ? body.substr(0, body.size() - 3) : body));
-  shut(side);
+  bool const stops = variant == 20 && (item.kind == "live" || item.kind == "flow");
+  send(connection, success_head(worker, item) + "\r\n" + (stops ? body.substr(0, body.size() - 3) : body));
+  close_connection(connection);
 }
 
 // The request runs, and an answer comes that is malformed or has something before it.
-void RequestWorld::answer_malformed(Worker& worker, WorkerSide& side, std::size_t way) {
-  Attempt const& item = attempts.at(side.current);
-  run(worker, side);
+void RequestPathModel::answer_malformed(Worker& worker, WorkerConnection& connection, std::size_t variant) {
+  ClientRequest const& item = requests.at(connection.current_id);
+  run_request(worker, connection);
   // A late refusal of an earlier request, which does not name it.
-  if (way == 18 && side.carried > 1) send(side, "HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
-  send(side, malformed_answer(worker, item, rest_of_body(item, side), way));
-  if (way == 16) shut(side);
+  if (variant == 18 && connection.request_count > 1)
+    send(connection, "HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+  send(connection, malformed_answer(worker, item, rest_of_body(item, connection), variant));
+  if (variant == 16) close_connection(connection);
 }
 
 // Answers in one of the ways and tells whether the answer is over.
-bool RequestWorld::answer_in_way(Worker& worker, WorkerSide& side, std::size_t way) {
-  switch (way) {
+bool RequestPathModel::play_answer(Worker& worker, WorkerConnection& connection, std::size_t variant) {
+  switch (variant) {
     case 0:
     case 1:
     case 2:
-      return answer_properly(worker, side, way);
+      return answer_success(worker, connection, variant);
     case 3:
     case 4:
     case 5:
     case 6:
     case 7:
-      answer_failure(worker, side, way);
+      answer_failure(worker, connection, variant);
       return true;
     case 8:
     case 9:
-      return answer_late(worker, side, way);
+      return answer_late(worker, connection, variant);
     case 10:
     case 11:
     case 12:
@@ -533,135 +538,137 @@
     case 14:
     case 16:
     case 18:
-      answer_malformed(worker, side, way);
+      answer_malformed(worker, connection, variant);
       return true;
     case 15:  // it runs and says nothing yet
-      run(worker, side);
+      run_request(worker, connection);
       return false;
     case 17:
-      send(side, "\x01garbage\r\n\r\n");
+      send(connection, "\x01garbage\r\n\r\n");
       return true;
     case 19:
     case 20:
-      answer_without_length(worker, side, way);
+      answer_without_length(worker, connection, variant);
       return true;
     default:
-      shut(side);
+      close_connection(connection);
       return true;
   }
 }
 
 // The ways in which a worker may answer what it holds, good and bad.
-void RequestWorld::answer(Worker& worker, WorkerSide& side, std::size_t way) {
-  note(worker.id + " answers " + side.current + " in way " + std::to_string(way));
-  if (side.headed && way > 2 && way != 17 && way < 21) way = 0;
-  if (side.has_run && (way == 3 || way == 4)) way = 0;  // no worker says that it did not run what it ran
-  if (!answer_in_way(worker, side, way)) return;
-  side.current.clear();
-  side.headed = false;
+void RequestPathModel::answer(Worker& worker, WorkerConnection& connection, std::size_t variant) {
+  record_event(worker.id + " answers " + connection.current_id + " in way " + std::to_string(variant));
+  if (connection.head_sent && variant > 2 && variant != 17 && variant < 21) variant = 0;
+  if (connection.request_run && (variant == 3 || variant == 4))
+    variant = 0;  // no worker says that it did not run what it ran
+  if (!play_answer(worker, connection, variant)) return;
+  connection.current_id.clear();
+  connection.head_sent = false;
 }
 
-void RequestWorld::worker_event() {
+void RequestPathModel::worker_event() {
   Worker& worker = *workers[choose(workers.size())];
-  std::erase_if(worker.sides, [](std::unique_ptr<WorkerSide> const& side) { return side->fd < 0; });
-  if (worker.sides.empty()) return;
-  WorkerSide& side = *worker.sides[choose(worker.sides.size())];
-  if (side.current.empty()) read_worker(worker, side);
-  if (!side.current.empty()) return answer(worker, side, choose(answer_ways));
-  if (side.fd < 0) return;
+  std::erase_if(worker.connections,
+                [](std::unique_ptr<WorkerConnection> const& connection) { return connection->fd < 0; });
+  if (worker.connections.empty()) return;
+  WorkerConnection& connection = *worker.connections[choose(worker.connections.size())];
+  if (connection.current_id.empty()) read_worker(worker, connection);
+  if (!connection.current_id.empty()) return answer(worker, connection, choose(answer_variants));
+  if (connection.fd < 0) return;
   switch (choose(3)) {
     case 0:
-      note(worker.id + " closes a connection that rests");
-      return shut(side);
+      record_event(worker.id + " closes a connection that rests");
+      return close_connection(connection);
     case 1: {
-      if (order.empty()) return;
-      Attempt const& other = attempts.at(order[choose(order.size())]);
+      if (request_order.empty()) return;
+      ClientRequest const& other = requests.at(request_order[choose(request_order.size())]);
       if (other.run_seals.count("s-" + worker.id) == 0) return;
       std::string const late = complete_body(other.id);
-      note(worker.id + " answers " + other.id + " unasked");
-      return send(side,
+      record_event(worker.id + " answers " + other.id + " unasked");
+      return send(connection,
                   success_head(worker, other) + "Content-Length: " + std::to_string(late.size()) + "\r\n\r\n" + late);
     }
     default:
-      note(worker.id + " sends garbage on a connection that rests");
-      return send(side, "HTTP/1.1 2");
+      record_event(worker.id + " sends garbage on a connection that rests");
+      return send(connection, "HTTP/1.1 2");
   }
 }
 
 // ---- the rest of the world ----
 
-void RequestWorld::world_event() {
+void RequestPathModel::environment_event() {
   Worker& worker = *workers[choose(workers.size())];
-  switch (choose(world_events)) {
+  switch (choose(environment_event_kinds)) {
     case 0:
-      note("50 ms go by");
-      return tick(millis(50));
+      record_event("50 ms go by");
+      return advance_time(millis(50));
     case 1:
-      note("0.4 s go by");
+      record_event("0.4 s go by");
       for (int n = 0; n < 8; ++n) {
-        tick(millis(50));
-        pump();
+        advance_time(millis(50));
+        run_event_loop();
       }
       return;
     case 2:
-      note("1.5 s go by");
+      record_event("1.5 s go by");
       for (int n = 0; n < 30; ++n) {
-        tick(millis(50));
-        pump();
+        advance_time(millis(50));
+        run_event_loop();
       }
       return;
     case 3:
-      note("the node stands still for 3 s");
+      record_event("the node stands still for 3 s");
       ++seen["freeze"];
-      return tick(seconds(3));
+      return advance_time(seconds(3));
     case 4:
-      note(worker.id + " crashes");
+      record_event(worker.id + " crashes");
       return crash(worker);
     case 5:
-      note(worker.id + " is replaced at its address");
-      if (choose(2) == 0) registry.leave(worker.id, ++heartbeats, loop_time());
-      relay->forget(worker.id);
-      revive(worker, false);
+      record_event(worker.id + " is replaced at its address");
+      if (choose(2) == 0) registry.leave(worker.id, ++heartbeat_count, loop_time());
+      proxy->forget(worker.id);
+      start_process(worker, false);
       return heartbeat(worker, false);
     case 6:
-      note(worker.id + " gives its address to another service");
-      return revive(worker, true);
+      record_event(worker.id + " gives its address to another service");
+      return start_process(worker, true);
     case 7:
-      if (worker.elsewhere) return;
-      note(worker.id + " drains");
+      if (worker.address_reassigned) return;
+      record_event(worker.id + " drains");
       return heartbeat(worker, true);
     case 8:
-      description = 1 - description;
-      note("configuration " + std::to_string(description));
-      return dispatcher.set_description(descriptions[description]);
+      description_index = 1 - description_index;
+      record_event("configuration " + std::to_string(description_index));
+      return dispatcher.set_description(descriptions[description_index]);
     case 9:
-      placing_held = !placing_held;
-      note(placing_held ? "placing is held" : "placing goes on");
-      return dispatcher.set_paused(placing_held);
+      dispatch_paused = !dispatch_paused;
+      record_event(dispatch_paused ? "placing is held" : "placing goes on");
+      return dispatcher.set_paused(dispatch_paused);
     case 10:
-      if (worker.elsewhere || !worker.up) return;
-      note(worker.id + " says farewell and serves on");
+      if (worker.address_reassigned || !worker.running) return;
+      record_event(worker.id + " says farewell and serves on");
       ++seen["farewell"];
-      registry.leave(worker.id, ++heartbeats, loop_time());
+      registry.leave(worker.id, ++heartbeat_count, loop_time());
       return;
     default:
       if (stopping) return;
       stopping = true;
-      note("the node was told to stop");
-      relay->server.closing();
-      return relay->server.close_idle();
+      record_event("the node was told to stop");
+      proxy->server.closing();
+      return proxy->server.close_idle();
   }
 }
 
-void RequestWorld::begin(std::size_t kind, bool read) {
+void RequestPathModel::begin(std::size_t kind, bool read) {
   send_request(*callers[0], kind);
-  pump();
+  run_event_loop();
   if (!read) return;
   for (std::unique_ptr<Worker> const& worker : workers)
-    for (std::unique_ptr<WorkerSide> const& side : worker->sides) read_worker(*worker, *side);
+    for (std::unique_ptr<WorkerConnection> const& connection : worker->connections) read_worker(*worker, *connection);
 }
 
-void RequestWorld::step(Side side) {
+void RequestPathModel::step(Side side) {
   switch (side) {
     case Side::caller:
       caller_event();
@@ -669,39 +676,39 @@
     case Side::worker:
       worker_event();
       break;
-    case Side::world:
-      world_event();
+    case Side::environment:
+      environment_event();
       break;
   }
-  pump();
+  run_event_loop();
 }
 
-void RequestWorld::finish() {
-  note("to the end");
+void RequestPathModel::finish() {
+  record_event("to the end");
   dispatcher.set_paused(false);
   for (int n = 0; n < 50; ++n) {
     // Workers run whatever has reached them, and never answer.
     for (std::unique_ptr<Worker> const& worker : workers)
-      for (std::unique_ptr<WorkerSide> const& side : worker->sides) {
-        if (side->current.empty()) read_worker(*worker, *side);
-        if (!side->current.empty()) run(*worker, *side);
+      for (std::unique_ptr<WorkerConnection> const& connection : worker->connections) {
+        if (connection->current_id.empty()) read_worker(*worker, *connection);
+        if (!connection->current_id.empty()) run_request(*worker, *connection);
       }
-    tick(millis(100));
-    pump();
+    advance_time(millis(100));
+    run_event_loop();
   }
-  for (std::unique_ptr<CallerSide> const& caller : callers)
-    if (!caller->waits.empty() && caller->rest.empty()) fault(caller->waits + " is never answered");
+  for (std::unique_ptr<CallerConnection> const& caller : callers)
+    if (!caller->awaited_id.empty() && caller->unsent.empty()) add_fault(caller->awaited_id + " is never answered");
   for (std::unique_ptr<Worker> const& worker : workers) crash(*worker);
   callers.clear();
-  pump();
-  if (dispatcher.active_requests() != 0) fault("requests stay under way");
+  run_event_loop();
+  if (dispatcher.active_requests() != 0) add_fault("requests stay under way");
   for (std::pair<std::string const, Instance> const& item : registry.all)
-    if (item.second.running != 0 || item.second.reserved_tokens != 0) fault(item.first + " is held to be busy");
+    if (item.second.running != 0 || item.second.reserved_tokens != 0) add_fault(item.first + " is held to be busy");
   double extra = 0;
-  for (std::pair<std::string const, Attempt> const& item : attempts)
-    extra += static_cast<double>(item.second.arrivals > 1 ? item.second.arrivals - 1 : 0);
-  if (extra > budget_ratio * static_cast<double>(attempts.size()) + budget_store)
-    fault("more is sent again than the budget holds");
+  for (std::pair<std::string const, ClientRequest> const& item : requests)
+    extra += static_cast<double>(item.second.deliveries > 1 ? item.second.deliveries - 1 : 0);
+  if (extra > budget_ratio * static_cast<double>(requests.size()) + budget_limit)
+    add_fault("more is sent again than the budget holds");
   seen["sent again"] += static_cast<std::size_t>(extra);
 }
 
--- a/testing/request_model_checker/world.h
+++ b/testing/request_model_checker/world.h
@@ -14,14 +14,14 @@
 
 namespace pipit {
 
-class RequestWorld {
+class RequestPathModel {
  public:
   // Says which of n ways the world goes on, 0 to n - 1.
   using Choose = std::function<std::size_t(std::size_t n)>;
-  explicit RequestWorld(Choose choose_);
-  ~RequestWorld();
+  explicit RequestPathModel(Choose choice);
+  ~RequestPathModel();
 
-  enum class Side : std::uint8_t { caller, worker, world };
+  enum class Side : std::uint8_t { caller, worker, environment };
   // Plays one event on that side.
   void step(Side side);
   // The first events of a walk that is not to begin empty: a request of that kind is sent and, if so, read by its
@@ -36,58 +36,58 @@
 
  private:
   // One try of a caller, which bears an id of its own.
-  struct Attempt {
+  struct ClientRequest {
     std::string id;
     std::string kind;
     std::string body;
     bool repeatable = false;
     bool sent = false;  // whole
     bool answered = false;
-    bool broken = false;
-    bool given_up = false;
-    bool refused = false;  // promised not to have run, and never to
+    bool connection_lost = false;
+    bool abandoned = false;
+    bool promised_not_run = false;  // promised not to have run, and never to
     std::size_t runs = 0;
     std::set<std::string> run_seals;
-    std::size_t arrivals = 0;
-    std::vector<unsigned> failures;  // the statuses of failures that workers gave
+    std::size_t deliveries = 0;
+    std::vector<unsigned> failure_statuses;  // the statuses of failures that workers gave
   };
-  struct CallerSide;
-  struct WorkerSide;
+  struct CallerConnection;
+  struct WorkerConnection;
   struct Worker;
 
-  void pump();
-  bool read_caller(CallerSide& caller);
-  void judge_answer(CallerSide& caller);
-  void lose_caller(CallerSide& caller, bool reset);
-  void connect(CallerSide& caller);
-  void send_request(CallerSide& caller, std::size_t kind);
+  void run_event_loop();
+  bool read_caller(CallerConnection& caller);
+  void judge_answer(CallerConnection& caller);
+  void close_caller(CallerConnection& caller, bool reset);
+  void connect(CallerConnection& caller);
+  void send_request(CallerConnection& caller, std::size_t kind);
   void caller_event();
   void worker_event();
-  void world_event();
-  void read_worker(Worker& worker, WorkerSide& side);
-  void arrive(Worker& worker, WorkerSide& side, Head const& head, std::string const& body);
-  void run(Worker& worker, WorkerSide& side);
-  void answer(Worker& worker, WorkerSide& side, std::size_t way);
-  bool answer_in_way(Worker& worker, WorkerSide& side, std::size_t way);
-  bool answer_properly(Worker& worker, WorkerSide& side, std::size_t way);
-  void answer_failure(Worker& worker, WorkerSide& side, std::size_t way);
-  bool answer_late(Worker& worker, WorkerSide& side, std::size_t way);
-  void answer_malformed(Worker& worker, WorkerSide& side, std::size_t way);
-  void answer_without_length(Worker& worker, WorkerSide& side, std::size_t way);
-  static std::string rest_of_body(Attempt const& item, WorkerSide const& side);
-  std::string full_answer(Worker const& worker, Attempt const& item, std::string const& body) const;
-  std::string malformed_answer(Worker const& worker, Attempt const& item, std::string const& body,
-                               std::size_t way) const;
-  void send(WorkerSide& side, std::string const& bytes);
-  void shut(WorkerSide& side);
+  void environment_event();
+  void read_worker(Worker& worker, WorkerConnection& connection);
+  void receive_request(Worker& worker, WorkerConnection& connection, Head const& head, std::string const& body);
+  void run_request(Worker& worker, WorkerConnection& connection);
+  void answer(Worker& worker, WorkerConnection& connection, std::size_t variant);
+  bool play_answer(Worker& worker, WorkerConnection& connection, std::size_t variant);
+  bool answer_success(Worker& worker, WorkerConnection& connection, std::size_t variant);
+  void answer_failure(Worker& worker, WorkerConnection& connection, std::size_t variant);
+  bool answer_late(Worker& worker, WorkerConnection& connection, std::size_t variant);
+  void answer_malformed(Worker& worker, WorkerConnection& connection, std::size_t variant);
+  void answer_without_length(Worker& worker, WorkerConnection& connection, std::size_t variant);
+  static std::string rest_of_body(ClientRequest const& item, WorkerConnection const& connection);
+  std::string full_answer(Worker const& worker, ClientRequest const& item, std::string const& body) const;
+  std::string malformed_answer(Worker const& worker, ClientRequest const& item, std::string const& body,
+                               std::size_t variant) const;
+  void send(WorkerConnection& connection, std::string const& bytes);
+  void close_connection(WorkerConnection& connection);
   void crash(Worker& worker);
-  void revive(Worker& worker, bool elsewhere);
+  void start_process(Worker& worker, bool address_reassigned);
   void heartbeat(Worker const& worker, bool leaving);
-  void tick(Micros span);
-  void fault(std::string const& text);
-  void note(std::string const& text);
+  void advance_time(Micros span);
+  void add_fault(std::string const& text);
+  void record_event(std::string const& text);
   std::shared_ptr<Link> dial(std::string const& address);
-  std::string success_head(Worker const& worker, Attempt const& item) const;
+  std::string success_head(Worker const& worker, ClientRequest const& item) const;
 
   Choose choose;
   ManualTime time{seconds(1000)};
@@ -96,14 +96,14 @@
   ReportExchange exchange{"n1"};
   Dispatcher dispatcher{"n1", "a", index_sync, registry, exchange};
   std::shared_ptr<Description const> descriptions[2];
-  std::unique_ptr<RequestProxy> relay;
-  std::map<std::string, Attempt> attempts;
-  std::vector<std::string> order;  // of the tries
-  std::vector<std::unique_ptr<CallerSide>> callers;
+  std::unique_ptr<RequestProxy> proxy;
+  std::map<std::string, ClientRequest> requests;
+  std::vector<std::string> request_order;  // of the tries
+  std::vector<std::unique_ptr<CallerConnection>> callers;
   std::vector<std::unique_ptr<Worker>> workers;
-  std::uint64_t heartbeats = 0;
-  std::size_t description = 0;
-  bool placing_held = false;
+  std::uint64_t heartbeat_count = 0;
+  std::size_t description_index = 0;
+  bool dispatch_paused = false;
   bool stopping = false;
 };
 
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -31,12 +31,12 @@
           {"seed_addresses", "127.0.0.2:7003,127.0.0.3:7003"}};
 }
 
-Result<NodeServerPlan> plan_from(Fields const& fields) {
+Result<NodeServerPlan> plan_from_fields(Fields const& fields) {
   std::string text;
   for (std::pair<std::string const, std::string> const& item : fields) text += item.first + "=" + item.second + "\n";
   Result<SettingsFile> const file = SettingsFile::parse(text);
   if (!file) return file.as_failure();
-  return plan_of(file.value());
+  return make_plan(file.value());
 }
 
 char const base[] =
@@ -63,7 +63,7 @@
 }
 
 // The base with one text in the place of another.
-std::string with(std::string const& old, std::string const& fresh) {
+std::string base_with(std::string const& old, std::string const& fresh) {
   std::string out = base;
   std::size_t const at = out.find(old);
   EXPECT_NE(at, std::string::npos) << old;
@@ -78,7 +78,7 @@
   fields["bounds.extra_retries"] = "10";
   fields["bounds.grace_s"] = "2.5";
   fields["beat_interval_ms"] = "700";
-  Result<NodeServerPlan> const plan = plan_from(fields);
+  Result<NodeServerPlan> const plan = plan_from_fields(fields);
   ASSERT_TRUE(plan) << plan.error().what;
   EXPECT_EQ(plan.value().node.name, "n1");
   EXPECT_EQ(plan.value().node.address, "127.0.0.1:7100");
@@ -91,18 +91,19 @@
   EXPECT_LE(plan.value().node.retry_budget_limit, 10);
   EXPECT_FALSE(plan.value().node.is_replica);
   fields["data_directory"] = "/anywhere";
-  EXPECT_TRUE(plan_from(fields).value().node.is_replica);
+  EXPECT_TRUE(plan_from_fields(fields).value().node.is_replica);
 }
 
 TEST(Settings, keys_and_limits_have_the_deployments_bounds) {
   Fields fields = good_fields();
   fields["bounds.revocation_ms"] = "5000";
-  EXPECT_EQ(plan_from(fields).value().node.revocation_bound, 0) << "only where it binds machines that are cut off";
+  EXPECT_EQ(plan_from_fields(fields).value().node.revocation_bound, 0)
+      << "only where it binds machines that are cut off";
   fields["bounds.revocation_closed"] = "true";
   fields["bounds.quota_window_s"] = "8";
   fields["bounds.quota_overshoot"] = "0.1";
   fields["bounds.quota_slack"] = "140000";
-  NodePlan const node = plan_from(fields).value().node;
+  NodePlan const node = plan_from_fields(fields).value().node;
   EXPECT_GT(node.revocation_bound, seconds(4));
   EXPECT_LT(node.revocation_bound, seconds(5));
   EXPECT_EQ(node.quota_terms.window, seconds(8));
@@ -117,7 +118,7 @@
   deploy << file.rdbuf();
   std::string const line = "metrics = \"" + std::to_string(metrics_port) + "/metrics\"";
   EXPECT_NE(deploy.str().find(line), std::string::npos) << line;
-  Result<NodeServerPlan> const plan = plan_from(good_fields());
+  Result<NodeServerPlan> const plan = plan_from_fields(good_fields());
   ASSERT_TRUE(plan);
   EXPECT_EQ(plan.value().metrics, "127.0.0.1:" + std::to_string(metrics_port));
 }
@@ -141,7 +142,7 @@
   for (char const* const key : {"node_name", "ip_address", "zone", "internal_port_range"}) {
     Fields fields = good_fields();
     fields.erase(key);
-    Result<NodeServerPlan> const plan = plan_from(fields);
+    Result<NodeServerPlan> const plan = plan_from_fields(fields);
     ASSERT_FALSE(plan) << key;
     EXPECT_NE(plan.error().what.find(key), std::string::npos) << plan.error().what;
     EXPECT_EQ(plan.error().what.find('\n'), std::string::npos);
@@ -183,7 +184,7 @@
   for (Row const& row : rows) {
     Fields fields = good_fields();
     fields[row.key] = row.value;
-    Result<NodeServerPlan> const plan = plan_from(fields);
+    Result<NodeServerPlan> const plan = plan_from_fields(fields);
     ASSERT_FALSE(plan) << row.key << "=" << row.value;
     std::string const group =
         std::string(row.key).substr(0, std::string(row.key).rfind("listen_addresses.") == 0 ? 16 : 64);
@@ -196,7 +197,7 @@
   Result<Configuration> const made = read_complete_configuration(base);
   ASSERT_TRUE(made) << made.error().where << " " << made.error().what;
   EXPECT_EQ(made.value().version, 4u);
-  EXPECT_EQ(source_of(made.value().text), base) << "what was sent is kept word for word";
+  EXPECT_EQ(configuration_source(made.value().text), base) << "what was sent is kept word for word";
   std::shared_ptr<Description const> const description = compiled_description(made.value());
   ASSERT_TRUE(description);
   ASSERT_EQ(description->routes.size(), 3u);
@@ -211,11 +212,11 @@
   Route const& embed = description->routes[1];
   EXPECT_TRUE(embed.repeatable && !embed.streams);
   ASSERT_EQ(embed.shares.size(), 2u);
-  EXPECT_EQ(embed.shares[0].pool, pool_of("big_llm"));
+  EXPECT_EQ(embed.shares[0].pool, pool_name_of("big_llm"));
   EXPECT_EQ(embed.shares[0].weight, 3);
   EXPECT_FALSE(description->routes[2].repeatable);
   EXPECT_EQ(description->routes[2].attempts, 1);
-  Pool const* const pool = description->pool(pool_of("big_llm"));
+  Pool const* const pool = description->pool(pool_name_of("big_llm"));
   ASSERT_NE(pool, nullptr);
   EXPECT_EQ(pool->slots, 12);
   EXPECT_EQ(pool->cache_tokens, 260000);
@@ -238,7 +239,7 @@
   Result<std::shared_ptr<Description const>> const read = read_configuration(old);
   ASSERT_TRUE(read) << read.error().what;
   EXPECT_NE(read.value()->route("h", "/x"), nullptr);
-  EXPECT_EQ(source_of(old), sent);
+  EXPECT_EQ(configuration_source(old), sent);
 }
 
 TEST(Configurations, each_invalid_kind_is_refused) {
@@ -248,32 +249,32 @@
       "[]",
       "7",
       "{\"version\":1}",
-      with("\"version\": 4,", ""),
-      with("\"version\": 4", "\"version\": 0"),
-      with("\"version\": 4", "\"version\": -4"),
-      with("\"version\": 4", "\"version\": \"4\""),
-      with("\"routes\"", "\"roots\""),
-      with("\"services\": [\n", "\"servants\": [\n"),
-      with("\"path_prefix\": \"/v1/chat\"", "\"path_prefix\": \"v1\""),
-      with("\"path_prefix\": \"/v1/chat\"", "\"path_prefix\": \"\""),
-      with("\"path_prefix\": \"/v1/chat\"", "\"path_prefix\": \"/v1/embed\""),
-      with("\"host\": \"api.test\", ", ""),
-      with("\"name\": \"chat\"", "\"name\": \"embed\""),
-      with("\"name\": \"chat\", ", ""),
-      with("\"service\": \"big_llm\", \"timeout_ms\"", "\"service\": \"nobody\", \"timeout_ms\""),
-      with("\"service\": \"big_llm\", \"timeout_ms\"", "\"timeout_ms\""),
-      with("\"timeout_ms\": 260000.0", "\"timeout_ms\": 0"),
-      with("\"timeout_ms\": 260000.0", "\"timeout_ms\": -1"),
-      with("\"timeout_ms\": 260000.0", "\"timeout_ms\": 1e300"),
-      with("\"timeout_ms\": 260000.0, ", ""),
-      with("\"weight\": 3}, {\"service\": \"small\", \"weight\": 1}",
-           "\"weight\": 0}, {\"service\": \"small\", \"weight\": 0}"),
-      with("\"weight\": 3", "\"weight\": -3"),
-      with("[{\"service\": \"big_llm\", \"weight\": 3}, {\"service\": \"small\", \"weight\": 1}]", "[]"),
-      with("{\"name\": \"small\"}", "{\"name\": \"big_llm\"}"),
-      with("{\"name\": \"small\"}", "{}"),
-      with("\"max_body_bytes\": 1000000", "\"max_body_bytes\": -1"),
-      with("\"max_body_bytes\": 1000000", "\"max_body_bytes\": -1e300"),
+      base_with("\"version\": 4,", ""),
+      base_with("\"version\": 4", "\"version\": 0"),
+      base_with("\"version\": 4", "\"version\": -4"),
+      base_with("\"version\": 4", "\"version\": \"4\""),
+      base_with("\"routes\"", "\"roots\""),
+      base_with("\"services\": [\n", "\"servants\": [\n"),
+      base_with("\"path_prefix\": \"/v1/chat\"", "\"path_prefix\": \"v1\""),
+      base_with("\"path_prefix\": \"/v1/chat\"", "\"path_prefix\": \"\""),
+      base_with("\"path_prefix\": \"/v1/chat\"", "\"path_prefix\": \"/v1/embed\""),
+      base_with("\"host\": \"api.test\", ", ""),
+      base_with("\"name\": \"chat\"", "\"name\": \"embed\""),
+      base_with("\"name\": \"chat\", ", ""),
+      base_with("\"service\": \"big_llm\", \"timeout_ms\"", "\"service\": \"nobody\", \"timeout_ms\""),
+      base_with("\"service\": \"big_llm\", \"timeout_ms\"", "\"timeout_ms\""),
+      base_with("\"timeout_ms\": 260000.0", "\"timeout_ms\": 0"),
+      base_with("\"timeout_ms\": 260000.0", "\"timeout_ms\": -1"),
+      base_with("\"timeout_ms\": 260000.0", "\"timeout_ms\": 1e300"),
+      base_with("\"timeout_ms\": 260000.0, ", ""),
+      base_with("\"weight\": 3}, {\"service\": \"small\", \"weight\": 1}",
+                "\"weight\": 0}, {\"service\": \"small\", \"weight\": 0}"),
+      base_with("\"weight\": 3", "\"weight\": -3"),
+      base_with("[{\"service\": \"big_llm\", \"weight\": 3}, {\"service\": \"small\", \"weight\": 1}]", "[]"),
+      base_with("{\"name\": \"small\"}", "{\"name\": \"big_llm\"}"),
+      base_with("{\"name\": \"small\"}", "{}"),
+      base_with("\"max_body_bytes\": 1000000", "\"max_body_bytes\": -1"),
+      base_with("\"max_body_bytes\": 1000000", "\"max_body_bytes\": -1e300"),
   };
   for (std::string const& row : rows) {
     Result<Configuration> const made = read_complete_configuration(row);
@@ -286,7 +287,7 @@
 TEST(Configurations, names_of_services_stay_apart) {
   char const* const names[] = {"a", "a_", "a-", "a.b", "a_b", "a_2eb", "A", "a b", "1", "\xc3\xa9", ""};
   std::set<std::string> seen;
-  for (char const* const name : names) EXPECT_TRUE(seen.insert(pool_of(name)).second) << name;
+  for (char const* const name : names) EXPECT_TRUE(seen.insert(pool_name_of(name)).second) << name;
 }
 
 TEST(Configurations, amending_adds_replaces_and_removes_and_keeps_the_rest_as_written) {
@@ -299,7 +300,7 @@
                     "\"remove\": {\"routes\": [\"embed\"], \"services\": [\"small\", \"nobody\"]}}");
   ASSERT_TRUE(made) << made.error().where << " " << made.error().what;
   EXPECT_EQ(made.value().version, 5u);
-  std::string const source = source_of(made.value().text);
+  std::string const source = configuration_source(made.value().text);
   for (char const* const kept : {"\"timeout_ms\": 260000.0,", "\"cache_tokens\": 260000.0,",
                                  "\"note\": {\"by\": [1, 2.50]}", "2000.50", "[\"one\", \"two\"]", "\"ops\""})
     EXPECT_NE(source.find(kept), std::string::npos) << kept << "\n" << source;
@@ -309,8 +310,8 @@
   EXPECT_EQ(description->routes[0].name, "chat");
   EXPECT_EQ(description->routes[1].name, "once");
   EXPECT_EQ(description->routes[1].request_timeout, millis(2000));
-  EXPECT_EQ(description->routes[1].shares[0].pool, pool_of("tiny"));
-  EXPECT_EQ(description->pool(pool_of("small")), nullptr);
+  EXPECT_EQ(description->routes[1].shares[0].pool, pool_name_of("tiny"));
+  EXPECT_EQ(description->pool(pool_name_of("small")), nullptr);
   EXPECT_EQ(description->limits.head_bytes, 4096);
   simdjson::dom::parser parser;
   simdjson::dom::element root;
@@ -323,14 +324,14 @@
 TEST(Configurations, amending_with_nothing_changes_the_version_alone) {
   Result<Configuration> const made = apply_changes(base, "{\"version\": 9}");
   ASSERT_TRUE(made) << made.error().where << " " << made.error().what;
-  Result<Configuration> const again = apply_changes(source_of(made.value().text), "{\"version\": 9}");
+  Result<Configuration> const again = apply_changes(configuration_source(made.value().text), "{\"version\": 9}");
   ASSERT_TRUE(again);
-  EXPECT_EQ(source_of(again.value().text), source_of(made.value().text));
+  EXPECT_EQ(configuration_source(again.value().text), configuration_source(made.value().text));
   EXPECT_EQ(compiled_description(made.value())->routes.size(), 3u);
 }
 
 TEST(Configurations, amending_nothing_at_all_begins_one) {
-  std::string const none = source_of("");
+  std::string const none = configuration_source("");
   Result<Configuration> const made = apply_changes(
       none,
       "{\"version\":1,\"upsert\":{\"services\":[{\"name\":\"s\"}],\"routes\":[{\"name\":\"r\",\"host\":\"h\","
@@ -356,13 +357,13 @@
 
 namespace {
 // The answer to an Amend that builds on this label; nothing when it goes on.
-std::optional<ErrorCode> refusal_of(wire::ValueT const& present, std::uint64_t expected, std::string const& id) {
+std::optional<ErrorCode> amend_error(wire::ValueT const& present, std::uint64_t expected, std::string const& id) {
   Change change;
   change.type = Change::Type::apply;
   change.id = id;
   change.expected = expected;
-  AmendStep const step = amend_step(present, change, "{\"version\": 900000}");
-  Error const* const fault = std::get_if<Error>(&step);
+  AmendDecision const decision = decide_amend(present, change, "{\"version\": 900000}");
+  Error const* const fault = std::get_if<Error>(&decision);
   return fault == nullptr ? std::nullopt : std::optional<ErrorCode>(fault->code);
 }
 }  // namespace
@@ -376,18 +377,18 @@
     remember_order(present, "order-" + std::to_string(n));
   }
   // Order 10 was based on label 27 and is forgotten; order 11, based on 30, is remembered.
-  EXPECT_EQ(refusal_of(present, 27, "order-10"), ErrorCode::change_unknown);
-  EXPECT_EQ(refusal_of(present, 27, "never taken"), ErrorCode::change_unknown);
-  EXPECT_EQ(refusal_of(present, 30, "order-11"), std::nullopt);
-  EXPECT_EQ(refusal_of(present, 30, "never taken"), ErrorCode::stale_serial);
-  EXPECT_EQ(refusal_of(present, present.label, "fits"), std::nullopt);
-  EXPECT_EQ(refusal_of(present, present.label + 1, "builds on one to come"), ErrorCode::change_unknown);
+  EXPECT_EQ(amend_error(present, 27, "order-10"), ErrorCode::change_unknown);
+  EXPECT_EQ(amend_error(present, 27, "never taken"), ErrorCode::change_unknown);
+  EXPECT_EQ(amend_error(present, 30, "order-11"), std::nullopt);
+  EXPECT_EQ(amend_error(present, 30, "never taken"), ErrorCode::stale_serial);
+  EXPECT_EQ(amend_error(present, present.label, "fits"), std::nullopt);
+  EXPECT_EQ(amend_error(present, present.label + 1, "builds on one to come"), ErrorCode::change_unknown);
 }
 
 TEST(Configurations, a_description_of_another_make_has_no_source) {
   char const none[] = "{\"version\":0,\"routes\":[],\"services\":[],\"limits\":{}}";
-  EXPECT_EQ(source_of(""), none);
-  EXPECT_EQ(source_of("{\"format\":1,\"pools\":[],\"lanes\":[]}"), none);
+  EXPECT_EQ(configuration_source(""), none);
+  EXPECT_EQ(configuration_source("{\"format\":1,\"pools\":[],\"lanes\":[]}"), none);
 }
 
 namespace {
@@ -419,7 +420,7 @@
     proposer.adopt_membership(members);
   }
 
-  Outcome ask(std::string const& id, std::string const& text, std::uint64_t expected, std::uint64_t label) {
+  Outcome submit(std::string const& id, std::string const& text, std::uint64_t expected, std::uint64_t label) {
     Change change;
     change.type = Change::Type::apply;
     change.id = id;
@@ -431,11 +432,11 @@
         change, [&out](Outcome const& outcome) { out = outcome; }, now));
     for (int turns = 0; turns < 400 && !out; ++turns) {
       now += millis(10);
-      std::vector<OutgoingMessage> asks;
-      proposer.tick(now, asks);
-      while (!asks.empty()) {
+      std::vector<OutgoingMessage> messages;
+      proposer.tick(now, messages);
+      while (!messages.empty()) {
         std::vector<OutgoingMessage> more;
-        for (OutgoingMessage& item : asks) {
+        for (OutgoingMessage& item : messages) {
           std::string const to = item.to;
           Acceptor& replica = replicas.at(to);
           replica.enqueue("n1", std::move(item.body));
@@ -443,7 +444,7 @@
           if (replica.step(replies)) replica.on_synced(replies);
           for (OutgoingMessage& reply : replies) proposer.handle_reply(to, reply.body, now, more);
         }
-        asks = std::move(more);
+        messages = std::move(more);
       }
     }
     EXPECT_TRUE(out);
@@ -457,8 +458,8 @@
 }  // namespace
 
 TEST_F(Versions, follow_one_another_by_the_operators_own_numbers) {
-  EXPECT_EQ(ask("a", "one", 0, 10).type, Outcome::Type::chosen);
-  Outcome const second = ask("b", "two", 10, 25);
+  EXPECT_EQ(submit("a", "one", 0, 10).type, Outcome::Type::chosen);
+  Outcome const second = submit("b", "two", 10, 25);
   EXPECT_EQ(second.type, Outcome::Type::chosen);
   EXPECT_EQ(second.value.label, 25u);
   EXPECT_EQ(second.value.serial, 2u);
@@ -466,9 +467,9 @@
 }
 
 TEST_F(Versions, a_change_of_an_old_version_is_stale) {
-  ask("a", "one", 0, 10);
+  submit("a", "one", 0, 10);
   for (std::uint64_t const based : {std::uint64_t(0), std::uint64_t(9)}) {
-    Outcome const out = ask("c" + std::to_string(based), "two", based, 12);
+    Outcome const out = submit("c" + std::to_string(based), "two", based, 12);
     EXPECT_EQ(out.type, Outcome::Type::refused);
     EXPECT_EQ(out.error.code, ErrorCode::stale_serial) << based;
     EXPECT_EQ(out.value.text, "one");
@@ -478,34 +479,34 @@
 
 // The version that it builds on may still come, and a late copy of the order with it: a refusal could prove wrong.
 TEST_F(Versions, a_change_of_a_version_to_come_is_left_unclear) {
-  ask("a", "one", 0, 10);
-  Outcome const out = ask("c", "three", 11, 12);
+  submit("a", "one", 0, 10);
+  Outcome const out = submit("c", "three", 11, 12);
   EXPECT_EQ(out.type, Outcome::Type::unknown);
   EXPECT_EQ(out.error.code, ErrorCode::change_unknown);
-  Outcome const next = ask("b", "two", 10, 11);
+  Outcome const next = submit("b", "two", 10, 11);
   EXPECT_EQ(next.value.text, "two") << "what was unclear changed nothing";
-  EXPECT_EQ(ask("c", "three", 11, 12).type, Outcome::Type::chosen);
+  EXPECT_EQ(submit("c", "three", 11, 12).type, Outcome::Type::chosen);
 }
 
 TEST_F(Versions, a_version_that_is_not_above_is_refused) {
-  ask("a", "one", 0, 10);
+  submit("a", "one", 0, 10);
   for (std::uint64_t const label : {std::uint64_t(10), std::uint64_t(9), std::uint64_t(1)}) {
-    Outcome const out = ask("c" + std::to_string(label), "two", 10, label);
+    Outcome const out = submit("c" + std::to_string(label), "two", 10, label);
     EXPECT_EQ(out.type, Outcome::Type::refused);
     EXPECT_EQ(out.error.code, ErrorCode::bad_description) << label;
     EXPECT_EQ(out.value.text, "one");
   }
   // What is both is stale: the operator looks again first.
-  EXPECT_EQ(ask("d", "two", 3, 4).error.code, ErrorCode::stale_serial);
+  EXPECT_EQ(submit("d", "two", 3, 4).error.code, ErrorCode::stale_serial);
 }
 
 TEST_F(Versions, a_change_that_is_repeated_is_the_same_change) {
-  Outcome const first = ask("a", "one", 0, 10);
-  Outcome const again = ask("a", "one", 0, 10);
+  Outcome const first = submit("a", "one", 0, 10);
+  Outcome const again = submit("a", "one", 0, 10);
   EXPECT_EQ(again.type, Outcome::Type::chosen);
   EXPECT_EQ(again.serial, first.serial);
-  ask("b", "two", 10, 11);
-  Outcome const late = ask("a", "one", 0, 10);
+  submit("b", "two", 10, 11);
+  Outcome const late = submit("a", "one", 0, 10);
   EXPECT_EQ(late.type, Outcome::Type::chosen);
   EXPECT_EQ(late.serial, first.serial);
   EXPECT_EQ(late.value.text, "two") << "it is not made a second time";
@@ -514,9 +515,9 @@
 }
 
 TEST_F(Versions, of_serials_and_labels_each_goes_by_its_own) {
-  ask("a", "one", 0, 10);
-  EXPECT_EQ(ask("b", "two", 10, 0).error.code, ErrorCode::stale_serial);
-  Outcome const out = ask("c", "two", 1, 0);
+  submit("a", "one", 0, 10);
+  EXPECT_EQ(submit("b", "two", 10, 0).error.code, ErrorCode::stale_serial);
+  Outcome const out = submit("c", "two", 1, 0);
   EXPECT_EQ(out.type, Outcome::Type::chosen);
   EXPECT_EQ(out.value.label, 10u);
 }
--- a/tests/station.cc
+++ b/tests/station.cc
@@ -21,8 +21,8 @@
     address = plan.control;
     metrics = plan.metrics;
     node_server = std::make_unique<NodeServer>(std::move(plan));
-    calls = std::make_unique<Calls>(*node_server, address);
-    node_server->on_control([this](Server::Call& call) { return calls->take(call); });
+    calls = std::make_unique<ControlCalls>(*node_server, address);
+    node_server->on_control([this](Server::Call& call) { return calls->handle(call); });
     EXPECT_TRUE(node_server->open());
   }
 
@@ -43,7 +43,7 @@
   std::string address;
   std::string metrics;
   std::unique_ptr<NodeServer> node_server;
-  std::unique_ptr<Calls> calls;
+  std::unique_ptr<ControlCalls> calls;
 };
 }  // namespace
 
--- a/tests/worker_end_acknowledgement.cc
+++ b/tests/worker_end_acknowledgement.cc
@@ -89,8 +89,8 @@
     address = plan.control;
     peer = std::make_unique<PeerNode>(peer_address, plan.node.address);
     node_server = std::make_unique<NodeServer>(std::move(plan));
-    calls = std::make_unique<Calls>(*node_server, address);
-    node_server->on_control([this](Server::Call& call) { return calls->take(call); });
+    calls = std::make_unique<ControlCalls>(*node_server, address);
+    node_server->on_control([this](Server::Call& call) { return calls->handle(call); });
     EXPECT_TRUE(node_server->open());
     ticker = g_timeout_add(
         20,
@@ -123,7 +123,7 @@
   std::string address;
   std::unique_ptr<PeerNode> peer;
   std::unique_ptr<NodeServer> node_server;
-  std::unique_ptr<Calls> calls;
+  std::unique_ptr<ControlCalls> calls;
   unsigned ticker = 0;
   std::uint64_t sequence = 0;
 };
