--- a/testing/request_model_checker/explore.cc
+++ b/testing/request_model_checker/explore.cc
@@ -1,7 +1,7 @@
 #include "testing/request_model_checker/explore.h"
 
 #include "base/random.h"
-#include "testing/request_model_checker/world.h"
+#include "testing/request_model_checker/request_path_model.h"
 
 namespace pipit {
 
--- a/testing/request_model_checker/world.cc
+++ b/testing/request_model_checker/request_path_model.cc
@@ -1,4 +1,4 @@
-#include "testing/request_model_checker/world.h"
+#include "testing/request_model_checker/request_path_model.h"
 
 #include <glib.h>
 #include <sys/socket.h>
@@ -338,7 +338,8 @@
   worker.connections.clear();
   worker.running = true;
   worker.address_reassigned = address_reassigned;
-  worker.id = (address_reassigned ? "x" : "w") + worker.address.substr(7, 1) + "-" + std::to_string(++worker.process_count);
+  worker.id =
+      (address_reassigned ? "x" : "w") + worker.address.substr(7, 1) + "-" + std::to_string(++worker.process_count);
 }
 
 void RequestPathModel::send(WorkerConnection& connection, std::string const& bytes) {
