--- a/programs/pipitspoolctl/main.cc
+++ b/programs/pipitspoolctl/main.cc
@@ -1,5 +1,5 @@
-// pipitspoolctl: the operator's command line (§8.2). Exit codes: 0 done, 1 refused, 2 bad usage or input,
-// 3 the outcome is not known, 4 not reached or no majority, 5 taken but not confirmed by all.
+// pipitspoolctl: the operator's command line (§8.2). Exit codes: 0 done, 1 refused, 2 bad usage or input, 3 outcome
+// unknown, 4 node unreachable or no majority, 5 chosen, but not confirmed by every node yet.
 #include <glib.h>
 
 #include <boost/program_options.hpp>
@@ -19,18 +19,20 @@
 
 namespace options = boost::program_options;
 
+// Prints the reply of a node, or why it was not reached. Returns the exit code.
 int print_reply(OperatorReply const& reply) {
   int const code = exit_code_of(reply);
   if (reply.status == 0) {
-    std::fprintf(stderr, "pipitspoolctl: the node is not reached: %s\n", reply.why.c_str());
+    std::fprintf(stderr, "pipitspoolctl: the node cannot be reached: %s\n", reply.why.c_str());
   } else {
     std::fprintf(code == 0 || code == 5 ? stdout : stderr, "%s\n", reply.body.c_str());
     if (code == 3)
-      std::fprintf(stderr, "pipitspoolctl: resolve it with: pipitspoolctl change %s\n", reply.change.c_str());
+      std::fprintf(stderr, "pipitspoolctl: find out the outcome with: pipitspoolctl change %s\n", reply.change.c_str());
   }
   return code;
 }
 
+// Reads a file, or standard input if the path is "-".
 bool read_file(std::string const& path, std::string& out) {
   std::stringstream text;
   if (path == "-") {
@@ -45,19 +47,23 @@
 }
 
 char const usage[] =
-    "pipitspoolctl: checks, applies and reads the description, and empties and refills zones\n"
-    "  pipitspoolctl check FILE                check a description, without any node\n"
-    "  pipitspoolctl apply FILE [--expect N]   apply it whole; without --expect the present serial is read first\n"
+    "pipitspoolctl: checks, applies and reads the description, and drains and refills zones\n"
+    "  pipitspoolctl check FILE                check a description without contacting a node\n"
+    "  pipitspoolctl apply FILE [--expect N]   replace the description; without --expect, read the present serial "
+    "first\n"
     "  pipitspoolctl read [--marks]            print the accepted description as it was written\n"
-    "  pipitspoolctl empty ZONE                no more requests to a zone; yes once every node confirms\n"
-    "  pipitspoolctl refill ZONE               requests to the zone again\n"
-    "  pipitspoolctl forget NODE               a router node that is gone for good no longer counts\n"
-    "  pipitspoolctl change ID                 whether a change whose outcome was unknown was chosen\n"
-    "  pipitspoolctl status                    what one node knows, as JSON\n"
-    "  pipitspoolctl tenants                   what one node knows of tenants, their limits and keys (by digest), as "
-    "JSON\n"
-    "  pipitspoolctl wait [--within SECONDS]   until the node is ready to serve; 20 seconds at most unless told\n"
-    "Exit codes: 0 done; 1 refused; 2 bad usage or description; 3 outcome unknown; 4 not reached or no majority;\n"
+    "  pipitspoolctl empty ZONE                drain a zone; done once every node confirms that it sends no requests "
+    "there\n"
+    "  pipitspoolctl refill ZONE               send requests to the zone again\n"
+    "  pipitspoolctl forget NODE               remove a router node that will not return; no confirmation waits for "
+    "it\n"
+    "  pipitspoolctl change ID                 tell whether a change with an unknown outcome was chosen\n"
+    "  pipitspoolctl status                    print the node's status as JSON\n"
+    "  pipitspoolctl tenants                   print the tenants that the node knows, with their limits and the "
+    "digests\n"
+    "                                          of their keys, as JSON\n"
+    "  pipitspoolctl wait [--within SECONDS]   wait until the node is ready to serve, at most 20 seconds by default\n"
+    "Exit codes: 0 done; 1 refused; 2 bad usage or description; 3 outcome unknown; 4 node unreachable or no majority;\n"
     "            5 chosen, but not confirmed by every node yet\n";
 
 int run(int argc, char** argv) {
@@ -68,9 +74,10 @@
   unsigned wait_timeout_s = 20;
   options::options_description flags("Flags");
   flags.add_options()("node", options::value(&node), "IP:port of any node (default 127.0.0.1:7080)")(
-      "expect", options::value(&expect), "the serial that the change expects")(
-      "marks", options::bool_switch(&marks_only), "print serial and emptied zones, not the text")(
-      "within", options::value(&wait_timeout_s), "seconds that 'wait' waits at most (default 20)")("help", "this text");
+      "expect", options::value(&expect), "apply only if the present serial is this one")(
+      "marks", options::bool_switch(&marks_only), "print the serial and the drained zones, not the text")(
+      "within", options::value(&wait_timeout_s), "how long 'wait' waits at most, in seconds (default 20)")("help",
+                                                                                                           "this text");
   options::options_description all;
   all.add(flags);
   all.add_options()("words", options::value(&arguments));
--- a/programs/zone_drill/main.cc
+++ b/programs/zone_drill/main.cc
@@ -1,6 +1,6 @@
-// pipitspool-zone-drill: the drill. Takes a zone out of a live fleet, watches the promises, and puts the zone back
-// (§8.3). Exit codes: 0 passed, 1 a promise was broken, 2 bad usage, 3 interrupted (the zone was put back), 4 refused
-// to begin, 5 the zone could not be put back.
+// pipitspool-zone-drill: drains a zone of a live fleet, checks meanwhile that the fleet keeps its guarantees, and
+// refills the zone (§8.3). Exit codes: 0 passed, 1 a guarantee was broken, 2 bad usage, 3 interrupted (the zone was
+// refilled), 4 refused to begin, 5 the zone could not be refilled.
 #include <glib.h>
 #include <signal.h>
 #include <simdjson.h>
@@ -24,24 +24,26 @@
 
 namespace options = boost::program_options;
 
-volatile sig_atomic_t interrupted = 0;
+volatile sig_atomic_t interrupted = 0;  // set by SIGINT and SIGTERM
 Micros now() { return g_get_monotonic_time(); }
 
+// A worker in the status of a node.
 struct Worker {
   std::string zone;
   bool serving = false;
   std::int64_t slots = 0;
   std::int64_t demand = 0;
-  std::uint64_t sent = 0;
+  std::uint64_t sent = 0;  // requests that the node has sent to it
 };
-struct NodeStatus {  // what one node says
-  bool valid = false;
-  bool router = false;
+// The status of one node.
+struct NodeStatus {
+  bool valid = false;   // the node was reached and its status is complete
+  bool router = false;  // the node is a router
   bool ready = false;
   std::uint64_t serial = 0;
   std::set<std::string> drained_zones;
   std::map<std::string, Worker> workers;
-  std::map<std::string, std::string> routers;  // live peers that route, by name, with their addresses
+  std::map<std::string, std::string> routers;  // HTTP addresses of the peers that are alive and routers, by name
   std::string name;
 };
 
@@ -85,28 +87,32 @@
   return out;
 }
 
-// A pause between two looks, ended early by a signal.
+// Sleeps between two status requests; a signal ends the sleep early.
 void pause_unless_interrupted(Micros span) {
   Micros const end = now() + span;
   while (now() < end && !interrupted) g_usleep(20000);
 }
 
+// One drill of a zone.
 class Drill {
  public:
+  // `node` is the address of any node. `hold_s`: how long the zone stays drained. `max_demand_share`: the drill begins
+  // only if the demand takes at most this share of the slots in the other zones.
   Drill(std::string node, std::string zone, double hold_s, double max_demand_share)
       : node_(std::move(node)),
         zone_(std::move(zone)),
         observation_time_(static_cast<Micros>(hold_s * 1e6)),
         max_demand_share_(max_demand_share) {}
 
+  // Returns the exit code.
   int run() {
     NodeStatus const first = read_status(node_);
-    if (!first.valid) return refuse("the node " + node_ + " is not reached");
+    if (!first.valid) return refuse("the node " + node_ + " cannot be reached or gave no valid status");
     std::string const why = unfit_reason(first);
     if (!why.empty()) return refuse(why);
     routers_ = first.routers;
     if (first.router) routers_[first.name] = node_;
-    // From here on the zone is put back, whatever happens.
+    // The zone is refilled after this, whatever the drill finds.
     bool const observed = drain_and_observe();
     bool const refilled = refill();
     report(refilled);
@@ -121,7 +127,7 @@
     return 4;
   }
 
-  // Why the fleet cannot do without the zone now; empty when it can.
+  // Why the zone cannot be drained now; empty if it can.
   std::string unfit_reason(NodeStatus const& status) const {
     std::int64_t demand = 0;
     std::int64_t other_slots = 0;
@@ -134,17 +140,19 @@
       else
         other_slots += item.second.slots;
     }
-    if (!status.drained_zones.empty()) return "the zone " + *status.drained_zones.begin() + " is emptied already";
+    if (!status.drained_zones.empty()) return "the zone " + *status.drained_zones.begin() + " is drained already";
     if (workers_in_zone == 0) return "no worker serves in the zone " + zone_;
     if (other_slots == 0 || static_cast<double>(demand) > max_demand_share_ * static_cast<double>(other_slots))
       return "the other zones have " + std::to_string(other_slots) + " slots for a demand of " + std::to_string(demand);
     return "";
   }
 
+  // Records a broken guarantee, each once.
   void add_fault(std::string const& what) {
     if (std::find(faults_.begin(), faults_.end(), what) == faults_.end()) faults_.push_back(what);
   }
 
+  // Drains the zone and checks the routers until the hold ends. Returns false if the drain was not confirmed.
   bool drain_and_observe() {
     Micros const started_at = now();
     std::string const empty_body;
@@ -155,7 +163,7 @@
       pause_unless_interrupted(millis(500));
     } while (!interrupted && now() - started_at < seconds(20));
     if (reply.status != 200) {
-      add_fault("the zone was not confirmed empty: " + reply.body);
+      add_fault("the nodes did not confirm that the zone is drained: " + reply.body);
       return false;
     }
     Micros const confirmed_at = now();
@@ -164,20 +172,20 @@
     simdjson::dom::element root;
     std::uint64_t serial = 0;
     if (parser.parse(simdjson::padded_string(reply.body)).get(root) || root["serial"].get_uint64().get(serial))
-      add_fault("the answer has no serial");
-    std::map<std::string, std::uint64_t> sent;  // node and worker, as of five seconds after the yes
+      add_fault("the node's answer to the drain has no serial");
+    std::map<std::string, std::uint64_t> sent;  // requests sent, by router and worker
     while (!interrupted && now() - confirmed_at < observation_time_) {
       for (std::pair<std::string const, std::string> const& router : routers_) {
         NodeStatus const status = read_status(router.second);
         Micros const age = now() - confirmed_at;
         if (!status.valid) {
-          add_fault(router.first + " was not reached");
+          add_fault(router.first + " could not be reached");
           continue;
         }
         ++samples_;
         if (age > seconds(2) && status.serial < serial)
-          add_fault(router.first + " has not the serial in force after two seconds");
-        if (!status.ready) add_fault(router.first + " was not ready");
+          add_fault(router.first + " does not have the drain's serial in force after two seconds");
+        if (!status.ready) add_fault(router.first + " was not ready during the drill");
         for (std::pair<std::string const, Worker> const& item : status.workers) {
           std::string const key = router.first + " " + item.first;
           std::uint64_t const previous = sent.count(key) ? sent[key] : item.second.sent;
@@ -187,25 +195,29 @@
             sent_elsewhere_ += item.second.sent - previous;
           } else {
             last_sent_to_zone_ = std::max(last_sent_to_zone_, age);
-            if (age > seconds(5)) add_fault(router.first + " sent to " + item.first + " after five seconds");
+            if (age > seconds(5))
+              add_fault(router.first + " sent to " + item.first +
+                        " more than five seconds after the drain was confirmed");
           }
         }
       }
       pause_unless_interrupted(millis(250));
     }
-    // A drill that saw no traffic has shown nothing.
-    if (!interrupted && sent_elsewhere_ == 0) add_fault("no traffic was seen while the zone was empty");
-    if (!interrupted && observation_time_ <= seconds(5)) add_fault("the hold was too short to see the promise kept");
+    // Without traffic the drill cannot show that routers avoid the zone.
+    if (!interrupted && sent_elsewhere_ == 0) add_fault("the fleet had no traffic while the zone was drained");
+    if (!interrupted && observation_time_ <= seconds(5))
+      add_fault("the hold was too short: routers may send to the zone for five seconds");
     return true;
   }
 
+  // Refills the zone; tries for 30 seconds.
   bool refill() {
     std::string const empty_body;
     Micros const started_at = now();
     while (now() - started_at < seconds(30)) {
       if (call_operator_api("POST", node_, "/v1/zones/" + zone_ + "/refill", &empty_body, "").status == 200)
         return true;
-      // Any node proposes; the next may be reached where this one is not.
+      // Any node can propose the change, so the routers are tried if this node fails.
       for (std::pair<std::string const, std::string> const& router : routers_)
         if (call_operator_api("POST", router.second, "/v1/zones/" + zone_ + "/refill", &empty_body, "").status == 200)
           return true;
@@ -214,6 +226,7 @@
     return false;
   }
 
+  // Prints the findings as JSON, and the verdict.
   void report(bool refilled) const {
     JsonWriter json;
     json.begin_object()
@@ -241,10 +254,10 @@
   double const max_demand_share_;
   std::map<std::string, std::string> routers_;
   std::vector<std::string> faults_;
-  Micros confirmation_time_ = 0;
-  Micros last_sent_to_zone_ = 0;
-  std::uint64_t sent_elsewhere_ = 0;
-  std::int64_t samples_ = 0;
+  Micros confirmation_time_ = 0;      // from the call to the confirmation of every node
+  Micros last_sent_to_zone_ = 0;      // from the confirmation to the last request seen in the zone
+  std::uint64_t sent_elsewhere_ = 0;  // requests to the other zones
+  std::int64_t samples_ = 0;          // status answers read
 };
 
 int run(int argc, char** argv) {
@@ -253,11 +266,12 @@
   double hold_s = 10;
   double max_demand_share = 0.8;
   options::options_description flags(
-      "pipitspool-zone-drill: takes a zone out of a live fleet, watches the promises, and puts it back");
-  flags.add_options()("node", options::value(&node), "IP:port of any node")("zone", options::value(&zone), "the zone")(
-      "hold", options::value(&hold_s), "seconds without it, above 5")(
-      "most", options::value(&max_demand_share), "how much of the other zones' slots the demand may take")("help",
-                                                                                                           "this text");
+      "pipitspool-zone-drill: drains a zone of a live fleet, checks the fleet's guarantees, and refills the zone");
+  flags.add_options()("node", options::value(&node), "IP:port of any node")("zone", options::value(&zone),
+                                                                            "the zone to drain")(
+      "hold", options::value(&hold_s), "how long the zone stays drained, in seconds (above 5, at most 600)")(
+      "most", options::value(&max_demand_share),
+      "the largest share of the other zones' slots that the demand may take (at most 1)")("help", "this text");
   std::function<void()> const print_help = [&] { std::cout << flags; };
   std::optional<int> const ended = read_flags("pipitspool-zone-drill", argc, argv, flags, print_help);
   if (ended) return *ended;
