--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -1,4 +1,5 @@
-// The users' platform: its settings file, its configuration as a description, and the numbers it gives to versions.
+// The users' platform: its settings file, the conversion of its configuration to a description, and the operator's
+// version numbers.
 #include <gtest/gtest.h>
 
 #include <simdjson.h>
@@ -62,18 +63,18 @@
   return read ? read.value() : nullptr;
 }
 
-// The base with one text in the place of another.
-std::string base_with(std::string const& old, std::string const& fresh) {
+// The base configuration with one part of its text replaced.
+std::string base_with(std::string const& old, std::string const& replacement) {
   std::string out = base;
   std::size_t const at = out.find(old);
   EXPECT_NE(at, std::string::npos) << old;
-  return at == std::string::npos ? out : out.replace(at, old.size(), fresh);
+  return at == std::string::npos ? out : out.replace(at, old.size(), replacement);
 }
 }  // namespace
 
-TEST(Settings, a_good_file_gives_a_plan) {
+TEST(SettingsFile, a_valid_file_gives_a_plan) {
   Fields fields = good_fields();
-  fields["a_field_of_a_later_day"] = "anything = at all";
+  fields["field_of_a_later_version"] = "any = value";
   fields["bounds.retry_budget_ratio"] = "0.4";
   fields["bounds.extra_retries"] = "10";
   fields["bounds.grace_s"] = "2.5";
@@ -94,11 +95,11 @@
   EXPECT_TRUE(plan_from_fields(fields).value().node.is_replica);
 }
 
-TEST(Settings, keys_and_limits_have_the_deployments_bounds) {
+TEST(SettingsFile, bounds_of_keys_and_quota_come_from_the_file) {
   Fields fields = good_fields();
   fields["bounds.revocation_ms"] = "5000";
   EXPECT_EQ(plan_from_fields(fields).value().node.revocation_bound, 0)
-      << "only where it binds machines that are cut off";
+      << "without bounds.revocation_closed the bound does not apply to isolated nodes";
   fields["bounds.revocation_closed"] = "true";
   fields["bounds.quota_window_s"] = "8";
   fields["bounds.quota_overshoot"] = "0.1";
@@ -111,8 +112,8 @@
   EXPECT_EQ(node.quota_terms.slack, 140000);
 }
 
-// The platform reads the port in the deploy file, the process listens at the one in its words.
-TEST(Settings, metrics_are_where_the_deploy_file_says) {
+// The platform reads the metrics port in the deploy file, whereas the process listens at the constant in the code.
+TEST(SettingsFile, metrics_port_is_that_of_the_deploy_file) {
   std::ifstream file(std::string(SOURCE) + "/deploy/system.toml");
   std::stringstream deploy;
   deploy << file.rdbuf();
@@ -123,7 +124,7 @@
   EXPECT_EQ(plan.value().metrics, "127.0.0.1:" + std::to_string(metrics_port));
 }
 
-TEST(Settings, comments_empty_lines_and_line_ends_of_either_kind_are_taken) {
+TEST(SettingsFile, comments_empty_lines_and_both_line_endings_are_accepted) {
   Result<SettingsFile> const file = SettingsFile::parse("# a comment\r\n\r\nzone=a b \r\nlist=x,,y\nempty=\nsum=1=2");
   ASSERT_TRUE(file);
   EXPECT_EQ(file.value().get("zone"), "a b");
@@ -132,13 +133,13 @@
   EXPECT_EQ(file.value().get("sum"), "1=2");
   EXPECT_EQ(file.value().get("none"), "");
   for (char const* const bad : {"zone=a\nwords", "=x"}) {
-    Result<SettingsFile> const odd = SettingsFile::parse(bad);
-    ASSERT_FALSE(odd) << bad;
-    EXPECT_NE(odd.error().what.find("line "), std::string::npos) << odd.error().what;
+    Result<SettingsFile> const malformed = SettingsFile::parse(bad);
+    ASSERT_FALSE(malformed) << bad;
+    EXPECT_NE(malformed.error().what.find("line "), std::string::npos) << malformed.error().what;
   }
 }
 
-TEST(Settings, what_is_missing_is_named) {
+TEST(SettingsFile, the_error_names_the_missing_field) {
   for (char const* const key : {"node_name", "ip_address", "zone", "internal_port_range"}) {
     Fields fields = good_fields();
     fields.erase(key);
@@ -149,7 +150,7 @@
   }
 }
 
-TEST(Settings, what_is_wrong_is_named) {
+TEST(SettingsFile, the_error_names_the_invalid_field) {
   struct Row {
     char const* key;
     char const* value;
@@ -193,11 +194,11 @@
   }
 }
 
-TEST(Configurations, a_whole_one_becomes_a_description) {
+TEST(PlatformConfiguration, complete_configuration_becomes_a_description) {
   Result<Configuration> const made = read_complete_configuration(base);
   ASSERT_TRUE(made) << made.error().where << " " << made.error().what;
   EXPECT_EQ(made.value().version, 4u);
-  EXPECT_EQ(configuration_source(made.value().text), base) << "what was sent is kept word for word";
+  EXPECT_EQ(configuration_source(made.value().text), base) << "the text of the configuration must be kept unchanged";
   std::shared_ptr<Description const> const description = compiled_description(made.value());
   ASSERT_TRUE(description);
   ASSERT_EQ(description->routes.size(), 3u);
@@ -229,8 +230,9 @@
   EXPECT_EQ(description->limits.idle, seconds(20));
 }
 
-// The register may hold what an older version wrote: a description in the product's own language with its source.
-TEST(Configurations, a_text_of_an_older_version_is_read) {
+// The register may hold a text of an older version: a description in the product's own format, with the operator's
+// configuration in the field "source".
+TEST(PlatformConfiguration, text_of_an_older_version_is_read) {
   std::string const sent = "{\"version\":3,\"routes\":[],\"services\":[]}";
   std::string const old =
       "{\"format\":1,\"pools\":[{\"name\":\"s-a\",\"model\":\"m\"}],\"lanes\":[],\"routes\":[{\"name\":\"r\","
@@ -242,7 +244,7 @@
   EXPECT_EQ(configuration_source(old), sent);
 }
 
-TEST(Configurations, each_invalid_kind_is_refused) {
+TEST(PlatformConfiguration, invalid_configurations_are_refused) {
   std::string const rows[] = {
       "",
       "nonsense",
@@ -284,13 +286,13 @@
   }
 }
 
-TEST(Configurations, names_of_services_stay_apart) {
+TEST(PlatformConfiguration, different_services_have_different_pool_names) {
   char const* const names[] = {"a", "a_", "a-", "a.b", "a_b", "a_2eb", "A", "a b", "1", "\xc3\xa9", ""};
   std::set<std::string> seen;
   for (char const* const name : names) EXPECT_TRUE(seen.insert(pool_name_of(name)).second) << name;
 }
 
-TEST(Configurations, amending_adds_replaces_and_removes_and_keeps_the_rest_as_written) {
+TEST(PlatformConfiguration, amend_adds_replaces_and_removes_items_and_keeps_other_text) {
   Result<Configuration> const made =
       apply_changes(base,
                     "{\"version\": 5, \"upsert\": {\"routes\": [\n"
@@ -321,7 +323,7 @@
   EXPECT_EQ(version, 5u);
 }
 
-TEST(Configurations, amending_with_nothing_changes_the_version_alone) {
+TEST(PlatformConfiguration, amend_without_changes_changes_only_the_version) {
   Result<Configuration> const made = apply_changes(base, "{\"version\": 9}");
   ASSERT_TRUE(made) << made.error().where << " " << made.error().what;
   Result<Configuration> const again = apply_changes(configuration_source(made.value().text), "{\"version\": 9}");
@@ -330,7 +332,7 @@
   EXPECT_EQ(compiled_description(made.value())->routes.size(), 3u);
 }
 
-TEST(Configurations, amending_nothing_at_all_begins_one) {
+TEST(PlatformConfiguration, amend_of_an_empty_configuration_creates_one) {
   std::string const none = configuration_source("");
   Result<Configuration> const made = apply_changes(
       none,
@@ -340,7 +342,7 @@
   EXPECT_EQ(compiled_description(made.value())->routes.size(), 1u);
 }
 
-TEST(Configurations, bad_changes_are_refused) {
+TEST(PlatformConfiguration, invalid_changes_are_refused) {
   for (char const* const bad :
        {"", "[]", "{}", "{\"version\":\"5\"}", "{\"version\":0}", "{\"version\":5,\"upsert\":[]}",
         "{\"version\":5,\"remove\":7}", "{\"version\":5,\"remove\":{\"routes\":\"chat\"}}",
@@ -356,7 +358,7 @@
 }
 
 namespace {
-// The answer to an Amend that builds on this label; nothing when it goes on.
+// The error for an Amend call that is based on label `expected`; nullopt if the change is to be proposed.
 std::optional<ErrorCode> amend_error(wire::ValueT const& present, std::uint64_t expected, std::string const& id) {
   Change change;
   change.type = Change::Type::apply;
@@ -368,7 +370,7 @@
 }
 }  // namespace
 
-TEST(Configurations, an_amend_is_refused_only_when_it_was_surely_not_taken) {
+TEST(PlatformConfiguration, amend_is_refused_only_if_it_was_certainly_not_applied) {
   wire::ValueT present;
   std::uint64_t const count = max_remembered_orders + 10;
   for (std::uint64_t n = 1; n <= count; ++n) {
@@ -378,14 +380,14 @@
   }
   // Order 10 was based on label 27 and is forgotten; order 11, based on 30, is remembered.
   EXPECT_EQ(amend_error(present, 27, "order-10"), ErrorCode::change_unknown);
-  EXPECT_EQ(amend_error(present, 27, "never taken"), ErrorCode::change_unknown);
+  EXPECT_EQ(amend_error(present, 27, "never applied"), ErrorCode::change_unknown);
   EXPECT_EQ(amend_error(present, 30, "order-11"), std::nullopt);
-  EXPECT_EQ(amend_error(present, 30, "never taken"), ErrorCode::stale_serial);
-  EXPECT_EQ(amend_error(present, present.label, "fits"), std::nullopt);
-  EXPECT_EQ(amend_error(present, present.label + 1, "builds on one to come"), ErrorCode::change_unknown);
+  EXPECT_EQ(amend_error(present, 30, "never applied"), ErrorCode::stale_serial);
+  EXPECT_EQ(amend_error(present, present.label, "based on the present label"), std::nullopt);
+  EXPECT_EQ(amend_error(present, present.label + 1, "based on a future label"), ErrorCode::change_unknown);
 }
 
-TEST(Configurations, a_description_of_another_make_has_no_source) {
+TEST(PlatformConfiguration, description_without_source_reads_as_an_empty_configuration) {
   char const none[] = "{\"version\":0,\"routes\":[],\"services\":[],\"limits\":{}}";
   EXPECT_EQ(configuration_source(""), none);
   EXPECT_EQ(configuration_source("{\"format\":1,\"pools\":[],\"lanes\":[]}"), none);
@@ -393,9 +395,9 @@
 
 namespace {
 // A register of three replicas whose disks sync at once, and one proposer.
-class Versions : public testing::Test {
+class ConfigurationVersions : public testing::Test {
  protected:
-  Versions() : proposer("n1", 7) {
+  ConfigurationVersions() : proposer("n1", 7) {
     Membership members;
     members.epoch = 1;
     for (std::uint64_t i = 1; i <= 3; ++i) {
@@ -420,6 +422,7 @@
     proposer.adopt_membership(members);
   }
 
+  // Submits a change that is based on label `expected`, and runs the register until the outcome is known.
   Outcome submit(std::string const& id, std::string const& text, std::uint64_t expected, std::uint64_t label) {
     Change change;
     change.type = Change::Type::apply;
@@ -430,7 +433,7 @@
     std::optional<Outcome> out;
     EXPECT_TRUE(proposer.submit(
         change, [&out](Outcome const& outcome) { out = outcome; }, now));
-    for (int turns = 0; turns < 400 && !out; ++turns) {
+    for (int round = 0; round < 400 && !out; ++round) {
       now += millis(10);
       std::vector<OutgoingMessage> messages;
       proposer.tick(now, messages);
@@ -457,7 +460,7 @@
 };
 }  // namespace
 
-TEST_F(Versions, follow_one_another_by_the_operators_own_numbers) {
+TEST_F(ConfigurationVersions, labels_are_those_of_the_operator) {
   EXPECT_EQ(submit("a", "one", 0, 10).type, Outcome::Type::chosen);
   Outcome const second = submit("b", "two", 10, 25);
   EXPECT_EQ(second.type, Outcome::Type::chosen);
@@ -466,7 +469,7 @@
   EXPECT_EQ(second.value.text, "two");
 }
 
-TEST_F(Versions, a_change_of_an_old_version_is_stale) {
+TEST_F(ConfigurationVersions, change_based_on_an_old_version_is_stale) {
   submit("a", "one", 0, 10);
   for (std::uint64_t const based : {std::uint64_t(0), std::uint64_t(9)}) {
     Outcome const out = submit("c" + std::to_string(based), "two", based, 12);
@@ -477,18 +480,19 @@
   }
 }
 
-// The version that it builds on may still come, and a late copy of the order with it: a refusal could prove wrong.
-TEST_F(Versions, a_change_of_a_version_to_come_is_left_unclear) {
+// The version that the change is based on may still be chosen, and a late copy of the order may then be applied, so the
+// change cannot be refused.
+TEST_F(ConfigurationVersions, outcome_of_a_change_based_on_a_future_version_is_unknown) {
   submit("a", "one", 0, 10);
   Outcome const out = submit("c", "three", 11, 12);
   EXPECT_EQ(out.type, Outcome::Type::unknown);
   EXPECT_EQ(out.error.code, ErrorCode::change_unknown);
   Outcome const next = submit("b", "two", 10, 11);
-  EXPECT_EQ(next.value.text, "two") << "what was unclear changed nothing";
+  EXPECT_EQ(next.value.text, "two") << "the change with an unknown outcome must not be applied";
   EXPECT_EQ(submit("c", "three", 11, 12).type, Outcome::Type::chosen);
 }
 
-TEST_F(Versions, a_version_that_is_not_above_is_refused) {
+TEST_F(ConfigurationVersions, version_that_is_not_above_the_present_one_is_refused) {
   submit("a", "one", 0, 10);
   for (std::uint64_t const label : {std::uint64_t(10), std::uint64_t(9), std::uint64_t(1)}) {
     Outcome const out = submit("c" + std::to_string(label), "two", 10, label);
@@ -496,11 +500,11 @@
     EXPECT_EQ(out.error.code, ErrorCode::bad_description) << label;
     EXPECT_EQ(out.value.text, "one");
   }
-  // What is both is stale: the operator looks again first.
+  // A change with an outdated base and a low version is stale: the operator must read the present version first.
   EXPECT_EQ(submit("d", "two", 3, 4).error.code, ErrorCode::stale_serial);
 }
 
-TEST_F(Versions, a_change_that_is_repeated_is_the_same_change) {
+TEST_F(ConfigurationVersions, repeated_change_is_applied_once) {
   Outcome const first = submit("a", "one", 0, 10);
   Outcome const again = submit("a", "one", 0, 10);
   EXPECT_EQ(again.type, Outcome::Type::chosen);
@@ -509,12 +513,12 @@
   Outcome const late = submit("a", "one", 0, 10);
   EXPECT_EQ(late.type, Outcome::Type::chosen);
   EXPECT_EQ(late.serial, first.serial);
-  EXPECT_EQ(late.value.text, "two") << "it is not made a second time";
+  EXPECT_EQ(late.value.text, "two") << "the repeated change must not be applied again";
   EXPECT_EQ(late.value.label, 11u);
   EXPECT_EQ(late.value.serial, 2u);
 }
 
-TEST_F(Versions, of_serials_and_labels_each_goes_by_its_own) {
+TEST_F(ConfigurationVersions, changes_without_a_label_are_based_on_the_serial) {
   submit("a", "one", 0, 10);
   EXPECT_EQ(submit("b", "two", 10, 0).error.code, ErrorCode::stale_serial);
   Outcome const out = submit("c", "two", 1, 0);
--- a/tests/platform_fleet.cc
+++ b/tests/platform_fleet.cc
@@ -1,4 +1,5 @@
-// The stage's judge and its notation: what would be missed here would be missed in every experiment.
+// The judge of the platform's fleet experiments and their notation of faults. A violation that the judge misses here
+// goes unnoticed in every experiment.
 #include <gtest/gtest.h>
 
 #include "testing/platform_fleet_test/figures.h"
@@ -22,11 +23,12 @@
   return out;
 }
 
+// How often a promise was broken.
 std::uint64_t broken(Judge const& judge, Promise promise) { return judge.count(promise); }
 
 }  // namespace
 
-TEST(Judge, a_proper_exchange_breaks_nothing) {
+TEST(Judge, correct_exchange_breaks_no_promise) {
   Judge judge;
   Attempt& attempt = judge.sent(attempt_of("a", false));
   ASSERT_EQ(judge.arrived("a", "POST /a", 7, "s", "w", 2000), &attempt);
@@ -34,7 +36,7 @@
   Reading reading;
   std::string text;
   for (std::int64_t n = 1; n <= 3; ++n) text += event_text("a", n, 5, 2000, 60);
-  // However it is cut.
+  // The judge must read the stream however it is split; here it comes byte by byte.
   for (char const c : text) judge.read(attempt, reading, std::string_view(&c, 1), 3000);
   EXPECT_EQ(reading.last, 3);
   EXPECT_EQ(reading.slowest, 1000);
@@ -42,7 +44,7 @@
   EXPECT_EQ(judge.total(), 0u);
 }
 
-TEST(Judge, a_request_that_nobody_sent_or_that_was_changed_is_noticed) {
+TEST(Judge, unknown_and_altered_requests_are_detected) {
   Judge judge;
   judge.sent(attempt_of("a", false));
   EXPECT_EQ(judge.arrived("b", "POST /a", 7, "s", "w", 0), nullptr);
@@ -51,7 +53,7 @@
   EXPECT_EQ(broken(judge, Promise::unasked), 3u);
 }
 
-TEST(Judge, what_may_not_be_repeated_runs_once_and_what_was_refused_never) {
+TEST(Judge, repeated_runs_and_runs_of_refused_requests_are_detected) {
   Judge judge;
   Attempt& once = judge.sent(attempt_of("a", false));
   judge.record_run(once, 1, "w");
@@ -75,7 +77,7 @@
   EXPECT_EQ(broken(judge, Promise::refused_ran), 2u);
 }
 
-TEST(Judge, a_gap_a_double_a_mix_of_runs_and_an_early_end_are_noticed) {
+TEST(Judge, gaps_duplicates_mixed_runs_and_early_ends_of_streams_are_detected) {
   struct Row {
     char const* what;
     std::vector<std::pair<std::int64_t, std::uint64_t>> events;  // number, run
@@ -85,11 +87,11 @@
   };
   std::vector<Row> const rows = {
       {"gap", {{1, 5}, {3, 5}}, false, Promise::order, 1},
-      {"double", {{1, 5}, {1, 5}}, true, Promise::order, 1},
+      {"duplicate", {{1, 5}, {1, 5}}, true, Promise::order, 1},
       {"two runs", {{1, 5}, {2, 6}, {3, 6}}, false, Promise::order, 1},
-      {"taken up elsewhere", {{1, 5}, {2, 6}, {3, 6}}, true, Promise::order, 0},
+      {"resumed at another worker", {{1, 5}, {2, 6}, {3, 6}}, true, Promise::order, 0},
       {"early end", {{1, 5}, {2, 5}}, true, Promise::order, 1},
-      {"a run that never was", {{1, 9}}, true, Promise::mixed, 1},
+      {"unknown run", {{1, 9}}, true, Promise::mixed, 1},
   };
   for (Row const& row : rows) {
     Judge judge;
@@ -104,7 +106,7 @@
   }
 }
 
-TEST(Judge, another_answer_half_an_event_and_a_missing_seal_are_noticed) {
+TEST(Judge, foreign_answers_truncated_events_and_missing_seals_are_detected) {
   Judge judge;
   Attempt& attempt = judge.sent(attempt_of("a", true, 1));
   attempt.seals = {5};
@@ -121,7 +123,7 @@
   EXPECT_EQ(broken(judge, Promise::mixed), 3u);
 }
 
-TEST(Judge, repeats_are_held_against_what_was_asked_in_a_window) {
+TEST(Judge, retries_are_limited_by_the_requests_in_a_window) {
   for (int const repeats : {3, 4}) {
     Judge judge;
     for (int i = 0; i < 10; ++i) judge.sent(attempt_of("a" + std::to_string(i), true));
@@ -132,7 +134,7 @@
   }
 }
 
-TEST(PlatformFleet, troubles_are_read_with_their_defaults_in_order_of_time) {
+TEST(PlatformFleet, faults_are_parsed_with_defaults_and_sorted_by_time) {
   Result<std::vector<Fault>> const made = parse_faults(" burst@6:x=2,on=note ; kill@1.5:on=core;; crash@2:share=0.5 ");
   ASSERT_TRUE(made);
   ASSERT_EQ(made.value().size(), 3u);
@@ -147,7 +149,7 @@
     EXPECT_FALSE(parse_faults(bad)) << bad;
 }
 
-TEST(PlatformFleet, configurations_that_mean_the_same_read_the_same) {
+TEST(PlatformFleet, equal_configurations_have_the_same_canonical_text) {
   EXPECT_EQ(canonical("{\"a\":1,\"b\":[{\"name\":\"x\"},{\"name\":\"y\",\"z\":true}]}"),
             canonical("{ \"b\":[{\"z\":true,\"name\":\"y\"},{\"name\":\"x\"}], \"a\":1.0 }"));
   EXPECT_NE(canonical("{\"a\":[1,2]}"), canonical("{\"a\":[2,1]}"));
@@ -155,7 +157,7 @@
   EXPECT_EQ(canonical("{\"a\":"), "");
 }
 
-TEST(PlatformFleet, two_reports_are_compared_row_by_row) {
+TEST(PlatformFleet, reports_are_compared_row_by_row) {
   Figures a;
   a.put("worth", 0.5);
   a.put("same", 3);
--- a/tests/quickstart.sh
+++ b/tests/quickstart.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Pastes the README's first quick start in one go from an empty folder beside the programs: it must end in a streamed
-# answer. The programs are those of the build folder given.
+# Runs the commands of the README's section "Quick start", pasted as one block, in a temporary folder with links to the
+# programs. They must end in a streamed answer. Usage: quickstart.sh BUILD_FOLDER README.
 set -euo pipefail
 build=$(cd "$1" && pwd)
 readme=$2
