--- a/testing/fuzz/configurations.cc
+++ b/testing/fuzz/configurations.cc
@@ -8,6 +8,7 @@
 namespace pipit {
 
 namespace {
+// Each key of the seeds begins with this.
 constexpr char secret[] = "s3cretkey";
 
 std::string const seeds[] = {
@@ -26,6 +27,7 @@
     "\"s3cretkey\"", ",",  "[", "]", "{",  "}",    "null",    "-1",       "1e300", "99999999999999999999",
     "true",          "\"", ":", "7", "\\", "\"\"", "\\u0000", "\"name\"", "0",     "\xc3\x28"};
 
+// A seed with up to four random edits.
 std::string mutated(RandomSource& random) {
   std::string out = seeds[random.below(std::size(seeds))];
   for (std::size_t n = random.below(5); n > 0; --n) {
@@ -47,7 +49,7 @@
   return out;
 }
 
-// What two readings of one text must have in common.
+// A summary that must be equal each time the same text is read.
 std::string summary_of(Result<std::shared_ptr<Description const>> const& read) {
   if (!read) return read.error().where + " " + read.error().what;
   std::string out = std::to_string(read.value()->routes.size());
@@ -65,12 +67,13 @@
   ++(read ? report.complete_messages : report.refused);
   std::string const where = " (seed " + std::to_string(seed) + "): " + text;
   if (summary_of(read) != summary_of(platform::read_configuration(text)))
-    report.fault = "it is read otherwise again" + where;
-  // A name that was made out of a key by chance is no key.
+    report.fault = "the configuration is read differently the second time" + where;
+  // A mutation may put a key's text into a name, which an error may show.
   bool const key_in_name = text.find("\"name\":\"s3cretkey") != std::string::npos;
   if (!read && !key_in_name && (read.error().what + read.error().where).find(secret) != std::string::npos)
-    report.fault = "a fault shows a key: " + read.error().what + where;
-  if (platform::read_complete_configuration(text) && !read) report.fault = "what was accepted cannot be read" + where;
+    report.fault = "an error shows a key: " + read.error().what + where;
+  if (platform::read_complete_configuration(text) && !read)
+    report.fault = "an accepted configuration cannot be read from the register" + where;
 }
 
 }  // namespace pipit
--- a/testing/fuzz/main.cc
+++ b/testing/fuzz/main.cc
@@ -1,5 +1,5 @@
-// fuzz: seeded bytes against the readers of requests, answers and configurations, for a number of inputs or of seconds.
-// Exit code 1 for a fault.
+// fuzz: fuzzes the readers of requests, answers and configurations with seeded inputs, for a number of inputs or of
+// seconds. Exit codes: 0 no fault, 1 a fault, 2 bad usage.
 #include <boost/program_options.hpp>
 
 #include <chrono>
@@ -13,9 +13,9 @@
   std::uint64_t seconds = 0;
   std::uint64_t seed = 1;
   po::options_description options("fuzz");
-  options.add_options()("inputs", po::value<std::uint64_t>(&inputs)->default_value(20000), "how many inputs")(
-      "seconds", po::value<std::uint64_t>(&seconds)->default_value(0), "instead: for how long")(
-      "seed", po::value<std::uint64_t>(&seed)->default_value(1), "the first input");
+  options.add_options()("inputs", po::value<std::uint64_t>(&inputs)->default_value(20000), "number of inputs")(
+      "seconds", po::value<std::uint64_t>(&seconds)->default_value(0), "run for this many seconds instead")(
+      "seed", po::value<std::uint64_t>(&seed)->default_value(1), "seed of the first input");
   po::variables_map given;
   try {
     po::store(po::parse_command_line(argc, argv, options), given);
@@ -30,8 +30,8 @@
   while (report.fault.empty() && (seconds > 0 ? Clock::now() < end : report.inputs < inputs))
     (report.inputs % 4 == 3 ? pipit::fuzz_configurations : pipit::fuzz_readers)(seed + report.inputs, report);
   std::cout << report.inputs << " inputs from seed " << seed << ", " << report.random_inputs
-            << " of them by chance alone; " << report.complete_messages << " messages read whole, " << report.refused
-            << " inputs refused\n";
+            << " of them random bytes; " << report.complete_messages << " messages read to their end, "
+            << report.refused << " inputs refused\n";
   if (report.fault.empty()) return 0;
   std::cout << "FAULT " << report.fault << "\n";
   return 1;
--- a/testing/fuzz/readers.cc
+++ b/testing/fuzz/readers.cc
@@ -53,15 +53,17 @@
                                  "Connection: close\r\n",
                                  "GET / HTTP/1.1\r\n"};
 
+// The result of reading one input.
 struct ReadResult {
-  std::string messages;  // line, fields and body of each that was whole
+  std::string messages;  // start line, header fields and body of each complete message
   std::size_t complete_messages = 0;
   bool refused = false;
-  bool idle_at_end = true;   // between messages at the end
-  bool eof_accepted = true;  // what the end of the connection makes of the rest
+  bool idle_at_end = true;   // the input ended between two messages
+  bool eof_accepted = true;  // the reader's verdict if the connection ends after the input
   bool operator==(ReadResult const&) const = default;
 };
 
+// Reads the text in pieces that end at the cuts, which must be sorted.
 ReadResult read(bool requests, std::string_view text, std::vector<std::size_t> const& cuts) {
   ReadResult out;
   Reader reader(requests);
@@ -81,7 +83,7 @@
   std::size_t from = 0;
   for (std::size_t n = 0; n <= cuts.size(); ++n) {
     std::size_t const to = n < cuts.size() ? cuts[n] : text.size();
-    // A copy of its own, so that the sanitizer sees a step beyond it.
+    // Each piece is copied, so that the address sanitizer detects a read beyond its end.
     std::string const piece(text.substr(from, to - from));
     std::string_view rest = piece;
     from = to;
@@ -112,6 +114,7 @@
   return out;
 }
 
+// One to three valid messages with up to three random edits, and rarely 3000 bytes more.
 std::string mutated(RandomSource& random, bool requests) {
   std::string out;
   for (std::size_t n = 1 + random.below(3); n > 0; --n)
@@ -140,6 +143,7 @@
   return out;
 }
 
+// The text with every byte that is not printable ASCII in hexadecimal.
 std::string escape(std::string const& text) {
   std::string out;
   char escaped[8];
@@ -167,15 +171,15 @@
   report.refused += uncut.refused ? 1 : 0;
   report.random_inputs += is_random ? 1 : 0;
   std::string const where = " (seed " + std::to_string(seed) + "): " + escape(text);
-  if (!(read(requests, text, few_cuts) == uncut)) report.fault = "in pieces it is read otherwise" + where;
-  if (!(read(requests, text, every_cut) == uncut)) report.fault = "byte by byte it is read otherwise" + where;
-  if (is_random && uncut.complete_messages > 0) report.fault = "bytes by chance are a message" + where;
-  // The last byte of a message that announces its end is needed for it.
+  if (!(read(requests, text, few_cuts) == uncut)) report.fault = "the input is read differently in pieces" + where;
+  if (!(read(requests, text, every_cut) == uncut)) report.fault = "the input is read differently byte by byte" + where;
+  if (is_random && uncut.complete_messages > 0) report.fault = "random bytes are read as a message" + where;
+  // An answer that announces its end is not complete without its last byte.
   for (std::string const& answer : answer_seeds) {
     if (requests || is_random || text != answer) continue;
     ReadResult const truncated = read(false, std::string_view(answer).substr(0, answer.size() - 1), {});
     if (truncated.complete_messages >= uncut.complete_messages || truncated.eof_accepted)
-      report.fault = "a cut answer looks whole" + where;
+      report.fault = "a truncated answer is read as complete" + where;
   }
 }
 
