--- a/testing/request_model_checker/explore.cc
+++ b/testing/request_model_checker/explore.cc
@@ -7,16 +7,17 @@
 
 namespace {
 void add_result(Exploration& out, RequestPathModel& model) {
-  ++out.worlds;
-  for (std::pair<std::string const, std::size_t> const& item : model.seen) out.seen[item.first] += item.second;
+  ++out.executions;
+  for (std::pair<std::string const, std::size_t> const& item : model.event_counts)
+    out.event_counts[item.first] += item.second;
   if (model.faults.empty()) return;
   if (++out.faulty == 1) out.fault_trace = model.trace;
 }
 }  // namespace
 
-Exploration walk_requests(std::uint64_t first, std::size_t worlds, std::size_t events, bool stop_at_fault) {
+Exploration walk_requests(std::uint64_t first, std::size_t executions, std::size_t events, bool stop_at_fault) {
   Exploration out;
-  for (std::uint64_t seed = first; seed < first + worlds; ++seed) {
+  for (std::uint64_t seed = first; seed < first + executions; ++seed) {
     RandomSource random(seed);
     RequestPathModel model([&random](std::size_t n) { return static_cast<std::size_t>(random.below(n)); });
     for (std::size_t n = 0; n < events && model.faults.empty(); ++n) {
--- a/testing/request_model_checker/main.cc
+++ b/testing/request_model_checker/main.cc
@@ -11,8 +11,8 @@
 
 namespace {
 int report(pipit::Exploration const& result) {
-  std::cout << result.worlds << " worlds, " << result.faulty << " faulty\n";
-  for (std::pair<std::string const, std::size_t> const& item : result.seen)
+  std::cout << result.executions << " worlds, " << result.faulty << " faulty\n";
+  for (std::pair<std::string const, std::size_t> const& item : result.event_counts)
     std::cout << "  " << item.first << ": " << item.second << "\n";
   std::size_t n = 0;
   for (std::string const& line : result.fault_trace) std::cout << ++n << "\t" << line << "\n";
--- a/testing/request_model_checker/request_path_model.cc
+++ b/testing/request_model_checker/request_path_model.cc
@@ -210,7 +210,7 @@
   caller.fd = -1;
   if (!caller.awaited_id.empty()) {
     requests.at(caller.awaited_id).connection_lost = true;
-    ++seen["break"];
+    ++event_counts["break"];
     record_event(caller.name + " sees its connection end while " + caller.awaited_id + " waits");
   }
   caller.awaited_id.clear();
@@ -250,7 +250,7 @@
   unsigned const status = caller.head.status;
   std::string const seal = caller.head.get("X-Seal");
   record_event(caller.name + " gets " + std::to_string(status) + " for " + item.id);
-  ++seen[std::to_string(status)];
+  ++event_counts[std::to_string(status)];
   caller.awaited_id.clear();
   caller.unsent.clear();
   item.answered = true;
@@ -289,7 +289,7 @@
   if (choose(3) != 0) return;
   record_event(caller.name + " goes away");
   item.abandoned = true;
-  ++seen["caller gone"];
+  ++event_counts["caller gone"];
   ::close(caller.fd);
   caller.fd = -1;
   caller.awaited_id.clear();
@@ -379,7 +379,7 @@
   if (++item.deliveries > max_attempts) add_fault(id + " comes to more workers than its route allows");
   std::string const wanted = head.get("X-Pipit-Instance");
   if (!wanted.empty() && wanted != worker.id) {
-    ++seen["421 of a worker"];
+    ++event_counts["421 of a worker"];
     return send(connection, "HTTP/1.1 421 Elsewhere\r\nX-Instance-Id: " + worker.id + "\r\nContent-Length: 0\r\n\r\n");
   }
   connection.current_id = id;
@@ -399,7 +399,7 @@
   ClientRequest& item = requests.at(connection.current_id);
   ++item.runs;
   item.run_seals.insert("s-" + worker.id);
-  ++seen["run"];
+  ++event_counts["run"];
   record_event(worker.id + " runs " + item.id);
   if (worker.address_reassigned) add_fault("another service runs " + item.id);
   if (!item.repeatable && item.runs > 1) add_fault(item.id + " runs twice");
@@ -497,7 +497,7 @@
   ClientRequest const& item = requests.at(connection.current_id);
   std::string const body = rest_of_body(item, connection);
   run_request(worker, connection);
-  ++seen["answer without length"];
+  ++event_counts["answer without length"];
   // Of what is no stream nobody could tell that it stopped in the middle.
   bool const stops = variant == 20 && (item.kind == "live" || item.kind == "flow");
   send(connection, success_head(worker, item) + "\r\n" + (stops ? body.substr(0, body.size() - 3) : body));
@@ -620,7 +620,7 @@
       return;
     case 3:
       record_event("the node stands still for 3 s");
-      ++seen["freeze"];
+      ++event_counts["freeze"];
       return advance_time(seconds(3));
     case 4:
       record_event(worker.id + " crashes");
@@ -649,7 +649,7 @@
     case 10:
       if (worker.address_reassigned || !worker.running) return;
       record_event(worker.id + " says farewell and serves on");
-      ++seen["farewell"];
+      ++event_counts["farewell"];
       registry.leave(worker.id, ++heartbeat_count, loop_time());
       return;
     default:
@@ -710,7 +710,7 @@
     extra += static_cast<double>(item.second.deliveries > 1 ? item.second.deliveries - 1 : 0);
   if (extra > budget_ratio * static_cast<double>(requests.size()) + budget_limit)
     add_fault("more is sent again than the budget holds");
-  seen["sent again"] += static_cast<std::size_t>(extra);
+  event_counts["sent again"] += static_cast<std::size_t>(extra);
 }
 
 }  // namespace pipit
--- a/testing/request_model_checker/request_path_model.h
+++ b/testing/request_model_checker/request_path_model.h
@@ -30,9 +30,9 @@
   // Lets everything come to its end, and judges what is left.
   void finish();
 
-  std::vector<std::string> faults;          // broken rules; the first one counts
-  std::vector<std::string> trace;           // the events, one a line
-  std::map<std::string, std::size_t> seen;  // how often each kind of end and event came about
+  std::vector<std::string> faults;                  // broken rules; the first one counts
+  std::vector<std::string> trace;                   // the events, one a line
+  std::map<std::string, std::size_t> event_counts;  // how often each kind of end and event came about
 
  private:
   // One try of a caller, which bears an id of its own.
--- a/tests/requests.cc
+++ b/tests/requests.cc
@@ -32,20 +32,20 @@
   // Each event that the walks are meant to cover occurs.
   for (char const* const event : {"200", "500", "502", "503", "break", "run", "sent again", "421 of a worker", "freeze",
                                   "farewell", "answer without length"})
-    EXPECT_GT(result.seen.count(event) == 0 ? 0 : result.seen.at(event), 50u) << event;
+    EXPECT_GT(result.event_counts.count(event) == 0 ? 0 : result.event_counts.at(event), 50u) << event;
 }
 
 TEST_F(RequestModel, no_order_of_three_events_breaks_a_rule_for_a_request_that_is_not_repeatable) {
   Exploration const result = explore_requests(0, 3, true);
   EXPECT_EQ(result.faulty, 0u) << text_of(result);
-  EXPECT_GT(result.worlds, 30000u);
+  EXPECT_GT(result.executions, 30000u);
 }
 
 TEST_F(RequestModel, no_order_of_two_events_breaks_a_rule) {
   for (std::size_t kind = 0; kind < 4; ++kind) {
     Exploration const result = explore_requests(kind, 2, true);
     EXPECT_EQ(result.faulty, 0u) << text_of(result);
-    EXPECT_GT(result.worlds, 1000u);
+    EXPECT_GT(result.executions, 1000u);
   }
 }
 
