--- a/testing/request_model_checker/explore.cc
+++ b/testing/request_model_checker/explore.cc
@@ -6,6 +6,7 @@
 namespace pipit {
 
 namespace {
+// Adds the result of one execution.
 void add_result(Exploration& out, RequestPathModel& model) {
   ++out.executions;
   for (std::pair<std::string const, std::size_t> const& item : model.event_counts)
@@ -35,34 +36,36 @@
 }
 
 Exploration explore_requests(std::size_t kind, std::size_t events, bool stop_at_fault) {
+  // A choice of the present execution: the alternative taken, of this many.
   struct Choice {
     std::size_t taken;
-    std::size_t ways;
+    std::size_t alternatives;
   };
   Exploration out;
   std::vector<Choice> script;
   for (;;) {
     std::size_t next = 0;
-    bool open = true;  // beyond the events asked for, the first way is taken
+    bool exploring = true;  // false: the first alternative is taken, at the start and after the last event
     {
       RequestPathModel::Choose const choose = [&](std::size_t n) -> std::size_t {
-        if (!open) return 0;
+        if (!exploring) return 0;
         if (next == script.size()) script.push_back({0, n});
         return script[next++].taken;
       };
       RequestPathModel model(choose);
-      open = false;
+      exploring = false;
       model.begin(kind, true);
-      open = true;
+      exploring = true;
       for (std::size_t n = 0; n < events && model.faults.empty(); ++n)
         model.step(static_cast<RequestPathModel::Side>(choose(3)));
-      open = false;
+      exploring = false;
       if (model.faults.empty()) model.finish();
       add_result(out, model);
     }
     if (stop_at_fault && out.faulty > 0) return out;
+    // Proceeds to the next script in depth-first order: the last choice with an alternative left takes it.
     script.resize(next);
-    while (!script.empty() && script.back().taken + 1 == script.back().ways) script.pop_back();
+    while (!script.empty() && script.back().taken + 1 == script.back().alternatives) script.pop_back();
     if (script.empty()) return out;
     ++script.back().taken;
   }
--- a/testing/request_model_checker/explore.h
+++ b/testing/request_model_checker/explore.h
@@ -1,4 +1,4 @@
-// Plays worlds of requests: seeded walks, and every order of events up to a bound.
+// Runs the request path model: seeded random walks, and every order of events up to a bound.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -7,16 +7,19 @@
 
 namespace pipit {
 
+// The result of a number of executions of the model.
 struct Exploration {
   std::size_t executions = 0;
-  std::size_t faulty = 0;
-  std::vector<std::string> fault_trace;  // of the first world that broke a rule
-  std::map<std::string, std::size_t> event_counts;
+  std::size_t faulty = 0;                           // executions that broke a rule
+  std::vector<std::string> fault_trace;             // events of the first execution that broke a rule
+  std::map<std::string, std::size_t> event_counts;  // how often each kind of event and answer occurred
 };
 
-// Worlds of that many events, one for each seed from 'first' on; ends at the first fault if 'stop' says so.
+// Runs `executions` random walks of `events` events each, with the seeds from `first` on. Ends at the first fault if
+// `stop_at_fault` is set.
 Exploration walk_requests(std::uint64_t first, std::size_t executions, std::size_t events, bool stop_at_fault);
-// A request of a kind (0 once, 1 safe, 2 live, 3 flow) that its worker has read, then every choice of so many events.
+// Starts each execution with a request of a kind (0 once, 1 safe, 2 live, 3 flow) that its worker has read, then runs
+// every order of `events` events. Ends at the first fault if `stop_at_fault` is set.
 Exploration explore_requests(std::size_t kind, std::size_t events, bool stop_at_fault);
 
 }  // namespace pipit
--- a/testing/request_model_checker/main.cc
+++ b/testing/request_model_checker/main.cc
@@ -1,4 +1,5 @@
-// requests: walks and explores worlds of requests (docs/requests.md). Exit code 1 when a rule was broken.
+// request_model_checker: runs the request path model, by random walks or exhaustively to a depth (docs/requests.md).
+// Exit codes: 0 no rule was broken, 1 a rule was broken, 2 bad usage.
 #include <boost/program_options.hpp>
 
 #include <iostream>
@@ -10,8 +11,9 @@
 #include "testing/request_model_checker/explore.h"
 
 namespace {
+// Prints an exploration. Returns the exit code.
 int report(pipit::Exploration const& result) {
-  std::cout << result.executions << " worlds, " << result.faulty << " faulty\n";
+  std::cout << result.executions << " executions, " << result.faulty << " faulty\n";
   for (std::pair<std::string const, std::size_t> const& item : result.event_counts)
     std::cout << "  " << item.first << ": " << item.second << "\n";
   std::size_t n = 0;
@@ -27,10 +29,11 @@
   std::size_t depth = 0;
   std::uint64_t seed = 1;
   po::options_description options("request_model_checker");
-  options.add_options()("walks", po::value<std::size_t>(&walks)->default_value(2000), "seeded walks")(
-      "events", po::value<std::size_t>(&events)->default_value(60), "events of a walk")(
-      "seed", po::value<std::uint64_t>(&seed)->default_value(1), "the first seed")(
-      "depth", po::value<std::size_t>(&depth)->default_value(0), "instead: every order of so many events");
+  options.add_options()("walks", po::value<std::size_t>(&walks)->default_value(2000), "number of random walks")(
+      "events", po::value<std::size_t>(&events)->default_value(60), "events in a walk")(
+      "seed", po::value<std::uint64_t>(&seed)->default_value(1), "seed of the first walk")(
+      "depth", po::value<std::size_t>(&depth)->default_value(0),
+      "run every order of this many events instead of walks");
   po::variables_map given;
   try {
     po::store(po::parse_command_line(argc, argv, options), given);
--- a/testing/request_model_checker/request_path_model.cc
+++ b/testing/request_model_checker/request_path_model.cc
@@ -11,12 +11,12 @@
 
 namespace {
 constexpr char const* request_kinds[] = {"once", "safe", "live", "flow"};
-constexpr std::size_t max_attempts = 2;
+constexpr std::size_t max_attempts = 2;  // of each route
 constexpr double budget_ratio = 0.2;
 constexpr double budget_limit = 2;
-constexpr std::size_t max_events = 3;  // of an answer
-constexpr std::size_t answer_variants = 22;
-constexpr std::size_t environment_event_kinds = 12;
+constexpr std::size_t max_events = 3;                // server-sent events in an answer
+constexpr std::size_t answer_variants = 22;          // see play_answer()
+constexpr std::size_t environment_event_kinds = 12;  // see environment_event()
 
 Dialect dialect() {
   Dialect out;
@@ -30,14 +30,15 @@
          ",\"attempts\":2" + more + "}";
 }
 
+// A description with one route for each request kind; without the route "once" unless `all` is set.
 std::shared_ptr<Description const> compiled_description(int latency_target, bool all) {
   std::string const text = "{\"format\":1,\"lanes\":[],\"pools\":[{\"name\":\"p\",\"model\":\"m\"}],\"routes\":[" +
                            route_text("safe", ",\"repeatable\":true", latency_target) + "," +
                            route_text("live", ",\"streams\":true", latency_target) + "," +
                            route_text("flow", ",\"streams\":true,\"resumable\":true", latency_target) +
                            (all ? "," + route_text("once", "", latency_target) : "") + "]}";
-  Result<std::shared_ptr<Description const>> const made = read_description(text);
-  return made ? made.value() : nullptr;
+  Result<std::shared_ptr<Description const>> const description = read_description(text);
+  return description ? description.value() : nullptr;
 }
 
 std::string event_text(std::string const& id, std::size_t n) {
@@ -51,7 +52,7 @@
 bool socket_pair(int (&ends)[2]) {
   return ::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, ends) == 0;
 }
-// Reads what is there. False once the other end is closed.
+// Reads all available bytes. Returns false once the other end has closed the connection.
 bool drain_socket(int fd, std::string& out) {
   char buffer[16384];
   for (;;) {
@@ -63,15 +64,17 @@
     return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
   }
 }
+// Whether an answer with this status promises that the request did not run.
 bool promises_not_run(unsigned status) { return status == 408 || status == 421 || status == 429 || status == 503; }
 }  // namespace
 
+// A caller, and its connection to the proxy.
 struct RequestPathModel::CallerConnection {
   std::string name;
   int fd = -1;
   std::unique_ptr<Reader> reader;
-  std::string awaited_id;  // id of the try that it waits for, or nothing
-  std::string unsent;      // of a request that has been sent in part
+  std::string awaited_id;  // id of the request that it awaits the answer to; empty if none
+  std::string unsent;      // the rest of a request that has been sent in part
   Head head;
   std::string body;
   bool complete = false;
@@ -80,63 +83,65 @@
   }
 };
 
+// A connection of the proxy to a worker.
 struct RequestPathModel::WorkerConnection {
   int fd = -1;
   Reader reader{true};
   Head head;
   std::string body;
-  std::string unread;
-  std::string current_id;  // id of the request that it holds
-  bool request_run = false;
-  std::size_t request_count = 0;  // requests that came on it
-  std::size_t events_sent = 0;    // of its answer that have been sent, with its head
-  std::size_t first_event = 1;    // event that it begins with
-  bool head_sent = false;
+  std::string unread;             // bytes received that have not been parsed
+  std::string current_id;         // id of the request in flight; empty if the connection is idle
+  bool request_run = false;       // the worker has run the request in flight
+  std::size_t request_count = 0;  // requests received on this connection
+  std::size_t events_sent = 0;    // number of the last event sent of the answer in flight
+  std::size_t first_event = 1;    // number of the event that the answer begins with
+  bool head_sent = false;         // of a chunked answer
   ~WorkerConnection() {
     if (fd >= 0) ::close(fd);
   }
 };
 
+// A worker process, or the process of another service that has taken over the address.
 struct RequestPathModel::Worker {
   std::string address;
   std::string id;
-  int process_count = 0;
+  int process_count = 0;  // processes started at this address
   bool running = true;
-  bool address_reassigned = false;  // another service holds the address
+  bool address_reassigned = false;  // another service has the address
   std::vector<std::unique_ptr<WorkerConnection>> connections;
 };
 
-RequestPathModel::RequestPathModel(Choose choice) : choose(std::move(choice)) {
-  descriptions[0] = compiled_description(1000, true);
-  descriptions[1] = compiled_description(400, false);
-  dispatcher.set_description(descriptions[0]);
-  dispatcher.set_retry_budget(budget_ratio, budget_limit);
+RequestPathModel::RequestPathModel(Choose choose) : choose_(std::move(choose)) {
+  descriptions_[0] = compiled_description(1000, true);
+  descriptions_[1] = compiled_description(400, false);
+  dispatcher_.set_description(descriptions_[0]);
+  dispatcher_.set_retry_budget(budget_ratio, budget_limit);
   RequestProxy::Callbacks callbacks;
   callbacks.request = [this](std::uint64_t id, RequestInfo query) {
     DispatchEffects out;
-    dispatcher.on_request(id, std::move(query), loop_time(), out);
-    proxy->act(out);
+    dispatcher_.on_request(id, std::move(query), loop_time(), out);
+    proxy_->act(out);
   };
   callbacks.ended = [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
     DispatchEffects out;
-    dispatcher.on_attempt_end(id, end, elsewhere, loop_time(), out);
-    proxy->act(out);
+    dispatcher_.on_attempt_end(id, end, elsewhere, loop_time(), out);
+    proxy_->act(out);
   };
-  callbacks.disconnected = [this](std::uint64_t id) { return dispatcher.on_client_disconnect(id, loop_time()); };
-  proxy = std::make_unique<RequestProxy>(dispatcher, dialect(), "", std::move(callbacks));
-  proxy->upstream.dial_by([this](std::string const& address, std::string const&, Micros) { return dial(address); });
+  callbacks.disconnected = [this](std::uint64_t id) { return dispatcher_.on_client_disconnect(id, loop_time()); };
+  proxy_ = std::make_unique<RequestProxy>(dispatcher_, dialect(), "", std::move(callbacks));
+  proxy_->upstream.dial_by([this](std::string const& address, std::string const&, Micros) { return dial(address); });
   for (int n = 0; n < 2; ++n) {
-    callers.push_back(std::make_unique<CallerConnection>());
-    callers.back()->name = "caller " + std::to_string(n + 1);
-    workers.push_back(std::make_unique<Worker>());
-    workers.back()->address = "10.0.0." + std::to_string(n + 1) + ":80";
-    start_process(*workers.back(), false);
-    heartbeat(*workers.back(), false);
+    callers_.push_back(std::make_unique<CallerConnection>());
+    callers_.back()->name = "caller " + std::to_string(n + 1);
+    workers_.push_back(std::make_unique<Worker>());
+    workers_.back()->address = "10.0.0." + std::to_string(n + 1) + ":80";
+    start_process(*workers_.back(), false);
+    heartbeat(*workers_.back(), false);
   }
 }
 
 RequestPathModel::~RequestPathModel() {
-  proxy.reset();
+  proxy_.reset();
   while (g_main_context_iteration(nullptr, FALSE)) {
   }
 }
@@ -147,30 +152,31 @@
 }
 void RequestPathModel::record_event(std::string const& text) { trace.push_back(text); }
 
+// Runs the main loop until neither it nor a caller has anything to do.
 void RequestPathModel::run_event_loop() {
   for (int turn = 0; turn < 500; ++turn) {
     bool more = false;
     while (g_main_context_iteration(nullptr, FALSE)) more = true;
-    for (std::unique_ptr<CallerConnection> const& caller : callers) more = read_caller(*caller) || more;
+    for (std::unique_ptr<CallerConnection> const& caller : callers_) more = read_caller(*caller) || more;
     if (!more) return;
   }
-  add_fault("the loop does not come to rest");
+  add_fault("the main loop does not become idle within 500 rounds");
 }
 
 void RequestPathModel::advance_time(Micros span) {
-  time.advance(span);
+  time_.advance(span);
   DispatchEffects out;
-  dispatcher.tick(loop_time(), out);
-  proxy->act(out);
-  proxy->close_expired(loop_time());
-  registry.end_silent_workers(loop_time());
+  dispatcher_.tick(loop_time(), out);
+  proxy_->act(out);
+  proxy_->close_expired(loop_time());
+  registry_.end_silent_workers(loop_time());
 }
 
 // ---- callers ----
 
 void RequestPathModel::connect(CallerConnection& caller) {
   int ends[2];
-  if (!socket_pair(ends)) return add_fault("no sockets");
+  if (!socket_pair(ends)) return add_fault("a socket pair cannot be created");
   caller.fd = ends[0];
   caller.reader = std::make_unique<Reader>(false);
   caller.complete = false;
@@ -181,37 +187,38 @@
   };
   caller.reader->callbacks.body = [&caller](std::string_view bytes) { caller.body.append(bytes); };
   caller.reader->callbacks.complete = [&caller] { caller.complete = true; };
-  proxy->server.adopt(Link::adopt(ends[1]));
+  proxy_->server.adopt(Link::adopt(ends[1]));
 }
 
 void RequestPathModel::send_request(CallerConnection& caller, std::size_t kind) {
   if (caller.fd < 0) connect(caller);
   ClientRequest item;
-  item.id = "r" + std::to_string(requests.size() + 1);
+  item.id = "r" + std::to_string(requests_.size() + 1);
   item.kind = request_kinds[kind];
   item.repeatable = item.kind == "safe" || item.kind == "flow";
   item.body = "body of " + item.id;
   std::string const text = "POST /" + item.kind + "/x HTTP/1.1\r\nHost: h.test\r\nX-Pipit-Attempt: " + item.id +
                            "\r\nContent-Length: " + std::to_string(item.body.size()) + "\r\n\r\n" + item.body;
-  std::size_t const cut = choose(2) == 0 ? text.size() / 2 : text.size();
-  record_event(caller.name + " sends " + item.id + " (" + item.kind + ")" + (cut < text.size() ? ", half of it" : ""));
+  std::size_t const cut = choose_(2) == 0 ? text.size() / 2 : text.size();
+  record_event(caller.name + " sends " + item.id + " (" + item.kind + ")" +
+               (cut < text.size() ? ", the first half" : ""));
   caller.awaited_id = item.id;
   caller.unsent = text.substr(cut);
   item.sent = caller.unsent.empty();
-  request_order.push_back(item.id);
-  requests.emplace(item.id, item);
+  request_order_.push_back(item.id);
+  requests_.emplace(item.id, item);
   if (::send(caller.fd, text.data(), cut, MSG_NOSIGNAL) < 0) close_caller(caller, true);
 }
 
-// The connection ended on the router's side.
+// The router closed the connection.
 void RequestPathModel::close_caller(CallerConnection& caller, bool reset) {
   if (caller.fd < 0) return;
   ::close(caller.fd);
   caller.fd = -1;
   if (!caller.awaited_id.empty()) {
-    requests.at(caller.awaited_id).connection_lost = true;
+    requests_.at(caller.awaited_id).connection_lost = true;
     ++event_counts["break"];
-    record_event(caller.name + " sees its connection end while " + caller.awaited_id + " waits");
+    record_event(caller.name + "'s connection ended while it awaited the answer to " + caller.awaited_id);
   }
   caller.awaited_id.clear();
   caller.unsent.clear();
@@ -224,12 +231,12 @@
   std::string_view rest = received;
   while (!rest.empty() && caller.fd >= 0) {
     if (caller.awaited_id.empty()) {
-      add_fault(caller.name + " gets bytes that it does not wait for: " + std::string(rest));
+      add_fault(caller.name + " received bytes without a request in flight: " + std::string(rest));
       break;
     }
     std::size_t const consumed = caller.reader->feed(rest);
     if (caller.reader->error() != Reader::Error::none) {
-      add_fault(caller.name + " gets bytes that are no answer");
+      add_fault(caller.name + " received bytes that are not an HTTP answer");
       break;
     }
     rest.remove_prefix(std::min(consumed, rest.size()));
@@ -240,44 +247,45 @@
   }
   if (open) return !received.empty();
   if (!caller.awaited_id.empty() && !caller.reader->idle() && caller.reader->eof())
-    add_fault("an answer to " + caller.awaited_id + " ends with its connection");
+    add_fault("the answer to " + caller.awaited_id + " has no length and ended with its connection");
   close_caller(caller, false);
   return true;
 }
 
 void RequestPathModel::judge_answer(CallerConnection& caller) {
-  ClientRequest& item = requests.at(caller.awaited_id);
+  ClientRequest& item = requests_.at(caller.awaited_id);
   unsigned const status = caller.head.status;
   std::string const seal = caller.head.get("X-Seal");
-  record_event(caller.name + " gets " + std::to_string(status) + " for " + item.id);
+  record_event(caller.name + " receives " + std::to_string(status) + " for " + item.id);
   ++event_counts[std::to_string(status)];
   caller.awaited_id.clear();
   caller.unsent.clear();
   item.answered = true;
   if (status >= 200 && status < 300) {
-    if (caller.head.get("X-Pipit-Attempt") != item.id) add_fault(item.id + " gets an answer to another");
+    if (caller.head.get("X-Pipit-Attempt") != item.id) add_fault(item.id + " received the answer to another request");
     if (caller.body != complete_body(item.id))
-      add_fault(item.id + " gets another body than its own whole one: " + caller.body);
-    if (item.runs == 0) add_fault(item.id + " has a success and did not run");
+      add_fault(item.id + " received a body that is not its complete body: " + caller.body);
+    if (item.runs == 0) add_fault(item.id + " succeeded but did not run");
     if (seal.empty() || item.run_seals.count(seal) == 0)
-      add_fault(item.id + " has a success without its worker's seal");
+      add_fault(item.id + " succeeded without the seal of a worker that ran it");
     return;
   }
   if (!seal.empty()) {
-    if (item.run_seals.count(seal) == 0) add_fault(item.id + " bears the seal of a worker that did not run it");
+    if (item.run_seals.count(seal) == 0) add_fault(item.id + " failed with the seal of a worker that did not run it");
     if (std::count(item.failure_statuses.begin(), item.failure_statuses.end(), status) == 0)
-      add_fault(item.id + " bears a seal and a status that no worker gave");
-    if (caller.body != "failed " + item.id) add_fault(item.id + " gets another failure's body: " + caller.body);
+      add_fault(item.id + " failed with a seal and a status that no worker answered");
+    if (caller.body != "failed " + item.id)
+      add_fault(item.id + " received the body of another failure: " + caller.body);
   }
   if (!promises_not_run(status) || item.repeatable) return;
   item.promised_not_run = true;
-  if (item.runs > 0) add_fault(item.id + " has run and is told not to have");
+  if (item.runs > 0) add_fault(item.id + " ran, but the answer promises that it did not");
 }
 
 void RequestPathModel::caller_event() {
-  CallerConnection& caller = *callers[choose(callers.size())];
-  if (caller.awaited_id.empty()) return send_request(caller, choose(std::size(request_kinds)));
-  ClientRequest& item = requests.at(caller.awaited_id);
+  CallerConnection& caller = *callers_[choose_(callers_.size())];
+  if (caller.awaited_id.empty()) return send_request(caller, choose_(std::size(request_kinds)));
+  ClientRequest& item = requests_.at(caller.awaited_id);
   if (!caller.unsent.empty()) {
     record_event(caller.name + " sends the rest of " + caller.awaited_id);
     std::string const rest = std::move(caller.unsent);
@@ -286,8 +294,8 @@
     if (::send(caller.fd, rest.data(), rest.size(), MSG_NOSIGNAL) < 0) close_caller(caller, true);
     return;
   }
-  if (choose(3) != 0) return;
-  record_event(caller.name + " goes away");
+  if (choose_(3) != 0) return;
+  record_event(caller.name + " closes its connection");
   item.abandoned = true;
   ++event_counts["caller gone"];
   ::close(caller.fd);
@@ -298,7 +306,7 @@
 // ---- workers ----
 
 std::shared_ptr<Link> RequestPathModel::dial(std::string const& address) {
-  for (std::unique_ptr<Worker> const& worker : workers) {
+  for (std::unique_ptr<Worker> const& worker : workers_) {
     if (worker->address != address || !worker->running) continue;
     int ends[2];
     if (!socket_pair(ends)) break;
@@ -324,9 +332,9 @@
   message.zone = "a";
   message.pool = "p";
   message.slots = 8;
-  message.order = ++heartbeat_count;
+  message.order = ++heartbeat_count_;
   message.leaving = leaving;
-  registry.heartbeat(message, loop_time());
+  registry_.heartbeat(message, loop_time());
 }
 
 void RequestPathModel::crash(Worker& worker) {
@@ -357,7 +365,8 @@
   bool const open = drain_socket(connection.fd, connection.unread);
   while (connection.current_id.empty() && !connection.unread.empty()) {
     std::size_t const consumed = connection.reader.feed(connection.unread);
-    if (connection.reader.error() != Reader::Error::none) return add_fault(worker.id + " gets what is no request");
+    if (connection.reader.error() != Reader::Error::none)
+      return add_fault(worker.id + " received bytes that are not a request");
     connection.unread.erase(0, consumed);
     if (!connection.reader.complete()) break;
     connection.reader.next();
@@ -369,14 +378,14 @@
 void RequestPathModel::receive_request(Worker& worker, WorkerConnection& connection, Head const& head,
                                        std::string const& body) {
   std::string const id = head.get("X-Pipit-Attempt");
-  record_event(worker.id + " has " + id);
-  std::map<std::string, ClientRequest>::iterator const position = requests.find(id);
-  if (position == requests.end() || !position->second.sent)
-    return add_fault(worker.id + " gets " + id + ", which nobody sent");
+  record_event(worker.id + " receives " + id);
+  std::map<std::string, ClientRequest>::iterator const position = requests_.find(id);
+  if (position == requests_.end() || !position->second.sent)
+    return add_fault(worker.id + " received " + id + ", which no caller sent to its end");
   ClientRequest& item = position->second;
   if (body != item.body || head.target != "/" + item.kind + "/x" || head.method != "POST")
-    add_fault(id + " arrives changed");
-  if (++item.deliveries > max_attempts) add_fault(id + " comes to more workers than its route allows");
+    add_fault(id + " reached the worker with another method, target or body");
+  if (++item.deliveries > max_attempts) add_fault(id + " was sent more often than its route allows");
   std::string const wanted = head.get("X-Pipit-Instance");
   if (!wanted.empty() && wanted != worker.id) {
     ++event_counts["421 of a worker"];
@@ -389,28 +398,28 @@
   connection.events_sent = 0;
   std::string const after = head.get("Last-Event-Id");
   connection.first_event = after.empty() ? 1 : static_cast<std::size_t>(std::strtoull(after.c_str(), nullptr, 10)) + 1;
-  // A worker that takes a stream up may begin a little before the place that it was told.
-  if (connection.first_event > 1 && choose(2) == 0) --connection.first_event;
+  // A worker that resumes a stream may repeat the last event that the caller already has.
+  if (connection.first_event > 1 && choose_(2) == 0) --connection.first_event;
 }
 
 void RequestPathModel::run_request(Worker& worker, WorkerConnection& connection) {
   if (connection.request_run) return;
   connection.request_run = true;
-  ClientRequest& item = requests.at(connection.current_id);
+  ClientRequest& item = requests_.at(connection.current_id);
   ++item.runs;
   item.run_seals.insert("s-" + worker.id);
   ++event_counts["run"];
   record_event(worker.id + " runs " + item.id);
-  if (worker.address_reassigned) add_fault("another service runs " + item.id);
+  if (worker.address_reassigned) add_fault("another service at the worker's address runs " + item.id);
   if (!item.repeatable && item.runs > 1) add_fault(item.id + " runs twice");
-  if (item.promised_not_run) add_fault(item.id + " runs after it was promised not to");
+  if (item.promised_not_run) add_fault(item.id + " runs, although the answer promised that it never will");
 }
 
 std::string RequestPathModel::success_head(Worker const& worker, ClientRequest const& item) const {
   return "HTTP/1.1 200 OK\r\nX-Pipit-Attempt: " + item.id + "\r\nX-Seal: s-" + worker.id + "\r\n";
 }
 
-// Every event from the first that is asked for, as one body.
+// The events from the first one of this answer on, as one body.
 std::string RequestPathModel::rest_of_body(ClientRequest const& item, WorkerConnection const& connection) {
   std::string body;
   for (std::size_t n = connection.first_event; n <= max_events; ++n) body += event_text(item.id, n);
@@ -422,9 +431,9 @@
   return success_head(worker, item) + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// The whole answer (way 0), or its next part. True when it is over.
+// Sends the complete answer or the rest of it (variant 0), or the next part (1 and 2). Returns true at its end.
 bool RequestPathModel::answer_success(Worker& worker, WorkerConnection& connection, std::size_t variant) {
-  ClientRequest& item = requests.at(connection.current_id);
+  ClientRequest& item = requests_.at(connection.current_id);
   run_request(worker, connection);
   if (!connection.head_sent && variant == 0) {
     send(connection, full_answer(worker, item, rest_of_body(item, connection)));
@@ -444,9 +453,10 @@
   return variant == 0;
 }
 
-// A refusal that names the request, one that does not, or a failure after it ran.
+// Sends a refusal that names the request (variant 3), one that does not (4), or a failure after the request ran (5:
+// 500, 6: 429, 7: 503).
 void RequestPathModel::answer_failure(Worker& worker, WorkerConnection& connection, std::size_t variant) {
-  ClientRequest& item = requests.at(connection.current_id);
+  ClientRequest& item = requests_.at(connection.current_id);
   std::string const id = "X-Pipit-Attempt: " + item.id + "\r\n";
   if (variant == 3)
     return send(connection, "HTTP/1.1 503 Busy\r\n" + id + "X-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
@@ -458,10 +468,11 @@
                        "\r\nContent-Length: " + std::to_string(7 + item.id.size()) + "\r\n\r\nfailed " + item.id);
 }
 
-// An answer to an earlier request comes first (way 8), and perhaps alone. True when its own answer is over.
+// Sends a late answer to an earlier request, followed by the right answer (variant 8) or alone (9). Returns true if the
+// right answer was sent.
 bool RequestPathModel::answer_late(Worker& worker, WorkerConnection& connection, std::size_t variant) {
-  ClientRequest const& item = requests.at(connection.current_id);
-  ClientRequest const& other = requests.at(request_order[choose(request_order.size())]);
+  ClientRequest const& item = requests_.at(connection.current_id);
+  ClientRequest const& other = requests_.at(request_order_[choose_(request_order_.size())]);
   if (other.id == item.id || other.run_seals.count("s-" + worker.id) == 0) return false;
   send(connection, full_answer(worker, other, complete_body(other.id)));
   run_request(worker, connection);
@@ -469,53 +480,53 @@
   return variant == 8;
 }
 
-// An answer that breaks the protocol, after the request ran. Its text, from the answer as it should be.
+// The text of an answer that breaks the protocol, made from the correct answer.
 std::string RequestPathModel::malformed_answer(Worker const& worker, ClientRequest const& item, std::string const& body,
                                                std::size_t variant) const {
   std::string const answer = full_answer(worker, item, body);
   std::string const length = "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   switch (variant) {
-    case 10:
+    case 10:  // sent twice
       return answer + answer;
-    case 11:
+    case 11:  // follows a head with an invalid status
       return "HTTP/1.1 20 OK\r\n\r\n" + answer;
-    case 12:
+    case 12:  // does not name the request
       return "HTTP/1.1 200 OK\r\nX-Seal: s-" + worker.id + "\r\n" + length;
-    case 13:
+    case 13:  // has no seal
       return "HTTP/1.1 200 OK\r\nX-Pipit-Attempt: " + item.id + "\r\n" + length;
-    case 14:
+    case 14:  // follows an interim answer
       return "HTTP/1.1 100 Continue\r\n\r\n" + answer;
-    case 16:  // a part, less than was announced
+    case 16:  // shorter than its announced length
       return answer.substr(0, answer.size() - 4);
     default:
       return answer;
   }
 }
 
-// No length: the end of the connection ends the answer, perhaps too early (way 20).
+// Sends an answer without a length, which ends with its connection; for a stream in variant 20 within an event.
 void RequestPathModel::answer_without_length(Worker& worker, WorkerConnection& connection, std::size_t variant) {
-  ClientRequest const& item = requests.at(connection.current_id);
+  ClientRequest const& item = requests_.at(connection.current_id);
   std::string const body = rest_of_body(item, connection);
   run_request(worker, connection);
   ++event_counts["answer without length"];
-  // Of what is no stream nobody could tell that it stopped in the middle.
-  bool const stops = variant == 20 && (item.kind == "live" || item.kind == "flow");
-  send(connection, success_head(worker, item) + "\r\n" + (stops ? body.substr(0, body.size() - 3) : body));
+  // Without a length, a truncated answer can be recognized only if it is a stream.
+  bool const truncated = variant == 20 && (item.kind == "live" || item.kind == "flow");
+  send(connection, success_head(worker, item) + "\r\n" + (truncated ? body.substr(0, body.size() - 3) : body));
   close_connection(connection);
 }
 
-// The request runs, and an answer comes that is malformed or has something before it.
+// Runs the request and sends an answer that is malformed or that follows other bytes.
 void RequestPathModel::answer_malformed(Worker& worker, WorkerConnection& connection, std::size_t variant) {
-  ClientRequest const& item = requests.at(connection.current_id);
+  ClientRequest const& item = requests_.at(connection.current_id);
   run_request(worker, connection);
-  // A late refusal of an earlier request, which does not name it.
+  // A late refusal of an earlier request, which it does not name.
   if (variant == 18 && connection.request_count > 1)
     send(connection, "HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
   send(connection, malformed_answer(worker, item, rest_of_body(item, connection), variant));
   if (variant == 16) close_connection(connection);
 }
 
-// Answers in one of the ways and tells whether the answer is over.
+// Answers the request in flight in one of the variants, 0 to answer_variants - 1. Returns true if the answer has ended.
 bool RequestPathModel::play_answer(Worker& worker, WorkerConnection& connection, std::size_t variant) {
   switch (variant) {
     case 0:
@@ -541,7 +552,7 @@
     case 18:
       answer_malformed(worker, connection, variant);
       return true;
-    case 15:  // it runs and says nothing yet
+    case 15:  // runs the request and does not answer yet
       run_request(worker, connection);
       return false;
     case 17:
@@ -557,115 +568,114 @@
   }
 }
 
-// The ways in which a worker may answer what it holds, good and bad.
+// Answers the request in flight. A variant that contradicts what the worker has already done is replaced by variant 0.
 void RequestPathModel::answer(Worker& worker, WorkerConnection& connection, std::size_t variant) {
-  record_event(worker.id + " answers " + connection.current_id + " in way " + std::to_string(variant));
+  record_event(worker.id + " answers " + connection.current_id + " in variant " + std::to_string(variant));
   if (connection.head_sent && variant > 2 && variant != 17 && variant < 21) variant = 0;
-  if (connection.request_run && (variant == 3 || variant == 4))
-    variant = 0;  // no worker says that it did not run what it ran
+  if (connection.request_run && (variant == 3 || variant == 4)) variant = 0;  // no worker denies that it ran a request
   if (!play_answer(worker, connection, variant)) return;
   connection.current_id.clear();
   connection.head_sent = false;
 }
 
 void RequestPathModel::worker_event() {
-  Worker& worker = *workers[choose(workers.size())];
+  Worker& worker = *workers_[choose_(workers_.size())];
   std::erase_if(worker.connections,
                 [](std::unique_ptr<WorkerConnection> const& connection) { return connection->fd < 0; });
   if (worker.connections.empty()) return;
-  WorkerConnection& connection = *worker.connections[choose(worker.connections.size())];
+  WorkerConnection& connection = *worker.connections[choose_(worker.connections.size())];
   if (connection.current_id.empty()) read_worker(worker, connection);
-  if (!connection.current_id.empty()) return answer(worker, connection, choose(answer_variants));
+  if (!connection.current_id.empty()) return answer(worker, connection, choose_(answer_variants));
   if (connection.fd < 0) return;
-  switch (choose(3)) {
+  switch (choose_(3)) {
     case 0:
-      record_event(worker.id + " closes a connection that rests");
+      record_event(worker.id + " closes an idle connection");
       return close_connection(connection);
     case 1: {
-      if (request_order.empty()) return;
-      ClientRequest const& other = requests.at(request_order[choose(request_order.size())]);
+      if (request_order_.empty()) return;
+      ClientRequest const& other = requests_.at(request_order_[choose_(request_order_.size())]);
       if (other.run_seals.count("s-" + worker.id) == 0) return;
       std::string const late = complete_body(other.id);
-      record_event(worker.id + " answers " + other.id + " unasked");
+      record_event(worker.id + " answers " + other.id + " on an idle connection");
       return send(connection,
                   success_head(worker, other) + "Content-Length: " + std::to_string(late.size()) + "\r\n\r\n" + late);
     }
     default:
-      record_event(worker.id + " sends garbage on a connection that rests");
+      record_event(worker.id + " sends garbage on an idle connection");
       return send(connection, "HTTP/1.1 2");
   }
 }
 
-// ---- the rest of the world ----
+// ---- environment ----
 
 void RequestPathModel::environment_event() {
-  Worker& worker = *workers[choose(workers.size())];
-  switch (choose(environment_event_kinds)) {
+  Worker& worker = *workers_[choose_(workers_.size())];
+  switch (choose_(environment_event_kinds)) {
     case 0:
-      record_event("50 ms go by");
+      record_event("50 ms pass");
       return advance_time(millis(50));
     case 1:
-      record_event("0.4 s go by");
+      record_event("0.4 s pass");
       for (int n = 0; n < 8; ++n) {
         advance_time(millis(50));
         run_event_loop();
       }
       return;
     case 2:
-      record_event("1.5 s go by");
+      record_event("1.5 s pass");
       for (int n = 0; n < 30; ++n) {
         advance_time(millis(50));
         run_event_loop();
       }
       return;
     case 3:
-      record_event("the node stands still for 3 s");
+      record_event("the node does not run for 3 s");
       ++event_counts["freeze"];
       return advance_time(seconds(3));
     case 4:
       record_event(worker.id + " crashes");
       return crash(worker);
     case 5:
-      record_event(worker.id + " is replaced at its address");
-      if (choose(2) == 0) registry.leave(worker.id, ++heartbeat_count, loop_time());
-      proxy->forget(worker.id);
+      record_event(worker.id + " is replaced by a new process at its address");
+      if (choose_(2) == 0) registry_.leave(worker.id, ++heartbeat_count_, loop_time());
+      proxy_->forget(worker.id);
       start_process(worker, false);
       return heartbeat(worker, false);
     case 6:
-      record_event(worker.id + " gives its address to another service");
+      record_event(worker.id + " loses its address to another service");
       return start_process(worker, true);
     case 7:
       if (worker.address_reassigned) return;
       record_event(worker.id + " drains");
       return heartbeat(worker, true);
     case 8:
-      description_index = 1 - description_index;
-      record_event("configuration " + std::to_string(description_index));
-      return dispatcher.set_description(descriptions[description_index]);
+      description_index_ = 1 - description_index_;
+      record_event("the node applies configuration " + std::to_string(description_index_));
+      return dispatcher_.set_description(descriptions_[description_index_]);
     case 9:
-      dispatch_paused = !dispatch_paused;
-      record_event(dispatch_paused ? "placing is held" : "placing goes on");
-      return dispatcher.set_paused(dispatch_paused);
+      dispatch_paused_ = !dispatch_paused_;
+      record_event(dispatch_paused_ ? "dispatch is paused" : "dispatch resumes");
+      return dispatcher_.set_paused(dispatch_paused_);
     case 10:
       if (worker.address_reassigned || !worker.running) return;
-      record_event(worker.id + " says farewell and serves on");
+      record_event(worker.id + " reports its departure and continues to serve");
       ++event_counts["farewell"];
-      registry.leave(worker.id, ++heartbeat_count, loop_time());
+      registry_.leave(worker.id, ++heartbeat_count_, loop_time());
       return;
     default:
-      if (stopping) return;
-      stopping = true;
-      record_event("the node was told to stop");
-      proxy->server.closing();
-      return proxy->server.close_idle();
+      if (stopping_) return;
+      stopping_ = true;
+      record_event("the node begins to stop");
+      proxy_->server.closing();
+      return proxy_->server.close_idle();
   }
 }
 
 void RequestPathModel::begin(std::size_t kind, bool read) {
-  send_request(*callers[0], kind);
+  send_request(*callers_[0], kind);
   run_event_loop();
   if (!read) return;
-  for (std::unique_ptr<Worker> const& worker : workers)
+  for (std::unique_ptr<Worker> const& worker : workers_)
     for (std::unique_ptr<WorkerConnection> const& connection : worker->connections) read_worker(*worker, *connection);
 }
 
@@ -685,11 +695,11 @@
 }
 
 void RequestPathModel::finish() {
-  record_event("to the end");
-  dispatcher.set_paused(false);
+  record_event("the execution ends: every event that is due happens");
+  dispatcher_.set_paused(false);
   for (int n = 0; n < 50; ++n) {
-    // Workers run whatever has reached them, and never answer.
-    for (std::unique_ptr<Worker> const& worker : workers)
+    // Workers run every request that has reached them and send no answers.
+    for (std::unique_ptr<Worker> const& worker : workers_)
       for (std::unique_ptr<WorkerConnection> const& connection : worker->connections) {
         if (connection->current_id.empty()) read_worker(*worker, *connection);
         if (!connection->current_id.empty()) run_request(*worker, *connection);
@@ -697,19 +707,20 @@
     advance_time(millis(100));
     run_event_loop();
   }
-  for (std::unique_ptr<CallerConnection> const& caller : callers)
-    if (!caller->awaited_id.empty() && caller->unsent.empty()) add_fault(caller->awaited_id + " is never answered");
-  for (std::unique_ptr<Worker> const& worker : workers) crash(*worker);
-  callers.clear();
+  for (std::unique_ptr<CallerConnection> const& caller : callers_)
+    if (!caller->awaited_id.empty() && caller->unsent.empty()) add_fault(caller->awaited_id + " was never answered");
+  for (std::unique_ptr<Worker> const& worker : workers_) crash(*worker);
+  callers_.clear();
   run_event_loop();
-  if (dispatcher.active_requests() != 0) add_fault("requests stay under way");
-  for (std::pair<std::string const, Instance> const& item : registry.all)
-    if (item.second.running != 0 || item.second.reserved_tokens != 0) add_fault(item.first + " is held to be busy");
+  if (dispatcher_.active_requests() != 0) add_fault("the dispatcher still has active requests at the end");
+  for (std::pair<std::string const, Instance> const& item : registry_.all)
+    if (item.second.running != 0 || item.second.reserved_tokens != 0)
+      add_fault(item.first + " still has running requests or reserved tokens at the end");
   double extra = 0;
-  for (std::pair<std::string const, ClientRequest> const& item : requests)
+  for (std::pair<std::string const, ClientRequest> const& item : requests_)
     extra += static_cast<double>(item.second.deliveries > 1 ? item.second.deliveries - 1 : 0);
-  if (extra > budget_ratio * static_cast<double>(requests.size()) + budget_limit)
-    add_fault("more is sent again than the budget holds");
+  if (extra > budget_ratio * static_cast<double>(requests_.size()) + budget_limit)
+    add_fault("there were more retries than the retry budget allows");
   event_counts["sent again"] += static_cast<std::size_t>(extra);
 }
 
--- a/testing/request_model_checker/request_path_model.h
+++ b/testing/request_model_checker/request_path_model.h
@@ -1,6 +1,6 @@
-// A model of the path of a request: the product's dispatcher and relay between two callers and two workers made of
-// socket pairs, under a clock that a test moves. One event is played at a time, and every byte that comes out is judged
-// (docs/requests.md).
+// A model of the path of a request: the product's dispatcher and request proxy between two callers and two workers that
+// are socket pairs, under a clock that the model advances. Events happen one at a time, and every byte that the proxy
+// sends is checked (docs/requests.md).
 #pragma once
 #include <functional>
 #include <map>
@@ -14,42 +14,44 @@
 
 namespace pipit {
 
+// One execution of the model. It needs the default main context of GLib for itself.
 class RequestPathModel {
  public:
-  // Says which of n ways the world goes on, 0 to n - 1.
+  // Chooses one of n alternatives, 0 to n - 1.
   using Choose = std::function<std::size_t(std::size_t n)>;
-  explicit RequestPathModel(Choose choice);
+  explicit RequestPathModel(Choose choose);
   ~RequestPathModel();
 
+  // The source of an event: a caller, a worker, or the environment (time, crashes, configuration, drains).
   enum class Side : std::uint8_t { caller, worker, environment };
-  // Plays one event on that side.
+  // Makes one event of that source happen.
   void step(Side side);
-  // The first events of a walk that is not to begin empty: a request of that kind is sent and, if so, read by its
-  // worker.
+  // Starts an execution with a request in flight: the first caller sends a request of the kind, and its worker reads it
+  // if `read` is set.
   void begin(std::size_t kind, bool read);
-  // Lets everything come to its end, and judges what is left.
+  // Ends every request and connection, and checks the final state.
   void finish();
 
-  std::vector<std::string> faults;                  // broken rules; the first one counts
-  std::vector<std::string> trace;                   // the events, one a line
-  std::map<std::string, std::size_t> event_counts;  // how often each kind of end and event came about
+  std::vector<std::string> faults;                  // broken rules; later ones may follow from the first
+  std::vector<std::string> trace;                   // the events, one on a line
+  std::map<std::string, std::size_t> event_counts;  // how often each kind of event and answer occurred
 
  private:
-  // One try of a caller, which bears an id of its own.
+  // A request of a caller. Its id goes to the worker in X-Pipit-Attempt.
   struct ClientRequest {
     std::string id;
     std::string kind;
     std::string body;
     bool repeatable = false;
-    bool sent = false;  // whole
+    bool sent = false;  // the caller sent it to its last byte
     bool answered = false;
     bool connection_lost = false;
     bool abandoned = false;
-    bool promised_not_run = false;  // promised not to have run, and never to
-    std::size_t runs = 0;
-    std::set<std::string> run_seals;
-    std::size_t deliveries = 0;
-    std::vector<unsigned> failure_statuses;  // the statuses of failures that workers gave
+    bool promised_not_run = false;           // the answer promises that the request did not run and never will
+    std::size_t runs = 0;                    // how often a worker ran it
+    std::set<std::string> run_seals;         // seals of the workers that ran it
+    std::size_t deliveries = 0;              // how often it reached a worker
+    std::vector<unsigned> failure_statuses;  // statuses of the failures that workers answered with
   };
   struct CallerConnection;
   struct WorkerConnection;
@@ -89,22 +91,22 @@
   std::shared_ptr<Link> dial(std::string const& address);
   std::string success_head(Worker const& worker, ClientRequest const& item) const;
 
-  Choose choose;
-  ManualTime time{seconds(1000)};
-  IndexSync index_sync{1};
-  Registry registry{"n1"};
-  ReportExchange exchange{"n1"};
-  Dispatcher dispatcher{"n1", "a", index_sync, registry, exchange};
-  std::shared_ptr<Description const> descriptions[2];
-  std::unique_ptr<RequestProxy> proxy;
-  std::map<std::string, ClientRequest> requests;
-  std::vector<std::string> request_order;  // of the tries
-  std::vector<std::unique_ptr<CallerConnection>> callers;
-  std::vector<std::unique_ptr<Worker>> workers;
-  std::uint64_t heartbeat_count = 0;
-  std::size_t description_index = 0;
-  bool dispatch_paused = false;
-  bool stopping = false;
+  Choose choose_;
+  ManualTime time_{seconds(1000)};
+  IndexSync index_sync_{1};
+  Registry registry_{"n1"};
+  ReportExchange exchange_{"n1"};
+  Dispatcher dispatcher_{"n1", "a", index_sync_, registry_, exchange_};
+  std::shared_ptr<Description const> descriptions_[2];
+  std::unique_ptr<RequestProxy> proxy_;
+  std::map<std::string, ClientRequest> requests_;
+  std::vector<std::string> request_order_;  // ids of the requests, in the order of sending
+  std::vector<std::unique_ptr<CallerConnection>> callers_;
+  std::vector<std::unique_ptr<Worker>> workers_;
+  std::uint64_t heartbeat_count_ = 0;
+  std::size_t description_index_ = 0;
+  bool dispatch_paused_ = false;
+  bool stopping_ = false;
 };
 
 }  // namespace pipit
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -58,8 +58,8 @@
     "  \"idle_timeout_ms\": 20000},\n"
     " \"labels\": [\"one\", \"two\"], \"owner\": \"ops\"}";
 
-std::shared_ptr<Description const> compiled_description(Configuration const& made) {
-  Result<std::shared_ptr<Description const>> const read = read_configuration(made.text);
+std::shared_ptr<Description const> compiled_description(Configuration const& configuration) {
+  Result<std::shared_ptr<Description const>> const read = read_configuration(configuration.text);
   return read ? read.value() : nullptr;
 }
 
@@ -195,11 +195,12 @@
 }
 
 TEST(PlatformConfiguration, complete_configuration_becomes_a_description) {
-  Result<Configuration> const made = read_complete_configuration(base);
-  ASSERT_TRUE(made) << made.error().where << " " << made.error().what;
-  EXPECT_EQ(made.value().version, 4u);
-  EXPECT_EQ(configuration_source(made.value().text), base) << "the text of the configuration must be kept unchanged";
-  std::shared_ptr<Description const> const description = compiled_description(made.value());
+  Result<Configuration> const configuration = read_complete_configuration(base);
+  ASSERT_TRUE(configuration) << configuration.error().where << " " << configuration.error().what;
+  EXPECT_EQ(configuration.value().version, 4u);
+  EXPECT_EQ(configuration_source(configuration.value().text), base)
+      << "the text of the configuration must be kept unchanged";
+  std::shared_ptr<Description const> const description = compiled_description(configuration.value());
   ASSERT_TRUE(description);
   ASSERT_EQ(description->routes.size(), 3u);
   Route const& chat = description->routes[0];
@@ -279,10 +280,10 @@
       base_with("\"max_body_bytes\": 1000000", "\"max_body_bytes\": -1e300"),
   };
   for (std::string const& row : rows) {
-    Result<Configuration> const made = read_complete_configuration(row);
-    ASSERT_FALSE(made) << row;
-    EXPECT_EQ(answer_for(made.error()).status, 400u) << made.error().what << "\n" << row;
-    EXPECT_FALSE(made.error().what.empty());
+    Result<Configuration> const configuration = read_complete_configuration(row);
+    ASSERT_FALSE(configuration) << row;
+    EXPECT_EQ(answer_for(configuration.error()).status, 400u) << configuration.error().what << "\n" << row;
+    EXPECT_FALSE(configuration.error().what.empty());
   }
 }
 
@@ -293,20 +294,20 @@
 }
 
 TEST(PlatformConfiguration, amend_adds_replaces_and_removes_items_and_keeps_other_text) {
-  Result<Configuration> const made =
+  Result<Configuration> const configuration =
       apply_changes(base,
                     "{\"version\": 5, \"upsert\": {\"routes\": [\n"
                     "{\"name\":\"once\",\"host\":\"api.test\",\"path_prefix\":\"/\",\"service\":\"tiny\","
                     "\"timeout_ms\":2000.50}],"
                     "\"services\": [{\"name\": \"tiny\"}], \"limits\": {\"max_header_bytes\": 4096}},"
                     "\"remove\": {\"routes\": [\"embed\"], \"services\": [\"small\", \"nobody\"]}}");
-  ASSERT_TRUE(made) << made.error().where << " " << made.error().what;
-  EXPECT_EQ(made.value().version, 5u);
-  std::string const source = configuration_source(made.value().text);
+  ASSERT_TRUE(configuration) << configuration.error().where << " " << configuration.error().what;
+  EXPECT_EQ(configuration.value().version, 5u);
+  std::string const source = configuration_source(configuration.value().text);
   for (char const* const kept : {"\"timeout_ms\": 260000.0,", "\"cache_tokens\": 260000.0,",
                                  "\"note\": {\"by\": [1, 2.50]}", "2000.50", "[\"one\", \"two\"]", "\"ops\""})
     EXPECT_NE(source.find(kept), std::string::npos) << kept << "\n" << source;
-  std::shared_ptr<Description const> const description = compiled_description(made.value());
+  std::shared_ptr<Description const> const description = compiled_description(configuration.value());
   ASSERT_TRUE(description);
   ASSERT_EQ(description->routes.size(), 2u);
   EXPECT_EQ(description->routes[0].name, "chat");
@@ -324,22 +325,23 @@
 }
 
 TEST(PlatformConfiguration, amend_without_changes_changes_only_the_version) {
-  Result<Configuration> const made = apply_changes(base, "{\"version\": 9}");
-  ASSERT_TRUE(made) << made.error().where << " " << made.error().what;
-  Result<Configuration> const again = apply_changes(configuration_source(made.value().text), "{\"version\": 9}");
-  ASSERT_TRUE(again);
-  EXPECT_EQ(configuration_source(again.value().text), configuration_source(made.value().text));
-  EXPECT_EQ(compiled_description(made.value())->routes.size(), 3u);
+  Result<Configuration> const configuration = apply_changes(base, "{\"version\": 9}");
+  ASSERT_TRUE(configuration) << configuration.error().where << " " << configuration.error().what;
+  Result<Configuration> const repeated =
+      apply_changes(configuration_source(configuration.value().text), "{\"version\": 9}");
+  ASSERT_TRUE(repeated);
+  EXPECT_EQ(configuration_source(repeated.value().text), configuration_source(configuration.value().text));
+  EXPECT_EQ(compiled_description(configuration.value())->routes.size(), 3u);
 }
 
 TEST(PlatformConfiguration, amend_of_an_empty_configuration_creates_one) {
   std::string const none = configuration_source("");
-  Result<Configuration> const made = apply_changes(
+  Result<Configuration> const configuration = apply_changes(
       none,
       "{\"version\":1,\"upsert\":{\"services\":[{\"name\":\"s\"}],\"routes\":[{\"name\":\"r\",\"host\":\"h\","
       "\"path_prefix\":\"/\",\"service\":\"s\",\"timeout_ms\":10}]}}");
-  ASSERT_TRUE(made) << made.error().where << " " << made.error().what;
-  EXPECT_EQ(compiled_description(made.value())->routes.size(), 1u);
+  ASSERT_TRUE(configuration) << configuration.error().where << " " << configuration.error().what;
+  EXPECT_EQ(compiled_description(configuration.value())->routes.size(), 1u);
 }
 
 TEST(PlatformConfiguration, invalid_changes_are_refused) {
@@ -351,9 +353,9 @@
         "{\"version\":5,\"remove\":{\"services\":[\"small\"]}}",
         "{\"version\":5,\"upsert\":{\"limits\":[{\"name\":\"x\"}]}}", "{\"version\":5,\"upsert\":{\"routes\":7}}",
         "{\"version\":5,\"upsert\":{\"routes\":{}}}", "{\"version\":5,\"upsert\":{\"labels\":[{\"name\":\"x\"}]}}"}) {
-    Result<Configuration> const made = apply_changes(base, bad);
-    ASSERT_FALSE(made) << bad;
-    EXPECT_EQ(answer_for(made.error()).status, 400u) << bad << ": " << made.error().what;
+    Result<Configuration> const configuration = apply_changes(base, bad);
+    ASSERT_FALSE(configuration) << bad;
+    EXPECT_EQ(answer_for(configuration.error()).status, 400u) << bad << ": " << configuration.error().what;
   }
 }
 
@@ -506,9 +508,9 @@
 
 TEST_F(ConfigurationVersions, repeated_change_is_applied_once) {
   Outcome const first = submit("a", "one", 0, 10);
-  Outcome const again = submit("a", "one", 0, 10);
-  EXPECT_EQ(again.type, Outcome::Type::chosen);
-  EXPECT_EQ(again.serial, first.serial);
+  Outcome const repeated = submit("a", "one", 0, 10);
+  EXPECT_EQ(repeated.type, Outcome::Type::chosen);
+  EXPECT_EQ(repeated.serial, first.serial);
   submit("b", "two", 10, 11);
   Outcome const late = submit("a", "one", 0, 10);
   EXPECT_EQ(late.type, Outcome::Type::chosen);
--- a/tests/platform_fleet.cc
+++ b/tests/platform_fleet.cc
@@ -135,15 +135,16 @@
 }
 
 TEST(PlatformFleet, faults_are_parsed_with_defaults_and_sorted_by_time) {
-  Result<std::vector<Fault>> const made = parse_faults(" burst@6:x=2,on=note ; kill@1.5:on=core;; crash@2:share=0.5 ");
-  ASSERT_TRUE(made);
-  ASSERT_EQ(made.value().size(), 3u);
-  EXPECT_EQ(made.value()[0].kind, Fault::Kind::kill);
-  EXPECT_EQ(made.value()[0].at, 1500000);
-  EXPECT_EQ(made.value()[0].on, "core");
-  EXPECT_EQ(made.value()[0].count, 1);
-  EXPECT_EQ(made.value()[1].share, 0.5);
-  EXPECT_EQ(made.value()[2].x, 2);
+  Result<std::vector<Fault>> const faults =
+      parse_faults(" burst@6:x=2,on=note ; kill@1.5:on=core;; crash@2:share=0.5 ");
+  ASSERT_TRUE(faults);
+  ASSERT_EQ(faults.value().size(), 3u);
+  EXPECT_EQ(faults.value()[0].kind, Fault::Kind::kill);
+  EXPECT_EQ(faults.value()[0].at, 1500000);
+  EXPECT_EQ(faults.value()[0].on, "core");
+  EXPECT_EQ(faults.value()[0].count, 1);
+  EXPECT_EQ(faults.value()[1].share, 0.5);
+  EXPECT_EQ(faults.value()[2].x, 2);
   for (char const* const bad :
        {"rain@1", "kill", "kill@", "kill@x", "kill@1:count", "kill@1:count=x", "kill@-1", "kill@1:a=2"})
     EXPECT_FALSE(parse_faults(bad)) << bad;
