--- a/programs/zone_drill/main.cc
+++ b/programs/zone_drill/main.cc
@@ -25,6 +25,13 @@
 namespace options = boost::program_options;
 
 volatile sig_atomic_t interrupted = 0;  // set by SIGINT and SIGTERM
+// The guarantees, counted from the confirmation of the drain: each router has the change in force, and none sends to
+// the zone any more.
+constexpr Micros max_in_force_delay = seconds(2);
+constexpr Micros max_drain_delay = seconds(5);
+constexpr Micros drain_timeout = seconds(20);
+constexpr Micros refill_timeout = seconds(30);
+
 Micros now() { return g_get_monotonic_time(); }
 
 // A worker in the status of a node.
@@ -161,7 +168,7 @@
       reply = call_operator_api("POST", node_, "/v1/zones/" + zone_ + "/empty", &empty_body, "");
       if (reply.status == 200) break;
       pause_unless_interrupted(millis(500));
-    } while (!interrupted && now() - started_at < seconds(20));
+    } while (!interrupted && now() - started_at < drain_timeout);
     if (reply.status != 200) {
       add_fault("the nodes did not confirm that the zone is drained: " + reply.body);
       return false;
@@ -183,7 +190,7 @@
           continue;
         }
         ++samples_;
-        if (age > seconds(2) && status.serial < serial)
+        if (age > max_in_force_delay && status.serial < serial)
           add_fault(router.first + " does not have the drain's serial in force after two seconds");
         if (!status.ready) add_fault(router.first + " was not ready during the drill");
         for (std::pair<std::string const, Worker> const& item : status.workers) {
@@ -195,7 +202,7 @@
             sent_elsewhere_ += item.second.sent - previous;
           } else {
             last_sent_to_zone_ = std::max(last_sent_to_zone_, age);
-            if (age > seconds(5))
+            if (age > max_drain_delay)
               add_fault(router.first + " sent to " + item.first +
                         " more than five seconds after the drain was confirmed");
           }
@@ -205,7 +212,7 @@
     }
     // Without traffic the drill cannot show that routers avoid the zone.
     if (!interrupted && sent_elsewhere_ == 0) add_fault("the fleet had no traffic while the zone was drained");
-    if (!interrupted && observation_time_ <= seconds(5))
+    if (!interrupted && observation_time_ <= max_drain_delay)
       add_fault("the hold was too short: routers may send to the zone for five seconds");
     return true;
   }
@@ -214,7 +221,7 @@
   bool refill() {
     std::string const empty_body;
     Micros const started_at = now();
-    while (now() - started_at < seconds(30)) {
+    while (now() - started_at < refill_timeout) {
       if (call_operator_api("POST", node_, "/v1/zones/" + zone_ + "/refill", &empty_body, "").status == 200)
         return true;
       // Any node can propose the change, so the routers are tried if this node fails.
