--- a/src/base/error.h
+++ b/src/base/error.h
@@ -22,7 +22,7 @@
   ERROR_CODE(bad_request, 400, no, 0, "a field of the request is missing or malformed")                      \
   ERROR_CODE(bad_description, 400, no, 0, "the description fails validation")                                \
   ERROR_CODE(bad_language, 400, no, 0, "a binding or policy does not compile")                               \
-  ERROR_CODE(unknown_key, 401, no, 0, "the request carries no key of the present configuration")             \
+  ERROR_CODE(unknown_key, 401, no, 0, "the request carries no key of the current configuration")             \
   ERROR_CODE(unconfirmed, 503, no, 500, "this node cannot confirm that its keys are still valid")            \
   ERROR_CODE(over_quota, 429, no, 1000, "the tenant's limit is reached")                                     \
   ERROR_CODE(no_quota, 503, no, 500, "no node that grants the tenant's quota can be reached")                \
