--- a/src/net/http.h
+++ b/src/net/http.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "net/lines.h"
+#include "net/http_line_validator.h"
 
 namespace pipit {
 
--- a/src/net/lines.cc
+++ b/src/net/http_line_validator.cc
@@ -1,4 +1,4 @@
-#include "net/lines.h"
+#include "net/http_line_validator.h"
 
 namespace pipit {
 
--- a/src/net/link.cc
+++ b/src/net/tcp_connection.cc
@@ -1,4 +1,4 @@
-#include "net/link.h"
+#include "net/tcp_connection.h"
 
 #include <arpa/inet.h>
 #include <cerrno>
--- a/src/net/upstream.cc
+++ b/src/net/upstream_pool.cc
@@ -1,4 +1,4 @@
-#include "net/upstream.h"
+#include "net/upstream_pool.h"
 
 #include <glib.h>
 
--- a/src/net/upstream.h
+++ b/src/net/upstream_pool.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "net/http.h"
-#include "net/link.h"
+#include "net/tcp_connection.h"
 
 namespace pipit {
 
--- a/src/runtime/mesh/connections.h
+++ b/src/runtime/mesh/connections.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/error.h"
-#include "net/link.h"
+#include "net/tcp_connection.h"
 #include "mesh/effects.h"
 
 namespace pipit {
--- a/src/server/request_proxy.h
+++ b/src/server/request_proxy.h
@@ -7,7 +7,7 @@
 
 #include "node/node.h"
 #include "net/server.h"
-#include "net/upstream.h"
+#include "net/upstream_pool.h"
 #include "server/failure_log.h"
 
 namespace pipit {
--- a/testing/platform_fleet_test/fault_proxy.h
+++ b/testing/platform_fleet_test/fault_proxy.h
@@ -16,7 +16,7 @@
 
 #include "base/micros.h"
 #include "base/random.h"
-#include "net/link.h"
+#include "net/tcp_connection.h"
 
 namespace pipit::platform_fleet {
 
--- a/testing/platform_fleet_test/line.h
+++ b/testing/platform_fleet_test/line.h
@@ -8,7 +8,7 @@
 #include <string_view>
 
 #include "base/micros.h"
-#include "net/link.h"
+#include "net/tcp_connection.h"
 
 namespace pipit::platform_fleet {
 
--- a/testing/platform_fleet_test/rude_clients.h
+++ b/testing/platform_fleet_test/rude_clients.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "base/random.h"
-#include "net/link.h"
+#include "net/tcp_connection.h"
 #include "testing/platform_fleet_test/nodes.h"
 
 namespace pipit::platform_fleet {
--- a/testing/platform_fleet_test/workers.h
+++ b/testing/platform_fleet_test/workers.h
@@ -9,7 +9,7 @@
 
 #include "base/random.h"
 #include "net/http.h"
-#include "net/link.h"
+#include "net/tcp_connection.h"
 #include "testing/platform_fleet_test/judge.h"
 #include "testing/platform_fleet_test/line.h"
 #include "testing/platform_fleet_test/nodes.h"
--- a/tests/doors.cc
+++ b/tests/doors.cc
@@ -5,7 +5,7 @@
 
 #include <vector>
 
-#include "net/link.h"
+#include "net/tcp_connection.h"
 #include "tests/loopback.h"
 
 namespace pipit {
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -10,7 +10,7 @@
 
 #include "base/random.h"
 #include "net/server.h"
-#include "net/upstream.h"
+#include "net/upstream_pool.h"
 #include "tests/loopback.h"
 
 namespace pipit {
--- a/tests/keys.cc
+++ b/tests/keys.cc
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "base/invariants.h"
-#include "tests/passing.h"
+#include "tests/request_proxy_fixture.h"
 
 namespace pipit {
 
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -12,7 +12,7 @@
 #include <memory>
 #include <string>
 
-#include "net/link.h"
+#include "net/tcp_connection.h"
 
 namespace pipit {
 
--- a/tests/relay.cc
+++ b/tests/request_proxy.cc
@@ -4,7 +4,7 @@
 
 #include <glib.h>
 
-#include "tests/passing.h"
+#include "tests/request_proxy_fixture.h"
 
 namespace pipit {
 
