--- a/src/net/http_line_validator.cc
+++ b/src/net/http_line_validator.cc
@@ -3,7 +3,7 @@
 namespace pipit {
 
 namespace {
-constexpr std::size_t digits_most = 15;
+constexpr std::size_t max_chunk_size_digits = 15;
 constexpr std::size_t status_digits = 3;
 constexpr std::string_view version = "HTTP/1.";
 
@@ -24,9 +24,9 @@
 }
 }  // namespace
 
-bool Lines::first_fits() const {
-  std::string_view const line = first_;
-  if (!requests_) {
+bool HttpLineValidator::start_line_valid() const {
+  std::string_view const line = start_line_;
+  if (!parses_requests_) {
     std::size_t const status = version.size() + 2;
     return line.size() > status && is_version(line.substr(0, status - 1)) && line[status - 1] == ' ' &&
            is_status(line.substr(status));
@@ -37,81 +37,81 @@
   return line.substr(a + 1, b - a - 1).find(' ') == std::string_view::npos && is_version(line.substr(b + 1));
 }
 
-bool Lines::end_of_line() {
-  bool const empty = count_ == 0;
-  switch (part_) {
-    case Part::first:
+bool HttpLineValidator::finish_line() {
+  bool const empty = line_bytes_ == 0;
+  switch (state_) {
+    case State::start_line:
       if (empty) return true;  // before a message
-      part_ = Part::field;
-      return first_fits();
-    case Part::field:
-      if (empty) part_ = Part::size;
-      return empty || colon_;
-    case Part::size:
-      part_ = some_ ? Part::after_chunk : Part::trailer;
-      return digits_ > 0;
-    case Part::after_chunk:
-      part_ = Part::size;
+      state_ = State::field;
+      return start_line_valid();
+    case State::field:
+      if (empty) state_ = State::chunk_size;
+      return empty || field_name_ended_;
+    case State::chunk_size:
+      state_ = chunk_size_nonzero_ ? State::after_chunk : State::trailer;
+      return chunk_size_digits_ > 0;
+    case State::after_chunk:
+      state_ = State::chunk_size;
       return empty;
-    case Part::trailer:
-      if (empty) part_ = Part::over;
-      return empty || colon_;
-    case Part::over:
+    case State::trailer:
+      if (empty) state_ = State::complete;
+      return empty || field_name_ended_;
+    case State::complete:
       return false;
   }
   return false;
 }
 
-bool Lines::byte(char c) {
-  if (cr_) {
-    cr_ = false;
-    if (c != '\n' || !end_of_line()) return false;
-    count_ = digits_ = 0;
-    colon_ = some_ = blank_ = extension_ = false;
+bool HttpLineValidator::consume_byte(char c) {
+  if (after_cr_) {
+    after_cr_ = false;
+    if (c != '\n' || !finish_line()) return false;
+    line_bytes_ = chunk_size_digits_ = 0;
+    field_name_ended_ = chunk_size_nonzero_ = blank_after_chunk_size_ = in_chunk_extension_ = false;
     return true;
   }
   if (c == '\r') {
-    cr_ = true;
+    after_cr_ = true;
     return true;
   }
   if ((static_cast<unsigned char>(c) < 0x20 && c != '\t') || c == 0x7f) return false;
-  ++count_;
-  switch (part_) {
-    case Part::first:
-      first_ += c;
+  ++line_bytes_;
+  switch (state_) {
+    case State::start_line:
+      start_line_ += c;
       return true;
-    case Part::field:
-    case Part::trailer:
-      if (colon_) return true;
-      colon_ = c == ':';
-      return colon_ ? count_ > 1 : is_token(c);
-    case Part::size:
-      if (extension_) return true;
+    case State::field:
+    case State::trailer:
+      if (field_name_ended_) return true;
+      field_name_ended_ = c == ':';
+      return field_name_ended_ ? line_bytes_ > 1 : is_token(c);
+    case State::chunk_size:
+      if (in_chunk_extension_) return true;
       if (c == ' ' || c == '\t') {
-        blank_ = true;
-        return digits_ > 0;
+        blank_after_chunk_size_ = true;
+        return chunk_size_digits_ > 0;
       }
       if (c == ';') {
-        extension_ = true;
-        return digits_ > 0;
+        in_chunk_extension_ = true;
+        return chunk_size_digits_ > 0;
       }
-      some_ = some_ || c != '0';
-      return is_hex(c) && !blank_ && ++digits_ <= digits_most;
-    case Part::after_chunk:
-    case Part::over:
+      chunk_size_nonzero_ = chunk_size_nonzero_ || c != '0';
+      return is_hex(c) && !blank_after_chunk_size_ && ++chunk_size_digits_ <= max_chunk_size_digits;
+    case State::after_chunk:
+    case State::complete:
       return false;
   }
   return false;
 }
 
-bool Lines::take(std::string_view bytes) {
-  for (std::size_t i = 0; good_ && i < bytes.size(); ++i) good_ = byte(bytes[i]);
-  return good_;
+bool HttpLineValidator::consume(std::string_view bytes) {
+  for (std::size_t i = 0; valid_ && i < bytes.size(); ++i) valid_ = consume_byte(bytes[i]);
+  return valid_;
 }
 
-std::size_t Lines::take_head(std::string_view bytes) {
+std::size_t HttpLineValidator::consume_head(std::string_view bytes) {
   std::size_t n = 0;
-  while (good_ && !headed() && n < bytes.size()) good_ = byte(bytes[n++]);
+  while (valid_ && !head_complete() && n < bytes.size()) valid_ = consume_byte(bytes[n++]);
   return n;
 }
 
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -10,63 +10,66 @@
 
 namespace pipit {
 
-class Upstream {
+class UpstreamPool {
  public:
-  enum class End : std::uint8_t {
-    unreached,  // no connection came up: no byte has left
-    broke,      // it ended, or what came is no answer
-    torn,       // the answer began and ended before its end
+  enum class Failure : std::uint8_t {
+    connect_failed,  // no connection came up: no byte has left
+    broken,          // it ended, or what came is no answer
+    truncated,       // the answer began and ended before its end
   };
   // Whom the head of an answer belongs to.
-  enum class Owner : std::uint8_t {
-    asker,   // the request that the connection carries
-    other,   // interim, or to an earlier request: it is passed over, and what follows may be the asker's
-    nobody,  // no answer to anything: the request breaks and the connection is not used again
+  enum class ResponseOwner : std::uint8_t {
+    current_request,  // the request that the connection carries
+    other_request,    // interim, or to an earlier request: it is passed over, and what follows may be the asker's
+    none,             // no answer to anything: the request breaks and the connection is not used again
   };
   struct Callbacks {
-    std::function<void(std::uint64_t)> sent;  // a byte of the request may have left
+    std::function<void(std::uint64_t)> request_sent;  // a byte of the request may have left
     // 'first': nothing was asked on the connection before.
-    std::function<Owner(std::uint64_t, Head const&, bool first)> head;
-    std::function<void(std::uint64_t, std::string_view)> body;
-    std::function<void(std::uint64_t)> done;
-    std::function<void(std::uint64_t, End, std::string const& why)> ended;
+    std::function<ResponseOwner(std::uint64_t, Head const&, bool first)> response_head;
+    std::function<void(std::uint64_t, std::string_view)> response_body;
+    std::function<void(std::uint64_t)> response_complete;
+    std::function<void(std::uint64_t, Failure, std::string const& reason)> request_failed;
   };
-  Upstream(Callbacks callbacks, std::string from) : callbacks_(std::move(callbacks)), from_(std::move(from)) {}
-  ~Upstream();
+  UpstreamPool(Callbacks callbacks, std::string source_ip)
+      : callbacks_(std::move(callbacks)), source_ip_(std::move(source_ip)) {}
+  ~UpstreamPool();
 
   // How connections are opened; Link::dial unless a test says otherwise.
-  using Dial = std::function<std::shared_ptr<Link>(std::string const& address, std::string const& from, Micros within)>;
-  void dial_by(Dial dial) { dial_ = std::move(dial); }
+  using Dialer = std::function<std::shared_ptr<TcpConnection>(std::string const& address, std::string const& source_ip,
+                                                              Micros connect_timeout)>;
+  void set_dialer(Dialer dialer) { dialer_ = std::move(dialer); }
 
   // Sends a request; 'peer' names who incarnations at the address, and kept connections belong to that name.
-  void start(std::uint64_t id, std::string const& peer, std::string const& address, std::string bytes, Micros within);
+  void start_request(std::uint64_t id, std::string const& peer, std::string const& address, std::string request,
+                     Micros connect_timeout);
   // Gives a request up: its connection is reset, so that nothing the system still holds of it arrives later.
-  void cut(std::uint64_t id);
+  void cancel(std::uint64_t id);
   // Nobody of that name is there any more: its kept connections are closed.
-  void forget(std::string const& peer);
+  void close_idle_connections(std::string const& peer);
   void close_expired(Micros now);
-  std::size_t open() const { return by_id_.size(); }
-  std::size_t kept(std::string const& peer) const;
-  std::size_t connections() const { return conns_.size(); }
+  std::size_t active_requests() const { return connections_by_request_.size(); }
+  std::size_t idle_connections(std::string const& peer) const;
+  std::size_t connections() const { return connections_.size(); }
 
   std::uint64_t dialled = 0;
   std::uint64_t reused = 0;
 
  private:
-  struct Conn;
-  void send(Conn& conn);
-  void fed(Conn& conn, std::string_view bytes);
-  void shut(Conn& conn, Link::End how);
-  void fail(Conn& conn, End how, std::string const& why);
-  void complete_answer(Conn& conn);
-  void erase(Conn& conn, bool reset = false);
+  struct Connection;
+  void send(Connection& conn);
+  void on_data(Connection& conn, std::string_view bytes);
+  void on_close(Connection& conn, TcpConnection::CloseReason how);
+  void fail(Connection& conn, Failure how, std::string const& reason);
+  void complete_response(Connection& conn);
+  void erase(Connection& conn, bool reset = false);
 
   Callbacks callbacks_;
-  std::string const from_;
-  Dial dial_ = Link::dial;
-  std::map<Conn*, std::shared_ptr<Conn>> conns_;
-  std::map<std::uint64_t, Conn*> by_id_;
-  std::map<std::string, std::vector<Conn*>> idle_;  // by peer, the last used at the end
+  std::string const source_ip_;
+  Dialer dialer_ = TcpConnection::dial;
+  std::map<Connection*, std::shared_ptr<Connection>> connections_;
+  std::map<std::uint64_t, Connection*> connections_by_request_;
+  std::map<std::string, std::vector<Connection*>> idle_by_peer_;  // by peer, the last used at the end
 };
 
 }  // namespace pipit
--- a/src/runtime/mesh/connections.h
+++ b/src/runtime/mesh/connections.h
@@ -35,22 +35,22 @@
  private:
   struct Connection {
     ConnectionId id = 0;
-    std::shared_ptr<Link> link;
+    std::shared_ptr<TcpConnection> link;
     std::string address;  // that was dialled, until the link is up
     std::string in;
   };
   void adopt(std::shared_ptr<Connection> const& connection, bool outbound);
   void fed(Connection& connection, std::string_view bytes);
-  void lost(ConnectionId id, Link::End how);
+  void lost(ConnectionId id, TcpConnection::CloseReason how);
   void drop_overfull(ConnectionId id);
   ConnectionId largest_backlog() const;
 
   Callbacks callbacks_;
-  Door door_;
+  Listener door_;
   std::string own_host_;
   ConnectionId next_ = 0;
   std::map<ConnectionId, std::shared_ptr<Connection>> connections_;
-  std::vector<std::weak_ptr<Link>> closing_;  // that still have a farewell to send
+  std::vector<std::weak_ptr<TcpConnection>> closing_;  // that still have a farewell to send
 };
 
 }  // namespace pipit
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -92,15 +92,15 @@
   proxy_callbacks.disconnected = [this](std::uint64_t id) { return node_->dispatcher.on_client_disconnect(id, now()); };
   proxy_ = std::make_unique<RequestProxy>(node_->dispatcher, plan_.dialect, plan_.own_host, std::move(proxy_callbacks));
   control_server_ = std::make_unique<Server>(
-      Server::Callbacks{[this](Server::Call&& call) { on_call(std::move(call)); }, [](std::uint64_t) {}});
+      Server::Callbacks{[this](Server::Request&& call) { on_call(std::move(call)); }, [](std::uint64_t) {}});
   Server::Limits control_limits;
-  control_limits.body_most = plan_.control_body;
-  control_server_->limit(control_limits);
+  control_limits.max_body_bytes = plan_.control_body;
+  control_server_->set_limits(control_limits);
   ready_server_ = std::make_unique<Server>(
-      Server::Callbacks{[this](Server::Call&& call) { on_ready(std::move(call)); }, [](std::uint64_t) {}});
+      Server::Callbacks{[this](Server::Request&& call) { on_ready(std::move(call)); }, [](std::uint64_t) {}});
 
   metrics_server_ = std::make_unique<Server>(
-      Server::Callbacks{[this](Server::Call&& call) { on_metrics(std::move(call)); }, [](std::uint64_t) {}});
+      Server::Callbacks{[this](Server::Request&& call) { on_metrics(std::move(call)); }, [](std::uint64_t) {}});
   if (ring)
     disk_ = std::make_unique<DiskTask>(
         std::move(posix), std::move(ring),
@@ -191,7 +191,7 @@
   head.status = status;
   head.fields = fields;
   head.fields.emplace_back("Content-Type", "application/json");
-  control_server_->answer(call, head, body);
+  control_server_->respond(call, head, body);
 }
 
 void NodeServer::note_order(std::string const& call, unsigned status, std::string const& why) {
@@ -199,23 +199,23 @@
   log_event(Event::operator_call_answered, call + " " + std::to_string(status) + (why.empty() ? "" : " " + why));
 }
 
-void NodeServer::on_ready(Server::Call&& call) {
+void NodeServer::on_ready(Server::Request&& call) {
   bool const path = call.head.target == plan_.ready_path;
   bool const yes = node_->accepts_requests(now()) && stop_from_ < 0;
   Head head;
   head.status = !path ? 404 : yes ? 200 : 503;
-  ready_server_->answer(call.id, head, "");
+  ready_server_->respond(call.id, head, "");
 }
 
-void NodeServer::on_metrics(Server::Call&& call) {
+void NodeServer::on_metrics(Server::Request&& call) {
   bool const path = call.head.method == "GET" && call.head.target == "/metrics";
   Head head;
   head.status = path ? 200 : 404;
   head.fields.emplace_back("Content-Type", "text/plain; version=0.0.4");
-  metrics_server_->answer(call.id, head, path ? metrics() : "");
+  metrics_server_->respond(call.id, head, path ? metrics() : "");
 }
 
-void NodeServer::on_call(Server::Call&& call) {
+void NodeServer::on_call(Server::Request&& call) {
   std::uint64_t const id = call.id;
   if (control_ && control_(call)) return;
   // The product's own paths, as on its other programs (docs/api.md).
@@ -229,7 +229,7 @@
 void NodeServer::stop() {
   if (stop_from_ >= 0) return;
   stop_from_ = now();
-  proxy_->server.closing();
+  proxy_->server.close_after_responses();
   node_->retire();
   log_event(Event::grace_began, "");
 }
@@ -241,16 +241,16 @@
   if (!doors_shut_ && span >= std::min(heed, plan_.grace / 3)) {
     doors_shut_ = true;
     proxy_->server.stop_listening();
-    proxy_->server.close_idle();
+    proxy_->server.close_idle_connections();
     NodeEffects out;
     node_->drain(at, out);
     act(out);
   }
   if (!doors_shut_) return;
-  proxy_->server.close_idle();
+  proxy_->server.close_idle_connections();
   // What a slow caller has not taken yet would end with the process too. A replica stays until another one has its
   // place, where one is here to take it.
-  bool const finished = proxy_->server.calls() == 0 && proxy_->server.finishing() == 0;
+  bool const finished = proxy_->server.active_requests() == 0 && proxy_->server.flushing_connections() == 0;
   bool const idle = finished && asked_.empty() && ends_asked_.empty() && node_->may_stop(at);
   if (idle || span >= plan_.grace - last_moment) g_main_loop_quit(loop_);
 }
--- a/src/server/node_server.h
+++ b/src/server/node_server.h
@@ -35,7 +35,7 @@
 class NodeServer {
  public:
   // A call at the control address. False: it is not one of the caller's own paths.
-  using Control = std::function<bool(Server::Call&)>;
+  using Control = std::function<bool(Server::Request&)>;
   using Done = std::function<void(ChangeReply const&)>;
   using PeriodicCheck = std::function<void()>;
 
@@ -73,9 +73,9 @@
 
  private:
   void act(NodeEffects& out);
-  void on_call(Server::Call&& call);
-  void on_ready(Server::Call&& call);
-  void on_metrics(Server::Call&& call);
+  void on_call(Server::Request&& call);
+  void on_ready(Server::Request&& call);
+  void on_metrics(Server::Request&& call);
   void check_stop(Micros now);
   std::string status() const;
   std::string metrics() const;
--- a/src/server/request_proxy.cc
+++ b/src/server/request_proxy.cc
@@ -53,7 +53,7 @@
 bool names_two(Head const& head, std::string const& name) {
   std::string const first = head.get(name);
   for (std::pair<std::string, std::string> const& item : head.fields)
-    if (same_letters(item.first, name) && item.second != first) return true;
+    if (equals_ignoring_case(item.first, name) && item.second != first) return true;
   return false;
 }
 
@@ -74,8 +74,8 @@
 
 // A worker learns the tenant from this node alone, and never sees a key.
 void put_tenant(Head& head, Dialect const& dialect, std::string const& tenant) {
-  head.drop(dialect.authorization);
-  head.drop(dialect.tenant);
+  head.remove(dialect.authorization);
+  head.remove(dialect.tenant);
   if (!tenant.empty()) head.set(dialect.tenant, tenant);
 }
 
@@ -83,13 +83,13 @@
 std::optional<Digest> key_of(Head const& head, Dialect const& dialect) {
   std::string const* value = nullptr;
   for (std::pair<std::string, std::string> const& item : head.fields) {
-    if (!same_letters(item.first, dialect.authorization)) continue;
+    if (!equals_ignoring_case(item.first, dialect.authorization)) continue;
     if (value != nullptr) return std::nullopt;
     value = &item.second;
   }
   if (value == nullptr) return std::nullopt;
   std::size_t const space = value->find(' ');
-  if (space == std::string::npos || !same_letters(value->substr(0, space), dialect.scheme)) return std::nullopt;
+  if (space == std::string::npos || !equals_ignoring_case(value->substr(0, space), dialect.scheme)) return std::nullopt;
   std::size_t const begin = value->find_first_not_of(' ', space);
   if (begin == std::string::npos) return std::nullopt;
   std::size_t const end = value->find_last_not_of(" \t");
@@ -98,23 +98,24 @@
 }  // namespace
 
 RequestProxy::RequestProxy(Dispatcher& dispatcher, Dialect dialect, std::string own_host, Callbacks callbacks)
-    : server({[this](Server::Call&& call) { on_call(std::move(call)); },
+    : server({[this](Server::Request&& call) { on_call(std::move(call)); },
               [this](std::uint64_t id) {
                 if (callers_.count(id) == 0) return;
-                upstream.cut(id);
+                upstream.cancel(id);
                 if (std::optional<FailedRequest> const failed = callbacks_.disconnected(id)) log_failure(*failed);
                 callers_.erase(id);
               }}),
-      upstream({[this](std::uint64_t id) {
-                  std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
-                  if (position != callers_.end()) ++position->second.sent;
-                  dispatcher_.on_sent(id, now());
-                },
-                [this](std::uint64_t id, Head const& head, bool first) { return on_head(id, head, first); },
-                [this](std::uint64_t id, std::string_view bytes) { on_body(id, bytes); },
-                [this](std::uint64_t id) { on_done(id); },
-                [this](std::uint64_t id, Upstream::End end, std::string const& why) { on_ended(id, end, why); }},
-               std::move(own_host)),
+      upstream(
+          {[this](std::uint64_t id) {
+             std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
+             if (position != callers_.end()) ++position->second.sent;
+             dispatcher_.on_sent(id, now());
+           },
+           [this](std::uint64_t id, Head const& head, bool first) { return on_head(id, head, first); },
+           [this](std::uint64_t id, std::string_view bytes) { on_body(id, bytes); },
+           [this](std::uint64_t id) { on_done(id); },
+           [this](std::uint64_t id, UpstreamPool::Failure end, std::string const& why) { on_ended(id, end, why); }},
+          std::move(own_host)),
       dispatcher_(dispatcher),
       dialect_(std::move(dialect)),
       end_to_end_(dialect_.end_to_end()),
@@ -122,11 +123,11 @@
 
 void RequestProxy::limits(CallLimits const& from) {
   Server::Limits out;
-  out.head_most = static_cast<std::size_t>(from.head_bytes);
-  out.body_most = static_cast<std::size_t>(from.body_bytes);
-  out.head_time = from.head_time;
-  out.idle = from.idle;
-  server.limit(out);
+  out.max_head_bytes = static_cast<std::size_t>(from.head_bytes);
+  out.max_body_bytes = static_cast<std::size_t>(from.body_bytes);
+  out.head_timeout = from.head_time;
+  out.idle_timeout = from.idle;
+  server.set_limits(out);
 }
 
 void RequestProxy::close_expired(Micros now) {
@@ -134,9 +135,9 @@
   upstream.close_expired(now);
 }
 
-void RequestProxy::on_call(Server::Call&& call) {
+void RequestProxy::on_call(Server::Request&& call) {
   // Its end is read next: no worker is to begin with what nobody waits for.
-  if (server.given_up(call.id)) return;
+  if (server.closed_by_client(call.id)) return;
   RequestInfo query;
   query.host = call.head.get("Host");
   std::size_t const port = query.host.rfind(':');
@@ -155,7 +156,7 @@
   query.last_event_id = call.head.get(dialect_.after);
   Caller caller;
   caller.head = std::move(call.head);
-  drop_hop_fields(caller.head, end_to_end_);
+  remove_hop_by_hop_fields(caller.head, end_to_end_);
   caller.body = std::move(call.body);
   caller.attempt = caller.head.get(dialect_.attempt);
   caller.last_event = query.last_event_id;
@@ -187,20 +188,20 @@
 
 void RequestProxy::act(DispatchEffects& out) {
   for (FailedRequest const& failed : out.failed_requests) log_failure(failed);
-  for (std::uint64_t const id : out.cancelled_attempts) upstream.cut(id);
+  for (std::uint64_t const id : out.cancelled_attempts) upstream.cancel(id);
   for (std::uint64_t const id : out.forwarded_failures) {
     std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
     if (position == callers_.end()) continue;
     Caller const caller = std::move(position->second);
     callers_.erase(position);
-    server.answer(id, caller.answer, caller.pending);
+    server.respond(id, caller.answer, caller.pending);
   }
   for (Rejection const& denial : out.rejections) reject(denial);
   for (std::uint64_t const id : out.aborted_answers) {
     std::map<std::uint64_t, Caller>::const_iterator const position = callers_.find(id);
     log_event(Event::stream_broken, position == callers_.end() ? "" : position->second.attempt);
     callers_.erase(id);
-    server.break_off(id);
+    server.abort_response(id);
   }
   std::vector<Attempt> const starts = std::move(out.attempts);
   out.attempts.clear();
@@ -232,7 +233,7 @@
     });
     callers_.erase(position);
   }
-  server.answer(denial.request, head, answer.body);
+  server.respond(denial.request, head, answer.body);
 }
 
 void RequestProxy::start(Attempt const& attempt) {
@@ -258,20 +259,20 @@
   head.set(dialect_.rank, std::to_string(std::clamp<std::int64_t>(attempt.rank, 0, 9)));
   if (attempt.keys_required) put_tenant(head, dialect_, attempt.tenant);
   if (caller.resumed && !caller.last_event.empty()) head.set(dialect_.after, caller.last_event);
-  std::string bytes = request_text(head, static_cast<std::int64_t>(caller.body.size()));
+  std::string bytes = serialize_request_head(head, static_cast<std::int64_t>(caller.body.size()));
   bytes += caller.body;
-  upstream.start(attempt.request, attempt.instance, attempt.address, std::move(bytes), attempt.connect_timeout);
+  upstream.start_request(attempt.request, attempt.instance, attempt.address, std::move(bytes), attempt.connect_timeout);
 }
 
-Upstream::Owner RequestProxy::on_head(std::uint64_t id, Head const& head, bool first) {
+UpstreamPool::ResponseOwner RequestProxy::on_head(std::uint64_t id, Head const& head, bool first) {
   std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
-  if (position == callers_.end()) return Upstream::Owner::asker;
+  if (position == callers_.end()) return UpstreamPool::ResponseOwner::current_request;
   Caller& caller = position->second;
-  if (head.status < 200) return Upstream::Owner::other;
+  if (head.status < 200) return UpstreamPool::ResponseOwner::other_request;
   std::string const whose = head.get(dialect_.attempt);
   bool const mine = whose == caller.attempt || !guard(RequestGuard::answer_id);
-  if (!whose.empty() && !mine) return Upstream::Owner::other;
-  if (names_two(head, dialect_.attempt)) return Upstream::Owner::nobody;
+  if (!whose.empty() && !mine) return UpstreamPool::ResponseOwner::other_request;
+  if (names_two(head, dialect_.attempt)) return UpstreamPool::ResponseOwner::none;
   if (std::string const* const load = head.find(dialect_.load)) {
     char* rest = nullptr;
     std::int64_t const running = count_from(load->c_str(), &rest);
@@ -287,16 +288,17 @@
   bool const unnamed_refusal = caller.declined && (first || !guard(RequestGuard::answer_id));
   if (whose.empty() && !mine && !unnamed_refusal) {
     caller.declined = caller.elsewhere = false;
-    return Upstream::Owner::nobody;
+    return UpstreamPool::ResponseOwner::none;
   }
   bool const sealed = dialect_.seal.empty() || !guard(RequestGuard::seal) || head.find(dialect_.seal) != nullptr;
-  if (!caller.declined && !caller.failing && !sealed) return Upstream::Owner::nobody;
-  caller.unbounded = head.length < 0 && !head.chunked && !bodiless(head.status) && caller.head.method != "HEAD";
-  if (caller.resumed) return Upstream::Owner::asker;
+  if (!caller.declined && !caller.failing && !sealed) return UpstreamPool::ResponseOwner::none;
+  caller.unbounded =
+      head.content_length < 0 && !head.chunked && !status_forbids_body(head.status) && caller.head.method != "HEAD";
+  if (caller.resumed) return UpstreamPool::ResponseOwner::current_request;
   caller.answer = head;
-  drop_hop_fields(caller.answer, end_to_end_);
-  caller.answer.length = head.length;
-  return Upstream::Owner::asker;
+  remove_hop_by_hop_fields(caller.answer, end_to_end_);
+  caller.answer.content_length = head.content_length;
+  return UpstreamPool::ResponseOwner::current_request;
 }
 
 // Takes whole events out of what is held, and remembers the id of the last.
@@ -348,14 +350,14 @@
   if (!caller.begun) {
     caller.begun = true;
     check_own(caller);
-    std::int64_t const length = caller.resumable ? -1 : caller.answer.length;
-    server.begin(id, caller.answer, length);
+    std::int64_t const length = caller.resumable ? -1 : caller.answer.content_length;
+    server.begin_response(id, caller.answer, length);
     dispatcher_.on_answer_begin(id, now());
   } else {
     dispatcher_.on_answer_event(id, now());
   }
   caller.passed_bytes += bytes.size();
-  server.write_chunk(id, bytes);
+  server.write_body(id, bytes);
 }
 
 void RequestProxy::on_body(std::uint64_t id, std::string_view bytes) {
@@ -402,22 +404,23 @@
   }
   if (!caller.begun) {
     check_own(caller);
-    server.begin(id, caller.answer, caller.resumable ? -1 : std::max<std::int64_t>(0, caller.answer.length));
+    server.begin_response(id, caller.answer,
+                          caller.resumable ? -1 : std::max<std::int64_t>(0, caller.answer.content_length));
   }
-  server.end(id);
+  server.end_response(id);
   callers_.erase(position);
   callbacks_.ended(id, AttemptEnd::complete, false);
 }
 
-void RequestProxy::on_ended(std::uint64_t id, Upstream::End end, std::string const& why) {
+void RequestProxy::on_ended(std::uint64_t id, UpstreamPool::Failure end, std::string const& why) {
   std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
   if (position == callers_.end()) return;
   position->second.failure = why;
   log_event(Event::attempt_failed, position->second.attempt + " at " + position->second.instance + " " + why);
-  if (end == Upstream::End::torn && !guard(RequestGuard::torn_visible)) return on_done(id);
+  if (end == UpstreamPool::Failure::truncated && !guard(RequestGuard::torn_visible)) return on_done(id);
   // What the worker said before it broke off holds: it did not run the request.
   if (position->second.declined) return decline(id, position->second);
-  callbacks_.ended(id, end == Upstream::End::unreached ? AttemptEnd::unreached : AttemptEnd::broke, false);
+  callbacks_.ended(id, end == UpstreamPool::Failure::connect_failed ? AttemptEnd::unreached : AttemptEnd::broke, false);
 }
 
 }  // namespace pipit
--- a/src/server/request_proxy.h
+++ b/src/server/request_proxy.h
@@ -46,11 +46,11 @@
   Result<void> listen(std::string const& address) { return server.listen(address); }
   void act(DispatchEffects& out);
   void limits(CallLimits const& limits);
-  void forget(std::string const& instance) { upstream.forget(instance); }
+  void forget(std::string const& instance) { upstream.close_idle_connections(instance); }
   void close_expired(Micros now);
 
   Server server;
-  Upstream upstream;
+  UpstreamPool upstream;
   std::map<std::string, std::uint64_t> kinds;  // answers of this node's own, by kind
 
  private:
@@ -81,13 +81,13 @@
     int declined_count = 0;
     bool may_have_run() const { return sent > declined_count; }
   };
-  void on_call(Server::Call&& call);
+  void on_call(Server::Request&& call);
   void start(Attempt const& attempt);
-  Upstream::Owner on_head(std::uint64_t id, Head const& head, bool first);
+  UpstreamPool::ResponseOwner on_head(std::uint64_t id, Head const& head, bool first);
   void on_body(std::uint64_t id, std::string_view bytes);
   void on_done(std::uint64_t id);
   static bool stops_in_event(Caller const& caller);
-  void on_ended(std::uint64_t id, Upstream::End end, std::string const& why);
+  void on_ended(std::uint64_t id, UpstreamPool::Failure end, std::string const& why);
   void pass_on(std::uint64_t id, Caller& caller, std::string_view bytes);
   std::string complete_events(std::uint64_t id, Caller& caller);
   void reject(Rejection const& denial);
--- a/testing/fuzz/readers.cc
+++ b/testing/fuzz/readers.cc
@@ -64,11 +64,11 @@
 
 Outcome read(bool requests, std::string_view text, std::vector<std::size_t> const& cuts) {
   Outcome out;
-  Reader reader(requests);
-  reader.limit(head_most, body_most);
+  HttpParser reader(requests);
+  reader.set_limits(head_most, body_most);
   std::string now;
   reader.callbacks.head = [&](Head& head) {
-    now = (requests ? head.method + " " + head.target : std::to_string(head.status)) + (head.keep ? " k|" : "|");
+    now = (requests ? head.method + " " + head.target : std::to_string(head.status)) + (head.keep_alive ? " k|" : "|");
     for (std::pair<std::string, std::string> const& item : head.fields) now += item.first + "=" + item.second + "|";
     return true;
   };
@@ -87,13 +87,13 @@
     from = to;
     while (!rest.empty()) {
       std::size_t const took = reader.feed(rest);
-      if (reader.error() != Reader::Error::none) {
+      if (reader.error() != HttpParser::Error::none) {
         out.refused = true;
         return out;
       }
       rest.remove_prefix(std::min(took, rest.size()));
       if (reader.complete())
-        reader.next();
+        reader.start_next_message();
       else if (!rest.empty() && took == 0) {
         out.refused = true;
         return out;
--- a/testing/platform_fleet_test/fault_proxy.cc
+++ b/testing/platform_fleet_test/fault_proxy.cc
@@ -41,7 +41,7 @@
   door->port = port;
   OpenDoor const* const at = door.get();
   Result<void> const done =
-      door->door.open(public_address, [this, at](std::shared_ptr<Link> link) { take(*at, std::move(link)); });
+      door->door.open(public_address, [this, at](std::shared_ptr<TcpConnection> link) { take(*at, std::move(link)); });
   if (!done) g_error("platform_fleet_test: %s", done.error().what.c_str());
 }
 
@@ -79,7 +79,7 @@
   return out;
 }
 
-void FaultRelay::take(OpenDoor const& door, std::shared_ptr<Link> link) {
+void FaultRelay::take(OpenDoor const& door, std::shared_ptr<TcpConnection> link) {
   std::shared_ptr<Pair> const pair = std::make_shared<Pair>();
   pair->source = link->peer_ip();
   pair->from = identify(pair->source);
@@ -101,7 +101,7 @@
   // A connection comes up only while both directions are open.
   if (pair->dialled || cut(pair->from, pair->to, pair->port) || cut(pair->to, pair->from, pair->port)) return;
   pair->dialled = true;
-  pair->upstream.link = Link::dial(pair->target, pair->source, dial_within);
+  pair->upstream.link = TcpConnection::dial(pair->target, pair->source, dial_within);
   if (!pair->upstream.link->open()) return drop(pair);
   listen(pair, false);
 }
@@ -109,18 +109,19 @@
 void FaultRelay::listen(std::shared_ptr<Pair> const& pair, bool downstream) {
   std::weak_ptr<Pair> const weak = pair;
   Side& side = downstream ? pair->downstream : pair->upstream;
-  side.link->listen({[this, weak] {
-                       if (std::shared_ptr<Pair> const at = weak.lock()) pump(at);
-                     },
-                     [this, weak, downstream](std::string_view bytes) {
-                       std::shared_ptr<Pair> const at = weak.lock();
-                       if (at) arrived(at, downstream, Chunk{0, std::string(bytes), false, false});
-                     },
-                     [this, weak, downstream](Link::End how) {
-                       std::shared_ptr<Pair> const at = weak.lock();
-                       if (at) arrived(at, downstream, Chunk{0, "", true, how != Link::End::closed});
-                     },
-                     nullptr});
+  side.link->set_callbacks({[this, weak] {
+                              if (std::shared_ptr<Pair> const at = weak.lock()) pump(at);
+                            },
+                            [this, weak, downstream](std::string_view bytes) {
+                              std::shared_ptr<Pair> const at = weak.lock();
+                              if (at) arrived(at, downstream, Chunk{0, std::string(bytes), false, false});
+                            },
+                            [this, weak, downstream](TcpConnection::CloseReason how) {
+                              std::shared_ptr<Pair> const at = weak.lock();
+                              if (at)
+                                arrived(at, downstream, Chunk{0, "", true, how != TcpConnection::CloseReason::closed});
+                            },
+                            nullptr});
 }
 
 // Bytes, or the end, of one side's machine; they are queued for the other side.
@@ -155,12 +156,12 @@
     side.queue.pop_front();
     if (!chunk.bytes.empty()) side.link->write(chunk.bytes);
     if (!chunk.end) continue;
-    std::shared_ptr<Link> const link = side.link;
-    link->listen({});
+    std::shared_ptr<TcpConnection> const link = side.link;
+    link->set_callbacks({});
     if (chunk.reset)
       link->close(true);
     else
-      link->finish();
+      link->close_after_flush();
     pairs.erase(pair);
     return false;
   }
@@ -171,7 +172,7 @@
   pairs.erase(pair);
   for (Side* const side : {&pair->downstream, &pair->upstream}) {
     if (!side->link) continue;
-    side->link->listen({});
+    side->link->set_callbacks({});
     side->link->close(true);
   }
 }
--- a/testing/platform_fleet_test/fault_proxy.h
+++ b/testing/platform_fleet_test/fault_proxy.h
@@ -63,7 +63,7 @@
     bool reset = false;  // and not in good order
   };
   struct Side {
-    std::shared_ptr<Link> link;
+    std::shared_ptr<TcpConnection> link;
     std::deque<Chunk> queue;  // what this side is still to be given
   };
   // One connection: from the machine that dialled to the one that listens.
@@ -79,12 +79,12 @@
     bool lost = false;  // its answers are swallowed
   };
   struct OpenDoor {
-    Door door;
+    Listener door;
     std::string target;
     std::string ip;
     unsigned port = 0;
   };
-  void take(OpenDoor const& door, std::shared_ptr<Link> link);
+  void take(OpenDoor const& door, std::shared_ptr<TcpConnection> link);
   void listen(std::shared_ptr<Pair> const& pair, bool downstream);
   void arrived(std::shared_ptr<Pair> const& pair, bool downstream, Chunk chunk);
   // Whether bytes may go now, and how much later they come.
--- a/testing/platform_fleet_test/line.cc
+++ b/testing/platform_fleet_test/line.cc
@@ -19,20 +19,21 @@
 
 std::shared_ptr<Line> Line::dial(std::string const& address, std::string const& from, Micros within) {
   std::shared_ptr<Line> const out(new Line);
-  out->link = Link::dial(address, from, within);
+  out->link = TcpConnection::dial(address, from, within);
   std::weak_ptr<Line> const weak = out;
-  out->link->listen({nullptr,
-                     [weak](std::string_view bytes) {
-                       if (std::shared_ptr<Line> const line = weak.lock()) line->take(bytes);
-                     },
-                     [weak](Link::End how) {
-                       std::shared_ptr<Line> const line = weak.lock();
-                       if (!line) return;
-                       bool const closed = how == Link::End::closed;
-                       if (closed && line->phase == ReadPhase::to_close) return line->finish(End::complete);
-                       line->finish(how == Link::End::unreached ? End::unreached : End::cut);
-                     },
-                     nullptr});
+  out->link->set_callbacks({nullptr,
+                            [weak](std::string_view bytes) {
+                              if (std::shared_ptr<Line> const line = weak.lock()) line->take(bytes);
+                            },
+                            [weak](TcpConnection::CloseReason how) {
+                              std::shared_ptr<Line> const line = weak.lock();
+                              if (!line) return;
+                              bool const closed = how == TcpConnection::CloseReason::closed;
+                              if (closed && line->phase == ReadPhase::to_close) return line->finish(End::complete);
+                              line->finish(how == TcpConnection::CloseReason::connect_failed ? End::unreached
+                                                                                             : End::cut);
+                            },
+                            nullptr});
   return out;
 }
 
--- a/testing/platform_fleet_test/line.h
+++ b/testing/platform_fleet_test/line.h
@@ -50,7 +50,7 @@
   bool parse_head();
   void finish(End how);
 
-  std::shared_ptr<Link> link;
+  std::shared_ptr<TcpConnection> link;
   Callbacks callbacks;
   bool busy = false;
   bool keep = false;
--- a/testing/platform_fleet_test/rude_clients.cc
+++ b/testing/platform_fleet_test/rude_clients.cc
@@ -38,20 +38,20 @@
   ++connected;
   Node& node = nodes.any(random);
   std::string const from = "127." + std::to_string(net) + ".4." + std::to_string(1 + connected % 200);
-  std::shared_ptr<Link> const link = Link::dial(node.front(), from, seconds(1));
+  std::shared_ptr<TcpConnection> const link = TcpConnection::dial(node.front(), from, seconds(1));
   links.push_back(link);
   if (links.size() > links_most) links.pop_front();
   std::string const text = random_text();
   bool const disconnects = random.chance(0.5);
   bool const resets = random.chance(0.5);
-  std::weak_ptr<Link> const weak = link;
-  link->listen({[weak, text, disconnects, resets] {
-                  std::shared_ptr<Link> const at = weak.lock();
-                  if (!at) return;
-                  at->write(text);
-                  if (disconnects) at->close(resets);
-                },
-                nullptr, nullptr, nullptr});
+  std::weak_ptr<TcpConnection> const weak = link;
+  link->set_callbacks({[weak, text, disconnects, resets] {
+                         std::shared_ptr<TcpConnection> const at = weak.lock();
+                         if (!at) return;
+                         at->write(text);
+                         if (disconnects) at->close(resets);
+                       },
+                       nullptr, nullptr, nullptr});
 }
 
 }  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/rude_clients.h
+++ b/testing/platform_fleet_test/rude_clients.h
@@ -25,7 +25,7 @@
   Nodes& nodes;
   int const net;
   RandomSource random;
-  std::deque<std::shared_ptr<Link>> links;
+  std::deque<std::shared_ptr<TcpConnection>> links;
 };
 
 }  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/worker_parts.h
+++ b/testing/platform_fleet_test/worker_parts.h
@@ -18,8 +18,8 @@
 };
 
 struct Workers::Conn {
-  std::shared_ptr<Link> link;
-  Reader reader{true};
+  std::shared_ptr<TcpConnection> link;
+  HttpParser reader{true};
   Head head;
   std::string body;
   bool busy = false;
--- a/testing/platform_fleet_test/worker_requests.cc
+++ b/testing/platform_fleet_test/worker_requests.cc
@@ -134,11 +134,11 @@
         worker.engine.cancel(job.id);
         worker.jobs.erase(position);
         worker.conns.erase(&conn);
-        keep->link->listen({});
-        keep->link->finish();
+        keep->link->set_callbacks({});
+        keep->link->close_after_flush();
         return;
       }
-      out += chunk_text(event_text(job.attempt->id, item.number, job.id, now(), event_bytes));
+      out += encode_chunk(event_text(job.attempt->id, item.number, job.id, now(), event_bytes));
       send(conn, out);
       return;
     }
--- a/testing/platform_fleet_test/workers.cc
+++ b/testing/platform_fleet_test/workers.cc
@@ -174,7 +174,7 @@
     ++count.connections;
     std::shared_ptr<Conn> const made = std::make_shared<Conn>();
     Conn* const conn = made.get();
-    conn->link = Link::adopt(fd);
+    conn->link = TcpConnection::adopt(fd);
     Node const* const node = nodes.by_ip(peer);
     conn->peer = node != nullptr ? node->ip : peer;
     conn->since = now();
@@ -194,17 +194,17 @@
     conn->reader.callbacks.body = [conn](std::string_view bytes) { conn->body.append(bytes); };
     conn->reader.callbacks.complete = [] {};
     Worker* const at = &worker;
-    conn->link->listen({nullptr,
-                        [this, at, conn](std::string_view bytes) {
-                          std::map<Conn*, std::shared_ptr<Conn>>::iterator const position = at->conns.find(conn);
-                          if (position == at->conns.end()) return;
-                          std::shared_ptr<Conn> const keep = position->second;
-                          fed(*at, *conn, bytes);
-                        },
-                        [this, at, conn](Link::End) {
-                          if (at->conns.count(conn) > 0) drop(*at, *conn);
-                        },
-                        nullptr});
+    conn->link->set_callbacks({nullptr,
+                               [this, at, conn](std::string_view bytes) {
+                                 std::map<Conn*, std::shared_ptr<Conn>>::iterator const position = at->conns.find(conn);
+                                 if (position == at->conns.end()) return;
+                                 std::shared_ptr<Conn> const keep = position->second;
+                                 fed(*at, *conn, bytes);
+                               },
+                               [this, at, conn](TcpConnection::CloseReason) {
+                                 if (at->conns.count(conn) > 0) drop(*at, *conn);
+                               },
+                               nullptr});
   }
 }
 
@@ -235,15 +235,15 @@
     return drop(worker, conn);
   }
   std::size_t const took = conn.reader.feed(bytes);
-  if (conn.reader.error() != Reader::Error::none) {
+  if (conn.reader.error() != HttpParser::Error::none) {
     judge.broken(Promise::unasked, worker.id + " got bytes of " + conn.peer + " that are no request");
     return drop(worker, conn);
   }
   if (!conn.reader.complete()) return;
   if (took < bytes.size()) judge.broken(Promise::unasked, worker.id + " got more than one request of " + conn.peer);
   conn.busy = true;
-  conn.last = !conn.head.keep || worker.state == State::draining || random.chance(0.003);
-  conn.reader.next();
+  conn.last = !conn.head.keep_alive || worker.state == State::draining || random.chance(0.003);
+  conn.reader.start_next_message();
   on_request(worker, conn);
 }
 
@@ -267,8 +267,8 @@
   conn.since = now();
   if (!conn.last) return;
   worker.conns.erase(&conn);
-  keep->link->listen({});
-  keep->link->finish();
+  keep->link->set_callbacks({});
+  keep->link->close_after_flush();
 }
 
 }  // namespace pipit::platform_fleet
--- a/testing/request_model_checker/world.cc
+++ b/testing/request_model_checker/world.cc
@@ -69,7 +69,7 @@
 struct RequestWorld::CallerSide {
   std::string name;
   int fd = -1;
-  std::unique_ptr<Reader> reader;
+  std::unique_ptr<HttpParser> reader;
   std::string waits;  // id of the try that it waits for, or nothing
   std::string rest;   // of a request that has been sent in part
   Head head;
@@ -82,7 +82,7 @@
 
 struct RequestWorld::WorkerSide {
   int fd = -1;
-  Reader reader{true};
+  HttpParser reader{true};
   Head head;
   std::string body;
   std::string unread;
@@ -124,7 +124,7 @@
   };
   callbacks.disconnected = [this](std::uint64_t id) { return dispatcher.on_client_disconnect(id, loop_time()); };
   relay = std::make_unique<RequestProxy>(dispatcher, dialect(), "", std::move(callbacks));
-  relay->upstream.dial_by([this](std::string const& address, std::string const&, Micros) { return dial(address); });
+  relay->upstream.set_dialer([this](std::string const& address, std::string const&, Micros) { return dial(address); });
   for (int n = 0; n < 2; ++n) {
     callers.push_back(std::make_unique<CallerSide>());
     callers.back()->name = "caller " + std::to_string(n + 1);
@@ -172,7 +172,7 @@
   int ends[2];
   if (!socket_pair(ends)) return fault("no sockets");
   caller.fd = ends[0];
-  caller.reader = std::make_unique<Reader>(false);
+  caller.reader = std::make_unique<HttpParser>(false);
   caller.complete = false;
   caller.reader->callbacks.head = [&caller](Head& head) {
     caller.head = head;
@@ -181,7 +181,7 @@
   };
   caller.reader->callbacks.body = [&caller](std::string_view bytes) { caller.body.append(bytes); };
   caller.reader->callbacks.complete = [&caller] { caller.complete = true; };
-  relay->server.adopt(Link::adopt(ends[1]));
+  relay->server.adopt(TcpConnection::adopt(ends[1]));
 }
 
 void RequestWorld::send_request(CallerSide& caller, std::size_t kind) {
@@ -228,14 +228,14 @@
       break;
     }
     std::size_t const took = caller.reader->feed(rest);
-    if (caller.reader->error() != Reader::Error::none) {
+    if (caller.reader->error() != HttpParser::Error::none) {
       fault(caller.name + " gets bytes that are no answer");
       break;
     }
     rest.remove_prefix(std::min(took, rest.size()));
     if (!caller.complete) continue;
     caller.complete = false;
-    caller.reader->next();
+    caller.reader->start_next_message();
     judge_answer(caller);
   }
   if (open) return !got.empty();
@@ -296,7 +296,7 @@
 
 // ---- workers ----
 
-std::shared_ptr<Link> RequestWorld::dial(std::string const& address) {
+std::shared_ptr<TcpConnection> RequestWorld::dial(std::string const& address) {
   for (std::unique_ptr<Worker> const& worker : workers) {
     if (worker->address != address || !worker->up) continue;
     int ends[2];
@@ -311,9 +311,9 @@
     };
     side->reader.callbacks.body = [at](std::string_view bytes) { at->body.append(bytes); };
     worker->sides.push_back(std::move(side));
-    return Link::opening(ends[1], seconds(60));
+    return TcpConnection::adopt_connecting(ends[1], seconds(60));
   }
-  return Link::dial("nowhere", "", millis(1));
+  return TcpConnection::dial("nowhere", "", millis(1));
 }
 
 void RequestWorld::heartbeat(Worker const& worker, bool leaving) {
@@ -355,10 +355,10 @@
   bool const open = read_all(side.fd, side.unread);
   while (side.current.empty() && !side.unread.empty()) {
     std::size_t const took = side.reader.feed(side.unread);
-    if (side.reader.error() != Reader::Error::none) return fault(worker.id + " gets what is no request");
+    if (side.reader.error() != HttpParser::Error::none) return fault(worker.id + " gets what is no request");
     side.unread.erase(0, took);
     if (!side.reader.complete()) break;
-    side.reader.next();
+    side.reader.start_next_message();
     arrive(worker, side, side.head, side.body);
   }
   if (!open && side.current.empty()) shut(side);
@@ -433,7 +433,7 @@
   }
   while (side.events < events_most) {
     ++side.events;
-    send(side, chunk_text(event_of(item.id, side.events)));
+    send(side, encode_chunk(event_of(item.id, side.events)));
     if (way > 0) break;
   }
   if (way == 0) send(side, "0\r\n\r\n");
@@ -648,8 +648,8 @@
       if (stopping) return;
       stopping = true;
       note("the node was told to stop");
-      relay->server.closing();
-      return relay->server.close_idle();
+      relay->server.close_after_responses();
+      return relay->server.close_idle_connections();
   }
 }
 
--- a/testing/request_model_checker/world.h
+++ b/testing/request_model_checker/world.h
@@ -86,7 +86,7 @@
   void tick(Micros span);
   void fault(std::string const& text);
   void note(std::string const& text);
-  std::shared_ptr<Link> dial(std::string const& address);
+  std::shared_ptr<TcpConnection> dial(std::string const& address);
   std::string success_head(Worker const& worker, Attempt const& item) const;
 
   Choose choose;
--- a/tests/doors.cc
+++ b/tests/doors.cc
@@ -39,13 +39,13 @@
 }  // namespace
 
 TEST(Doors, wait_a_moment_when_no_descriptor_is_left) {
-  std::vector<std::shared_ptr<Link>> taken;
-  Door door;
+  std::vector<std::shared_ptr<TcpConnection>> taken;
+  Listener door;
   std::string const address = open_door([&](std::string const& at) {
-    return door.open(at, [&taken](std::shared_ptr<Link> link) { taken.push_back(std::move(link)); });
+    return door.open(at, [&taken](std::shared_ptr<TcpConnection> link) { taken.push_back(std::move(link)); });
   });
-  std::vector<std::shared_ptr<Link>> callers;
-  for (int n = 0; n < 3; ++n) callers.push_back(Link::dial(address, "", seconds(5)));
+  std::vector<std::shared_ptr<TcpConnection>> callers;
+  for (int n = 0; n < 3; ++n) callers.push_back(TcpConnection::dial(address, "", seconds(5)));
   {
     NoDescriptors none;
     EXPECT_LT(busy_turns(), turns_most) << "the loop runs at full speed for connections that it cannot take";
--- a/tests/fault_relay.cc
+++ b/tests/fault_relay.cc
@@ -21,14 +21,14 @@
  protected:
   Relayed() {
     door_address = open_door([this](std::string const& at) {
-      return door.open(at, [this](std::shared_ptr<Link> link) {
-        Link* const echo = link.get();
-        link->listen({nullptr,
-                      [this, echo](std::string_view bytes) {
-                        arrived.append(bytes);
-                        echo->write(bytes);
-                      },
-                      nullptr, nullptr});
+      return door.open(at, [this](std::shared_ptr<TcpConnection> link) {
+        TcpConnection* const echo = link.get();
+        link->set_callbacks({nullptr,
+                             [this, echo](std::string_view bytes) {
+                               arrived.append(bytes);
+                               echo->write(bytes);
+                             },
+                             nullptr, nullptr});
         taken.push_back(std::move(link));
       });
     });
@@ -36,14 +36,14 @@
     relay.open(public_address, door_address);
   }
 
-  std::shared_ptr<Link> dial() {
-    std::shared_ptr<Link> const link = Link::dial(public_address, caller, seconds(5));
-    link->listen({[this] { up = true; }, [this](std::string_view bytes) { answered.append(bytes); },
-                  [this](Link::End how) { ended = how; }, nullptr});
+  std::shared_ptr<TcpConnection> dial() {
+    std::shared_ptr<TcpConnection> const link = TcpConnection::dial(public_address, caller, seconds(5));
+    link->set_callbacks({[this] { up = true; }, [this](std::string_view bytes) { answered.append(bytes); },
+                         [this](TcpConnection::CloseReason how) { ended = how; }, nullptr});
     return link;
   }
-  std::shared_ptr<Link> connected() {
-    std::shared_ptr<Link> const link = dial();
+  std::shared_ptr<TcpConnection> connected() {
+    std::shared_ptr<TcpConnection> const link = dial();
     EXPECT_TRUE(until([this] { return up; }));
     return link;
   }
@@ -57,39 +57,39 @@
   }
 
   FaultRelay relay{1, [](std::string const& ip) { return ip; }};
-  Door door;
+  Listener door;
   std::string door_address;
   std::string public_address;
-  std::vector<std::shared_ptr<Link>> taken;
+  std::vector<std::shared_ptr<TcpConnection>> taken;
   std::string arrived;   // at the machine behind the relay
   std::string answered;  // at the one that dialled
   bool up = false;
-  std::optional<Link::End> ended;
+  std::optional<TcpConnection::CloseReason> ended;
 };
 }  // namespace
 
 TEST_F(Relayed, carries_bytes_both_ways_and_the_end) {
-  std::shared_ptr<Link> const link = connected();
+  std::shared_ptr<TcpConnection> const link = connected();
   link->write("hello");
   EXPECT_TRUE(until([this] { return answered == "hello"; }));
   taken.front()->close();
-  EXPECT_TRUE(until([this] { return ended == Link::End::closed; }));
+  EXPECT_TRUE(until([this] { return ended == TcpConnection::CloseReason::closed; }));
 }
 
 TEST_F(Relayed, a_cut_holds_bytes_and_connections_until_its_end) {
-  std::shared_ptr<Link> const link = connected();
+  std::shared_ptr<TcpConnection> const link = connected();
   link->write("before");
   ASSERT_TRUE(until([this] { return answered == "before"; }));
   Micros const began = g_get_monotonic_time();
   begin(LinkFault::Kind::cut, millis(300));
   link->write("during");
-  std::shared_ptr<Link> const other = dial();
+  std::shared_ptr<TcpConnection> const other = dial();
   EXPECT_TRUE(until([this] { return arrived == "beforeduring" && taken.size() == 2; }));
   EXPECT_GE(g_get_monotonic_time() - began, millis(300));
 }
 
 TEST_F(Relayed, a_cut_of_one_way_lets_the_other_through) {
-  std::shared_ptr<Link> const link = connected();
+  std::shared_ptr<TcpConnection> const link = connected();
   link->write("x");
   ASSERT_TRUE(until([this] { return answered == "x"; }));
   Micros const began = g_get_monotonic_time();
@@ -105,7 +105,7 @@
 }
 
 TEST_F(Relayed, a_fault_of_another_door_concerns_nobody) {
-  std::shared_ptr<Link> const link = connected();
+  std::shared_ptr<TcpConnection> const link = connected();
   LinkFault fault;
   fault.concerns = any;
   fault.until = g_get_monotonic_time() + seconds(60);
@@ -116,7 +116,7 @@
 }
 
 TEST_F(Relayed, a_delay_makes_bytes_late) {
-  std::shared_ptr<Link> const link = connected();
+  std::shared_ptr<TcpConnection> const link = connected();
   Micros const began = g_get_monotonic_time();
   begin(LinkFault::Kind::delay, millis(150));
   link->write("late");
@@ -126,7 +126,7 @@
 
 TEST_F(Relayed, a_swallowed_answer_leaves_its_connection_open) {
   begin(LinkFault::Kind::swallow, seconds(60));
-  std::shared_ptr<Link> const link = connected();
+  std::shared_ptr<TcpConnection> const link = connected();
   link->write("asked");
   EXPECT_TRUE(until([this] { return arrived == "asked"; }));
   taken.front()->close();
@@ -137,16 +137,17 @@
 }
 
 TEST_F(Relayed, connections_are_reset_and_shut_doors_refuse) {
-  std::shared_ptr<Link> const link = connected();
+  std::shared_ptr<TcpConnection> const link = connected();
   link->write("x");
   ASSERT_TRUE(until([this] { return answered == "x"; }));
   relay.reset(any, 1);
-  EXPECT_TRUE(until([this] { return ended == Link::End::reset; }));
+  EXPECT_TRUE(until([this] { return ended == TcpConnection::CloseReason::reset; }));
   EXPECT_EQ(relay.resets, 1u);
   relay.shut(machine);
   ended.reset();
-  std::shared_ptr<Link> const refused = dial();
-  EXPECT_TRUE(until([this, &refused] { return ended == Link::End::unreached || !refused->open(); }));
+  std::shared_ptr<TcpConnection> const refused = dial();
+  EXPECT_TRUE(
+      until([this, &refused] { return ended == TcpConnection::CloseReason::connect_failed || !refused->open(); }));
 }
 
 }  // namespace pipit::platform_fleet
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -32,7 +32,7 @@
 
 struct Reading {
   std::vector<Message> whole;
-  Reader::Error error = Reader::Error::none;
+  HttpParser::Error error = HttpParser::Error::none;
   bool between = true;  // nothing is half read
 };
 
@@ -40,13 +40,13 @@
 Reading read_pieces(bool requests, std::vector<std::string_view> const& pieces, bool bodiless = false,
                     std::size_t head_most = 65536, std::size_t body_most = 1u << 20) {
   Reading out;
-  Reader reader(requests);
-  reader.limit(head_most, body_most);
+  HttpParser reader(requests);
+  reader.set_limits(head_most, body_most);
   Message now;
   reader.callbacks.head = [&](Head& head) {
     now.line = requests ? head.method + " " + head.target : std::to_string(head.status);
     now.fields = head.fields;
-    now.keep = head.keep;
+    now.keep = head.keep_alive;
     return !bodiless;
   };
   reader.callbacks.body = [&](std::string_view bytes) { now.body.append(bytes); };
@@ -59,13 +59,13 @@
       // A copy of its own, so that reading past its end is seen.
       std::string const part(piece);
       std::size_t const took = reader.feed(part);
-      if (reader.error() != Reader::Error::none) {
+      if (reader.error() != HttpParser::Error::none) {
         out.error = reader.error();
         return out;
       }
       piece.remove_prefix(std::min(took, piece.size()));
       if (reader.complete())
-        reader.next();
+        reader.start_next_message();
       else if (!piece.empty()) {
         ADD_FAILURE() << "bytes were left over in the middle of a message";
         return out;
@@ -93,7 +93,7 @@
   std::string all;
   for (std::string const& one : good_requests) all += one;
   Reading const whole = read_whole(true, all);
-  ASSERT_EQ(whole.error, Reader::Error::none);
+  ASSERT_EQ(whole.error, HttpParser::Error::none);
   ASSERT_EQ(whole.whole.size(), std::size(good_requests)) << "pipelined";
   EXPECT_EQ(whole.whole[1].body, "hello");
   EXPECT_EQ(whole.whole[1].fields[2].second, "two words") << "blanks around a value are no part of it";
@@ -106,7 +106,7 @@
   for (std::size_t at = 1; at < all.size(); ++at) {
     std::string_view const text = all;
     Reading const split = read_pieces(true, {text.substr(0, at), text.substr(at)});
-    ASSERT_EQ(split.error, Reader::Error::none) << at;
+    ASSERT_EQ(split.error, HttpParser::Error::none) << at;
     ASSERT_EQ(split.whole, whole.whole) << at;
   }
   std::vector<std::string_view> single;
@@ -136,7 +136,7 @@
 
 TEST(Reading, ends_an_answer_without_length_with_its_connection) {
   for (bool const cut : {false, true}) {
-    Reader reader(false);
+    HttpParser reader(false);
     std::string body;
     int whole = 0;
     reader.callbacks.body = [&body](std::string_view bytes) { body.append(bytes); };
@@ -354,10 +354,11 @@
     int encodings = 0;
     std::uint64_t length = 0;
     for (std::pair<std::string, std::string> const& field : out.fields) {
-      if (same_letters(field.first, "Host")) ++hosts;
-      if (same_letters(field.first, "Content-Length") && (++lengths > 1 || !number(field.second, 10, length)))
+      if (equals_ignoring_case(field.first, "Host")) ++hosts;
+      if (equals_ignoring_case(field.first, "Content-Length") && (++lengths > 1 || !number(field.second, 10, length)))
         return false;
-      if (same_letters(field.first, "Transfer-Encoding") && (++encodings > 1 || !same_letters(field.second, "chunked")))
+      if (equals_ignoring_case(field.first, "Transfer-Encoding") &&
+          (++encodings > 1 || !equals_ignoring_case(field.second, "chunked")))
         return false;
     }
     if (hosts != 1 || lengths + encodings > 1) return false;
@@ -466,7 +467,7 @@
     for (std::vector<std::string_view> const& pieces : ways) {
       Reading const out = read_pieces(true, pieces, false, small_head, small_body);
       EXPECT_TRUE(out.whole.empty()) << row.name << " was read as " << out.whole[0];
-      EXPECT_TRUE(out.error != Reader::Error::none || !out.between) << row.name;
+      EXPECT_TRUE(out.error != HttpParser::Error::none || !out.between) << row.name;
       if (!out.whole.empty()) break;
     }
   }
@@ -502,7 +503,8 @@
       std::string_view const view = text;
       Reading const out = read_pieces(true, {view.substr(0, at), view.substr(at)}, false, most, 100);
       EXPECT_EQ(out.whole.size(), over == 0 ? 1u : 0u) << over << " over, split at " << at;
-      EXPECT_EQ(out.error, over == 0 ? Reader::Error::none : Reader::Error::head_large) << over << " at " << at;
+      EXPECT_EQ(out.error, over == 0 ? HttpParser::Error::none : HttpParser::Error::head_too_large)
+          << over << " at " << at;
     }
   }
 }
@@ -514,7 +516,7 @@
     std::string_view const view = text;
     Reading const out = read_pieces(true, {view.substr(0, at), view.substr(at)}, false, text.size(), 100);
     EXPECT_EQ(out.whole.size(), 1u) << "split at " << at;
-    EXPECT_EQ(out.error, Reader::Error::none) << "split at " << at;
+    EXPECT_EQ(out.error, HttpParser::Error::none) << "split at " << at;
   }
 }
 
@@ -525,7 +527,7 @@
     for (int n = 0; n < (over ? 11 : 9); ++n) text += "X-T: " + std::string(97, 't') + "\r\n";
     Reading const out = read_pieces(true, {text + "\r\n"}, false, 1000, 100);
     EXPECT_EQ(out.whole.size(), over ? 0u : 1u);
-    EXPECT_EQ(out.error, over ? Reader::Error::head_large : Reader::Error::none);
+    EXPECT_EQ(out.error, over ? HttpParser::Error::head_too_large : HttpParser::Error::none);
   }
 }
 
@@ -550,7 +552,7 @@
     std::string const text = "HTTP/1.1 " + std::string(status) + " OK\r\nContent-Length: 2\r\n\r\nok";
     Reading const out = read_whole(false, text);
     EXPECT_TRUE(out.whole.empty()) << status << " was read as " << out.whole[0];
-    EXPECT_EQ(out.error, Reader::Error::bad) << status;
+    EXPECT_EQ(out.error, HttpParser::Error::malformed) << status;
   }
   for (char const* const status : {"100", "200", "599"})
     EXPECT_FALSE(
@@ -570,7 +572,7 @@
                  {"content-length", "5"},
                  {"Host", "h"},
                  {"X-Two", "2"}};
-  drop_hop_fields(head);
+  remove_hop_by_hop_fields(head);
   EXPECT_EQ(head.fields, (std::vector<std::pair<std::string, std::string>>{{"Host", "h"}, {"X-Two", "2"}}));
   head.set("host", "g");
   EXPECT_EQ(head.get("HOST"), "g");
@@ -581,13 +583,13 @@
 class Serving : public testing::Test {
  protected:
   Serving()
-      : server({[this](Server::Call&& call) { calls.push_back(std::move(call)); },
+      : server({[this](Server::Request&& call) { calls.push_back(std::move(call)); },
                 [this](std::uint64_t id) { gone.push_back(id); }}) {
     address = open_door([this](std::string const& at) { return server.listen(at); });
     Server::Limits limits;
-    limits.head_most = small_head;
-    limits.body_most = small_body;
-    server.limit(limits);
+    limits.max_head_bytes = small_head;
+    limits.max_body_bytes = small_body;
+    server.set_limits(limits);
   }
   static Head status(unsigned code) {
     Head out;
@@ -596,11 +598,11 @@
   }
   // Answers all that came and is not answered yet.
   void answer_all(std::string const& body) {
-    while (answered < calls.size()) server.answer(calls[answered++].id, status(200), body);
+    while (answered < calls.size()) server.respond(calls[answered++].id, status(200), body);
   }
   Micros far_off() { return g_get_monotonic_time() + seconds(3600); }
 
-  std::vector<Server::Call> calls;
+  std::vector<Server::Request> calls;
   std::vector<std::uint64_t> gone;
   std::size_t answered = 0;
   std::string address;
@@ -663,9 +665,9 @@
   answer_all("twelve bytes");
   connection.send("HEAD /i HTTP/1.1\r\n" + host + "\r\n");
   ASSERT_TRUE(until([&] { return calls.size() == 2; }));
-  server.begin(calls[1].id, status(200), -1);
-  server.write_chunk(calls[1].id, "pieces");
-  server.end(calls[1].id);
+  server.begin_response(calls[1].id, status(200), -1);
+  server.write_body(calls[1].id, "pieces");
+  server.end_response(calls[1].id);
   ASSERT_TRUE(
       until([&] { return count_of(connection.got, "HTTP/1.1 200") == 2 && connection.got.ends_with("\r\n\r\n"); }));
   EXPECT_NE(connection.got.find("Content-Length: 12"), std::string::npos);
@@ -696,9 +698,9 @@
     ASSERT_TRUE(until([&] { return calls.size() > answered; }));
     std::string const body(32u << 20, 'z');
     if (pieces) {
-      server.begin(calls[answered].id, status(200), -1);
-      server.write_chunk(calls[answered].id, body);
-      server.end(calls[answered++].id);
+      server.begin_response(calls[answered].id, status(200), -1);
+      server.write_body(calls[answered].id, body);
+      server.end_response(calls[answered++].id);
     } else {
       answer_all(body);
     }
@@ -718,7 +720,7 @@
   ASSERT_TRUE(until([&] { return calls.size() > answered; }));
   answer_all(std::string(32u << 20, 'z'));
   settle();
-  EXPECT_EQ(server.calls(), 0u);
+  EXPECT_EQ(server.active_requests(), 0u);
   EXPECT_EQ(server.connections(), 1u) << "a process that ends now would cut the answer";
   connection.link->pause_reading(false);
   ASSERT_TRUE(until([&] { return connection.shut; }));
@@ -729,13 +731,13 @@
   LoopbackStream connection(address);
   connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
   ASSERT_TRUE(until([&] { return calls.size() == 1; }));
-  server.begin(calls[0].id, status(200), -1);
+  server.begin_response(calls[0].id, status(200), -1);
   for (char const* const part : {"one", "two", "three"}) {
-    server.write_chunk(calls[0].id, part);
+    server.write_body(calls[0].id, part);
     ASSERT_TRUE(until([&] { return connection.got.find(part) != std::string::npos; }));
     EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
   }
-  server.end(calls[0].id);
+  server.end_response(calls[0].id);
   ASSERT_TRUE(until([&] { return read_whole(false, connection.got).whole.size() == 1; }));
   EXPECT_EQ(read_whole(false, connection.got).whole[0].body, "onetwothree");
   EXPECT_FALSE(connection.shut);
@@ -747,9 +749,9 @@
     connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
     ASSERT_TRUE(until([&] { return calls.size() > answered; }));
     std::uint64_t const id = calls[answered++].id;
-    server.begin(id, status(200), length);
-    server.write_chunk(id, "part");
-    server.break_off(id);
+    server.begin_response(id, status(200), length);
+    server.write_body(id, "part");
+    server.abort_response(id);
     ASSERT_TRUE(until([&] { return connection.shut; }));
     EXPECT_NE(connection.got.find("part"), std::string::npos);
     EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
@@ -760,9 +762,9 @@
   LoopbackStream connection(address);
   connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
   ASSERT_TRUE(until([&] { return calls.size() == 1; }));
-  server.begin(calls[0].id, status(200), 100);
-  server.write_chunk(calls[0].id, "part");
-  server.end(calls[0].id);
+  server.begin_response(calls[0].id, status(200), 100);
+  server.write_body(calls[0].id, "part");
+  server.end_response(calls[0].id);
   ASSERT_TRUE(until([&] { return connection.shut; }));
   EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
 }
@@ -774,14 +776,14 @@
     for (std::int64_t const length : {std::int64_t(-1), std::int64_t(0), std::int64_t(9)}) {
       connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
       ASSERT_TRUE(until([&] { return calls.size() == n + 1; }));
-      server.begin(calls[n].id, status(code), length);
-      server.end(calls[n].id);
+      server.begin_response(calls[n].id, status(code), length);
+      server.end_response(calls[n].id);
       ++n;
       ASSERT_TRUE(
           until([&] { return count_of(connection.got, "HTTP/1.1 ") == n && connection.got.ends_with("\r\n\r\n"); }));
       settle();
       Reading const answers = read_whole(false, connection.got);
-      EXPECT_EQ(answers.error, Reader::Error::none) << code << " " << length;
+      EXPECT_EQ(answers.error, HttpParser::Error::none) << code << " " << length;
       EXPECT_EQ(answers.whole.size(), n) << code << " " << length;
       EXPECT_FALSE(connection.shut);
     }
@@ -797,13 +799,13 @@
   ASSERT_TRUE(until([&] { return gone.size() == 1; }));
   EXPECT_EQ(gone[0], calls[0].id);
   // What is done for it afterwards goes nowhere.
-  server.begin(calls[0].id, status(200), -1);
-  server.write_chunk(calls[0].id, "x");
-  server.end(calls[0].id);
-  server.answer(calls[0].id, status(200), "x");
-  server.break_off(calls[0].id);
+  server.begin_response(calls[0].id, status(200), -1);
+  server.write_body(calls[0].id, "x");
+  server.end_response(calls[0].id);
+  server.respond(calls[0].id, status(200), "x");
+  server.abort_response(calls[0].id);
   EXPECT_EQ(server.connections(), 0u);
-  EXPECT_EQ(server.calls(), 0u);
+  EXPECT_EQ(server.active_requests(), 0u);
 }
 
 TEST_F(Serving, refuses_or_closes_and_never_gives_on_what_is_malformed) {
@@ -830,7 +832,7 @@
     connection.send(good_requests[1] + row.text);
     ASSERT_TRUE(until([&] { return calls.size() == 1; })) << row.name;
     EXPECT_EQ(calls[0].body, "hello");
-    server.answer(calls[0].id, status(200), "yes");
+    server.respond(calls[0].id, status(200), "yes");
     settle();
     server.close_expired(far_off());
     ASSERT_TRUE(until([&] { return connection.shut; })) << row.name;
@@ -854,12 +856,12 @@
     std::size_t done = 0;
     for (int turns = 0; turns < 10; ++turns) {
       settle();
-      while (done < calls.size()) server.answer(calls[done++].id, status(200), "yes");
+      while (done < calls.size()) server.respond(calls[done++].id, status(200), "yes");
     }
     server.close_expired(far_off());
     ASSERT_TRUE(until([&] { return connection.shut; })) << n << "\n" << text;
     std::vector<Message> read;
-    for (Server::Call const& call : calls)
+    for (Server::Request const& call : calls)
       read.push_back({call.head.method + " " + call.head.target, call.head.fields, call.body});
     ASSERT_TRUE(fits(read, strict)) << "round " << n << "\n" << text;
     ASSERT_EQ(server.connections(), 0u);
@@ -869,10 +871,10 @@
 
 TEST_F(Serving, slow_callers_are_told_so_and_idle_ones_are_closed) {
   Server::Limits limits;
-  limits.head_time = seconds(5);
-  limits.body_time = seconds(9);
-  limits.idle = seconds(60);
-  server.limit(limits);
+  limits.head_timeout = seconds(5);
+  limits.body_timeout = seconds(9);
+  limits.idle_timeout = seconds(60);
+  server.set_limits(limits);
   LoopbackStream idle(address);
   LoopbackStream heading(address);
   LoopbackStream sending(address);
@@ -912,8 +914,8 @@
   settle();
   // Its caller may still take it up after four fifths of the limit that it knows.
   Server::Limits shorter;
-  shorter.idle = seconds(5);
-  server.limit(shorter);
+  shorter.idle_timeout = seconds(5);
+  server.set_limits(shorter);
   server.close_expired(g_get_monotonic_time() + seconds(48));
   settle();
   EXPECT_FALSE(connection.shut);
@@ -930,9 +932,9 @@
   LoopbackStream busy(address);
   busy.send(good_requests[0]);
   ASSERT_TRUE(until([&] { return calls.size() == 1 && server.connections() == 2; }));
-  server.closing();
+  server.close_after_responses();
   server.stop_listening();
-  server.close_idle();
+  server.close_idle_connections();
   ASSERT_TRUE(until([&] { return idle.shut; }));
   answer_all("yes");
   ASSERT_TRUE(until([&] { return busy.shut; }));
@@ -940,7 +942,7 @@
   EXPECT_NE(busy.got.find("yes"), std::string::npos);
   LoopbackStream late(address);
   EXPECT_TRUE(late.shut);
-  EXPECT_EQ(late.how, Link::End::unreached);
+  EXPECT_EQ(late.how, TcpConnection::CloseReason::connect_failed);
 }
 
 TEST_F(Serving, an_answer_that_began_before_the_end_takes_its_connection_along) {
@@ -950,15 +952,15 @@
   std::uint64_t const id = calls[0].id;
   Head head;
   head.status = 200;
-  server.begin(id, head, -1);
-  server.write_chunk(id, "first");
+  server.begin_response(id, head, -1);
+  server.write_body(id, "first");
   ASSERT_TRUE(until([&] { return connection.got.find("first") != std::string::npos; }));
   EXPECT_EQ(connection.got.find("Connection: close"), std::string::npos)
       << "nothing told the caller that it is the last";
-  server.closing();
+  server.close_after_responses();
   server.stop_listening();
-  server.close_idle();
-  server.end(id);
+  server.close_idle_connections();
+  server.end_response(id);
   connection.send(good_requests[0]);
   ASSERT_TRUE(until([&] { return connection.shut || calls.size() > 1; }));
   EXPECT_EQ(calls.size(), 1u) << "a request taken after the doors were shut may not end inside the grace";
@@ -971,7 +973,7 @@
   ASSERT_TRUE(until([&] { return calls.size() == 1; }));
   connection.send(std::string(64u << 20, 'x'));
   settle();
-  EXPECT_GT(connection.link->waiting(), 16u << 20) << "it is not all read into memory";
+  EXPECT_GT(connection.link->buffered_bytes(), 16u << 20) << "it is not all read into memory";
   answer_all("yes");
   ASSERT_TRUE(until([&] { return connection.shut; }));
   EXPECT_EQ(calls.size(), 1u);
@@ -982,9 +984,9 @@
 TEST(Links, what_could_not_be_written_is_not_left_out) {
   int ends[2];
   ASSERT_EQ(::socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, ends), 0);
-  std::shared_ptr<Link> const link = Link::adopt(ends[0]);
+  std::shared_ptr<TcpConnection> const link = TcpConnection::adopt(ends[0]);
   bool shut = false;
-  link->listen({nullptr, nullptr, [&shut](Link::End) { shut = true; }, nullptr});
+  link->set_callbacks({nullptr, nullptr, [&shut](TcpConnection::CloseReason) { shut = true; }, nullptr});
   link->write("front");
   link->write(std::string(8u << 20, 'z'));
   link->write("tail");
@@ -1003,23 +1005,24 @@
  protected:
   struct End {
     std::uint64_t id;
-    Upstream::End how;
+    UpstreamPool::Failure how;
   };
   Workerly()
       : upstream({[this](std::uint64_t id) { left.push_back(id); },
                   [this](std::uint64_t id, Head const& head, bool) {
                     heads.push_back(head);
                     bool const mine = head.find("X-Id") == nullptr || head.get("X-Id") == std::to_string(id);
-                    return head.status >= 200 && mine ? Upstream::Owner::asker : Upstream::Owner::other;
+                    return head.status >= 200 && mine ? UpstreamPool::ResponseOwner::current_request
+                                                      : UpstreamPool::ResponseOwner::other_request;
                   },
                   [this](std::uint64_t id, std::string_view bytes) { bodies[id].append(bytes); },
                   [this](std::uint64_t id) { done.push_back(id); },
-                  [this](std::uint64_t id, Upstream::End how, std::string const&) {
+                  [this](std::uint64_t id, UpstreamPool::Failure how, std::string const&) {
                     ends.push_back({id, how});
                   }},
                  "") {
     address = open_door([this](std::string const& at) {
-      return door.open(at, [this](std::shared_ptr<Link> link) {
+      return door.open(at, [this](std::shared_ptr<TcpConnection> link) {
         connections.push_back(std::make_unique<LoopbackStream>(std::move(link)));
       });
     });
@@ -1028,11 +1031,11 @@
     return method + " / HTTP/1.1\r\n" + host + (method == "POST" ? "Content-Length: 2\r\n\r\nhi" : "\r\n");
   }
   // Starts a request and waits until the worker has it; the connection that it came on.
-  LoopbackStream& start(std::uint64_t id, std::string const& method = "POST") {
+  LoopbackStream& start_request(std::uint64_t id, std::string const& method = "POST") {
     std::size_t seen = 0;
     for (std::unique_ptr<LoopbackStream> const& connection : connections)
       seen += count_of(connection->got, "HTTP/1.1\r\n");
-    upstream.start(id, "w", address, request(method), seconds(10));
+    upstream.start_request(id, "w", address, request(method), seconds(10));
     LoopbackStream* found = nullptr;
     EXPECT_TRUE(until([&] {
       std::size_t now = 0;
@@ -1048,7 +1051,7 @@
   bool over() {
     return until([this] { return done.size() + ends.size() > 0; });
   }
-  void forget() {
+  void clear_events() {
     left.clear();
     heads.clear();
     bodies.clear();
@@ -1063,8 +1066,8 @@
   std::vector<End> ends;
   std::vector<std::unique_ptr<LoopbackStream>> connections;
   std::string address;
-  Door door;
-  Upstream upstream;
+  Listener door;
+  UpstreamPool upstream;
 };
 std::string const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 }  // namespace
@@ -1072,7 +1075,7 @@
 TEST_F(Workerly, answers_arrive_wherever_they_are_split_and_the_connection_is_kept) {
   std::string const text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
   for (std::size_t at = 1; at < text.size(); ++at) {
-    LoopbackStream& connection = start(at);
+    LoopbackStream& connection = start_request(at);
     EXPECT_EQ(left, std::vector<std::uint64_t>{at});
     connection.send(std::string_view(text).substr(0, at));
     settle();
@@ -1081,45 +1084,45 @@
     ASSERT_TRUE(over());
     EXPECT_EQ(done, std::vector<std::uint64_t>{at});
     EXPECT_EQ(bodies[at], "abcde");
-    forget();
+    clear_events();
   }
   EXPECT_EQ(upstream.dialled, 1u);
   EXPECT_EQ(upstream.reused, text.size() - 2);
-  EXPECT_EQ(upstream.kept("w"), 1u);
+  EXPECT_EQ(upstream.idle_connections("w"), 1u);
 }
 
 TEST_F(Workerly, an_answer_to_HEAD_has_no_body) {
-  LoopbackStream& connection = start(1, "HEAD");
+  LoopbackStream& connection = start_request(1, "HEAD");
   connection.send("HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n");
   settle();
   ASSERT_EQ(done.size(), 1u);
-  EXPECT_EQ(upstream.kept("w"), 1u);
-  start(2).send(ok);
-  forget();
+  EXPECT_EQ(upstream.idle_connections("w"), 1u);
+  start_request(2).send(ok);
+  clear_events();
   ASSERT_TRUE(over());
   EXPECT_EQ(done, std::vector<std::uint64_t>{2});
   EXPECT_EQ(bodies[2], "ok");
 }
 
 TEST_F(Workerly, surplus_bytes_end_the_connection_not_the_answer) {
-  start(1).send(ok + "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
+  start_request(1).send(ok + "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
   ASSERT_TRUE(over());
   EXPECT_EQ(done, std::vector<std::uint64_t>{1});
   EXPECT_EQ(bodies[1], "ok");
-  EXPECT_EQ(upstream.kept("w"), 0u);
+  EXPECT_EQ(upstream.idle_connections("w"), 0u);
   EXPECT_EQ(upstream.connections(), 0u);
 }
 
 TEST_F(Workerly, bytes_that_come_on_a_kept_connection_end_it) {
-  LoopbackStream& connection = start(1);
+  LoopbackStream& connection = start_request(1);
   connection.send(ok);
   ASSERT_TRUE(over());
-  EXPECT_EQ(upstream.kept("w"), 1u);
+  EXPECT_EQ(upstream.idle_connections("w"), 1u);
   connection.send("HTTP/1.1 200 OK\r\n");
   ASSERT_TRUE(until([&] { return connection.shut; }));
-  EXPECT_EQ(upstream.kept("w"), 0u);
-  forget();
-  start(2).send(ok);
+  EXPECT_EQ(upstream.idle_connections("w"), 0u);
+  clear_events();
+  start_request(2).send(ok);
   ASSERT_TRUE(over());
   EXPECT_EQ(done, std::vector<std::uint64_t>{2});
   EXPECT_EQ(upstream.dialled, 2u);
@@ -1128,8 +1131,8 @@
 TEST_F(Workerly, an_answer_to_somebody_else_is_passed_over) {
   std::string const strange = "HTTP/1.1 200 OK\r\nX-Id: 77\r\nContent-Length: 6\r\n\r\nstolen";
   for (bool const together : {true, false}) {
-    forget();
-    LoopbackStream& connection = start(1);
+    clear_events();
+    LoopbackStream& connection = start_request(1);
     std::string const mine = "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok";
     if (together) {
       connection.send(strange + mine);
@@ -1143,36 +1146,36 @@
     EXPECT_EQ(done, std::vector<std::uint64_t>{1});
     EXPECT_EQ(bodies[1], "ok");
   }
-  forget();
+  clear_events();
   // Only so many, and none that is the last of its connection.
-  LoopbackStream& connection = start(2);
+  LoopbackStream& connection = start_request(2);
   for (int i = 0; i < 10; ++i) connection.send(strange);
   ASSERT_TRUE(over());
   ASSERT_EQ(ends.size(), 1u);
-  EXPECT_EQ(ends[0].how, Upstream::End::broke);
+  EXPECT_EQ(ends[0].how, UpstreamPool::Failure::broken);
   EXPECT_EQ(bodies.count(2), 0u);
-  forget();
-  start(3).send("HTTP/1.1 200 OK\r\nX-Id: 77\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx");
+  clear_events();
+  start_request(3).send("HTTP/1.1 200 OK\r\nX-Id: 77\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx");
   ASSERT_TRUE(over());
   ASSERT_EQ(ends.size(), 1u);
-  EXPECT_EQ(ends[0].how, Upstream::End::broke);
+  EXPECT_EQ(ends[0].how, UpstreamPool::Failure::broken);
 }
 
 TEST_F(Workerly, an_answer_before_the_request_was_whole_ends_its_connection) {
   std::string const body(32u << 20, 'z');
-  upstream.start(1, "w", address,
-                 "POST / HTTP/1.1\r\n" + host + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body,
-                 seconds(10));
+  upstream.start_request(
+      1, "w", address,
+      "POST / HTTP/1.1\r\n" + host + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body, seconds(10));
   ASSERT_TRUE(until([&] { return !connections.empty(); }));
   connections[0]->link->pause_reading(true);
   connections[0]->send(ok);
   ASSERT_TRUE(over());
   EXPECT_EQ(done, std::vector<std::uint64_t>{1});
-  EXPECT_EQ(upstream.kept("w"), 0u) << "the next request would come behind the rest of this one";
+  EXPECT_EQ(upstream.idle_connections("w"), 0u) << "the next request would come behind the rest of this one";
 }
 
 TEST_F(Workerly, interim_answers_are_passed_over) {
-  start(1).send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok);
+  start_request(1).send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok);
   ASSERT_TRUE(over());
   EXPECT_EQ(done, std::vector<std::uint64_t>{1});
   EXPECT_EQ(bodies[1], "ok");
@@ -1182,24 +1185,26 @@
   struct Row {
     char const* name;
     std::string text;
-    Upstream::End how;
+    UpstreamPool::Failure how;
   };
   Row const rows[] = {
-      {"at once", "", Upstream::End::broke},
-      {"in the head", "HTTP/1.1 200 OK\r\nConte", Upstream::End::broke},
-      {"after an interim answer", "HTTP/1.1 100 Continue\r\n\r\n", Upstream::End::broke},
-      {"in a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", Upstream::End::torn},
-      {"before a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", Upstream::End::torn},
-      {"in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", Upstream::End::torn},
-      {"between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", Upstream::End::torn},
+      {"at once", "", UpstreamPool::Failure::broken},
+      {"in the head", "HTTP/1.1 200 OK\r\nConte", UpstreamPool::Failure::broken},
+      {"after an interim answer", "HTTP/1.1 100 Continue\r\n\r\n", UpstreamPool::Failure::broken},
+      {"in a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", UpstreamPool::Failure::truncated},
+      {"before a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", UpstreamPool::Failure::truncated},
+      {"in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", UpstreamPool::Failure::truncated},
+      {"between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
+       UpstreamPool::Failure::truncated},
       {"before the last mark", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n",
-       Upstream::End::torn},
-      {"in somebody else's", "HTTP/1.1 200 OK\r\nX-Id: 77\r\nContent-Length: 9\r\n\r\nabc", Upstream::End::broke},
+       UpstreamPool::Failure::truncated},
+      {"in somebody else's", "HTTP/1.1 200 OK\r\nX-Id: 77\r\nContent-Length: 9\r\n\r\nabc",
+       UpstreamPool::Failure::broken},
   };
   for (bool const reset : {false, true})
     for (Row const& row : rows) {
-      forget();
-      LoopbackStream& connection = start(1);
+      clear_events();
+      LoopbackStream& connection = start_request(1);
       connection.send(row.text);
       settle();
       connection.link->close(reset);
@@ -1214,8 +1219,8 @@
 
 TEST_F(Workerly, an_answer_without_length_ends_with_its_connection_unless_that_is_reset) {
   for (bool const reset : {false, true}) {
-    forget();
-    LoopbackStream& connection = start(1);
+    clear_events();
+    LoopbackStream& connection = start_request(1);
     connection.send("HTTP/1.1 200 OK\r\n\r\nabc");
     ASSERT_TRUE(until([&] { return bodies[1] == "abc"; }));
     connection.link->close(reset);
@@ -1223,45 +1228,45 @@
     ASSERT_TRUE(over());
     EXPECT_EQ(done.size(), reset ? 0u : 1u);
     EXPECT_EQ(ends.size(), reset ? 1u : 0u);
-    EXPECT_EQ(upstream.kept("w"), 0u);
+    EXPECT_EQ(upstream.idle_connections("w"), 0u);
   }
 }
 
 TEST_F(Workerly, what_is_no_answer_breaks_the_request) {
   for (std::string const text : {"nonsense\r\n\r\n", "HTTP/1.1 abc\r\n\r\n", "GET / HTTP/1.1\r\n\r\n",
                                  "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab"}) {
-    forget();
-    start(1).send(text);
+    clear_events();
+    start_request(1).send(text);
     ASSERT_TRUE(over()) << text;
     ASSERT_EQ(ends.size(), 1u) << text;
-    EXPECT_EQ(ends[0].how, Upstream::End::broke);
+    EXPECT_EQ(ends[0].how, UpstreamPool::Failure::broken);
   }
-  forget();
-  start(1).send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n");
+  clear_events();
+  start_request(1).send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n");
   ASSERT_TRUE(over());
   ASSERT_EQ(ends.size(), 1u);
-  EXPECT_EQ(ends[0].how, Upstream::End::torn);
+  EXPECT_EQ(ends[0].how, UpstreamPool::Failure::truncated);
 }
 
 TEST_F(Workerly, a_kept_connection_that_the_worker_closed_is_not_used_again) {
   for (bool const reset : {false, true}) {
-    forget();
-    LoopbackStream& connection = start(1);
+    clear_events();
+    LoopbackStream& connection = start_request(1);
     connection.send(ok);
     ASSERT_TRUE(over());
-    EXPECT_EQ(upstream.kept("w"), 1u);
+    EXPECT_EQ(upstream.idle_connections("w"), 1u);
     connection.link->close(reset);
     connection.shut = true;
-    ASSERT_TRUE(until([&] { return upstream.kept("w") == 0; }));
-    forget();
-    LoopbackStream& next = start(2);
+    ASSERT_TRUE(until([&] { return upstream.idle_connections("w") == 0; }));
+    clear_events();
+    LoopbackStream& next = start_request(2);
     next.send(ok);
     ASSERT_TRUE(over());
     EXPECT_EQ(done, std::vector<std::uint64_t>{2});
     EXPECT_TRUE(ends.empty());
     next.link->close();
     next.shut = true;
-    ASSERT_TRUE(until([&] { return upstream.kept("w") == 0; }));
+    ASSERT_TRUE(until([&] { return upstream.idle_connections("w") == 0; }));
   }
   EXPECT_EQ(upstream.reused, 0u);
 }
@@ -1269,13 +1274,13 @@
 TEST_F(Workerly, a_kept_connection_is_looked_at_before_it_is_used) {
   // What the worker did to it has reached this machine, but the loop has not turned since.
   for (int way = 0; way < 3; ++way) {
-    forget();
-    LoopbackStream& connection = start(1);
+    clear_events();
+    LoopbackStream& connection = start_request(1);
     connection.send(ok);
     ASSERT_TRUE(over());
-    ASSERT_EQ(upstream.kept("w"), 1u);
+    ASSERT_EQ(upstream.idle_connections("w"), 1u);
     std::uint64_t const dialled = upstream.dialled;
-    forget();
+    clear_events();
     if (way == 0) {
       connection.link->close();
     } else if (way == 1) {
@@ -1284,7 +1289,7 @@
       connection.send("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
     }
     connection.shut = true;
-    LoopbackStream& next = start(2);
+    LoopbackStream& next = start_request(2);
     EXPECT_EQ(upstream.dialled, dialled + 1);
     next.send(ok);
     ASSERT_TRUE(over());
@@ -1293,17 +1298,17 @@
     EXPECT_EQ(bodies[2], "ok");
     next.link->close();
     next.shut = true;
-    ASSERT_TRUE(until([&] { return upstream.kept("w") == 0; }));
+    ASSERT_TRUE(until([&] { return upstream.idle_connections("w") == 0; }));
   }
 }
 
 TEST_F(Workerly, a_worker_that_cannot_be_reached_got_nothing) {
   for (std::string const& bad : {free_address(), std::string("nonsense"), std::string("127.0.0.1:0")}) {
-    forget();
-    upstream.start(1, "w", bad, request(), seconds(10));
+    clear_events();
+    upstream.start_request(1, "w", bad, request(), seconds(10));
     ASSERT_TRUE(over()) << bad;
     ASSERT_EQ(ends.size(), 1u);
-    EXPECT_EQ(ends[0].how, Upstream::End::unreached);
+    EXPECT_EQ(ends[0].how, UpstreamPool::Failure::connect_failed);
     EXPECT_TRUE(left.empty()) << "no byte can have left";
     EXPECT_EQ(upstream.connections(), 0u);
   }
@@ -1327,54 +1332,54 @@
       {"Connection: close\r\n", -1, 0},
   };
   for (Row const& row : rows) {
-    forget();
-    start(1).send("HTTP/1.1 200 OK\r\n" + std::string(row.fields) + "Content-Length: 2\r\n\r\nok");
+    clear_events();
+    start_request(1).send("HTTP/1.1 200 OK\r\n" + std::string(row.fields) + "Content-Length: 2\r\n\r\nok");
     ASSERT_TRUE(over()) << row.fields;
     Micros const now = g_get_monotonic_time();
-    EXPECT_EQ(upstream.kept("w"), row.least >= 0 ? 1u : 0u) << row.fields;
+    EXPECT_EQ(upstream.idle_connections("w"), row.least >= 0 ? 1u : 0u) << row.fields;
     if (row.least < 0) continue;
     upstream.close_expired(now + row.least);
-    EXPECT_EQ(upstream.kept("w"), 1u) << row.fields;
+    EXPECT_EQ(upstream.idle_connections("w"), 1u) << row.fields;
     upstream.close_expired(now + row.most);
-    EXPECT_EQ(upstream.kept("w"), 0u) << row.fields;
+    EXPECT_EQ(upstream.idle_connections("w"), 0u) << row.fields;
     settle();
   }
 }
 
 TEST_F(Workerly, connections_belong_to_a_name_and_an_address) {
-  start(1).send(ok);
+  start_request(1).send(ok);
   ASSERT_TRUE(over());
-  forget();
-  upstream.start(2, "v", address, request(), seconds(10));
+  clear_events();
+  upstream.start_request(2, "v", address, request(), seconds(10));
   ASSERT_TRUE(until([&] { return left.size() == 1; }));
   EXPECT_EQ(upstream.reused, 0u) << "somebody else may live there now";
-  upstream.cut(2);
-  EXPECT_EQ(upstream.kept("w"), 1u);
-  upstream.forget("w");
+  upstream.cancel(2);
+  EXPECT_EQ(upstream.idle_connections("w"), 1u);
+  upstream.close_idle_connections("w");
   EXPECT_EQ(upstream.connections(), 0u);
-  upstream.forget("nobody");
+  upstream.close_idle_connections("nobody");
 }
 
 TEST_F(Workerly, what_was_cut_is_heard_of_no_more) {
-  LoopbackStream& connection = start(1);
+  LoopbackStream& connection = start_request(1);
   connection.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc");
   ASSERT_TRUE(until([&] { return bodies[1] == "abc"; }));
-  upstream.cut(1);
-  upstream.cut(1);
+  upstream.cancel(1);
+  upstream.cancel(1);
   connection.send("defghi");
   ASSERT_TRUE(until([&] { return connection.shut; }));
   EXPECT_TRUE(done.empty());
   EXPECT_TRUE(ends.empty());
   EXPECT_EQ(bodies[1], "abc");
-  EXPECT_EQ(upstream.open(), 0u);
+  EXPECT_EQ(upstream.active_requests(), 0u);
 }
 
 // What the system still holds of a request that was cut must not reach its worker later.
 TEST_F(Workerly, a_cut_resets_the_connection) {
-  LoopbackStream& connection = start(1);
-  upstream.cut(1);
+  LoopbackStream& connection = start_request(1);
+  upstream.cancel(1);
   ASSERT_TRUE(until([&] { return connection.shut; }));
-  EXPECT_EQ(connection.how, Link::End::reset);
+  EXPECT_EQ(connection.how, TcpConnection::CloseReason::reset);
 }
 
 // The worker may have said all that there is to say before it ended the connection with bytes unread.
@@ -1383,9 +1388,9 @@
   std::string const text =
       "POST / HTTP/1.1\r\n" + host + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   for (bool const length : {true, false}) {
-    forget();
+    clear_events();
     connections.clear();
-    upstream.start(1, "w", address, text, seconds(10));
+    upstream.start_request(1, "w", address, text, seconds(10));
     ASSERT_TRUE(until([&] { return !connections.empty(); }));
     connections[0]->link->pause_reading(true);
     connections[0]->send(length ? ok : "HTTP/1.1 200 OK\r\n\r\nok");
@@ -1408,8 +1413,8 @@
                                           "HTTP/1.1 101 Switching\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n"};
   RandomSource random(23);
   for (std::uint64_t id = 1; id <= 1500; ++id) {
-    forget();
-    LoopbackStream& connection = start(id);
+    clear_events();
+    LoopbackStream& connection = start_request(id);
     std::string const text = mutated(random, seeds);
     std::size_t const at = random.below(text.size() + 1);
     connection.send(std::string_view(text).substr(0, at));
@@ -1421,9 +1426,9 @@
     ASSERT_TRUE(over()) << id << "\n" << text;
     settle();
     ASSERT_EQ(done.size() + ends.size(), 1u) << id << "\n" << text;
-    ASSERT_EQ(upstream.open(), 0u);
+    ASSERT_EQ(upstream.active_requests(), 0u);
     ASSERT_EQ(left.size(), 1u);
-    upstream.forget("w");
+    upstream.close_idle_connections("w");
     settle();
     connections.clear();
   }
--- a/tests/keys.cc
+++ b/tests/keys.cc
@@ -73,7 +73,7 @@
     EXPECT_EQ(caller->got.find("key-"), std::string::npos) << caller->got;
   }
   EXPECT_EQ(workers.at("w1")->got(), "");
-  EXPECT_TRUE(quiet());
+  EXPECT_TRUE(no_requests_in_flight());
 }
 
 TEST_F(ApiKeys, public_route_needs_no_key_and_drops_the_clients_tenant_header) {
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -59,22 +59,22 @@
 
 // One side of a connection, as it is seen from outside.
 struct LoopbackStream {
-  std::shared_ptr<Link> link;
+  std::shared_ptr<TcpConnection> link;
   std::string got;
   bool up = false;
   bool shut = false;
-  Link::End how = Link::End::closed;
+  TcpConnection::CloseReason how = TcpConnection::CloseReason::closed;
 
   void hear() {
-    link->listen({[this] { up = true; }, [this](std::string_view bytes) { got.append(bytes); },
-                  [this](Link::End how_) {
-                    shut = true;
-                    how = how_;
-                  },
-                  nullptr});
+    link->set_callbacks({[this] { up = true; }, [this](std::string_view bytes) { got.append(bytes); },
+                         [this](TcpConnection::CloseReason how_) {
+                           shut = true;
+                           how = how_;
+                         },
+                         nullptr});
   }
-  explicit LoopbackStream(std::shared_ptr<Link> link_) : link(std::move(link_)), up(true) { hear(); }
-  explicit LoopbackStream(std::string const& address) : link(Link::dial(address, "", seconds(10))) {
+  explicit LoopbackStream(std::shared_ptr<TcpConnection> link_) : link(std::move(link_)), up(true) { hear(); }
+  explicit LoopbackStream(std::string const& address) : link(TcpConnection::dial(address, "", seconds(10))) {
     hear();
     EXPECT_TRUE(until([this] { return up || shut; }));
   }
--- a/tests/request_proxy.cc
+++ b/tests/request_proxy.cc
@@ -39,7 +39,7 @@
   EXPECT_EQ(caller->got.substr(0, 18), "HTTP/1.1 201 Made\r");
   EXPECT_NE(caller->got.find("X-Back: 3"), std::string::npos);
   EXPECT_EQ(caller->got.find("Keep-Alive"), std::string::npos);
-  EXPECT_TRUE(quiet());
+  EXPECT_TRUE(no_requests_in_flight());
 }
 
 TEST_F(Passing, HEAD_is_answered_with_a_head) {
@@ -49,8 +49,8 @@
   connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 5000\r\n\r\n");
   ASSERT_TRUE(hears("\r\n\r\n"));
   EXPECT_NE(caller->got.find("Content-Length: 5000"), std::string::npos);
-  EXPECT_TRUE(quiet());
-  EXPECT_EQ(relay.upstream.kept("w"), 1u);
+  EXPECT_TRUE(no_requests_in_flight());
+  EXPECT_EQ(relay.upstream.idle_connections("w"), 1u);
 }
 
 TEST_F(Passing, what_there_is_no_route_for_is_said_not_to_have_run) {
@@ -72,7 +72,7 @@
   EXPECT_NE(caller->got.find("\"ran\":\"unknown\""), std::string::npos) << caller->got;
   EXPECT_EQ(caller->got.find("Retry-After"), std::string::npos);
   EXPECT_EQ(workers[first == "w" ? "v" : "w"]->got(), "");
-  EXPECT_TRUE(quiet());
+  EXPECT_TRUE(no_requests_in_flight());
 }
 
 TEST_F(Passing, what_a_worker_did_not_run_goes_to_another) {
@@ -86,7 +86,7 @@
     std::string const second = reached(first);
     connection_of(second).send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
     ASSERT_TRUE(hears("yes"));
-    EXPECT_TRUE(quiet());
+    EXPECT_TRUE(no_requests_in_flight());
     workers.clear();
     registry.all.clear();
     settle();
@@ -100,7 +100,7 @@
   connection_of("w").send("HTTP/1.1 500 Odd\r\n" + mine + "Content-Length: 3\r\n\r\nbad");
   ASSERT_TRUE(hears("bad"));
   EXPECT_EQ(caller->got.substr(0, 16), "HTTP/1.1 500 Odd");
-  EXPECT_TRUE(quiet());
+  EXPECT_TRUE(no_requests_in_flight());
 }
 
 TEST_F(Passing, a_stream_goes_on_at_another_worker_and_no_event_comes_twice) {
@@ -120,7 +120,7 @@
   ASSERT_TRUE(hears("0\r\n\r\n"));
   for (char const* const part : {"data: a\n\n", "data: b\n\n", "data: c\n\n"})
     EXPECT_EQ(count_of(caller->got, part), 1u) << part;
-  EXPECT_TRUE(quiet());
+  EXPECT_TRUE(no_requests_in_flight());
 }
 
 TEST_F(Passing, a_stream_that_cannot_go_on_does_not_look_whole) {
@@ -133,7 +133,7 @@
   connection_of(first).link->close();
   ASSERT_TRUE(until([&] { return caller->shut; }));
   EXPECT_EQ(caller->got.find("0\r\n\r\n"), std::string::npos);
-  EXPECT_TRUE(quiet());
+  EXPECT_TRUE(no_requests_in_flight());
 }
 
 TEST_F(Passing, a_stream_without_content_is_no_body) {
@@ -145,7 +145,7 @@
   settle();
   EXPECT_TRUE(caller->got.ends_with("\r\n\r\n"));
   EXPECT_EQ(caller->got.find("chunked"), std::string::npos);
-  EXPECT_TRUE(quiet());
+  EXPECT_TRUE(no_requests_in_flight());
 }
 
 TEST_F(Passing, a_caller_that_leaves_takes_its_attempt_along) {
@@ -154,7 +154,7 @@
   ASSERT_EQ(reached(), "w");
   caller->link->close();
   ASSERT_TRUE(until([&] { return connection_of("w").shut; }));
-  EXPECT_TRUE(quiet());
+  EXPECT_TRUE(no_requests_in_flight());
 }
 
 TEST_F(Passing, an_answer_that_names_no_request_is_no_answer_and_its_connection_is_not_used_again) {
@@ -165,8 +165,8 @@
   ASSERT_TRUE(hears("}"));
   EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(caller->got.find("yes"), std::string::npos);
-  EXPECT_EQ(relay.upstream.kept("w"), 0u);
-  EXPECT_TRUE(quiet());
+  EXPECT_EQ(relay.upstream.idle_connections("w"), 0u);
+  EXPECT_TRUE(no_requests_in_flight());
 }
 
 TEST_F(Passing, a_refusal_that_names_no_request_is_believed_only_where_nothing_was_asked_before) {
@@ -175,15 +175,15 @@
   ASSERT_EQ(reached(), "w");
   connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("yes"));
-  ASSERT_EQ(relay.upstream.kept("w"), 1u);
+  ASSERT_EQ(relay.upstream.idle_connections("w"), 1u);
   ask("POST", "/once/x");
   ASSERT_TRUE(until([&] { return count_of(connection_of("w").got, "POST ") == 2; }));
   // It may be a late word about the first request.
   connection_of("w").send("HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(hears("}"));
   EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
-  EXPECT_EQ(relay.upstream.kept("w"), 0u);
-  EXPECT_TRUE(quiet());
+  EXPECT_EQ(relay.upstream.idle_connections("w"), 0u);
+  EXPECT_TRUE(no_requests_in_flight());
 }
 
 TEST_F(Passing, an_answer_that_names_two_requests_is_no_answer) {
@@ -193,7 +193,7 @@
   connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "X-Pipit-Attempt: r2\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("}"));
   EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
-  EXPECT_EQ(relay.upstream.kept("w"), 0u);
+  EXPECT_EQ(relay.upstream.idle_connections("w"), 0u);
 }
 
 TEST_F(Passing, a_status_that_promises_without_the_mark_is_no_promise) {
@@ -210,7 +210,7 @@
     EXPECT_NE(caller->got.find("\"ran\":\"unknown\""), std::string::npos) << caller->got;
     EXPECT_EQ(caller->got.find("X-Seal"), std::string::npos) << "the worker gave another status";
     EXPECT_EQ(workers[first == "w" ? "v" : "w"]->got(), "") << "it may have run";
-    EXPECT_TRUE(quiet());
+    EXPECT_TRUE(no_requests_in_flight());
     workers.clear();
     registry.all.clear();
     settle();
@@ -226,7 +226,7 @@
                           "\r\n\r\n" + body);
   ASSERT_TRUE(hears("\r\n\r\n"));
   EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
-  EXPECT_TRUE(quiet());
+  EXPECT_TRUE(no_requests_in_flight());
 }
 
 TEST_F(Passing, numbers_without_bound_are_taken_as_the_largest) {
@@ -240,7 +240,7 @@
                           "X-Pipit-Load: 9223372036854775807,9223372036854775807,8\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("yes"));
   EXPECT_GT(registry.find("w")->reported_load, 0);
-  EXPECT_TRUE(quiet());
+  EXPECT_TRUE(no_requests_in_flight());
 }
 
 TEST_F(Passing, a_caller_cannot_have_the_request_id_or_the_host_taken_away) {
@@ -265,7 +265,7 @@
   EXPECT_TRUE(caller->shut);
   EXPECT_EQ(workers[first == "w" ? "v" : "w"]->got(), "") << "from where, nobody could tell";
   EXPECT_EQ(caller->got.find("0\r\n\r\n"), std::string::npos);
-  EXPECT_TRUE(quiet());
+  EXPECT_TRUE(no_requests_in_flight());
 }
 
 // What a worker reckons with is the caller's, whatever the caller lists as its connection's own.
@@ -313,7 +313,7 @@
   connection_of(second).link->close();
   ASSERT_TRUE(hears("0\r\n\r\n")) << "after an event it is whole";
   EXPECT_EQ(count_of(caller->got, "id: 2"), 1u);
-  EXPECT_TRUE(quiet());
+  EXPECT_TRUE(no_requests_in_flight());
 }
 
 TEST_F(Passing, a_stream_that_may_not_go_on_and_ends_in_an_event_is_broken_off) {
@@ -330,7 +330,7 @@
     ASSERT_TRUE(until([&] { return caller->shut || count_of(caller->got, "0\r\n\r\n") > 0; }));
     EXPECT_EQ(caller->shut, !whole);
     EXPECT_EQ(count_of(caller->got, "\r\n0\r\n\r\n"), whole ? 1u : 0u);
-    EXPECT_TRUE(quiet());
+    EXPECT_TRUE(no_requests_in_flight());
   }
 }
 
@@ -361,7 +361,7 @@
   ASSERT_EQ(reached(), "w");
   connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("yes"));
-  ASSERT_EQ(relay.upstream.kept("w"), 1u);
+  ASSERT_EQ(relay.upstream.idle_connections("w"), 1u);
   for (bool const reset : {false, true}) {
     LoopbackStream other(address);
     settle();
@@ -371,7 +371,7 @@
     ASSERT_TRUE(until([&] { return relay.server.connections() == there - 1; }));
     settle();
     EXPECT_EQ(count_of(workers["w"]->got(), "POST "), 1u) << "a worker would begin with it";
-    EXPECT_TRUE(quiet());
+    EXPECT_TRUE(no_requests_in_flight());
   }
 }
 
@@ -401,7 +401,7 @@
   ASSERT_EQ(caller->got, "") << "it was told not to have run";
   connection_of(other).send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("yes"));
-  EXPECT_TRUE(quiet());
+  EXPECT_TRUE(no_requests_in_flight());
 }
 
 TEST_F(Sealed, a_success_without_the_seal_is_no_answer_and_failures_need_none) {
@@ -412,7 +412,7 @@
   ASSERT_TRUE(hears("\r\n\r\n"));
   EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(caller->got.find("yes"), std::string::npos);
-  EXPECT_EQ(relay.upstream.kept("w"), 0u);
+  EXPECT_EQ(relay.upstream.idle_connections("w"), 0u);
   for (std::string const& status : {std::string("200 OK\r\nX-Seal: s\r\n"), std::string("500 Odd\r\n")}) {
     workers.clear();
     registry.all.clear();
@@ -423,7 +423,7 @@
     connection_of("w").send("HTTP/1.1 " + status + mine + "Content-Length: 3\r\n\r\nyes");
     ASSERT_TRUE(hears("yes")) << status;
   }
-  EXPECT_TRUE(quiet());
+  EXPECT_TRUE(no_requests_in_flight());
 }
 
 }  // namespace pipit
--- a/tests/request_proxy_fixture.h
+++ b/tests/request_proxy_fixture.h
@@ -22,7 +22,7 @@
 class Passing : public testing::Test {
  protected:
   struct Worker {
-    Door door;
+    Listener door;
     std::string address;
     std::vector<std::unique_ptr<LoopbackStream>> connections;
     std::string got() const {
@@ -74,7 +74,7 @@
     made = std::make_unique<Worker>();
     Worker* const at = made.get();
     at->address = open_door([at](std::string const& address) {
-      return at->door.open(address, [at](std::shared_ptr<Link> link) {
+      return at->door.open(address, [at](std::shared_ptr<TcpConnection> link) {
         at->connections.push_back(std::make_unique<LoopbackStream>(std::move(link)));
       });
     });
@@ -107,7 +107,7 @@
   bool hears(std::string const& text) {
     return until([&] { return caller->got.find(text) != std::string::npos; });
   }
-  bool quiet() const {
+  bool no_requests_in_flight() const {
     for (std::pair<std::string const, Instance> const& item : registry.all)
       if (item.second.running != 0 || item.second.reserved_tokens != 0) return false;
     return dispatcher.active_requests() == 0;
--- a/tests/station.cc
+++ b/tests/station.cc
@@ -22,7 +22,7 @@
     metrics = plan.metrics;
     node_server = std::make_unique<NodeServer>(std::move(plan));
     calls = std::make_unique<Calls>(*node_server, address);
-    node_server->on_control([this](Server::Call& call) { return calls->take(call); });
+    node_server->on_control([this](Server::Request& call) { return calls->take(call); });
     EXPECT_TRUE(node_server->open());
   }
 
--- a/tests/worker_end_acknowledgement.cc
+++ b/tests/worker_end_acknowledgement.cc
@@ -90,7 +90,7 @@
     peer = std::make_unique<PeerNode>(peer_address, plan.node.address);
     node_server = std::make_unique<NodeServer>(std::move(plan));
     calls = std::make_unique<Calls>(*node_server, address);
-    node_server->on_control([this](Server::Call& call) { return calls->take(call); });
+    node_server->on_control([this](Server::Request& call) { return calls->take(call); });
     EXPECT_TRUE(node_server->open());
     ticker = g_timeout_add(
         20,
