--- a/tests/http.cc
+++ b/tests/http.cc
@@ -30,16 +30,16 @@
   return out << item.body;
 }
 
-struct Reading {
-  std::vector<Message> whole;
+struct ParseResult {
+  std::vector<Message> messages;
   HttpParser::Error error = HttpParser::Error::none;
-  bool between = true;  // nothing is half read
+  bool between_messages = true;  // nothing is half read
 };
 
 // Reads a text that comes in the given pieces.
-Reading read_pieces(bool requests, std::vector<std::string_view> const& pieces, bool bodiless = false,
-                    std::size_t head_most = 65536, std::size_t body_most = 1u << 20) {
-  Reading out;
+ParseResult parse_pieces(bool requests, std::vector<std::string_view> const& pieces, bool bodiless = false,
+                         std::size_t head_most = 65536, std::size_t body_most = 1u << 20) {
+  ParseResult out;
   HttpParser reader(requests);
   reader.set_limits(head_most, body_most);
   Message now;
@@ -51,7 +51,7 @@
   };
   reader.callbacks.body = [&](std::string_view bytes) { now.body.append(bytes); };
   reader.callbacks.complete = [&] {
-    out.whole.push_back(now);
+    out.messages.push_back(now);
     now = Message();
   };
   for (std::string_view piece : pieces) {
@@ -72,13 +72,13 @@
       }
     }
   }
-  out.between = reader.idle();
+  out.between_messages = reader.idle();
   return out;
 }
-Reading read_whole(bool requests, std::string const& text) { return read_pieces(requests, {text}); }
+ParseResult parse_text(bool requests, std::string const& text) { return parse_pieces(requests, {text}); }
 
 std::string const host = "Host: h.test\r\n";
-std::string const good_requests[] = {
+std::string const valid_requests[] = {
     "GET /a?b=c HTTP/1.1\r\n" + host + "\r\n",
     "POST /p HTTP/1.1\r\n" + host + "Content-Length: 5\r\nX-One:  two words \r\n\r\nhello",
     "POST /p HTTP/1.1\r\n" + host +
@@ -89,32 +89,32 @@
 };
 }  // namespace
 
-TEST(Reading, is_the_same_wherever_the_bytes_are_split) {
+TEST(HttpParser, is_the_same_wherever_the_bytes_are_split) {
   std::string all;
-  for (std::string const& one : good_requests) all += one;
-  Reading const whole = read_whole(true, all);
+  for (std::string const& one : valid_requests) all += one;
+  ParseResult const whole = parse_text(true, all);
   ASSERT_EQ(whole.error, HttpParser::Error::none);
-  ASSERT_EQ(whole.whole.size(), std::size(good_requests)) << "pipelined";
-  EXPECT_EQ(whole.whole[1].body, "hello");
-  EXPECT_EQ(whole.whole[1].fields[2].second, "two words") << "blanks around a value are no part of it";
-  EXPECT_EQ(whole.whole[2].body, "hello0123456789");
-  EXPECT_EQ(whole.whole[3].body, "\n");
-  EXPECT_EQ(whole.whole[3].fields.size(), 2u) << "a trailer is no field of the head";
-  EXPECT_FALSE(whole.whole[4].keep);
-  EXPECT_FALSE(whole.whole[5].keep) << "HTTP/1.0";
-  EXPECT_TRUE(whole.between);
+  ASSERT_EQ(whole.messages.size(), std::size(valid_requests)) << "pipelined";
+  EXPECT_EQ(whole.messages[1].body, "hello");
+  EXPECT_EQ(whole.messages[1].fields[2].second, "two words") << "blanks around a value are no part of it";
+  EXPECT_EQ(whole.messages[2].body, "hello0123456789");
+  EXPECT_EQ(whole.messages[3].body, "\n");
+  EXPECT_EQ(whole.messages[3].fields.size(), 2u) << "a trailer is no field of the head";
+  EXPECT_FALSE(whole.messages[4].keep);
+  EXPECT_FALSE(whole.messages[5].keep) << "HTTP/1.0";
+  EXPECT_TRUE(whole.between_messages);
   for (std::size_t at = 1; at < all.size(); ++at) {
     std::string_view const text = all;
-    Reading const split = read_pieces(true, {text.substr(0, at), text.substr(at)});
+    ParseResult const split = parse_pieces(true, {text.substr(0, at), text.substr(at)});
     ASSERT_EQ(split.error, HttpParser::Error::none) << at;
-    ASSERT_EQ(split.whole, whole.whole) << at;
+    ASSERT_EQ(split.messages, whole.messages) << at;
   }
   std::vector<std::string_view> single;
   for (std::size_t at = 0; at < all.size(); ++at) single.push_back(std::string_view(all).substr(at, 1));
-  EXPECT_EQ(read_pieces(true, single).whole, whole.whole);
+  EXPECT_EQ(parse_pieces(true, single).messages, whole.messages);
 }
 
-TEST(Reading, knows_where_answers_end) {
+TEST(HttpParser, knows_where_answers_end) {
   std::string const all =
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
       "HTTP/1.1 204 No Content\r\n\r\n"
@@ -123,18 +123,18 @@
       "HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
   for (std::size_t at = 0; at < all.size(); ++at) {
     std::string_view const text = all;
-    Reading const out = read_pieces(false, {text.substr(0, at), text.substr(at)});
-    ASSERT_EQ(out.whole.size(), 5u) << at;
-    EXPECT_EQ(out.whole[0].body, "ok");
-    EXPECT_EQ(out.whole[4].body, "abc");
-    EXPECT_FALSE(out.whole[4].keep);
+    ParseResult const out = parse_pieces(false, {text.substr(0, at), text.substr(at)});
+    ASSERT_EQ(out.messages.size(), 5u) << at;
+    EXPECT_EQ(out.messages[0].body, "ok");
+    EXPECT_EQ(out.messages[4].body, "abc");
+    EXPECT_FALSE(out.messages[4].keep);
   }
-  Reading const head =
-      read_pieces(false, {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nHTTP/1.1 200 OK\r\n\r\n"}, true);
-  EXPECT_EQ(head.whole.size(), 2u) << "answers to HEAD have no body whatever they announce";
+  ParseResult const head =
+      parse_pieces(false, {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nHTTP/1.1 200 OK\r\n\r\n"}, true);
+  EXPECT_EQ(head.messages.size(), 2u) << "answers to HEAD have no body whatever they announce";
 }
 
-TEST(Reading, ends_an_answer_without_length_with_its_connection) {
+TEST(HttpParser, ends_an_answer_without_length_with_its_connection) {
   for (bool const cut : {false, true}) {
     HttpParser reader(false);
     std::string body;
@@ -151,7 +151,7 @@
 }
 
 namespace {
-struct Bad {
+struct MalformedRequest {
   char const* name;
   std::string text;
 };
@@ -160,8 +160,8 @@
 }
 std::string head(std::string const& fields) { return "POST / HTTP/1.1\r\n" + host + fields + "\r\n"; }
 
-std::vector<Bad> const& bad_requests() {
-  static std::vector<Bad> const rows = {
+std::vector<MalformedRequest> const& malformed_requests() {
+  static std::vector<MalformedRequest> const rows = {
       {"two lengths", head("Content-Length: 5\r\nContent-Length: 6\r\n") + "hello!"},
       {"two lengths alike", head("Content-Length: 5\r\nContent-Length: 5\r\n") + "hello"},
       {"a list of lengths", head("Content-Length: 5, 5\r\n") + "hello"},
@@ -272,24 +272,24 @@
   };
   return rows;
 }
-constexpr std::size_t small_head = 16384;
-constexpr std::size_t small_body = 20000;
+constexpr std::size_t small_max_head_bytes = 16384;
+constexpr std::size_t small_max_body_bytes = 20000;
 
 // What a strict reader, written apart from the product's, takes for whole requests (RFC 9112); it ends at the first
 // thing that it does not know for sure. It may take more than the product does, never less of what the product takes.
-class Strict {
+class StrictRequestParser {
  public:
-  explicit Strict(std::string_view text_) : text(text_) {
-    while (one()) {
+  explicit StrictRequestParser(std::string_view text_) : text(text_) {
+    while (parse_request()) {
     }
   }
-  std::vector<Message> whole;
+  std::vector<Message> messages;
 
  private:
-  static bool letter(char c) {
+  static bool is_token_char(char c) {
     return g_ascii_isalnum(c) || (c != '\0' && std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos);
   }
-  bool line(std::string_view& out) {
+  bool read_line(std::string_view& out) {
     std::size_t const end = text.find("\r\n", at);
     if (end == std::string_view::npos) return false;
     out = text.substr(at, end - at);
@@ -303,19 +303,19 @@
     while (!value.empty() && (value.back() == ' ' || value.back() == '\t')) value.remove_suffix(1);
     return value;
   }
-  bool fields(std::vector<std::pair<std::string, std::string>>& out) {
+  bool read_fields(std::vector<std::pair<std::string, std::string>>& out) {
     std::string_view row;
-    while (line(row)) {
+    while (read_line(row)) {
       if (row.empty()) return true;
       std::size_t const colon = row.find(':');
       if (colon == std::string_view::npos || colon == 0) return false;
       for (char const c : row.substr(0, colon))
-        if (!letter(c)) return false;
+        if (!is_token_char(c)) return false;
       out.emplace_back(std::string(row.substr(0, colon)), std::string(trimmed(row.substr(colon + 1))));
     }
     return false;
   }
-  static bool number(std::string_view word, std::uint64_t base, std::uint64_t& out) {
+  static bool parse_number(std::string_view word, std::uint64_t base, std::uint64_t& out) {
     if (word.empty() || word.size() > 15) return false;
     out = 0;
     for (char const c : word) {
@@ -325,16 +325,16 @@
     }
     return true;
   }
-  bool take(std::uint64_t size, std::string& out) {
+  bool read_bytes(std::uint64_t size, std::string& out) {
     if (text.size() - at < size) return false;
     out.append(text.substr(at, size));
     at += size;
     return true;
   }
-  bool one() {
+  bool parse_request() {
     std::string_view row;
     do {
-      if (!line(row)) return false;
+      if (!read_line(row)) return false;
     } while (row.empty());
     std::size_t const a = row.find(' ');
     std::size_t const b = row.rfind(' ');
@@ -343,19 +343,20 @@
     std::string_view const target = row.substr(a + 1, b - a - 1);
     std::string_view const version = row.substr(b + 1);
     for (char const c : method)
-      if (!letter(c)) return false;
+      if (!is_token_char(c)) return false;
     if (target.empty() || target.front() != '/' || target.find_first_of(" \t") != std::string_view::npos) return false;
     if (version.size() != 8 || version.substr(0, 7) != "HTTP/1." || !g_ascii_isdigit(version[7])) return false;
     Message out;
     out.line = std::string(method) + " " + std::string(target);
-    if (!fields(out.fields)) return false;
+    if (!read_fields(out.fields)) return false;
     int hosts = 0;
     int lengths = 0;
     int encodings = 0;
     std::uint64_t length = 0;
     for (std::pair<std::string, std::string> const& field : out.fields) {
       if (equals_ignoring_case(field.first, "Host")) ++hosts;
-      if (equals_ignoring_case(field.first, "Content-Length") && (++lengths > 1 || !number(field.second, 10, length)))
+      if (equals_ignoring_case(field.first, "Content-Length") &&
+          (++lengths > 1 || !parse_number(field.second, 10, length)))
         return false;
       if (equals_ignoring_case(field.first, "Transfer-Encoding") &&
           (++encodings > 1 || !equals_ignoring_case(field.second, "chunked")))
@@ -363,21 +364,21 @@
     }
     if (hosts != 1 || lengths + encodings > 1) return false;
     if (encodings == 0) {
-      if (!take(length, out.body)) return false;
+      if (!read_bytes(length, out.body)) return false;
     } else {
       for (std::uint64_t size = 1; size > 0;) {
-        if (!line(row)) return false;
+        if (!read_line(row)) return false;
         std::string_view const word = row.substr(0, row.find(';'));
         std::size_t const end = word.find_last_not_of(" \t");
-        if (end == std::string_view::npos || !number(word.substr(0, end + 1), 16, size)) return false;
+        if (end == std::string_view::npos || !parse_number(word.substr(0, end + 1), 16, size)) return false;
         if (size == 0) break;
         std::string crlf;
-        if (!take(size, out.body) || !take(2, crlf) || crlf != "\r\n") return false;
+        if (!read_bytes(size, out.body) || !read_bytes(2, crlf) || crlf != "\r\n") return false;
       }
       std::vector<std::pair<std::string, std::string>> trailers;
-      if (!fields(trailers)) return false;
+      if (!read_fields(trailers)) return false;
     }
-    whole.push_back(std::move(out));
+    messages.push_back(std::move(out));
     return true;
   }
 
@@ -386,7 +387,7 @@
 };
 
 // Every request that was read is one that the strict reader takes too, in the same order.
-bool fits(std::vector<Message> const& read, std::vector<Message> const& strict) {
+bool is_prefix_of(std::vector<Message> const& read, std::vector<Message> const& strict) {
   if (read.size() > strict.size()) return false;
   for (std::size_t i = 0; i < read.size(); ++i)
     if (read[i].line != strict[i].line || read[i].fields != strict[i].fields || read[i].body != strict[i].body)
@@ -394,7 +395,7 @@
   return true;
 }
 
-std::string mutated(RandomSource& random, std::vector<std::string> const& seeds) {
+std::string mutate(RandomSource& random, std::vector<std::string> const& seeds) {
   static char const* const words[] = {"\r\n",
                                       "\n",
                                       "\r",
@@ -448,61 +449,61 @@
   return out;
 }
 
-std::vector<std::string> seeds_of_mutation() {
+std::vector<std::string> mutation_seeds() {
   std::vector<std::string> out;
   // Good ones as often as bad ones.
-  for (int n = 0; n < 12; ++n) out.insert(out.end(), std::begin(good_requests), std::end(good_requests));
-  for (Bad const& row : bad_requests())
+  for (int n = 0; n < 12; ++n) out.insert(out.end(), std::begin(valid_requests), std::end(valid_requests));
+  for (MalformedRequest const& row : malformed_requests())
     if (row.text.size() < 400) out.push_back(row.text);
   return out;
 }
 }  // namespace
 
-TEST(Reading, refuses_what_another_reader_may_take_otherwise) {
-  for (Bad const& row : bad_requests()) {
+TEST(HttpParser, refuses_what_another_reader_may_take_otherwise) {
+  for (MalformedRequest const& row : malformed_requests()) {
     std::string_view const text = row.text;
     std::vector<std::vector<std::string_view>> ways = {{text}};
     for (std::size_t const at : {std::size_t(1), text.size() / 2, text.size() - 1})
       ways.push_back({text.substr(0, at), text.substr(at)});
     for (std::vector<std::string_view> const& pieces : ways) {
-      Reading const out = read_pieces(true, pieces, false, small_head, small_body);
-      EXPECT_TRUE(out.whole.empty()) << row.name << " was read as " << out.whole[0];
-      EXPECT_TRUE(out.error != HttpParser::Error::none || !out.between) << row.name;
-      if (!out.whole.empty()) break;
+      ParseResult const out = parse_pieces(true, pieces, false, small_max_head_bytes, small_max_body_bytes);
+      EXPECT_TRUE(out.messages.empty()) << row.name << " was read as " << out.messages[0];
+      EXPECT_TRUE(out.error != HttpParser::Error::none || !out.between_messages) << row.name;
+      if (!out.messages.empty()) break;
     }
   }
 }
 
-TEST(Reading, takes_nothing_that_a_strict_reader_would_not) {
-  std::vector<std::string> const seeds = seeds_of_mutation();
+TEST(HttpParser, takes_nothing_that_a_strict_reader_would_not) {
+  std::vector<std::string> const seeds = mutation_seeds();
   RandomSource random(20);
   std::size_t taken = 0;
   for (int n = 0; n < 30000; ++n) {
-    std::string const text = mutated(random, seeds);
-    std::vector<Message> const strict = Strict(text).whole;
+    std::string const text = mutate(random, seeds);
+    std::vector<Message> const strict = StrictRequestParser(text).messages;
     std::string_view const view = text;
     std::size_t const a = random.below(text.size() + 1);
     std::size_t const b = a + random.below(text.size() - a + 1);
-    Reading const out = read_pieces(true, {view.substr(0, a), view.substr(a, b - a), view.substr(b)});
-    taken += out.whole.size();
-    ASSERT_TRUE(fits(out.whole, strict)) << "round " << n << "\n"
-                                         << text << "\nread as " << out.whole[out.whole.size() - 1];
+    ParseResult const out = parse_pieces(true, {view.substr(0, a), view.substr(a, b - a), view.substr(b)});
+    taken += out.messages.size();
+    ASSERT_TRUE(is_prefix_of(out.messages, strict)) << "round " << n << "\n"
+                                                    << text << "\nread as " << out.messages[out.messages.size() - 1];
     // However it is split.
-    Reading const whole = read_whole(true, text);
-    ASSERT_EQ(whole.whole, out.whole) << "round " << n << "\n" << text;
+    ParseResult const whole = parse_text(true, text);
+    ASSERT_EQ(whole.messages, out.messages) << "round " << n << "\n" << text;
   }
   EXPECT_GT(taken, 3000u) << "mutations that are still good are read";
 }
 
-TEST(Reading, bounds_a_head_to_the_byte_however_it_comes) {
+TEST(HttpParser, bounds_a_head_to_the_byte_however_it_comes) {
   std::string const front = "GET / HTTP/1.1\r\n" + host + "X-A: ";
   for (std::size_t const over : {std::size_t(0), std::size_t(1), std::size_t(200)}) {
     std::size_t const most = 1000;
     std::string const text = front + std::string(most + over - front.size() - 4, 'a') + "\r\n\r\n";
     for (std::size_t const at : {std::size_t(0), std::size_t(1), std::size_t(500), most - 1, most, most + over - 1}) {
       std::string_view const view = text;
-      Reading const out = read_pieces(true, {view.substr(0, at), view.substr(at)}, false, most, 100);
-      EXPECT_EQ(out.whole.size(), over == 0 ? 1u : 0u) << over << " over, split at " << at;
+      ParseResult const out = parse_pieces(true, {view.substr(0, at), view.substr(at)}, false, most, 100);
+      EXPECT_EQ(out.messages.size(), over == 0 ? 1u : 0u) << over << " over, split at " << at;
       EXPECT_EQ(out.error, over == 0 ? HttpParser::Error::none : HttpParser::Error::head_too_large)
           << over << " at " << at;
     }
@@ -510,28 +511,28 @@
 }
 
 // The operator's limit alone bounds a head, not one of the grammar's own.
-TEST(Reading, takes_a_head_as_large_as_its_limit) {
+TEST(HttpParser, takes_a_head_as_large_as_its_limit) {
   std::string const text = "GET / HTTP/1.1\r\n" + host + "X-A: " + std::string(300000, 'a') + "\r\n\r\n";
   for (std::size_t const at : {std::size_t(0), std::size_t(90000), std::size_t(299999)}) {
     std::string_view const view = text;
-    Reading const out = read_pieces(true, {view.substr(0, at), view.substr(at)}, false, text.size(), 100);
-    EXPECT_EQ(out.whole.size(), 1u) << "split at " << at;
+    ParseResult const out = parse_pieces(true, {view.substr(0, at), view.substr(at)}, false, text.size(), 100);
+    EXPECT_EQ(out.messages.size(), 1u) << "split at " << at;
     EXPECT_EQ(out.error, HttpParser::Error::none) << "split at " << at;
   }
 }
 
-TEST(Reading, bounds_trailers_as_it_bounds_heads) {
+TEST(HttpParser, bounds_trailers_as_it_bounds_heads) {
   std::string const front = "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n";
   for (bool const over : {false, true}) {
     std::string text = front;
     for (int n = 0; n < (over ? 11 : 9); ++n) text += "X-T: " + std::string(97, 't') + "\r\n";
-    Reading const out = read_pieces(true, {text + "\r\n"}, false, 1000, 100);
-    EXPECT_EQ(out.whole.size(), over ? 0u : 1u);
+    ParseResult const out = parse_pieces(true, {text + "\r\n"}, false, 1000, 100);
+    EXPECT_EQ(out.messages.size(), over ? 0u : 1u);
     EXPECT_EQ(out.error, over ? HttpParser::Error::head_too_large : HttpParser::Error::none);
   }
 }
 
-TEST(Reading, answers_mutated_in_any_way_do_no_harm) {
+TEST(HttpParser, answers_mutated_in_any_way_do_no_harm) {
   std::vector<std::string> const seeds = {
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
@@ -540,29 +541,30 @@
   };
   RandomSource random(21);
   for (int n = 0; n < 10000; ++n) {
-    std::string const text = mutated(random, seeds);
+    std::string const text = mutate(random, seeds);
     std::size_t const at = random.below(text.size() + 1);
-    Reading const split = read_pieces(false, {std::string_view(text).substr(0, at), std::string_view(text).substr(at)});
-    ASSERT_EQ(split.whole, read_whole(false, text).whole) << n << "\n" << text;
+    ParseResult const split =
+        parse_pieces(false, {std::string_view(text).substr(0, at), std::string_view(text).substr(at)});
+    ASSERT_EQ(split.messages, parse_text(false, text).messages) << n << "\n" << text;
   }
 }
 
-TEST(Reading, a_status_has_three_digits_and_is_one_that_there_is) {
+TEST(HttpParser, a_status_has_three_digits_and_is_one_that_there_is) {
   for (char const* const status : {"2", "20", "0200", "2000", "000", "099", "600", "999", "+20", "2 0"}) {
     std::string const text = "HTTP/1.1 " + std::string(status) + " OK\r\nContent-Length: 2\r\n\r\nok";
-    Reading const out = read_whole(false, text);
-    EXPECT_TRUE(out.whole.empty()) << status << " was read as " << out.whole[0];
+    ParseResult const out = parse_text(false, text);
+    EXPECT_TRUE(out.messages.empty()) << status << " was read as " << out.messages[0];
     EXPECT_EQ(out.error, HttpParser::Error::malformed) << status;
   }
   for (char const* const status : {"100", "200", "599"})
     EXPECT_FALSE(
-        read_whole(false, "HTTP/1.1 " + std::string(status) + " OK\r\nContent-Length: 0\r\n\r\n").whole.empty())
+        parse_text(false, "HTTP/1.1 " + std::string(status) + " OK\r\nContent-Length: 0\r\n\r\n").messages.empty())
         << status;
-  EXPECT_FALSE(read_whole(false, "HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n").whole.empty() &&
-               read_whole(false, "HTTP/1.1 200 \r\nContent-Length: 0\r\n\r\n").whole.empty());
+  EXPECT_FALSE(parse_text(false, "HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n").messages.empty() &&
+               parse_text(false, "HTTP/1.1 200 \r\nContent-Length: 0\r\n\r\n").messages.empty());
 }
 
-TEST(Heads, lose_what_concerns_one_connection_only) {
+TEST(HeadFields, lose_what_concerns_one_connection_only) {
   Head head;
   head.fields = {{"Connection", "X-One , close"},
                  {"x-one", "1"},
@@ -580,15 +582,15 @@
 }
 
 namespace {
-class Serving : public testing::Test {
+class HttpServerTest : public testing::Test {
  protected:
-  Serving()
-      : server({[this](Server::Request&& call) { calls.push_back(std::move(call)); },
-                [this](std::uint64_t id) { gone.push_back(id); }}) {
+  HttpServerTest()
+      : server({[this](Server::Request&& request) { requests.push_back(std::move(request)); },
+                [this](std::uint64_t id) { disconnected.push_back(id); }}) {
     address = open_door([this](std::string const& at) { return server.listen(at); });
     Server::Limits limits;
-    limits.max_head_bytes = small_head;
-    limits.max_body_bytes = small_body;
+    limits.max_head_bytes = small_max_head_bytes;
+    limits.max_body_bytes = small_max_body_bytes;
     server.set_limits(limits);
   }
   static Head status(unsigned code) {
@@ -596,129 +598,129 @@
     out.status = code;
     return out;
   }
-  // Answers all that came and is not answered yet.
-  void answer_all(std::string const& body) {
-    while (answered < calls.size()) server.respond(calls[answered++].id, status(200), body);
+  // Answers all that came and is not responded yet.
+  void respond_to_all(std::string const& body) {
+    while (responded < requests.size()) server.respond(requests[responded++].id, status(200), body);
   }
-  Micros far_off() { return g_get_monotonic_time() + seconds(3600); }
+  Micros far_future() { return g_get_monotonic_time() + seconds(3600); }
 
-  std::vector<Server::Request> calls;
-  std::vector<std::uint64_t> gone;
-  std::size_t answered = 0;
+  std::vector<Server::Request> requests;
+  std::vector<std::uint64_t> disconnected;
+  std::size_t responded = 0;
   std::string address;
   Server server;
 };
 }  // namespace
 
-TEST_F(Serving, takes_calls_one_after_the_other_and_keeps_the_connection) {
+TEST_F(HttpServerTest, takes_calls_one_after_the_other_and_keeps_the_connection) {
   LoopbackStream connection(address);
   for (std::size_t n = 0; n < 3; ++n) {
     connection.send("POST /" + std::to_string(n) + " HTTP/1.1\r\n" + host + "Content-Length: 5\r\n\r\nhello");
-    ASSERT_TRUE(until([&] { return calls.size() == n + 1; }));
-    EXPECT_EQ(calls[n].body, "hello");
-    EXPECT_EQ(calls[n].head.target, "/" + std::to_string(n));
-    answer_all("yes");
+    ASSERT_TRUE(until([&] { return requests.size() == n + 1; }));
+    EXPECT_EQ(requests[n].body, "hello");
+    EXPECT_EQ(requests[n].head.target, "/" + std::to_string(n));
+    respond_to_all("yes");
     ASSERT_TRUE(until([&] { return count_of(connection.got, "yes") == n + 1; }));
   }
   EXPECT_FALSE(connection.shut);
   EXPECT_EQ(server.connections(), 1u);
-  EXPECT_EQ(read_whole(false, connection.got).whole.size(), 3u);
+  EXPECT_EQ(parse_text(false, connection.got).messages.size(), 3u);
 }
 
-TEST_F(Serving, gives_calls_on_whole_wherever_they_are_split) {
-  std::string const text = good_requests[2];
+TEST_F(HttpServerTest, gives_calls_on_whole_wherever_they_are_split) {
+  std::string const text = valid_requests[2];
   for (std::size_t at = 1; at < text.size(); ++at) {
     LoopbackStream connection(address);
     connection.send(std::string_view(text).substr(0, at));
     settle();
     connection.send(std::string_view(text).substr(at));
-    ASSERT_TRUE(until([&] { return calls.size() == at; })) << at;
-    EXPECT_EQ(calls.back().body, "hello0123456789");
-    answer_all("yes");
+    ASSERT_TRUE(until([&] { return requests.size() == at; })) << at;
+    EXPECT_EQ(requests.back().body, "hello0123456789");
+    respond_to_all("yes");
     ASSERT_TRUE(until([&] { return count_of(connection.got, "yes") == 1; }));
   }
 }
 
-TEST_F(Serving, answers_pipelined_calls_in_their_order) {
+TEST_F(HttpServerTest, answers_pipelined_calls_in_their_order) {
   LoopbackStream connection(address);
   std::string all;
   for (int n = 0; n < 20; ++n)
     all += "POST /" + std::to_string(n) + " HTTP/1.1\r\n" + host + "Content-Length: 1\r\n\r\nx";
   connection.send(all);
   for (std::size_t n = 0; n < 20; ++n) {
-    ASSERT_TRUE(until([&] { return calls.size() == n + 1; }));
+    ASSERT_TRUE(until([&] { return requests.size() == n + 1; }));
     settle();
-    ASSERT_EQ(calls.size(), n + 1) << "the next only after the answer";
-    EXPECT_EQ(calls[n].head.target, "/" + std::to_string(n));
-    answer_all("answer " + std::to_string(n) + ".");
+    ASSERT_EQ(requests.size(), n + 1) << "the next only after the answer";
+    EXPECT_EQ(requests[n].head.target, "/" + std::to_string(n));
+    respond_to_all("answer " + std::to_string(n) + ".");
   }
   ASSERT_TRUE(until([&] { return count_of(connection.got, "answer") == 20; }));
-  std::vector<Message> const answers = read_whole(false, connection.got).whole;
+  std::vector<Message> const answers = parse_text(false, connection.got).messages;
   ASSERT_EQ(answers.size(), 20u);
   for (std::size_t n = 0; n < 20; ++n) EXPECT_EQ(answers[n].body, "answer " + std::to_string(n) + ".");
 }
 
-TEST_F(Serving, sends_heads_without_bodies_to_HEAD) {
+TEST_F(HttpServerTest, sends_heads_without_bodies_to_HEAD) {
   LoopbackStream connection(address);
   connection.send("HEAD /h HTTP/1.1\r\n" + host + "\r\n");
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
-  answer_all("twelve bytes");
+  ASSERT_TRUE(until([&] { return requests.size() == 1; }));
+  respond_to_all("twelve bytes");
   connection.send("HEAD /i HTTP/1.1\r\n" + host + "\r\n");
-  ASSERT_TRUE(until([&] { return calls.size() == 2; }));
-  server.begin_response(calls[1].id, status(200), -1);
-  server.write_body(calls[1].id, "pieces");
-  server.end_response(calls[1].id);
+  ASSERT_TRUE(until([&] { return requests.size() == 2; }));
+  server.begin_response(requests[1].id, status(200), -1);
+  server.write_body(requests[1].id, "pieces");
+  server.end_response(requests[1].id);
   ASSERT_TRUE(
       until([&] { return count_of(connection.got, "HTTP/1.1 200") == 2 && connection.got.ends_with("\r\n\r\n"); }));
   EXPECT_NE(connection.got.find("Content-Length: 12"), std::string::npos);
   EXPECT_EQ(connection.got.find("twelve"), std::string::npos);
   EXPECT_EQ(connection.got.find("pieces"), std::string::npos);
-  EXPECT_EQ(read_pieces(false, {connection.got}, true).whole.size(), 2u);
+  EXPECT_EQ(parse_pieces(false, {connection.got}, true).messages.size(), 2u);
 }
 
-TEST_F(Serving, closes_when_the_caller_asks_for_it) {
+TEST_F(HttpServerTest, closes_when_the_caller_asks_for_it) {
   for (std::string const& text :
        {"GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n", "GET / HTTP/1.0\r\n" + host + "\r\n"}) {
     LoopbackStream connection(address);
     connection.send(text);
-    ASSERT_TRUE(until([&] { return calls.size() > answered; }));
-    answer_all("yes");
+    ASSERT_TRUE(until([&] { return requests.size() > responded; }));
+    respond_to_all("yes");
     ASSERT_TRUE(until([&] { return connection.shut; }));
-    EXPECT_EQ(read_whole(false, connection.got).whole.size(), 1u);
+    EXPECT_EQ(parse_text(false, connection.got).messages.size(), 1u);
     EXPECT_NE(connection.got.find("Connection: close"), std::string::npos);
   }
   EXPECT_EQ(server.connections(), 0u);
 }
 
-TEST_F(Serving, a_large_last_answer_arrives_whole) {
+TEST_F(HttpServerTest, a_large_last_answer_arrives_whole) {
   for (bool const pieces : {false, true}) {
     LoopbackStream connection(address);
     connection.link->pause_reading(true);
     connection.send("GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n");
-    ASSERT_TRUE(until([&] { return calls.size() > answered; }));
+    ASSERT_TRUE(until([&] { return requests.size() > responded; }));
     std::string const body(32u << 20, 'z');
     if (pieces) {
-      server.begin_response(calls[answered].id, status(200), -1);
-      server.write_body(calls[answered].id, body);
-      server.end_response(calls[answered++].id);
+      server.begin_response(requests[responded].id, status(200), -1);
+      server.write_body(requests[responded].id, body);
+      server.end_response(requests[responded++].id);
     } else {
-      answer_all(body);
+      respond_to_all(body);
     }
     settle();
     connection.link->pause_reading(false);
     ASSERT_TRUE(until([&] { return connection.shut; }));
-    std::vector<Message> const answers = read_pieces(false, {connection.got}, false, 65536, 64u << 20).whole;
+    std::vector<Message> const answers = parse_pieces(false, {connection.got}, false, 65536, 64u << 20).messages;
     ASSERT_EQ(answers.size(), 1u) << connection.got.size() << " bytes came";
     EXPECT_EQ(answers[0].body.size(), body.size());
   }
 }
 
-TEST_F(Serving, counts_connections_whose_last_answer_is_still_on_its_way) {
+TEST_F(HttpServerTest, counts_connections_whose_last_answer_is_still_on_its_way) {
   LoopbackStream connection(address);
   connection.link->pause_reading(true);
   connection.send("GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n");
-  ASSERT_TRUE(until([&] { return calls.size() > answered; }));
-  answer_all(std::string(32u << 20, 'z'));
+  ASSERT_TRUE(until([&] { return requests.size() > responded; }));
+  respond_to_all(std::string(32u << 20, 'z'));
   settle();
   EXPECT_EQ(server.active_requests(), 0u);
   EXPECT_EQ(server.connections(), 1u) << "a process that ends now would cut the answer";
@@ -727,127 +729,127 @@
   EXPECT_EQ(server.connections(), 0u);
 }
 
-TEST_F(Serving, pieces_go_as_they_come_and_end_with_the_answer) {
+TEST_F(HttpServerTest, pieces_go_as_they_come_and_end_with_the_answer) {
   LoopbackStream connection(address);
   connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
-  server.begin_response(calls[0].id, status(200), -1);
+  ASSERT_TRUE(until([&] { return requests.size() == 1; }));
+  server.begin_response(requests[0].id, status(200), -1);
   for (char const* const part : {"one", "two", "three"}) {
-    server.write_body(calls[0].id, part);
+    server.write_body(requests[0].id, part);
     ASSERT_TRUE(until([&] { return connection.got.find(part) != std::string::npos; }));
-    EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
+    EXPECT_TRUE(parse_text(false, connection.got).messages.empty());
   }
-  server.end_response(calls[0].id);
-  ASSERT_TRUE(until([&] { return read_whole(false, connection.got).whole.size() == 1; }));
-  EXPECT_EQ(read_whole(false, connection.got).whole[0].body, "onetwothree");
+  server.end_response(requests[0].id);
+  ASSERT_TRUE(until([&] { return parse_text(false, connection.got).messages.size() == 1; }));
+  EXPECT_EQ(parse_text(false, connection.got).messages[0].body, "onetwothree");
   EXPECT_FALSE(connection.shut);
 }
 
-TEST_F(Serving, what_breaks_off_does_not_look_whole) {
+TEST_F(HttpServerTest, what_breaks_off_does_not_look_whole) {
   for (std::int64_t const length : {std::int64_t(-1), std::int64_t(100)}) {
     LoopbackStream connection(address);
     connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
-    ASSERT_TRUE(until([&] { return calls.size() > answered; }));
-    std::uint64_t const id = calls[answered++].id;
+    ASSERT_TRUE(until([&] { return requests.size() > responded; }));
+    std::uint64_t const id = requests[responded++].id;
     server.begin_response(id, status(200), length);
     server.write_body(id, "part");
     server.abort_response(id);
     ASSERT_TRUE(until([&] { return connection.shut; }));
     EXPECT_NE(connection.got.find("part"), std::string::npos);
-    EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
+    EXPECT_TRUE(parse_text(false, connection.got).messages.empty());
   }
 }
 
-TEST_F(Serving, an_answer_that_falls_short_of_its_length_does_not_look_whole) {
+TEST_F(HttpServerTest, an_answer_that_falls_short_of_its_length_does_not_look_whole) {
   LoopbackStream connection(address);
   connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
-  server.begin_response(calls[0].id, status(200), 100);
-  server.write_body(calls[0].id, "part");
-  server.end_response(calls[0].id);
+  ASSERT_TRUE(until([&] { return requests.size() == 1; }));
+  server.begin_response(requests[0].id, status(200), 100);
+  server.write_body(requests[0].id, "part");
+  server.end_response(requests[0].id);
   ASSERT_TRUE(until([&] { return connection.shut; }));
-  EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
+  EXPECT_TRUE(parse_text(false, connection.got).messages.empty());
 }
 
-TEST_F(Serving, answers_that_have_no_body_end_with_their_head) {
+TEST_F(HttpServerTest, answers_that_have_no_body_end_with_their_head) {
   LoopbackStream connection(address);
   std::size_t n = 0;
   for (unsigned const code : {204u, 304u})
     for (std::int64_t const length : {std::int64_t(-1), std::int64_t(0), std::int64_t(9)}) {
       connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
-      ASSERT_TRUE(until([&] { return calls.size() == n + 1; }));
-      server.begin_response(calls[n].id, status(code), length);
-      server.end_response(calls[n].id);
+      ASSERT_TRUE(until([&] { return requests.size() == n + 1; }));
+      server.begin_response(requests[n].id, status(code), length);
+      server.end_response(requests[n].id);
       ++n;
       ASSERT_TRUE(
           until([&] { return count_of(connection.got, "HTTP/1.1 ") == n && connection.got.ends_with("\r\n\r\n"); }));
       settle();
-      Reading const answers = read_whole(false, connection.got);
+      ParseResult const answers = parse_text(false, connection.got);
       EXPECT_EQ(answers.error, HttpParser::Error::none) << code << " " << length;
-      EXPECT_EQ(answers.whole.size(), n) << code << " " << length;
+      EXPECT_EQ(answers.messages.size(), n) << code << " " << length;
       EXPECT_FALSE(connection.shut);
     }
   EXPECT_EQ(connection.got.find("Transfer-Encoding"), std::string::npos);
 }
 
-TEST_F(Serving, says_once_when_a_caller_leaves) {
+TEST_F(HttpServerTest, says_once_when_a_caller_leaves) {
   {
     LoopbackStream connection(address);
     connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
-    ASSERT_TRUE(until([&] { return calls.size() == 1; }));
+    ASSERT_TRUE(until([&] { return requests.size() == 1; }));
   }
-  ASSERT_TRUE(until([&] { return gone.size() == 1; }));
-  EXPECT_EQ(gone[0], calls[0].id);
+  ASSERT_TRUE(until([&] { return disconnected.size() == 1; }));
+  EXPECT_EQ(disconnected[0], requests[0].id);
   // What is done for it afterwards goes nowhere.
-  server.begin_response(calls[0].id, status(200), -1);
-  server.write_body(calls[0].id, "x");
-  server.end_response(calls[0].id);
-  server.respond(calls[0].id, status(200), "x");
-  server.abort_response(calls[0].id);
+  server.begin_response(requests[0].id, status(200), -1);
+  server.write_body(requests[0].id, "x");
+  server.end_response(requests[0].id);
+  server.respond(requests[0].id, status(200), "x");
+  server.abort_response(requests[0].id);
   EXPECT_EQ(server.connections(), 0u);
   EXPECT_EQ(server.active_requests(), 0u);
 }
 
-TEST_F(Serving, refuses_or_closes_and_never_gives_on_what_is_malformed) {
-  for (Bad const& row : bad_requests()) {
+TEST_F(HttpServerTest, refuses_or_closes_and_never_gives_on_what_is_malformed) {
+  for (MalformedRequest const& row : malformed_requests()) {
     LoopbackStream connection(address);
     connection.send(row.text);
     settle();
     // What is only incomplete is slow, in the end.
-    server.close_expired(far_off());
+    server.close_expired(far_future());
     ASSERT_TRUE(until([&] { return connection.shut; })) << row.name;
-    EXPECT_TRUE(calls.empty()) << row.name << " was given on";
+    EXPECT_TRUE(requests.empty()) << row.name << " was given on";
     if (!connection.got.empty()) {
       EXPECT_EQ(connection.got.substr(0, 10), "HTTP/1.1 4") << row.name << ": " << connection.got;
     }
     EXPECT_EQ(server.connections(), 0u) << row.name;
-    calls.clear();
+    requests.clear();
   }
 }
 
-TEST_F(Serving, malformed_bytes_after_a_good_call_do_not_touch_it) {
-  for (Bad const& row : bad_requests()) {
+TEST_F(HttpServerTest, malformed_bytes_after_a_good_call_do_not_touch_it) {
+  for (MalformedRequest const& row : malformed_requests()) {
     if (row.text.size() > 4000) continue;
     LoopbackStream connection(address);
-    connection.send(good_requests[1] + row.text);
-    ASSERT_TRUE(until([&] { return calls.size() == 1; })) << row.name;
-    EXPECT_EQ(calls[0].body, "hello");
-    server.respond(calls[0].id, status(200), "yes");
+    connection.send(valid_requests[1] + row.text);
+    ASSERT_TRUE(until([&] { return requests.size() == 1; })) << row.name;
+    EXPECT_EQ(requests[0].body, "hello");
+    server.respond(requests[0].id, status(200), "yes");
     settle();
-    server.close_expired(far_off());
+    server.close_expired(far_future());
     ASSERT_TRUE(until([&] { return connection.shut; })) << row.name;
-    EXPECT_EQ(calls.size(), 1u) << row.name;
+    EXPECT_EQ(requests.size(), 1u) << row.name;
     EXPECT_EQ(connection.got.substr(0, 12), "HTTP/1.1 200") << row.name;
-    calls.clear();
+    requests.clear();
   }
 }
 
-TEST_F(Serving, mutated_calls_are_given_on_only_if_a_strict_reader_takes_them) {
-  std::vector<std::string> const seeds = seeds_of_mutation();
+TEST_F(HttpServerTest, mutated_calls_are_given_on_only_if_a_strict_reader_takes_them) {
+  std::vector<std::string> const seeds = mutation_seeds();
   RandomSource random(22);
   for (int n = 0; n < 2500; ++n) {
-    std::string const text = mutated(random, seeds);
-    std::vector<Message> const strict = Strict(text).whole;
+    std::string const text = mutate(random, seeds);
+    std::vector<Message> const strict = StrictRequestParser(text).messages;
     LoopbackStream connection(address);
     std::size_t const at = random.below(text.size() + 1);
     connection.send(std::string_view(text).substr(0, at));
@@ -856,20 +858,20 @@
     std::size_t done = 0;
     for (int turns = 0; turns < 10; ++turns) {
       settle();
-      while (done < calls.size()) server.respond(calls[done++].id, status(200), "yes");
+      while (done < requests.size()) server.respond(requests[done++].id, status(200), "yes");
     }
-    server.close_expired(far_off());
+    server.close_expired(far_future());
     ASSERT_TRUE(until([&] { return connection.shut; })) << n << "\n" << text;
     std::vector<Message> read;
-    for (Server::Request const& call : calls)
-      read.push_back({call.head.method + " " + call.head.target, call.head.fields, call.body});
-    ASSERT_TRUE(fits(read, strict)) << "round " << n << "\n" << text;
+    for (Server::Request const& request : requests)
+      read.push_back({request.head.method + " " + request.head.target, request.head.fields, request.body});
+    ASSERT_TRUE(is_prefix_of(read, strict)) << "round " << n << "\n" << text;
     ASSERT_EQ(server.connections(), 0u);
-    calls.clear();
+    requests.clear();
   }
 }
 
-TEST_F(Serving, slow_callers_are_told_so_and_idle_ones_are_closed) {
+TEST_F(HttpServerTest, slow_callers_are_told_so_and_idle_ones_are_closed) {
   Server::Limits limits;
   limits.head_timeout = seconds(5);
   limits.body_timeout = seconds(9);
@@ -881,8 +883,8 @@
   LoopbackStream busy(address);
   heading.send("GET / HT");
   sending.send("POST / HTTP/1.1\r\n" + host + "Content-Length: 5\r\n\r\nhel");
-  busy.send(good_requests[0]);
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
+  busy.send(valid_requests[0]);
+  ASSERT_TRUE(until([&] { return requests.size() == 1; }));
   settle();
   Micros const now = g_get_monotonic_time();
   server.close_expired(now);
@@ -900,17 +902,17 @@
   ASSERT_TRUE(until([&] { return idle.shut; }));
   EXPECT_EQ(idle.got, "");
   settle();
-  EXPECT_FALSE(busy.shut) << "a call that is being answered may take its time";
-  answer_all("yes");
+  EXPECT_FALSE(busy.shut) << "a call that is being responded may take its time";
+  respond_to_all("yes");
   ASSERT_TRUE(until([&] { return !busy.got.empty(); }));
-  EXPECT_EQ(calls.size(), 1u);
+  EXPECT_EQ(requests.size(), 1u);
 }
 
-TEST_F(Serving, a_shorter_idle_limit_holds_for_rests_that_begin_under_it) {
+TEST_F(HttpServerTest, a_shorter_idle_limit_holds_for_rests_that_begin_under_it) {
   LoopbackStream connection(address);
   connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
-  ASSERT_TRUE(until([&] { return calls.size() > answered; }));
-  answer_all("ok");
+  ASSERT_TRUE(until([&] { return requests.size() > responded; }));
+  respond_to_all("ok");
   settle();
   // Its caller may still take it up after four fifths of the limit that it knows.
   Server::Limits shorter;
@@ -927,16 +929,16 @@
   ASSERT_TRUE(until([&] { return other.shut; }));
 }
 
-TEST_F(Serving, at_the_end_idle_connections_close_and_answers_are_the_last) {
+TEST_F(HttpServerTest, at_the_end_idle_connections_close_and_answers_are_the_last) {
   LoopbackStream idle(address);
   LoopbackStream busy(address);
-  busy.send(good_requests[0]);
-  ASSERT_TRUE(until([&] { return calls.size() == 1 && server.connections() == 2; }));
+  busy.send(valid_requests[0]);
+  ASSERT_TRUE(until([&] { return requests.size() == 1 && server.connections() == 2; }));
   server.close_after_responses();
   server.stop_listening();
   server.close_idle_connections();
   ASSERT_TRUE(until([&] { return idle.shut; }));
-  answer_all("yes");
+  respond_to_all("yes");
   ASSERT_TRUE(until([&] { return busy.shut; }));
   EXPECT_NE(busy.got.find("Connection: close"), std::string::npos);
   EXPECT_NE(busy.got.find("yes"), std::string::npos);
@@ -945,11 +947,11 @@
   EXPECT_EQ(late.how, TcpConnection::CloseReason::connect_failed);
 }
 
-TEST_F(Serving, an_answer_that_began_before_the_end_takes_its_connection_along) {
+TEST_F(HttpServerTest, an_answer_that_began_before_the_end_takes_its_connection_along) {
   LoopbackStream connection(address);
-  connection.send(good_requests[0]);
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
-  std::uint64_t const id = calls[0].id;
+  connection.send(valid_requests[0]);
+  ASSERT_TRUE(until([&] { return requests.size() == 1; }));
+  std::uint64_t const id = requests[0].id;
   Head head;
   head.status = 200;
   server.begin_response(id, head, -1);
@@ -961,27 +963,27 @@
   server.stop_listening();
   server.close_idle_connections();
   server.end_response(id);
-  connection.send(good_requests[0]);
-  ASSERT_TRUE(until([&] { return connection.shut || calls.size() > 1; }));
-  EXPECT_EQ(calls.size(), 1u) << "a request taken after the doors were shut may not end inside the grace";
+  connection.send(valid_requests[0]);
+  ASSERT_TRUE(until([&] { return connection.shut || requests.size() > 1; }));
+  EXPECT_EQ(requests.size(), 1u) << "a request taken after the doors were shut may not end inside the grace";
   EXPECT_NE(connection.got.find("0\r\n\r\n"), std::string::npos);
 }
 
-TEST_F(Serving, a_caller_that_sends_ahead_without_end_is_held) {
+TEST_F(HttpServerTest, a_caller_that_sends_ahead_without_end_is_held) {
   LoopbackStream connection(address);
-  connection.send(good_requests[0]);
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
+  connection.send(valid_requests[0]);
+  ASSERT_TRUE(until([&] { return requests.size() == 1; }));
   connection.send(std::string(64u << 20, 'x'));
   settle();
   EXPECT_GT(connection.link->buffered_bytes(), 16u << 20) << "it is not all read into memory";
-  answer_all("yes");
+  respond_to_all("yes");
   ASSERT_TRUE(until([&] { return connection.shut; }));
-  EXPECT_EQ(calls.size(), 1u);
+  EXPECT_EQ(requests.size(), 1u);
 }
 
 // A socket pair that keeps messages apart refuses a large one and takes the next: as a system does that is short of
 // memory for a moment.
-TEST(Links, what_could_not_be_written_is_not_left_out) {
+TEST(TcpConnection, what_could_not_be_written_is_not_left_out) {
   int ends[2];
   ASSERT_EQ(::socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, ends), 0);
   std::shared_ptr<TcpConnection> const link = TcpConnection::adopt(ends[0]);
@@ -1001,14 +1003,14 @@
 
 namespace {
 // A worker made of sockets, and what is heard of the connections to it.
-class Workerly : public testing::Test {
+class UpstreamPoolTest : public testing::Test {
  protected:
-  struct End {
+  struct FailedRequest {
     std::uint64_t id;
-    UpstreamPool::Failure how;
+    UpstreamPool::Failure failure;
   };
-  Workerly()
-      : upstream({[this](std::uint64_t id) { left.push_back(id); },
+  UpstreamPoolTest()
+      : upstream({[this](std::uint64_t id) { sent.push_back(id); },
                   [this](std::uint64_t id, Head const& head, bool) {
                     heads.push_back(head);
                     bool const mine = head.find("X-Id") == nullptr || head.get("X-Id") == std::to_string(id);
@@ -1016,13 +1018,13 @@
                                                       : UpstreamPool::ResponseOwner::other_request;
                   },
                   [this](std::uint64_t id, std::string_view bytes) { bodies[id].append(bytes); },
-                  [this](std::uint64_t id) { done.push_back(id); },
+                  [this](std::uint64_t id) { completed.push_back(id); },
                   [this](std::uint64_t id, UpstreamPool::Failure how, std::string const&) {
-                    ends.push_back({id, how});
+                    failed.push_back({id, how});
                   }},
                  "") {
     address = open_door([this](std::string const& at) {
-      return door.open(at, [this](std::shared_ptr<TcpConnection> link) {
+      return listener.open(at, [this](std::shared_ptr<TcpConnection> link) {
         connections.push_back(std::make_unique<LoopbackStream>(std::move(link)));
       });
     });
@@ -1048,41 +1050,41 @@
     if (found == nullptr) throw std::runtime_error("the request did not arrive");
     return *found;
   }
-  bool over() {
-    return until([this] { return done.size() + ends.size() > 0; });
+  bool request_ended() {
+    return until([this] { return completed.size() + failed.size() > 0; });
   }
   void clear_events() {
-    left.clear();
+    sent.clear();
     heads.clear();
     bodies.clear();
-    done.clear();
-    ends.clear();
+    completed.clear();
+    failed.clear();
   }
 
-  std::vector<std::uint64_t> left;
+  std::vector<std::uint64_t> sent;
   std::vector<Head> heads;
   std::map<std::uint64_t, std::string> bodies;
-  std::vector<std::uint64_t> done;
-  std::vector<End> ends;
+  std::vector<std::uint64_t> completed;
+  std::vector<FailedRequest> failed;
   std::vector<std::unique_ptr<LoopbackStream>> connections;
   std::string address;
-  Listener door;
+  Listener listener;
   UpstreamPool upstream;
 };
 std::string const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 }  // namespace
 
-TEST_F(Workerly, answers_arrive_wherever_they_are_split_and_the_connection_is_kept) {
+TEST_F(UpstreamPoolTest, answers_arrive_wherever_they_are_split_and_the_connection_is_kept) {
   std::string const text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
   for (std::size_t at = 1; at < text.size(); ++at) {
     LoopbackStream& connection = start_request(at);
-    EXPECT_EQ(left, std::vector<std::uint64_t>{at});
+    EXPECT_EQ(sent, std::vector<std::uint64_t>{at});
     connection.send(std::string_view(text).substr(0, at));
     settle();
-    EXPECT_TRUE(done.empty());
+    EXPECT_TRUE(completed.empty());
     connection.send(std::string_view(text).substr(at));
-    ASSERT_TRUE(over());
-    EXPECT_EQ(done, std::vector<std::uint64_t>{at});
+    ASSERT_TRUE(request_ended());
+    EXPECT_EQ(completed, std::vector<std::uint64_t>{at});
     EXPECT_EQ(bodies[at], "abcde");
     clear_events();
   }
@@ -1091,44 +1093,44 @@
   EXPECT_EQ(upstream.idle_connections("w"), 1u);
 }
 
-TEST_F(Workerly, an_answer_to_HEAD_has_no_body) {
+TEST_F(UpstreamPoolTest, an_answer_to_HEAD_has_no_body) {
   LoopbackStream& connection = start_request(1, "HEAD");
   connection.send("HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n");
   settle();
-  ASSERT_EQ(done.size(), 1u);
+  ASSERT_EQ(completed.size(), 1u);
   EXPECT_EQ(upstream.idle_connections("w"), 1u);
   start_request(2).send(ok);
   clear_events();
-  ASSERT_TRUE(over());
-  EXPECT_EQ(done, std::vector<std::uint64_t>{2});
+  ASSERT_TRUE(request_ended());
+  EXPECT_EQ(completed, std::vector<std::uint64_t>{2});
   EXPECT_EQ(bodies[2], "ok");
 }
 
-TEST_F(Workerly, surplus_bytes_end_the_connection_not_the_answer) {
+TEST_F(UpstreamPoolTest, surplus_bytes_end_the_connection_not_the_answer) {
   start_request(1).send(ok + "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
-  ASSERT_TRUE(over());
-  EXPECT_EQ(done, std::vector<std::uint64_t>{1});
+  ASSERT_TRUE(request_ended());
+  EXPECT_EQ(completed, std::vector<std::uint64_t>{1});
   EXPECT_EQ(bodies[1], "ok");
   EXPECT_EQ(upstream.idle_connections("w"), 0u);
   EXPECT_EQ(upstream.connections(), 0u);
 }
 
-TEST_F(Workerly, bytes_that_come_on_a_kept_connection_end_it) {
+TEST_F(UpstreamPoolTest, bytes_that_come_on_a_kept_connection_end_it) {
   LoopbackStream& connection = start_request(1);
   connection.send(ok);
-  ASSERT_TRUE(over());
+  ASSERT_TRUE(request_ended());
   EXPECT_EQ(upstream.idle_connections("w"), 1u);
   connection.send("HTTP/1.1 200 OK\r\n");
   ASSERT_TRUE(until([&] { return connection.shut; }));
   EXPECT_EQ(upstream.idle_connections("w"), 0u);
   clear_events();
   start_request(2).send(ok);
-  ASSERT_TRUE(over());
-  EXPECT_EQ(done, std::vector<std::uint64_t>{2});
+  ASSERT_TRUE(request_ended());
+  EXPECT_EQ(completed, std::vector<std::uint64_t>{2});
   EXPECT_EQ(upstream.dialled, 2u);
 }
 
-TEST_F(Workerly, an_answer_to_somebody_else_is_passed_over) {
+TEST_F(UpstreamPoolTest, an_answer_to_somebody_else_is_passed_over) {
   std::string const strange = "HTTP/1.1 200 OK\r\nX-Id: 77\r\nContent-Length: 6\r\n\r\nstolen";
   for (bool const together : {true, false}) {
     clear_events();
@@ -1139,29 +1141,29 @@
     } else {
       connection.send(strange);
       settle();
-      EXPECT_TRUE(done.empty() && ends.empty());
+      EXPECT_TRUE(completed.empty() && failed.empty());
       connection.send(mine);
     }
-    ASSERT_TRUE(over());
-    EXPECT_EQ(done, std::vector<std::uint64_t>{1});
+    ASSERT_TRUE(request_ended());
+    EXPECT_EQ(completed, std::vector<std::uint64_t>{1});
     EXPECT_EQ(bodies[1], "ok");
   }
   clear_events();
   // Only so many, and none that is the last of its connection.
   LoopbackStream& connection = start_request(2);
   for (int i = 0; i < 10; ++i) connection.send(strange);
-  ASSERT_TRUE(over());
-  ASSERT_EQ(ends.size(), 1u);
-  EXPECT_EQ(ends[0].how, UpstreamPool::Failure::broken);
+  ASSERT_TRUE(request_ended());
+  ASSERT_EQ(failed.size(), 1u);
+  EXPECT_EQ(failed[0].failure, UpstreamPool::Failure::broken);
   EXPECT_EQ(bodies.count(2), 0u);
   clear_events();
   start_request(3).send("HTTP/1.1 200 OK\r\nX-Id: 77\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx");
-  ASSERT_TRUE(over());
-  ASSERT_EQ(ends.size(), 1u);
-  EXPECT_EQ(ends[0].how, UpstreamPool::Failure::broken);
+  ASSERT_TRUE(request_ended());
+  ASSERT_EQ(failed.size(), 1u);
+  EXPECT_EQ(failed[0].failure, UpstreamPool::Failure::broken);
 }
 
-TEST_F(Workerly, an_answer_before_the_request_was_whole_ends_its_connection) {
+TEST_F(UpstreamPoolTest, an_answer_before_the_request_was_whole_ends_its_connection) {
   std::string const body(32u << 20, 'z');
   upstream.start_request(
       1, "w", address,
@@ -1169,23 +1171,23 @@
   ASSERT_TRUE(until([&] { return !connections.empty(); }));
   connections[0]->link->pause_reading(true);
   connections[0]->send(ok);
-  ASSERT_TRUE(over());
-  EXPECT_EQ(done, std::vector<std::uint64_t>{1});
+  ASSERT_TRUE(request_ended());
+  EXPECT_EQ(completed, std::vector<std::uint64_t>{1});
   EXPECT_EQ(upstream.idle_connections("w"), 0u) << "the next request would come behind the rest of this one";
 }
 
-TEST_F(Workerly, interim_answers_are_passed_over) {
+TEST_F(UpstreamPoolTest, interim_answers_are_passed_over) {
   start_request(1).send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok);
-  ASSERT_TRUE(over());
-  EXPECT_EQ(done, std::vector<std::uint64_t>{1});
+  ASSERT_TRUE(request_ended());
+  EXPECT_EQ(completed, std::vector<std::uint64_t>{1});
   EXPECT_EQ(bodies[1], "ok");
 }
 
-TEST_F(Workerly, a_connection_that_ends_early_tells_how_far_it_came) {
+TEST_F(UpstreamPoolTest, a_connection_that_ends_early_tells_how_far_it_came) {
   struct Row {
     char const* name;
     std::string text;
-    UpstreamPool::Failure how;
+    UpstreamPool::Failure failure;
   };
   Row const rows[] = {
       {"at once", "", UpstreamPool::Failure::broken},
@@ -1209,15 +1211,15 @@
       settle();
       connection.link->close(reset);
       connection.shut = true;
-      ASSERT_TRUE(over()) << row.name;
-      ASSERT_EQ(ends.size(), 1u) << row.name;
-      EXPECT_EQ(ends[0].how, row.how) << row.name;
-      EXPECT_TRUE(done.empty());
+      ASSERT_TRUE(request_ended()) << row.name;
+      ASSERT_EQ(failed.size(), 1u) << row.name;
+      EXPECT_EQ(failed[0].failure, row.failure) << row.name;
+      EXPECT_TRUE(completed.empty());
       EXPECT_EQ(upstream.connections(), 0u);
     }
 }
 
-TEST_F(Workerly, an_answer_without_length_ends_with_its_connection_unless_that_is_reset) {
+TEST_F(UpstreamPoolTest, an_answer_without_length_ends_with_its_connection_unless_that_is_reset) {
   for (bool const reset : {false, true}) {
     clear_events();
     LoopbackStream& connection = start_request(1);
@@ -1225,35 +1227,35 @@
     ASSERT_TRUE(until([&] { return bodies[1] == "abc"; }));
     connection.link->close(reset);
     connection.shut = true;
-    ASSERT_TRUE(over());
-    EXPECT_EQ(done.size(), reset ? 0u : 1u);
-    EXPECT_EQ(ends.size(), reset ? 1u : 0u);
+    ASSERT_TRUE(request_ended());
+    EXPECT_EQ(completed.size(), reset ? 0u : 1u);
+    EXPECT_EQ(failed.size(), reset ? 1u : 0u);
     EXPECT_EQ(upstream.idle_connections("w"), 0u);
   }
 }
 
-TEST_F(Workerly, what_is_no_answer_breaks_the_request) {
+TEST_F(UpstreamPoolTest, what_is_no_answer_breaks_the_request) {
   for (std::string const text : {"nonsense\r\n\r\n", "HTTP/1.1 abc\r\n\r\n", "GET / HTTP/1.1\r\n\r\n",
                                  "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab"}) {
     clear_events();
     start_request(1).send(text);
-    ASSERT_TRUE(over()) << text;
-    ASSERT_EQ(ends.size(), 1u) << text;
-    EXPECT_EQ(ends[0].how, UpstreamPool::Failure::broken);
+    ASSERT_TRUE(request_ended()) << text;
+    ASSERT_EQ(failed.size(), 1u) << text;
+    EXPECT_EQ(failed[0].failure, UpstreamPool::Failure::broken);
   }
   clear_events();
   start_request(1).send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n");
-  ASSERT_TRUE(over());
-  ASSERT_EQ(ends.size(), 1u);
-  EXPECT_EQ(ends[0].how, UpstreamPool::Failure::truncated);
+  ASSERT_TRUE(request_ended());
+  ASSERT_EQ(failed.size(), 1u);
+  EXPECT_EQ(failed[0].failure, UpstreamPool::Failure::truncated);
 }
 
-TEST_F(Workerly, a_kept_connection_that_the_worker_closed_is_not_used_again) {
+TEST_F(UpstreamPoolTest, a_kept_connection_that_the_worker_closed_is_not_used_again) {
   for (bool const reset : {false, true}) {
     clear_events();
     LoopbackStream& connection = start_request(1);
     connection.send(ok);
-    ASSERT_TRUE(over());
+    ASSERT_TRUE(request_ended());
     EXPECT_EQ(upstream.idle_connections("w"), 1u);
     connection.link->close(reset);
     connection.shut = true;
@@ -1261,9 +1263,9 @@
     clear_events();
     LoopbackStream& next = start_request(2);
     next.send(ok);
-    ASSERT_TRUE(over());
-    EXPECT_EQ(done, std::vector<std::uint64_t>{2});
-    EXPECT_TRUE(ends.empty());
+    ASSERT_TRUE(request_ended());
+    EXPECT_EQ(completed, std::vector<std::uint64_t>{2});
+    EXPECT_TRUE(failed.empty());
     next.link->close();
     next.shut = true;
     ASSERT_TRUE(until([&] { return upstream.idle_connections("w") == 0; }));
@@ -1271,13 +1273,13 @@
   EXPECT_EQ(upstream.reused, 0u);
 }
 
-TEST_F(Workerly, a_kept_connection_is_looked_at_before_it_is_used) {
+TEST_F(UpstreamPoolTest, a_kept_connection_is_looked_at_before_it_is_used) {
   // What the worker did to it has reached this machine, but the loop has not turned since.
   for (int way = 0; way < 3; ++way) {
     clear_events();
     LoopbackStream& connection = start_request(1);
     connection.send(ok);
-    ASSERT_TRUE(over());
+    ASSERT_TRUE(request_ended());
     ASSERT_EQ(upstream.idle_connections("w"), 1u);
     std::uint64_t const dialled = upstream.dialled;
     clear_events();
@@ -1292,9 +1294,9 @@
     LoopbackStream& next = start_request(2);
     EXPECT_EQ(upstream.dialled, dialled + 1);
     next.send(ok);
-    ASSERT_TRUE(over());
-    EXPECT_EQ(done, std::vector<std::uint64_t>{2});
-    EXPECT_EQ(left, std::vector<std::uint64_t>{2});
+    ASSERT_TRUE(request_ended());
+    EXPECT_EQ(completed, std::vector<std::uint64_t>{2});
+    EXPECT_EQ(sent, std::vector<std::uint64_t>{2});
     EXPECT_EQ(bodies[2], "ok");
     next.link->close();
     next.shut = true;
@@ -1302,19 +1304,19 @@
   }
 }
 
-TEST_F(Workerly, a_worker_that_cannot_be_reached_got_nothing) {
+TEST_F(UpstreamPoolTest, a_worker_that_cannot_be_reached_got_nothing) {
   for (std::string const& bad : {free_address(), std::string("nonsense"), std::string("127.0.0.1:0")}) {
     clear_events();
     upstream.start_request(1, "w", bad, request(), seconds(10));
-    ASSERT_TRUE(over()) << bad;
-    ASSERT_EQ(ends.size(), 1u);
-    EXPECT_EQ(ends[0].how, UpstreamPool::Failure::connect_failed);
-    EXPECT_TRUE(left.empty()) << "no byte can have left";
+    ASSERT_TRUE(request_ended()) << bad;
+    ASSERT_EQ(failed.size(), 1u);
+    EXPECT_EQ(failed[0].failure, UpstreamPool::Failure::connect_failed);
+    EXPECT_TRUE(sent.empty()) << "no byte can have left";
     EXPECT_EQ(upstream.connections(), 0u);
   }
 }
 
-TEST_F(Workerly, keep_alive_times_are_heeded) {
+TEST_F(UpstreamPoolTest, keep_alive_times_are_heeded) {
   struct Row {
     char const* fields;
     Micros least;  // it is still kept then; -1: not at all
@@ -1334,7 +1336,7 @@
   for (Row const& row : rows) {
     clear_events();
     start_request(1).send("HTTP/1.1 200 OK\r\n" + std::string(row.fields) + "Content-Length: 2\r\n\r\nok");
-    ASSERT_TRUE(over()) << row.fields;
+    ASSERT_TRUE(request_ended()) << row.fields;
     Micros const now = g_get_monotonic_time();
     EXPECT_EQ(upstream.idle_connections("w"), row.least >= 0 ? 1u : 0u) << row.fields;
     if (row.least < 0) continue;
@@ -1346,12 +1348,12 @@
   }
 }
 
-TEST_F(Workerly, connections_belong_to_a_name_and_an_address) {
+TEST_F(UpstreamPoolTest, connections_belong_to_a_name_and_an_address) {
   start_request(1).send(ok);
-  ASSERT_TRUE(over());
+  ASSERT_TRUE(request_ended());
   clear_events();
   upstream.start_request(2, "v", address, request(), seconds(10));
-  ASSERT_TRUE(until([&] { return left.size() == 1; }));
+  ASSERT_TRUE(until([&] { return sent.size() == 1; }));
   EXPECT_EQ(upstream.reused, 0u) << "somebody else may live there now";
   upstream.cancel(2);
   EXPECT_EQ(upstream.idle_connections("w"), 1u);
@@ -1360,7 +1362,7 @@
   upstream.close_idle_connections("nobody");
 }
 
-TEST_F(Workerly, what_was_cut_is_heard_of_no_more) {
+TEST_F(UpstreamPoolTest, what_was_cut_is_heard_of_no_more) {
   LoopbackStream& connection = start_request(1);
   connection.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc");
   ASSERT_TRUE(until([&] { return bodies[1] == "abc"; }));
@@ -1368,14 +1370,14 @@
   upstream.cancel(1);
   connection.send("defghi");
   ASSERT_TRUE(until([&] { return connection.shut; }));
-  EXPECT_TRUE(done.empty());
-  EXPECT_TRUE(ends.empty());
+  EXPECT_TRUE(completed.empty());
+  EXPECT_TRUE(failed.empty());
   EXPECT_EQ(bodies[1], "abc");
   EXPECT_EQ(upstream.active_requests(), 0u);
 }
 
 // What the system still holds of a request that was cut must not reach its worker later.
-TEST_F(Workerly, a_cut_resets_the_connection) {
+TEST_F(UpstreamPoolTest, a_cut_resets_the_connection) {
   LoopbackStream& connection = start_request(1);
   upstream.cancel(1);
   ASSERT_TRUE(until([&] { return connection.shut; }));
@@ -1383,7 +1385,7 @@
 }
 
 // The worker may have said all that there is to say before it ended the connection with bytes unread.
-TEST_F(Workerly, what_came_before_a_reset_is_heard_although_the_request_was_not_taken) {
+TEST_F(UpstreamPoolTest, what_came_before_a_reset_is_heard_although_the_request_was_not_taken) {
   std::string const body(32u << 20, 'z');
   std::string const text =
       "POST / HTTP/1.1\r\n" + host + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -1396,14 +1398,14 @@
     connections[0]->send(length ? ok : "HTTP/1.1 200 OK\r\n\r\nok");
     connections[0]->link->close();
     connections[0]->shut = true;
-    ASSERT_TRUE(over());
-    EXPECT_EQ(done.size(), length ? 1u : 0u) << "without a length only an orderly end makes it whole";
+    ASSERT_TRUE(request_ended());
+    EXPECT_EQ(completed.size(), length ? 1u : 0u) << "without a length only an orderly end makes it whole";
     EXPECT_EQ(bodies[1], "ok");
     EXPECT_EQ(upstream.connections(), 0u);
   }
 }
 
-TEST_F(Workerly, mutated_answers_end_each_request_once_and_do_no_harm) {
+TEST_F(UpstreamPoolTest, mutated_answers_end_each_request_once_and_do_no_harm) {
   std::vector<std::string> const seeds = {ok,
                                           ok + ok,
                                           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
@@ -1415,7 +1417,7 @@
   for (std::uint64_t id = 1; id <= 1500; ++id) {
     clear_events();
     LoopbackStream& connection = start_request(id);
-    std::string const text = mutated(random, seeds);
+    std::string const text = mutate(random, seeds);
     std::size_t const at = random.below(text.size() + 1);
     connection.send(std::string_view(text).substr(0, at));
     settle();
@@ -1423,11 +1425,11 @@
     settle();
     if (!connection.shut) connection.link->close(random.chance(0.5));
     connection.shut = true;
-    ASSERT_TRUE(over()) << id << "\n" << text;
+    ASSERT_TRUE(request_ended()) << id << "\n" << text;
     settle();
-    ASSERT_EQ(done.size() + ends.size(), 1u) << id << "\n" << text;
+    ASSERT_EQ(completed.size() + failed.size(), 1u) << id << "\n" << text;
     ASSERT_EQ(upstream.active_requests(), 0u);
-    ASSERT_EQ(left.size(), 1u);
+    ASSERT_EQ(sent.size(), 1u);
     upstream.close_idle_connections("w");
     settle();
     connections.clear();
--- a/tests/request_proxy_fixture.h
+++ b/tests/request_proxy_fixture.h
@@ -19,30 +19,30 @@
          "/\",\"shares\":[{\"pool\":\"p\"}],\"hold_ms\":20000,\"aim_ms\":1000,\"attempts\":3" + more + "}";
 }
 
-class Passing : public testing::Test {
+class RequestProxyTest : public testing::Test {
  protected:
   struct Worker {
-    Listener door;
+    Listener listener;
     std::string address;
     std::vector<std::unique_ptr<LoopbackStream>> connections;
-    std::string got() const {
+    std::string received() const {
       std::string out;
       for (std::unique_ptr<LoopbackStream> const& connection : connections) out += connection->got;
       return out;
     }
   };
 
-  explicit Passing(Dialect const& dialect = Dialect())
-      : relay(dispatcher, dialect, "",
+  explicit RequestProxyTest(Dialect const& dialect = Dialect())
+      : proxy(dispatcher, dialect, "",
               {[this](std::uint64_t id, RequestInfo query) {
                  DispatchEffects out;
                  dispatcher.on_request(id, std::move(query), g_get_monotonic_time(), out);
-                 obey(out);
+                 apply(out);
                },
                [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
                  DispatchEffects out;
                  dispatcher.on_attempt_end(id, end, elsewhere, g_get_monotonic_time(), out);
-                 obey(out);
+                 apply(out);
                },
                [this](std::uint64_t id) { return dispatcher.on_client_disconnect(id, g_get_monotonic_time()); }}) {
     Result<std::shared_ptr<Description const>> const rules =
@@ -53,28 +53,28 @@
     EXPECT_TRUE(rules);
     dispatcher.set_description(rules.value());
     dispatcher.set_retry_budget(0.2, 10);
-    address = open_door([this](std::string const& at) { return relay.listen(at); });
+    address = open_door([this](std::string const& at) { return proxy.listen(at); });
   }
-  ~Passing() override { caller.reset(); }
+  ~RequestProxyTest() override { client.reset(); }
 
   // Parts of limits are granted or refused at once, by the test's word.
-  void obey(DispatchEffects& out) {
+  void apply(DispatchEffects& out) {
     std::vector<QuotaClaim> const needs = std::move(out.quota_claims);
     out.quota_claims.clear();
     for (QuotaClaim const& need : needs) {
-      quota_needs.push_back(need);
-      QuotaResult result{need.request, quota_answer, millis(1500)};
+      quota_claims.push_back(need);
+      QuotaResult result{need.request, quota_result, millis(1500)};
       if (!need.is_retry) dispatcher.quota_result(result, g_get_monotonic_time(), out);
     }
-    relay.act(out);
+    proxy.act(out);
   }
 
-  void worker(std::string const& id) {
+  void add_worker(std::string const& id) {
     std::unique_ptr<Worker>& made = workers[id];
     made = std::make_unique<Worker>();
     Worker* const at = made.get();
     at->address = open_door([at](std::string const& address) {
-      return at->door.open(address, [at](std::shared_ptr<TcpConnection> link) {
+      return at->listener.open(address, [at](std::shared_ptr<TcpConnection> link) {
         at->connections.push_back(std::make_unique<LoopbackStream>(std::move(link)));
       });
     });
@@ -87,25 +87,25 @@
     word.order = 1;
     registry.heartbeat(word, g_get_monotonic_time());
   }
-  void ask(std::string const& method, std::string const& path, std::string const& fields = "") {
-    if (!caller || caller->shut) caller = std::make_unique<LoopbackStream>(address);
-    caller->got.clear();
-    caller->send(method + " " + path + " HTTP/1.1\r\nHost: h.test:80\r\nX-Pipit-Attempt: r1\r\n" + fields +
+  void send_request(std::string const& method, std::string const& path, std::string const& fields = "") {
+    if (!client || client->shut) client = std::make_unique<LoopbackStream>(address);
+    client->got.clear();
+    client->send(method + " " + path + " HTTP/1.1\r\nHost: h.test:80\r\nX-Pipit-Attempt: r1\r\n" + fields +
                  (method == "POST" ? "Content-Length: 2\r\n\r\nhi" : "\r\n"));
   }
   // The worker, other than one, that has the request now.
-  std::string reached(std::string const& but = "") {
+  std::string worker_with_request(std::string const& but = "") {
     std::string out;
     EXPECT_TRUE(until([&] {
       for (std::pair<std::string const, std::unique_ptr<Worker>> const& item : workers)
-        if (item.first != but && item.second->got().find("\r\n\r\n") != std::string::npos) out = item.first;
+        if (item.first != but && item.second->received().find("\r\n\r\n") != std::string::npos) out = item.first;
       return !out.empty();
     }));
     return out;
   }
   LoopbackStream& connection_of(std::string const& id) { return *workers.at(id)->connections.back(); }
-  bool hears(std::string const& text) {
-    return until([&] { return caller->got.find(text) != std::string::npos; });
+  bool client_receives(std::string const& text) {
+    return until([&] { return client->got.find(text) != std::string::npos; });
   }
   bool no_requests_in_flight() const {
     for (std::pair<std::string const, Instance> const& item : registry.all)
@@ -113,16 +113,16 @@
     return dispatcher.active_requests() == 0;
   }
 
-  std::vector<QuotaClaim> quota_needs;
-  QuotaResult::Type quota_answer = QuotaResult::Type::granted;
+  std::vector<QuotaClaim> quota_claims;
+  QuotaResult::Type quota_result = QuotaResult::Type::granted;
   IndexSync index_sync{1};
   Registry registry{"n1"};
   ReportExchange exchange{"n1"};
   Dispatcher dispatcher{"n1", "a", index_sync, registry, exchange};
-  RequestProxy relay;
+  RequestProxy proxy;
   std::string address;
   std::map<std::string, std::unique_ptr<Worker>> workers;
-  std::unique_ptr<LoopbackStream> caller;
+  std::unique_ptr<LoopbackStream> client;
 };
 
 }  // namespace pipit
