--- a/src/net/clock.cc
+++ b/src/net/clock.cc
@@ -5,7 +5,7 @@
 namespace pipit {
 
 namespace {
-thread_local Micros manual_now = -1;  // by a test
+thread_local Micros manual_now = -1;  // time set by ManualTime; -1 while the monotonic clock is used
 }
 
 Micros loop_time() { return manual_now >= 0 ? manual_now : g_get_monotonic_time(); }
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,19 +1,21 @@
-// The time that connections, callers and requests go by: the monotonic clock, or in a test what the test says.
+// The monotonic clock of the network code, which tests can replace by one that they advance by hand.
 #pragma once
 #include "base/micros.h"
 
 namespace pipit {
 
-// In microseconds; it never goes back.
+// Current monotonic time in microseconds. It never goes back while one clock is in use.
 Micros loop_time();
 
-// While one of these incarnations in a test, time stands still but for what it is told.
+// Test clock: while an object exists, loop_time() on its thread returns the time set here and moves only by advance().
 class ManualTime {
  public:
+  // 'start': the first time that loop_time() returns, in microseconds, not negative.
   explicit ManualTime(Micros start);
   ~ManualTime();
   ManualTime(ManualTime const&) = delete;
   ManualTime& operator=(ManualTime const&) = delete;
+  // Moves loop_time() forward by 'span' microseconds.
   void advance(Micros span);
 };
 
--- a/src/net/http.cc
+++ b/src/net/http.cc
@@ -49,10 +49,11 @@
       rest.remove_prefix(std::min(cut + 1, rest.size()));
       while (!token.empty() && (token.front() == ' ' || token.front() == '\t')) token.remove_prefix(1);
       while (!token.empty() && (token.back() == ' ' || token.back() == '\t')) token.remove_suffix(1);
-      bool const stays = equals_ignoring_case(token, "Host") ||
-                         std::any_of(end_to_end.begin(), end_to_end.end(),
-                                     [token](std::string const& name) { return equals_ignoring_case(token, name); });
-      if (!token.empty() && !stays) names.emplace_back(token);
+      bool const is_end_to_end = equals_ignoring_case(token, "Host") ||
+                                 std::any_of(end_to_end.begin(), end_to_end.end(), [token](std::string const& name) {
+                                   return equals_ignoring_case(token, name);
+                                 });
+      if (!token.empty() && !is_end_to_end) names.emplace_back(token);
     }
   }
   names.emplace_back("Connection");
@@ -91,7 +92,7 @@
   std::string out = "HTTP/1.1 " + std::to_string(head.status) + " " +
                     (head.reason.empty() ? reason_phrase(head.status) : head.reason.c_str()) + "\r\n";
   append_fields(out, head);
-  // Only 304 may say how long the body would have been.
+  // Of the statuses without a body, only 304 may state the length that the body would have had.
   if (length >= 0 && (!status_forbids_body(head.status) || head.status == 304))
     out += "Content-Length: " + std::to_string(length) + "\r\n";
   else if (!status_forbids_body(head.status))
@@ -111,7 +112,7 @@
 }
 
 HttpParser::HttpParser(bool parses_requests) : parses_requests_(parses_requests), line_validator_(parses_requests) {
-  // A head is bounded here, by the operator's limit; the grammar's own bound would refuse what that allows.
+  // feed() enforces the operator's limit; the limit of http_parser would reject heads that the operator allows.
   http_parser_set_max_header_size(std::numeric_limits<std::uint32_t>::max());
   http_parser_init(&parser_, parses_requests_ ? HTTP_REQUEST : HTTP_RESPONSE);
   parser_.data = this;
@@ -180,14 +181,14 @@
   std::size_t encodings = 0;
   std::size_t lengths = 0;
   for (std::pair<std::string, std::string>& item : head.fields) {
-    // Blanks around a value are no part of it.
+    // Whitespace around a value is not part of it.
     item.second.erase(item.second.find_last_not_of(" \t") + 1);
     if (equals_ignoring_case(item.first, "Host")) ++hosts;
     if (equals_ignoring_case(item.first, "Content-Length")) ++lengths;
     if (equals_ignoring_case(item.first, "Transfer-Encoding")) ++encodings;
     for (char const c : item.second)
       if ((static_cast<unsigned char>(c) < 0x20 && c != '\t') || c == 0x7f) self.error_ = Error::malformed;
-    // Anything but plain "chunked" may be read differently by whoever comes next.
+    // Another parser on the path may interpret anything but a plain "chunked" differently (request smuggling).
     if (equals_ignoring_case(item.first, "Transfer-Encoding") && !equals_ignoring_case(item.second, "chunked"))
       self.error_ = Error::malformed;
   }
@@ -198,9 +199,9 @@
   if (self.parses_requests_ && (head.target.empty() || head.target[0] != '/')) self.error_ = Error::malformed;
   if (head.content_length > static_cast<std::int64_t>(self.max_body_bytes_)) self.error_ = Error::body_too_large;
   if (self.error_ != Error::none) return -1;
-  bool const body = self.callbacks.head ? self.callbacks.head(head) : true;
-  bool const never = !self.parses_requests_ && status_forbids_body(head.status);
-  return body && !never ? 0 : 1;
+  bool const body_allowed = self.callbacks.head ? self.callbacks.head(head) : true;
+  bool const no_body = !self.parses_requests_ && status_forbids_body(head.status);
+  return body_allowed && !no_body ? 0 : 1;
 }
 
 int HttpParser::on_body(http_parser* parser, char const* at, std::size_t size) {
@@ -223,7 +224,7 @@
   return 0;
 }
 
-// A trailer belongs to the framing, which is written anew: it is bounded and passed over.
+// Trailers belong to the framing, which is written anew for the next hop: they are limited in size and discarded.
 int HttpParser::count_trailer_bytes(std::size_t size) {
   trailer_bytes_ += size;
   if (trailer_bytes_ <= max_head_bytes_) return 0;
@@ -231,7 +232,7 @@
   return -1;
 }
 
-// Looks at the lines among what is fed, up to there.
+// Validates the lines in the fed bytes up to 'end'.
 bool HttpParser::validate_lines_up_to(char const* end) {
   if (!line_validator_.consume(std::string_view(validated_up_to_, static_cast<std::size_t>(end - validated_up_to_))) &&
       error_ == Error::none)
@@ -252,7 +253,7 @@
   if (error_ != Error::none || complete_ || bytes.empty()) return 0;
   std::size_t consumed = 0;
   if (!head_complete_) {
-    // The head by itself, and no more of it than it may have: its bound is the same however its bytes come.
+    // Only the head, and at most its allowed size, so that the limit is exact however the bytes are split.
     std::string_view const part =
         bytes.substr(0, line_validator_.consume_head(bytes.substr(0, max_head_bytes_ - head_bytes_)));
     if (!line_validator_.valid()) {
@@ -280,9 +281,8 @@
 
 bool HttpParser::eof() {
   if (!started_ || complete_) return true;
-  bool const was = complete_;
   http_parser_execute(&parser_, &settings(), nullptr, 0);
-  if (!was && complete_) {
+  if (complete_) {
     http_parser_pause(&parser_, 0);
     if (callbacks.complete) callbacks.complete();
     return true;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,5 +1,6 @@
-// HTTP/1.1 as far as a router needs it: heads, bodies by length or in chunks, and where a message ends (design §12.2).
-// The grammar is http_parser's; what it lets pass and a router must not is refused here.
+// HTTP/1.1 codec of the router: message heads, bodies framed by length or in chunks, and message boundaries (design
+// §12.2). http_parser implements the grammar; HttpParser also rejects messages that http_parser accepts but that a
+// proxy must not forward.
 #pragma once
 #include <http_parser.h>
 
@@ -15,57 +16,75 @@
 
 namespace pipit {
 
+// Start line and fields of a request or response, without its body.
 struct Head {
-  std::string method;  // of a request
-  std::string target;
-  unsigned status = 0;  // of an answer
-  std::string reason;
+  std::string method;   // requests only
+  std::string target;   // requests only: path and query
+  unsigned status = 0;  // responses only
+  std::string reason;   // responses only; if empty, the standard phrase of the status is sent
   std::vector<std::pair<std::string, std::string>> fields;
-  bool keep_alive = true;  // the connection may carry another message
+  bool keep_alive = true;  // the connection may carry another message after this one
   bool chunked = false;
-  std::int64_t content_length = -1;  // as announced, -1 for none
+  std::int64_t content_length = -1;  // value of the Content-Length field; -1 if there is none
 
-  // The first field of that name, letters of either case; nullptr for none.
+  // Value of the first field with this name, compared without regard to case; nullptr if there is none. The pointer is
+  // valid until the fields change.
   std::string const* find(std::string_view name) const;
+  // Like find(), but returns a copy, and an empty string if there is no such field.
   std::string get(std::string_view name) const;
+  // Replaces all fields with this name by one at the end of the list.
   void set(std::string_view name, std::string value);
+  // Removes all fields with this name.
   void remove(std::string_view name);
 };
 
+// Compares two ASCII strings without regard to case.
 bool equals_ignoring_case(std::string_view a, std::string_view b);
-// Takes away what concerns one connection only: Connection and what it names, Keep-Alive, TE, Transfer-Encoding, ...
-// Never the host, nor the fields 'end_to_end': they are for the other end, whatever Connection names.
+// Removes the fields that apply to a single connection: Connection and the fields that it lists, Keep-Alive, TE,
+// Transfer-Encoding, Content-Length and others. Host and the fields named in 'end_to_end' stay even if Connection lists
+// them, so that a client cannot have them removed.
 void remove_hop_by_hop_fields(Head& head, std::vector<std::string> const& end_to_end = {});
+// Serializes a request head for a body of 'length' bytes, which the caller appends.
 std::string serialize_request_head(Head const& head, std::int64_t length);
-// length -1: the body comes in chunks.
+// Serializes a response head. 'length' is the size of the body in bytes, or -1 for a chunked body. 'close' adds
+// "Connection: close".
 std::string serialize_response_head(Head const& head, std::int64_t length, bool close);
+// Encodes bytes as one chunk of a chunked body. Empty input would encode the last chunk, which ends the body.
 std::string encode_chunk(std::string_view bytes);
+// The standard reason phrase of a status, "Status" for an unknown one.
 char const* reason_phrase(unsigned status);
-// An answer of that status has no body, whatever its fields say.
+// True for a status whose responses have no body, whatever their fields announce.
 constexpr bool status_forbids_body(unsigned status) { return status < 200 || status == 204 || status == 304; }
 
-// Reads messages from one connection, one after the other.
+// Incremental parser of the messages on one connection, one message after the other.
 class HttpParser {
  public:
   enum class Error : std::uint8_t { none, malformed, head_too_large, body_too_large };
   struct Callbacks {
-    std::function<bool(Head&)> head;  // false: the message has no body whatever it says
-    std::function<void(std::string_view)> body;
-    std::function<void()> complete;
+    // The head is complete. A return of false means that no body follows whatever the head announces (response to
+    // HEAD).
+    std::function<bool(Head&)> head;
+    std::function<void(std::string_view)> body;  // the next bytes of the body, without chunk framing
+    std::function<void()> complete;              // the message is complete
   };
+  // Parses requests if the flag is set, otherwise responses.
   explicit HttpParser(bool parses_requests);
   HttpParser(HttpParser const&) = delete;
   HttpParser& operator=(HttpParser const&) = delete;
 
-  // Takes bytes of one message at most; says how many it took. Nothing more is taken after whole() until next().
+  // Consumes bytes up to the end of the current message and returns how many. After the end of a message and after an
+  // error it consumes nothing; start_next_message() prepares for the next message.
   std::size_t feed(std::string_view bytes);
-  // The connection ended: an answer without length ends with it. False when that cuts a message.
+  // Handles the end of the connection, which completes a response without length. Returns false if it truncates a
+  // message.
   bool eof();
   void start_next_message();
-  bool idle() const { return !started_; }  // between messages
+  // True before the first byte of a message.
+  bool idle() const { return !started_; }
   bool in_body() const { return head_complete_ && !complete_; }
   bool complete() const { return complete_; }
   Error error() const { return error_; }
+  // Limits of the following heads and bodies, in bytes. The limit of the head also applies to the trailers.
   void set_limits(std::size_t max_head_bytes, std::size_t max_body_bytes) {
     max_head_bytes_ = max_head_bytes;
     max_body_bytes_ = max_body_bytes;
@@ -89,7 +108,7 @@
   bool const parses_requests_;
   http_parser parser_;
   HttpLineValidator line_validator_;
-  char const* validated_up_to_ = nullptr;  // what is fed was looked at up to here: as a line, or as a part of a body
+  char const* validated_up_to_ = nullptr;  // end of the fed bytes that were validated as lines or skipped as body
   Head head_;
   bool last_callback_was_value_ = false;
   bool started_ = false;
--- a/src/net/http_line_validator.cc
+++ b/src/net/http_line_validator.cc
@@ -3,7 +3,7 @@
 namespace pipit {
 
 namespace {
-constexpr std::size_t max_chunk_size_digits = 15;
+constexpr std::size_t max_chunk_size_digits = 15;  // keeps the size below 2^60
 constexpr std::size_t status_digits = 3;
 constexpr std::string_view version = "HTTP/1.";
 
@@ -13,11 +13,11 @@
   return is_digit(c) || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
          (c != '\0' && std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos);
 }
-// "HTTP/1." and one digit.
+// True for "HTTP/1." followed by one digit.
 bool is_version(std::string_view token) {
   return token.size() == version.size() + 1 && token.substr(0, version.size()) == version && is_digit(token.back());
 }
-// Three digits, of a class that there is; a reason may follow.
+// True for three digits of a status class from 1 to 5, alone or followed by a space and a reason phrase.
 bool is_status(std::string_view text) {
   if (text.size() < status_digits || (text.size() > status_digits && text[status_digits] != ' ')) return false;
   return text[0] >= '1' && text[0] <= '5' && is_digit(text[1]) && is_digit(text[2]);
@@ -41,7 +41,7 @@
   bool const empty = line_bytes_ == 0;
   switch (state_) {
     case State::start_line:
-      if (empty) return true;  // before a message
+      if (empty) return true;  // RFC 9112 §2.2 allows empty lines before a message
       state_ = State::field;
       return start_line_valid();
     case State::field:
--- a/src/net/http_line_validator.h
+++ b/src/net/http_line_validator.h
@@ -1,5 +1,6 @@
-// The lines of a message, byte by byte, apart from its body. http_parser takes what is nearly right; what nearly fits
-// may be read otherwise by whoever comes next, so here it must fit to the byte (design §12.2, RFC 9112).
+// Strict check of the lines of an HTTP/1.1 message: start line, fields, chunk sizes and trailers (design §12.2, RFC
+// 9112). http_parser accepts some malformed lines that another parser on the path may read differently (request
+// smuggling); this check accepts only lines that match the grammar byte by byte.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -7,17 +8,21 @@
 
 namespace pipit {
 
+// Checks one message, fed incrementally without the bytes of its body. A new message needs a new object.
 class HttpLineValidator {
  public:
   explicit HttpLineValidator(bool parses_requests) : parses_requests_(parses_requests) {}
-  // The next bytes that are no body. False once something does not fit.
+  // Checks the next bytes of the message, which must not belong to its body. Returns false from the first violation on.
   bool consume(std::string_view bytes);
-  // Takes no more than what belongs to the head; says how much that is.
+  // Checks bytes up to the end of the head or the first violation, and returns how many it consumed.
   std::size_t consume_head(std::string_view bytes);
+  // False once a byte violated the grammar.
   bool valid() const { return valid_; }
+  // True once the empty line that ends the head was consumed.
   bool head_complete() const { return state_ > State::field; }
 
  private:
+  // In the order in which they occur in a message: head_complete() compares them.
   enum class State : std::uint8_t { start_line, field, chunk_size, after_chunk, trailer, complete };
   bool consume_byte(char c);
   bool finish_line();
@@ -27,10 +32,10 @@
   bool valid_ = true;
   State state_ = State::start_line;
   bool after_cr_ = false;
-  std::string start_line_;             // the request's or status line
-  std::size_t line_bytes_ = 0;         // bytes of the present line
-  bool field_name_ended_ = false;      // a field: its name has ended
-  std::size_t chunk_size_digits_ = 0;  // a chunk's size: how many, and whether any is above 0
+  std::string start_line_;             // request line or status line
+  std::size_t line_bytes_ = 0;         // bytes of the current line
+  bool field_name_ended_ = false;      // the current field line contains its colon
+  std::size_t chunk_size_digits_ = 0;  // digits of the current chunk size
   bool chunk_size_nonzero_ = false;
   bool blank_after_chunk_size_ = false;
   bool in_chunk_extension_ = false;
--- a/src/net/server.cc
+++ b/src/net/server.cc
@@ -10,12 +10,13 @@
 namespace pipit {
 
 namespace {
-constexpr std::size_t max_read_ahead_bytes = 65536;  // what a caller may send before its last call is answered
+constexpr std::size_t max_read_ahead_bytes =
+    65536;  // received before the current response ends; reading pauses above it
 Micros now() { return loop_time(); }
 
-// The end of a connection that was let go: anything but an orderly end means that a caller lacks a part of its answer.
-void log_lost_answer(std::string const& peer, TcpConnection::CloseReason how) {
-  if (how != TcpConnection::CloseReason::closed) log_event(Event::last_answer_lost, peer);
+// Logs the end of a flushed connection unless it was orderly: the client may lack a part of its last response.
+void log_lost_response(std::string const& peer, TcpConnection::CloseReason reason) {
+  if (reason != TcpConnection::CloseReason::closed) log_event(Event::last_answer_lost, peer);
 }
 }  // namespace
 
@@ -23,16 +24,16 @@
   std::shared_ptr<TcpConnection> tcp;
   HttpParser parser{true};
   Request request;
-  std::string read_ahead;         // bytes of later calls
-  bool has_request = false;       // a call is with the callbacks, or being answered
-  bool response_started = false;  // its answer has begun
+  std::string read_ahead;         // bytes received after the current request
+  bool has_request = false;       // a request was delivered and its response has not ended
+  bool response_started = false;  // the response head was sent
   bool chunked = false;
-  bool no_body = false;               // a HEAD, or an answer whose status has no body
-  bool close_after_response = false;  // the connection closes after this answer
-  bool parse_scheduled = false;
-  std::int64_t remaining_body_bytes = -1;  // what is left of an announced length
-  Micros phase_started_at = 0;             // of the first byte of what is being read, or of the last end of an answer
-  Micros idle_timeout = 0;  // the idle limit when its rest began; its caller may not know a shorter one yet
+  bool no_body = false;  // response to HEAD, or with a status that forbids a body
+  bool close_after_response = false;
+  bool parse_scheduled = false;            // read_ahead will be parsed in a later iteration of the main loop
+  std::int64_t remaining_body_bytes = -1;  // remaining bytes of a response with known length, otherwise -1
+  Micros phase_started_at = 0;             // first byte of the current request, or end of the last response
+  Micros idle_timeout = 0;  // in force when the idle time began; the client may not know a shorter one yet
 };
 
 Server::~Server() {
@@ -66,7 +67,7 @@
                               std::map<Connection*, std::shared_ptr<Connection>>::iterator const position =
                                   connections_.find(conn);
                               if (position == connections_.end()) return;
-                              std::shared_ptr<Connection> const keep = position->second;
+                              std::shared_ptr<Connection> const owner = position->second;
                               on_data(*conn, bytes);
                             },
                             [this, conn](TcpConnection::CloseReason) {
@@ -78,9 +79,9 @@
 }
 
 void Server::disconnect(Connection& conn) {
-  std::shared_ptr<Connection> const keep = connections_[&conn];
+  std::shared_ptr<Connection> const owner = connections_[&conn];
   std::uint64_t const id = conn.has_request ? conn.request.id : 0;
-  keep->tcp->close();
+  owner->tcp->close();
   connections_.erase(&conn);
   if (id == 0) return;
   connections_by_request_.erase(id);
@@ -96,14 +97,15 @@
 }
 
 void Server::close_after_flush(Connection& conn) {
-  std::shared_ptr<Connection> const keep = connections_[&conn];
+  std::shared_ptr<Connection> const owner = connections_[&conn];
   connections_.erase(&conn);
-  keep->tcp->set_callbacks(
-      {nullptr, nullptr, [peer = keep->tcp->peer_ip()](TcpConnection::CloseReason how) { log_lost_answer(peer, how); },
+  owner->tcp->set_callbacks(
+      {nullptr, nullptr,
+       [peer = owner->tcp->peer_ip()](TcpConnection::CloseReason reason) { log_lost_response(peer, reason); },
        nullptr});
-  keep->tcp->close_after_flush();
+  owner->tcp->close_after_flush();
   std::erase_if(flushing_, [](std::weak_ptr<TcpConnection> const& item) { return item.expired(); });
-  if (keep->tcp->open()) flushing_.push_back(keep->tcp);
+  if (owner->tcp->open()) flushing_.push_back(owner->tcp);
 }
 
 std::size_t Server::flushing_connections() const {
@@ -179,7 +181,7 @@
   if (conn->chunked) {
     conn->tcp->write(encode_chunk(bytes));
   } else {
-    // More than was announced would be taken for the next answer.
+    // The client would parse bytes beyond the announced length as the next response.
     bytes = bytes.substr(0, static_cast<std::size_t>(conn->remaining_body_bytes));
     conn->remaining_body_bytes -= static_cast<std::int64_t>(bytes.size());
     conn->tcp->write(bytes);
@@ -213,17 +215,17 @@
 }
 
 void Server::on_response_end(Connection& conn) {
-  std::shared_ptr<Connection> const keep = connections_[&conn];
+  std::shared_ptr<Connection> const owner = connections_[&conn];
   connections_by_request_.erase(conn.request.id);
   conn.has_request = false;
   conn.phase_started_at = now();
   conn.idle_timeout = limits_.idle_timeout;
-  // An answer whose head left before `closing` did not say that it is the last: its caller would ask again at once, and
-  // a call taken after the doors were shut may not end before the process does.
+  // A response whose head was sent before close_after_responses() did not announce "Connection: close", so its client
+  // would send the next request at once; a request received after listening stopped may outlast the process.
   if (conn.close_after_response || (listening_stopped_ && conn.read_ahead.empty())) return close_after_flush(conn);
   conn.tcp->pause_reading(false);
   if (!conn.read_ahead.empty()) {
-    // Not from inside the answer: the next call is read in a turn of its own.
+    // The next request is parsed in a later iteration of the main loop, not within the call that ended the response.
     struct DeferredParse {
       Server* self;
       std::weak_ptr<Connection> conn;
@@ -240,7 +242,7 @@
           }
           return G_SOURCE_REMOVE;
         },
-        new DeferredParse{this, keep}, [](gpointer data) { delete static_cast<DeferredParse*>(data); });
+        new DeferredParse{this, owner}, [](gpointer data) { delete static_cast<DeferredParse*>(data); });
   }
 }
 
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -1,4 +1,4 @@
-// The calls that come in at one address: read whole, answered whole or piece by piece (design §12.2).
+// HTTP/1.1 server: delivers complete requests and sends complete or streamed responses (design §12.2).
 #pragma once
 #include <map>
 #include <memory>
@@ -10,63 +10,79 @@
 
 namespace pipit {
 
+// Serves the connections of one listening address on the main loop. It delivers the requests of a connection one at a
+// time: pipelined requests wait until the response to the one before them has ended. The members that send responses
+// ignore the id of a request that has ended or whose client has disconnected.
 class Server {
  public:
   struct Request {
-    std::uint64_t id = 0;
+    std::uint64_t id = 0;  // unique within the server, never 0 for a delivered request
     Head head;
     std::string body;
-    Micros arrived_at = 0;  // when its first byte was read
+    Micros arrived_at = 0;  // loop_time() when its first byte was read
   };
   struct Callbacks {
-    std::function<void(Request&&)> request;
-    std::function<void(std::uint64_t)> disconnected;  // the caller left before its answer ended
+    std::function<void(Request&&)> request;           // a complete request
+    std::function<void(std::uint64_t)> disconnected;  // the client disconnected before its response ended
   };
+  // Sizes in bytes, times in microseconds.
   struct Limits {
     std::size_t max_head_bytes = 65536;
     std::size_t max_body_bytes = 4u << 20;
-    Micros head_timeout = seconds(10);  // from the first byte of a head to its end
-    Micros body_timeout = seconds(20);
-    Micros idle_timeout = seconds(60);
+    Micros head_timeout = seconds(10);  // from the first byte of a request to the end of its head
+    Micros body_timeout = seconds(20);  // from the first byte of a request to its end, once the head is complete
+    Micros idle_timeout = seconds(60);  // of a connection between requests
   };
   explicit Server(Callbacks callbacks) : callbacks_(std::move(callbacks)) {}
   ~Server();
 
+  // Listens at "IP:port". Fails with bad_settings if the address is malformed or cannot be bound.
   Result<void> listen(std::string const& address);
-  // A caller's connection that came in another way.
+  // Serves a client connection that was not accepted by listen().
   void adopt(std::shared_ptr<TcpConnection> tcp) { add_connection(std::move(tcp)); }
-  // No connection comes in any more, and each one that is here closes with the answer that it carries.
+  // Accepts no more connections, and closes each open one after its current response unless it already sent another
+  // request.
   void stop_listening() {
     listener_.close();
     listening_stopped_ = true;
   }
-  // Every answer closes its connection from now on.
+  // From now on each response whose head is not sent yet announces "Connection: close" and closes its connection.
   void close_after_responses() { close_after_responses_ = true; }
-  // Connections that carry no call are closed.
+  // Closes the connections without a request in progress.
   void close_idle_connections();
+  // Size limits apply to requests that begin after the call. Timeouts apply at once, but a connection that is already
+  // idle keeps its idle timeout if that is longer.
   void set_limits(Limits const& limits) { limits_ = limits; }
 
+  // Sends a complete response.
   void respond(std::uint64_t id, Head const& head, std::string_view body);
-  // An answer that comes in pieces; length -1 when it is not known.
+  // Begins a streamed response with a body of 'length' bytes, or -1 if the length is unknown. write_body() sends parts
+  // of the body; end_response() ends it, or aborts it if the body is shorter than 'length'.
   void begin_response(std::uint64_t id, Head const& head, std::int64_t length);
   void write_body(std::uint64_t id, std::string_view bytes);
   void end_response(std::uint64_t id);
-  // The answer cannot be whole any more, and must not look whole. Before its head the connection just ends.
+  // Closes the connection without completing the response, so that the client sees a truncated one, or no response if
+  // its head was not sent.
   void abort_response(std::uint64_t id);
-  // Whether the caller has ended its connection, though that has not been read yet.
+  // True if the client has closed its connection, even if the server has not read that yet, or if the request has
+  // ended.
   bool closed_by_client(std::uint64_t id) const;
-  // Bytes that wait for a slow caller, and for how long some have waited without a pause.
+  // Response bytes that are buffered for a slow client, and for how many microseconds some have been buffered without
+  // interruption. Empty for a request that has ended.
   struct Backlog {
     std::size_t bytes = 0;
     Micros blocked_for = 0;
   };
   Backlog backlog_of(std::uint64_t id, Micros now) const;
 
-  void close_expired(Micros now);  // closes what is idle or slow for too long
+  // Closes the connections that exceed the idle timeout, and answers 408 to clients that exceed the head or body
+  // timeout.
+  void close_expired(Micros now);
+  // Delivered requests whose responses have not ended.
   std::size_t active_requests() const { return connections_by_request_.size(); }
-  // Those that carry calls or may, and those whose last answer has not yet been taken.
+  // Open connections, including those that are only being flushed.
   std::size_t connections() const { return connections_.size() + flushing_connections(); }
-  // Those whose last answer still waits in this process: its end would cut them.
+  // Connections whose last response is still buffered in this process: ending the process would truncate it.
   std::size_t flushing_connections() const;
 
  private:
@@ -77,7 +93,7 @@
   void on_response_end(Connection& conn);
   void disconnect(Connection& conn);
   Connection* connection_of(std::uint64_t id) const;
-  // Takes a connection out of the books; it closes once what was written has been taken.
+  // Removes a connection from the table and closes it once its buffered bytes are flushed.
   void close_after_flush(Connection& conn);
 
   Callbacks callbacks_;
@@ -88,7 +104,7 @@
   std::uint64_t last_request_id_ = 0;
   std::map<Connection*, std::shared_ptr<Connection>> connections_;
   std::map<std::uint64_t, Connection*> connections_by_request_;
-  std::vector<std::weak_ptr<TcpConnection>> flushing_;  // connections that were let go
+  std::vector<std::weak_ptr<TcpConnection>> flushing_;  // connections closed by close_after_flush()
 };
 
 }  // namespace pipit
--- a/src/net/tcp_connection.cc
+++ b/src/net/tcp_connection.cc
@@ -17,10 +17,10 @@
 namespace pipit {
 
 namespace {
-constexpr int user_timeout_ms = 8000;         // for how long sent bytes may stay unacknowledged
-constexpr unsigned flush_timeout_ms = 30000;  // for how long a peer may take what is left for it
+constexpr int user_timeout_ms = 8000;         // TCP_USER_TIMEOUT: limit for sent bytes to stay unacknowledged
+constexpr unsigned flush_timeout_ms = 30000;  // time for the peer to receive the rest after close_after_flush()
 constexpr std::size_t read_buffer_size = 65536;
-constexpr unsigned accept_pause_ms = 100;  // of a listening socket when no descriptor is left
+constexpr unsigned accept_pause_ms = 100;  // pause of a listener when no file descriptor is left
 
 bool parse_ipv4_address(std::string const& text, sockaddr_in& out) {
   std::string host;
@@ -34,13 +34,13 @@
 
 void set_socket_options(int fd) {
   int const one = 1;
-  unsigned const most = user_timeout_ms;
+  unsigned const timeout = user_timeout_ms;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-  setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &most, sizeof most);
+  setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout, sizeof timeout);
 }
 }  // namespace
 
-// A source of the loop for one descriptor, whose conditions change without making it anew.
+// A GLib source for one descriptor, whose watched events can change without a new source.
 struct TcpConnection::SocketSource {
   GSource base;
   TcpConnection* connection;
@@ -134,13 +134,13 @@
   state_ = State::closed;
 }
 
-void TcpConnection::close_with(CloseReason how) {
+void TcpConnection::close_with(CloseReason reason) {
   if (fd_ < 0) return;
   std::shared_ptr<TcpConnection> const keep = std::move(self_while_flushing_);
   std::function<void(CloseReason)> const callback = std::move(callbacks_.closed);
   close();
   callbacks_ = {};
-  if (callback) callback(how);
+  if (callback) callback(reason);
 }
 
 void TcpConnection::update_watched_events() {
@@ -170,22 +170,22 @@
     if (timer_ != 0) g_source_remove(timer_);
     timer_ = 0;
     update_watched_events();
-    // The callbacks may be others by the time it returns.
+    // A copy, since the callback may replace the callbacks.
     std::function<void()> const callback = callbacks_.connected;
     if (callback) callback();
     return;
   }
   if ((conditions & G_IO_OUT) != 0) flush();
   if (fd_ < 0 || (conditions & (G_IO_IN | G_IO_HUP | G_IO_ERR)) == 0) return;
-  // Held, and the connection is dead both ways: nothing that is still to be read matters any more.
+  // G_IO_HUP or G_IO_ERR while reading is paused: both directions are closed, so unread input no longer matters.
   if (paused_) return close_with(CloseReason::reset);
   read_available();
 }
 
 void TcpConnection::read_available() {
   static char buffer[read_buffer_size];
-  // Until it is empty, but not for ever: others wait for the loop too.
-  for (int turns = 0; turns < 4 && fd_ >= 0 && !paused_; ++turns) {
+  // Reads until the socket is empty, but at most four times, since other sources share the loop.
+  for (int i = 0; i < 4 && fd_ >= 0 && !paused_; ++i) {
     ssize_t const n = ::recv(fd_, buffer, sizeof buffer, 0);
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
@@ -226,8 +226,9 @@
     written_bytes_ = 0;
     ssize_t const n = ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (n > 0) bytes.remove_prefix(static_cast<std::size_t>(n));
-    // What follows must not take the place of what is lost: nothing more is sent, and the peer sees an end. Here that
-    // is heard of when it is read; the caller of write() must not find the connection gone under its feet.
+    // Bytes sent after the lost ones would arrive in their place, so nothing more is sent and the peer sees the end of
+    // the connection. This side closes when it reads that end: write() must not destroy the connection under its
+    // caller.
     if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) {
       write_failed_ = true;
       ::shutdown(fd_, SHUT_RDWR);
@@ -261,7 +262,7 @@
   update_watched_events();
 }
 
-// The peer takes no more; what it said before that may still be here, as an answer that came early.
+// The peer accepts no more bytes, but its input may still be unread, such as a response that it sent early.
 void TcpConnection::on_write_error() {
   write_failed_ = true;
   if (!paused_) read_available();
@@ -273,7 +274,7 @@
   close_after_flush_ = true;
   if (buffered_bytes() == 0) return close_with(CloseReason::closed);
   if (self_while_flushing_) return;
-  // What still comes is not read any more; the peer's end of it does not matter.
+  // Further input is neither read nor delivered.
   callbacks_.data = nullptr;
   self_while_flushing_ = shared_from_this();
   if (timer_ != 0) g_source_remove(timer_);
@@ -293,14 +294,14 @@
   on_accept_ = std::move(on_accept);
   sockaddr_in local;
   if (!parse_ipv4_address(address, local))
-    return fail(ErrorCode::bad_settings, "'" + address + "' is not an IP number with a port");
+    return fail(ErrorCode::bad_settings, "'" + address + "' is not an IP address with a port");
   fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   int const one = 1;
   setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   if (fd_ < 0 || ::bind(fd_, reinterpret_cast<sockaddr*>(&local), sizeof local) != 0 || ::listen(fd_, 512) != 0) {
-    std::string const why = std::strerror(errno);
+    std::string const reason = std::strerror(errno);
     close();
-    return fail(ErrorCode::bad_settings, address + " cannot be listened on: " + why);
+    return fail(ErrorCode::bad_settings, "cannot listen on " + address + ": " + reason);
   }
   watch_socket();
   return boost::outcome_v2::success();
@@ -333,7 +334,7 @@
 }
 
 void Listener::accept_pending() {
-  for (int turns = 0; turns < 32 && fd_ >= 0; ++turns) {
+  for (int i = 0; i < 32 && fd_ >= 0; ++i) {
     int const accepted_fd = ::accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (accepted_fd < 0 && (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM))
       return pause_accepting();
--- a/src/net/tcp_connection.h
+++ b/src/net/tcp_connection.h
@@ -1,4 +1,4 @@
-// One TCP connection under the main loop: it never blocks, and it owns its socket (design §12.2).
+// Non-blocking TCP connections and listeners on the GLib main loop (design §12.2).
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -13,46 +13,57 @@
 
 namespace pipit {
 
+// A TCP connection that owns its socket. All members must be called on the thread of the main loop; none of them
+// blocks.
 class TcpConnection : public std::enable_shared_from_this<TcpConnection> {
  public:
-  enum class CloseReason : std::uint8_t { closed, reset, connect_failed };
+  enum class CloseReason : std::uint8_t {
+    closed,          // orderly end: by the peer, or after close_after_flush() wrote everything
+    reset,           // reset by the peer, a failed write, or a timeout of close_after_flush()
+    connect_failed,  // never connected, so nothing was sent
+  };
   struct Callbacks {
-    std::function<void()> connected;             // a dialled connection is open
-    std::function<void(std::string_view)> data;  // what came; any call may shut the link
-    std::function<void(CloseReason)> closed;     // said once, never after close()
-    std::function<void()> drained;               // what waited to be written has been taken by the system
+    std::function<void()> connected;             // a dialled connection is established
+    std::function<void(std::string_view)> data;  // received bytes; the callback may close the connection
+    std::function<void(CloseReason)> closed;     // called at most once, and never after close()
+    std::function<void()> drained;               // the kernel accepted all buffered bytes
   };
-  // An accepted socket, non-blocking; the link owns it from now on.
+  // Takes ownership of a connected, non-blocking socket.
   static std::shared_ptr<TcpConnection> adopt(int fd);
-  // Dials an IP number with a port from 'from' (an IP number, or empty). 'within' bounds the opening alone, in
-  // microseconds. Nothing was sent when it ends as unreached.
+  // Connects to "IP:port", from the local IP address 'from' unless that is empty. 'connect_timeout' in microseconds
+  // limits only the connecting. On an immediate failure the returned connection is not open() and calls no callback.
   static std::shared_ptr<TcpConnection> dial(std::string const& address, std::string const& from,
                                              Micros connect_timeout);
-  // A socket that is being opened, non-blocking; the link owns it from now on.
+  // Takes ownership of a non-blocking socket whose connect() is in progress. 'connect_timeout' is in microseconds.
   static std::shared_ptr<TcpConnection> adopt_connecting(int fd, Micros connect_timeout);
   ~TcpConnection();
 
+  // Replaces all callbacks.
   void set_callbacks(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
-  // Sends at once what the system takes; the rest goes when it can.
+  // Sends what the kernel accepts now and buffers the remaining bytes. After a failed write it discards all bytes.
   void write(std::string_view bytes);
+  // Bytes that the kernel has not accepted yet.
   std::size_t buffered_bytes() const { return write_buffer_.size() - written_bytes_; }
-  // How long bytes have waited to be written without a pause; 0 when none wait.
+  // Time in microseconds for which there have been buffered bytes without interruption; 0 if there are none.
   Micros write_blocked_for(Micros now) const { return buffered_bytes() == 0 ? 0 : now - blocked_since_; }
-  // Nothing is read while held; the peer feels it.
+  // Stops or resumes reading; while it is paused, TCP flow control slows the peer down.
   void pause_reading(bool paused);
-  // Closes without a callback. A reset tells the peer that what it got is not whole.
+  // Closes at once without a callback. A reset tells the peer that it may not have received everything.
   void close(bool reset = false);
-  // Closes once everything written has been taken, whoever still holds the link; the peer has a while for that.
+  // Closes after the kernel accepted all buffered bytes, for which the peer has 30 seconds. Until then the connection
+  // keeps itself alive and reads nothing; the closed callback reports how it ended.
   void close_after_flush();
+  // True until the connection is closed, also while it is being established.
   bool open() const { return fd_ >= 0; }
-  // Whether somebody said no when it was dialled: no process listens there.
+  // True if the peer refused the connection (ECONNREFUSED): no process listens at the address.
   bool refused() const { return refused_; }
+  // True while the connection is established.
   bool connected() const { return state_ == State::connected; }
-  // The IP number of the other end; empty once the connection is no more.
+  // The IP address of the peer; empty once the connection is closed.
   std::string peer_ip() const;
-  // Open, and nothing has come that is still to be read, not even its end.
+  // True if the connection is established and has no unread input: neither bytes nor the end of the connection.
   bool is_idle() const;
-  // Whether the peer has ended it and only its end is still to be read.
+  // True if the connection is closed, or if the peer ended it and that end is the only unread input.
   bool closed_by_peer() const;
 
  private:
@@ -65,7 +76,7 @@
   void read_available();
   void flush();
   void on_write_error();
-  void close_with(CloseReason how);
+  void close_with(CloseReason reason);
 
   int fd_ = -1;
   State state_ = State::connected;
@@ -75,20 +86,22 @@
   unsigned watched_events_ = 0;
   bool paused_ = false;
   bool close_after_flush_ = false;
-  bool write_failed_ = false;  // something could not be sent; nothing is sent after it
+  bool write_failed_ = false;  // bytes were lost, so nothing may be sent after them
   bool refused_ = false;
-  std::shared_ptr<TcpConnection> self_while_flushing_;  // while it finishes
+  std::shared_ptr<TcpConnection> self_while_flushing_;  // keeps the object alive during close_after_flush()
   std::string write_buffer_;
   std::size_t written_bytes_ = 0;
-  Micros blocked_since_ = 0;  // since when bytes have waited; means something only while some do
+  Micros blocked_since_ = 0;  // start of the current write backlog; valid only while bytes are buffered
   Callbacks callbacks_;
 };
 
-// A listening socket.
+// A listening TCP socket.
 class Listener {
  public:
   using AcceptCallback = std::function<void(std::shared_ptr<TcpConnection>)>;
   ~Listener() { close(); }
+  // Listens at "IP:port" and calls 'on_accept' for each accepted connection. Fails with bad_settings if the address is
+  // malformed or cannot be bound.
   Result<void> open(std::string const& address, AcceptCallback on_accept);
   void close();
   bool is_open() const { return fd_ >= 0; }
@@ -96,12 +109,12 @@
  private:
   void accept_pending();
   void watch_socket();
-  // Without descriptors nothing can be taken for a while; looking again at once would only keep the loop busy.
+  // Stops accepting for a while when no file descriptor is left; polling the socket meanwhile would keep the loop busy.
   void pause_accepting();
   int fd_ = -1;
   unsigned watch_ = 0;
   unsigned timer_ = 0;
-  bool descriptor_shortage_logged_ = false;  // that was logged
+  bool descriptor_shortage_logged_ = false;  // since the last accepted connection
   AcceptCallback on_accept_;
 };
 
--- a/src/net/upstream_pool.cc
+++ b/src/net/upstream_pool.cc
@@ -9,17 +9,23 @@
 namespace pipit {
 
 namespace {
-constexpr Micros max_keep_alive = seconds(20);
-constexpr int max_skipped_responses = 3;
+constexpr Micros default_keep_alive = seconds(4);  // if the worker announces no time
+constexpr Micros max_keep_alive = seconds(20);     // also if the worker announces a longer time
+constexpr Micros keep_alive_margin = millis(300);
+constexpr std::int64_t max_announced_seconds = 3600;
+constexpr int max_skipped_responses = 3;  // per request
 Micros now() { return loop_time(); }
 
-// "timeout=5, max=100" in whole seconds; a default where nothing is said.
+// Idle time after a response with this value of Keep-Alive, such as "timeout=5, max=100" (seconds), or a default
+// without a timeout.
 Micros keep_alive_time(std::string const& text) {
-  std::size_t const at = text.find("timeout=");
-  if (at == std::string::npos) return seconds(4);
-  Micros const stated = seconds(std::clamp<std::int64_t>(std::strtoll(text.c_str() + at + 8, nullptr, 10), 0, 3600));
-  // The worker counts from when it sent the end; some way and some slack are taken off.
-  return std::min(max_keep_alive, stated - millis(300));
+  static constexpr std::string_view timeout = "timeout=";
+  std::size_t const at = text.find(timeout);
+  if (at == std::string::npos) return default_keep_alive;
+  Micros const announced = seconds(std::clamp<std::int64_t>(
+      std::strtoll(text.c_str() + at + timeout.size(), nullptr, 10), 0, max_announced_seconds));
+  // The worker counts from when it sent the end of its response, so the network delay and a margin are subtracted.
+  return std::min(max_keep_alive, announced - keep_alive_margin);
 }
 }  // namespace
 
@@ -28,14 +34,14 @@
   HttpParser parser{false};
   std::string peer;
   std::string address;
-  std::uint64_t request_id = 0;  // of the request that it carries, 0 when it is kept
-  std::string request;
-  bool request_started = false;
-  int requests_sent = 0;           // how many requests it has carried
-  bool is_head_request = false;    // it asks for a head alone
-  bool response_matches = false;   // the answer that is being read is the one that was asked for
-  bool response_rejected = false;  // what came is an answer to nobody
-  int skipped_responses = 0;
+  std::uint64_t request_id = 0;    // 0 while the connection is idle
+  std::string request;             // serialized, until it is sent
+  bool request_started = false;    // bytes of the current request may have been sent
+  int requests_sent = 0;           // over the lifetime of the connection
+  bool is_head_request = false;    // the response has no body
+  bool response_matches = false;   // the response being parsed belongs to the request
+  bool response_rejected = false;  // the response being parsed belongs to no request
+  int skipped_responses = 0;       // to other requests, since the current one was sent
   bool reusable = true;
   Micros max_idle_time = 0;
   Micros idle_since = 0;
@@ -55,7 +61,7 @@
   list.erase(std::remove(list.begin(), list.end(), &conn), list.end());
   if (list.empty()) idle_by_peer_.erase(conn.peer);
   if (conn.request_id != 0) connections_by_request_.erase(conn.request_id);
-  conn.request_id = 0;  // whatever is still being read of it is nobody's
+  conn.request_id = 0;  // the parser callbacks ignore the rest of the bytes
   conn.tcp->close(reset);
   connections_.erase(&conn);
 }
@@ -66,11 +72,11 @@
   while (list != idle_by_peer_.end() && !list->second.empty()) {
     Connection* const conn = list->second.back();
     std::shared_ptr<Connection> const owner = connections_[conn];
-    // What may not repeat is lost on a connection that the worker has just closed.
+    // A request that must not be repeated fails if it is sent on a connection that the worker has just closed.
     if (conn->address != address || now() - conn->idle_since > conn->max_idle_time || !conn->tcp->is_idle()) {
-      bool const only = list->second.size() == 1;
+      bool const last = list->second.size() == 1;
       erase(*conn);
-      if (only) break;
+      if (last) break;
       continue;
     }
     list->second.pop_back();
@@ -103,7 +109,7 @@
   };
   connections_.emplace(conn, connection);
   connections_by_request_[id] = conn;
-  if (!conn->tcp->open()) return fail(*conn, Failure::connect_failed, "no connection could be begun");
+  if (!conn->tcp->open()) return fail(*conn, Failure::connect_failed, "cannot start a connection to the worker");
   conn->tcp->set_callbacks({[this, conn] { send(*conn); },
                             [this, conn](std::string_view part) {
                               std::map<Connection*, std::shared_ptr<Connection>>::iterator const position =
@@ -112,12 +118,12 @@
                               std::shared_ptr<Connection> const owner = position->second;
                               on_data(*conn, part);
                             },
-                            [this, conn](TcpConnection::CloseReason how) {
+                            [this, conn](TcpConnection::CloseReason close_reason) {
                               std::map<Connection*, std::shared_ptr<Connection>>::iterator const position =
                                   connections_.find(conn);
                               if (position == connections_.end()) return;
                               std::shared_ptr<Connection> const owner = position->second;
-                              on_close(*conn, how);
+                              on_close(*conn, close_reason);
                             },
                             nullptr});
 }
@@ -130,35 +136,38 @@
   conn.is_head_request = conn.request.starts_with("HEAD ");
   std::string const bytes = std::move(conn.request);
   conn.request.clear();
-  // Said before the system takes the first byte: from here on nobody can know.
+  // Reported before the kernel accepts the first byte: from here on the worker may have executed the request.
   callbacks_.request_sent(conn.request_id);
   conn.tcp->write(bytes);
 }
 
 void UpstreamPool::on_data(Connection& conn, std::string_view bytes) {
   while (!bytes.empty()) {
-    if (conn.request_id == 0) return erase(conn);  // nothing is due on a kept connection
+    if (conn.request_id == 0) return erase(conn);  // no response is expected on an idle connection
     std::size_t const consumed = conn.parser.feed(bytes);
     if (!conn.tcp->open() || connections_.find(&conn) == connections_.end()) return;
     if (conn.parser.error() != HttpParser::Error::none)
-      return fail(conn, conn.response_matches ? Failure::truncated : Failure::broken, "what came is no answer");
-    if (conn.response_rejected) return fail(conn, Failure::broken, "what came does not name the request");
+      return fail(conn, conn.response_matches ? Failure::truncated : Failure::broken,
+                  "the worker sent an invalid response");
+    if (conn.response_rejected) return fail(conn, Failure::broken, "the response does not name the request");
     bytes.remove_prefix(std::min(consumed, bytes.size()));
     if (!conn.parser.complete()) {
       if (consumed == 0)
-        return fail(conn, conn.response_matches ? Failure::truncated : Failure::broken, "what came is no answer");
+        return fail(conn, conn.response_matches ? Failure::truncated : Failure::broken,
+                    "the worker sent an invalid response");
       continue;
     }
     bool const matches = conn.response_matches;
     if (!matches && ++conn.skipped_responses > max_skipped_responses)
-      return fail(conn, Failure::broken, "only answers to others came");
+      return fail(conn, Failure::broken, "the worker sent too many responses to other requests");
     conn.parser.start_next_message();
     conn.response_matches = false;
     if (!matches) {
-      if (!conn.reusable) return fail(conn, Failure::broken, "an answer to another request came last");
+      if (!conn.reusable)
+        return fail(conn, Failure::broken, "the last response on the connection belongs to another request");
       continue;
     }
-    // More than the answer: whatever follows was asked for by nobody.
+    // No request expects the bytes after the response.
     if (!bytes.empty()) conn.reusable = false;
     return complete_response(conn);
   }
@@ -169,7 +178,7 @@
   connections_by_request_.erase(id);
   conn.request_id = 0;
   conn.request_started = false;
-  // An answer before the request was whole: the next one would come behind the rest of this.
+  // If the response ended before the whole request was sent, the next request would be queued behind the rest of it.
   bool const all_sent = conn.tcp->buffered_bytes() == 0;
   if (conn.reusable && conn.max_idle_time > 0 && all_sent) {
     conn.idle_since = now();
@@ -180,24 +189,24 @@
   callbacks_.response_complete(id);
 }
 
-void UpstreamPool::fail(Connection& conn, Failure how, std::string const& reason) {
+void UpstreamPool::fail(Connection& conn, Failure failure, std::string const& reason) {
   std::uint64_t const id = conn.request_id;
   erase(conn);
-  if (id != 0) callbacks_.request_failed(id, how, reason);
+  if (id != 0) callbacks_.request_failed(id, failure, reason);
 }
 
-void UpstreamPool::on_close(Connection& conn, TcpConnection::CloseReason how) {
+void UpstreamPool::on_close(Connection& conn, TcpConnection::CloseReason close_reason) {
   if (conn.request_id == 0) return erase(conn);
-  if (!conn.request_started) return fail(conn, Failure::connect_failed, "the worker cannot be reached");
-  if (how == TcpConnection::CloseReason::closed && conn.response_matches && !conn.parser.complete() &&
+  if (!conn.request_started) return fail(conn, Failure::connect_failed, "cannot connect to the worker");
+  if (close_reason == TcpConnection::CloseReason::closed && conn.response_matches && !conn.parser.complete() &&
       conn.parser.eof()) {
     conn.reusable = false;
     conn.parser.start_next_message();
     return complete_response(conn);
   }
   fail(conn, conn.response_matches ? Failure::truncated : Failure::broken,
-       how == TcpConnection::CloseReason::reset ? "the worker reset the connection"
-                                                : "the worker closed the connection");
+       close_reason == TcpConnection::CloseReason::reset ? "the worker reset the connection"
+                                                         : "the worker closed the connection");
 }
 
 void UpstreamPool::cancel(std::uint64_t id) {
@@ -218,11 +227,11 @@
 }
 
 void UpstreamPool::close_expired(Micros now) {
-  std::vector<Connection*> old;
+  std::vector<Connection*> expired;
   for (std::pair<std::string const, std::vector<Connection*>> const& item : idle_by_peer_)
     for (Connection* const conn : item.second)
-      if (now - conn->idle_since > conn->max_idle_time) old.push_back(conn);
-  for (Connection* const conn : old) {
+      if (now - conn->idle_since > conn->max_idle_time) expired.push_back(conn);
+  for (Connection* const conn : expired) {
     std::shared_ptr<Connection> const owner = connections_[conn];
     erase(*owner);
   }
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -1,4 +1,4 @@
-// Connections to workers: kept while they are good, judged byte by byte (design §12.2).
+// HTTP/1.1 connection pool for requests to workers (design §12.2).
 #pragma once
 #include <map>
 #include <memory>
@@ -10,22 +10,26 @@
 
 namespace pipit {
 
+// Sends each request on an idle connection to its worker or on a new one, parses the responses strictly, and keeps
+// connections that may carry another request. The caller assigns the request ids, which must not be 0. Each request
+// that is not cancelled ends with exactly one call of response_complete or request_failed.
 class UpstreamPool {
  public:
   enum class Failure : std::uint8_t {
-    connect_failed,  // no connection came up: no byte has left
-    broken,          // it ended, or what came is no answer
-    truncated,       // the answer began and ended before its end
+    connect_failed,  // no connection was established, so no byte was sent
+    broken,          // the connection ended or sent an invalid response before a response to the request began
+    truncated,       // the response began, but the connection ended or sent invalid bytes before its end
   };
-  // Whom the head of an answer belongs to.
+  // The request to which a response head belongs.
   enum class ResponseOwner : std::uint8_t {
-    current_request,  // the request that the connection carries
-    other_request,    // interim, or to an earlier request: it is passed over, and what follows may be the asker's
-    none,             // no answer to anything: the request breaks and the connection is not used again
+    current_request,  // the request on this connection
+    other_request,    // an interim response or one to an earlier request: skipped, as the next one may match
+    none,             // not a response to any request: the request fails and the connection is closed
   };
   struct Callbacks {
-    std::function<void(std::uint64_t)> request_sent;  // a byte of the request may have left
-    // 'first': nothing was asked on the connection before.
+    // Called before the first byte of the request is sent: from then on the worker may have executed it.
+    std::function<void(std::uint64_t)> request_sent;
+    // Decides to which request the head belongs. 'first' is true if the connection carried no request before.
     std::function<ResponseOwner(std::uint64_t, Head const&, bool first)> response_head;
     std::function<void(std::uint64_t, std::string_view)> response_body;
     std::function<void(std::uint64_t)> response_complete;
@@ -35,23 +39,31 @@
       : callbacks_(std::move(callbacks)), source_ip_(std::move(source_ip)) {}
   ~UpstreamPool();
 
-  // How connections are opened; Link::dial unless a test says otherwise.
+  // Opens connections; TcpConnection::dial by default, replaced in tests.
   using Dialer = std::function<std::shared_ptr<TcpConnection>(std::string const& address, std::string const& source_ip,
                                                               Micros connect_timeout)>;
   void set_dialer(Dialer dialer) { dialer_ = std::move(dialer); }
 
-  // Sends a request; 'peer' names who incarnations at the address, and kept connections belong to that name.
+  // Sends the serialized 'request' to 'address' ("IP:port"). 'peer' names the worker process at that address: an idle
+  // connection is reused only for the same peer and address. 'connect_timeout' in microseconds limits only the
+  // connecting.
   void start_request(std::uint64_t id, std::string const& peer, std::string const& address, std::string request,
                      Micros connect_timeout);
-  // Gives a request up: its connection is reset, so that nothing the system still holds of it arrives later.
+  // Cancels a request without a further callback. Its connection is reset, so that request bytes still buffered in the
+  // kernel do not reach the worker later. Unknown ids are ignored.
   void cancel(std::uint64_t id);
-  // Nobody of that name is there any more: its kept connections are closed.
+  // Closes the idle connections of a peer that no longer exists.
   void close_idle_connections(std::string const& peer);
+  // Closes the connections that have been idle for longer than their keep-alive time.
   void close_expired(Micros now);
+  // Requests that have neither ended nor been cancelled.
   std::size_t active_requests() const { return connections_by_request_.size(); }
+  // Idle connections of this peer.
   std::size_t idle_connections(std::string const& peer) const;
+  // All connections, idle or not.
   std::size_t connections() const { return connections_.size(); }
 
+  // Counters for metrics: requests sent on a new connection and on a reused one.
   std::uint64_t dialled = 0;
   std::uint64_t reused = 0;
 
@@ -59,8 +71,8 @@
   struct Connection;
   void send(Connection& conn);
   void on_data(Connection& conn, std::string_view bytes);
-  void on_close(Connection& conn, TcpConnection::CloseReason how);
-  void fail(Connection& conn, Failure how, std::string const& reason);
+  void on_close(Connection& conn, TcpConnection::CloseReason close_reason);
+  void fail(Connection& conn, Failure failure, std::string const& reason);
   void complete_response(Connection& conn);
   void erase(Connection& conn, bool reset = false);
 
@@ -69,7 +81,7 @@
   Dialer dialer_ = TcpConnection::dial;
   std::map<Connection*, std::shared_ptr<Connection>> connections_;
   std::map<std::uint64_t, Connection*> connections_by_request_;
-  std::map<std::string, std::vector<Connection*>> idle_by_peer_;  // by peer, the last used at the end
+  std::map<std::string, std::vector<Connection*>> idle_by_peer_;  // by peer; the most recently used one is the last
 };
 
 }  // namespace pipit
