--- a/src/net/upstream_pool.cc
+++ b/src/net/upstream_pool.cc
@@ -16,8 +16,7 @@
 constexpr int max_skipped_responses = 3;  // per request
 Micros now() { return loop_time(); }
 
-// Idle time after a response with this value of Keep-Alive, such as "timeout=5, max=100" (seconds), or a default
-// without a timeout.
+// How long a connection may stay idle, given the value of its Keep-Alive field such as "timeout=5, max=100" (seconds).
 Micros keep_alive_time(std::string const& text) {
   static constexpr std::string_view timeout = "timeout=";
   std::size_t const at = text.find(timeout);
--- a/tests/request_proxy.cc
+++ b/tests/request_proxy.cc
@@ -1,5 +1,5 @@
-// Callers, the relay, the dispatcher and workers made of sockets: what passes through, and what each side is told
-// (§12.5).
+// Requests through RequestProxy and Dispatcher between a client and workers on loopback sockets: what is forwarded,
+// what is retried, and which response the client receives (§12.5).
 #include <gtest/gtest.h>
 
 #include <glib.h>
@@ -9,9 +9,9 @@
 namespace pipit {
 
 namespace {
-std::string const mine = "X-Pipit-Attempt: r1\r\n";
+std::string const attempt_id = "X-Pipit-Attempt: r1\r\n";
 
-// Workers whose successes bear a seal.
+// Requires the seal header in successful responses of workers.
 class SealedResponseTest : public RequestProxyTest {
  protected:
   static Dialect with_seal() {
@@ -23,17 +23,17 @@
 };
 }  // namespace
 
-TEST_F(RequestProxyTest, a_request_and_its_answer_pass_through) {
+TEST_F(RequestProxyTest, forwards_requests_and_responses) {
   add_worker("w");
   send_request("POST", "/once/x?y=z", "Connection: X-Mine\r\nX-Mine: 1\r\nX-Yours: 2\r\n");
   ASSERT_EQ(worker_with_request(), "w");
-  std::string const got = workers["w"]->received();
-  EXPECT_EQ(got.substr(0, 28), "POST /once/x?y=z HTTP/1.1\r\nH");
-  for (char const* const there :
+  std::string const received = workers["w"]->received();
+  EXPECT_EQ(received.substr(0, 28), "POST /once/x?y=z HTTP/1.1\r\nH");
+  for (char const* const expected :
        {"X-Yours: 2", "X-Pipit-Instance: w", "X-Pipit-Left-Ms: ", "Content-Length: 2\r\n", "\r\n\r\nhi"})
-    EXPECT_NE(got.find(there), std::string::npos) << there;
-  EXPECT_EQ(got.find("X-Mine"), std::string::npos);
-  connection_of("w").send("HTTP/1.1 201 Made\r\n" + mine +
+    EXPECT_NE(received.find(expected), std::string::npos) << expected;
+  EXPECT_EQ(received.find("X-Mine"), std::string::npos);
+  connection_of("w").send("HTTP/1.1 201 Made\r\n" + attempt_id +
                           "Keep-Alive: timeout=9\r\nX-Back: 3\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(client_receives("yes"));
   EXPECT_EQ(client->got.substr(0, 18), "HTTP/1.1 201 Made\r");
@@ -42,18 +42,18 @@
   EXPECT_TRUE(no_requests_in_flight());
 }
 
-TEST_F(RequestProxyTest, HEAD_is_answered_with_a_head) {
+TEST_F(RequestProxyTest, forwards_the_response_to_head_without_a_body) {
   add_worker("w");
   send_request("HEAD", "/once/x");
   ASSERT_EQ(worker_with_request(), "w");
-  connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 5000\r\n\r\n");
+  connection_of("w").send("HTTP/1.1 200 OK\r\n" + attempt_id + "Content-Length: 5000\r\n\r\n");
   ASSERT_TRUE(client_receives("\r\n\r\n"));
   EXPECT_NE(client->got.find("Content-Length: 5000"), std::string::npos);
   EXPECT_TRUE(no_requests_in_flight());
   EXPECT_EQ(proxy.upstream.idle_connections("w"), 1u);
 }
 
-TEST_F(RequestProxyTest, what_there_is_no_route_for_is_said_not_to_have_run) {
+TEST_F(RequestProxyTest, request_without_a_route_gets_404_and_is_reported_as_not_executed) {
   send_request("POST", "/nowhere/x");
   ASSERT_TRUE(client_receives("}"));
   EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 404");
@@ -61,7 +61,7 @@
   EXPECT_EQ(client->got.find("Retry-After"), std::string::npos);
 }
 
-TEST_F(RequestProxyTest, a_worker_that_breaks_before_its_answer_leaves_doubt) {
+TEST_F(RequestProxyTest, connection_closed_before_the_response_leaves_the_execution_status_unknown) {
   add_worker("w");
   add_worker("v");
   send_request("POST", "/once/x");
@@ -75,16 +75,16 @@
   EXPECT_TRUE(no_requests_in_flight());
 }
 
-TEST_F(RequestProxyTest, what_a_worker_did_not_run_goes_to_another) {
+TEST_F(RequestProxyTest, request_that_a_worker_did_not_execute_is_retried_on_another) {
   for (std::string const& answer :
        {std::string("503 Busy\r\nX-Pipit-Not-Run: 1\r\n"), std::string("421 Elsewhere\r\n")}) {
     add_worker("w");
     add_worker("v");
     send_request("POST", "/once/x");
     std::string const first = worker_with_request();
-    connection_of(first).send("HTTP/1.1 " + answer + mine + "Content-Length: 0\r\n\r\n");
+    connection_of(first).send("HTTP/1.1 " + answer + attempt_id + "Content-Length: 0\r\n\r\n");
     std::string const second = worker_with_request(first);
-    connection_of(second).send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
+    connection_of(second).send("HTTP/1.1 200 OK\r\n" + attempt_id + "Content-Length: 3\r\n\r\nyes");
     ASSERT_TRUE(client_receives("yes"));
     EXPECT_TRUE(no_requests_in_flight());
     workers.clear();
@@ -93,29 +93,29 @@
   }
 }
 
-TEST_F(RequestProxyTest, a_workers_own_failure_passes_back) {
+TEST_F(RequestProxyTest, error_response_of_a_worker_is_forwarded) {
   add_worker("w");
   send_request("POST", "/once/x");
   ASSERT_EQ(worker_with_request(), "w");
-  connection_of("w").send("HTTP/1.1 500 Odd\r\n" + mine + "Content-Length: 3\r\n\r\nbad");
+  connection_of("w").send("HTTP/1.1 500 Odd\r\n" + attempt_id + "Content-Length: 3\r\n\r\nbad");
   ASSERT_TRUE(client_receives("bad"));
   EXPECT_EQ(client->got.substr(0, 16), "HTTP/1.1 500 Odd");
   EXPECT_TRUE(no_requests_in_flight());
 }
 
-TEST_F(RequestProxyTest, a_stream_goes_on_at_another_worker_and_no_event_comes_twice) {
+TEST_F(RequestProxyTest, interrupted_stream_resumes_on_another_worker_without_duplicate_events) {
   add_worker("w");
   add_worker("v");
   send_request("POST", "/flow/x");
   std::string const first = worker_with_request();
-  connection_of(first).send("HTTP/1.1 200 OK\r\n" + mine +
+  connection_of(first).send("HTTP/1.1 200 OK\r\n" + attempt_id +
                             "Transfer-Encoding: chunked\r\n\r\n1c\r\nid: 1\ndata: a\n\nid: 2\ndata: b\r\n");
   ASSERT_TRUE(client_receives("data: a\n\n"));
-  EXPECT_EQ(client->got.find("data: b"), std::string::npos) << "not before it is whole";
+  EXPECT_EQ(client->got.find("data: b"), std::string::npos) << "an incomplete event must not be forwarded";
   connection_of(first).link->close(true);
   std::string const second = worker_with_request(first);
   EXPECT_NE(workers[second]->received().find("Last-Event-Id: 1\r\n"), std::string::npos);
-  connection_of(second).send("HTTP/1.1 200 OK\r\n" + mine +
+  connection_of(second).send("HTTP/1.1 200 OK\r\n" + attempt_id +
                              "Content-Length: 45\r\n\r\nid: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
   ASSERT_TRUE(client_receives("0\r\n\r\n"));
   for (char const* const part : {"data: a\n\n", "data: b\n\n", "data: c\n\n"})
@@ -123,12 +123,12 @@
   EXPECT_TRUE(no_requests_in_flight());
 }
 
-TEST_F(RequestProxyTest, a_stream_that_cannot_go_on_does_not_look_whole) {
+TEST_F(RequestProxyTest, interrupted_stream_that_is_not_resumable_is_not_terminated) {
   add_worker("w");
   add_worker("v");
   send_request("POST", "/live/x");
   std::string const first = worker_with_request();
-  connection_of(first).send("HTTP/1.1 200 OK\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
+  connection_of(first).send("HTTP/1.1 200 OK\r\n" + attempt_id + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
   ASSERT_TRUE(client_receives("hello"));
   connection_of(first).link->close();
   ASSERT_TRUE(until([&] { return client->shut; }));
@@ -136,11 +136,11 @@
   EXPECT_TRUE(no_requests_in_flight());
 }
 
-TEST_F(RequestProxyTest, a_stream_without_content_is_no_body) {
+TEST_F(RequestProxyTest, stream_response_204_has_no_body) {
   add_worker("w");
   send_request("POST", "/flow/x");
   ASSERT_EQ(worker_with_request(), "w");
-  connection_of("w").send("HTTP/1.1 204 None\r\n" + mine + "\r\n");
+  connection_of("w").send("HTTP/1.1 204 None\r\n" + attempt_id + "\r\n");
   ASSERT_TRUE(client_receives("\r\n\r\n"));
   settle();
   EXPECT_TRUE(client->got.ends_with("\r\n\r\n"));
@@ -148,7 +148,7 @@
   EXPECT_TRUE(no_requests_in_flight());
 }
 
-TEST_F(RequestProxyTest, a_caller_that_leaves_takes_its_attempt_along) {
+TEST_F(RequestProxyTest, client_disconnect_cancels_the_attempt) {
   add_worker("w");
   send_request("POST", "/live/x");
   ASSERT_EQ(worker_with_request(), "w");
@@ -157,7 +157,7 @@
   EXPECT_TRUE(no_requests_in_flight());
 }
 
-TEST_F(RequestProxyTest, an_answer_that_names_no_request_is_no_answer_and_its_connection_is_not_used_again) {
+TEST_F(RequestProxyTest, response_without_a_request_id_is_rejected_and_its_connection_closed) {
   add_worker("w");
   send_request("POST", "/once/x");
   ASSERT_EQ(worker_with_request(), "w");
@@ -169,16 +169,16 @@
   EXPECT_TRUE(no_requests_in_flight());
 }
 
-TEST_F(RequestProxyTest, a_refusal_that_names_no_request_is_believed_only_where_nothing_was_asked_before) {
+TEST_F(RequestProxyTest, rejection_without_a_request_id_is_accepted_only_on_a_new_connection) {
   add_worker("w");
   send_request("POST", "/once/x");
   ASSERT_EQ(worker_with_request(), "w");
-  connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
+  connection_of("w").send("HTTP/1.1 200 OK\r\n" + attempt_id + "Content-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(client_receives("yes"));
   ASSERT_EQ(proxy.upstream.idle_connections("w"), 1u);
   send_request("POST", "/once/x");
   ASSERT_TRUE(until([&] { return count_of(connection_of("w").got, "POST ") == 2; }));
-  // It may be a late word about the first request.
+  // It may be a late response to the first request.
   connection_of("w").send("HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(client_receives("}"));
   EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 502");
@@ -186,30 +186,31 @@
   EXPECT_TRUE(no_requests_in_flight());
 }
 
-TEST_F(RequestProxyTest, an_answer_that_names_two_requests_is_no_answer) {
+TEST_F(RequestProxyTest, response_with_two_request_ids_is_rejected) {
   add_worker("w");
   send_request("POST", "/once/x");
   ASSERT_EQ(worker_with_request(), "w");
-  connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "X-Pipit-Attempt: r2\r\nContent-Length: 3\r\n\r\nyes");
+  connection_of("w").send("HTTP/1.1 200 OK\r\n" + attempt_id + "X-Pipit-Attempt: r2\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(client_receives("}"));
   EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(proxy.upstream.idle_connections("w"), 0u);
 }
 
-TEST_F(RequestProxyTest, a_status_that_promises_without_the_mark_is_no_promise) {
+TEST_F(RequestProxyTest, overload_status_without_the_not_executed_header_is_not_retried) {
   for (char const* const status : {"408 Late", "429 Many", "503 Busy"}) {
     add_worker("w");
     add_worker("v");
     send_request("POST", "/once/x");
     std::string const first = worker_with_request();
-    connection_of(first).send("HTTP/1.1 " + std::string(status) + "\r\n" + mine +
+    connection_of(first).send("HTTP/1.1 " + std::string(status) + "\r\n" + attempt_id +
                               "X-Seal: s\r\nContent-Length: 2\r\n\r\nno");
     ASSERT_TRUE(client_receives("\r\n\r\n"));
     settle();
     EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 502") << status;
     EXPECT_NE(client->got.find("\"ran\":\"unknown\""), std::string::npos) << client->got;
-    EXPECT_EQ(client->got.find("X-Seal"), std::string::npos) << "the worker gave another status";
-    EXPECT_EQ(workers[first == "w" ? "v" : "w"]->received(), "") << "it may have run";
+    EXPECT_EQ(client->got.find("X-Seal"), std::string::npos) << "the seal belongs to another status";
+    EXPECT_EQ(workers[first == "w" ? "v" : "w"]->received(), "")
+        << "the request may have been executed, so it must not be retried";
     EXPECT_TRUE(no_requests_in_flight());
     workers.clear();
     registry.all.clear();
@@ -217,59 +218,61 @@
   }
 }
 
-TEST_F(RequestProxyTest, a_failure_whose_body_is_too_large_to_hold_is_not_passed_back_in_part) {
+TEST_F(RequestProxyTest, error_response_too_large_to_buffer_is_not_forwarded_in_part) {
   add_worker("w");
   send_request("POST", "/once/x");
   ASSERT_EQ(worker_with_request(), "w");
   std::string const body(3u << 20, 'z');
-  connection_of("w").send("HTTP/1.1 500 Odd\r\n" + mine + "Content-Length: " + std::to_string(body.size()) +
+  connection_of("w").send("HTTP/1.1 500 Odd\r\n" + attempt_id + "Content-Length: " + std::to_string(body.size()) +
                           "\r\n\r\n" + body);
   ASSERT_TRUE(client_receives("\r\n\r\n"));
   EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 502");
   EXPECT_TRUE(no_requests_in_flight());
 }
 
-TEST_F(RequestProxyTest, numbers_without_bound_are_taken_as_the_largest) {
+TEST_F(RequestProxyTest, huge_numbers_in_headers_are_clamped) {
   add_worker("w");
   send_request("POST", "/once/x",
                "X-Pipit-Left-Ms: 18446744073709552\r\nX-Pipit-Tokens: 9223372036854775807,9223372036854775807\r\n");
   ASSERT_TRUE(until([&] { return !workers["w"]->received().empty() || !client->got.empty(); }));
   ASSERT_EQ(client->got, "");
   EXPECT_GT(registry.find("w")->reserved_tokens, 0);
-  connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine +
+  connection_of("w").send("HTTP/1.1 200 OK\r\n" + attempt_id +
                           "X-Pipit-Load: 9223372036854775807,9223372036854775807,8\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(client_receives("yes"));
   EXPECT_GT(registry.find("w")->reported_load, 0);
   EXPECT_TRUE(no_requests_in_flight());
 }
 
-TEST_F(RequestProxyTest, a_caller_cannot_have_the_request_id_or_the_host_taken_away) {
+TEST_F(RequestProxyTest, connection_header_cannot_remove_the_request_id_or_the_host) {
   add_worker("w");
   send_request("POST", "/once/x", "Connection: X-Pipit-Attempt, Host, X-Mine\r\nX-Mine: 1\r\n");
   ASSERT_EQ(worker_with_request(), "w");
-  std::string const got = workers["w"]->received();
-  EXPECT_NE(got.find("X-Pipit-Attempt: r1\r\n"), std::string::npos) << got;
-  EXPECT_NE(got.find("Host: h.test:80\r\n"), std::string::npos) << got;
-  EXPECT_EQ(got.find("X-Mine"), std::string::npos);
+  std::string const received = workers["w"]->received();
+  EXPECT_NE(received.find("X-Pipit-Attempt: r1\r\n"), std::string::npos) << received;
+  EXPECT_NE(received.find("Host: h.test:80\r\n"), std::string::npos) << received;
+  EXPECT_EQ(received.find("X-Mine"), std::string::npos);
 }
 
-TEST_F(RequestProxyTest, a_stream_whose_events_bear_no_id_is_not_taken_up_elsewhere) {
+TEST_F(RequestProxyTest, stream_of_events_without_ids_is_not_resumed) {
   add_worker("w");
   add_worker("v");
   send_request("POST", "/flow/x");
   std::string const first = worker_with_request();
-  connection_of(first).send("HTTP/1.1 200 OK\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n");
+  connection_of(first).send("HTTP/1.1 200 OK\r\n" + attempt_id +
+                            "Transfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n");
   ASSERT_TRUE(client_receives("data: a\n\n"));
   connection_of(first).link->close(true);
   ASSERT_TRUE(until([&] { return client->shut || !workers[first == "w" ? "v" : "w"]->received().empty(); }));
   EXPECT_TRUE(client->shut);
-  EXPECT_EQ(workers[first == "w" ? "v" : "w"]->received(), "") << "from where, nobody could tell";
+  EXPECT_EQ(workers[first == "w" ? "v" : "w"]->received(), "")
+      << "without event ids the position to resume from is unknown";
   EXPECT_EQ(client->got.find("0\r\n\r\n"), std::string::npos);
   EXPECT_TRUE(no_requests_in_flight());
 }
 
-// What a worker reckons with is the caller's, whatever the caller lists as its connection's own.
-TEST_F(RequestProxyTest, a_caller_cannot_have_the_fields_of_its_prompt_taken_away) {
+// The client lists them in its Connection header, but workers need them: they are not hop-by-hop fields.
+TEST_F(RequestProxyTest, connection_header_cannot_remove_the_request_headers_for_the_worker) {
   add_worker("w");
   std::string const prompt =
       "X-Pipit-Model: m\r\nX-Pipit-Tokens: 10,5\r\nX-Pipit-Parts: 5c1e07a2:10\r\nLast-Event-Id: 4\r\n";
@@ -278,26 +281,27 @@
                "X-Mine: 1\r\nX-Pipit-Left-Ms: 3000\r\n" +
                    prompt);
   ASSERT_EQ(worker_with_request(), "w");
-  std::string const got = workers["w"]->received();
-  EXPECT_NE(got.find(prompt), std::string::npos) << got;
-  EXPECT_NE(got.find("X-Pipit-Left-Ms: 2"), std::string::npos) << got;
-  EXPECT_EQ(got.find("X-Mine"), std::string::npos);
+  std::string const received = workers["w"]->received();
+  EXPECT_NE(received.find(prompt), std::string::npos) << received;
+  EXPECT_NE(received.find("X-Pipit-Left-Ms: 2"), std::string::npos) << received;
+  EXPECT_EQ(received.find("X-Mine"), std::string::npos);
 }
 
-TEST_F(RequestProxyTest, a_caller_that_waits_no_longer_is_refused_and_not_sent_on) {
+TEST_F(RequestProxyTest, request_whose_deadline_has_passed_is_rejected_and_not_forwarded) {
   add_worker("w");
-  for (char const* const left : {"0", "-5", "20"}) {
-    send_request("POST", "/once/x", "X-Pipit-Left-Ms: " + std::string(left) + "\r\n");
+  for (char const* const remaining_ms : {"0", "-5", "20"}) {
+    send_request("POST", "/once/x", "X-Pipit-Left-Ms: " + std::string(remaining_ms) + "\r\n");
     ASSERT_TRUE(until([&] { return !client->got.empty() || !workers["w"]->received().empty(); }));
-    EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 503") << left;
-    EXPECT_EQ(workers["w"]->received(), "") << left;
+    EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 503") << remaining_ms;
+    EXPECT_EQ(workers["w"]->received(), "") << remaining_ms;
     settle();
   }
 }
 
-// A worker may break off in the middle of an event, and its answer may end with its connection.
-TEST_F(RequestProxyTest, a_stream_without_length_that_ends_in_an_event_is_not_whole) {
-  std::string const head = "HTTP/1.1 200 OK\r\n" + mine + "\r\n";
+// The end of a connection is the regular end of a response without length, but the worker may have failed within an
+// event.
+TEST_F(RequestProxyTest, stream_without_length_that_ends_within_an_event_is_resumed) {
+  std::string const head = "HTTP/1.1 200 OK\r\n" + attempt_id + "\r\n";
   add_worker("w");
   add_worker("v");
   send_request("POST", "/flow/x");
@@ -311,17 +315,17 @@
   connection_of(second).send(head + "id: 2\ndata: b\n\n");
   ASSERT_TRUE(client_receives("data: b\n\n"));
   connection_of(second).link->close();
-  ASSERT_TRUE(client_receives("0\r\n\r\n")) << "after an event it is whole";
+  ASSERT_TRUE(client_receives("0\r\n\r\n")) << "a stream that ends after an event is complete";
   EXPECT_EQ(count_of(client->got, "id: 2"), 1u);
   EXPECT_TRUE(no_requests_in_flight());
 }
 
-TEST_F(RequestProxyTest, a_stream_that_may_not_go_on_and_ends_in_an_event_is_broken_off) {
+TEST_F(RequestProxyTest, stream_that_is_not_resumable_and_ends_within_an_event_is_aborted) {
   add_worker("w");
   for (bool const whole : {true, false}) {
     send_request("POST", "/live/x");
     ASSERT_TRUE(until([&] { return count_of(workers["w"]->received(), "POST ") == (whole ? 1u : 2u); }));
-    connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "\r\nid: 1\ndata: a\n\n");
+    connection_of("w").send("HTTP/1.1 200 OK\r\n" + attempt_id + "\r\nid: 1\ndata: a\n\n");
     ASSERT_TRUE(client_receives("data: a\n\n"));
     if (!whole) connection_of("w").send("id: 2\nda");
     ASSERT_TRUE(client_receives(whole ? "data: a\n\n" : "id: 2\nda"));
@@ -334,8 +338,8 @@
   }
 }
 
-// A caller's time runs from the first byte of its request, however long the rest takes.
-TEST_F(RequestProxyTest, the_time_that_a_body_takes_to_come_is_the_callers) {
+// The time left to a client counts from the first byte of its request, however long the other bytes take.
+TEST_F(RequestProxyTest, time_to_receive_the_body_counts_against_the_deadline) {
   add_worker("w");
   ManualTime time(g_get_monotonic_time());
   client = std::make_unique<LoopbackStream>(address);
@@ -347,36 +351,38 @@
   time.advance(millis(700));
   client->send("i");
   ASSERT_EQ(worker_with_request(), "w");
-  std::string const got = workers["w"]->received();
-  std::size_t const at = got.find("X-Pipit-Left-Ms: ");
-  ASSERT_NE(at, std::string::npos) << got;
-  EXPECT_LE(std::stoi(got.substr(at + 17)), 1300);
-  EXPECT_GT(std::stoi(got.substr(at + 17)), 1100);
+  std::string const received = workers["w"]->received();
+  std::size_t const at = received.find("X-Pipit-Left-Ms: ");
+  ASSERT_NE(at, std::string::npos) << received;
+  EXPECT_LE(std::stoi(received.substr(at + 17)), 1300);
+  EXPECT_GT(std::stoi(received.substr(at + 17)), 1100);
 }
 
-// The request lay unread while its caller gave it up: no worker begins with it.
-TEST_F(RequestProxyTest, what_a_caller_has_given_up_unread_goes_to_no_worker) {
+// The client closes its connection before the proxy reads the request.
+TEST_F(RequestProxyTest, request_of_a_client_that_already_disconnected_is_not_forwarded) {
   add_worker("w");
   send_request("POST", "/safe/x");
   ASSERT_EQ(worker_with_request(), "w");
-  connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
+  connection_of("w").send("HTTP/1.1 200 OK\r\n" + attempt_id + "Content-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(client_receives("yes"));
   ASSERT_EQ(proxy.upstream.idle_connections("w"), 1u);
   for (bool const reset : {false, true}) {
     LoopbackStream other(address);
     settle();
-    std::size_t const there = proxy.server.connections();
+    std::size_t const connections = proxy.server.connections();
     other.send("POST /safe/x HTTP/1.1\r\nHost: h.test\r\nX-Pipit-Attempt: r2\r\nContent-Length: 2\r\n\r\nhi");
     other.link->close(reset);
-    ASSERT_TRUE(until([&] { return proxy.server.connections() == there - 1; }));
+    ASSERT_TRUE(until([&] { return proxy.server.connections() == connections - 1; }));
     settle();
-    EXPECT_EQ(count_of(workers["w"]->received(), "POST "), 1u) << "a worker would begin with it";
+    EXPECT_EQ(count_of(workers["w"]->received(), "POST "), 1u)
+        << "a worker received a request whose client had disconnected";
     EXPECT_TRUE(no_requests_in_flight());
   }
 }
 
-// A worker that refuses before it has read a long body, and ends the connection with bytes unread, resets it.
-TEST_F(RequestProxyTest, a_refusal_before_the_body_was_read_is_heard_although_a_reset_follows) {
+// A worker that rejects a request before it has read its long body, and closes the connection with bytes unread, resets
+// the connection.
+TEST_F(RequestProxyTest, rejection_sent_before_the_body_was_read_is_handled_despite_a_reset) {
   add_worker("w");
   add_worker("v");
   std::string const body(4u << 20, 'z');
@@ -392,23 +398,23 @@
   }));
   LoopbackStream& connection = connection_of(first);
   connection.link->pause_reading(true);
-  connection.send("HTTP/1.1 503 Busy\r\n" + mine +
+  connection.send("HTTP/1.1 503 Busy\r\n" + attempt_id +
                   "X-Pipit-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
   connection.link->close();
   connection.shut = true;
   std::string const other = first == "w" ? "v" : "w";
   ASSERT_TRUE(until([&] { return !client->got.empty() || workers[other]->received().size() > body.size(); }));
-  ASSERT_EQ(client->got, "") << "it was told not to have run";
-  connection_of(other).send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
+  ASSERT_EQ(client->got, "") << "the worker reported that it did not execute the request, so it must be retried";
+  connection_of(other).send("HTTP/1.1 200 OK\r\n" + attempt_id + "Content-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(client_receives("yes"));
   EXPECT_TRUE(no_requests_in_flight());
 }
 
-TEST_F(SealedResponseTest, a_success_without_the_seal_is_no_answer_and_failures_need_none) {
+TEST_F(SealedResponseTest, success_without_the_seal_is_rejected_and_errors_need_no_seal) {
   add_worker("w");
   send_request("POST", "/once/x");
   ASSERT_EQ(worker_with_request(), "w");
-  connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
+  connection_of("w").send("HTTP/1.1 200 OK\r\n" + attempt_id + "Content-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(client_receives("\r\n\r\n"));
   EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(client->got.find("yes"), std::string::npos);
@@ -420,7 +426,7 @@
     add_worker("w");
     send_request("POST", "/once/x");
     ASSERT_EQ(worker_with_request(), "w");
-    connection_of("w").send("HTTP/1.1 " + status + mine + "Content-Length: 3\r\n\r\nyes");
+    connection_of("w").send("HTTP/1.1 " + status + attempt_id + "Content-Length: 3\r\n\r\nyes");
     ASSERT_TRUE(client_receives("yes")) << status;
   }
   EXPECT_TRUE(no_requests_in_flight());
--- a/tests/request_proxy_fixture.h
+++ b/tests/request_proxy_fixture.h
@@ -1,4 +1,4 @@
-// Callers, workers, the relay and the dispatcher on loopback, for tests of the path of a request (§12.5).
+// Test fixture with RequestProxy and Dispatcher between a client and workers on loopback sockets (§12.5).
 #pragma once
 #include <gtest/gtest.h>
 
@@ -14,17 +14,20 @@
 
 namespace pipit {
 
-inline std::string route_text(std::string const& name, std::string const& more) {
+// JSON of a route "/NAME/" to pool "p" with 'more_members' appended.
+inline std::string route_text(std::string const& name, std::string const& more_members) {
   return "{\"name\":\"" + name + "\",\"host\":\"h.test\",\"prefix\":\"/" + name +
-         "/\",\"shares\":[{\"pool\":\"p\"}],\"hold_ms\":20000,\"aim_ms\":1000,\"attempts\":3" + more + "}";
+         "/\",\"shares\":[{\"pool\":\"p\"}],\"hold_ms\":20000,\"aim_ms\":1000,\"attempts\":3" + more_members + "}";
 }
 
+// Routes: once (not repeatable), safe (repeatable), live (stream), flow (resumable stream).
 class RequestProxyTest : public testing::Test {
  protected:
   struct Worker {
     Listener listener;
     std::string address;
     std::vector<std::unique_ptr<LoopbackStream>> connections;
+    // All bytes received on all connections.
     std::string received() const {
       std::string out;
       for (std::unique_ptr<LoopbackStream> const& connection : connections) out += connection->got;
@@ -57,53 +60,57 @@
   }
   ~RequestProxyTest() override { client.reset(); }
 
-  // Parts of limits are granted or refused at once, by the test's word.
+  // Executes the effects of the dispatcher. Quota claims are answered at once with 'quota_result', except for retries.
   void apply(DispatchEffects& out) {
-    std::vector<QuotaClaim> const needs = std::move(out.quota_claims);
+    std::vector<QuotaClaim> const claims = std::move(out.quota_claims);
     out.quota_claims.clear();
-    for (QuotaClaim const& need : needs) {
-      quota_claims.push_back(need);
-      QuotaResult result{need.request, quota_result, millis(1500)};
-      if (!need.is_retry) dispatcher.quota_result(result, g_get_monotonic_time(), out);
+    for (QuotaClaim const& claim : claims) {
+      quota_claims.push_back(claim);
+      QuotaResult result{claim.request, quota_result, millis(1500)};
+      if (!claim.is_retry) dispatcher.quota_result(result, g_get_monotonic_time(), out);
     }
     proxy.act(out);
   }
 
+  // Starts a worker with 8 slots in pool "p" and registers it.
   void add_worker(std::string const& id) {
-    std::unique_ptr<Worker>& made = workers[id];
-    made = std::make_unique<Worker>();
-    Worker* const at = made.get();
-    at->address = open_door([at](std::string const& address) {
-      return at->listener.open(address, [at](std::shared_ptr<TcpConnection> link) {
-        at->connections.push_back(std::make_unique<LoopbackStream>(std::move(link)));
+    std::unique_ptr<Worker>& worker = workers[id];
+    worker = std::make_unique<Worker>();
+    Worker* const added = worker.get();
+    added->address = open_door([added](std::string const& address) {
+      return added->listener.open(address, [added](std::shared_ptr<TcpConnection> link) {
+        added->connections.push_back(std::make_unique<LoopbackStream>(std::move(link)));
       });
     });
-    Heartbeat word;
-    word.id = id;
-    word.address = at->address;
-    word.zone = "a";
-    word.pool = "p";
-    word.slots = 8;
-    word.order = 1;
-    registry.heartbeat(word, g_get_monotonic_time());
+    Heartbeat heartbeat;
+    heartbeat.id = id;
+    heartbeat.address = added->address;
+    heartbeat.zone = "a";
+    heartbeat.pool = "p";
+    heartbeat.slots = 8;
+    heartbeat.order = 1;
+    registry.heartbeat(heartbeat, g_get_monotonic_time());
   }
+  // Sends a request with id r1 on the client's connection, opened again if it is closed, and clears what was received.
   void send_request(std::string const& method, std::string const& path, std::string const& fields = "") {
     if (!client || client->shut) client = std::make_unique<LoopbackStream>(address);
     client->got.clear();
     client->send(method + " " + path + " HTTP/1.1\r\nHost: h.test:80\r\nX-Pipit-Attempt: r1\r\n" + fields +
                  (method == "POST" ? "Content-Length: 2\r\n\r\nhi" : "\r\n"));
   }
-  // The worker, other than one, that has the request now.
-  std::string worker_with_request(std::string const& but = "") {
+  // Waits until a worker other than 'excluded' has received the head of a request, and returns its id.
+  std::string worker_with_request(std::string const& excluded = "") {
     std::string out;
     EXPECT_TRUE(until([&] {
       for (std::pair<std::string const, std::unique_ptr<Worker>> const& item : workers)
-        if (item.first != but && item.second->received().find("\r\n\r\n") != std::string::npos) out = item.first;
+        if (item.first != excluded && item.second->received().find("\r\n\r\n") != std::string::npos) out = item.first;
       return !out.empty();
     }));
     return out;
   }
+  // The newest connection to a worker.
   LoopbackStream& connection_of(std::string const& id) { return *workers.at(id)->connections.back(); }
+  // Waits until the client has received 'text'.
   bool client_receives(std::string const& text) {
     return until([&] { return client->got.find(text) != std::string::npos; });
   }
