--- a/tests/http.cc
+++ b/tests/http.cc
@@ -1,5 +1,5 @@
-// HTTP as a router must read it: messages however their bytes come, what is refused, and connections to workers
-// (§12.2).
+// HTTP codec, server and connection pool: messages split at any byte, malformed and mutated messages, and the reuse and
+// end of connections (§12.2).
 #include <gtest/gtest.h>
 
 #include <glib.h>
@@ -17,10 +17,10 @@
 
 namespace {
 struct Message {
-  std::string line;  // method and target, or status
+  std::string line;  // method and target of a request, or status of a response
   std::vector<std::pair<std::string, std::string>> fields;
   std::string body;
-  bool keep = true;
+  bool keep_alive = true;
   bool operator==(Message const&) const = default;
 };
 
@@ -33,46 +33,46 @@
 struct ParseResult {
   std::vector<Message> messages;
   HttpParser::Error error = HttpParser::Error::none;
-  bool between_messages = true;  // nothing is half read
+  bool between_messages = true;  // no message is incomplete
 };
 
-// Reads a text that comes in the given pieces.
-ParseResult parse_pieces(bool requests, std::vector<std::string_view> const& pieces, bool bodiless = false,
-                         std::size_t head_most = 65536, std::size_t body_most = 1u << 20) {
+// Parses a text that arrives in the given pieces.
+ParseResult parse_pieces(bool requests, std::vector<std::string_view> const& pieces, bool is_head_response = false,
+                         std::size_t max_head_bytes = 65536, std::size_t max_body_bytes = 1u << 20) {
   ParseResult out;
-  HttpParser reader(requests);
-  reader.set_limits(head_most, body_most);
-  Message now;
-  reader.callbacks.head = [&](Head& head) {
-    now.line = requests ? head.method + " " + head.target : std::to_string(head.status);
-    now.fields = head.fields;
-    now.keep = head.keep_alive;
-    return !bodiless;
+  HttpParser parser(requests);
+  parser.set_limits(max_head_bytes, max_body_bytes);
+  Message message;
+  parser.callbacks.head = [&](Head& head) {
+    message.line = requests ? head.method + " " + head.target : std::to_string(head.status);
+    message.fields = head.fields;
+    message.keep_alive = head.keep_alive;
+    return !is_head_response;
   };
-  reader.callbacks.body = [&](std::string_view bytes) { now.body.append(bytes); };
-  reader.callbacks.complete = [&] {
-    out.messages.push_back(now);
-    now = Message();
+  parser.callbacks.body = [&](std::string_view bytes) { message.body.append(bytes); };
+  parser.callbacks.complete = [&] {
+    out.messages.push_back(message);
+    message = Message();
   };
   for (std::string_view piece : pieces) {
     while (!piece.empty()) {
-      // A copy of its own, so that reading past its end is seen.
+      // A copy in its own allocation, so that the sanitizer reports reads past its end.
       std::string const part(piece);
-      std::size_t const took = reader.feed(part);
-      if (reader.error() != HttpParser::Error::none) {
-        out.error = reader.error();
+      std::size_t const took = parser.feed(part);
+      if (parser.error() != HttpParser::Error::none) {
+        out.error = parser.error();
         return out;
       }
       piece.remove_prefix(std::min(took, piece.size()));
-      if (reader.complete())
-        reader.start_next_message();
+      if (parser.complete())
+        parser.start_next_message();
       else if (!piece.empty()) {
-        ADD_FAILURE() << "bytes were left over in the middle of a message";
+        ADD_FAILURE() << "the parser left bytes unconsumed within a message";
         return out;
       }
     }
   }
-  out.between_messages = reader.idle();
+  out.between_messages = parser.idle();
   return out;
 }
 ParseResult parse_text(bool requests, std::string const& text) { return parse_pieces(requests, {text}); }
@@ -89,19 +89,19 @@
 };
 }  // namespace
 
-TEST(HttpParser, is_the_same_wherever_the_bytes_are_split) {
+TEST(HttpParser, requests_parse_the_same_wherever_the_bytes_are_split) {
   std::string all;
   for (std::string const& one : valid_requests) all += one;
   ParseResult const whole = parse_text(true, all);
   ASSERT_EQ(whole.error, HttpParser::Error::none);
-  ASSERT_EQ(whole.messages.size(), std::size(valid_requests)) << "pipelined";
+  ASSERT_EQ(whole.messages.size(), std::size(valid_requests)) << "pipelined requests";
   EXPECT_EQ(whole.messages[1].body, "hello");
-  EXPECT_EQ(whole.messages[1].fields[2].second, "two words") << "blanks around a value are no part of it";
+  EXPECT_EQ(whole.messages[1].fields[2].second, "two words") << "whitespace around a value is not part of it";
   EXPECT_EQ(whole.messages[2].body, "hello0123456789");
   EXPECT_EQ(whole.messages[3].body, "\n");
-  EXPECT_EQ(whole.messages[3].fields.size(), 2u) << "a trailer is no field of the head";
-  EXPECT_FALSE(whole.messages[4].keep);
-  EXPECT_FALSE(whole.messages[5].keep) << "HTTP/1.0";
+  EXPECT_EQ(whole.messages[3].fields.size(), 2u) << "a trailer is not a field of the head";
+  EXPECT_FALSE(whole.messages[4].keep_alive);
+  EXPECT_FALSE(whole.messages[5].keep_alive) << "HTTP/1.0 without keep-alive";
   EXPECT_TRUE(whole.between_messages);
   for (std::size_t at = 1; at < all.size(); ++at) {
     std::string_view const text = all;
@@ -114,7 +114,7 @@
   EXPECT_EQ(parse_pieces(true, single).messages, whole.messages);
 }
 
-TEST(HttpParser, knows_where_answers_end) {
+TEST(HttpParser, response_boundaries_are_found) {
   std::string const all =
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
       "HTTP/1.1 204 No Content\r\n\r\n"
@@ -127,24 +127,24 @@
     ASSERT_EQ(out.messages.size(), 5u) << at;
     EXPECT_EQ(out.messages[0].body, "ok");
     EXPECT_EQ(out.messages[4].body, "abc");
-    EXPECT_FALSE(out.messages[4].keep);
+    EXPECT_FALSE(out.messages[4].keep_alive);
   }
   ParseResult const head =
       parse_pieces(false, {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nHTTP/1.1 200 OK\r\n\r\n"}, true);
-  EXPECT_EQ(head.messages.size(), 2u) << "answers to HEAD have no body whatever they announce";
+  EXPECT_EQ(head.messages.size(), 2u) << "responses to HEAD have no body, whatever they announce";
 }
 
-TEST(HttpParser, ends_an_answer_without_length_with_its_connection) {
+TEST(HttpParser, response_without_length_ends_with_its_connection) {
   for (bool const cut : {false, true}) {
-    HttpParser reader(false);
+    HttpParser parser(false);
     std::string body;
     int whole = 0;
-    reader.callbacks.body = [&body](std::string_view bytes) { body.append(bytes); };
-    reader.callbacks.complete = [&whole] { ++whole; };
+    parser.callbacks.body = [&body](std::string_view bytes) { body.append(bytes); };
+    parser.callbacks.complete = [&whole] { ++whole; };
     std::string const text = cut ? "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc" : "HTTP/1.1 200 OK\r\n\r\nabc";
-    EXPECT_EQ(reader.feed(text), text.size());
+    EXPECT_EQ(parser.feed(text), text.size());
     EXPECT_EQ(whole, 0);
-    EXPECT_EQ(reader.eof(), !cut);
+    EXPECT_EQ(parser.eof(), !cut);
     EXPECT_EQ(whole, cut ? 0 : 1);
     EXPECT_EQ(body, "abc");
   }
@@ -275,8 +275,8 @@
 constexpr std::size_t small_max_head_bytes = 16384;
 constexpr std::size_t small_max_body_bytes = 20000;
 
-// What a strict reader, written apart from the product's, takes for whole requests (RFC 9112); it ends at the first
-// thing that it does not know for sure. It may take more than the product does, never less of what the product takes.
+// Reference parser for complete requests (RFC 9112), independent of the product's code. It stops at the first
+// violation. It may accept requests that the product rejects, but must accept all that the product accepts.
 class StrictRequestParser {
  public:
   explicit StrictRequestParser(std::string_view text_) : text(text_) {
@@ -386,7 +386,7 @@
   std::size_t at = 0;
 };
 
-// Every request that was read is one that the strict reader takes too, in the same order.
+// True if the requests in 'read' equal the first ones of 'strict'.
 bool is_prefix_of(std::vector<Message> const& read, std::vector<Message> const& strict) {
   if (read.size() > strict.size()) return false;
   for (std::size_t i = 0; i < read.size(); ++i)
@@ -451,7 +451,7 @@
 
 std::vector<std::string> mutation_seeds() {
   std::vector<std::string> out;
-  // Good ones as often as bad ones.
+  // Repeated so that valid requests are chosen about as often as malformed ones.
   for (int n = 0; n < 12; ++n) out.insert(out.end(), std::begin(valid_requests), std::end(valid_requests));
   for (MalformedRequest const& row : malformed_requests())
     if (row.text.size() < 400) out.push_back(row.text);
@@ -459,7 +459,7 @@
 }
 }  // namespace
 
-TEST(HttpParser, refuses_what_another_reader_may_take_otherwise) {
+TEST(HttpParser, requests_that_another_parser_may_interpret_differently_are_rejected) {
   for (MalformedRequest const& row : malformed_requests()) {
     std::string_view const text = row.text;
     std::vector<std::vector<std::string_view>> ways = {{text}};
@@ -467,14 +467,14 @@
       ways.push_back({text.substr(0, at), text.substr(at)});
     for (std::vector<std::string_view> const& pieces : ways) {
       ParseResult const out = parse_pieces(true, pieces, false, small_max_head_bytes, small_max_body_bytes);
-      EXPECT_TRUE(out.messages.empty()) << row.name << " was read as " << out.messages[0];
+      EXPECT_TRUE(out.messages.empty()) << row.name << " was parsed as " << out.messages[0];
       EXPECT_TRUE(out.error != HttpParser::Error::none || !out.between_messages) << row.name;
       if (!out.messages.empty()) break;
     }
   }
 }
 
-TEST(HttpParser, takes_nothing_that_a_strict_reader_would_not) {
+TEST(HttpParser, mutated_requests_are_accepted_only_if_a_strict_parser_accepts_them) {
   std::vector<std::string> const seeds = mutation_seeds();
   RandomSource random(20);
   std::size_t taken = 0;
@@ -487,15 +487,15 @@
     ParseResult const out = parse_pieces(true, {view.substr(0, a), view.substr(a, b - a), view.substr(b)});
     taken += out.messages.size();
     ASSERT_TRUE(is_prefix_of(out.messages, strict)) << "round " << n << "\n"
-                                                    << text << "\nread as " << out.messages[out.messages.size() - 1];
-    // However it is split.
+                                                    << text << "\nparsed as " << out.messages[out.messages.size() - 1];
+    // The pieces must not matter.
     ParseResult const whole = parse_text(true, text);
     ASSERT_EQ(whole.messages, out.messages) << "round " << n << "\n" << text;
   }
-  EXPECT_GT(taken, 3000u) << "mutations that are still good are read";
+  EXPECT_GT(taken, 3000u) << "valid mutations must be accepted";
 }
 
-TEST(HttpParser, bounds_a_head_to_the_byte_however_it_comes) {
+TEST(HttpParser, head_limit_is_exact_wherever_the_bytes_are_split) {
   std::string const front = "GET / HTTP/1.1\r\n" + host + "X-A: ";
   for (std::size_t const over : {std::size_t(0), std::size_t(1), std::size_t(200)}) {
     std::size_t const most = 1000;
@@ -503,15 +503,15 @@
     for (std::size_t const at : {std::size_t(0), std::size_t(1), std::size_t(500), most - 1, most, most + over - 1}) {
       std::string_view const view = text;
       ParseResult const out = parse_pieces(true, {view.substr(0, at), view.substr(at)}, false, most, 100);
-      EXPECT_EQ(out.messages.size(), over == 0 ? 1u : 0u) << over << " over, split at " << at;
+      EXPECT_EQ(out.messages.size(), over == 0 ? 1u : 0u) << over << " bytes over the limit, split at " << at;
       EXPECT_EQ(out.error, over == 0 ? HttpParser::Error::none : HttpParser::Error::head_too_large)
-          << over << " at " << at;
+          << over << " bytes over the limit, split at " << at;
     }
   }
 }
 
-// The operator's limit alone bounds a head, not one of the grammar's own.
-TEST(HttpParser, takes_a_head_as_large_as_its_limit) {
+// Only the operator's limit applies to a head, not the built-in limit of http_parser.
+TEST(HttpParser, head_of_exactly_its_limit_is_accepted) {
   std::string const text = "GET / HTTP/1.1\r\n" + host + "X-A: " + std::string(300000, 'a') + "\r\n\r\n";
   for (std::size_t const at : {std::size_t(0), std::size_t(90000), std::size_t(299999)}) {
     std::string_view const view = text;
@@ -521,7 +521,7 @@
   }
 }
 
-TEST(HttpParser, bounds_trailers_as_it_bounds_heads) {
+TEST(HttpParser, trailers_are_limited_to_the_size_of_a_head) {
   std::string const front = "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n";
   for (bool const over : {false, true}) {
     std::string text = front;
@@ -532,7 +532,7 @@
   }
 }
 
-TEST(HttpParser, answers_mutated_in_any_way_do_no_harm) {
+TEST(HttpParser, mutated_responses_parse_the_same_wherever_they_are_split) {
   std::vector<std::string> const seeds = {
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
@@ -549,11 +549,11 @@
   }
 }
 
-TEST(HttpParser, a_status_has_three_digits_and_is_one_that_there_is) {
+TEST(HttpParser, status_must_have_three_digits_of_a_known_class) {
   for (char const* const status : {"2", "20", "0200", "2000", "000", "099", "600", "999", "+20", "2 0"}) {
     std::string const text = "HTTP/1.1 " + std::string(status) + " OK\r\nContent-Length: 2\r\n\r\nok";
     ParseResult const out = parse_text(false, text);
-    EXPECT_TRUE(out.messages.empty()) << status << " was read as " << out.messages[0];
+    EXPECT_TRUE(out.messages.empty()) << status << " was parsed as " << out.messages[0];
     EXPECT_EQ(out.error, HttpParser::Error::malformed) << status;
   }
   for (char const* const status : {"100", "200", "599"})
@@ -564,7 +564,7 @@
                parse_text(false, "HTTP/1.1 200 \r\nContent-Length: 0\r\n\r\n").messages.empty());
 }
 
-TEST(HeadFields, lose_what_concerns_one_connection_only) {
+TEST(HeadFields, hop_by_hop_fields_are_removed) {
   Head head;
   head.fields = {{"Connection", "X-One , close"},
                  {"x-one", "1"},
@@ -598,7 +598,7 @@
     out.status = code;
     return out;
   }
-  // Answers all that came and is not responded yet.
+  // Responds to all requests that have no response yet.
   void respond_to_all(std::string const& body) {
     while (responded < requests.size()) server.respond(requests[responded++].id, status(200), body);
   }
@@ -612,7 +612,7 @@
 };
 }  // namespace
 
-TEST_F(HttpServerTest, takes_calls_one_after_the_other_and_keeps_the_connection) {
+TEST_F(HttpServerTest, connection_serves_several_requests) {
   LoopbackStream connection(address);
   for (std::size_t n = 0; n < 3; ++n) {
     connection.send("POST /" + std::to_string(n) + " HTTP/1.1\r\n" + host + "Content-Length: 5\r\n\r\nhello");
@@ -627,7 +627,7 @@
   EXPECT_EQ(parse_text(false, connection.got).messages.size(), 3u);
 }
 
-TEST_F(HttpServerTest, gives_calls_on_whole_wherever_they_are_split) {
+TEST_F(HttpServerTest, requests_are_delivered_complete_wherever_they_are_split) {
   std::string const text = valid_requests[2];
   for (std::size_t at = 1; at < text.size(); ++at) {
     LoopbackStream connection(address);
@@ -641,7 +641,7 @@
   }
 }
 
-TEST_F(HttpServerTest, answers_pipelined_calls_in_their_order) {
+TEST_F(HttpServerTest, pipelined_requests_are_answered_in_order) {
   LoopbackStream connection(address);
   std::string all;
   for (int n = 0; n < 20; ++n)
@@ -650,7 +650,7 @@
   for (std::size_t n = 0; n < 20; ++n) {
     ASSERT_TRUE(until([&] { return requests.size() == n + 1; }));
     settle();
-    ASSERT_EQ(requests.size(), n + 1) << "the next only after the answer";
+    ASSERT_EQ(requests.size(), n + 1) << "the next request is delivered only after the response";
     EXPECT_EQ(requests[n].head.target, "/" + std::to_string(n));
     respond_to_all("answer " + std::to_string(n) + ".");
   }
@@ -660,7 +660,7 @@
   for (std::size_t n = 0; n < 20; ++n) EXPECT_EQ(answers[n].body, "answer " + std::to_string(n) + ".");
 }
 
-TEST_F(HttpServerTest, sends_heads_without_bodies_to_HEAD) {
+TEST_F(HttpServerTest, responses_to_head_have_no_body) {
   LoopbackStream connection(address);
   connection.send("HEAD /h HTTP/1.1\r\n" + host + "\r\n");
   ASSERT_TRUE(until([&] { return requests.size() == 1; }));
@@ -678,7 +678,7 @@
   EXPECT_EQ(parse_pieces(false, {connection.got}, true).messages.size(), 2u);
 }
 
-TEST_F(HttpServerTest, closes_when_the_caller_asks_for_it) {
+TEST_F(HttpServerTest, connection_closes_when_the_client_requests_it) {
   for (std::string const& text :
        {"GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n", "GET / HTTP/1.0\r\n" + host + "\r\n"}) {
     LoopbackStream connection(address);
@@ -692,7 +692,7 @@
   EXPECT_EQ(server.connections(), 0u);
 }
 
-TEST_F(HttpServerTest, a_large_last_answer_arrives_whole) {
+TEST_F(HttpServerTest, large_last_response_arrives_complete) {
   for (bool const pieces : {false, true}) {
     LoopbackStream connection(address);
     connection.link->pause_reading(true);
@@ -710,12 +710,12 @@
     connection.link->pause_reading(false);
     ASSERT_TRUE(until([&] { return connection.shut; }));
     std::vector<Message> const answers = parse_pieces(false, {connection.got}, false, 65536, 64u << 20).messages;
-    ASSERT_EQ(answers.size(), 1u) << connection.got.size() << " bytes came";
+    ASSERT_EQ(answers.size(), 1u) << connection.got.size() << " bytes were received";
     EXPECT_EQ(answers[0].body.size(), body.size());
   }
 }
 
-TEST_F(HttpServerTest, counts_connections_whose_last_answer_is_still_on_its_way) {
+TEST_F(HttpServerTest, connections_that_are_being_flushed_are_counted) {
   LoopbackStream connection(address);
   connection.link->pause_reading(true);
   connection.send("GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n");
@@ -723,13 +723,13 @@
   respond_to_all(std::string(32u << 20, 'z'));
   settle();
   EXPECT_EQ(server.active_requests(), 0u);
-  EXPECT_EQ(server.connections(), 1u) << "a process that ends now would cut the answer";
+  EXPECT_EQ(server.connections(), 1u) << "ending the process now would truncate the response";
   connection.link->pause_reading(false);
   ASSERT_TRUE(until([&] { return connection.shut; }));
   EXPECT_EQ(server.connections(), 0u);
 }
 
-TEST_F(HttpServerTest, pieces_go_as_they_come_and_end_with_the_answer) {
+TEST_F(HttpServerTest, streamed_response_is_sent_part_by_part) {
   LoopbackStream connection(address);
   connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
   ASSERT_TRUE(until([&] { return requests.size() == 1; }));
@@ -745,7 +745,7 @@
   EXPECT_FALSE(connection.shut);
 }
 
-TEST_F(HttpServerTest, what_breaks_off_does_not_look_whole) {
+TEST_F(HttpServerTest, aborted_response_is_not_complete) {
   for (std::int64_t const length : {std::int64_t(-1), std::int64_t(100)}) {
     LoopbackStream connection(address);
     connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
@@ -760,7 +760,7 @@
   }
 }
 
-TEST_F(HttpServerTest, an_answer_that_falls_short_of_its_length_does_not_look_whole) {
+TEST_F(HttpServerTest, response_shorter_than_its_length_is_aborted) {
   LoopbackStream connection(address);
   connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
   ASSERT_TRUE(until([&] { return requests.size() == 1; }));
@@ -771,7 +771,7 @@
   EXPECT_TRUE(parse_text(false, connection.got).messages.empty());
 }
 
-TEST_F(HttpServerTest, answers_that_have_no_body_end_with_their_head) {
+TEST_F(HttpServerTest, response_with_a_bodiless_status_ends_with_its_head) {
   LoopbackStream connection(address);
   std::size_t n = 0;
   for (unsigned const code : {204u, 304u})
@@ -792,7 +792,7 @@
   EXPECT_EQ(connection.got.find("Transfer-Encoding"), std::string::npos);
 }
 
-TEST_F(HttpServerTest, says_once_when_a_caller_leaves) {
+TEST_F(HttpServerTest, disconnect_of_a_client_is_reported_once) {
   {
     LoopbackStream connection(address);
     connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
@@ -800,7 +800,7 @@
   }
   ASSERT_TRUE(until([&] { return disconnected.size() == 1; }));
   EXPECT_EQ(disconnected[0], requests[0].id);
-  // What is done for it afterwards goes nowhere.
+  // Later responses to the request are ignored.
   server.begin_response(requests[0].id, status(200), -1);
   server.write_body(requests[0].id, "x");
   server.end_response(requests[0].id);
@@ -810,15 +810,15 @@
   EXPECT_EQ(server.active_requests(), 0u);
 }
 
-TEST_F(HttpServerTest, refuses_or_closes_and_never_gives_on_what_is_malformed) {
+TEST_F(HttpServerTest, malformed_requests_are_rejected_and_never_delivered) {
   for (MalformedRequest const& row : malformed_requests()) {
     LoopbackStream connection(address);
     connection.send(row.text);
     settle();
-    // What is only incomplete is slow, in the end.
+    // Incomplete requests end with a timeout.
     server.close_expired(far_future());
     ASSERT_TRUE(until([&] { return connection.shut; })) << row.name;
-    EXPECT_TRUE(requests.empty()) << row.name << " was given on";
+    EXPECT_TRUE(requests.empty()) << row.name << " was delivered";
     if (!connection.got.empty()) {
       EXPECT_EQ(connection.got.substr(0, 10), "HTTP/1.1 4") << row.name << ": " << connection.got;
     }
@@ -827,7 +827,7 @@
   }
 }
 
-TEST_F(HttpServerTest, malformed_bytes_after_a_good_call_do_not_touch_it) {
+TEST_F(HttpServerTest, malformed_bytes_after_a_valid_request_do_not_affect_it) {
   for (MalformedRequest const& row : malformed_requests()) {
     if (row.text.size() > 4000) continue;
     LoopbackStream connection(address);
@@ -844,7 +844,7 @@
   }
 }
 
-TEST_F(HttpServerTest, mutated_calls_are_given_on_only_if_a_strict_reader_takes_them) {
+TEST_F(HttpServerTest, mutated_requests_are_delivered_only_if_a_strict_parser_accepts_them) {
   std::vector<std::string> const seeds = mutation_seeds();
   RandomSource random(22);
   for (int n = 0; n < 2500; ++n) {
@@ -871,7 +871,7 @@
   }
 }
 
-TEST_F(HttpServerTest, slow_callers_are_told_so_and_idle_ones_are_closed) {
+TEST_F(HttpServerTest, slow_clients_get_408_and_idle_connections_are_closed) {
   Server::Limits limits;
   limits.head_timeout = seconds(5);
   limits.body_timeout = seconds(9);
@@ -902,19 +902,19 @@
   ASSERT_TRUE(until([&] { return idle.shut; }));
   EXPECT_EQ(idle.got, "");
   settle();
-  EXPECT_FALSE(busy.shut) << "a call that is being responded may take its time";
+  EXPECT_FALSE(busy.shut) << "timeouts do not apply to a request whose response is pending";
   respond_to_all("yes");
   ASSERT_TRUE(until([&] { return !busy.got.empty(); }));
   EXPECT_EQ(requests.size(), 1u);
 }
 
-TEST_F(HttpServerTest, a_shorter_idle_limit_holds_for_rests_that_begin_under_it) {
+TEST_F(HttpServerTest, shorter_idle_timeout_applies_to_connections_that_become_idle_later) {
   LoopbackStream connection(address);
   connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
   ASSERT_TRUE(until([&] { return requests.size() > responded; }));
   respond_to_all("ok");
   settle();
-  // Its caller may still take it up after four fifths of the limit that it knows.
+  // The client may still reuse the connection after four fifths of the timeout that it knows.
   Server::Limits shorter;
   shorter.idle_timeout = seconds(5);
   server.set_limits(shorter);
@@ -929,7 +929,7 @@
   ASSERT_TRUE(until([&] { return other.shut; }));
 }
 
-TEST_F(HttpServerTest, at_the_end_idle_connections_close_and_answers_are_the_last) {
+TEST_F(HttpServerTest, draining_closes_idle_connections_and_each_other_one_after_its_response) {
   LoopbackStream idle(address);
   LoopbackStream busy(address);
   busy.send(valid_requests[0]);
@@ -947,7 +947,7 @@
   EXPECT_EQ(late.how, TcpConnection::CloseReason::connect_failed);
 }
 
-TEST_F(HttpServerTest, an_answer_that_began_before_the_end_takes_its_connection_along) {
+TEST_F(HttpServerTest, response_begun_before_draining_closes_its_connection) {
   LoopbackStream connection(address);
   connection.send(valid_requests[0]);
   ASSERT_TRUE(until([&] { return requests.size() == 1; }));
@@ -957,33 +957,32 @@
   server.begin_response(id, head, -1);
   server.write_body(id, "first");
   ASSERT_TRUE(until([&] { return connection.got.find("first") != std::string::npos; }));
-  EXPECT_EQ(connection.got.find("Connection: close"), std::string::npos)
-      << "nothing told the caller that it is the last";
+  EXPECT_EQ(connection.got.find("Connection: close"), std::string::npos) << "the head was sent before draining began";
   server.close_after_responses();
   server.stop_listening();
   server.close_idle_connections();
   server.end_response(id);
   connection.send(valid_requests[0]);
   ASSERT_TRUE(until([&] { return connection.shut || requests.size() > 1; }));
-  EXPECT_EQ(requests.size(), 1u) << "a request taken after the doors were shut may not end inside the grace";
+  EXPECT_EQ(requests.size(), 1u) << "a request received after listening stopped may outlast the grace period";
   EXPECT_NE(connection.got.find("0\r\n\r\n"), std::string::npos);
 }
 
-TEST_F(HttpServerTest, a_caller_that_sends_ahead_without_end_is_held) {
+TEST_F(HttpServerTest, reading_pauses_when_a_client_sends_too_far_ahead) {
   LoopbackStream connection(address);
   connection.send(valid_requests[0]);
   ASSERT_TRUE(until([&] { return requests.size() == 1; }));
   connection.send(std::string(64u << 20, 'x'));
   settle();
-  EXPECT_GT(connection.link->buffered_bytes(), 16u << 20) << "it is not all read into memory";
+  EXPECT_GT(connection.link->buffered_bytes(), 16u << 20) << "the server must not read all of it into memory";
   respond_to_all("yes");
   ASSERT_TRUE(until([&] { return connection.shut; }));
   EXPECT_EQ(requests.size(), 1u);
 }
 
-// A socket pair that keeps messages apart refuses a large one and takes the next: as a system does that is short of
-// memory for a moment.
-TEST(TcpConnection, what_could_not_be_written_is_not_left_out) {
+// A SOCK_SEQPACKET pair rejects a large message and accepts the next one, like a system that is briefly short of
+// memory.
+TEST(TcpConnection, nothing_is_sent_after_bytes_that_could_not_be_written) {
   int ends[2];
   ASSERT_EQ(::socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, ends), 0);
   std::shared_ptr<TcpConnection> const link = TcpConnection::adopt(ends[0]);
@@ -996,13 +995,13 @@
   char buffer[64];
   EXPECT_EQ(::recv(ends[1], buffer, sizeof buffer, 0), 5);
   EXPECT_LE(::recv(ends[1], buffer, sizeof buffer, 0), 0)
-      << "what follows would be read in the place of what is missing";
+      << "the peer would read the following bytes in place of the lost ones";
   EXPECT_TRUE(shut);
   ::close(ends[1]);
 }
 
 namespace {
-// A worker made of sockets, and what is heard of the connections to it.
+// A pool, a worker on loopback sockets, and the callbacks of the pool.
 class UpstreamPoolTest : public testing::Test {
  protected:
   struct FailedRequest {
@@ -1032,7 +1031,7 @@
   static std::string request(std::string const& method = "POST") {
     return method + " / HTTP/1.1\r\n" + host + (method == "POST" ? "Content-Length: 2\r\n\r\nhi" : "\r\n");
   }
-  // Starts a request and waits until the worker has it; the connection that it came on.
+  // Starts a request, waits until the worker has received it, and returns the worker's side of the connection.
   LoopbackStream& start_request(std::uint64_t id, std::string const& method = "POST") {
     std::size_t seen = 0;
     for (std::unique_ptr<LoopbackStream> const& connection : connections)
@@ -1047,7 +1046,7 @@
     }));
     for (std::unique_ptr<LoopbackStream> const& connection : connections)
       if (!connection->shut && !connection->got.empty()) found = connection.get();
-    if (found == nullptr) throw std::runtime_error("the request did not arrive");
+    if (found == nullptr) throw std::runtime_error("the request did not reach the worker");
     return *found;
   }
   bool request_ended() {
@@ -1074,7 +1073,7 @@
 std::string const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 }  // namespace
 
-TEST_F(UpstreamPoolTest, answers_arrive_wherever_they_are_split_and_the_connection_is_kept) {
+TEST_F(UpstreamPoolTest, responses_arrive_wherever_they_are_split_and_the_connection_is_reused) {
   std::string const text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
   for (std::size_t at = 1; at < text.size(); ++at) {
     LoopbackStream& connection = start_request(at);
@@ -1093,7 +1092,7 @@
   EXPECT_EQ(upstream.idle_connections("w"), 1u);
 }
 
-TEST_F(UpstreamPoolTest, an_answer_to_HEAD_has_no_body) {
+TEST_F(UpstreamPoolTest, response_to_head_has_no_body) {
   LoopbackStream& connection = start_request(1, "HEAD");
   connection.send("HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n");
   settle();
@@ -1106,7 +1105,7 @@
   EXPECT_EQ(bodies[2], "ok");
 }
 
-TEST_F(UpstreamPoolTest, surplus_bytes_end_the_connection_not_the_answer) {
+TEST_F(UpstreamPoolTest, surplus_bytes_close_the_connection_but_do_not_fail_the_request) {
   start_request(1).send(ok + "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
   ASSERT_TRUE(request_ended());
   EXPECT_EQ(completed, std::vector<std::uint64_t>{1});
@@ -1115,7 +1114,7 @@
   EXPECT_EQ(upstream.connections(), 0u);
 }
 
-TEST_F(UpstreamPoolTest, bytes_that_come_on_a_kept_connection_end_it) {
+TEST_F(UpstreamPoolTest, bytes_on_an_idle_connection_close_it) {
   LoopbackStream& connection = start_request(1);
   connection.send(ok);
   ASSERT_TRUE(request_ended());
@@ -1130,7 +1129,7 @@
   EXPECT_EQ(upstream.dialled, 2u);
 }
 
-TEST_F(UpstreamPoolTest, an_answer_to_somebody_else_is_passed_over) {
+TEST_F(UpstreamPoolTest, response_to_another_request_is_skipped) {
   std::string const strange = "HTTP/1.1 200 OK\r\nX-Id: 77\r\nContent-Length: 6\r\n\r\nstolen";
   for (bool const together : {true, false}) {
     clear_events();
@@ -1149,7 +1148,7 @@
     EXPECT_EQ(bodies[1], "ok");
   }
   clear_events();
-  // Only so many, and none that is the last of its connection.
+  // The request fails after too many such responses, and after one that closes its connection.
   LoopbackStream& connection = start_request(2);
   for (int i = 0; i < 10; ++i) connection.send(strange);
   ASSERT_TRUE(request_ended());
@@ -1163,7 +1162,7 @@
   EXPECT_EQ(failed[0].failure, UpstreamPool::Failure::broken);
 }
 
-TEST_F(UpstreamPoolTest, an_answer_before_the_request_was_whole_ends_its_connection) {
+TEST_F(UpstreamPoolTest, response_before_the_request_was_fully_sent_closes_the_connection) {
   std::string const body(32u << 20, 'z');
   upstream.start_request(
       1, "w", address,
@@ -1173,24 +1172,24 @@
   connections[0]->send(ok);
   ASSERT_TRUE(request_ended());
   EXPECT_EQ(completed, std::vector<std::uint64_t>{1});
-  EXPECT_EQ(upstream.idle_connections("w"), 0u) << "the next request would come behind the rest of this one";
+  EXPECT_EQ(upstream.idle_connections("w"), 0u) << "the next request would be queued behind the rest of this one";
 }
 
-TEST_F(UpstreamPoolTest, interim_answers_are_passed_over) {
+TEST_F(UpstreamPoolTest, interim_responses_are_skipped) {
   start_request(1).send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok);
   ASSERT_TRUE(request_ended());
   EXPECT_EQ(completed, std::vector<std::uint64_t>{1});
   EXPECT_EQ(bodies[1], "ok");
 }
 
-TEST_F(UpstreamPoolTest, a_connection_that_ends_early_tells_how_far_it_came) {
+TEST_F(UpstreamPoolTest, failure_tells_whether_the_response_had_begun) {
   struct Row {
     char const* name;
     std::string text;
     UpstreamPool::Failure failure;
   };
   Row const rows[] = {
-      {"at once", "", UpstreamPool::Failure::broken},
+      {"before the response", "", UpstreamPool::Failure::broken},
       {"in the head", "HTTP/1.1 200 OK\r\nConte", UpstreamPool::Failure::broken},
       {"after an interim answer", "HTTP/1.1 100 Continue\r\n\r\n", UpstreamPool::Failure::broken},
       {"in a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", UpstreamPool::Failure::truncated},
@@ -1198,9 +1197,9 @@
       {"in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", UpstreamPool::Failure::truncated},
       {"between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
        UpstreamPool::Failure::truncated},
-      {"before the last mark", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n",
+      {"before the end of the last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n",
        UpstreamPool::Failure::truncated},
-      {"in somebody else's", "HTTP/1.1 200 OK\r\nX-Id: 77\r\nContent-Length: 9\r\n\r\nabc",
+      {"in the response to another request", "HTTP/1.1 200 OK\r\nX-Id: 77\r\nContent-Length: 9\r\n\r\nabc",
        UpstreamPool::Failure::broken},
   };
   for (bool const reset : {false, true})
@@ -1219,7 +1218,7 @@
     }
 }
 
-TEST_F(UpstreamPoolTest, an_answer_without_length_ends_with_its_connection_unless_that_is_reset) {
+TEST_F(UpstreamPoolTest, response_without_length_is_complete_unless_the_connection_is_reset) {
   for (bool const reset : {false, true}) {
     clear_events();
     LoopbackStream& connection = start_request(1);
@@ -1234,7 +1233,7 @@
   }
 }
 
-TEST_F(UpstreamPoolTest, what_is_no_answer_breaks_the_request) {
+TEST_F(UpstreamPoolTest, invalid_response_fails_the_request) {
   for (std::string const text : {"nonsense\r\n\r\n", "HTTP/1.1 abc\r\n\r\n", "GET / HTTP/1.1\r\n\r\n",
                                  "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab"}) {
     clear_events();
@@ -1250,7 +1249,7 @@
   EXPECT_EQ(failed[0].failure, UpstreamPool::Failure::truncated);
 }
 
-TEST_F(UpstreamPoolTest, a_kept_connection_that_the_worker_closed_is_not_used_again) {
+TEST_F(UpstreamPoolTest, idle_connection_closed_by_the_worker_is_not_reused) {
   for (bool const reset : {false, true}) {
     clear_events();
     LoopbackStream& connection = start_request(1);
@@ -1273,8 +1272,8 @@
   EXPECT_EQ(upstream.reused, 0u);
 }
 
-TEST_F(UpstreamPoolTest, a_kept_connection_is_looked_at_before_it_is_used) {
-  // What the worker did to it has reached this machine, but the loop has not turned since.
+TEST_F(UpstreamPoolTest, idle_connection_is_checked_before_it_is_reused) {
+  // The change by the worker has reached this machine, but the main loop has not run since.
   for (int way = 0; way < 3; ++way) {
     clear_events();
     LoopbackStream& connection = start_request(1);
@@ -1304,23 +1303,23 @@
   }
 }
 
-TEST_F(UpstreamPoolTest, a_worker_that_cannot_be_reached_got_nothing) {
+TEST_F(UpstreamPoolTest, failed_connect_sends_nothing) {
   for (std::string const& bad : {free_address(), std::string("nonsense"), std::string("127.0.0.1:0")}) {
     clear_events();
     upstream.start_request(1, "w", bad, request(), seconds(10));
     ASSERT_TRUE(request_ended()) << bad;
     ASSERT_EQ(failed.size(), 1u);
     EXPECT_EQ(failed[0].failure, UpstreamPool::Failure::connect_failed);
-    EXPECT_TRUE(sent.empty()) << "no byte can have left";
+    EXPECT_TRUE(sent.empty()) << "no byte was sent";
     EXPECT_EQ(upstream.connections(), 0u);
   }
 }
 
-TEST_F(UpstreamPoolTest, keep_alive_times_are_heeded) {
+TEST_F(UpstreamPoolTest, announced_keep_alive_times_are_respected) {
   struct Row {
     char const* fields;
-    Micros least;  // it is still kept then; -1: not at all
-    Micros most;   // and then no more
+    Micros least;  // the connection is still idle at this age; -1 if it is closed at once
+    Micros most;   // the connection is closed at this age
   };
   Row const rows[] = {
       {"", seconds(1), seconds(30)},
@@ -1348,13 +1347,13 @@
   }
 }
 
-TEST_F(UpstreamPoolTest, connections_belong_to_a_name_and_an_address) {
+TEST_F(UpstreamPoolTest, connections_are_reused_only_for_the_same_peer) {
   start_request(1).send(ok);
   ASSERT_TRUE(request_ended());
   clear_events();
   upstream.start_request(2, "v", address, request(), seconds(10));
   ASSERT_TRUE(until([&] { return sent.size() == 1; }));
-  EXPECT_EQ(upstream.reused, 0u) << "somebody else may live there now";
+  EXPECT_EQ(upstream.reused, 0u) << "another process may use the address now";
   upstream.cancel(2);
   EXPECT_EQ(upstream.idle_connections("w"), 1u);
   upstream.close_idle_connections("w");
@@ -1362,7 +1361,7 @@
   upstream.close_idle_connections("nobody");
 }
 
-TEST_F(UpstreamPoolTest, what_was_cut_is_heard_of_no_more) {
+TEST_F(UpstreamPoolTest, cancelled_request_gets_no_further_callbacks) {
   LoopbackStream& connection = start_request(1);
   connection.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc");
   ASSERT_TRUE(until([&] { return bodies[1] == "abc"; }));
@@ -1376,16 +1375,16 @@
   EXPECT_EQ(upstream.active_requests(), 0u);
 }
 
-// What the system still holds of a request that was cut must not reach its worker later.
-TEST_F(UpstreamPoolTest, a_cut_resets_the_connection) {
+// Request bytes still buffered in the kernel must not reach the worker after the request was cancelled.
+TEST_F(UpstreamPoolTest, cancelling_resets_the_connection) {
   LoopbackStream& connection = start_request(1);
   upstream.cancel(1);
   ASSERT_TRUE(until([&] { return connection.shut; }));
   EXPECT_EQ(connection.how, TcpConnection::CloseReason::reset);
 }
 
-// The worker may have said all that there is to say before it ended the connection with bytes unread.
-TEST_F(UpstreamPoolTest, what_came_before_a_reset_is_heard_although_the_request_was_not_taken) {
+// The worker may have sent its complete response before it closed the connection with request bytes unread.
+TEST_F(UpstreamPoolTest, response_received_before_a_reset_is_delivered_though_the_request_was_not_fully_sent) {
   std::string const body(32u << 20, 'z');
   std::string const text =
       "POST / HTTP/1.1\r\n" + host + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -1399,13 +1398,14 @@
     connections[0]->link->close();
     connections[0]->shut = true;
     ASSERT_TRUE(request_ended());
-    EXPECT_EQ(completed.size(), length ? 1u : 0u) << "without a length only an orderly end makes it whole";
+    EXPECT_EQ(completed.size(), length ? 1u : 0u)
+        << "a response without length is complete only after an orderly close";
     EXPECT_EQ(bodies[1], "ok");
     EXPECT_EQ(upstream.connections(), 0u);
   }
 }
 
-TEST_F(UpstreamPoolTest, mutated_answers_end_each_request_once_and_do_no_harm) {
+TEST_F(UpstreamPoolTest, each_request_ends_once_when_its_response_is_mutated) {
   std::vector<std::string> const seeds = {ok,
                                           ok + ok,
                                           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
