--- a/src/net/http.h
+++ b/src/net/http.h
@@ -44,7 +44,8 @@
 // Transfer-Encoding, Content-Length and others. Host and the fields named in 'end_to_end' stay even if Connection lists
 // them, so that a client cannot have them removed.
 void remove_hop_by_hop_fields(Head& head, std::vector<std::string> const& end_to_end = {});
-// Serializes a request head for a body of 'length' bytes, which the caller appends.
+// Serializes a request head with Content-Length for a body of 'length' bytes, which the caller appends. GET and HEAD
+// without a body get no Content-Length.
 std::string serialize_request_head(Head const& head, std::int64_t length);
 // Serializes a response head. 'length' is the size of the body in bytes, or -1 for a chunked body. 'close' adds
 // "Connection: close".
@@ -59,6 +60,7 @@
 // Incremental parser of the messages on one connection, one message after the other.
 class HttpParser {
  public:
+  // head_too_large also stands for too large trailers.
   enum class Error : std::uint8_t { none, malformed, head_too_large, body_too_large };
   struct Callbacks {
     // The head is complete. A return of false means that no body follows whatever the head announces (response to
@@ -78,11 +80,15 @@
   // Handles the end of the connection, which completes a response without length. Returns false if it truncates a
   // message.
   bool eof();
+  // Discards the state of the current message and prepares for the next one on the connection.
   void start_next_message();
   // True before the first byte of a message.
   bool idle() const { return !started_; }
+  // True between the end of the head and the end of the message.
   bool in_body() const { return head_complete_ && !complete_; }
+  // True from the end of a message until start_next_message().
   bool complete() const { return complete_; }
+  // The first error, after which the connection cannot be parsed any further; none as long as there is no error.
   Error error() const { return error_; }
   // Limits of the following heads and bodies, in bytes. The limit of the head also applies to the trailers.
   void set_limits(std::size_t max_head_bytes, std::size_t max_body_bytes) {
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -56,10 +56,11 @@
 
   // Sends a complete response.
   void respond(std::uint64_t id, Head const& head, std::string_view body);
-  // Begins a streamed response with a body of 'length' bytes, or -1 if the length is unknown. write_body() sends parts
-  // of the body; end_response() ends it, or aborts it if the body is shorter than 'length'.
+  // Begins a streamed response. 'length' is the size of its body in bytes, or -1 if that is unknown.
   void begin_response(std::uint64_t id, Head const& head, std::int64_t length);
+  // Sends the next bytes of the body at once. Bytes beyond the announced length are discarded.
   void write_body(std::uint64_t id, std::string_view bytes);
+  // Ends a streamed response, or aborts it if its body is shorter than the announced length.
   void end_response(std::uint64_t id);
   // Closes the connection without completing the response, so that the client sees a truncated one, or no response if
   // its head was not sent.
--- a/src/net/tcp_connection.cc
+++ b/src/net/tcp_connection.cc
@@ -20,6 +20,9 @@
 constexpr int user_timeout_ms = 8000;         // TCP_USER_TIMEOUT: limit for sent bytes to stay unacknowledged
 constexpr unsigned flush_timeout_ms = 30000;  // time for the peer to receive the rest after close_after_flush()
 constexpr std::size_t read_buffer_size = 65536;
+constexpr int max_reads_per_event = 4;
+constexpr int max_accepts_per_event = 32;
+constexpr int listen_backlog = 512;
 constexpr unsigned accept_pause_ms = 100;  // pause of a listener when no file descriptor is left
 
 bool parse_ipv4_address(std::string const& text, sockaddr_in& out) {
@@ -184,8 +187,8 @@
 
 void TcpConnection::read_available() {
   static char buffer[read_buffer_size];
-  // Reads until the socket is empty, but at most four times, since other sources share the loop.
-  for (int i = 0; i < 4 && fd_ >= 0 && !paused_; ++i) {
+  // Reads until the socket is empty, but only a few times, since other sources share the loop.
+  for (int i = 0; i < max_reads_per_event && fd_ >= 0 && !paused_; ++i) {
     ssize_t const n = ::recv(fd_, buffer, sizeof buffer, 0);
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
@@ -298,7 +301,8 @@
   fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   int const one = 1;
   setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-  if (fd_ < 0 || ::bind(fd_, reinterpret_cast<sockaddr*>(&local), sizeof local) != 0 || ::listen(fd_, 512) != 0) {
+  if (fd_ < 0 || ::bind(fd_, reinterpret_cast<sockaddr*>(&local), sizeof local) != 0 ||
+      ::listen(fd_, listen_backlog) != 0) {
     std::string const reason = std::strerror(errno);
     close();
     return fail(ErrorCode::bad_settings, "cannot listen on " + address + ": " + reason);
@@ -334,7 +338,7 @@
 }
 
 void Listener::accept_pending() {
-  for (int i = 0; i < 32 && fd_ >= 0; ++i) {
+  for (int i = 0; i < max_accepts_per_event && fd_ >= 0; ++i) {
     int const accepted_fd = ::accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (accepted_fd < 0 && (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM))
       return pause_accepting();
--- a/src/net/tcp_connection.h
+++ b/src/net/tcp_connection.h
@@ -90,8 +90,8 @@
   bool refused_ = false;
   std::shared_ptr<TcpConnection> self_while_flushing_;  // keeps the object alive during close_after_flush()
   std::string write_buffer_;
-  std::size_t written_bytes_ = 0;
-  Micros blocked_since_ = 0;  // start of the current write backlog; valid only while bytes are buffered
+  std::size_t written_bytes_ = 0;  // bytes at the start of write_buffer_ that the kernel has accepted
+  Micros blocked_since_ = 0;       // start of the current write backlog; valid only while bytes are buffered
   Callbacks callbacks_;
 };
 
@@ -103,7 +103,9 @@
   // Listens at "IP:port" and calls 'on_accept' for each accepted connection. Fails with bad_settings if the address is
   // malformed or cannot be bound.
   Result<void> open(std::string const& address, AcceptCallback on_accept);
+  // Stops listening; accepted connections stay open.
   void close();
+  // True while the socket is listening.
   bool is_open() const { return fd_ >= 0; }
 
  private:
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -58,12 +58,12 @@
     while (!piece.empty()) {
       // A copy in its own allocation, so that the sanitizer reports reads past its end.
       std::string const part(piece);
-      std::size_t const took = parser.feed(part);
+      std::size_t const consumed = parser.feed(part);
       if (parser.error() != HttpParser::Error::none) {
         out.error = parser.error();
         return out;
       }
-      piece.remove_prefix(std::min(took, piece.size()));
+      piece.remove_prefix(std::min(consumed, piece.size()));
       if (parser.complete())
         parser.start_next_message();
       else if (!piece.empty()) {
