--- a/test.sh
+++ b/test.sh
@@ -1,15 +1,14 @@
 #!/usr/bin/env bash
-# The one test command: builds everything and runs the whole suite but for the tests that KNOWN-RED.txt lists, which are
-# printed.
+# The one test command: builds the project and runs all tests except those that KNOWN-RED.txt lists, which are printed.
 set -euo pipefail
 cd "$(dirname "$0")"
 cmake -S . -B build -G Ninja -DCMAKE_COMPILE_WARNING_AS_ERROR=ON
 cmake --build build
 known_red=$(sh tests/checks/known_red.sh KNOWN-RED.txt build)
-passed_over=()
+excluded=()
 if [ -n "$known_red" ]; then
-  # Each name as it is, and nothing else: what a pattern would read as more is escaped.
+  # Characters with a meaning in a regular expression are escaped, so that each name matches only itself.
   pattern=$(printf '%s\n' "$known_red" | sed 's/[][.*^$+?(){}|\\]/\\&/g' | paste -sd '|')
-  passed_over=(-E "^($pattern)\$")
+  excluded=(-E "^($pattern)\$")
 fi
-ctest --test-dir build --output-on-failure -j 4 "${passed_over[@]}"
+ctest --test-dir build --output-on-failure -j 4 "${excluded[@]}"
