--- a/.ci/listed-packages.sh
+++ b/.ci/listed-packages.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
 # Prints the Debian packages that a deployment file lists under `packages`, one a line: .ci/listed-packages.sh [FILE].
-# The list of deploy/system.toml is the only one of what the platform's build needs; CI and the test of that list read
-# it here.
+# The list in deploy/system.toml is the only one of the packages that the platform's build needs; CI and the test of
+# that list read it with this script.
 set -eu
 file=${1:-$(dirname "$0")/../deploy/system.toml}
 awk '
--- a/tests/checks/changed.sh
+++ b/tests/checks/changed.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# The formatter and the linter on what changed, in seconds, before a commit: changed.sh [BUILD_FOLDER [REVISION]].
-# What counts as changed is what differs from REVISION (HEAD), with files that git does not track yet. Headers are linted
-# with the source file of the same name. As a hook: ln -s ../../tests/checks/changed.sh .git/hooks/pre-commit
+# Runs the formatter and the linter on the changed C++ files, in seconds, before a commit:
+# changed.sh [BUILD_FOLDER [REVISION]]. Changed files are those that differ from REVISION (by default HEAD) and those
+# that git does not track yet. A header is linted with the source file of the same name.
+# As a hook: ln -s ../../tests/checks/changed.sh .git/hooks/pre-commit
 set -eu
 cd "$(git rev-parse --show-toplevel)"
 build=${1:-build}
--- a/tests/checks/format.sh
+++ b/tests/checks/format.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Checks every C++ file of the project against the committed .clang-format: format.sh SOURCE [fix].
-# With `fix` it rewrites them instead. clang-format 14 decides, since other versions lay some things out differently.
+# Checks the layout of all C++ files against the committed .clang-format: format.sh SOURCE [fix]. With `fix` the files
+# are reformatted instead. Only clang-format 14 is used, since other versions format some constructs differently.
 set -eu
 cd "$1"
 if [ "${2:-}" = fix ]; then set -- -i; else set -- --dry-run -Werror; fi
--- a/tests/checks/packages.sh
+++ b/tests/checks/packages.sh
@@ -1,11 +1,12 @@
 #!/bin/sh
-# Checks that the packages a deployment lists bring every file that the clean build used:
+# Checks that the packages listed by the deployment file provide every file that the clean build used:
 # packages.sh SOURCE USED_FILES [PACKAGE_TO_LEAVE_OUT].
 #
-# The closure is worked out from the package tool's own data of what is installed, without a network: all that the
-# listed packages (pre-)depend on. Recommended packages do not count, since an installation may leave them out. Of
-# alternatives (`a | b`) the first that is installed counts. Essential packages and their closure are always there.
-# Each used file must belong to a package of the closure. Ends with 1 and a line for each that does not.
+# Each used file must belong to a package of the closure: the listed packages, the essential packages, which every
+# installation has, and all packages that these depend or pre-depend on. The closure is computed from dpkg's data about
+# the installed packages, without a network. Recommended packages are left out, since an installation may omit them. Of
+# alternatives (`a | b`) the first installed one counts. Prints a line for each file outside the closure and then exits
+# with 1.
 set -eu
 source=$1
 used=$2
@@ -19,39 +20,39 @@
   > "$work/installed"
 
 awk -F'|' -v listed="$work/listed" '
-  function bare(name) { gsub(/\([^)]*\)|\[[^]]*\]|:[a-z0-9]+|[ \t]/, "", name); return name }
-  function want(name) { if (!(name in closure)) { closure[name] = 1; queue[++last] = name } }
-  # The package that stands for a name: itself, or the first installed one that provides it.
-  function real(name) { return name in depends ? name : (name in provider ? provider[name] : "") }
+  function bare_name(name) { gsub(/\([^)]*\)|\[[^]]*\]|:[a-z0-9]+|[ \t]/, "", name); return name }
+  function add_to_closure(name) { if (!(name in closure)) { closure[name] = 1; queue[++last] = name } }
+  # The installed package of this name, or else the first installed one that provides it; "" if there is neither.
+  function installed_package(name) { return name in depends ? name : (name in provider ? provider[name] : "") }
   $1 == "installed" {
-    # Alternatives are parted by the same sign as the fields: all behind the fourth is the dependencies.
+    # Alternatives are separated by the same character as the fields: all fields after the fourth are dependencies.
     rest = $5
     for (i = 6; i <= NF; ++i) rest = rest "|" $i
     depends[$2] = rest
     if ($3 == "yes") essential[$2] = 1
     count = split($4, names, ",")
-    for (i = 1; i <= count; ++i) if (!(bare(names[i]) in provider)) provider[bare(names[i])] = $2
+    for (i = 1; i <= count; ++i) if (!(bare_name(names[i]) in provider)) provider[bare_name(names[i])] = $2
   }
   END {
     while ((getline name < listed) > 0) {
-      if (real(name) == "") { print "not installed: " name > "/dev/stderr"; exit 1 }
-      want(real(name))
+      if (installed_package(name) == "") { print "not installed: " name > "/dev/stderr"; exit 1 }
+      add_to_closure(installed_package(name))
     }
-    for (name in essential) want(name)
+    for (name in essential) add_to_closure(name)
     for (first = 1; first <= last; ++first) {
       count = split(depends[queue[first]], parts, ",")
       for (i = 1; i <= count; ++i) {
         choices = split(parts[i], choice, "|")
         for (j = 1; j <= choices; ++j) {
-          name = real(bare(choice[j]))
-          if (name != "") { want(name); break }
+          name = installed_package(bare_name(choice[j]))
+          if (name != "") { add_to_closure(name); break }
         }
       }
     }
     for (name in closure) print name
   }' "$work/installed" > "$work/closure"
 
-# The owners: dpkg knows some files by their path before /bin, /sbin and /lib moved below /usr.
+# Finds the package of each file. dpkg lists some files under their path from before /bin, /sbin and /lib moved to /usr.
 { cat "$used"; sed -n 's#^/usr\(/s\{0,1\}bin/\|/lib\)#\1#p' "$used"; } > "$work/paths"
 xargs dpkg -S < "$work/paths" > "$work/owners" 2> "$work/unowned" || true
 
@@ -69,9 +70,9 @@
     if (!(path in owner)) sub(/^\/usr/, "", path)
     if (!(path in owner)) { print $0 ": belongs to no package"; ++bad; next }
     count = split(owner[path], names, ", ")
-    brought = 0
-    for (i = 1; i <= count; ++i) { sub(/:.*/, "", names[i]); if (names[i] in there) brought = 1 }
-    if (brought) ++good
+    provided = 0
+    for (i = 1; i <= count; ++i) { sub(/:.*/, "", names[i]); if (names[i] in there) provided = 1 }
+    if (provided) ++good
     else { print $0 ": of " owner[path] ", which no listed package brings"; ++bad }
   }
   END {
--- a/tests/checks/schema_compare.awk
+++ b/tests/checks/schema_compare.awk
@@ -1,8 +1,9 @@
-# Compares two schemas as schema_lines.awk writes them: FORMER PRESENT. Each type of the former one must be there, with
-# the same items in the same order; a table, union or enum may have more of them at its end. Ends with 1 on a difference.
+# Compares two schemas in the form that schema_lines.awk writes: FORMER PRESENT. Each type of FORMER must be in PRESENT
+# with the same items in the same order; a table, union or enum may have further items after them. Exits with 1 if the
+# schemas differ.
 
-function complain(why) {
-  print why
+function report(difference) {
+  print difference
   different = 1
 }
 
@@ -28,23 +29,23 @@
 { other[file, $1] = rest_of_line(2); names[$1] = 1 }
 
 END {
-  if (types == 0) complain("the former schema has no types")
+  if (types == 0) report("the former schema has no types")
   for (name in names)
     if (other[1, name] != other[2, name])
-      complain(name " was '" other[1, name] "', is '" other[2, name] "'")
+      report(name " was '" other[1, name] "', is '" other[2, name] "'")
   for (t = 1; t <= types; ++t) {
     name = type[t]
     if (!((2, name) in kind)) {
-      complain(name ": it is gone")
+      report(name ": it is gone")
       continue
     }
     if (kind[1, name] != kind[2, name])
-      complain(name ": it was '" kind[1, name] "', is '" kind[2, name] "'")
+      report(name ": it was '" kind[1, name] "', is '" kind[2, name] "'")
     for (i = 1; i <= items[1, name]; ++i)
       if (item[1, name, i] != item[2, name, i])
-        complain(name ": number " i " was '" item[1, name, i] "', is '" item[2, name, i] "'")
+        report(name ": number " i " was '" item[1, name, i] "', is '" item[2, name, i] "'")
     if (kind[1, name] ~ /^struct/ && items[2, name] > items[1, name])
-      complain(name ": a struct has more fields than before")
+      report(name ": a struct has more fields than before")
   }
   if (different) exit 1
   print types " types of the former schema are as they were"
--- a/tests/checks/schema_conforms.sh
+++ b/tests/checks/schema_conforms.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# Checks that what is on the wire and on disk keeps its form: schema_conforms.sh SOURCE [PRESENT [FORMER [RENAMES]]].
-# The present schema is compared with the former one, whose names are first replaced as RENAMES says: by `flatc
-# --conform`, which passes over types that it doesn't find by name, and strictly (schema_compare.awk).
+# Checks that the formats on the wire and on disk have not changed:
+# schema_conforms.sh SOURCE [PRESENT [FORMER [RENAMES]]]. The names of the former schema are replaced as RENAMES lists
+# them; the present schema is then compared with it twice: by `flatc --conform`, which skips types that it does not find
+# by name, and by schema_compare.awk, which skips none.
 set -eu
 source=$1
 present=${2:-$source/schema/wire.fbs}
--- a/tests/checks/schema_lines.awk
+++ b/tests/checks/schema_lines.awk
@@ -1,9 +1,9 @@
 # Writes a FlatBuffers schema as one line for each of its parts, in the order of the file:
 #   namespace NAME | root TYPE | identifier TEXT
 #   table|struct|union|enum NAME [TYPE]
-#   item OWNER NAME TYPE DEFAULT ATTRIBUTES        a field, a member of a union or a value of an enum; '-' for none
-# Comments and the layout of the file make no difference, nor do attributes that concern generated code only. With
-# `-v renames=FILE` names are replaced as that file says. Ends with 2 and a line on what it doesn't understand.
+#   item OWNER NAME TYPE DEFAULT ATTRIBUTES        a field, a member of a union or a value of an enum; '-' if absent
+# Comments, layout and attributes that only concern generated code are dropped. With `-v renames=FILE` names are
+# replaced as that file lists them. Exits with 2 and one line on standard error for input that it does not understand.
 
 function refuse(why) {
   print FILENAME ": " why > "/dev/stderr"
@@ -33,7 +33,7 @@
   return new_name[name]
 }
 
-# A type with its brackets, its elements by their new name, and numbers by one of their two names.
+# A type in one spelling: brackets kept, the element type under its new name, a number type under one of its two names.
 function type_name(type,    inner) {
   inner = type
   gsub(/[][]/, "", inner)
@@ -47,7 +47,7 @@
   return token[at++]
 }
 
-# The text up to one of the tokens in `ends`, without blanks.
+# The text before the next token that is in `ends`, without blanks.
 function take_until(ends,    text) {
   text = ""
   while (at <= count && index(ends, token[at]) == 0) text = text token[at++]
--- a/tests/checks/schema_print.awk
+++ b/tests/checks/schema_print.awk
@@ -1,4 +1,4 @@
-# Writes the lines of schema_lines.awk as a FlatBuffers schema again.
+# Writes the output of schema_lines.awk as a FlatBuffers schema again.
 
 function close_type() {
   if (open) print "}"
--- a/tests/checks/schema_refusals.sh
+++ b/tests/checks/schema_refusals.sh
@@ -1,12 +1,13 @@
 #!/bin/sh
-# Runs schema_conforms.sh on samples: schema_refusals.sh CHECKS. The same form under other names, or laid out otherwise,
-# passes; each change of the form is refused with 1 and named.
+# Tests schema_conforms.sh with sample schemas: schema_refusals.sh CHECKS. The same format must pass under other names
+# and in another layout. Each change of the format must be refused with exit code 1 and named in the output, and each
+# malformed input with exit code 2.
 set -eu
 checks=$1
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
 cd "$folder"
-wrong=0
+failed=0
 
 cat > former.fbs <<'SAMPLE'
 namespace old.names;
@@ -21,21 +22,21 @@
 SAMPLE
 : > no-renames
 
-# run RENAMES: what the check says of present.fbs, then its exit code.
+# run RENAMES: prints the output of the check of present.fbs, then its exit code.
 run() { sh "$checks/schema_conforms.sh" . present.fbs former.fbs "$1" 2>&1 && echo "rc 0" || echo "rc $?"; }
 passes() {
-  said=$(run "$2")
-  case $said in *"rc 0") echo "passes: $1" ;; *) echo "NOT PASSED: $1: $said"; wrong=1 ;; esac
+  output=$(run "$2")
+  case $output in *"rc 0") echo "passes: $1" ;; *) echo "NOT PASSED: $1: $output"; failed=1 ;; esac
 }
-# refused NAME CODE WORDS [RENAMES]: the exit code, and what must be said.
+# refused NAME CODE WORDS [RENAMES]: the check must exit with CODE and its output must contain WORDS.
 refused() {
-  said=$(run "${4:-no-renames}")
-  case $said in *"$3"*"rc $2") echo "refused: $1" ;; *) echo "NOT REFUSED: $1: $said"; wrong=1 ;; esac
+  output=$(run "${4:-no-renames}")
+  case $output in *"$3"*"rc $2") echo "refused: $1" ;; *) echo "NOT REFUSED: $1: $output"; failed=1 ;; esac
 }
-# changed SED-SCRIPT: the sample with one change, which must be one.
+# changed SED-SCRIPT: writes the sample with one change to present.fbs; the script must change something.
 changed() {
   sed "$1" former.fbs > present.fbs
-  if cmp -s former.fbs present.fbs; then echo "NOT CHANGED: $1"; wrong=1; fi
+  if cmp -s former.fbs present.fbs; then echo "NOT CHANGED: $1"; failed=1; fi
 }
 
 cp former.fbs present.fbs
@@ -53,7 +54,7 @@
 Body Content
 SAMPLE
 cat > present.fbs <<'SAMPLE'
-// Other names, another layout; what is new is appended.
+// Other names and another layout; new fields and types are appended.
 namespace new.names.here;
 /* table Old {
    gone:ulong; } */
@@ -93,7 +94,7 @@
 changed 's/age:long = -1/age:long/'
 refused "another default" 1 "Whole: number 4 was 'age long -1 -'"
 changed 's/parts:\[Part\]/parts:Part/'
-refused "a list that became one" 1 "Whole: number 2 was 'parts [Part]"
+refused "a list that became a single element" 1 "Whole: number 2 was 'parts [Part]"
 changed 's/weight:uint = 1/weight:uint = 1 (deprecated)/'
 refused "a field that is deprecated" 1 "is 'weight uint 1 deprecated'"
 changed 's/y:ulong;/y:ulong; z:ulong;/'
@@ -113,13 +114,13 @@
 
 cp former.fbs present.fbs
 echo "Par Piece" > renames
-refused "a rename of what is not there" 2 "'Par' is renamed, but not there" renames
+refused "a rename of a missing name" 2 "'Par' is renamed, but not there" renames
 printf 'Part Piece\nPart Slice\n' > renames
 refused "two renames of one name" 2 "'Part' is renamed twice" renames
 echo "Part Piece Slice" > renames
 refused "a rename of three words" 2 "not of the form OLD NEW" renames
-refused "a list of renames that is not there" 2 "it cannot be read" none
+refused "a missing list of renames" 2 "it cannot be read" none
 echo 'include "other.fbs";' >> present.fbs
 refused "a part of the schema in another file" 2 "'include' is not understood"
 
-[ "$wrong" = 0 ] && echo "all as they should be"
+[ "$failed" = 0 ] && echo "all as they should be"
--- a/tests/checks/used_files.sh
+++ b/tests/checks/used_files.sh
@@ -1,11 +1,12 @@
 #!/bin/sh
-# Makes the clean build of the platform's node and writes every file outside the project that it read or ran, one
-# resolved path a line: used_files.sh SOURCE BUILD_FOLDER OUTPUT.
+# Builds the platform's node and writes the path of every file outside the project that the build read or ran, one a
+# line, with symbolic links resolved: used_files.sh SOURCE BUILD_FOLDER OUTPUT.
 #
-# What is seen: headers (the compiler's dependency files), CMake's modules and package files, pkg-config's files, what
-# the linker took in (its trace), and the tools (CMake's cache, the compiler's own parts, flatc). The build is that of
-# deploy/system.toml with CMake's default generator; only optimisation is off, which changes no package.
-# In a fresh clone, as in CI, the build is clean; a later run builds what changed, and the dependency files still name all.
+# Sources: the compiler's dependency files for headers, CMake's modules and package files, pkg-config's files, the
+# linker's trace for libraries and objects, and for the tools CMake's cache, the compiler's own programs and flatc. The
+# build is that of deploy/system.toml with CMake's default generator; only optimisation is off, which needs no other
+# package. In a fresh clone, as in CI, the build is clean. A later run builds only changed files, but the dependency
+# files still list all headers.
 set -eu
 source=$1
 build=$2
@@ -14,7 +15,7 @@
 mkdir -p "$build"
 env -u CMAKE_GENERATOR -u MAKEFLAGS cmake -S "$source" -B "$build" -DPLATFORM_ONLY=ON -DCMAKE_BUILD_TYPE=Debug \
   -DCMAKE_CXX_FLAGS_DEBUG=-O0 -DCMAKE_EXE_LINKER_FLAGS=-Wl,--trace > "$build/configure.log"
-rm -f "$build/pipitspool-node"  # linked each time, for its trace
+rm -f "$build/pipitspool-node"  # linked in each run, since the linker's trace is needed
 env -u MAKEFLAGS cmake --build "$build" -j2 > "$build/build.log"
 
 cache_value() { sed -n "s/^$1:[A-Z]*=//p" "$build/CMakeCache.txt"; }
@@ -34,7 +35,7 @@
 
 cmake_files() { sed -n 's/^ *"\(\/.*\)"$/\1/p' "$build/CMakeFiles/Makefile.cmake"; }
 
-# The modules that the configuration found, and all that they require in turn.
+# The .pc files of the modules that CMakeLists.txt requires, and of all modules that these require in turn.
 pkg_config_files() {
   queue=$(sed -n '/^if(PLATFORM_ONLY)/q; s/^pkg_check_modules([^ ]* REQUIRED IMPORTED_TARGET \(.*\))/\1/p' \
     "$source/CMakeLists.txt")
--- a/tests/checks/words.sh
+++ b/tests/checks/words.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# Checks that former names are gone from the packages where the table of docs/GLOSSARY.md says so: words.sh SOURCE [PAGE].
-# A name counts wherever it stands alone or as a part of an identifier (`ring_file`, `RingLog`), in code and comments.
-# Left out: the schema's names (wire::, wire_generated), includes, and the names of files on disk ("ring-", magic).
+# Checks that former names no longer occur in the packages that the table of docs/GLOSSARY.md lists for them:
+# words.sh SOURCE [PAGE]. Both code and comments are searched, for the name as a word and as a part of an identifier
+# (`ring_file`, `RingLog`). Exempt are the schema's names (wire::, wire_generated), includes, and the names of files on
+# disk ("ring-", the magic).
 set -eu
 source=$1
 page=${2:-$source/docs/GLOSSARY.md}
@@ -10,7 +11,7 @@
 prepared=$(mktemp -d)
 trap 'rm -rf "$table" "$prepared"' EXIT
 
-# One line for each pair: a former name, and a path that it is gone from.
+# Writes one line for each pair of a former name and a path that must not contain it.
 awk -F'|' '
   /^[|] former [|]/ { inside = 1; next }
   inside && !/^[|]/ { exit }
@@ -25,7 +26,7 @@
       }
   }' "$page" > "$table"
 
-# Each file is prepared once: camel case is parted, so that a name within an identifier is seen.
+# Prepares each file once: removes the exemptions and splits camel case, so that a name within an identifier is found.
 cut -d' ' -f2 "$table" | sort -u | while read -r path; do
   [ -e "$path" ] || continue
   find "$path" -type f | while read -r file; do
@@ -40,7 +41,7 @@
 pairs=0
 while read -r word path; do
   pairs=$((pairs + 1))
-  [ -e "$path" ] || { echo "$path: named in the table, but not there"; found=1; continue; }
+  [ -e "$path" ] || { echo "$path: listed in the table, but does not exist"; found=1; continue; }
   hits=$(cd "$prepared" && grep -rHniE "(^|[^a-z])${word}s?([^a-z]|\$)" "$path" || true)
   [ -z "$hits" ] && continue
   found=1
