--- a/testing/register_model_checker/fingerprint.cc
+++ b/testing/register_model_checker/fingerprint.cc
@@ -1,4 +1,4 @@
-#include "testing/register_model_checker/print.h"
+#include "testing/register_model_checker/fingerprint.h"
 
 #include <algorithm>
 
@@ -11,31 +11,33 @@
   return name[1] - '1';
 }
 
-Symmetry::Symmetry(std::size_t replicas, std::vector<std::size_t> free) {
-  std::vector<std::size_t> same(replicas);
-  for (std::size_t i = 0; i < replicas; ++i) same[i] = i;
-  if (free.size() > 4) free.resize(4);
-  std::sort(free.begin(), free.end());
-  std::vector<std::size_t> order = free;
+Symmetry::Symmetry(std::size_t replicas, std::vector<std::size_t> interchangeable) {
+  std::vector<std::size_t> identity(replicas);
+  for (std::size_t i = 0; i < replicas; ++i) identity[i] = i;
+  if (interchangeable.size() > max_interchangeable) interchangeable.resize(max_interchangeable);
+  std::sort(interchangeable.begin(), interchangeable.end());
+  std::vector<std::size_t> order = interchangeable;
   do {
-    std::vector<std::size_t> way = same;
-    for (std::size_t i = 0; i < free.size(); ++i) way[free[i]] = order[i];
-    ways.push_back(std::move(way));
+    std::vector<std::size_t> permutation = identity;
+    for (std::size_t i = 0; i < interchangeable.size(); ++i) permutation[interchangeable[i]] = order[i];
+    permutations_.push_back(std::move(permutation));
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
-std::uint64_t Symmetry::name(std::size_t way, std::string const& text) const {
-  int const index = replica_index(text);
-  if (index < 0 || static_cast<std::size_t>(index) >= ways[way].size()) return hash_text(text);
-  return ways[way][static_cast<std::size_t>(index)] + 1;
+std::uint64_t Symmetry::name_hash(std::size_t permutation, std::string const& name) const {
+  int const index = replica_index(name);
+  if (index < 0 || static_cast<std::size_t>(index) >= permutations_[permutation].size()) return hash_text(name);
+  return permutations_[permutation][static_cast<std::size_t>(index)] + 1;
 }
 
-std::uint64_t Symmetry::disk(std::size_t way, std::uint64_t id) const {
+std::uint64_t Symmetry::disk_id(std::size_t permutation, std::uint64_t id) const {
   std::uint64_t const replica = id / disks_per_replica;
-  if (replica == 0 || replica > ways[way].size()) return id;
-  return (ways[way][replica - 1] + 1) * disks_per_replica + id % disks_per_replica;
+  if (replica == 0 || replica > permutations_[permutation].size()) return id;
+  return (permutations_[permutation][replica - 1] + 1) * disks_per_replica + id % disks_per_replica;
 }
 
-std::uint64_t Print::least() const { return *std::min_element(lanes.begin(), lanes.begin() + static_cast<long>(ways)); }
+std::uint64_t Fingerprint::canonical_hash() const {
+  return *std::min_element(hashes_.begin(), hashes_.begin() + static_cast<long>(size_));
+}
 
 }  // namespace pipit::register_checker
--- a/testing/register_model_checker/main.cc
+++ b/testing/register_model_checker/main.cc
@@ -1,4 +1,4 @@
-// Explores the worlds of the control register (docs/checker.md).
+// Command-line program of the control register's model checker (docs/checker.md).
 #include <cstdio>
 #include <cstdlib>
 #include <fstream>
@@ -29,15 +29,16 @@
   std::uint64_t seed = 1;
   std::size_t length = 200;
   std::string replay;
-  std::vector<std::pair<std::string, int>> bounds;
+  std::vector<std::pair<std::string, int>> bounds;  // flags of Bounds with their values, for all scenarios
 };
 
-[[noreturn]] void refuse(std::string const& why) {
-  std::fprintf(stderr, "register_model_checker: %s\n%s", why.c_str(), usage);
+[[noreturn]] void usage_error(std::string const& error) {
+  std::fprintf(stderr, "register_model_checker: %s\n%s", error.c_str(), usage);
   std::exit(2);
 }
 
-bool switch_off(std::string const& name) {
+// Switches a guard of the product off; returns false if there is none with this name.
+bool disable_guard(std::string const& name) {
   std::size_t count = 0;
   GuardRow const* const rows = guard_rows(count);
   for (std::size_t i = 0; i < count; ++i)
@@ -48,7 +49,8 @@
   return false;
 }
 
-int* bound_of(Bounds& bounds, std::string const& name) {
+// The field that the flag sets; null if the flag is not one of a bound.
+int* bound_for_flag(Bounds& bounds, std::string const& name) {
   if (name == "--retries") return &bounds.retries;
   if (name == "--repeats") return &bounds.repeats;
   if (name == "--restarts") return &bounds.restarts;
@@ -60,27 +62,27 @@
   return nullptr;
 }
 
-std::uint64_t number_of(std::string const& flag, std::string const& text) {
+std::uint64_t parse_number(std::string const& flag, std::string const& text) {
   char* end = nullptr;
   unsigned long long const out = std::strtoull(text.c_str(), &end, 10);
-  if (text.empty() || *end != '\0' || text[0] == '-') refuse(flag + ": '" + text + "' is no number");
+  if (text.empty() || *end != '\0' || text[0] == '-') usage_error(flag + ": '" + text + "' is no number");
   return out;
 }
 
-void list() {
-  for (Scenario const& item : all_scenarios()) std::printf("%-16s %s\n", item.name.c_str(), item.about.c_str());
+void print_scenarios() {
+  for (Scenario const& item : all_scenarios()) std::printf("%-16s %s\n", item.name.c_str(), item.description.c_str());
 }
 
 void add(std::vector<Scenario>& to, std::vector<Scenario> const& more) {
   to.insert(to.end(), more.begin(), more.end());
 }
 
-Options options_of(std::vector<std::string> const& args) {
+Options parse_options(std::vector<std::string> const& args) {
   Options out;
   for (std::size_t i = 0; i < args.size(); ++i) {
     std::string const& flag = args[i];
     if (flag == "--list") {
-      list();
+      print_scenarios();
       std::exit(0);
     }
     if (flag == "--small") {
@@ -92,52 +94,53 @@
       continue;
     }
     if (flag == "--walked") {
-      add(out.scenarios, walked_scenarios());
+      add(out.scenarios, random_walk_scenarios());
       continue;
     }
     if (flag == "--directed") {
       add(out.scenarios, directed_scenarios());
       continue;
     }
-    if (i + 1 == args.size()) refuse("'" + flag + "' is unknown or has no value");
+    if (i + 1 == args.size()) usage_error("'" + flag + "' is unknown or has no value");
     std::string const& value = args[++i];
-    Bounds probe;
+    Bounds any_bounds;
     if (flag == "--scenario") {
       Scenario found;
-      if (!find_scenario(value, found)) refuse("there is no scenario '" + value + "'");
+      if (!find_scenario(value, found)) usage_error("there is no scenario '" + value + "'");
       out.scenarios.push_back(found);
     } else if (flag == "--guard-off") {
-      if (!switch_off(value)) refuse("there is no guard '" + value + "'");
+      if (!disable_guard(value)) usage_error("there is no guard '" + value + "'");
     } else if (flag == "--replay") {
       out.replay = value;
     } else if (flag == "--states") {
-      out.limits.states = number_of(flag, value);
+      out.limits.states = parse_number(flag, value);
     } else if (flag == "--seconds") {
-      out.limits.seconds = static_cast<double>(number_of(flag, value));
+      out.limits.seconds = static_cast<double>(parse_number(flag, value));
     } else if (flag == "--recover-one-in") {
-      out.limits.recover_one_in = number_of(flag, value);
+      out.limits.recover_one_in = parse_number(flag, value);
     } else if (flag == "--walks") {
-      out.walks = number_of(flag, value);
+      out.walks = parse_number(flag, value);
     } else if (flag == "--seed") {
-      out.seed = number_of(flag, value);
+      out.seed = parse_number(flag, value);
     } else if (flag == "--length") {
-      out.length = number_of(flag, value);
-    } else if (bound_of(probe, flag) != nullptr) {
-      out.bounds.push_back({flag, static_cast<int>(number_of(flag, value))});
+      out.length = parse_number(flag, value);
+    } else if (bound_for_flag(any_bounds, flag) != nullptr) {
+      out.bounds.push_back({flag, static_cast<int>(parse_number(flag, value))});
     } else {
-      refuse("'" + flag + "' is unknown");
+      usage_error("'" + flag + "' is unknown");
     }
   }
   if (out.scenarios.empty()) out.scenarios = small_scenarios();
   for (Scenario& scenario : out.scenarios)
-    for (std::pair<std::string, int> const& item : out.bounds) *bound_of(scenario.bounds, item.first) = item.second;
+    for (std::pair<std::string, int> const& item : out.bounds)
+      *bound_for_flag(scenario.bounds, item.first) = item.second;
   return out;
 }
 
-// A line of a trace is a step, alone or as the second column of the table that a fault prints.
+// Reads the steps of a trace: a line is either a step or a row of the printed table, whose second column is the step.
 std::vector<std::string> read_trace(std::string const& file) {
   std::ifstream in(file);
-  if (!in) refuse("--replay: " + file + " cannot be read");
+  if (!in) usage_error("--replay: " + file + " cannot be read");
   std::vector<std::string> out;
   for (std::string line; std::getline(in, line);) {
     if (line.empty()) continue;
@@ -152,27 +155,27 @@
   return out;
 }
 
-Finding search_scenario(Options const& options, Scenario const& scenario) {
+SearchResult search_scenario(Options const& options, Scenario const& scenario) {
   if (!options.replay.empty()) {
-    Scenario bare = scenario;
-    bare.prefix.clear();  // the printed table has it
-    return replay(bare, read_trace(options.replay));
+    Scenario without_prefix = scenario;
+    without_prefix.prefix.clear();  // the printed table starts with the steps of the prefix
+    return replay(without_prefix, read_trace(options.replay));
   }
-  if (options.walks > 0) return walk(scenario, options.seed, options.walks, options.length, options.limits);
+  if (options.walks > 0) return random_walk(scenario, options.seed, options.walks, options.length, options.limits);
   return explore(scenario, options.limits);
 }
 
 }  // namespace
 
-int main(int count, char** step_text) {
-  Options const options = options_of(std::vector<std::string>(step_text + 1, step_text + count));
-  bool faulty = false;
+int main(int count, char** arguments) {
+  Options const options = parse_options(std::vector<std::string>(arguments + 1, arguments + count));
+  bool violated = false;
   for (Scenario const& scenario : options.scenarios) {
-    Finding const finding = search_scenario(options, scenario);
-    std::printf("%s\n", summary_of(scenario, finding).c_str());
-    if (!finding.fault.empty()) std::printf("%s", table_of(scenario, finding.trace).c_str());
+    SearchResult const result = search_scenario(options, scenario);
+    std::printf("%s\n", summary_line(scenario, result).c_str());
+    if (!result.violation.empty()) std::printf("%s", trace_table(scenario, result.trace).c_str());
     std::fflush(stdout);
-    faulty = faulty || !finding.fault.empty();
+    violated = violated || !result.violation.empty();
   }
-  return report_violations() || faulty ? 1 : 0;
+  return report_violations() || violated ? 1 : 0;
 }
--- a/testing/register_model_checker/register_view.h
+++ b/testing/register_model_checker/register_view.h
@@ -1,5 +1,5 @@
-// All that the checker knows of how the register's classes look inside: the hash of their states, and what a value
-// says. A change of their members or of the schema's values is met here alone.
+// The only part of the model checker that depends on private members of the register's classes and on the fields of its
+// messages and values: fingerprints of states, and properties and descriptions of values.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,47 +8,51 @@
 #include "consensus/register/acceptor.h"
 #include "consensus/register/learner.h"
 #include "consensus/register/proposer.h"
-#include "testing/register_model_checker/print.h"
+#include "testing/register_model_checker/fingerprint.h"
 
 namespace pipit::register_checker {
 
-// --- states
-Print print_of(Acceptor const& acceptor, Symmetry const& symmetry);
-Print print_of(Proposer const& proposer, Symmetry const& symmetry);
-Print print_of(Learner const& learner, Symmetry const& symmetry);
-Print print_of(wire::RecordT const& record, Symmetry const& symmetry);
-Print print_of(wire::BodyUnion const& body, Symmetry const& symmetry);
-
-// Whether the proposer waits for the end of a round or of a pause.
-bool has_timer(Proposer const& proposer);
-// Whether an answer can never again count in this incarnation of the proposer: it belongs to a round that is over.
-bool is_late(Proposer const& proposer, wire::BodyUnion const& body);
-// Whether an answer belongs to a poll that is over.
-bool is_late(Learner const& learner, wire::BodyUnion const& body);
-
-// --- members
-// What a node does after every frame that may have brought a newer set.
-void tell_members(Proposer& proposer, Learner const& learner);
-// A node's first knowledge.
-void start_with(Proposer& proposer, Learner& learner, wire::ValueT const& value);
+// --- fingerprints of states
+Fingerprint fingerprint_of(Acceptor const& acceptor, Symmetry const& symmetry);
+Fingerprint fingerprint_of(Proposer const& proposer, Symmetry const& symmetry);
+Fingerprint fingerprint_of(Learner const& learner, Symmetry const& symmetry);
+Fingerprint fingerprint_of(wire::RecordT const& record, Symmetry const& symmetry);
+Fingerprint fingerprint_of(wire::BodyUnion const& body, Symmetry const& symmetry);
+
+// Whether the proposer has a timer: for the timeout of a round, or for the end of the pause after it.
+bool has_pending_timer(Proposer const& proposer);
+// Whether the proposer will ignore this message, since it is a reply to a round that has ended.
+bool is_stale(Proposer const& proposer, wire::BodyUnion const& body);
+// Whether the learner will ignore this message, since it is a reply to a poll that has ended.
+bool is_stale(Learner const& learner, wire::BodyUnion const& body);
+
+// --- membership
+// Passes the learner's membership to the proposer, as a node does after each frame that may contain a newer one.
+void adopt_learned_membership(Proposer& proposer, Learner const& learner);
+// Gives a fresh node its initial value and membership.
+void adopt_initial_value(Proposer& proposer, Learner& learner, wire::ValueT const& value);
 
 // --- values
-// What was made of the register: everything but what only the change of members needs on its way.
-std::uint64_t content_of(wire::ValueT const& value);
-std::uint64_t members_of(wire::ValueT const& value);
+// Hash of a value; the order of the replicas in its memberships does not count.
+std::uint64_t content_hash(wire::ValueT const& value);
+// Hash of the current and the former membership.
+std::uint64_t membership_hash(wire::ValueT const& value);
+// The serial at which the change with this id was applied; 0 if the value does not contain it.
 std::uint64_t serial_of_change(wire::ValueT const& value, std::string const& id);
-// The order of values: each is written over one of a lower revision.
+// The revision orders the values: each value replaces one of a lower revision.
 std::uint64_t revision_of(wire::ValueT const& value);
-// Whether the disks that are there now, by replica, hold a quorum of the value's set.
+// Whether the present disks hold a quorum of the value's membership. `disks` has the id of each replica's disk.
 bool is_quorum(wire::ValueT const& value, std::vector<std::uint64_t> const& disks);
-// What the proposer writes in round two.
-wire::ValueT const& draft_of(Proposer const& proposer);
-wire::ValueT first_value(std::vector<std::size_t> const& members);
-
-// The number of the ballot that a request is made at; 0 for other messages.
-std::uint64_t round_of(wire::BodyUnion const& body);
-std::string words_of(wire::BodyUnion const& body);
-std::string words_of(wire::ValueT const& value);
-std::string words_of(wire::Ballot const& ballot);
+// The value that the proposer sends in its accept requests.
+wire::ValueT const& proposed_value(Proposer const& proposer);
+// The value that all replicas hold at the start, with the replicas of these indices as its membership.
+wire::ValueT initial_value(std::vector<std::size_t> const& members);
+
+// The ballot number of a prepare or accept request; 0 for other messages.
+std::uint64_t ballot_number_of(wire::BodyUnion const& body);
+// Short descriptions for the table of a trace and for violations.
+std::string describe(wire::BodyUnion const& body);
+std::string describe(wire::ValueT const& value);
+std::string describe(wire::Ballot const& ballot);
 
 }  // namespace pipit::register_checker
--- a/testing/register_model_checker/scenarios.cc
+++ b/testing/register_model_checker/scenarios.cc
@@ -22,58 +22,64 @@
   return {"dismiss-" + replica + "-" + node, node, Type::dismiss, epoch, replica, after, ""};
 }
 
-Order replace(std::string const& leaving, std::string const& replica, std::string const& node,
+Order replace(std::string const& replaced, std::string const& replica, std::string const& node,
               std::uint64_t epoch = first_epoch, int after = -1) {
-  return {"replace-" + leaving + "-" + replica + "-" + node, node, Type::replace, epoch, replica, after, leaving};
+  return {"replace-" + replaced + "-" + replica + "-" + node, node, Type::replace, epoch, replica, after, replaced};
 }
 
-Scenario of(std::string const& name, std::string const& about, std::vector<Order> orders, Bounds const& bounds) {
+Scenario make_scenario(std::string const& name, std::string const& description, std::vector<Order> orders,
+                       Bounds const& bounds) {
   Scenario out;
   out.name = name;
-  out.about = about;
+  out.description = description;
   out.orders = std::move(orders);
   out.bounds = bounds;
   return out;
 }
 
-// Steps of a directed prefix.
+// Builds the steps of a directed prefix. Each function appends steps.
 class Script {
  public:
   Names lines;
-  Script& then(std::string const& line, int times = 1) {
+  Script& step(std::string const& line, int times = 1) {
     for (int i = 0; i < times; ++i) lines.push_back(line);
     return *this;
   }
+  // Delivers the prepare requests of a round and the promises of these replicas.
   Script& prepare(std::string const& node, std::uint64_t round, Names const& replicas) {
     for (std::string const& replica : replicas)
-      then("deliver prepare " + node + ">" + replica + " in round " + std::to_string(round));
-    for (std::string const& replica : replicas) then("deliver promise " + replica + ">" + node);
+      step("deliver prepare " + node + ">" + replica + " in round " + std::to_string(round));
+    for (std::string const& replica : replicas) step("deliver promise " + replica + ">" + node);
     return *this;
   }
+  // Delivers the accept requests of a round to these replicas.
   Script& accept(std::string const& node, std::uint64_t round, Names const& replicas) {
     for (std::string const& replica : replicas)
-      then("deliver accept " + node + ">" + replica + " in round " + std::to_string(round));
+      step("deliver accept " + node + ">" + replica + " in round " + std::to_string(round));
     return *this;
   }
+  // Delivers the acknowledgements of these replicas.
   Script& accepted(std::string const& node, Names const& replicas) {
-    for (std::string const& replica : replicas) then("deliver accepted " + replica + ">" + node);
+    for (std::string const& replica : replicas) step("deliver accepted " + replica + ">" + node);
     return *this;
   }
+  // Delivers all messages of a round that these replicas take part in.
   Script& round(std::string const& node, std::uint64_t number, Names const& replicas) {
     return prepare(node, number, replicas).accept(node, number, replicas).accepted(node, replicas);
   }
 };
 
-// A change of members leaves the operators' serial alone.
+// The serial after a membership change, which does not increment it.
 constexpr std::uint64_t split_serial = 1;
 
-// Two changes of members are begun from one set of four, and each is accepted by one replica only; then one proposer
-// sees the one, another the other. The proposers that follow must not work at sets whose majorities miss each other.
-Scenario split(std::string const& name, Order const& one, Order const& other, Names const& first_majority,
-               Names const& second_majority) {
+// Two membership changes start from the same membership of four, and each is accepted by one replica only. Then one
+// proposer learns of the first change and another proposer of the second. The proposers must not go on with memberships
+// whose majorities do not intersect.
+Scenario split_membership(std::string const& name, Order const& one, Order const& other, Names const& first_majority,
+                          Names const& second_majority) {
   Scenario out;
   out.name = name;
-  out.about = "two changes of members that were never chosen are seen by two proposers";
+  out.description = "two proposers learn of two different membership changes that were never chosen";
   out.replicas = 6;
   out.members = {0, 1, 2, 3};
   out.nodes = {"p1", "p2", "p3", "p4"};
@@ -81,56 +87,56 @@
   for (Order& order : out.orders)
     if (order.type == Type::apply) order.expected = split_serial;
   Script script;
-  script.then("ask 1 " + one.id + " at p1").prepare("p1", 2, {"k1", "k2", "k3"}).accept("p1", 2, {"k1"});
-  script.then("ask 2 " + other.id + " at p2").then("retry p2");
+  script.step("ask 1 " + one.id + " at p1").prepare("p1", 2, {"k1", "k2", "k3"}).accept("p1", 2, {"k1"});
+  script.step("ask 2 " + other.id + " at p2").step("retry p2");
   script.prepare("p2", 3, {"k2", "k3", "k4"}).accept("p2", 3, {"k4"});
-  script.then("ask 4 b at p4").then("retry p4", 2).prepare("p4", 4, {"k2", "k3", "k4"});
-  script.then("ask 3 a at p3").then("retry p3", 3).prepare("p3", 5, {"k1", "k2", "k3"});
-  script.then("retry p3").prepare("p3", 6, first_majority).accept("p3", 6, first_majority);
+  script.step("ask 4 b at p4").step("retry p4", 2).prepare("p4", 4, {"k2", "k3", "k4"});
+  script.step("ask 3 a at p3").step("retry p3", 3).prepare("p3", 5, {"k1", "k2", "k3"});
+  script.step("retry p3").prepare("p3", 6, first_majority).accept("p3", 6, first_majority);
   script.accepted("p3", first_majority);
-  // A refusal tells p4 of the higher round, and leaves it the set that it saw.
-  script.then("retry p4").then("deliver prepare p4>k2 in round 5").then("deliver promise k2>p4").then("retry p4");
+  // The rejected prepare request tells p4 the higher round, while p4 keeps the membership that it has learnt.
+  script.step("retry p4").step("deliver prepare p4>k2 in round 5").step("deliver promise k2>p4").step("retry p4");
   script.round("p3", 7, first_majority).round("p3", 8, first_majority);
   script.round("p4", 7, second_majority).round("p4", 8, second_majority).round("p4", 9, second_majority);
   out.prefix = script.lines;
   return out;
 }
 
-// The same with two replacements in a set of three, where the sets that follow have majorities without a common
-// replica.
+// As in split_membership, with two replacements in a membership of three. The memberships after them have majorities
+// without a common replica.
 Scenario split_replace() {
   Scenario out;
   out.name = "split-replace";
-  out.about = "two replacements that were never chosen are seen by two proposers";
+  out.description = "two proposers learn of two different replacements that were never chosen";
   out.replicas = 5;
   out.nodes = {"p1", "p2", "p3", "p4"};
   out.orders = {replace("k1", "k4", "p1"), replace("k2", "k5", "p2"), apply("a", "p3", 1), apply("b", "p4", 1)};
   Script script;
-  script.then("ask 1 " + out.orders[0].id + " at p1").prepare("p1", 2, {"k1", "k3"}).accept("p1", 2, {"k3"});
-  script.then("ask 2 " + out.orders[1].id + " at p2").then("retry p2");
+  script.step("ask 1 " + out.orders[0].id + " at p1").prepare("p1", 2, {"k1", "k3"}).accept("p1", 2, {"k3"});
+  script.step("ask 2 " + out.orders[1].id + " at p2").step("retry p2");
   script.prepare("p2", 3, {"k1", "k2"}).accept("p2", 3, {"k2"});
-  script.then("ask 3 a at p3").then("retry p3", 2).prepare("p3", 4, {"k1", "k3"}).then("retry p3");
+  script.step("ask 3 a at p3").step("retry p3", 2).prepare("p3", 4, {"k1", "k3"}).step("retry p3");
   script.prepare("p3", 5, {"k1", "k3", "k4"}).accept("p3", 5, {"k3", "k4"}).accepted("p3", {"k3", "k4"});
   script.round("p3", 6, {"k3", "k4"}).round("p3", 7, {"k3", "k4"});
-  script.then("ask 4 b at p4").then("retry p4", 7).prepare("p4", 9, {"k1", "k2"}).then("retry p4");
+  script.step("ask 4 b at p4").step("retry p4", 7).prepare("p4", 9, {"k1", "k2"}).step("retry p4");
   script.prepare("p4", 10, {"k1", "k2", "k5"}).accept("p4", 10, {"k1", "k5"}).accepted("p4", {"k1", "k5"});
   script.round("p4", 11, {"k1", "k5"}).round("p4", 12, {"k1", "k5"});
   out.prefix = script.lines;
   return out;
 }
 
-// The settled set is held by the leaving replica alone; who comes after must still be able to read.
+// Only the replaced replica has accepted the final membership; a new node must still be able to read.
 Scenario leaving_holds() {
   Scenario out;
   out.name = "leaving-holds";
-  out.about = "only the keeper that leaves holds the set without it";
+  out.description = "only the replaced replica has accepted the membership without it";
   out.replicas = 4;
   out.nodes = {"p1"};
   out.orders = {replace("k1", "k4", "p1")};
   Script script;
-  script.then("ask 1 " + out.orders[0].id + " at p1").round("p1", 2, {"k2", "k3"});
+  script.step("ask 1 " + out.orders[0].id + " at p1").round("p1", 2, {"k2", "k3"});
   script.prepare("p1", 3, {"k2", "k3"}).accept("p1", 3, {"k1"});
-  // k1 lacks the base of the patch and asks for the whole value.
+  // k1 does not have the value that the patch is based on, and requests the full value.
   script.accepted("p1", {"k1"}).accept("p1", 3, {"k1"});
   out.prefix = script.lines;
   return out;
@@ -140,8 +146,10 @@
 
 std::vector<Scenario> directed_scenarios() {
   std::vector<Scenario> out;
-  out.push_back(split("split-admit", admit("k5", "p1"), admit("k6", "p2"), {"k1", "k2", "k5"}, {"k3", "k4", "k6"}));
-  out.push_back(split("split-dismiss", dismiss("k4", "p1"), dismiss("k1", "p2"), {"k1", "k2"}, {"k3", "k4"}));
+  out.push_back(
+      split_membership("split-admit", admit("k5", "p1"), admit("k6", "p2"), {"k1", "k2", "k5"}, {"k3", "k4", "k6"}));
+  out.push_back(
+      split_membership("split-dismiss", dismiss("k4", "p1"), dismiss("k1", "p2"), {"k1", "k2"}, {"k3", "k4"}));
   out.push_back(split_replace());
   out.push_back(leaving_holds());
   return out;
@@ -149,56 +157,61 @@
 
 std::vector<Scenario> small_scenarios() {
   std::vector<Scenario> out;
-  out.push_back(of("rivals", "two orders on one serial", {apply("a", "p1", 1), apply("b", "p2", 1)}, {}));
-  out.push_back(of("read", "a read beside an order", {apply("a", "p1", 1), read("r", "p2")}, {}));
-  out.push_back(of("resend", "an order is sent again elsewhere", {apply("a", "p1", 1), apply("a", "p2", 1)}, {}));
+  out.push_back(make_scenario("rivals", "two orders for the same expected serial",
+                              {apply("a", "p1", 1), apply("b", "p2", 1)}, {}));
+  out.push_back(make_scenario("read", "a read concurrent with an order", {apply("a", "p1", 1), read("r", "p2")}, {}));
+  out.push_back(make_scenario("resend", "an order is sent again to another node",
+                              {apply("a", "p1", 1), apply("a", "p2", 1)}, {}));
 
-  Scenario wipe = of("wipe", "a keeper loses its disk", {apply("a", "p1", 1), read("r", "p2", 0)}, {});
+  Scenario wipe = make_scenario("wipe", "a replica loses its disk", {apply("a", "p1", 1), read("r", "p2", 0)}, {});
   wipe.bounds.wipes = 1;
   wipe.bounds.retries = 1;
   out.push_back(wipe);
 
-  Scenario crash = of("crash", "a keeper ends before its sync does", {apply("a", "p1", 1), read("r", "p1", 0)}, {});
+  Scenario crash = make_scenario("crash", "a replica crashes before its sync completes",
+                                 {apply("a", "p1", 1), read("r", "p1", 0)}, {});
   crash.slow_disks = true;
   crash.bounds.crashes = 1;
   crash.nodes = {"p1"};
   out.push_back(crash);
 
-  Scenario restart =
-      of("restart", "a node starts anew and orders again", {apply("a", "p1", 1), apply("b", "p1", 1)}, {});
+  Scenario restart = make_scenario("restart", "a node restarts and submits another order",
+                                   {apply("a", "p1", 1), apply("b", "p1", 1)}, {});
   restart.nodes = {"p1"};
   restart.bounds.restarts = 1;
   out.push_back(restart);
 
-  Scenario again = of("again", "an order is sent again after another one", {}, {});
+  Scenario again = make_scenario("again", "an order is sent again after another order was chosen", {}, {});
   again.orders = {apply("a", "p1", 1), apply("b", "p1", 2, 0), apply("a", "p1", 1, 1)};
   again.nodes = {"p1"};
   out.push_back(again);
 
-  Scenario late = of("late", "a change is given up, and sent again", {apply("a", "p1", 1), apply("a", "p1", 1, 0)}, {});
+  Scenario late =
+      make_scenario("late", "a change times out and is sent again", {apply("a", "p1", 1), apply("a", "p1", 1, 0)}, {});
   late.nodes = {"p1"};
   late.bounds.give_ups = 1;
   late.bounds.repeats = 1;
   out.push_back(late);
 
-  Scenario poll = of("poll", "a node polls while an order is taken", {apply("a", "p1", 1)}, {});
+  Scenario poll = make_scenario("poll", "a node polls during an order", {apply("a", "p1", 1)}, {});
   poll.bounds.polls = 1;
   out.push_back(poll);
 
-  Scenario second = of("second", "a set of one grows to two while a description is ordered", {}, {});
+  Scenario second = make_scenario("second", "a membership of one grows to two during an order", {}, {});
   second.replicas = 2;
   second.members = {0};
   second.orders = {admit("k2", "p1"), apply("a", "p2", 1)};
   second.bounds.retries = 2;
   out.push_back(second);
 
-  Scenario third = of("third", "a set of two grows to three in one proposer's hands, then an order", {}, {});
+  Scenario third =
+      make_scenario("third", "one proposer grows a membership of two to three, then submits an order", {}, {});
   third.members = {0, 1};
   third.nodes = {"p1"};
   third.orders = {admit("k3", "p1"), apply("a", "p1", 1, 0)};
   out.push_back(third);
 
-  Scenario swap = of("swap", "two nodes each dismiss the other's keeper", {}, {});
+  Scenario swap = make_scenario("swap", "two nodes dismiss one replica each of two", {}, {});
   swap.replicas = 2;
   swap.members = {0, 1};
   swap.orders = {dismiss("k2", "p1"), dismiss("k1", "p2")};
@@ -207,17 +220,18 @@
   return out;
 }
 
-// What the register takes for granted, broken: a fault must show.
+// Break an assumption of the register, so that a violation must be found.
 std::vector<Scenario> broken_scenarios() {
-  Scenario same = of("same-chance", "a node's next life draws the same chance as the one before", {}, {});
+  Scenario same =
+      make_scenario("same-chance", "a node's next incarnation has the same random seed as the one before", {}, {});
   same.orders = {apply("a", "p1", 1), apply("b", "p1", 1)};
   same.nodes = {"p1"};
   same.same_chance = true;
   Script script;
-  script.then("ask 1 a at p1");
+  script.step("ask 1 a at p1");
   for (char const* const replica : {"k1", "k2", "k3"})
-    script.then(std::string("deliver prepare p1>") + replica + " in round 2");
-  script.then("repeat promise k1>p1").then("deliver promise k2>p1").then("restart p1");
+    script.step(std::string("deliver prepare p1>") + replica + " in round 2");
+  script.step("repeat promise k1>p1").step("deliver promise k2>p1").step("restart p1");
   same.prefix = script.lines;
   return {same};
 }
@@ -226,26 +240,29 @@
   std::vector<Scenario> out;
   Bounds one_retry;
   one_retry.retries = 1;
-  out.push_back(of("rivals-1", "two orders on one serial", {apply("a", "p1", 1), apply("b", "p2", 1)}, one_retry));
-  out.push_back(of("resend-1", "an order is sent again", {apply("a", "p1", 1), apply("a", "p2", 1)}, one_retry));
-  Scenario four = of("admit", "three keepers become four while a description is ordered", {}, one_retry);
+  out.push_back(make_scenario("rivals-1", "two orders for the same expected serial, with a retry",
+                              {apply("a", "p1", 1), apply("b", "p2", 1)}, one_retry));
+  out.push_back(make_scenario("resend-1", "an order is sent again to another node, with a retry",
+                              {apply("a", "p1", 1), apply("a", "p2", 1)}, one_retry));
+  Scenario four = make_scenario("admit", "a membership of three grows to four during an order", {}, one_retry);
   four.replicas = 4;
   four.orders = {admit("k4", "p1"), apply("a", "p2", 1)};
   out.push_back(four);
-  Scenario less = of("dismiss", "three keepers become two while a description is ordered", {}, one_retry);
+  Scenario less = make_scenario("dismiss", "a membership of three shrinks to two during an order", {}, one_retry);
   less.orders = {dismiss("k3", "p1"), apply("a", "p2", 1)};
   out.push_back(less);
-  Scenario other = of("replace", "a keeper takes another's place while a description is ordered", {}, one_retry);
+  Scenario other = make_scenario("replace", "a replica is replaced during an order", {}, one_retry);
   other.replicas = 4;
   other.orders = {replace("k3", "k4", "p1"), apply("a", "p2", 1)};
   out.push_back(other);
-  Scenario both = of("pair", "two nodes each dismiss the other's keeper, and a description is ordered", {}, one_retry);
+  Scenario both = make_scenario("pair", "two nodes dismiss one replica each of two during an order", {}, one_retry);
   both.replicas = 2;
   both.members = {0, 1};
   both.bounds.retries = 3;
   both.orders = {dismiss("k2", "p1"), dismiss("k1", "p2"), apply("a", "p1", 1)};
   out.push_back(both);
-  Scenario third = of("third-1", "a set of two grows to three with a round given up, then an order", {}, one_retry);
+  Scenario third =
+      make_scenario("third-1", "a membership of two grows to three with a retry, then an order", {}, one_retry);
   third.members = {0, 1};
   third.nodes = {"p1"};
   third.orders = {admit("k3", "p1"), apply("a", "p1", 1, 0)};
@@ -253,7 +270,7 @@
   return out;
 }
 
-std::vector<Scenario> walked_scenarios() {
+std::vector<Scenario> random_walk_scenarios() {
   std::vector<Scenario> out;
   Bounds many;
   many.repeats = 4;
@@ -262,28 +279,29 @@
   many.restarts = 2;
   many.crashes = 2;
   many.polls = 6;
-  Scenario orders = of("walk-orders", "three nodes order, read and send again at five keepers", {}, many);
+  Scenario orders = make_scenario("walk-orders", "three nodes order, read and send again with five replicas", {}, many);
   orders.replicas = 5;
   orders.members = {0, 1, 2, 3, 4};
   orders.nodes = {"p1", "p2", "p3"};
   orders.slow_disks = true;
-  orders.push = true;
+  orders.push_chosen = true;
   orders.bounds.wipes = 2;
   orders.orders = {apply("a", "p1", 1),    apply("b", "p2", 1),    apply("c", "p3", 2), read("r", "p1"),
                    apply("a", "p3", 1, 0), apply("b", "p1", 1, 1), read("s", "p2"),     apply("d", "p2", 3)};
   out.push_back(orders);
 
-  Scenario members = of("walk-members", "four nodes change the set of four while descriptions are ordered", {}, many);
+  Scenario members = make_scenario("walk-members", "four nodes change a membership of four during orders", {}, many);
   members.replicas = 6;
   members.members = {0, 1, 2, 3};
   members.nodes = {"p1", "p2", "p3", "p4"};
-  members.push = true;
+  members.push_chosen = true;
   members.orders = {admit("k5", "p1"),   admit("k6", "p2"),   apply("a", "p3", 1),
                     apply("b", "p4", 1), dismiss("k1", "p3"), read("r", "p4"),
                     dismiss("k4", "p2"), apply("c", "p1", 2), apply("a", "p2", 1, 2)};
   out.push_back(members);
 
-  Scenario growth = of("walk-growth", "a set of one grows to five, is changed and shrinks again", {}, many);
+  Scenario growth =
+      make_scenario("walk-growth", "a membership of one grows to five, changes and shrinks again", {}, many);
   growth.replicas = 5;
   growth.members = {0};
   growth.nodes = {"p1", "p2", "p3"};
@@ -293,7 +311,7 @@
                    read("r", "p1"),        apply("c", "p3", 2)};
   out.push_back(growth);
 
-  Scenario places = of("walk-replace", "keepers of three are replaced at two nodes, and disks are lost", {}, many);
+  Scenario places = make_scenario("walk-replace", "two nodes replace replicas of three, and disks are lost", {}, many);
   places.replicas = 5;
   places.nodes = {"p1", "p2", "p3"};
   places.slow_disks = true;
@@ -308,7 +326,7 @@
 std::vector<Scenario> all_scenarios() {
   std::vector<Scenario> out = small_scenarios();
   for (std::vector<Scenario> const& more :
-       {large_scenarios(), directed_scenarios(), walked_scenarios(), broken_scenarios()})
+       {large_scenarios(), directed_scenarios(), random_walk_scenarios(), broken_scenarios()})
     out.insert(out.end(), more.begin(), more.end());
   return out;
 }
--- a/testing/register_model_checker/scenarios.h
+++ b/testing/register_model_checker/scenarios.h
@@ -1,4 +1,4 @@
-// The worlds that the checker explores, by name.
+// The scenarios that the model checker explores.
 #pragma once
 #include <string>
 #include <vector>
@@ -7,18 +7,18 @@
 
 namespace pipit::register_checker {
 
-// Explored to the end in CI; each takes seconds.
+// Explored completely in CI; each takes seconds.
 std::vector<Scenario> small_scenarios();
-// By command: minutes to hours.
+// Explored only by command, since each takes minutes to hours.
 std::vector<Scenario> large_scenarios();
-// Begun by a directed prefix: faults that were found once.
+// Start with a prefix of steps that once led to a violation.
 std::vector<Scenario> directed_scenarios();
 // For random walks.
-std::vector<Scenario> walked_scenarios();
-// What the register takes for granted, broken: the checker must find a fault.
+std::vector<Scenario> random_walk_scenarios();
+// Break an assumption of the register, so that the model checker must find a violation.
 std::vector<Scenario> broken_scenarios();
 std::vector<Scenario> all_scenarios();
-// The one with this name; false when there is none.
+// Copies the scenario with this name to `out`; returns false if there is none.
 bool find_scenario(std::string const& name, Scenario& out);
 
 }  // namespace pipit::register_checker
