--- a/testing/register_model_checker/register_view.h
+++ b/testing/register_model_checker/register_view.h
@@ -21,7 +21,7 @@
 
 // Whether the proposer has a timer: for the timeout of a round, or for the end of the pause after it.
 bool has_pending_timer(Proposer const& proposer);
-// Whether the proposer will ignore this message, since it is a reply to a round that has ended.
+// Whether this incarnation of the proposer will ignore the message, since it is a reply to a round that has ended.
 bool is_stale(Proposer const& proposer, wire::BodyUnion const& body);
 // Whether the learner will ignore this message, since it is a reply to a poll that has ended.
 bool is_stale(Learner const& learner, wire::BodyUnion const& body);
@@ -45,7 +45,7 @@
 bool is_quorum(wire::ValueT const& value, std::vector<std::uint64_t> const& disks);
 // The value that the proposer sends in its accept requests.
 wire::ValueT const& proposed_value(Proposer const& proposer);
-// The value that all replicas hold at the start, with the replicas of these indices as its membership.
+// The value that the initial members hold at the start; `members` has their indices.
 wire::ValueT initial_value(std::vector<std::size_t> const& members);
 
 // The ballot number of a prepare or accept request; 0 for other messages.
--- a/testing/register_model_checker/world.cc
+++ b/testing/register_model_checker/world.cc
@@ -237,8 +237,8 @@
   }
   Acceptor next = *replicas_[index].acceptor;
   next.enqueue(message.from, message.body);
-  std::optional<wire::RecordT> save = next.step(out);
-  update_acceptor(index, std::move(next), out, std::move(save));
+  std::optional<wire::RecordT> record = next.step(out);
+  update_acceptor(index, std::move(next), out, std::move(record));
 }
 
 void World::sync(std::size_t index) {
@@ -248,8 +248,8 @@
   Acceptor next = *replica.acceptor;
   std::vector<OutgoingMessage> out;
   next.on_synced(out);
-  std::optional<wire::RecordT> save = next.step(out);
-  update_acceptor(index, std::move(next), out, std::move(save));
+  std::optional<wire::RecordT> record = next.step(out);
+  update_acceptor(index, std::move(next), out, std::move(record));
 }
 
 void World::crash(std::size_t index) {
@@ -297,10 +297,10 @@
 
 void World::submit(std::size_t index) {
   Order const& order = scenario_->orders[index];
-  std::size_t const at = static_cast<std::size_t>(node_index(order.node));
+  std::size_t const node = static_cast<std::size_t>(node_index(order.node));
   order_states_[index].progress = OrderState::Progress::submitted;
   order_states_[index].min_revision = newest_reported_revision();
-  Proposer next = *nodes_[at].proposer;
+  Proposer next = *nodes_[node].proposer;
   std::vector<std::pair<std::size_t, Outcome>> collected;
   current_outcomes = &collected;
   next.submit(
@@ -308,13 +308,13 @@
       [index](Outcome const& outcome) {
         current_outcomes->push_back({index, outcome});
       },
-      nodes_[at].now);
+      nodes_[node].now);
   std::vector<OutgoingMessage> out;
-  next.tick(nodes_[at].now, out);
+  next.tick(nodes_[node].now, out);
   std::vector<OrderOutcome> order_outcomes;
   for (std::pair<std::size_t, Outcome>& item : collected)
     order_outcomes.push_back({item.first, std::move(item.second)});
-  update_node(at, next, *nodes_[at].learner, out, order_outcomes);
+  update_node(node, next, *nodes_[node].learner, out, order_outcomes);
 }
 
 void World::deliver_to_node(std::size_t index, Message const& message) {
@@ -495,7 +495,7 @@
     if (order.type == Change::Type::apply && outcome.serial == 0)
       report_violation(subject + " was confirmed, yet it is not in the value");
     else if (order.type == Change::Type::apply && outcome.serial != order.expected + 1)
-      report_violation(subject + " was applied to serial " + std::to_string(outcome.serial - 1) +
+      report_violation(subject + " was applied on serial " + std::to_string(outcome.serial - 1) +
                        ", not on the expected " + std::to_string(order.expected));
     for (std::size_t i = 0; i < order_states_.size(); ++i) {
       if (i == index || order_states_[i].progress != OrderState::Progress::chosen) continue;
@@ -587,10 +587,10 @@
 std::uint64_t World::state_hash() const {
   Fingerprint out(*symmetry_);
   for (std::size_t i = 0; i < replicas_.size(); ++i) {
-    Fingerprint one = replicas_[i].fingerprint;
-    one.add_number(replicas_[i].syncing_record ? 1 : 0);
-    one.add_disk(*symmetry_, replicas_[i].disk_id);
-    out.add_replica(*symmetry_, i, one);
+    Fingerprint replica = replicas_[i].fingerprint;
+    replica.add_number(replicas_[i].syncing_record ? 1 : 0);
+    replica.add_disk(*symmetry_, replicas_[i].disk_id);
+    out.add_replica(*symmetry_, i, replica);
   }
   for (Node const& node : nodes_) {
     out.add_part(node.fingerprint);
--- a/testing/register_model_checker/world.h
+++ b/testing/register_model_checker/world.h
@@ -118,10 +118,10 @@
   std::string check_recovery() const;
   // Delivers all messages and lets timers expire until no node has a timer, but for at most `max_turns` turns.
   void drain(int max_turns);
-  std::vector<OrderState> const& orders() const { return order_states_; }
-  std::vector<std::shared_ptr<ReportedValue const>> const& reported() const { return reported_values_; }
+  std::vector<OrderState> const& order_states() const { return order_states_; }
+  std::vector<std::shared_ptr<ReportedValue const>> const& reported_values() const { return reported_values_; }
   Message const& message(std::size_t index) const { return *messages_[index]; }
-  std::vector<Order> const& asked() const { return scenario_->orders; }
+  std::vector<Order> const& orders() const { return scenario_->orders; }
 
  private:
   struct Replica {
--- a/tests/register_model_checker.cc
+++ b/tests/register_model_checker.cc
@@ -116,7 +116,7 @@
   expect_violation_in(Guard::disk_id, "wipe", "older than revision 2");
 }
 
-TEST(RegisterModelChecker, finds_a_change_of_an_unexpected_serial) {
+TEST(RegisterModelChecker, finds_a_change_based_on_another_serial) {
   expect_violation_in(Guard::expected, "rivals", "not on the expected 1");
 }
 
@@ -148,12 +148,12 @@
   EXPECT_NE(result.violation, "") << describe(scenario, result);
 }
 
-TEST(RegisterModelChecker, repeats_a_search_with_the_same_figures) {
+TEST(RegisterModelChecker, search_is_deterministic) {
   Scenario const scenario = scenario_named("rivals");
-  SearchResult const one = explore(scenario, limits_of(1000000, max_search_seconds));
-  SearchResult const other = explore(scenario, limits_of(1000000, max_search_seconds));
-  EXPECT_EQ(one.states, other.states);
-  EXPECT_EQ(one.steps, other.steps);
+  SearchResult const first = explore(scenario, limits_of(1000000, max_search_seconds));
+  SearchResult const second = explore(scenario, limits_of(1000000, max_search_seconds));
+  EXPECT_EQ(first.states, second.states);
+  EXPECT_EQ(first.steps, second.steps);
 }
 
 }  // namespace pipit::register_checker
