--- a/testing/register_model_checker/register_view.cc
+++ b/testing/register_model_checker/register_view.cc
@@ -12,9 +12,9 @@
 
 namespace {
 
-// Fingerprints omit members that cannot change what a node does in a world: a record's quota_members, which no world
-// sets, names, a proposer's plan, and the random numbers and times of pauses, since the model checker lets a timer
-// expire at any time.
+// Fingerprints omit members that do not change what a node does in a world: a record's quota_members, which no world
+// sets, the name and options of a proposer, random numbers, deadlines and times, since the model checker lets a timer
+// expire at any time, and a learner's quorum_revision_, which only affects times.
 #if defined(__x86_64__) && defined(__GLIBCXX__) && !defined(_GLIBCXX_DEBUG)
 constexpr std::size_t proposer_size = 1448;
 constexpr std::size_t learner_size = 992;
--- a/testing/register_model_checker/scenarios.cc
+++ b/testing/register_model_checker/scenarios.cc
@@ -75,20 +75,20 @@
 // Two membership changes start from the same membership of four, and each is accepted by one replica only. Then one
 // proposer learns of the first change and another proposer of the second. The proposers must not go on with memberships
 // whose majorities do not intersect.
-Scenario split_membership(std::string const& name, Order const& one, Order const& other, Names const& first_majority,
-                          Names const& second_majority) {
+Scenario split_membership(std::string const& name, Order const& first_change, Order const& second_change,
+                          Names const& first_majority, Names const& second_majority) {
   Scenario out;
   out.name = name;
   out.description = "two proposers learn of two different membership changes that were never chosen";
   out.replicas = 6;
   out.members = {0, 1, 2, 3};
   out.nodes = {"p1", "p2", "p3", "p4"};
-  out.orders = {one, other, apply("a", "p3", 2), apply("b", "p4", 2)};
+  out.orders = {first_change, second_change, apply("a", "p3", 2), apply("b", "p4", 2)};
   for (Order& order : out.orders)
     if (order.type == Type::apply) order.expected = split_serial;
   Script script;
-  script.step("ask 1 " + one.id + " at p1").prepare("p1", 2, {"k1", "k2", "k3"}).accept("p1", 2, {"k1"});
-  script.step("ask 2 " + other.id + " at p2").step("retry p2");
+  script.step("ask 1 " + first_change.id + " at p1").prepare("p1", 2, {"k1", "k2", "k3"}).accept("p1", 2, {"k1"});
+  script.step("ask 2 " + second_change.id + " at p2").step("retry p2");
   script.prepare("p2", 3, {"k2", "k3", "k4"}).accept("p2", 3, {"k4"});
   script.step("ask 4 b at p4").step("retry p4", 2).prepare("p4", 4, {"k2", "k3", "k4"});
   script.step("ask 3 a at p3").step("retry p3", 3).prepare("p3", 5, {"k1", "k2", "k3"});
@@ -181,10 +181,10 @@
   restart.bounds.restarts = 1;
   out.push_back(restart);
 
-  Scenario again = make_scenario("again", "an order is sent again after another order was chosen", {}, {});
-  again.orders = {apply("a", "p1", 1), apply("b", "p1", 2, 0), apply("a", "p1", 1, 1)};
-  again.nodes = {"p1"};
-  out.push_back(again);
+  Scenario resend_later = make_scenario("again", "an order is sent again after another order was chosen", {}, {});
+  resend_later.orders = {apply("a", "p1", 1), apply("b", "p1", 2, 0), apply("a", "p1", 1, 1)};
+  resend_later.nodes = {"p1"};
+  out.push_back(resend_later);
 
   Scenario late =
       make_scenario("late", "a change times out and is sent again", {apply("a", "p1", 1), apply("a", "p1", 1, 0)}, {});
@@ -197,43 +197,43 @@
   poll.bounds.polls = 1;
   out.push_back(poll);
 
-  Scenario second = make_scenario("second", "a membership of one grows to two during an order", {}, {});
-  second.replicas = 2;
-  second.members = {0};
-  second.orders = {admit("k2", "p1"), apply("a", "p2", 1)};
-  second.bounds.retries = 2;
-  out.push_back(second);
+  Scenario growth_from_one = make_scenario("second", "a membership of one grows to two during an order", {}, {});
+  growth_from_one.replicas = 2;
+  growth_from_one.members = {0};
+  growth_from_one.orders = {admit("k2", "p1"), apply("a", "p2", 1)};
+  growth_from_one.bounds.retries = 2;
+  out.push_back(growth_from_one);
 
-  Scenario third =
+  Scenario growth =
       make_scenario("third", "one proposer grows a membership of two to three, then submits an order", {}, {});
-  third.members = {0, 1};
-  third.nodes = {"p1"};
-  third.orders = {admit("k3", "p1"), apply("a", "p1", 1, 0)};
-  out.push_back(third);
-
-  Scenario swap = make_scenario("swap", "two nodes dismiss one replica each of two", {}, {});
-  swap.replicas = 2;
-  swap.members = {0, 1};
-  swap.orders = {dismiss("k2", "p1"), dismiss("k1", "p2")};
-  swap.bounds.retries = 1;
-  out.push_back(swap);
+  growth.members = {0, 1};
+  growth.nodes = {"p1"};
+  growth.orders = {admit("k3", "p1"), apply("a", "p1", 1, 0)};
+  out.push_back(growth);
+
+  Scenario mutual_dismissal = make_scenario("swap", "two nodes dismiss one replica each of two", {}, {});
+  mutual_dismissal.replicas = 2;
+  mutual_dismissal.members = {0, 1};
+  mutual_dismissal.orders = {dismiss("k2", "p1"), dismiss("k1", "p2")};
+  mutual_dismissal.bounds.retries = 1;
+  out.push_back(mutual_dismissal);
   return out;
 }
 
 // Break an assumption of the register, so that a violation must be found.
 std::vector<Scenario> broken_scenarios() {
-  Scenario same =
+  Scenario repeated_seed =
       make_scenario("same-chance", "a node's next incarnation has the same random seed as the one before", {}, {});
-  same.orders = {apply("a", "p1", 1), apply("b", "p1", 1)};
-  same.nodes = {"p1"};
-  same.same_chance = true;
+  repeated_seed.orders = {apply("a", "p1", 1), apply("b", "p1", 1)};
+  repeated_seed.nodes = {"p1"};
+  repeated_seed.same_chance = true;
   Script script;
   script.step("ask 1 a at p1");
   for (char const* const replica : {"k1", "k2", "k3"})
     script.step(std::string("deliver prepare p1>") + replica + " in round 2");
   script.step("repeat promise k1>p1").step("deliver promise k2>p1").step("restart p1");
-  same.prefix = script.lines;
-  return {same};
+  repeated_seed.prefix = script.lines;
+  return {repeated_seed};
 }
 
 std::vector<Scenario> large_scenarios() {
@@ -244,42 +244,44 @@
                               {apply("a", "p1", 1), apply("b", "p2", 1)}, one_retry));
   out.push_back(make_scenario("resend-1", "an order is sent again to another node, with a retry",
                               {apply("a", "p1", 1), apply("a", "p2", 1)}, one_retry));
-  Scenario four = make_scenario("admit", "a membership of three grows to four during an order", {}, one_retry);
-  four.replicas = 4;
-  four.orders = {admit("k4", "p1"), apply("a", "p2", 1)};
-  out.push_back(four);
-  Scenario less = make_scenario("dismiss", "a membership of three shrinks to two during an order", {}, one_retry);
-  less.orders = {dismiss("k3", "p1"), apply("a", "p2", 1)};
-  out.push_back(less);
-  Scenario other = make_scenario("replace", "a replica is replaced during an order", {}, one_retry);
-  other.replicas = 4;
-  other.orders = {replace("k3", "k4", "p1"), apply("a", "p2", 1)};
-  out.push_back(other);
-  Scenario both = make_scenario("pair", "two nodes dismiss one replica each of two during an order", {}, one_retry);
-  both.replicas = 2;
-  both.members = {0, 1};
-  both.bounds.retries = 3;
-  both.orders = {dismiss("k2", "p1"), dismiss("k1", "p2"), apply("a", "p1", 1)};
-  out.push_back(both);
-  Scenario third =
+  Scenario admission = make_scenario("admit", "a membership of three grows to four during an order", {}, one_retry);
+  admission.replicas = 4;
+  admission.orders = {admit("k4", "p1"), apply("a", "p2", 1)};
+  out.push_back(admission);
+  Scenario dismissal = make_scenario("dismiss", "a membership of three shrinks to two during an order", {}, one_retry);
+  dismissal.orders = {dismiss("k3", "p1"), apply("a", "p2", 1)};
+  out.push_back(dismissal);
+  Scenario replacement = make_scenario("replace", "a replica is replaced during an order", {}, one_retry);
+  replacement.replicas = 4;
+  replacement.orders = {replace("k3", "k4", "p1"), apply("a", "p2", 1)};
+  out.push_back(replacement);
+  Scenario mutual_dismissal =
+      make_scenario("pair", "two nodes dismiss one replica each of two during an order", {}, one_retry);
+  mutual_dismissal.replicas = 2;
+  mutual_dismissal.members = {0, 1};
+  mutual_dismissal.bounds.retries = 3;
+  mutual_dismissal.orders = {dismiss("k2", "p1"), dismiss("k1", "p2"), apply("a", "p1", 1)};
+  out.push_back(mutual_dismissal);
+  Scenario growth =
       make_scenario("third-1", "a membership of two grows to three with a retry, then an order", {}, one_retry);
-  third.members = {0, 1};
-  third.nodes = {"p1"};
-  third.orders = {admit("k3", "p1"), apply("a", "p1", 1, 0)};
-  out.push_back(third);
+  growth.members = {0, 1};
+  growth.nodes = {"p1"};
+  growth.orders = {admit("k3", "p1"), apply("a", "p1", 1, 0)};
+  out.push_back(growth);
   return out;
 }
 
 std::vector<Scenario> random_walk_scenarios() {
   std::vector<Scenario> out;
-  Bounds many;
-  many.repeats = 4;
-  many.retries = 40;
-  many.give_ups = 2;
-  many.restarts = 2;
-  many.crashes = 2;
-  many.polls = 6;
-  Scenario orders = make_scenario("walk-orders", "three nodes order, read and send again with five replicas", {}, many);
+  Bounds fault_bounds;
+  fault_bounds.repeats = 4;
+  fault_bounds.retries = 40;
+  fault_bounds.give_ups = 2;
+  fault_bounds.restarts = 2;
+  fault_bounds.crashes = 2;
+  fault_bounds.polls = 6;
+  Scenario orders =
+      make_scenario("walk-orders", "three nodes order, read and send again with five replicas", {}, fault_bounds);
   orders.replicas = 5;
   orders.members = {0, 1, 2, 3, 4};
   orders.nodes = {"p1", "p2", "p3"};
@@ -290,7 +292,8 @@
                    apply("a", "p3", 1, 0), apply("b", "p1", 1, 1), read("s", "p2"),     apply("d", "p2", 3)};
   out.push_back(orders);
 
-  Scenario members = make_scenario("walk-members", "four nodes change a membership of four during orders", {}, many);
+  Scenario members =
+      make_scenario("walk-members", "four nodes change a membership of four during orders", {}, fault_bounds);
   members.replicas = 6;
   members.members = {0, 1, 2, 3};
   members.nodes = {"p1", "p2", "p3", "p4"};
@@ -301,7 +304,7 @@
   out.push_back(members);
 
   Scenario growth =
-      make_scenario("walk-growth", "a membership of one grows to five, changes and shrinks again", {}, many);
+      make_scenario("walk-growth", "a membership of one grows to five, changes and shrinks again", {}, fault_bounds);
   growth.replicas = 5;
   growth.members = {0};
   growth.nodes = {"p1", "p2", "p3"};
@@ -311,15 +314,16 @@
                    read("r", "p1"),        apply("c", "p3", 2)};
   out.push_back(growth);
 
-  Scenario places = make_scenario("walk-replace", "two nodes replace replicas of three, and disks are lost", {}, many);
-  places.replicas = 5;
-  places.nodes = {"p1", "p2", "p3"};
-  places.slow_disks = true;
-  places.bounds.wipes = 1;
-  places.orders = {
+  Scenario replacements =
+      make_scenario("walk-replace", "two nodes replace replicas of three, and disks are lost", {}, fault_bounds);
+  replacements.replicas = 5;
+  replacements.nodes = {"p1", "p2", "p3"};
+  replacements.slow_disks = true;
+  replacements.bounds.wipes = 1;
+  replacements.orders = {
       replace("k1", "k4", "p1"), replace("k2", "k5", "p2"), apply("a", "p3", 1), replace("k2", "k5", "p1", 4),
       read("r", "p2"),           apply("b", "p1", 2, 2),    read("s", "p3")};
-  out.push_back(places);
+  out.push_back(replacements);
   return out;
 }
 
