--- a/testing/request_model_checker/explore.cc
+++ b/testing/request_model_checker/explore.cc
@@ -1,67 +1,71 @@
 #include "testing/request_model_checker/explore.h"
 
 #include "base/random.h"
-#include "testing/request_model_checker/world.h"
+#include "testing/request_model_checker/request_path_model.h"
 
 namespace pipit {
 
 namespace {
-void take(Exploration& out, RequestWorld& world) {
-  ++out.worlds;
-  for (std::pair<std::string const, std::size_t> const& item : world.seen) out.seen[item.first] += item.second;
-  if (world.faults.empty()) return;
-  if (++out.faulty == 1) out.fault_trace = world.trace;
+// Adds the result of one execution.
+void add_result(Exploration& out, RequestPathModel& model) {
+  ++out.executions;
+  for (std::pair<std::string const, std::size_t> const& item : model.event_counts)
+    out.event_counts[item.first] += item.second;
+  if (model.faults.empty()) return;
+  if (++out.faulty == 1) out.fault_trace = model.trace;
 }
 }  // namespace
 
-Exploration walk_requests(std::uint64_t first, std::size_t worlds, std::size_t events, bool stop) {
+Exploration walk_requests(std::uint64_t first, std::size_t executions, std::size_t events, bool stop_at_fault) {
   Exploration out;
-  for (std::uint64_t seed = first; seed < first + worlds; ++seed) {
+  for (std::uint64_t seed = first; seed < first + executions; ++seed) {
     RandomSource random(seed);
-    RequestWorld world([&random](std::size_t n) { return static_cast<std::size_t>(random.below(n)); });
-    for (std::size_t n = 0; n < events && world.faults.empty(); ++n) {
+    RequestPathModel model([&random](std::size_t n) { return static_cast<std::size_t>(random.below(n)); });
+    for (std::size_t n = 0; n < events && model.faults.empty(); ++n) {
       std::uint64_t const side = random.below(8);
-      world.step(side < 2   ? RequestWorld::Side::caller
-                 : side < 7 ? RequestWorld::Side::worker
-                            : RequestWorld::Side::world);
+      model.step(side < 2   ? RequestPathModel::Side::caller
+                 : side < 7 ? RequestPathModel::Side::worker
+                            : RequestPathModel::Side::environment);
     }
-    if (world.faults.empty()) world.finish();
-    if (!world.faults.empty() && out.faulty == 0) world.trace.push_back("seed " + std::to_string(seed));
-    take(out, world);
-    if (stop && out.faulty > 0) break;
+    if (model.faults.empty()) model.finish();
+    if (!model.faults.empty() && out.faulty == 0) model.trace.push_back("seed " + std::to_string(seed));
+    add_result(out, model);
+    if (stop_at_fault && out.faulty > 0) break;
   }
   return out;
 }
 
-Exploration explore_requests(std::size_t kind, std::size_t events, bool stop) {
+Exploration explore_requests(std::size_t kind, std::size_t events, bool stop_at_fault) {
+  // A choice of the present execution: the alternative taken, of this many.
   struct Choice {
     std::size_t taken;
-    std::size_t ways;
+    std::size_t alternatives;
   };
   Exploration out;
   std::vector<Choice> script;
   for (;;) {
     std::size_t next = 0;
-    bool open = true;  // beyond the events asked for, the first way is taken
+    bool exploring = true;  // false: the first alternative is taken, at the start and after the last event
     {
-      RequestWorld::Choose const choose = [&](std::size_t n) -> std::size_t {
-        if (!open) return 0;
+      RequestPathModel::Choose const choose = [&](std::size_t n) -> std::size_t {
+        if (!exploring) return 0;
         if (next == script.size()) script.push_back({0, n});
         return script[next++].taken;
       };
-      RequestWorld world(choose);
-      open = false;
-      world.begin(kind, true);
-      open = true;
-      for (std::size_t n = 0; n < events && world.faults.empty(); ++n)
-        world.step(static_cast<RequestWorld::Side>(choose(3)));
-      open = false;
-      if (world.faults.empty()) world.finish();
-      take(out, world);
+      RequestPathModel model(choose);
+      exploring = false;
+      model.begin(kind, true);
+      exploring = true;
+      for (std::size_t n = 0; n < events && model.faults.empty(); ++n)
+        model.step(static_cast<RequestPathModel::Side>(choose(3)));
+      exploring = false;
+      if (model.faults.empty()) model.finish();
+      add_result(out, model);
     }
-    if (stop && out.faulty > 0) return out;
+    if (stop_at_fault && out.faulty > 0) return out;
+    // Proceeds to the next script in depth-first order: the last choice with an alternative left takes it.
     script.resize(next);
-    while (!script.empty() && script.back().taken + 1 == script.back().ways) script.pop_back();
+    while (!script.empty() && script.back().taken + 1 == script.back().alternatives) script.pop_back();
     if (script.empty()) return out;
     ++script.back().taken;
   }
