--- a/tests/register_model_checker.cc
+++ b/tests/register_model_checker.cc
@@ -41,8 +41,8 @@
 // Switches a guard off until the end of the test.
 class DisabledGuard {
  public:
-  explicit DisabledGuard(Guard guard) { guard_off() = guard; }
-  ~DisabledGuard() { guard_off() = Guard::none; }
+  explicit DisabledGuard(Guard guard) { disabled_guard() = guard; }
+  ~DisabledGuard() { disabled_guard() = Guard::none; }
   DisabledGuard(DisabledGuard const&) = delete;
   DisabledGuard& operator=(DisabledGuard const&) = delete;
 };
@@ -92,9 +92,9 @@
   EXPECT_NE(result.violation, "") << describe(scenario, result);
   EXPECT_NE(result.violation.find(expected_text), std::string::npos) << describe(scenario, result);
   EXPECT_EQ(replay(scenario, result.trace).violation, result.violation);
-  guard_off() = Guard::none;
+  disabled_guard() = Guard::none;
   EXPECT_EQ(replay(scenario, result.trace).violation, "") << "the same steps with the guard on";
-  guard_off() = guard;
+  disabled_guard() = guard;
 }
 
 void expect_violation_in(Guard guard, std::string const& name, std::string const& expected_text) {
