--- a/testing/platform_fleet_test/rude_clients.h
+++ b/testing/platform_fleet_test/rude_clients.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "base/random.h"
-#include "net/link.h"
+#include "net/tcp_connection.h"
 #include "testing/platform_fleet_test/nodes.h"
 
 namespace pipit::platform_fleet {
@@ -25,7 +25,7 @@
   Nodes& nodes;
   int const net;
   RandomSource random;
-  std::deque<std::shared_ptr<Link>> links;
+  std::deque<std::shared_ptr<TcpConnection>> links;
 };
 
 }  // namespace pipit::platform_fleet
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -1,5 +1,5 @@
-// HTTP as a router must read it: messages however their bytes come, what is refused, and connections to workers
-// (§12.2).
+// HTTP codec, server and connection pool: messages split at any byte, malformed and mutated messages, and the reuse and
+// end of connections (§12.2).
 #include <gtest/gtest.h>
 
 #include <glib.h>
@@ -10,17 +10,17 @@
 
 #include "base/random.h"
 #include "net/server.h"
-#include "net/upstream.h"
+#include "net/upstream_pool.h"
 #include "tests/loopback.h"
 
 namespace pipit {
 
 namespace {
 struct Message {
-  std::string line;  // method and target, or status
+  std::string line;  // method and target of a request, or status of a response
   std::vector<std::pair<std::string, std::string>> fields;
   std::string body;
-  bool keep = true;
+  bool keep_alive = true;
   bool operator==(Message const&) const = default;
 };
 
@@ -30,55 +30,55 @@
   return out << item.body;
 }
 
-struct Reading {
-  std::vector<Message> whole;
-  Reader::Error error = Reader::Error::none;
-  bool between = true;  // nothing is half read
+struct ParseResult {
+  std::vector<Message> messages;
+  HttpParser::Error error = HttpParser::Error::none;
+  bool between_messages = true;  // no message is incomplete
 };
 
-// Reads a text that comes in the given pieces.
-Reading read_pieces(bool requests, std::vector<std::string_view> const& pieces, bool bodiless = false,
-                    std::size_t head_most = 65536, std::size_t body_most = 1u << 20) {
-  Reading out;
-  Reader reader(requests);
-  reader.limit(head_most, body_most);
-  Message now;
-  reader.callbacks.head = [&](Head& head) {
-    now.line = requests ? head.method + " " + head.target : std::to_string(head.status);
-    now.fields = head.fields;
-    now.keep = head.keep;
-    return !bodiless;
+// Parses a text that arrives in the given pieces.
+ParseResult parse_pieces(bool requests, std::vector<std::string_view> const& pieces, bool is_head_response = false,
+                         std::size_t max_head_bytes = 65536, std::size_t max_body_bytes = 1u << 20) {
+  ParseResult out;
+  HttpParser parser(requests);
+  parser.set_limits(max_head_bytes, max_body_bytes);
+  Message message;
+  parser.callbacks.head = [&](Head& head) {
+    message.line = requests ? head.method + " " + head.target : std::to_string(head.status);
+    message.fields = head.fields;
+    message.keep_alive = head.keep_alive;
+    return !is_head_response;
   };
-  reader.callbacks.body = [&](std::string_view bytes) { now.body.append(bytes); };
-  reader.callbacks.complete = [&] {
-    out.whole.push_back(now);
-    now = Message();
+  parser.callbacks.body = [&](std::string_view bytes) { message.body.append(bytes); };
+  parser.callbacks.complete = [&] {
+    out.messages.push_back(message);
+    message = Message();
   };
   for (std::string_view piece : pieces) {
     while (!piece.empty()) {
-      // A copy of its own, so that reading past its end is seen.
+      // A copy in its own allocation, so that the sanitizer reports reads past its end.
       std::string const part(piece);
-      std::size_t const took = reader.feed(part);
-      if (reader.error() != Reader::Error::none) {
-        out.error = reader.error();
+      std::size_t const consumed = parser.feed(part);
+      if (parser.error() != HttpParser::Error::none) {
+        out.error = parser.error();
         return out;
       }
-      piece.remove_prefix(std::min(took, piece.size()));
-      if (reader.complete())
-        reader.next();
+      piece.remove_prefix(std::min(consumed, piece.size()));
+      if (parser.complete())
+        parser.start_next_message();
       else if (!piece.empty()) {
-        ADD_FAILURE() << "bytes were left over in the middle of a message";
+        ADD_FAILURE() << "the parser left bytes unconsumed within a message";
         return out;
       }
     }
   }
-  out.between = reader.idle();
+  out.between_messages = parser.idle();
   return out;
 }
-Reading read_whole(bool requests, std::string const& text) { return read_pieces(requests, {text}); }
+ParseResult parse_text(bool requests, std::string const& text) { return parse_pieces(requests, {text}); }
 
 std::string const host = "Host: h.test\r\n";
-std::string const good_requests[] = {
+std::string const valid_requests[] = {
     "GET /a?b=c HTTP/1.1\r\n" + host + "\r\n",
     "POST /p HTTP/1.1\r\n" + host + "Content-Length: 5\r\nX-One:  two words \r\n\r\nhello",
     "POST /p HTTP/1.1\r\n" + host +
@@ -89,32 +89,32 @@
 };
 }  // namespace
 
-TEST(Reading, is_the_same_wherever_the_bytes_are_split) {
+TEST(HttpParser, requests_parse_the_same_wherever_the_bytes_are_split) {
   std::string all;
-  for (std::string const& one : good_requests) all += one;
-  Reading const whole = read_whole(true, all);
-  ASSERT_EQ(whole.error, Reader::Error::none);
-  ASSERT_EQ(whole.whole.size(), std::size(good_requests)) << "pipelined";
-  EXPECT_EQ(whole.whole[1].body, "hello");
-  EXPECT_EQ(whole.whole[1].fields[2].second, "two words") << "blanks around a value are no part of it";
-  EXPECT_EQ(whole.whole[2].body, "hello0123456789");
-  EXPECT_EQ(whole.whole[3].body, "\n");
-  EXPECT_EQ(whole.whole[3].fields.size(), 2u) << "a trailer is no field of the head";
-  EXPECT_FALSE(whole.whole[4].keep);
-  EXPECT_FALSE(whole.whole[5].keep) << "HTTP/1.0";
-  EXPECT_TRUE(whole.between);
+  for (std::string const& one : valid_requests) all += one;
+  ParseResult const whole = parse_text(true, all);
+  ASSERT_EQ(whole.error, HttpParser::Error::none);
+  ASSERT_EQ(whole.messages.size(), std::size(valid_requests)) << "pipelined requests";
+  EXPECT_EQ(whole.messages[1].body, "hello");
+  EXPECT_EQ(whole.messages[1].fields[2].second, "two words") << "whitespace around a value is not part of it";
+  EXPECT_EQ(whole.messages[2].body, "hello0123456789");
+  EXPECT_EQ(whole.messages[3].body, "\n");
+  EXPECT_EQ(whole.messages[3].fields.size(), 2u) << "a trailer is not a field of the head";
+  EXPECT_FALSE(whole.messages[4].keep_alive);
+  EXPECT_FALSE(whole.messages[5].keep_alive) << "HTTP/1.0 without keep-alive";
+  EXPECT_TRUE(whole.between_messages);
   for (std::size_t at = 1; at < all.size(); ++at) {
     std::string_view const text = all;
-    Reading const split = read_pieces(true, {text.substr(0, at), text.substr(at)});
-    ASSERT_EQ(split.error, Reader::Error::none) << at;
-    ASSERT_EQ(split.whole, whole.whole) << at;
+    ParseResult const split = parse_pieces(true, {text.substr(0, at), text.substr(at)});
+    ASSERT_EQ(split.error, HttpParser::Error::none) << at;
+    ASSERT_EQ(split.messages, whole.messages) << at;
   }
   std::vector<std::string_view> single;
   for (std::size_t at = 0; at < all.size(); ++at) single.push_back(std::string_view(all).substr(at, 1));
-  EXPECT_EQ(read_pieces(true, single).whole, whole.whole);
+  EXPECT_EQ(parse_pieces(true, single).messages, whole.messages);
 }
 
-TEST(Reading, knows_where_answers_end) {
+TEST(HttpParser, response_boundaries_are_found) {
   std::string const all =
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
       "HTTP/1.1 204 No Content\r\n\r\n"
@@ -123,35 +123,35 @@
       "HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
   for (std::size_t at = 0; at < all.size(); ++at) {
     std::string_view const text = all;
-    Reading const out = read_pieces(false, {text.substr(0, at), text.substr(at)});
-    ASSERT_EQ(out.whole.size(), 5u) << at;
-    EXPECT_EQ(out.whole[0].body, "ok");
-    EXPECT_EQ(out.whole[4].body, "abc");
-    EXPECT_FALSE(out.whole[4].keep);
+    ParseResult const out = parse_pieces(false, {text.substr(0, at), text.substr(at)});
+    ASSERT_EQ(out.messages.size(), 5u) << at;
+    EXPECT_EQ(out.messages[0].body, "ok");
+    EXPECT_EQ(out.messages[4].body, "abc");
+    EXPECT_FALSE(out.messages[4].keep_alive);
   }
-  Reading const head =
-      read_pieces(false, {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nHTTP/1.1 200 OK\r\n\r\n"}, true);
-  EXPECT_EQ(head.whole.size(), 2u) << "answers to HEAD have no body whatever they announce";
+  ParseResult const head =
+      parse_pieces(false, {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nHTTP/1.1 200 OK\r\n\r\n"}, true);
+  EXPECT_EQ(head.messages.size(), 2u) << "responses to HEAD have no body, whatever they announce";
 }
 
-TEST(Reading, ends_an_answer_without_length_with_its_connection) {
+TEST(HttpParser, response_without_length_ends_with_its_connection) {
   for (bool const cut : {false, true}) {
-    Reader reader(false);
+    HttpParser parser(false);
     std::string body;
     int whole = 0;
-    reader.callbacks.body = [&body](std::string_view bytes) { body.append(bytes); };
-    reader.callbacks.complete = [&whole] { ++whole; };
+    parser.callbacks.body = [&body](std::string_view bytes) { body.append(bytes); };
+    parser.callbacks.complete = [&whole] { ++whole; };
     std::string const text = cut ? "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc" : "HTTP/1.1 200 OK\r\n\r\nabc";
-    EXPECT_EQ(reader.feed(text), text.size());
+    EXPECT_EQ(parser.feed(text), text.size());
     EXPECT_EQ(whole, 0);
-    EXPECT_EQ(reader.eof(), !cut);
+    EXPECT_EQ(parser.eof(), !cut);
     EXPECT_EQ(whole, cut ? 0 : 1);
     EXPECT_EQ(body, "abc");
   }
 }
 
 namespace {
-struct Bad {
+struct MalformedRequest {
   char const* name;
   std::string text;
 };
@@ -160,8 +160,8 @@
 }
 std::string head(std::string const& fields) { return "POST / HTTP/1.1\r\n" + host + fields + "\r\n"; }
 
-std::vector<Bad> const& bad_requests() {
-  static std::vector<Bad> const rows = {
+std::vector<MalformedRequest> const& malformed_requests() {
+  static std::vector<MalformedRequest> const rows = {
       {"two lengths", head("Content-Length: 5\r\nContent-Length: 6\r\n") + "hello!"},
       {"two lengths alike", head("Content-Length: 5\r\nContent-Length: 5\r\n") + "hello"},
       {"a list of lengths", head("Content-Length: 5, 5\r\n") + "hello"},
@@ -272,24 +272,24 @@
   };
   return rows;
 }
-constexpr std::size_t small_head = 16384;
-constexpr std::size_t small_body = 20000;
+constexpr std::size_t small_max_head_bytes = 16384;
+constexpr std::size_t small_max_body_bytes = 20000;
 
-// What a strict reader, written apart from the product's, takes for whole requests (RFC 9112); it ends at the first
-// thing that it does not know for sure. It may take more than the product does, never less of what the product takes.
-class Strict {
+// Reference parser for complete requests (RFC 9112), independent of the product's code. It stops at the first
+// violation. It may accept requests that the product rejects, but must accept all that the product accepts.
+class StrictRequestParser {
  public:
-  explicit Strict(std::string_view text_) : text(text_) {
-    while (one()) {
+  explicit StrictRequestParser(std::string_view text_) : text(text_) {
+    while (parse_request()) {
     }
   }
-  std::vector<Message> whole;
+  std::vector<Message> messages;
 
  private:
-  static bool letter(char c) {
+  static bool is_token_char(char c) {
     return g_ascii_isalnum(c) || (c != '\0' && std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos);
   }
-  bool line(std::string_view& out) {
+  bool read_line(std::string_view& out) {
     std::size_t const end = text.find("\r\n", at);
     if (end == std::string_view::npos) return false;
     out = text.substr(at, end - at);
@@ -303,19 +303,19 @@
     while (!value.empty() && (value.back() == ' ' || value.back() == '\t')) value.remove_suffix(1);
     return value;
   }
-  bool fields(std::vector<std::pair<std::string, std::string>>& out) {
+  bool read_fields(std::vector<std::pair<std::string, std::string>>& out) {
     std::string_view row;
-    while (line(row)) {
+    while (read_line(row)) {
       if (row.empty()) return true;
       std::size_t const colon = row.find(':');
       if (colon == std::string_view::npos || colon == 0) return false;
       for (char const c : row.substr(0, colon))
-        if (!letter(c)) return false;
+        if (!is_token_char(c)) return false;
       out.emplace_back(std::string(row.substr(0, colon)), std::string(trimmed(row.substr(colon + 1))));
     }
     return false;
   }
-  static bool number(std::string_view word, std::uint64_t base, std::uint64_t& out) {
+  static bool parse_number(std::string_view word, std::uint64_t base, std::uint64_t& out) {
     if (word.empty() || word.size() > 15) return false;
     out = 0;
     for (char const c : word) {
@@ -325,16 +325,16 @@
     }
     return true;
   }
-  bool take(std::uint64_t size, std::string& out) {
+  bool read_bytes(std::uint64_t size, std::string& out) {
     if (text.size() - at < size) return false;
     out.append(text.substr(at, size));
     at += size;
     return true;
   }
-  bool one() {
+  bool parse_request() {
     std::string_view row;
     do {
-      if (!line(row)) return false;
+      if (!read_line(row)) return false;
     } while (row.empty());
     std::size_t const a = row.find(' ');
     std::size_t const b = row.rfind(' ');
@@ -343,40 +343,42 @@
     std::string_view const target = row.substr(a + 1, b - a - 1);
     std::string_view const version = row.substr(b + 1);
     for (char const c : method)
-      if (!letter(c)) return false;
+      if (!is_token_char(c)) return false;
     if (target.empty() || target.front() != '/' || target.find_first_of(" \t") != std::string_view::npos) return false;
     if (version.size() != 8 || version.substr(0, 7) != "HTTP/1." || !g_ascii_isdigit(version[7])) return false;
     Message out;
     out.line = std::string(method) + " " + std::string(target);
-    if (!fields(out.fields)) return false;
+    if (!read_fields(out.fields)) return false;
     int hosts = 0;
     int lengths = 0;
     int encodings = 0;
     std::uint64_t length = 0;
     for (std::pair<std::string, std::string> const& field : out.fields) {
-      if (same_letters(field.first, "Host")) ++hosts;
-      if (same_letters(field.first, "Content-Length") && (++lengths > 1 || !number(field.second, 10, length)))
+      if (equals_ignoring_case(field.first, "Host")) ++hosts;
+      if (equals_ignoring_case(field.first, "Content-Length") &&
+          (++lengths > 1 || !parse_number(field.second, 10, length)))
         return false;
-      if (same_letters(field.first, "Transfer-Encoding") && (++encodings > 1 || !same_letters(field.second, "chunked")))
+      if (equals_ignoring_case(field.first, "Transfer-Encoding") &&
+          (++encodings > 1 || !equals_ignoring_case(field.second, "chunked")))
         return false;
     }
     if (hosts != 1 || lengths + encodings > 1) return false;
     if (encodings == 0) {
-      if (!take(length, out.body)) return false;
+      if (!read_bytes(length, out.body)) return false;
     } else {
       for (std::uint64_t size = 1; size > 0;) {
-        if (!line(row)) return false;
+        if (!read_line(row)) return false;
         std::string_view const word = row.substr(0, row.find(';'));
         std::size_t const end = word.find_last_not_of(" \t");
-        if (end == std::string_view::npos || !number(word.substr(0, end + 1), 16, size)) return false;
+        if (end == std::string_view::npos || !parse_number(word.substr(0, end + 1), 16, size)) return false;
         if (size == 0) break;
         std::string crlf;
-        if (!take(size, out.body) || !take(2, crlf) || crlf != "\r\n") return false;
+        if (!read_bytes(size, out.body) || !read_bytes(2, crlf) || crlf != "\r\n") return false;
       }
       std::vector<std::pair<std::string, std::string>> trailers;
-      if (!fields(trailers)) return false;
+      if (!read_fields(trailers)) return false;
     }
-    whole.push_back(std::move(out));
+    messages.push_back(std::move(out));
     return true;
   }
 
@@ -384,8 +386,8 @@
   std::size_t at = 0;
 };
 
-// Every request that was read is one that the strict reader takes too, in the same order.
-bool fits(std::vector<Message> const& read, std::vector<Message> const& strict) {
+// True if the requests in 'read' equal the first ones of 'strict'.
+bool is_prefix_of(std::vector<Message> const& read, std::vector<Message> const& strict) {
   if (read.size() > strict.size()) return false;
   for (std::size_t i = 0; i < read.size(); ++i)
     if (read[i].line != strict[i].line || read[i].fields != strict[i].fields || read[i].body != strict[i].body)
@@ -393,7 +395,7 @@
   return true;
 }
 
-std::string mutated(RandomSource& random, std::vector<std::string> const& seeds) {
+std::string mutate(RandomSource& random, std::vector<std::string> const& seeds) {
   static char const* const words[] = {"\r\n",
                                       "\n",
                                       "\r",
@@ -447,89 +449,90 @@
   return out;
 }
 
-std::vector<std::string> seeds_of_mutation() {
+std::vector<std::string> mutation_seeds() {
   std::vector<std::string> out;
-  // Good ones as often as bad ones.
-  for (int n = 0; n < 12; ++n) out.insert(out.end(), std::begin(good_requests), std::end(good_requests));
-  for (Bad const& row : bad_requests())
+  // Repeated so that valid requests are chosen about as often as malformed ones.
+  for (int n = 0; n < 12; ++n) out.insert(out.end(), std::begin(valid_requests), std::end(valid_requests));
+  for (MalformedRequest const& row : malformed_requests())
     if (row.text.size() < 400) out.push_back(row.text);
   return out;
 }
 }  // namespace
 
-TEST(Reading, refuses_what_another_reader_may_take_otherwise) {
-  for (Bad const& row : bad_requests()) {
+TEST(HttpParser, requests_that_another_parser_may_interpret_differently_are_rejected) {
+  for (MalformedRequest const& row : malformed_requests()) {
     std::string_view const text = row.text;
     std::vector<std::vector<std::string_view>> ways = {{text}};
     for (std::size_t const at : {std::size_t(1), text.size() / 2, text.size() - 1})
       ways.push_back({text.substr(0, at), text.substr(at)});
     for (std::vector<std::string_view> const& pieces : ways) {
-      Reading const out = read_pieces(true, pieces, false, small_head, small_body);
-      EXPECT_TRUE(out.whole.empty()) << row.name << " was read as " << out.whole[0];
-      EXPECT_TRUE(out.error != Reader::Error::none || !out.between) << row.name;
-      if (!out.whole.empty()) break;
+      ParseResult const out = parse_pieces(true, pieces, false, small_max_head_bytes, small_max_body_bytes);
+      EXPECT_TRUE(out.messages.empty()) << row.name << " was parsed as " << out.messages[0];
+      EXPECT_TRUE(out.error != HttpParser::Error::none || !out.between_messages) << row.name;
+      if (!out.messages.empty()) break;
     }
   }
 }
 
-TEST(Reading, takes_nothing_that_a_strict_reader_would_not) {
-  std::vector<std::string> const seeds = seeds_of_mutation();
+TEST(HttpParser, mutated_requests_are_accepted_only_if_a_strict_parser_accepts_them) {
+  std::vector<std::string> const seeds = mutation_seeds();
   RandomSource random(20);
   std::size_t taken = 0;
   for (int n = 0; n < 30000; ++n) {
-    std::string const text = mutated(random, seeds);
-    std::vector<Message> const strict = Strict(text).whole;
+    std::string const text = mutate(random, seeds);
+    std::vector<Message> const strict = StrictRequestParser(text).messages;
     std::string_view const view = text;
     std::size_t const a = random.below(text.size() + 1);
     std::size_t const b = a + random.below(text.size() - a + 1);
-    Reading const out = read_pieces(true, {view.substr(0, a), view.substr(a, b - a), view.substr(b)});
-    taken += out.whole.size();
-    ASSERT_TRUE(fits(out.whole, strict)) << "round " << n << "\n"
-                                         << text << "\nread as " << out.whole[out.whole.size() - 1];
-    // However it is split.
-    Reading const whole = read_whole(true, text);
-    ASSERT_EQ(whole.whole, out.whole) << "round " << n << "\n" << text;
+    ParseResult const out = parse_pieces(true, {view.substr(0, a), view.substr(a, b - a), view.substr(b)});
+    taken += out.messages.size();
+    ASSERT_TRUE(is_prefix_of(out.messages, strict)) << "round " << n << "\n"
+                                                    << text << "\nparsed as " << out.messages[out.messages.size() - 1];
+    // The pieces must not matter.
+    ParseResult const whole = parse_text(true, text);
+    ASSERT_EQ(whole.messages, out.messages) << "round " << n << "\n" << text;
   }
-  EXPECT_GT(taken, 3000u) << "mutations that are still good are read";
+  EXPECT_GT(taken, 3000u) << "valid mutations must be accepted";
 }
 
-TEST(Reading, bounds_a_head_to_the_byte_however_it_comes) {
+TEST(HttpParser, head_limit_is_exact_wherever_the_bytes_are_split) {
   std::string const front = "GET / HTTP/1.1\r\n" + host + "X-A: ";
   for (std::size_t const over : {std::size_t(0), std::size_t(1), std::size_t(200)}) {
     std::size_t const most = 1000;
     std::string const text = front + std::string(most + over - front.size() - 4, 'a') + "\r\n\r\n";
     for (std::size_t const at : {std::size_t(0), std::size_t(1), std::size_t(500), most - 1, most, most + over - 1}) {
       std::string_view const view = text;
-      Reading const out = read_pieces(true, {view.substr(0, at), view.substr(at)}, false, most, 100);
-      EXPECT_EQ(out.whole.size(), over == 0 ? 1u : 0u) << over << " over, split at " << at;
-      EXPECT_EQ(out.error, over == 0 ? Reader::Error::none : Reader::Error::head_large) << over << " at " << at;
+      ParseResult const out = parse_pieces(true, {view.substr(0, at), view.substr(at)}, false, most, 100);
+      EXPECT_EQ(out.messages.size(), over == 0 ? 1u : 0u) << over << " bytes over the limit, split at " << at;
+      EXPECT_EQ(out.error, over == 0 ? HttpParser::Error::none : HttpParser::Error::head_too_large)
+          << over << " bytes over the limit, split at " << at;
     }
   }
 }
 
-// The operator's limit alone bounds a head, not one of the grammar's own.
-TEST(Reading, takes_a_head_as_large_as_its_limit) {
+// Only the operator's limit applies to a head, not the built-in limit of http_parser.
+TEST(HttpParser, head_of_exactly_its_limit_is_accepted) {
   std::string const text = "GET / HTTP/1.1\r\n" + host + "X-A: " + std::string(300000, 'a') + "\r\n\r\n";
   for (std::size_t const at : {std::size_t(0), std::size_t(90000), std::size_t(299999)}) {
     std::string_view const view = text;
-    Reading const out = read_pieces(true, {view.substr(0, at), view.substr(at)}, false, text.size(), 100);
-    EXPECT_EQ(out.whole.size(), 1u) << "split at " << at;
-    EXPECT_EQ(out.error, Reader::Error::none) << "split at " << at;
+    ParseResult const out = parse_pieces(true, {view.substr(0, at), view.substr(at)}, false, text.size(), 100);
+    EXPECT_EQ(out.messages.size(), 1u) << "split at " << at;
+    EXPECT_EQ(out.error, HttpParser::Error::none) << "split at " << at;
   }
 }
 
-TEST(Reading, bounds_trailers_as_it_bounds_heads) {
+TEST(HttpParser, trailers_are_limited_to_the_size_of_a_head) {
   std::string const front = "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n";
   for (bool const over : {false, true}) {
     std::string text = front;
     for (int n = 0; n < (over ? 11 : 9); ++n) text += "X-T: " + std::string(97, 't') + "\r\n";
-    Reading const out = read_pieces(true, {text + "\r\n"}, false, 1000, 100);
-    EXPECT_EQ(out.whole.size(), over ? 0u : 1u);
-    EXPECT_EQ(out.error, over ? Reader::Error::head_large : Reader::Error::none);
+    ParseResult const out = parse_pieces(true, {text + "\r\n"}, false, 1000, 100);
+    EXPECT_EQ(out.messages.size(), over ? 0u : 1u);
+    EXPECT_EQ(out.error, over ? HttpParser::Error::head_too_large : HttpParser::Error::none);
   }
 }
 
-TEST(Reading, answers_mutated_in_any_way_do_no_harm) {
+TEST(HttpParser, mutated_responses_parse_the_same_wherever_they_are_split) {
   std::vector<std::string> const seeds = {
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
@@ -538,29 +541,30 @@
   };
   RandomSource random(21);
   for (int n = 0; n < 10000; ++n) {
-    std::string const text = mutated(random, seeds);
+    std::string const text = mutate(random, seeds);
     std::size_t const at = random.below(text.size() + 1);
-    Reading const split = read_pieces(false, {std::string_view(text).substr(0, at), std::string_view(text).substr(at)});
-    ASSERT_EQ(split.whole, read_whole(false, text).whole) << n << "\n" << text;
+    ParseResult const split =
+        parse_pieces(false, {std::string_view(text).substr(0, at), std::string_view(text).substr(at)});
+    ASSERT_EQ(split.messages, parse_text(false, text).messages) << n << "\n" << text;
   }
 }
 
-TEST(Reading, a_status_has_three_digits_and_is_one_that_there_is) {
+TEST(HttpParser, status_must_have_three_digits_of_a_known_class) {
   for (char const* const status : {"2", "20", "0200", "2000", "000", "099", "600", "999", "+20", "2 0"}) {
     std::string const text = "HTTP/1.1 " + std::string(status) + " OK\r\nContent-Length: 2\r\n\r\nok";
-    Reading const out = read_whole(false, text);
-    EXPECT_TRUE(out.whole.empty()) << status << " was read as " << out.whole[0];
-    EXPECT_EQ(out.error, Reader::Error::bad) << status;
+    ParseResult const out = parse_text(false, text);
+    EXPECT_TRUE(out.messages.empty()) << status << " was parsed as " << out.messages[0];
+    EXPECT_EQ(out.error, HttpParser::Error::malformed) << status;
   }
   for (char const* const status : {"100", "200", "599"})
     EXPECT_FALSE(
-        read_whole(false, "HTTP/1.1 " + std::string(status) + " OK\r\nContent-Length: 0\r\n\r\n").whole.empty())
+        parse_text(false, "HTTP/1.1 " + std::string(status) + " OK\r\nContent-Length: 0\r\n\r\n").messages.empty())
         << status;
-  EXPECT_FALSE(read_whole(false, "HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n").whole.empty() &&
-               read_whole(false, "HTTP/1.1 200 \r\nContent-Length: 0\r\n\r\n").whole.empty());
+  EXPECT_FALSE(parse_text(false, "HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n").messages.empty() &&
+               parse_text(false, "HTTP/1.1 200 \r\nContent-Length: 0\r\n\r\n").messages.empty());
 }
 
-TEST(Heads, lose_what_concerns_one_connection_only) {
+TEST(HeadFields, hop_by_hop_fields_are_removed) {
   Head head;
   head.fields = {{"Connection", "X-One , close"},
                  {"x-one", "1"},
@@ -570,7 +574,7 @@
                  {"content-length", "5"},
                  {"Host", "h"},
                  {"X-Two", "2"}};
-  drop_hop_fields(head);
+  remove_hop_by_hop_fields(head);
   EXPECT_EQ(head.fields, (std::vector<std::pair<std::string, std::string>>{{"Host", "h"}, {"X-Two", "2"}}));
   head.set("host", "g");
   EXPECT_EQ(head.get("HOST"), "g");
@@ -578,274 +582,274 @@
 }
 
 namespace {
-class Serving : public testing::Test {
+class HttpServerTest : public testing::Test {
  protected:
-  Serving()
-      : server({[this](Server::Call&& call) { calls.push_back(std::move(call)); },
-                [this](std::uint64_t id) { gone.push_back(id); }}) {
+  HttpServerTest()
+      : server({[this](Server::Request&& request) { requests.push_back(std::move(request)); },
+                [this](std::uint64_t id) { disconnected.push_back(id); }}) {
     address = open_door([this](std::string const& at) { return server.listen(at); });
     Server::Limits limits;
-    limits.head_most = small_head;
-    limits.body_most = small_body;
-    server.limit(limits);
+    limits.max_head_bytes = small_max_head_bytes;
+    limits.max_body_bytes = small_max_body_bytes;
+    server.set_limits(limits);
   }
   static Head status(unsigned code) {
     Head out;
     out.status = code;
     return out;
   }
-  // Answers all that came and is not answered yet.
-  void answer_all(std::string const& body) {
-    while (answered < calls.size()) server.answer(calls[answered++].id, status(200), body);
+  // Responds to all requests that have no response yet.
+  void respond_to_all(std::string const& body) {
+    while (responded < requests.size()) server.respond(requests[responded++].id, status(200), body);
   }
-  Micros far_off() { return g_get_monotonic_time() + seconds(3600); }
+  Micros far_future() { return g_get_monotonic_time() + seconds(3600); }
 
-  std::vector<Server::Call> calls;
-  std::vector<std::uint64_t> gone;
-  std::size_t answered = 0;
+  std::vector<Server::Request> requests;
+  std::vector<std::uint64_t> disconnected;
+  std::size_t responded = 0;
   std::string address;
   Server server;
 };
 }  // namespace
 
-TEST_F(Serving, takes_calls_one_after_the_other_and_keeps_the_connection) {
+TEST_F(HttpServerTest, connection_serves_several_requests) {
   LoopbackStream connection(address);
   for (std::size_t n = 0; n < 3; ++n) {
     connection.send("POST /" + std::to_string(n) + " HTTP/1.1\r\n" + host + "Content-Length: 5\r\n\r\nhello");
-    ASSERT_TRUE(until([&] { return calls.size() == n + 1; }));
-    EXPECT_EQ(calls[n].body, "hello");
-    EXPECT_EQ(calls[n].head.target, "/" + std::to_string(n));
-    answer_all("yes");
+    ASSERT_TRUE(until([&] { return requests.size() == n + 1; }));
+    EXPECT_EQ(requests[n].body, "hello");
+    EXPECT_EQ(requests[n].head.target, "/" + std::to_string(n));
+    respond_to_all("yes");
     ASSERT_TRUE(until([&] { return count_of(connection.got, "yes") == n + 1; }));
   }
   EXPECT_FALSE(connection.shut);
   EXPECT_EQ(server.connections(), 1u);
-  EXPECT_EQ(read_whole(false, connection.got).whole.size(), 3u);
+  EXPECT_EQ(parse_text(false, connection.got).messages.size(), 3u);
 }
 
-TEST_F(Serving, gives_calls_on_whole_wherever_they_are_split) {
-  std::string const text = good_requests[2];
+TEST_F(HttpServerTest, requests_are_delivered_complete_wherever_they_are_split) {
+  std::string const text = valid_requests[2];
   for (std::size_t at = 1; at < text.size(); ++at) {
     LoopbackStream connection(address);
     connection.send(std::string_view(text).substr(0, at));
     settle();
     connection.send(std::string_view(text).substr(at));
-    ASSERT_TRUE(until([&] { return calls.size() == at; })) << at;
-    EXPECT_EQ(calls.back().body, "hello0123456789");
-    answer_all("yes");
+    ASSERT_TRUE(until([&] { return requests.size() == at; })) << at;
+    EXPECT_EQ(requests.back().body, "hello0123456789");
+    respond_to_all("yes");
     ASSERT_TRUE(until([&] { return count_of(connection.got, "yes") == 1; }));
   }
 }
 
-TEST_F(Serving, answers_pipelined_calls_in_their_order) {
+TEST_F(HttpServerTest, pipelined_requests_are_answered_in_order) {
   LoopbackStream connection(address);
   std::string all;
   for (int n = 0; n < 20; ++n)
     all += "POST /" + std::to_string(n) + " HTTP/1.1\r\n" + host + "Content-Length: 1\r\n\r\nx";
   connection.send(all);
   for (std::size_t n = 0; n < 20; ++n) {
-    ASSERT_TRUE(until([&] { return calls.size() == n + 1; }));
+    ASSERT_TRUE(until([&] { return requests.size() == n + 1; }));
     settle();
-    ASSERT_EQ(calls.size(), n + 1) << "the next only after the answer";
-    EXPECT_EQ(calls[n].head.target, "/" + std::to_string(n));
-    answer_all("answer " + std::to_string(n) + ".");
+    ASSERT_EQ(requests.size(), n + 1) << "the next request is delivered only after the response";
+    EXPECT_EQ(requests[n].head.target, "/" + std::to_string(n));
+    respond_to_all("answer " + std::to_string(n) + ".");
   }
   ASSERT_TRUE(until([&] { return count_of(connection.got, "answer") == 20; }));
-  std::vector<Message> const answers = read_whole(false, connection.got).whole;
+  std::vector<Message> const answers = parse_text(false, connection.got).messages;
   ASSERT_EQ(answers.size(), 20u);
   for (std::size_t n = 0; n < 20; ++n) EXPECT_EQ(answers[n].body, "answer " + std::to_string(n) + ".");
 }
 
-TEST_F(Serving, sends_heads_without_bodies_to_HEAD) {
+TEST_F(HttpServerTest, responses_to_head_have_no_body) {
   LoopbackStream connection(address);
   connection.send("HEAD /h HTTP/1.1\r\n" + host + "\r\n");
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
-  answer_all("twelve bytes");
+  ASSERT_TRUE(until([&] { return requests.size() == 1; }));
+  respond_to_all("twelve bytes");
   connection.send("HEAD /i HTTP/1.1\r\n" + host + "\r\n");
-  ASSERT_TRUE(until([&] { return calls.size() == 2; }));
-  server.begin(calls[1].id, status(200), -1);
-  server.write_chunk(calls[1].id, "pieces");
-  server.end(calls[1].id);
+  ASSERT_TRUE(until([&] { return requests.size() == 2; }));
+  server.begin_response(requests[1].id, status(200), -1);
+  server.write_body(requests[1].id, "pieces");
+  server.end_response(requests[1].id);
   ASSERT_TRUE(
       until([&] { return count_of(connection.got, "HTTP/1.1 200") == 2 && connection.got.ends_with("\r\n\r\n"); }));
   EXPECT_NE(connection.got.find("Content-Length: 12"), std::string::npos);
   EXPECT_EQ(connection.got.find("twelve"), std::string::npos);
   EXPECT_EQ(connection.got.find("pieces"), std::string::npos);
-  EXPECT_EQ(read_pieces(false, {connection.got}, true).whole.size(), 2u);
+  EXPECT_EQ(parse_pieces(false, {connection.got}, true).messages.size(), 2u);
 }
 
-TEST_F(Serving, closes_when_the_caller_asks_for_it) {
+TEST_F(HttpServerTest, connection_closes_when_the_client_requests_it) {
   for (std::string const& text :
        {"GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n", "GET / HTTP/1.0\r\n" + host + "\r\n"}) {
     LoopbackStream connection(address);
     connection.send(text);
-    ASSERT_TRUE(until([&] { return calls.size() > answered; }));
-    answer_all("yes");
+    ASSERT_TRUE(until([&] { return requests.size() > responded; }));
+    respond_to_all("yes");
     ASSERT_TRUE(until([&] { return connection.shut; }));
-    EXPECT_EQ(read_whole(false, connection.got).whole.size(), 1u);
+    EXPECT_EQ(parse_text(false, connection.got).messages.size(), 1u);
     EXPECT_NE(connection.got.find("Connection: close"), std::string::npos);
   }
   EXPECT_EQ(server.connections(), 0u);
 }
 
-TEST_F(Serving, a_large_last_answer_arrives_whole) {
+TEST_F(HttpServerTest, large_last_response_arrives_complete) {
   for (bool const pieces : {false, true}) {
     LoopbackStream connection(address);
     connection.link->pause_reading(true);
     connection.send("GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n");
-    ASSERT_TRUE(until([&] { return calls.size() > answered; }));
+    ASSERT_TRUE(until([&] { return requests.size() > responded; }));
     std::string const body(32u << 20, 'z');
     if (pieces) {
-      server.begin(calls[answered].id, status(200), -1);
-      server.write_chunk(calls[answered].id, body);
-      server.end(calls[answered++].id);
+      server.begin_response(requests[responded].id, status(200), -1);
+      server.write_body(requests[responded].id, body);
+      server.end_response(requests[responded++].id);
     } else {
-      answer_all(body);
+      respond_to_all(body);
     }
     settle();
     connection.link->pause_reading(false);
     ASSERT_TRUE(until([&] { return connection.shut; }));
-    std::vector<Message> const answers = read_pieces(false, {connection.got}, false, 65536, 64u << 20).whole;
-    ASSERT_EQ(answers.size(), 1u) << connection.got.size() << " bytes came";
+    std::vector<Message> const answers = parse_pieces(false, {connection.got}, false, 65536, 64u << 20).messages;
+    ASSERT_EQ(answers.size(), 1u) << connection.got.size() << " bytes were received";
     EXPECT_EQ(answers[0].body.size(), body.size());
   }
 }
 
-TEST_F(Serving, counts_connections_whose_last_answer_is_still_on_its_way) {
+TEST_F(HttpServerTest, connections_that_are_being_flushed_are_counted) {
   LoopbackStream connection(address);
   connection.link->pause_reading(true);
   connection.send("GET / HTTP/1.1\r\n" + host + "Connection: close\r\n\r\n");
-  ASSERT_TRUE(until([&] { return calls.size() > answered; }));
-  answer_all(std::string(32u << 20, 'z'));
+  ASSERT_TRUE(until([&] { return requests.size() > responded; }));
+  respond_to_all(std::string(32u << 20, 'z'));
   settle();
-  EXPECT_EQ(server.calls(), 0u);
-  EXPECT_EQ(server.connections(), 1u) << "a process that ends now would cut the answer";
+  EXPECT_EQ(server.active_requests(), 0u);
+  EXPECT_EQ(server.connections(), 1u) << "ending the process now would truncate the response";
   connection.link->pause_reading(false);
   ASSERT_TRUE(until([&] { return connection.shut; }));
   EXPECT_EQ(server.connections(), 0u);
 }
 
-TEST_F(Serving, pieces_go_as_they_come_and_end_with_the_answer) {
+TEST_F(HttpServerTest, streamed_response_is_sent_part_by_part) {
   LoopbackStream connection(address);
   connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
-  server.begin(calls[0].id, status(200), -1);
+  ASSERT_TRUE(until([&] { return requests.size() == 1; }));
+  server.begin_response(requests[0].id, status(200), -1);
   for (char const* const part : {"one", "two", "three"}) {
-    server.write_chunk(calls[0].id, part);
+    server.write_body(requests[0].id, part);
     ASSERT_TRUE(until([&] { return connection.got.find(part) != std::string::npos; }));
-    EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
+    EXPECT_TRUE(parse_text(false, connection.got).messages.empty());
   }
-  server.end(calls[0].id);
-  ASSERT_TRUE(until([&] { return read_whole(false, connection.got).whole.size() == 1; }));
-  EXPECT_EQ(read_whole(false, connection.got).whole[0].body, "onetwothree");
+  server.end_response(requests[0].id);
+  ASSERT_TRUE(until([&] { return parse_text(false, connection.got).messages.size() == 1; }));
+  EXPECT_EQ(parse_text(false, connection.got).messages[0].body, "onetwothree");
   EXPECT_FALSE(connection.shut);
 }
 
-TEST_F(Serving, what_breaks_off_does_not_look_whole) {
+TEST_F(HttpServerTest, aborted_response_is_not_complete) {
   for (std::int64_t const length : {std::int64_t(-1), std::int64_t(100)}) {
     LoopbackStream connection(address);
     connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
-    ASSERT_TRUE(until([&] { return calls.size() > answered; }));
-    std::uint64_t const id = calls[answered++].id;
-    server.begin(id, status(200), length);
-    server.write_chunk(id, "part");
-    server.break_off(id);
+    ASSERT_TRUE(until([&] { return requests.size() > responded; }));
+    std::uint64_t const id = requests[responded++].id;
+    server.begin_response(id, status(200), length);
+    server.write_body(id, "part");
+    server.abort_response(id);
     ASSERT_TRUE(until([&] { return connection.shut; }));
     EXPECT_NE(connection.got.find("part"), std::string::npos);
-    EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
+    EXPECT_TRUE(parse_text(false, connection.got).messages.empty());
   }
 }
 
-TEST_F(Serving, an_answer_that_falls_short_of_its_length_does_not_look_whole) {
+TEST_F(HttpServerTest, response_shorter_than_its_length_is_aborted) {
   LoopbackStream connection(address);
   connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
-  server.begin(calls[0].id, status(200), 100);
-  server.write_chunk(calls[0].id, "part");
-  server.end(calls[0].id);
+  ASSERT_TRUE(until([&] { return requests.size() == 1; }));
+  server.begin_response(requests[0].id, status(200), 100);
+  server.write_body(requests[0].id, "part");
+  server.end_response(requests[0].id);
   ASSERT_TRUE(until([&] { return connection.shut; }));
-  EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
+  EXPECT_TRUE(parse_text(false, connection.got).messages.empty());
 }
 
-TEST_F(Serving, answers_that_have_no_body_end_with_their_head) {
+TEST_F(HttpServerTest, response_with_a_bodiless_status_ends_with_its_head) {
   LoopbackStream connection(address);
   std::size_t n = 0;
   for (unsigned const code : {204u, 304u})
     for (std::int64_t const length : {std::int64_t(-1), std::int64_t(0), std::int64_t(9)}) {
       connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
-      ASSERT_TRUE(until([&] { return calls.size() == n + 1; }));
-      server.begin(calls[n].id, status(code), length);
-      server.end(calls[n].id);
+      ASSERT_TRUE(until([&] { return requests.size() == n + 1; }));
+      server.begin_response(requests[n].id, status(code), length);
+      server.end_response(requests[n].id);
       ++n;
       ASSERT_TRUE(
           until([&] { return count_of(connection.got, "HTTP/1.1 ") == n && connection.got.ends_with("\r\n\r\n"); }));
       settle();
-      Reading const answers = read_whole(false, connection.got);
-      EXPECT_EQ(answers.error, Reader::Error::none) << code << " " << length;
-      EXPECT_EQ(answers.whole.size(), n) << code << " " << length;
+      ParseResult const answers = parse_text(false, connection.got);
+      EXPECT_EQ(answers.error, HttpParser::Error::none) << code << " " << length;
+      EXPECT_EQ(answers.messages.size(), n) << code << " " << length;
       EXPECT_FALSE(connection.shut);
     }
   EXPECT_EQ(connection.got.find("Transfer-Encoding"), std::string::npos);
 }
 
-TEST_F(Serving, says_once_when_a_caller_leaves) {
+TEST_F(HttpServerTest, disconnect_of_a_client_is_reported_once) {
   {
     LoopbackStream connection(address);
     connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
-    ASSERT_TRUE(until([&] { return calls.size() == 1; }));
+    ASSERT_TRUE(until([&] { return requests.size() == 1; }));
   }
-  ASSERT_TRUE(until([&] { return gone.size() == 1; }));
-  EXPECT_EQ(gone[0], calls[0].id);
-  // What is done for it afterwards goes nowhere.
-  server.begin(calls[0].id, status(200), -1);
-  server.write_chunk(calls[0].id, "x");
-  server.end(calls[0].id);
-  server.answer(calls[0].id, status(200), "x");
-  server.break_off(calls[0].id);
+  ASSERT_TRUE(until([&] { return disconnected.size() == 1; }));
+  EXPECT_EQ(disconnected[0], requests[0].id);
+  // Later responses to the request are ignored.
+  server.begin_response(requests[0].id, status(200), -1);
+  server.write_body(requests[0].id, "x");
+  server.end_response(requests[0].id);
+  server.respond(requests[0].id, status(200), "x");
+  server.abort_response(requests[0].id);
   EXPECT_EQ(server.connections(), 0u);
-  EXPECT_EQ(server.calls(), 0u);
+  EXPECT_EQ(server.active_requests(), 0u);
 }
 
-TEST_F(Serving, refuses_or_closes_and_never_gives_on_what_is_malformed) {
-  for (Bad const& row : bad_requests()) {
+TEST_F(HttpServerTest, malformed_requests_are_rejected_and_never_delivered) {
+  for (MalformedRequest const& row : malformed_requests()) {
     LoopbackStream connection(address);
     connection.send(row.text);
     settle();
-    // What is only incomplete is slow, in the end.
-    server.close_expired(far_off());
+    // Incomplete requests end with a timeout.
+    server.close_expired(far_future());
     ASSERT_TRUE(until([&] { return connection.shut; })) << row.name;
-    EXPECT_TRUE(calls.empty()) << row.name << " was given on";
+    EXPECT_TRUE(requests.empty()) << row.name << " was delivered";
     if (!connection.got.empty()) {
       EXPECT_EQ(connection.got.substr(0, 10), "HTTP/1.1 4") << row.name << ": " << connection.got;
     }
     EXPECT_EQ(server.connections(), 0u) << row.name;
-    calls.clear();
+    requests.clear();
   }
 }
 
-TEST_F(Serving, malformed_bytes_after_a_good_call_do_not_touch_it) {
-  for (Bad const& row : bad_requests()) {
+TEST_F(HttpServerTest, malformed_bytes_after_a_valid_request_do_not_affect_it) {
+  for (MalformedRequest const& row : malformed_requests()) {
     if (row.text.size() > 4000) continue;
     LoopbackStream connection(address);
-    connection.send(good_requests[1] + row.text);
-    ASSERT_TRUE(until([&] { return calls.size() == 1; })) << row.name;
-    EXPECT_EQ(calls[0].body, "hello");
-    server.answer(calls[0].id, status(200), "yes");
+    connection.send(valid_requests[1] + row.text);
+    ASSERT_TRUE(until([&] { return requests.size() == 1; })) << row.name;
+    EXPECT_EQ(requests[0].body, "hello");
+    server.respond(requests[0].id, status(200), "yes");
     settle();
-    server.close_expired(far_off());
+    server.close_expired(far_future());
     ASSERT_TRUE(until([&] { return connection.shut; })) << row.name;
-    EXPECT_EQ(calls.size(), 1u) << row.name;
+    EXPECT_EQ(requests.size(), 1u) << row.name;
     EXPECT_EQ(connection.got.substr(0, 12), "HTTP/1.1 200") << row.name;
-    calls.clear();
+    requests.clear();
   }
 }
 
-TEST_F(Serving, mutated_calls_are_given_on_only_if_a_strict_reader_takes_them) {
-  std::vector<std::string> const seeds = seeds_of_mutation();
+TEST_F(HttpServerTest, mutated_requests_are_delivered_only_if_a_strict_parser_accepts_them) {
+  std::vector<std::string> const seeds = mutation_seeds();
   RandomSource random(22);
   for (int n = 0; n < 2500; ++n) {
-    std::string const text = mutated(random, seeds);
-    std::vector<Message> const strict = Strict(text).whole;
+    std::string const text = mutate(random, seeds);
+    std::vector<Message> const strict = StrictRequestParser(text).messages;
     LoopbackStream connection(address);
     std::size_t const at = random.below(text.size() + 1);
     connection.send(std::string_view(text).substr(0, at));
@@ -854,33 +858,33 @@
     std::size_t done = 0;
     for (int turns = 0; turns < 10; ++turns) {
       settle();
-      while (done < calls.size()) server.answer(calls[done++].id, status(200), "yes");
+      while (done < requests.size()) server.respond(requests[done++].id, status(200), "yes");
     }
-    server.close_expired(far_off());
+    server.close_expired(far_future());
     ASSERT_TRUE(until([&] { return connection.shut; })) << n << "\n" << text;
     std::vector<Message> read;
-    for (Server::Call const& call : calls)
-      read.push_back({call.head.method + " " + call.head.target, call.head.fields, call.body});
-    ASSERT_TRUE(fits(read, strict)) << "round " << n << "\n" << text;
+    for (Server::Request const& request : requests)
+      read.push_back({request.head.method + " " + request.head.target, request.head.fields, request.body});
+    ASSERT_TRUE(is_prefix_of(read, strict)) << "round " << n << "\n" << text;
     ASSERT_EQ(server.connections(), 0u);
-    calls.clear();
+    requests.clear();
   }
 }
 
-TEST_F(Serving, slow_callers_are_told_so_and_idle_ones_are_closed) {
+TEST_F(HttpServerTest, slow_clients_get_408_and_idle_connections_are_closed) {
   Server::Limits limits;
-  limits.head_time = seconds(5);
-  limits.body_time = seconds(9);
-  limits.idle = seconds(60);
-  server.limit(limits);
+  limits.head_timeout = seconds(5);
+  limits.body_timeout = seconds(9);
+  limits.idle_timeout = seconds(60);
+  server.set_limits(limits);
   LoopbackStream idle(address);
   LoopbackStream heading(address);
   LoopbackStream sending(address);
   LoopbackStream busy(address);
   heading.send("GET / HT");
   sending.send("POST / HTTP/1.1\r\n" + host + "Content-Length: 5\r\n\r\nhel");
-  busy.send(good_requests[0]);
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
+  busy.send(valid_requests[0]);
+  ASSERT_TRUE(until([&] { return requests.size() == 1; }));
   settle();
   Micros const now = g_get_monotonic_time();
   server.close_expired(now);
@@ -898,22 +902,22 @@
   ASSERT_TRUE(until([&] { return idle.shut; }));
   EXPECT_EQ(idle.got, "");
   settle();
-  EXPECT_FALSE(busy.shut) << "a call that is being answered may take its time";
-  answer_all("yes");
+  EXPECT_FALSE(busy.shut) << "timeouts do not apply to a request whose response is pending";
+  respond_to_all("yes");
   ASSERT_TRUE(until([&] { return !busy.got.empty(); }));
-  EXPECT_EQ(calls.size(), 1u);
+  EXPECT_EQ(requests.size(), 1u);
 }
 
-TEST_F(Serving, a_shorter_idle_limit_holds_for_rests_that_begin_under_it) {
+TEST_F(HttpServerTest, shorter_idle_timeout_applies_to_connections_that_become_idle_later) {
   LoopbackStream connection(address);
   connection.send("GET / HTTP/1.1\r\n" + host + "\r\n");
-  ASSERT_TRUE(until([&] { return calls.size() > answered; }));
-  answer_all("ok");
+  ASSERT_TRUE(until([&] { return requests.size() > responded; }));
+  respond_to_all("ok");
   settle();
-  // Its caller may still take it up after four fifths of the limit that it knows.
+  // The client may still reuse the connection after four fifths of the timeout that it knows.
   Server::Limits shorter;
-  shorter.idle = seconds(5);
-  server.limit(shorter);
+  shorter.idle_timeout = seconds(5);
+  server.set_limits(shorter);
   server.close_expired(g_get_monotonic_time() + seconds(48));
   settle();
   EXPECT_FALSE(connection.shut);
@@ -925,66 +929,65 @@
   ASSERT_TRUE(until([&] { return other.shut; }));
 }
 
-TEST_F(Serving, at_the_end_idle_connections_close_and_answers_are_the_last) {
+TEST_F(HttpServerTest, draining_closes_idle_connections_and_each_other_one_after_its_response) {
   LoopbackStream idle(address);
   LoopbackStream busy(address);
-  busy.send(good_requests[0]);
-  ASSERT_TRUE(until([&] { return calls.size() == 1 && server.connections() == 2; }));
-  server.closing();
+  busy.send(valid_requests[0]);
+  ASSERT_TRUE(until([&] { return requests.size() == 1 && server.connections() == 2; }));
+  server.close_after_responses();
   server.stop_listening();
-  server.close_idle();
+  server.close_idle_connections();
   ASSERT_TRUE(until([&] { return idle.shut; }));
-  answer_all("yes");
+  respond_to_all("yes");
   ASSERT_TRUE(until([&] { return busy.shut; }));
   EXPECT_NE(busy.got.find("Connection: close"), std::string::npos);
   EXPECT_NE(busy.got.find("yes"), std::string::npos);
   LoopbackStream late(address);
   EXPECT_TRUE(late.shut);
-  EXPECT_EQ(late.how, Link::End::unreached);
+  EXPECT_EQ(late.how, TcpConnection::CloseReason::connect_failed);
 }
 
-TEST_F(Serving, an_answer_that_began_before_the_end_takes_its_connection_along) {
+TEST_F(HttpServerTest, response_begun_before_draining_closes_its_connection) {
   LoopbackStream connection(address);
-  connection.send(good_requests[0]);
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
-  std::uint64_t const id = calls[0].id;
+  connection.send(valid_requests[0]);
+  ASSERT_TRUE(until([&] { return requests.size() == 1; }));
+  std::uint64_t const id = requests[0].id;
   Head head;
   head.status = 200;
-  server.begin(id, head, -1);
-  server.write_chunk(id, "first");
+  server.begin_response(id, head, -1);
+  server.write_body(id, "first");
   ASSERT_TRUE(until([&] { return connection.got.find("first") != std::string::npos; }));
-  EXPECT_EQ(connection.got.find("Connection: close"), std::string::npos)
-      << "nothing told the caller that it is the last";
-  server.closing();
+  EXPECT_EQ(connection.got.find("Connection: close"), std::string::npos) << "the head was sent before draining began";
+  server.close_after_responses();
   server.stop_listening();
-  server.close_idle();
-  server.end(id);
-  connection.send(good_requests[0]);
-  ASSERT_TRUE(until([&] { return connection.shut || calls.size() > 1; }));
-  EXPECT_EQ(calls.size(), 1u) << "a request taken after the doors were shut may not end inside the grace";
+  server.close_idle_connections();
+  server.end_response(id);
+  connection.send(valid_requests[0]);
+  ASSERT_TRUE(until([&] { return connection.shut || requests.size() > 1; }));
+  EXPECT_EQ(requests.size(), 1u) << "a request received after listening stopped may outlast the grace period";
   EXPECT_NE(connection.got.find("0\r\n\r\n"), std::string::npos);
 }
 
-TEST_F(Serving, a_caller_that_sends_ahead_without_end_is_held) {
+TEST_F(HttpServerTest, reading_pauses_when_a_client_sends_too_far_ahead) {
   LoopbackStream connection(address);
-  connection.send(good_requests[0]);
-  ASSERT_TRUE(until([&] { return calls.size() == 1; }));
+  connection.send(valid_requests[0]);
+  ASSERT_TRUE(until([&] { return requests.size() == 1; }));
   connection.send(std::string(64u << 20, 'x'));
   settle();
-  EXPECT_GT(connection.link->waiting(), 16u << 20) << "it is not all read into memory";
-  answer_all("yes");
+  EXPECT_GT(connection.link->buffered_bytes(), 16u << 20) << "the server must not read all of it into memory";
+  respond_to_all("yes");
   ASSERT_TRUE(until([&] { return connection.shut; }));
-  EXPECT_EQ(calls.size(), 1u);
+  EXPECT_EQ(requests.size(), 1u);
 }
 
-// A socket pair that keeps messages apart refuses a large one and takes the next: as a system does that is short of
-// memory for a moment.
-TEST(Links, what_could_not_be_written_is_not_left_out) {
+// A SOCK_SEQPACKET pair rejects a large message and accepts the next one, like a system that is briefly short of
+// memory.
+TEST(TcpConnection, nothing_is_sent_after_bytes_that_could_not_be_written) {
   int ends[2];
   ASSERT_EQ(::socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, ends), 0);
-  std::shared_ptr<Link> const link = Link::adopt(ends[0]);
+  std::shared_ptr<TcpConnection> const link = TcpConnection::adopt(ends[0]);
   bool shut = false;
-  link->listen({nullptr, nullptr, [&shut](Link::End) { shut = true; }, nullptr});
+  link->set_callbacks({nullptr, nullptr, [&shut](TcpConnection::CloseReason) { shut = true; }, nullptr});
   link->write("front");
   link->write(std::string(8u << 20, 'z'));
   link->write("tail");
@@ -992,34 +995,35 @@
   char buffer[64];
   EXPECT_EQ(::recv(ends[1], buffer, sizeof buffer, 0), 5);
   EXPECT_LE(::recv(ends[1], buffer, sizeof buffer, 0), 0)
-      << "what follows would be read in the place of what is missing";
+      << "the peer would read the following bytes in place of the lost ones";
   EXPECT_TRUE(shut);
   ::close(ends[1]);
 }
 
 namespace {
-// A worker made of sockets, and what is heard of the connections to it.
-class Workerly : public testing::Test {
+// A pool, a worker on loopback sockets, and the callbacks of the pool.
+class UpstreamPoolTest : public testing::Test {
  protected:
-  struct End {
+  struct FailedRequest {
     std::uint64_t id;
-    Upstream::End how;
+    UpstreamPool::Failure failure;
   };
-  Workerly()
-      : upstream({[this](std::uint64_t id) { left.push_back(id); },
+  UpstreamPoolTest()
+      : upstream({[this](std::uint64_t id) { sent.push_back(id); },
                   [this](std::uint64_t id, Head const& head, bool) {
                     heads.push_back(head);
                     bool const mine = head.find("X-Id") == nullptr || head.get("X-Id") == std::to_string(id);
-                    return head.status >= 200 && mine ? Upstream::Owner::asker : Upstream::Owner::other;
+                    return head.status >= 200 && mine ? UpstreamPool::ResponseOwner::current_request
+                                                      : UpstreamPool::ResponseOwner::other_request;
                   },
                   [this](std::uint64_t id, std::string_view bytes) { bodies[id].append(bytes); },
-                  [this](std::uint64_t id) { done.push_back(id); },
-                  [this](std::uint64_t id, Upstream::End how, std::string const&) {
-                    ends.push_back({id, how});
+                  [this](std::uint64_t id) { completed.push_back(id); },
+                  [this](std::uint64_t id, UpstreamPool::Failure how, std::string const&) {
+                    failed.push_back({id, how});
                   }},
                  "") {
     address = open_door([this](std::string const& at) {
-      return door.open(at, [this](std::shared_ptr<Link> link) {
+      return listener.open(at, [this](std::shared_ptr<TcpConnection> link) {
         connections.push_back(std::make_unique<LoopbackStream>(std::move(link)));
       });
     });
@@ -1027,12 +1031,12 @@
   static std::string request(std::string const& method = "POST") {
     return method + " / HTTP/1.1\r\n" + host + (method == "POST" ? "Content-Length: 2\r\n\r\nhi" : "\r\n");
   }
-  // Starts a request and waits until the worker has it; the connection that it came on.
-  LoopbackStream& start(std::uint64_t id, std::string const& method = "POST") {
+  // Starts a request, waits until the worker has received it, and returns the worker's side of the connection.
+  LoopbackStream& start_request(std::uint64_t id, std::string const& method = "POST") {
     std::size_t seen = 0;
     for (std::unique_ptr<LoopbackStream> const& connection : connections)
       seen += count_of(connection->got, "HTTP/1.1\r\n");
-    upstream.start(id, "w", address, request(method), seconds(10));
+    upstream.start_request(id, "w", address, request(method), seconds(10));
     LoopbackStream* found = nullptr;
     EXPECT_TRUE(until([&] {
       std::size_t now = 0;
@@ -1042,240 +1046,242 @@
     }));
     for (std::unique_ptr<LoopbackStream> const& connection : connections)
       if (!connection->shut && !connection->got.empty()) found = connection.get();
-    if (found == nullptr) throw std::runtime_error("the request did not arrive");
+    if (found == nullptr) throw std::runtime_error("the request did not reach the worker");
     return *found;
   }
-  bool over() {
-    return until([this] { return done.size() + ends.size() > 0; });
+  bool request_ended() {
+    return until([this] { return completed.size() + failed.size() > 0; });
   }
-  void forget() {
-    left.clear();
+  void clear_events() {
+    sent.clear();
     heads.clear();
     bodies.clear();
-    done.clear();
-    ends.clear();
+    completed.clear();
+    failed.clear();
   }
 
-  std::vector<std::uint64_t> left;
+  std::vector<std::uint64_t> sent;
   std::vector<Head> heads;
   std::map<std::uint64_t, std::string> bodies;
-  std::vector<std::uint64_t> done;
-  std::vector<End> ends;
+  std::vector<std::uint64_t> completed;
+  std::vector<FailedRequest> failed;
   std::vector<std::unique_ptr<LoopbackStream>> connections;
   std::string address;
-  Door door;
-  Upstream upstream;
+  Listener listener;
+  UpstreamPool upstream;
 };
 std::string const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 }  // namespace
 
-TEST_F(Workerly, answers_arrive_wherever_they_are_split_and_the_connection_is_kept) {
+TEST_F(UpstreamPoolTest, responses_arrive_wherever_they_are_split_and_the_connection_is_reused) {
   std::string const text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
   for (std::size_t at = 1; at < text.size(); ++at) {
-    LoopbackStream& connection = start(at);
-    EXPECT_EQ(left, std::vector<std::uint64_t>{at});
+    LoopbackStream& connection = start_request(at);
+    EXPECT_EQ(sent, std::vector<std::uint64_t>{at});
     connection.send(std::string_view(text).substr(0, at));
     settle();
-    EXPECT_TRUE(done.empty());
+    EXPECT_TRUE(completed.empty());
     connection.send(std::string_view(text).substr(at));
-    ASSERT_TRUE(over());
-    EXPECT_EQ(done, std::vector<std::uint64_t>{at});
+    ASSERT_TRUE(request_ended());
+    EXPECT_EQ(completed, std::vector<std::uint64_t>{at});
     EXPECT_EQ(bodies[at], "abcde");
-    forget();
+    clear_events();
   }
   EXPECT_EQ(upstream.dialled, 1u);
   EXPECT_EQ(upstream.reused, text.size() - 2);
-  EXPECT_EQ(upstream.kept("w"), 1u);
+  EXPECT_EQ(upstream.idle_connections("w"), 1u);
 }
 
-TEST_F(Workerly, an_answer_to_HEAD_has_no_body) {
-  LoopbackStream& connection = start(1, "HEAD");
+TEST_F(UpstreamPoolTest, response_to_head_has_no_body) {
+  LoopbackStream& connection = start_request(1, "HEAD");
   connection.send("HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n");
   settle();
-  ASSERT_EQ(done.size(), 1u);
-  EXPECT_EQ(upstream.kept("w"), 1u);
-  start(2).send(ok);
-  forget();
-  ASSERT_TRUE(over());
-  EXPECT_EQ(done, std::vector<std::uint64_t>{2});
+  ASSERT_EQ(completed.size(), 1u);
+  EXPECT_EQ(upstream.idle_connections("w"), 1u);
+  start_request(2).send(ok);
+  clear_events();
+  ASSERT_TRUE(request_ended());
+  EXPECT_EQ(completed, std::vector<std::uint64_t>{2});
   EXPECT_EQ(bodies[2], "ok");
 }
 
-TEST_F(Workerly, surplus_bytes_end_the_connection_not_the_answer) {
-  start(1).send(ok + "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
-  ASSERT_TRUE(over());
-  EXPECT_EQ(done, std::vector<std::uint64_t>{1});
+TEST_F(UpstreamPoolTest, surplus_bytes_close_the_connection_but_do_not_fail_the_request) {
+  start_request(1).send(ok + "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
+  ASSERT_TRUE(request_ended());
+  EXPECT_EQ(completed, std::vector<std::uint64_t>{1});
   EXPECT_EQ(bodies[1], "ok");
-  EXPECT_EQ(upstream.kept("w"), 0u);
+  EXPECT_EQ(upstream.idle_connections("w"), 0u);
   EXPECT_EQ(upstream.connections(), 0u);
 }
 
-TEST_F(Workerly, bytes_that_come_on_a_kept_connection_end_it) {
-  LoopbackStream& connection = start(1);
+TEST_F(UpstreamPoolTest, bytes_on_an_idle_connection_close_it) {
+  LoopbackStream& connection = start_request(1);
   connection.send(ok);
-  ASSERT_TRUE(over());
-  EXPECT_EQ(upstream.kept("w"), 1u);
+  ASSERT_TRUE(request_ended());
+  EXPECT_EQ(upstream.idle_connections("w"), 1u);
   connection.send("HTTP/1.1 200 OK\r\n");
   ASSERT_TRUE(until([&] { return connection.shut; }));
-  EXPECT_EQ(upstream.kept("w"), 0u);
-  forget();
-  start(2).send(ok);
-  ASSERT_TRUE(over());
-  EXPECT_EQ(done, std::vector<std::uint64_t>{2});
+  EXPECT_EQ(upstream.idle_connections("w"), 0u);
+  clear_events();
+  start_request(2).send(ok);
+  ASSERT_TRUE(request_ended());
+  EXPECT_EQ(completed, std::vector<std::uint64_t>{2});
   EXPECT_EQ(upstream.dialled, 2u);
 }
 
-TEST_F(Workerly, an_answer_to_somebody_else_is_passed_over) {
+TEST_F(UpstreamPoolTest, response_to_another_request_is_skipped) {
   std::string const strange = "HTTP/1.1 200 OK\r\nX-Id: 77\r\nContent-Length: 6\r\n\r\nstolen";
   for (bool const together : {true, false}) {
-    forget();
-    LoopbackStream& connection = start(1);
+    clear_events();
+    LoopbackStream& connection = start_request(1);
     std::string const mine = "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok";
     if (together) {
       connection.send(strange + mine);
     } else {
       connection.send(strange);
       settle();
-      EXPECT_TRUE(done.empty() && ends.empty());
+      EXPECT_TRUE(completed.empty() && failed.empty());
       connection.send(mine);
     }
-    ASSERT_TRUE(over());
-    EXPECT_EQ(done, std::vector<std::uint64_t>{1});
+    ASSERT_TRUE(request_ended());
+    EXPECT_EQ(completed, std::vector<std::uint64_t>{1});
     EXPECT_EQ(bodies[1], "ok");
   }
-  forget();
-  // Only so many, and none that is the last of its connection.
-  LoopbackStream& connection = start(2);
+  clear_events();
+  // The request fails after too many such responses, and after one that closes its connection.
+  LoopbackStream& connection = start_request(2);
   for (int i = 0; i < 10; ++i) connection.send(strange);
-  ASSERT_TRUE(over());
-  ASSERT_EQ(ends.size(), 1u);
-  EXPECT_EQ(ends[0].how, Upstream::End::broke);
+  ASSERT_TRUE(request_ended());
+  ASSERT_EQ(failed.size(), 1u);
+  EXPECT_EQ(failed[0].failure, UpstreamPool::Failure::broken);
   EXPECT_EQ(bodies.count(2), 0u);
-  forget();
-  start(3).send("HTTP/1.1 200 OK\r\nX-Id: 77\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx");
-  ASSERT_TRUE(over());
-  ASSERT_EQ(ends.size(), 1u);
-  EXPECT_EQ(ends[0].how, Upstream::End::broke);
+  clear_events();
+  start_request(3).send("HTTP/1.1 200 OK\r\nX-Id: 77\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx");
+  ASSERT_TRUE(request_ended());
+  ASSERT_EQ(failed.size(), 1u);
+  EXPECT_EQ(failed[0].failure, UpstreamPool::Failure::broken);
 }
 
-TEST_F(Workerly, an_answer_before_the_request_was_whole_ends_its_connection) {
+TEST_F(UpstreamPoolTest, response_before_the_request_was_fully_sent_closes_the_connection) {
   std::string const body(32u << 20, 'z');
-  upstream.start(1, "w", address,
-                 "POST / HTTP/1.1\r\n" + host + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body,
-                 seconds(10));
+  upstream.start_request(
+      1, "w", address,
+      "POST / HTTP/1.1\r\n" + host + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body, seconds(10));
   ASSERT_TRUE(until([&] { return !connections.empty(); }));
   connections[0]->link->pause_reading(true);
   connections[0]->send(ok);
-  ASSERT_TRUE(over());
-  EXPECT_EQ(done, std::vector<std::uint64_t>{1});
-  EXPECT_EQ(upstream.kept("w"), 0u) << "the next request would come behind the rest of this one";
+  ASSERT_TRUE(request_ended());
+  EXPECT_EQ(completed, std::vector<std::uint64_t>{1});
+  EXPECT_EQ(upstream.idle_connections("w"), 0u) << "the next request would be queued behind the rest of this one";
 }
 
-TEST_F(Workerly, interim_answers_are_passed_over) {
-  start(1).send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok);
-  ASSERT_TRUE(over());
-  EXPECT_EQ(done, std::vector<std::uint64_t>{1});
+TEST_F(UpstreamPoolTest, interim_responses_are_skipped) {
+  start_request(1).send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok);
+  ASSERT_TRUE(request_ended());
+  EXPECT_EQ(completed, std::vector<std::uint64_t>{1});
   EXPECT_EQ(bodies[1], "ok");
 }
 
-TEST_F(Workerly, a_connection_that_ends_early_tells_how_far_it_came) {
+TEST_F(UpstreamPoolTest, failure_tells_whether_the_response_had_begun) {
   struct Row {
     char const* name;
     std::string text;
-    Upstream::End how;
+    UpstreamPool::Failure failure;
   };
   Row const rows[] = {
-      {"at once", "", Upstream::End::broke},
-      {"in the head", "HTTP/1.1 200 OK\r\nConte", Upstream::End::broke},
-      {"after an interim answer", "HTTP/1.1 100 Continue\r\n\r\n", Upstream::End::broke},
-      {"in a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", Upstream::End::torn},
-      {"before a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", Upstream::End::torn},
-      {"in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", Upstream::End::torn},
-      {"between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", Upstream::End::torn},
-      {"before the last mark", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n",
-       Upstream::End::torn},
-      {"in somebody else's", "HTTP/1.1 200 OK\r\nX-Id: 77\r\nContent-Length: 9\r\n\r\nabc", Upstream::End::broke},
+      {"before the response", "", UpstreamPool::Failure::broken},
+      {"in the head", "HTTP/1.1 200 OK\r\nConte", UpstreamPool::Failure::broken},
+      {"after an interim answer", "HTTP/1.1 100 Continue\r\n\r\n", UpstreamPool::Failure::broken},
+      {"in a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", UpstreamPool::Failure::truncated},
+      {"before a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", UpstreamPool::Failure::truncated},
+      {"in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", UpstreamPool::Failure::truncated},
+      {"between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
+       UpstreamPool::Failure::truncated},
+      {"before the end of the last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n",
+       UpstreamPool::Failure::truncated},
+      {"in the response to another request", "HTTP/1.1 200 OK\r\nX-Id: 77\r\nContent-Length: 9\r\n\r\nabc",
+       UpstreamPool::Failure::broken},
   };
   for (bool const reset : {false, true})
     for (Row const& row : rows) {
-      forget();
-      LoopbackStream& connection = start(1);
+      clear_events();
+      LoopbackStream& connection = start_request(1);
       connection.send(row.text);
       settle();
       connection.link->close(reset);
       connection.shut = true;
-      ASSERT_TRUE(over()) << row.name;
-      ASSERT_EQ(ends.size(), 1u) << row.name;
-      EXPECT_EQ(ends[0].how, row.how) << row.name;
-      EXPECT_TRUE(done.empty());
+      ASSERT_TRUE(request_ended()) << row.name;
+      ASSERT_EQ(failed.size(), 1u) << row.name;
+      EXPECT_EQ(failed[0].failure, row.failure) << row.name;
+      EXPECT_TRUE(completed.empty());
       EXPECT_EQ(upstream.connections(), 0u);
     }
 }
 
-TEST_F(Workerly, an_answer_without_length_ends_with_its_connection_unless_that_is_reset) {
+TEST_F(UpstreamPoolTest, response_without_length_is_complete_unless_the_connection_is_reset) {
   for (bool const reset : {false, true}) {
-    forget();
-    LoopbackStream& connection = start(1);
+    clear_events();
+    LoopbackStream& connection = start_request(1);
     connection.send("HTTP/1.1 200 OK\r\n\r\nabc");
     ASSERT_TRUE(until([&] { return bodies[1] == "abc"; }));
     connection.link->close(reset);
     connection.shut = true;
-    ASSERT_TRUE(over());
-    EXPECT_EQ(done.size(), reset ? 0u : 1u);
-    EXPECT_EQ(ends.size(), reset ? 1u : 0u);
-    EXPECT_EQ(upstream.kept("w"), 0u);
+    ASSERT_TRUE(request_ended());
+    EXPECT_EQ(completed.size(), reset ? 0u : 1u);
+    EXPECT_EQ(failed.size(), reset ? 1u : 0u);
+    EXPECT_EQ(upstream.idle_connections("w"), 0u);
   }
 }
 
-TEST_F(Workerly, what_is_no_answer_breaks_the_request) {
+TEST_F(UpstreamPoolTest, invalid_response_fails_the_request) {
   for (std::string const text : {"nonsense\r\n\r\n", "HTTP/1.1 abc\r\n\r\n", "GET / HTTP/1.1\r\n\r\n",
                                  "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab"}) {
-    forget();
-    start(1).send(text);
-    ASSERT_TRUE(over()) << text;
-    ASSERT_EQ(ends.size(), 1u) << text;
-    EXPECT_EQ(ends[0].how, Upstream::End::broke);
+    clear_events();
+    start_request(1).send(text);
+    ASSERT_TRUE(request_ended()) << text;
+    ASSERT_EQ(failed.size(), 1u) << text;
+    EXPECT_EQ(failed[0].failure, UpstreamPool::Failure::broken);
   }
-  forget();
-  start(1).send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n");
-  ASSERT_TRUE(over());
-  ASSERT_EQ(ends.size(), 1u);
-  EXPECT_EQ(ends[0].how, Upstream::End::torn);
+  clear_events();
+  start_request(1).send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n");
+  ASSERT_TRUE(request_ended());
+  ASSERT_EQ(failed.size(), 1u);
+  EXPECT_EQ(failed[0].failure, UpstreamPool::Failure::truncated);
 }
 
-TEST_F(Workerly, a_kept_connection_that_the_worker_closed_is_not_used_again) {
+TEST_F(UpstreamPoolTest, idle_connection_closed_by_the_worker_is_not_reused) {
   for (bool const reset : {false, true}) {
-    forget();
-    LoopbackStream& connection = start(1);
+    clear_events();
+    LoopbackStream& connection = start_request(1);
     connection.send(ok);
-    ASSERT_TRUE(over());
-    EXPECT_EQ(upstream.kept("w"), 1u);
+    ASSERT_TRUE(request_ended());
+    EXPECT_EQ(upstream.idle_connections("w"), 1u);
     connection.link->close(reset);
     connection.shut = true;
-    ASSERT_TRUE(until([&] { return upstream.kept("w") == 0; }));
-    forget();
-    LoopbackStream& next = start(2);
+    ASSERT_TRUE(until([&] { return upstream.idle_connections("w") == 0; }));
+    clear_events();
+    LoopbackStream& next = start_request(2);
     next.send(ok);
-    ASSERT_TRUE(over());
-    EXPECT_EQ(done, std::vector<std::uint64_t>{2});
-    EXPECT_TRUE(ends.empty());
+    ASSERT_TRUE(request_ended());
+    EXPECT_EQ(completed, std::vector<std::uint64_t>{2});
+    EXPECT_TRUE(failed.empty());
     next.link->close();
     next.shut = true;
-    ASSERT_TRUE(until([&] { return upstream.kept("w") == 0; }));
+    ASSERT_TRUE(until([&] { return upstream.idle_connections("w") == 0; }));
   }
   EXPECT_EQ(upstream.reused, 0u);
 }
 
-TEST_F(Workerly, a_kept_connection_is_looked_at_before_it_is_used) {
-  // What the worker did to it has reached this machine, but the loop has not turned since.
+TEST_F(UpstreamPoolTest, idle_connection_is_checked_before_it_is_reused) {
+  // The change by the worker has reached this machine, but the main loop has not run since.
   for (int way = 0; way < 3; ++way) {
-    forget();
-    LoopbackStream& connection = start(1);
+    clear_events();
+    LoopbackStream& connection = start_request(1);
     connection.send(ok);
-    ASSERT_TRUE(over());
-    ASSERT_EQ(upstream.kept("w"), 1u);
+    ASSERT_TRUE(request_ended());
+    ASSERT_EQ(upstream.idle_connections("w"), 1u);
     std::uint64_t const dialled = upstream.dialled;
-    forget();
+    clear_events();
     if (way == 0) {
       connection.link->close();
     } else if (way == 1) {
@@ -1284,36 +1290,36 @@
       connection.send("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
     }
     connection.shut = true;
-    LoopbackStream& next = start(2);
+    LoopbackStream& next = start_request(2);
     EXPECT_EQ(upstream.dialled, dialled + 1);
     next.send(ok);
-    ASSERT_TRUE(over());
-    EXPECT_EQ(done, std::vector<std::uint64_t>{2});
-    EXPECT_EQ(left, std::vector<std::uint64_t>{2});
+    ASSERT_TRUE(request_ended());
+    EXPECT_EQ(completed, std::vector<std::uint64_t>{2});
+    EXPECT_EQ(sent, std::vector<std::uint64_t>{2});
     EXPECT_EQ(bodies[2], "ok");
     next.link->close();
     next.shut = true;
-    ASSERT_TRUE(until([&] { return upstream.kept("w") == 0; }));
+    ASSERT_TRUE(until([&] { return upstream.idle_connections("w") == 0; }));
   }
 }
 
-TEST_F(Workerly, a_worker_that_cannot_be_reached_got_nothing) {
+TEST_F(UpstreamPoolTest, failed_connect_sends_nothing) {
   for (std::string const& bad : {free_address(), std::string("nonsense"), std::string("127.0.0.1:0")}) {
-    forget();
-    upstream.start(1, "w", bad, request(), seconds(10));
-    ASSERT_TRUE(over()) << bad;
-    ASSERT_EQ(ends.size(), 1u);
-    EXPECT_EQ(ends[0].how, Upstream::End::unreached);
-    EXPECT_TRUE(left.empty()) << "no byte can have left";
+    clear_events();
+    upstream.start_request(1, "w", bad, request(), seconds(10));
+    ASSERT_TRUE(request_ended()) << bad;
+    ASSERT_EQ(failed.size(), 1u);
+    EXPECT_EQ(failed[0].failure, UpstreamPool::Failure::connect_failed);
+    EXPECT_TRUE(sent.empty()) << "no byte was sent";
     EXPECT_EQ(upstream.connections(), 0u);
   }
 }
 
-TEST_F(Workerly, keep_alive_times_are_heeded) {
+TEST_F(UpstreamPoolTest, announced_keep_alive_times_are_respected) {
   struct Row {
     char const* fields;
-    Micros least;  // it is still kept then; -1: not at all
-    Micros most;   // and then no more
+    Micros least;  // the connection is still idle at this age; -1 if it is closed at once
+    Micros most;   // the connection is closed at this age
   };
   Row const rows[] = {
       {"", seconds(1), seconds(30)},
@@ -1327,78 +1333,79 @@
       {"Connection: close\r\n", -1, 0},
   };
   for (Row const& row : rows) {
-    forget();
-    start(1).send("HTTP/1.1 200 OK\r\n" + std::string(row.fields) + "Content-Length: 2\r\n\r\nok");
-    ASSERT_TRUE(over()) << row.fields;
+    clear_events();
+    start_request(1).send("HTTP/1.1 200 OK\r\n" + std::string(row.fields) + "Content-Length: 2\r\n\r\nok");
+    ASSERT_TRUE(request_ended()) << row.fields;
     Micros const now = g_get_monotonic_time();
-    EXPECT_EQ(upstream.kept("w"), row.least >= 0 ? 1u : 0u) << row.fields;
+    EXPECT_EQ(upstream.idle_connections("w"), row.least >= 0 ? 1u : 0u) << row.fields;
     if (row.least < 0) continue;
     upstream.close_expired(now + row.least);
-    EXPECT_EQ(upstream.kept("w"), 1u) << row.fields;
+    EXPECT_EQ(upstream.idle_connections("w"), 1u) << row.fields;
     upstream.close_expired(now + row.most);
-    EXPECT_EQ(upstream.kept("w"), 0u) << row.fields;
+    EXPECT_EQ(upstream.idle_connections("w"), 0u) << row.fields;
     settle();
   }
 }
 
-TEST_F(Workerly, connections_belong_to_a_name_and_an_address) {
-  start(1).send(ok);
-  ASSERT_TRUE(over());
-  forget();
-  upstream.start(2, "v", address, request(), seconds(10));
-  ASSERT_TRUE(until([&] { return left.size() == 1; }));
-  EXPECT_EQ(upstream.reused, 0u) << "somebody else may live there now";
-  upstream.cut(2);
-  EXPECT_EQ(upstream.kept("w"), 1u);
-  upstream.forget("w");
+TEST_F(UpstreamPoolTest, connections_are_reused_only_for_the_same_peer) {
+  start_request(1).send(ok);
+  ASSERT_TRUE(request_ended());
+  clear_events();
+  upstream.start_request(2, "v", address, request(), seconds(10));
+  ASSERT_TRUE(until([&] { return sent.size() == 1; }));
+  EXPECT_EQ(upstream.reused, 0u) << "another process may use the address now";
+  upstream.cancel(2);
+  EXPECT_EQ(upstream.idle_connections("w"), 1u);
+  upstream.close_idle_connections("w");
   EXPECT_EQ(upstream.connections(), 0u);
-  upstream.forget("nobody");
+  upstream.close_idle_connections("nobody");
 }
 
-TEST_F(Workerly, what_was_cut_is_heard_of_no_more) {
-  LoopbackStream& connection = start(1);
+TEST_F(UpstreamPoolTest, cancelled_request_gets_no_further_callbacks) {
+  LoopbackStream& connection = start_request(1);
   connection.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc");
   ASSERT_TRUE(until([&] { return bodies[1] == "abc"; }));
-  upstream.cut(1);
-  upstream.cut(1);
+  upstream.cancel(1);
+  upstream.cancel(1);
   connection.send("defghi");
   ASSERT_TRUE(until([&] { return connection.shut; }));
-  EXPECT_TRUE(done.empty());
-  EXPECT_TRUE(ends.empty());
+  EXPECT_TRUE(completed.empty());
+  EXPECT_TRUE(failed.empty());
   EXPECT_EQ(bodies[1], "abc");
-  EXPECT_EQ(upstream.open(), 0u);
+  EXPECT_EQ(upstream.active_requests(), 0u);
 }
 
-// What the system still holds of a request that was cut must not reach its worker later.
-TEST_F(Workerly, a_cut_resets_the_connection) {
-  LoopbackStream& connection = start(1);
-  upstream.cut(1);
+// Request bytes still buffered in the kernel must not reach the worker after the request was cancelled.
+TEST_F(UpstreamPoolTest, cancelling_resets_the_connection) {
+  LoopbackStream& connection = start_request(1);
+  upstream.cancel(1);
   ASSERT_TRUE(until([&] { return connection.shut; }));
-  EXPECT_EQ(connection.how, Link::End::reset);
+  EXPECT_EQ(connection.how, TcpConnection::CloseReason::reset);
 }
 
-// The worker may have said all that there is to say before it ended the connection with bytes unread.
-TEST_F(Workerly, what_came_before_a_reset_is_heard_although_the_request_was_not_taken) {
+// The worker may have sent its complete response before it closed the connection with request bytes unread.
+TEST_F(UpstreamPoolTest, response_received_before_a_reset_is_delivered_though_the_request_was_not_fully_sent) {
   std::string const body(32u << 20, 'z');
   std::string const text =
       "POST / HTTP/1.1\r\n" + host + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   for (bool const length : {true, false}) {
-    forget();
+    clear_events();
     connections.clear();
-    upstream.start(1, "w", address, text, seconds(10));
+    upstream.start_request(1, "w", address, text, seconds(10));
     ASSERT_TRUE(until([&] { return !connections.empty(); }));
     connections[0]->link->pause_reading(true);
     connections[0]->send(length ? ok : "HTTP/1.1 200 OK\r\n\r\nok");
     connections[0]->link->close();
     connections[0]->shut = true;
-    ASSERT_TRUE(over());
-    EXPECT_EQ(done.size(), length ? 1u : 0u) << "without a length only an orderly end makes it whole";
+    ASSERT_TRUE(request_ended());
+    EXPECT_EQ(completed.size(), length ? 1u : 0u)
+        << "a response without length is complete only after an orderly close";
     EXPECT_EQ(bodies[1], "ok");
     EXPECT_EQ(upstream.connections(), 0u);
   }
 }
 
-TEST_F(Workerly, mutated_answers_end_each_request_once_and_do_no_harm) {
+TEST_F(UpstreamPoolTest, each_request_ends_once_when_its_response_is_mutated) {
   std::vector<std::string> const seeds = {ok,
                                           ok + ok,
                                           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
@@ -1408,9 +1415,9 @@
                                           "HTTP/1.1 101 Switching\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n"};
   RandomSource random(23);
   for (std::uint64_t id = 1; id <= 1500; ++id) {
-    forget();
-    LoopbackStream& connection = start(id);
-    std::string const text = mutated(random, seeds);
+    clear_events();
+    LoopbackStream& connection = start_request(id);
+    std::string const text = mutate(random, seeds);
     std::size_t const at = random.below(text.size() + 1);
     connection.send(std::string_view(text).substr(0, at));
     settle();
@@ -1418,12 +1425,12 @@
     settle();
     if (!connection.shut) connection.link->close(random.chance(0.5));
     connection.shut = true;
-    ASSERT_TRUE(over()) << id << "\n" << text;
+    ASSERT_TRUE(request_ended()) << id << "\n" << text;
     settle();
-    ASSERT_EQ(done.size() + ends.size(), 1u) << id << "\n" << text;
-    ASSERT_EQ(upstream.open(), 0u);
-    ASSERT_EQ(left.size(), 1u);
-    upstream.forget("w");
+    ASSERT_EQ(completed.size() + failed.size(), 1u) << id << "\n" << text;
+    ASSERT_EQ(upstream.active_requests(), 0u);
+    ASSERT_EQ(sent.size(), 1u);
+    upstream.close_idle_connections("w");
     settle();
     connections.clear();
   }
--- a/tests/station.cc
+++ b/tests/station.cc
@@ -22,7 +22,7 @@
     metrics = plan.metrics;
     node_server = std::make_unique<NodeServer>(std::move(plan));
     calls = std::make_unique<ControlCalls>(*node_server, address);
-    node_server->on_control([this](Server::Call& call) { return calls->handle(call); });
+    node_server->on_control([this](Server::Request& call) { return calls->handle(call); });
     EXPECT_TRUE(node_server->open());
   }
 
