--- a/tests/http.cc
+++ b/tests/http.cc
@@ -1012,14 +1012,14 @@
       : upstream({[this](std::uint64_t id) { sent.push_back(id); },
                   [this](std::uint64_t id, Head const& head, bool) {
                     heads.push_back(head);
-                    bool const mine = head.find("X-Id") == nullptr || head.get("X-Id") == std::to_string(id);
-                    return head.status >= 200 && mine ? UpstreamPool::ResponseOwner::current_request
-                                                      : UpstreamPool::ResponseOwner::other_request;
+                    bool const matches = head.find("X-Id") == nullptr || head.get("X-Id") == std::to_string(id);
+                    return head.status >= 200 && matches ? UpstreamPool::ResponseOwner::current_request
+                                                         : UpstreamPool::ResponseOwner::other_request;
                   },
                   [this](std::uint64_t id, std::string_view bytes) { bodies[id].append(bytes); },
                   [this](std::uint64_t id) { completed.push_back(id); },
-                  [this](std::uint64_t id, UpstreamPool::Failure how, std::string const&) {
-                    failed.push_back({id, how});
+                  [this](std::uint64_t id, UpstreamPool::Failure failure, std::string const&) {
+                    failed.push_back({id, failure});
                   }},
                  "") {
     address = open_door([this](std::string const& at) {
@@ -1033,16 +1033,16 @@
   }
   // Starts a request, waits until the worker has received it, and returns the worker's side of the connection.
   LoopbackStream& start_request(std::uint64_t id, std::string const& method = "POST") {
-    std::size_t seen = 0;
+    std::size_t received_before = 0;
     for (std::unique_ptr<LoopbackStream> const& connection : connections)
-      seen += count_of(connection->got, "HTTP/1.1\r\n");
+      received_before += count_of(connection->got, "HTTP/1.1\r\n");
     upstream.start_request(id, "w", address, request(method), seconds(10));
     LoopbackStream* found = nullptr;
     EXPECT_TRUE(until([&] {
-      std::size_t now = 0;
+      std::size_t received = 0;
       for (std::unique_ptr<LoopbackStream> const& connection : connections)
-        now += count_of(connection->got, "HTTP/1.1\r\n");
-      return now > seen;
+        received += count_of(connection->got, "HTTP/1.1\r\n");
+      return received > received_before;
     }));
     for (std::unique_ptr<LoopbackStream> const& connection : connections)
       if (!connection->shut && !connection->got.empty()) found = connection.get();
