--- a/testing/platform_fleet_test/engine.cc
+++ b/testing/platform_fleet_test/engine.cc
@@ -17,7 +17,7 @@
 
 Engine::Admission Engine::submit(Generation generation, Micros now) {
   if (generation.prompt_tokens + generation.output_tokens > config_.cache_tokens) return Admission::too_large;
-  // What goes into a free place at the next step waits in nobody's way.
+  // Requests that enter a free slot at the next step do not count against the queue limit.
   if (queued() - (config_.slots - running()) >= config_.queue_limit) return Admission::full;
   Sequence sequence;
   sequence.generated = std::min(generation.output_tokens, generation.received_events * config_.tokens_per_event);
@@ -43,7 +43,7 @@
   return false;
 }
 
-// How many parts are kept, one after the other from the first.
+// Number of leading parts that are cached without a gap.
 std::int64_t Engine::cached_prefix_length(Generation const& generation) const {
   std::size_t lead = 0;
   while (lead < generation.parts.size() && is_cached(generation.parts[lead].id)) ++lead;
@@ -57,7 +57,7 @@
 }
 
 void Engine::release_memory(Sequence& sequence) {
-  // The first parts are the last to give way: without them the others are worth nothing.
+  // Leading parts are marked as used last, so that they are evicted last: without them the parts behind are useless.
   for (std::vector<std::uint64_t>::reverse_iterator id = sequence.pinned_parts.rbegin();
        id != sequence.pinned_parts.rend(); ++id) {
     CachedPart& kept = parts_[*id];
@@ -69,7 +69,7 @@
   sequence.private_tokens = 0;
 }
 
-// Parts that nobody uses give way until that many more tokens fit.
+// Evicts unreferenced parts, least recently used first, until `tokens` more fit. Returns false if they do not fit.
 bool Engine::make_room(std::int64_t tokens) {
   std::list<std::uint64_t>::iterator at = recency_.begin();
   while (cached_tokens_ + private_tokens_ + tokens > config_.cache_tokens && at != recency_.end()) {
@@ -214,7 +214,7 @@
                    item->generation.id, 0, at});
     item = queue_.erase(item);
   }
-  // The newest of the least urgent loses its place.
+  // Out of memory: preempts the newest request of the least urgent priority.
   while (!make_room(0) && batch_.size() > 1) {
     std::list<Sequence>::iterator const last = std::prev(batch_.end());
     release_memory(*last);
--- a/testing/platform_fleet_test/worker_faults.cc
+++ b/testing/platform_fleet_test/worker_faults.cc
@@ -1,4 +1,4 @@
-// The stand-in workers: crashes, silence, releases, lies, and addresses that pass to others.
+// Faults of the stand-in workers: crashes, hangs, releases, invalid answers, and reuse of their addresses.
 #include "base/json_writer.h"
 #include "testing/platform_fleet_test/clock.h"
 #include "testing/platform_fleet_test/worker_parts.h"
@@ -9,7 +9,7 @@
 constexpr Micros address_reuse = seconds(2);
 }  // namespace
 
-// Some workers that stand, of the service that gets the traffic.
+// Random running workers of the service under load: `count` of them, or `share` of all, rounded up.
 std::vector<Workers::Worker*> Workers::choose_workers(Fault const& fault) {
   std::vector<Worker*> up;
   for (std::unique_ptr<Worker> const& worker : workers_)
@@ -26,7 +26,7 @@
   return out;
 }
 
-// Once a worker has ended, its address may pass to one of another service. A few times is enough.
+// Gives the address of an ended worker to a worker of another service, at most twice in a run.
 void Workers::reuse_address(std::string const& ip, std::string const& zone) {
   if (reused_ >= 2) return;
   ++reused_;
@@ -55,7 +55,7 @@
     if (worker->listen_watch != 0) g_source_remove(worker->listen_watch);
     worker->listen_watch = 0;
     run_after(fault.span, [this, worker] {
-      // What it had under way is lost; it comes back as another, at its old address.
+      // Its requests are lost. A worker with another id starts at the old address.
       std::string const ip = worker->ip;
       std::string const zone = worker->zone;
       end(*worker, true);
@@ -78,7 +78,7 @@
       run_after(millis(500), [this, zone] {
         if (!stopping_) open(zone, shape_.service, next_ip());
       });
-      // Whom nobody has acknowledged yet may still serve there.
+      // A worker whose drain is not acknowledged may still serve at the address until then.
       run_after(unacknowledged_drain_timeout + seconds(1), [this, worker, ip, zone] {
         if (worker->state == State::ended) reuse_address(ip, zone);
       });
--- a/testing/platform_fleet_test/worker_heartbeats.cc
+++ b/testing/platform_fleet_test/worker_heartbeats.cc
@@ -1,4 +1,4 @@
-// The stand-in workers: heartbeats to the nodes, draining, and the end of a worker.
+// Stand-in workers: heartbeats to the nodes, draining and shutdown.
 #include <simdjson.h>
 #include <unistd.h>
 
@@ -30,7 +30,7 @@
 }
 
 void Workers::heartbeat(Worker& worker, int retries) {
-  // After its farewell it says nothing more.
+  // A worker that has sent Instances.Leave sends no more heartbeats.
   bool const has_left = worker.state == State::draining && worker.drain_announced_at < 0;
   if (stopping_ || worker.state == State::ended || worker.is_silent || has_left) return;
   std::string const address = !worker.heartbeat_address.empty() ? worker.heartbeat_address : any_node(worker);
@@ -88,7 +88,7 @@
   });
 }
 
-// Says farewell at once, and serves on as long as after a word that it drains.
+// Sends Instances.Leave without draining first, and keeps serving for as long as after an acknowledged drain.
 void Workers::announce_leave(Worker& worker, int retries) {
   if (worker.state != State::up) return;
   std::string const address = !worker.heartbeat_address.empty() ? worker.heartbeat_address : any_node(worker);
--- a/testing/platform_fleet_test/worker_parts.h
+++ b/testing/platform_fleet_test/worker_parts.h
@@ -1,23 +1,25 @@
-// What the stand-in workers are made of; for their own source files only.
+// Internal types of the stand-in workers; included only by the sources of class Workers.
 #pragma once
 #include "testing/platform_fleet_test/workers.h"
 
 namespace pipit::platform_fleet {
 
 constexpr unsigned worker_port = 9000;
-constexpr Micros drain_duration = seconds(2);  // between a drain that is acknowledged and the end
+constexpr Micros drain_duration = seconds(2);  // service continues this long after an acknowledged drain
 constexpr Micros unacknowledged_drain_timeout =
-    seconds(6);  // a worker whose drain nobody acknowledges ends all the same
+    seconds(6);  // a worker without an acknowledgement exits after this time
 
+// A request that a worker is running or has queued.
 struct Workers::Job {
-  std::uint64_t id = 0;  // its seal too
+  std::uint64_t id = 0;  // also its X-Server-Seal
   Connection* conn = nullptr;
   Attempt* attempt = nullptr;
   bool head_sent = false;
   bool began = false;
-  std::int64_t breaks_after = -1;  // it breaks off behind that event
+  std::int64_t breaks_after = -1;  // the worker cuts the answer after this event; -1 for never
 };
 
+// A connection accepted by a worker.
 struct Workers::Connection {
   std::shared_ptr<Link> link;
   Reader reader{true};
@@ -25,18 +27,19 @@
   std::string body;
   bool busy = false;
   std::uint64_t job = 0;
-  std::string peer;  // IP number
+  std::string peer;  // IP address
   bool cross_zone = false;
   Micros idle_since = 0;
   bool close_after_answer = false;
-  std::string previous_attempt_id;  // id of the request before
+  std::string previous_attempt_id;  // attempt id of the previous request
 };
 
+// One stand-in worker.
 struct Workers::Worker {
   explicit Worker(EngineConfig const& config) : engine(config) {}
   std::string id;
   std::string ip;
-  std::string public_ip;  // that nodes are told
+  std::string public_ip;  // address in its heartbeats; the relay's if there is one
   std::string zone;
   std::string service;
   State state = State::up;
@@ -50,8 +53,8 @@
   std::string heartbeat_address;
   std::size_t next_node = 0;
   std::shared_ptr<Line> line;
-  Micros drain_announced_at = -1;     // since when it says that it leaves
-  Micros drain_acknowledged_at = -1;  // since when that is acknowledged, by whichever node
+  Micros drain_announced_at = -1;     // time of the first heartbeat that says `draining`; -1 if none
+  Micros drain_acknowledged_at = -1;  // time of the first acknowledgement by any node; -1 if none
   std::string drain_acknowledged_by;
   Misbehaviour misbehaviour = Misbehaviour::none;
   double misbehaviour_probability = 0;
--- a/testing/platform_fleet_test/worker_requests.cc
+++ b/testing/platform_fleet_test/worker_requests.cc
@@ -1,4 +1,4 @@
-// The stand-in workers: requests are taken, run by the engine, and answered event by event.
+// Stand-in workers: receive requests, run them on the engine and stream the events of the answers.
 #include <simdjson.h>
 
 #include <cstdlib>
@@ -12,7 +12,7 @@
 
 namespace {
 constexpr std::size_t event_bytes = 60;
-constexpr Micros abandoned_grace = millis(500);  // after its caller left, a request reaches no worker any more
+constexpr Micros abandoned_grace = millis(500);  // a request may arrive this long after its client disconnected
 constexpr int max_late_arrivals = 3;
 }  // namespace
 
@@ -49,7 +49,7 @@
   }
   Node const* const node = nodes_.by_ip(conn.peer);
   bool const in_touch = node != nullptr && nodes_.in_touch(*node, at);
-  // Whoever acknowledged it, in touch or not.
+  // The drain counts from its acknowledgement by any node, whether or not that node was in touch with the others.
   if (worker.drain_acknowledged_at >= 0 && at > worker.drain_acknowledged_at + drain_duration && in_touch)
     judge_.report_violation(Promise::drained, id + " came from " + node->name + " to " + worker.id + " " +
                                                   std::to_string((at - worker.drain_acknowledged_at) / 1000) +
@@ -78,7 +78,7 @@
   generation.received_events = last.empty() ? 0 : std::atoll(last.c_str());
   generation.output_tokens = attempt->events * shape_.engine.tokens_per_event;
   if (generation.received_events >= attempt->events) {
-    // Only the end was lost: there is nothing more to say.
+    // The client already has every event and missed only the end of the stream.
     judge_.record_run(*attempt, generation.id, worker.id);
     return answer(
         worker, conn, 200,
@@ -98,7 +98,7 @@
   job.attempt = attempt;
   if (worker.misbehaviour == Misbehaviour::garble && at < worker.misbehaves_until &&
       random_.chance(worker.misbehaviour_probability))
-    // Half of them before anything is said: they have run, and nobody can see it.
+    // Half of the broken answers end before their head: the request has run, and the node cannot tell.
     job.breaks_after =
         random_.chance(0.5) ? 0 : static_cast<std::int64_t>(random_.below(static_cast<std::uint64_t>(attempt->events)));
   conn.job = number;
@@ -131,7 +131,7 @@
               (conn.close_after_answer ? "Connection: close\r\n" : "Keep-Alive: timeout=5\r\n") + "\r\n";
       }
       if (job.breaks_after >= 0 && item.number > job.breaks_after) {
-        // Half of them just end; the others send something that is no part of an answer first.
+        // Half of the broken answers just end; the others first send bytes that are not valid HTTP.
         if (random_.chance(0.5)) send(conn, "\x01\x02 no answer\r\n\r\n");
         job.attempt->worker_broke = true;
         worker.engine.cancel(job.id);
@@ -158,7 +158,7 @@
       on_answer_complete(worker, conn);
       if (!sends_surplus || worker.conns.count(&conn) == 0) return;
       if (random_.chance(0.5)) return send(conn, surplus);
-      // Late: it may come in the place of the next answer.
+      // Sent late, the surplus may arrive where the next answer is expected.
       Worker* const at = &worker;
       std::weak_ptr<Connection> const weak = keep;
       run_after(millis(5 + static_cast<Micros>(random_.below(300))), [this, at, weak, surplus] {
@@ -181,7 +181,7 @@
       if (!job.began) judge_.record_run(*job.attempt, job.id, worker.id);
       worker.jobs.erase(position);
       if (!head_sent) return answer(worker, conn, 504, carried + seal, "");
-      conn.job = 0;  // its end is the worker's own
+      conn.job = 0;  // the worker ends the job itself, so that it does not count as abandoned
       return close_connection(worker, conn);
     }
   }
--- a/testing/platform_fleet_test/workers.cc
+++ b/testing/platform_fleet_test/workers.cc
@@ -30,7 +30,7 @@
   for (std::unique_ptr<Worker>& worker : workers_) end(*worker, true);
 }
 
-// The relay's number for a worker: its own with another third part.
+// The relay's address for a worker: the worker's IP address with another third octet.
 std::string Workers::public_ip_of(std::string const& ip) const {
   if (nodes_.relay() == nullptr) return ip;
   std::size_t const second = ip.find('.', ip.find('.') + 1);
@@ -45,7 +45,7 @@
          std::to_string(1 + last_ip_ % 250);
 }
 
-// Two troubles may have met one worker, and given its address to two others.
+// Two faults may hit one worker, and both then assign its address to a new worker.
 bool Workers::ip_in_use(std::string const& ip) const {
   return std::any_of(workers_.begin(), workers_.end(), [&ip](std::unique_ptr<Worker> const& worker) {
     return worker->state != State::ended && worker->ip == ip;
@@ -65,7 +65,7 @@
   listen(worker);
   Worker* const at = &worker;
   run_after(static_cast<Micros>(random_.below(300000)), [this, at] { heartbeat(*at, 0); });
-  // Heartbeats drift a little, so that they do not come in step.
+  // Intervals differ by up to 20 ms either way, so that the heartbeats do not synchronize.
   run_every(heartbeat_interval + static_cast<Micros>(random_.below(40000)) - 20000, [this, at] {
     if (stopping_ || at->state == State::ended) return false;
     heartbeat(*at, 0);
@@ -147,7 +147,7 @@
   setsockopt(worker.listen_fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   if (::bind(worker.listen_fd, reinterpret_cast<sockaddr*>(&own), sizeof own) != 0 ||
       ::listen(worker.listen_fd, 512) != 0)
-    g_error("platform_fleet_test: %s cannot be listened on", worker.ip.c_str());
+    g_error("platform_fleet_test: cannot listen on %s", worker.ip.c_str());
   std::string const port = ":" + std::to_string(worker_port);
   if (nodes_.relay() != nullptr) nodes_.relay()->open(worker.public_ip + port, worker.ip + port);
   struct Pair {
@@ -234,17 +234,18 @@
   if (conn.cross_zone) count_.cross_zone_bytes += bytes.size();
   if (conn.busy) {
     judge_.report_violation(Promise::unasked,
-                            worker.id + " got bytes of " + conn.peer + " before its answer had ended");
+                            worker.id + " received bytes from " + conn.peer + " before its answer had ended");
     return close_connection(worker, conn);
   }
   std::size_t const took = conn.reader.feed(bytes);
   if (conn.reader.error() != Reader::Error::none) {
-    judge_.report_violation(Promise::unasked, worker.id + " got bytes of " + conn.peer + " that are no request");
+    judge_.report_violation(Promise::unasked,
+                            worker.id + " received bytes from " + conn.peer + " that are not an HTTP request");
     return close_connection(worker, conn);
   }
   if (!conn.reader.complete()) return;
   if (took < bytes.size())
-    judge_.report_violation(Promise::unasked, worker.id + " got more than one request of " + conn.peer);
+    judge_.report_violation(Promise::unasked, worker.id + " received a pipelined request from " + conn.peer);
   conn.busy = true;
   conn.close_after_answer = !conn.head.keep || worker.state == State::draining || random_.chance(0.003);
   conn.reader.next();
--- a/testing/platform_fleet_test/workers.h
+++ b/testing/platform_fleet_test/workers.h
@@ -1,4 +1,4 @@
-// The stand-in model workers: many in one loop, each with an engine, an address and heartbeats of its own.
+// Stand-in model workers. All of them run in one event loop; each has its own engine, IP address and heartbeats.
 #pragma once
 #include <deque>
 #include <map>
@@ -18,36 +18,43 @@
 
 namespace pipit::platform_fleet {
 
-constexpr char other_service[] = "other-lm";  // serves the routes that come and go
+constexpr char other_service[] = "other-lm";  // serves the routes that the operators add and remove
 
+// Counters over all workers.
 struct WorkersTally {
-  std::uint64_t arrivals = 0;        // of requests
-  std::uint64_t probes = 0;          // of reports and health checks
-  std::uint64_t declined = 0;        // turned away, since full
-  std::uint64_t wrong_instance = 0;  // turned away, since another worker was meant
-  std::uint64_t connections = 0;     // taken
-  std::uint64_t over_limit = 0;      // reset, since there were too many
+  std::uint64_t arrivals = 0;        // generation requests received
+  std::uint64_t probes = 0;          // report requests and health checks received
+  std::uint64_t declined = 0;        // rejected because the queue was full
+  std::uint64_t wrong_instance = 0;  // rejected because X-Expected-Instance named another worker
+  std::uint64_t connections = 0;     // accepted
+  std::uint64_t over_limit = 0;      // reset because the worker had reached its connection limit
   std::uint64_t bytes = 0;
   std::uint64_t cross_zone_bytes = 0;
-  std::uint64_t abandoned_while_running = 0;  // left by their caller while the worker was at work
+  std::uint64_t abandoned_while_running = 0;  // cancelled by a disconnect after the run had begun
   std::int64_t tokens_prefilled = 0;
   std::int64_t cached_tokens_reused = 0;
-  std::int64_t recomputed_tokens = 0;  // of parts that some worker had read before
+  std::int64_t recomputed_tokens = 0;  // prompt tokens of parts that some worker had processed before
   std::uint64_t preemptions = 0;
   std::uint64_t unacknowledged_leaves = 0;
 };
 
+// The workers of a test run, with the faults that can be injected into them.
 class Workers {
  public:
   Workers(Shape const& shape, Nodes& nodes, Judge& judge, int net, std::uint64_t seed);
   ~Workers();
 
+  // Starts the workers of every zone, and two that serve `other_service`.
   void start_all();
+  // Ends workers with connection resets. Replacements start after the fault's span unless the workers are `lost`.
   void crash(Fault const& fault);
+  // Workers stop reading, answering and sending heartbeats; after the fault's span they restart at their addresses.
   void silence(Fault const& fault);
+  // Workers drain, one per `gap`, or leave at once if the fault's `x` is positive; each is replaced.
   void release(Fault const& fault);
+  // Workers send surplus or broken answers with probability `x` for the fault's span.
   void misbehave(Fault const& fault);
-  void stop_heartbeats() { stopping_ = true; }  // the experiment ends: no more heartbeats
+  void stop_heartbeats() { stopping_ = true; }  // called at the end of the run; faults start no replacements after it
   WorkersTally tally() const;
 
  private:
@@ -94,7 +101,7 @@
   std::uint64_t last_job_ = 0;
   bool stopping_ = false;
   int reused_ = 0;
-  int late_arrivals_ = 0;  // requests that came half a second after their caller had left, and more
+  int late_arrivals_ = 0;  // requests that arrived long after their client had disconnected
   std::vector<std::unique_ptr<Worker>> workers_;
   std::set<std::uint64_t> prefilled_parts_;
   WorkersTally count_;
--- a/tests/engine.cc
+++ b/tests/engine.cc
@@ -1,4 +1,4 @@
-// The stand-in worker's engine under virtual time.
+// The engine of the stand-in workers, under virtual time.
 #include "testing/platform_fleet_test/engine.h"
 
 #include <gtest/gtest.h>
@@ -46,11 +46,11 @@
 
 }  // namespace
 
-TEST(Engine, a_prompt_is_read_in_pieces_and_events_follow_with_rising_numbers) {
+TEST(Engine, prompt_is_prefilled_in_chunks_and_events_have_rising_numbers) {
   Engine engine(small_config());
   ASSERT_EQ(engine.submit(generation(1, {{10, 2500}}), 0), Engine::Admission::queued);
   std::vector<EngineEvent> const all = advance_until(engine, seconds(1));
-  // Three pieces: 1000, 1000 and 500 tokens; the last step makes the first token.
+  // Three chunks: 1000, 1000 and 500 tokens; the last step also produces the first token.
   Micros const first = 11100 + 11100 + 6100;
   ASSERT_EQ(events_of(all, EngineEvent::Kind::first_token, 1).size(), 1u);
   EXPECT_EQ(events_of(all, EngineEvent::Kind::first_token, 1)[0].at, first);
@@ -65,20 +65,20 @@
   EXPECT_EQ(engine.next_step_end(), -1);
 }
 
-TEST(Engine, long_prompts_hold_up_the_tokens_beside_them_and_a_fuller_batch_is_slower) {
+TEST(Engine, long_prompts_delay_decoding_of_the_batch_and_larger_batches_are_slower) {
   Engine engine(small_config());
   engine.submit(generation(1, {{10, 100}}, 40), 0);
   std::vector<EngineEvent> const alone = advance_until(engine, 2100 + 1100);
   ASSERT_EQ(events_of(alone, EngineEvent::Kind::stream_event, 1).size(), 1u);
   engine.submit(generation(2, {{20, 5000}}, 4), 3200);
-  // The step under way ends as it was begun; those that follow read a piece, with two in the batch.
+  // The current step keeps its duration; the steps that follow process one chunk each, with two requests in the batch.
   std::vector<EngineEvent> const beside = advance_until(engine, 3200 + 1100 + 3 * 11200);
   std::vector<EngineEvent> const events = events_of(beside, EngineEvent::Kind::stream_event, 1);
   ASSERT_EQ(events.size(), 2u);
   EXPECT_EQ(events[1].at - events[0].at, 2 * 11200);
 }
 
-TEST(Engine, a_part_counts_only_while_all_before_it_are_kept) {
+TEST(Engine, cached_part_is_reused_only_if_all_parts_before_it_are_cached) {
   Engine engine(small_config());
   engine.submit(generation(1, {{10, 1000}, {11, 2000}}), 0);
   advance_until(engine, seconds(1));
@@ -87,13 +87,13 @@
   advance_until(engine, seconds(2));
   EXPECT_EQ(engine.tokens_prefilled, 3500);
   EXPECT_EQ(engine.cached_tokens_reused, 3000);
-  // Kept parts behind one that is not kept are read again.
+  // Cached parts behind an uncached part are processed again.
   engine.submit(generation(3, {{99, 100}, {11, 2000}}), seconds(2));
   advance_until(engine, seconds(3));
   EXPECT_EQ(engine.tokens_prefilled, 3500 + 2100);
 }
 
-TEST(Engine, the_parts_unused_longest_give_way_and_those_in_use_stay) {
+TEST(Engine, least_recently_used_parts_are_evicted_first) {
   Engine engine(small_config());
   engine.submit(generation(1, {{10, 3000}}), 0);
   advance_until(engine, seconds(1));
@@ -109,19 +109,19 @@
   EXPECT_LE(engine.cached_tokens(), 10000);
 }
 
-TEST(Engine, a_full_queue_turns_away_and_so_does_a_request_larger_than_memory) {
+TEST(Engine, full_queue_and_requests_larger_than_memory_are_rejected) {
   Engine engine(small_config());
   EXPECT_EQ(engine.submit(generation(9, {{90, 10000}}), 0), Engine::Admission::too_large);
   for (std::uint64_t id = 1; id <= 4; ++id)
     EXPECT_EQ(engine.submit(generation(id, {{id, 100}}), 0), Engine::Admission::queued) << id;
-  EXPECT_EQ(engine.running(), 1) << "the first began a step alone; a place is free for another";
+  EXPECT_EQ(engine.running(), 1) << "the first request began a step alone; the batch has a free slot";
   advance_until(engine, 2100);
   EXPECT_EQ(engine.running(), 2);
   EXPECT_EQ(engine.queued(), 2);
   EXPECT_EQ(engine.submit(generation(5, {{5, 100}}), 2100), Engine::Admission::full);
 }
 
-TEST(Engine, the_more_urgent_go_in_first) {
+TEST(Engine, more_urgent_requests_are_admitted_first) {
   EngineConfig config = small_config();
   config.slots = 1;
   Engine engine(config);
@@ -133,7 +133,7 @@
             events_of(all, EngineEvent::Kind::first_token, 2)[0].at);
 }
 
-TEST(Engine, without_memory_the_newest_of_the_least_urgent_is_read_anew_and_its_stream_goes_on) {
+TEST(Engine, preempted_request_is_prefilled_again_and_its_stream_continues) {
   EngineConfig config = small_config();
   config.cache_tokens = 2100;
   config.tokens_per_event = 1;
@@ -153,7 +153,7 @@
       2u);
 }
 
-TEST(Engine, a_stream_that_is_taken_up_reads_what_was_said_and_goes_on_behind_it) {
+TEST(Engine, resumed_stream_prefills_the_received_events_and_continues_after_them) {
   Engine engine(small_config());
   Generation made = generation(1, {{1, 100}}, 8);
   made.received_events = 3;
@@ -165,7 +165,7 @@
   EXPECT_EQ(engine.tokens_prefilled, 106);
 }
 
-TEST(Engine, time_that_ends_in_the_queue_is_no_run_and_in_the_batch_is_one) {
+TEST(Engine, deadline_in_the_queue_is_not_a_run_and_deadline_in_the_batch_is_one) {
   EngineConfig config = small_config();
   config.slots = 1;
   Engine engine(config);
@@ -182,7 +182,7 @@
   EXPECT_EQ(engine.running() + engine.queued(), 0);
 }
 
-TEST(Engine, whoever_leaves_takes_its_memory_along) {
+TEST(Engine, cancelled_request_frees_its_memory) {
   Engine engine(small_config());
   engine.submit(generation(1, {{1, 3000}}), 0);
   advance_until(engine, 11100);
