--- a/testing/platform_fleet_test/callers.cc
+++ b/testing/platform_fleet_test/callers.cc
@@ -12,10 +12,11 @@
 namespace {
 constexpr Micros tick_span = millis(10);
 constexpr Micros window = seconds(2);
-constexpr std::size_t max_idle_lines = 6;  // connections of one client
+constexpr std::size_t max_idle_lines = 6;  // idle connections per client
 constexpr int max_reused_cut = 3;
-constexpr std::size_t max_failed = 200;  // that are looked for in the logs
+constexpr std::size_t max_failed = 200;  // failed attempts that are looked up in the logs
 
+// The error kind in a JSON answer, after a space; empty if there is none.
 std::string kind_of(std::string const& body) {
   std::size_t const at = body.find("\"kind\":\"");
   if (at == std::string::npos) return "";
@@ -28,8 +29,8 @@
   std::string zone;
   std::uint64_t hash = 0;
   bool keep_alive = false;
-  bool impatient = false;                                                 // ignores the wait that it is told
-  std::vector<std::pair<std::string, std::shared_ptr<Line>>> idle_lines;  // with the node's name
+  bool impatient = false;                                                 // ignores Retry-After, and retries more often
+  std::vector<std::pair<std::string, std::shared_ptr<Line>>> idle_lines;  // each with the name of its node
 };
 
 struct Callers::Request {
@@ -41,11 +42,11 @@
   std::int64_t events = 0;
   std::string path;
   std::string body;
-  double size = 1;  // of its worth
+  double size = 1;  // factor of its value
   Micros arrived_at = 0;
   Micros deadline = 0;
   int attempt_count = 0;
-  // The present try.
+  // State of the current attempt.
   Attempt* attempt = nullptr;
   Node* node = nullptr;
   std::shared_ptr<Line> line;
@@ -53,12 +54,12 @@
   Micros last_progress = 0;
   unsigned status = 0;
   std::string answer;
-  bool awaiting_retry = false;  // between two tries
-  // Over all of them.
+  bool awaiting_retry = false;  // between two attempts
+  // State over all attempts.
   StreamProgress reading;
   Micros first_event = -1;
   Micros last_event = 0;
-  Micros longest_gap = 0;  // pause between events
+  Micros longest_gap = 0;  // longest pause between two events
   bool refused_early = false;
 };
 
@@ -110,7 +111,7 @@
 void Callers::begin() {
   began_ = next_tick_ = now();
   run_every(tick_span, [this] {
-    // However late the loop is, as much comes as should.
+    // Catches up on missed ticks, so that a late event loop does not lower the arrival rate.
     for (Micros const at = now(); !stopped_ && next_tick_ <= at; next_tick_ += tick_span) tick(next_tick_);
     return true;
   });
@@ -141,7 +142,7 @@
                     (1 + shape_.swing * std::sin(2 * 3.14159265358979 * (turn + zone.phase)));
       for (LoadSurge const& surge : surges_)
         if (surge.class_index == class_index) rate *= surge.rate_factor;
-      // Requests come in clumps.
+      // Requests arrive in clumps of `clump` on average.
       double const clumps = rate * static_cast<double>(tick_span) / 1e6 / shape_.clump;
       for (double left = clumps; left > 0; left -= 1) {
         if (!random_.chance(std::min(1.0, left))) continue;
@@ -167,7 +168,7 @@
       if (surge.class_index == class_index && level + 1 == item.shared.size() && surge.hot_share > 0 &&
           random_.chance(surge.hot_share))
         text_index = 0;
-    // A text has one length, whoever asks for it.
+    // The length of a text depends on its hash alone, so that every request with this text agrees on it.
     std::uint64_t const hash = hash_text(item.name + "/" + std::to_string(level) + "/" + std::to_string(text_index));
     RandomSource own(hash);
     std::swap(own, random_);
@@ -209,7 +210,7 @@
   request.reading.run = 0;
   request.sent = request.last_progress = at;
   request.line.reset();
-  // Further tries go out on new connections, and meet other nodes.
+  // Retries use new connections, and other nodes.
   if (client.keep_alive && request.attempt_count == 0) {
     while (!client.idle_lines.empty() && !request.line) {
       std::pair<std::string, std::shared_ptr<Line>> const kept = client.idle_lines.back();
@@ -275,9 +276,9 @@
   request.last_progress = now();
   request.status = status;
   if (status == 200 && request.line->field("x-request-attempt") != request.attempt->id)
-    judge_.report_violation(Promise::mixed, request.attempt->id + " by " + request.attempt->node +
-                                                " got the answer to '" + request.line->field("x-request-attempt") +
-                                                "'");
+    judge_.report_violation(Promise::mixed, request.attempt->id + " through " + request.attempt->node +
+                                                ": the client received the answer to '" +
+                                                request.line->field("x-request-attempt") + "'");
 }
 
 void Callers::on_body(Request& request, std::string_view bytes) {
@@ -311,8 +312,8 @@
     return finish(request, true);
   }
   if (how == Line::End::garbage)
-    judge_.report_violation(Promise::mixed,
-                            request.attempt->id + " by " + request.attempt->node + " got bytes that are no answer");
+    judge_.report_violation(Promise::mixed, request.attempt->id + " through " + request.attempt->node +
+                                                ": the client received bytes that are not an HTTP answer");
   if (how != Line::End::complete) {
     char const* const what = how == Line::End::unreached ? "unreached"
                              : request.status == 200     ? "cut in its stream"
@@ -322,15 +323,16 @@
     ++tally.answers[what];
     if (how == Line::End::cut && nodes_.planned_end(*request.node, request.sent, at) &&
         !request.attempt->worker_broke && (request.attempt->arrivals > 0 || at - request.sent > millis(200)))
-      judge_.report_violation(Promise::lost, request.attempt->id + " by " + request.node->name + ", " + what + " " +
+      judge_.report_violation(Promise::lost, request.attempt->id + " through " + request.node->name + ", " + what +
+                                                 " " +
                                                  std::to_string((at - request.node->termination_requested_at) / 1000) +
-                                                 " ms after it was told to end");
+                                                 " ms after SIGTERM");
     bool const sound = request.attempt->arrivals > 0 && !request.attempt->worker_broke;
     bool const in_touch = nodes_.in_touch(*request.node, request.sent) && nodes_.in_touch(*request.node, at);
     if (how == Line::End::cut && line->kept() && !line->any_byte() && sound && in_touch &&
         ++reused_cut_ > max_reused_cut)
-      judge_.report_violation(Promise::kept_lost, request.attempt->id + " by " + request.node->name);
-    // Nothing of a request goes out before the connection is up.
+      judge_.report_violation(Promise::kept_lost, request.attempt->id + " through " + request.node->name);
+    // Retrying an attempt that could not connect is safe: no byte of the request was sent.
     if (how == Line::End::unreached || item.resumable)
       return retry(request, millis(20 + static_cast<Micros>(jitter_.below(80))));
     return finish(request, false);
@@ -350,8 +352,8 @@
   }
   if (request.status >= 300 && request.status < 500 && nodes_.in_touch(*request.node, request.sent) &&
       nodes_.in_touch(*request.node, at))
-    judge_.report_violation(Promise::denied, request.attempt->id + " by " + request.attempt->node + " got " +
-                                                 std::to_string(request.status));
+    judge_.report_violation(Promise::denied, request.attempt->id + " through " + request.attempt->node +
+                                                 " was rejected with status " + std::to_string(request.status));
   if (request.status >= 500 && item.resumable)
     return retry(request, millis(20 + static_cast<Micros>(jitter_.below(80))));
   finish(request, false);
@@ -379,7 +381,7 @@
     Micros const silence_limit = std::max({seconds(2), item.latency_target * 4, item.max_gap * 8});
     if (at >= request.deadline || (!request.awaiting_retry && at - request.last_progress > silence_limit))
       over.push_back(&request);
-    // Whoever sent into a process that stands still sees that nothing of it is read.
+    // A client that has sent to a frozen process can tell that its bytes are not read; it retries on another node.
     else if (!request.awaiting_retry && item.resumable && request.node->frozen && !request.line->any_byte() &&
              request.sent > request.node->last_fault &&
              at - request.sent > std::min(seconds(1), (request.deadline - request.sent) / 3))
--- a/testing/platform_fleet_test/callers.h
+++ b/testing/platform_fleet_test/callers.h
@@ -1,5 +1,5 @@
-// The callers of an experiment, as the platform's clients behave: streams with shared prompt parts, deadlines, further
-// tries, new and kept connections.
+// Stand-in clients that behave like those of the platform: streamed answers, prompts with shared parts, deadlines,
+// retries, new and reused connections.
 #pragma once
 #include <list>
 #include <map>
@@ -17,43 +17,50 @@
 
 namespace pipit::platform_fleet {
 
+// Counters of one request class.
 struct ClassTally {
   std::uint64_t requests = 0;
   std::uint64_t within_target = 0;
-  std::uint64_t late = 0;  // served, but not in its aim
+  std::uint64_t late = 0;  // served, but not within the latency target or with a gap that is too long
   std::uint64_t unserved = 0;
-  double offered_value = 0;
+  double offered_value = 0;  // what all requests are worth when served within the target
   double earned = 0;
-  std::vector<Micros> first;  // from the caller's first try to the first event
+  std::vector<Micros> first;  // time from the arrival of the request to the first event
 };
 
+// Counters over all clients.
 struct CallersTally {
   std::vector<ClassTally> classes;
-  std::map<std::string, std::pair<double, double>> zones;     // earned, owed
-  std::map<std::int64_t, std::pair<double, double>> windows;  // of two seconds
-  std::map<std::string, std::uint64_t> answers;               // that are no success: by status and kind
+  std::map<std::string, std::pair<double, double>> zones;     // value earned and value offered
+  std::map<std::int64_t, std::pair<double, double>> windows;  // the same by time windows of 2 s
+  std::map<std::string, std::uint64_t> answers;               // failures, by status and error kind
   std::uint64_t attempts = 0;
   std::uint64_t retries = 0;
   std::uint64_t resumes = 0;
-  std::uint64_t abandoned = 0;  // silence, or the deadline
+  std::uint64_t abandoned = 0;  // requests dropped by the client, after silence or at the deadline
   std::uint64_t dialled = 0;
   std::uint64_t reused = 0;
   std::uint64_t bytes = 0;
 };
 
+// The clients of a test run. They send requests at the rates of the shape, and report each answer to the judge.
 class Callers {
  public:
   Callers(Shape const& shape, Nodes& nodes, Judge& judge, int net, std::uint64_t seed, double scale);
   ~Callers();
 
+  // Starts the arrivals.
   void begin();
+  // Ends the arrivals; requests in flight continue.
   void stop() { stopped_ = true; }
   bool idle() const { return requests_.empty(); }
+  // Starts a surge of the class in the fault's `on`, or of all: a higher rate (burst) or a hot prompt part (hot).
   void perform(Fault const& fault);
-  // The share of the requests that came so long after the beginning or later, and were served; nothing where none came.
+  // Share of the finished requests that arrived at least `span` after begin() and were served; nullopt if there are
+  // none.
   std::optional<double> served_since(Micros span) const;
   CallersTally tally;
-  // Attempts that failed at nodes in touch, whose logs must explain them.
+  // Attempts that failed at nodes in touch with the others; the nodes' logs must explain them.
   struct FailedAttempt {
     std::string attempt;
     std::string node;
@@ -63,6 +70,7 @@
  private:
   struct Client;
   struct Request;
+  // A temporary change of one class's load.
   struct LoadSurge {
     std::size_t class_index = 0;
     double rate_factor = 1;
@@ -87,18 +95,19 @@
   Nodes& nodes_;
   Judge& judge_;
   int const net_;
-  RandomSource random_;  // of what comes: the same for the same seed
-  RandomSource jitter_;  // of what depends on how things went
+  RandomSource random_;  // for the arrivals, which depend on the seed alone
+  RandomSource jitter_;  // for reactions to answers, so that these do not change the arrivals
   double const scale_;
   bool stopped_ = false;
-  int reused_cut_ = 0;  // kept connections that ended without an answer, at nodes in touch
+  int reused_cut_ = 0;  // reused connections closed without an answer by nodes in touch
   Micros began_ = 0;
-  std::vector<std::pair<Micros, bool>> outcomes_;  // when a request came, and whether it was served
+  std::vector<std::pair<Micros, bool>> outcomes_;  // arrival time of each finished request, and whether it was served
   Micros next_tick_ = 0;
   std::uint64_t last_id_ = 0;
   std::map<std::string, std::vector<std::unique_ptr<Client>>> clients_;  // by zone
   std::map<std::uint64_t, std::unique_ptr<Request>> requests_;
-  std::map<std::pair<std::size_t, std::size_t>, std::vector<double>> text_weights_;  // of things, summed up
+  std::map<std::pair<std::size_t, std::size_t>, std::vector<double>>
+      text_weights_;  // cumulative weights of the texts, by class and part index
   std::vector<LoadSurge> surges_;
 };
 
--- a/testing/platform_fleet_test/clock.h
+++ b/testing/platform_fleet_test/clock.h
@@ -1,4 +1,4 @@
-// Time in an experiment: whole microseconds on a clock that never steps back, and calls in later turns of the loop.
+// Time of a test run: a monotonic clock in microseconds, and timers on the GLib main loop.
 #pragma once
 #include <glib.h>
 
@@ -9,9 +9,11 @@
 
 namespace pipit::platform_fleet {
 
+// Monotonic time in microseconds.
 inline Micros now() { return g_get_monotonic_time(); }
 
-// Once, about that much later. Whatever it refers to lives as long as the loop runs.
+// Calls once after `span`, rounded up to milliseconds. The timer cannot be cancelled: what the call refers to must
+// outlive the loop.
 inline void run_after(Micros span, std::function<void()> call) {
   g_timeout_add_full(
       G_PRIORITY_DEFAULT, static_cast<guint>(std::max<Micros>(0, (span + 999) / 1000)),
@@ -23,7 +25,7 @@
       [](gpointer data) { delete static_cast<std::function<void()>*>(data); });
 }
 
-// Again and again, as long as it says so.
+// Calls every `span` (whole milliseconds, at least 1) until the call returns false.
 inline void run_every(Micros span, std::function<bool()> call) {
   g_timeout_add_full(
       G_PRIORITY_DEFAULT, static_cast<guint>(std::max<Micros>(1, span / 1000)),
--- a/testing/platform_fleet_test/figures.cc
+++ b/testing/platform_fleet_test/figures.cc
@@ -50,7 +50,7 @@
   simdjson::dom::element root;
   simdjson::dom::object figures;
   if (parser.load(path).get(root) || root["figures"].get_object().get(figures))
-    return fail(ErrorCode::bad_settings, "'" + path + "' is no report of an experiment");
+    return fail(ErrorCode::bad_settings, "'" + path + "' is not a report of a fleet test run");
   Figures out;
   for (simdjson::dom::key_value_pair const& field : figures) {
     double value = 0;
--- a/testing/platform_fleet_test/judge.cc
+++ b/testing/platform_fleet_test/judge.cc
@@ -10,7 +10,7 @@
 namespace {
 constexpr std::size_t max_details = 40;
 
-// How many of the sorted times lie in [from, from + span).
+// Number of the sorted times that lie in [from, from + span).
 std::size_t count_within(std::vector<Micros> const& times, Micros from, Micros span) {
   return static_cast<std::size_t>(std::lower_bound(times.begin(), times.end(), from + span) -
                                   std::lower_bound(times.begin(), times.end(), from));
@@ -56,12 +56,12 @@
                                std::string const& service, std::string const& worker, Micros now) {
   std::map<std::string, Attempt>::iterator const position = attempts_.find(id);
   if (position == attempts_.end()) {
-    report_violation(Promise::unasked, worker + " got '" + id + "' " + target);
+    report_violation(Promise::unasked, worker + " received attempt '" + id + "' " + target);
     return nullptr;
   }
   Attempt& attempt = position->second;
   if (attempt.target != target || attempt.body != body) {
-    report_violation(Promise::unasked, worker + " got " + id + " changed: " + target);
+    report_violation(Promise::unasked, worker + " received " + id + " with another target or body: " + target);
     return nullptr;
   }
   if (++attempt.arrivals > 1) {
@@ -73,16 +73,17 @@
 
 void Judge::record_run(Attempt& attempt, std::uint64_t seal, std::string const& worker) {
   attempt.seals.insert(seal);
-  if (++attempt.runs > 1 && !attempt.repeatable) report_violation(Promise::twice, attempt.id + " at " + worker);
+  if (++attempt.runs > 1 && !attempt.repeatable)
+    report_violation(Promise::twice, attempt.id + " ran again at " + worker);
   if (attempt.refused && !attempt.repeatable)
-    report_violation(Promise::refused_ran, attempt.id + " ran later at " + worker);
+    report_violation(Promise::refused_ran, attempt.id + " ran at " + worker + " after it was refused");
 }
 
 void Judge::record_refusal(Attempt& attempt, unsigned status) {
   attempt.refused = true;
   if (attempt.runs > 0 && !attempt.repeatable)
-    report_violation(Promise::refused_ran,
-                     attempt.id + " had run when it got " + std::to_string(status) + " of " + attempt.node);
+    report_violation(Promise::refused_ran, attempt.id + " had run before " + attempt.node + " refused it with status " +
+                                               std::to_string(status));
 }
 
 std::vector<std::int64_t> Judge::read_events(Attempt const& attempt, StreamProgress& reading, std::string_view bytes,
@@ -101,13 +102,14 @@
     if (std::sscanf(event.c_str(), "id: %lld\ndata: %63s %lld %llu %lld", &number, id, &repeated_number, &run, &made) !=
             5 ||
         number != repeated_number || attempt.id != id || attempt.seals.count(run) == 0) {
-      report_violation(Promise::mixed, attempt.id + " by " + attempt.node + " got '" + event.substr(0, 80) + "'");
+      report_violation(Promise::mixed,
+                       attempt.id + " through " + attempt.node + ": the client received '" + event.substr(0, 80) + "'");
       reading.invalid = true;
       break;
     }
     if (number != reading.last_event + 1 || (reading.run != 0 && reading.run != run && !attempt.repeatable)) {
-      report_violation(Promise::order, attempt.id + " by " + attempt.node + " got event " + std::to_string(number) +
-                                           " of run " + std::to_string(run) + " after " +
+      report_violation(Promise::order, attempt.id + " through " + attempt.node + ": the client received event " +
+                                           std::to_string(number) + " of run " + std::to_string(run) + " after " +
                                            std::to_string(reading.last_event) + " of run " +
                                            std::to_string(reading.run));
       reading.invalid = true;
@@ -127,12 +129,14 @@
   if (reading.invalid) return;
   std::uint64_t const run = std::strtoull(seal.c_str(), nullptr, 10);
   if (seal.empty() || attempt.seals.count(run) == 0)
-    report_violation(Promise::mixed,
-                     attempt.id + " by " + attempt.node + " got a success with the seal '" + seal + "'");
+    report_violation(Promise::mixed, attempt.id + " through " + attempt.node +
+                                         ": the client received a success with the seal '" + seal + "'");
   if (!reading.partial_event.empty())
-    report_violation(Promise::mixed, attempt.id + " by " + attempt.node + " got a success that ends inside an event");
+    report_violation(Promise::mixed, attempt.id + " through " + attempt.node +
+                                         ": the client received a success that ends inside an event");
   if (reading.last_event < attempt.events)
-    report_violation(Promise::order, attempt.id + " by " + attempt.node + " ended as whole after event " +
+    report_violation(Promise::order, attempt.id + " through " + attempt.node +
+                                         ": the stream ended as complete after event " +
                                          std::to_string(reading.last_event) + " of " + std::to_string(attempt.events));
 }
 
@@ -147,8 +151,8 @@
       std::size_t const base = std::max({count_within(asked, from, window), count_within(asked, from - window, window),
                                          count_within(asked, from - window / 2, window)});
       if (static_cast<double>(found) <= ratio * static_cast<double>(base) + extra) continue;
-      report_violation(Promise::too_many_retries, item.first + " got " + std::to_string(found) + " repeats beside " +
-                                                      std::to_string(base) + " requests");
+      report_violation(Promise::too_many_retries, item.first + " received " + std::to_string(found) +
+                                                      " repeated arrivals for " + std::to_string(base) + " requests");
       break;
     }
   }
--- a/testing/platform_fleet_test/rude_clients.cc
+++ b/testing/platform_fleet_test/rude_clients.cc
@@ -13,7 +13,7 @@
   for (int n = 0; n < count; ++n) run_after(gap * n, [this] { connect_one(); });
 }
 
-// Nothing of it may reach a worker: what is whole goes to a path that no route has.
+// Bytes of a random malformed request. None may reach a worker: complete requests use a path without a route.
 std::string RudeClients::random_bytes() {
   std::string const head = "POST /nowhere/ HTTP/1.1\r\nHost: rude.example\r\n";
   switch (random_.below(7)) {
--- a/testing/platform_fleet_test/rude_clients.h
+++ b/testing/platform_fleet_test/rude_clients.h
@@ -1,5 +1,5 @@
-// Clients that misbehave: half requests, bytes that are none, heads that are too large, bodies that stop, and whole
-// requests whose client leaves at once. None of them is owed anything; the others are.
+// Misbehaving clients: truncated requests, bytes that are not HTTP, oversized heads, bodies that stop, and complete
+// requests whose client disconnects at once. Their answers are not checked; they must not harm the other clients.
 #pragma once
 #include <deque>
 #include <memory>
@@ -11,10 +11,11 @@
 
 namespace pipit::platform_fleet {
 
+// Opens connections to random nodes and sends malformed requests.
 class RudeClients {
  public:
   RudeClients(Nodes& nodes, int net, std::uint64_t seed) : nodes_(nodes), net_(net), random_(seed) {}
-  // So many, one after the other.
+  // Connects `count` clients, one every `gap`.
   void connect_clients(int count, Micros gap);
   std::uint64_t connected = 0;
 
--- a/testing/platform_fleet_test/shapes.cc
+++ b/testing/platform_fleet_test/shapes.cc
@@ -79,7 +79,7 @@
   return out;
 }
 
-// So few and so small that a busy machine plays it too.
+// Small enough to run on a busy machine.
 Shape tiny() {
   Shape out;
   out.name = "tiny";
@@ -95,8 +95,8 @@
   return out;
 }
 
-// As small as the tiny one, with a replica more and machines without a disk in two zones: what is lost of it leaves
-// enough.
+// Like tiny(), with one more replica and machines without a disk in two zones, so that the rest suffices after
+// permanent losses.
 Shape soak() {
   Shape out = tiny();
   out.name = "soak";
--- a/testing/platform_fleet_test/shapes.h
+++ b/testing/platform_fleet_test/shapes.h
@@ -1,4 +1,4 @@
-// The sizes of what an experiment plays: two like the users' small sites, and a tiny one for tests.
+// Sizes and loads of the simulated sites: two that resemble the users' small sites, and smaller ones for tests.
 #pragma once
 #include <string>
 #include <vector>
@@ -8,20 +8,21 @@
 
 namespace pipit::platform_fleet {
 
-// A figure with a mean and a spread (standard deviation over mean), log-normal, never above its most.
+// A log-normal distribution, cut off at `max`. `spread` is the standard deviation divided by the mean.
 struct Spread {
   double mean = 0;
   double spread = 0;
   double max = 0;
 };
 
-// A shared part of prompts: one of 'things' texts, the first ones asked for more often by 'skew'.
+// A prompt part that requests share: one of `variants` texts. Text i (from 1) is chosen with weight i^-skew.
 struct SharedPart {
   Spread tokens;
   std::size_t variants = 1;
   double skew = 0;
 };
 
+// A kind of request: its routing, its value to the client and its size.
 struct RequestClass {
   std::string name;
   std::string host;
@@ -29,8 +30,8 @@
   bool resumable = false;
   Micros latency_target = 0;
   Micros deadline = 0;
-  Micros max_gap = 0;
-  double value = 1;
+  Micros max_gap = 0;  // longest pause between events that the client accepts
+  double value = 1;    // when served within the target
   double late_value = 0;
   int priority = 0;
   int max_attempts = 1;
@@ -39,9 +40,10 @@
   Spread events;
   Spread own_tokens;
   std::vector<SharedPart> shared;
-  double per_second = 0;  // over all zones
+  double per_second = 0;  // requests per second, over all zones
 };
 
+// A zone of a shape, with its machines and its share of the load.
 struct Zone {
   std::string name;
   int core_nodes = 1;
@@ -49,27 +51,29 @@
   int workers = 4;
   double share = 1;  // of all requests
   int clients = 10;
-  double phase = 0;  // of its wave, in parts of a period
+  double phase = 0;  // phase of its load wave, as a fraction of the period
 };
 
+// A simulated site.
 struct Shape {
   std::string name;
   std::string service;
   std::string model;
   std::vector<Zone> zones;
   EngineConfig engine;
-  Micros report_lag = millis(200);
+  Micros report_lag = millis(200);  // age of the load reports that workers serve
   std::int64_t connection_limit = 300;
   std::vector<RequestClass> classes;
-  double swing = 0.15;
-  Micros period = seconds(11);
-  int clump = 3;
+  double swing = 0.15;          // amplitude of the load wave, relative to the mean rate
+  Micros period = seconds(11);  // of the load wave
+  int clump = 3;                // mean number of requests that arrive together
   double retry_ratio = 0.2;
   int extra_retries = 58;
 };
 
-// nullptr when there is none of that name.
+// The shape of that name; nullptr if there is none.
 Shape const* shape_of(std::string const& name);
+// Names of all shapes, separated by commas.
 std::string shape_names();
 
 }  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/worker_requests.cc
+++ b/testing/platform_fleet_test/worker_requests.cc
@@ -44,21 +44,23 @@
   }
   if (attempt == nullptr) return answer(worker, conn, 500, carried, "");
   if (attempt->service != worker.service) {
-    judge_.report_violation(Promise::misrouted, id + " for " + attempt->service + " came to " + worker.service);
+    judge_.report_violation(Promise::misrouted,
+                            id + " for " + attempt->service + " reached a worker of " + worker.service);
     return answer(worker, conn, 500, carried, "");
   }
   Node const* const node = nodes_.by_ip(conn.peer);
   bool const in_touch = node != nullptr && nodes_.in_touch(*node, at);
   // The drain counts from its acknowledgement by any node, whether or not that node was in touch with the others.
   if (worker.drain_acknowledged_at >= 0 && at > worker.drain_acknowledged_at + drain_duration && in_touch)
-    judge_.report_violation(Promise::drained, id + " came from " + node->name + " to " + worker.id + " " +
+    judge_.report_violation(Promise::drained, id + " reached " + worker.id + " from " + node->name + " " +
                                                   std::to_string((at - worker.drain_acknowledged_at) / 1000) +
-                                                  " ms after it was told at " + worker.drain_acknowledged_by);
+                                                  " ms after its drain was acknowledged by " +
+                                                  worker.drain_acknowledged_by);
   if (attempt->abandoned_at >= 0 && at - attempt->abandoned_at > abandoned_grace && in_touch &&
       ++late_arrivals_ > max_late_arrivals)
-    judge_.report_violation(Promise::gone, id + " came from " + node->name + " to " + worker.id + " " +
+    judge_.report_violation(Promise::gone, id + " reached " + worker.id + " from " + node->name + " " +
                                                std::to_string((at - attempt->abandoned_at) / 1000) +
-                                               " ms after its caller had left");
+                                               " ms after its client had disconnected");
   Generation generation;
   generation.id = ++last_job_;
   std::string const priority = conn.head.get("X-Request-Priority");
