--- a/testing/fuzz/readers.cc
+++ b/testing/fuzz/readers.cc
@@ -66,11 +66,12 @@
 // Reads the text in pieces that end at the cuts, which must be sorted.
 ReadResult read(bool requests, std::string_view text, std::vector<std::size_t> const& cuts) {
   ReadResult out;
-  Reader reader(requests);
-  reader.limit(max_head_bytes, max_body_bytes);
+  HttpParser reader(requests);
+  reader.set_limits(max_head_bytes, max_body_bytes);
   std::string message;
   reader.callbacks.head = [&](Head& head) {
-    message = (requests ? head.method + " " + head.target : std::to_string(head.status)) + (head.keep ? " k|" : "|");
+    message =
+        (requests ? head.method + " " + head.target : std::to_string(head.status)) + (head.keep_alive ? " k|" : "|");
     for (std::pair<std::string, std::string> const& item : head.fields) message += item.first + "=" + item.second + "|";
     return true;
   };
@@ -89,13 +90,13 @@
     from = to;
     while (!rest.empty()) {
       std::size_t const consumed = reader.feed(rest);
-      if (reader.error() != Reader::Error::none) {
+      if (reader.error() != HttpParser::Error::none) {
         out.refused = true;
         return out;
       }
       rest.remove_prefix(std::min(consumed, rest.size()));
       if (reader.complete())
-        reader.next();
+        reader.start_next_message();
       else if (!rest.empty() && consumed == 0) {
         out.refused = true;
         return out;
--- a/testing/platform_fleet_test/rude_clients.h
+++ b/testing/platform_fleet_test/rude_clients.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "base/random.h"
-#include "net/link.h"
+#include "net/tcp_connection.h"
 #include "testing/platform_fleet_test/nodes.h"
 
 namespace pipit::platform_fleet {
@@ -26,7 +26,7 @@
   Nodes& nodes_;
   int const net_;
   RandomSource random_;
-  std::deque<std::shared_ptr<Link>> links_;
+  std::deque<std::shared_ptr<TcpConnection>> links_;
 };
 
 }  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/worker_parts.h
+++ b/testing/platform_fleet_test/worker_parts.h
@@ -21,8 +21,8 @@
 
 // A connection accepted by a worker.
 struct Workers::Connection {
-  std::shared_ptr<Link> link;
-  Reader reader{true};
+  std::shared_ptr<TcpConnection> link;
+  HttpParser reader{true};
   Head head;
   std::string body;
   bool busy = false;
--- a/testing/platform_fleet_test/workers.cc
+++ b/testing/platform_fleet_test/workers.cc
@@ -175,7 +175,7 @@
     ++count_.connections;
     std::shared_ptr<Connection> const made = std::make_shared<Connection>();
     Connection* const conn = made.get();
-    conn->link = Link::adopt(fd);
+    conn->link = TcpConnection::adopt(fd);
     Node const* const node = nodes_.by_ip(peer);
     conn->peer = node != nullptr ? node->ip : peer;
     conn->idle_since = now();
@@ -195,18 +195,18 @@
     conn->reader.callbacks.body = [conn](std::string_view bytes) { conn->body.append(bytes); };
     conn->reader.callbacks.complete = [] {};
     Worker* const at = &worker;
-    conn->link->listen({nullptr,
-                        [this, at, conn](std::string_view bytes) {
-                          std::map<Connection*, std::shared_ptr<Connection>>::iterator const position =
-                              at->conns.find(conn);
-                          if (position == at->conns.end()) return;
-                          std::shared_ptr<Connection> const keep = position->second;
-                          on_bytes(*at, *conn, bytes);
-                        },
-                        [this, at, conn](Link::End) {
-                          if (at->conns.count(conn) > 0) close_connection(*at, *conn);
-                        },
-                        nullptr});
+    conn->link->set_callbacks({nullptr,
+                               [this, at, conn](std::string_view bytes) {
+                                 std::map<Connection*, std::shared_ptr<Connection>>::iterator const position =
+                                     at->conns.find(conn);
+                                 if (position == at->conns.end()) return;
+                                 std::shared_ptr<Connection> const keep = position->second;
+                                 on_bytes(*at, *conn, bytes);
+                               },
+                               [this, at, conn](TcpConnection::CloseReason) {
+                                 if (at->conns.count(conn) > 0) close_connection(*at, *conn);
+                               },
+                               nullptr});
   }
 }
 
@@ -238,7 +238,7 @@
     return close_connection(worker, conn);
   }
   std::size_t const took = conn.reader.feed(bytes);
-  if (conn.reader.error() != Reader::Error::none) {
+  if (conn.reader.error() != HttpParser::Error::none) {
     judge_.report_violation(Promise::unasked,
                             worker.id + " received bytes from " + conn.peer + " that are not an HTTP request");
     return close_connection(worker, conn);
@@ -247,8 +247,8 @@
   if (took < bytes.size())
     judge_.report_violation(Promise::unasked, worker.id + " received a pipelined request from " + conn.peer);
   conn.busy = true;
-  conn.close_after_answer = !conn.head.keep || worker.state == State::draining || random_.chance(0.003);
-  conn.reader.next();
+  conn.close_after_answer = !conn.head.keep_alive || worker.state == State::draining || random_.chance(0.003);
+  conn.reader.start_next_message();
   on_request(worker, conn);
 }
 
@@ -273,8 +273,8 @@
   conn.idle_since = now();
   if (!conn.close_after_answer) return;
   worker.conns.erase(&conn);
-  keep->link->listen({});
-  keep->link->finish();
+  keep->link->set_callbacks({});
+  keep->link->close_after_flush();
 }
 
 }  // namespace pipit::platform_fleet
--- a/testing/request_model_checker/request_path_model.cc
+++ b/testing/request_model_checker/request_path_model.cc
@@ -72,7 +72,7 @@
 struct RequestPathModel::CallerConnection {
   std::string name;
   int fd = -1;
-  std::unique_ptr<Reader> reader;
+  std::unique_ptr<HttpParser> reader;
   std::string awaited_id;  // id of the request that it awaits the answer to; empty if none
   std::string unsent;      // the rest of a request that has been sent in part
   Head head;
@@ -86,7 +86,7 @@
 // A connection of the proxy to a worker.
 struct RequestPathModel::WorkerConnection {
   int fd = -1;
-  Reader reader{true};
+  HttpParser reader{true};
   Head head;
   std::string body;
   std::string unread;             // bytes received that have not been parsed
@@ -129,7 +129,7 @@
   };
   callbacks.disconnected = [this](std::uint64_t id) { return dispatcher_.on_client_disconnect(id, loop_time()); };
   proxy_ = std::make_unique<RequestProxy>(dispatcher_, dialect(), "", std::move(callbacks));
-  proxy_->upstream.dial_by([this](std::string const& address, std::string const&, Micros) { return dial(address); });
+  proxy_->upstream.set_dialer([this](std::string const& address, std::string const&, Micros) { return dial(address); });
   for (int n = 0; n < 2; ++n) {
     callers_.push_back(std::make_unique<CallerConnection>());
     callers_.back()->name = "caller " + std::to_string(n + 1);
@@ -178,7 +178,7 @@
   int ends[2];
   if (!socket_pair(ends)) return add_fault("a socket pair cannot be created");
   caller.fd = ends[0];
-  caller.reader = std::make_unique<Reader>(false);
+  caller.reader = std::make_unique<HttpParser>(false);
   caller.complete = false;
   caller.reader->callbacks.head = [&caller](Head& head) {
     caller.head = head;
@@ -187,7 +187,7 @@
   };
   caller.reader->callbacks.body = [&caller](std::string_view bytes) { caller.body.append(bytes); };
   caller.reader->callbacks.complete = [&caller] { caller.complete = true; };
-  proxy_->server.adopt(Link::adopt(ends[1]));
+  proxy_->server.adopt(TcpConnection::adopt(ends[1]));
 }
 
 void RequestPathModel::send_request(CallerConnection& caller, std::size_t kind) {
@@ -235,14 +235,14 @@
       break;
     }
     std::size_t const consumed = caller.reader->feed(rest);
-    if (caller.reader->error() != Reader::Error::none) {
+    if (caller.reader->error() != HttpParser::Error::none) {
       add_fault(caller.name + " received bytes that are not an HTTP answer");
       break;
     }
     rest.remove_prefix(std::min(consumed, rest.size()));
     if (!caller.complete) continue;
     caller.complete = false;
-    caller.reader->next();
+    caller.reader->start_next_message();
     judge_answer(caller);
   }
   if (open) return !received.empty();
@@ -305,7 +305,7 @@
 
 // ---- workers ----
 
-std::shared_ptr<Link> RequestPathModel::dial(std::string const& address) {
+std::shared_ptr<TcpConnection> RequestPathModel::dial(std::string const& address) {
   for (std::unique_ptr<Worker> const& worker : workers_) {
     if (worker->address != address || !worker->running) continue;
     int ends[2];
@@ -320,9 +320,9 @@
     };
     connection->reader.callbacks.body = [at](std::string_view bytes) { at->body.append(bytes); };
     worker->connections.push_back(std::move(connection));
-    return Link::opening(ends[1], seconds(60));
+    return TcpConnection::adopt_connecting(ends[1], seconds(60));
   }
-  return Link::dial("nowhere", "", millis(1));
+  return TcpConnection::dial("nowhere", "", millis(1));
 }
 
 void RequestPathModel::heartbeat(Worker const& worker, bool leaving) {
@@ -365,11 +365,11 @@
   bool const open = drain_socket(connection.fd, connection.unread);
   while (connection.current_id.empty() && !connection.unread.empty()) {
     std::size_t const consumed = connection.reader.feed(connection.unread);
-    if (connection.reader.error() != Reader::Error::none)
+    if (connection.reader.error() != HttpParser::Error::none)
       return add_fault(worker.id + " received bytes that are not a request");
     connection.unread.erase(0, consumed);
     if (!connection.reader.complete()) break;
-    connection.reader.next();
+    connection.reader.start_next_message();
     receive_request(worker, connection, connection.head, connection.body);
   }
   if (!open && connection.current_id.empty()) close_connection(connection);
@@ -446,7 +446,7 @@
   }
   while (connection.events_sent < max_events) {
     ++connection.events_sent;
-    send(connection, chunk_text(event_text(item.id, connection.events_sent)));
+    send(connection, encode_chunk(event_text(item.id, connection.events_sent)));
     if (variant > 0) break;
   }
   if (variant == 0) send(connection, "0\r\n\r\n");
@@ -666,8 +666,8 @@
       if (stopping_) return;
       stopping_ = true;
       record_event("the node begins to stop");
-      proxy_->server.closing();
-      return proxy_->server.close_idle();
+      proxy_->server.close_after_responses();
+      return proxy_->server.close_idle_connections();
   }
 }
 
