--- a/testing/platform_fleet_test/callers.cc
+++ b/testing/platform_fleet_test/callers.cc
@@ -143,11 +143,11 @@
       for (LoadSurge const& surge : surges_)
         if (surge.class_index == class_index) rate *= surge.rate_factor;
       // Requests arrive in clumps of `clump` on average.
-      double const clumps = rate * static_cast<double>(tick_span) / 1e6 / shape_.clump;
-      for (double left = clumps; left > 0; left -= 1) {
-        if (!random_.chance(std::min(1.0, left))) continue;
-        std::uint64_t const many = 1 + random_.below(static_cast<std::uint64_t>(2 * shape_.clump - 1));
-        for (std::uint64_t i = 0; i < many; ++i) start_request(zone, class_index);
+      double const expected_clumps = rate * static_cast<double>(tick_span) / 1e6 / shape_.clump;
+      for (double remaining = expected_clumps; remaining > 0; remaining -= 1) {
+        if (!random_.chance(std::min(1.0, remaining))) continue;
+        std::uint64_t const clump_size = 1 + random_.below(static_cast<std::uint64_t>(2 * shape_.clump - 1));
+        for (std::uint64_t i = 0; i < clump_size; ++i) start_request(zone, class_index);
       }
     }
 }
@@ -158,8 +158,8 @@
   Request& request = *made;
   request.id = ++last_id_;
   request.class_index = class_index;
-  std::vector<std::unique_ptr<Client>>& here = clients_[zone.name];
-  request.client = here[random_.below(here.size())].get();
+  std::vector<std::unique_ptr<Client>>& zone_clients = clients_[zone.name];
+  request.client = zone_clients[random_.below(zone_clients.size())].get();
   char text[64];
   for (std::size_t level = 0; level < item.shared.size(); ++level) {
     SharedPart const& part = item.shared[level];
@@ -301,9 +301,9 @@
   Micros const at = now();
   std::shared_ptr<Line> const line = request.line;
   bool const served = how == Line::End::complete && request.status == 200;
-  bool const by_node = how == Line::End::complete || (how == Line::End::cut && line->any_byte());
-  if (!served && by_node && nodes_.in_touch(*request.node, request.sent) && nodes_.in_touch(*request.node, at) &&
-      failed.size() < max_failed)
+  bool const answered_or_cut = how == Line::End::complete || (how == Line::End::cut && line->any_byte());
+  if (!served && answered_or_cut && nodes_.in_touch(*request.node, request.sent) &&
+      nodes_.in_touch(*request.node, at) && failed.size() < max_failed)
     failed.push_back({request.attempt->id, request.node->name});
   if (how == Line::End::complete && request.status == 200) {
     judge_.record_complete(*request.attempt, request.reading, line->field("x-server-seal"));
@@ -327,9 +327,9 @@
                                                  " " +
                                                  std::to_string((at - request.node->termination_requested_at) / 1000) +
                                                  " ms after SIGTERM");
-    bool const sound = request.attempt->arrivals > 0 && !request.attempt->worker_broke;
+    bool const reached_sound_worker = request.attempt->arrivals > 0 && !request.attempt->worker_broke;
     bool const in_touch = nodes_.in_touch(*request.node, request.sent) && nodes_.in_touch(*request.node, at);
-    if (how == Line::End::cut && line->kept() && !line->any_byte() && sound && in_touch &&
+    if (how == Line::End::cut && line->kept() && !line->any_byte() && reached_sound_worker && in_touch &&
         ++reused_cut_ > max_reused_cut)
       judge_.report_violation(Promise::kept_lost, request.attempt->id + " through " + request.node->name);
     // Retrying an attempt that could not connect is safe: no byte of the request was sent.
@@ -338,8 +338,9 @@
     return finish(request, false);
   }
   ++tally.answers[std::to_string(request.status) + kind_of(request.answer)];
-  bool const promise = request.status == 408 || request.status == 421 || request.status == 429 || request.status == 503;
-  if (promise) {
+  bool const promises_no_run =
+      request.status == 408 || request.status == 421 || request.status == 429 || request.status == 503;
+  if (promises_no_run) {
     judge_.record_refusal(*request.attempt, request.status);
     if (request.attempt_count == 1 && at - request.arrived_at < item.latency_target / 4 && request.attempt->runs == 0)
       request.refused_early = true;
@@ -360,8 +361,8 @@
 }
 
 void Callers::retry(Request& request, Micros wait) {
-  int const most = 1 + shape_.classes[request.class_index].retries + (request.client->impatient ? 2 : 0);
-  if (request.attempt_count >= most || now() + wait >= request.deadline) return finish(request, false);
+  int const max_attempts = 1 + shape_.classes[request.class_index].retries + (request.client->impatient ? 2 : 0);
+  if (request.attempt_count >= max_attempts || now() + wait >= request.deadline) return finish(request, false);
   request.awaiting_retry = true;
   request.line.reset();
   std::uint64_t const number = request.id;
@@ -373,21 +374,21 @@
 
 void Callers::close_overdue() {
   Micros const at = now();
-  std::vector<Request*> over;
+  std::vector<Request*> overdue;
   std::vector<Request*> unread;
   for (std::pair<std::uint64_t const, std::unique_ptr<Request>> const& position : requests_) {
     Request& request = *position.second;
     RequestClass const& item = shape_.classes[request.class_index];
     Micros const silence_limit = std::max({seconds(2), item.latency_target * 4, item.max_gap * 8});
     if (at >= request.deadline || (!request.awaiting_retry && at - request.last_progress > silence_limit))
-      over.push_back(&request);
+      overdue.push_back(&request);
     // A client that has sent to a frozen process can tell that its bytes are not read; it retries on another node.
     else if (!request.awaiting_retry && item.resumable && request.node->frozen && !request.line->any_byte() &&
              request.sent > request.node->last_fault &&
              at - request.sent > std::min(seconds(1), (request.deadline - request.sent) / 3))
       unread.push_back(&request);
   }
-  for (Request* const request : over) {
+  for (Request* const request : overdue) {
     ++tally.abandoned;
     ++tally.answers[at >= request->deadline ? "no answer by the deadline" : "silence"];
     if (request->line) request->line->close();
@@ -440,9 +441,9 @@
   std::pair<double, double>& zone = tally.zones[request.client->zone];
   zone.first += earned;
   zone.second += offered_value;
-  std::pair<double, double>& slice = tally.windows[(request.arrived_at - began_) / window];
-  slice.first += earned;
-  slice.second += offered_value;
+  std::pair<double, double>& time_window = tally.windows[(request.arrived_at - began_) / window];
+  time_window.first += earned;
+  time_window.second += offered_value;
   requests_.erase(request.id);
 }
 
--- a/testing/platform_fleet_test/engine.cc
+++ b/testing/platform_fleet_test/engine.cc
@@ -45,14 +45,14 @@
 
 // Number of leading parts that are cached without a gap.
 std::int64_t Engine::cached_prefix_length(Generation const& generation) const {
-  std::size_t lead = 0;
-  while (lead < generation.parts.size() && is_cached(generation.parts[lead].id)) ++lead;
-  return static_cast<std::int64_t>(lead);
+  std::size_t prefix_length = 0;
+  while (prefix_length < generation.parts.size() && is_cached(generation.parts[prefix_length].id)) ++prefix_length;
+  return static_cast<std::int64_t>(prefix_length);
 }
 
 void Engine::pin(Sequence& sequence, std::uint64_t part) {
-  CachedPart& kept = parts_[part];
-  if (kept.reference_count++ == 0) pinned_tokens_ += kept.tokens;
+  CachedPart& cached_part = parts_[part];
+  if (cached_part.reference_count++ == 0) pinned_tokens_ += cached_part.tokens;
   sequence.pinned_parts.push_back(part);
 }
 
@@ -60,9 +60,9 @@
   // Leading parts are marked as used last, so that they are evicted last: without them the parts behind are useless.
   for (std::vector<std::uint64_t>::reverse_iterator id = sequence.pinned_parts.rbegin();
        id != sequence.pinned_parts.rend(); ++id) {
-    CachedPart& kept = parts_[*id];
-    if (--kept.reference_count == 0) pinned_tokens_ -= kept.tokens;
-    recency_.splice(recency_.end(), recency_, kept.recency_position);
+    CachedPart& cached_part = parts_[*id];
+    if (--cached_part.reference_count == 0) pinned_tokens_ -= cached_part.tokens;
+    recency_.splice(recency_.end(), recency_, cached_part.recency_position);
   }
   sequence.pinned_parts.clear();
   private_tokens_ -= sequence.private_tokens;
@@ -73,13 +73,13 @@
 bool Engine::make_room(std::int64_t tokens) {
   std::list<std::uint64_t>::iterator at = recency_.begin();
   while (cached_tokens_ + private_tokens_ + tokens > config_.cache_tokens && at != recency_.end()) {
-    std::map<std::uint64_t, CachedPart>::iterator const kept = parts_.find(*at);
-    if (kept->second.reference_count > 0) {
+    std::map<std::uint64_t, CachedPart>::iterator const cached_part = parts_.find(*at);
+    if (cached_part->second.reference_count > 0) {
       ++at;
       continue;
     }
-    cached_tokens_ -= kept->second.tokens;
-    parts_.erase(kept);
+    cached_tokens_ -= cached_part->second.tokens;
+    parts_.erase(cached_part);
     at = recency_.erase(at);
   }
   return cached_tokens_ + private_tokens_ + tokens <= config_.cache_tokens;
@@ -88,26 +88,26 @@
 void Engine::admit(Micros now) {
   while (!queue_.empty() && running() < config_.slots) {
     Sequence& first = queue_.front();
-    std::int64_t const lead = cached_prefix_length(first.generation);
-    std::int64_t spared = 0;
-    for (std::int64_t i = 0; i < lead; ++i) {
+    std::int64_t const prefix_length = cached_prefix_length(first.generation);
+    std::int64_t cached_tokens = 0;
+    for (std::int64_t i = 0; i < prefix_length; ++i) {
       PromptPart const& part = first.generation.parts[static_cast<std::size_t>(i)];
-      spared += part.tokens;
+      cached_tokens += part.tokens;
       pin(first, part.id);
     }
     std::int64_t const total = first.generation.prompt_tokens + first.generated;
-    std::int64_t const missing = std::max<std::int64_t>(1, total - spared);
-    if (!make_room(missing)) {
+    std::int64_t const uncached_tokens = std::max<std::int64_t>(1, total - cached_tokens);
+    if (!make_room(uncached_tokens)) {
       release_memory(first);
       return;
     }
-    first.remaining_prefill = missing;
-    first.private_tokens = missing;
-    first.next_part = static_cast<std::size_t>(lead);
+    first.remaining_prefill = uncached_tokens;
+    first.private_tokens = uncached_tokens;
+    first.next_part = static_cast<std::size_t>(prefix_length);
     first.next_part_progress = 0;
     first.prefill_start = now + config_.prefill_delay;
-    private_tokens_ += missing;
-    cached_tokens_reused += total - missing;
+    private_tokens_ += uncached_tokens;
+    cached_tokens_reused += total - uncached_tokens;
     std::list<Sequence>::iterator position = batch_.begin();
     while (position != batch_.end() && !precedes(first, *position)) ++position;
     batch_.splice(position, queue_, queue_.begin());
@@ -118,30 +118,31 @@
   admit(now);
   step_end_ = -1;
   if (batch_.empty()) return;
-  std::int64_t left = config_.prefill_chunk;
-  std::int64_t resident = 0;
-  bool busy = false;
-  Micros ready = -1;
+  std::int64_t chunk_remaining = config_.prefill_chunk;
+  std::int64_t resident_tokens = 0;
+  bool has_work = false;
+  Micros earliest_start = -1;
   for (Sequence& sequence : batch_) {
     sequence.step_prefill = 0;
     sequence.decoding = sequence.remaining_prefill == 0;
-    resident += sequence.generation.prompt_tokens + sequence.generated;
+    resident_tokens += sequence.generation.prompt_tokens + sequence.generated;
     if (sequence.remaining_prefill > 0 && sequence.prefill_start > now) {
-      if (ready < 0 || sequence.prefill_start < ready) ready = sequence.prefill_start;
+      if (earliest_start < 0 || sequence.prefill_start < earliest_start) earliest_start = sequence.prefill_start;
       continue;
     }
-    sequence.step_prefill = std::min(left, sequence.remaining_prefill);
-    left -= sequence.step_prefill;
-    busy = busy || sequence.decoding || sequence.step_prefill > 0;
+    sequence.step_prefill = std::min(chunk_remaining, sequence.remaining_prefill);
+    chunk_remaining -= sequence.step_prefill;
+    has_work = has_work || sequence.decoding || sequence.step_prefill > 0;
   }
-  if (!busy) {
-    step_end_ = std::max(now + 1, ready);
+  if (!has_work) {
+    step_end_ = std::max(now + 1, earliest_start);
     return;
   }
-  double const span = config_.step_us + config_.step_us_per_request * static_cast<double>(batch_.size()) +
-                      config_.step_us_per_thousand_tokens * static_cast<double>(resident) / 1000 +
-                      static_cast<double>(config_.prefill_chunk - left) * 1000 / config_.prefill_tokens_per_ms;
-  step_end_ = now + std::max<Micros>(1, static_cast<Micros>(span));
+  double const duration =
+      config_.step_us + config_.step_us_per_request * static_cast<double>(batch_.size()) +
+      config_.step_us_per_thousand_tokens * static_cast<double>(resident_tokens) / 1000 +
+      static_cast<double>(config_.prefill_chunk - chunk_remaining) * 1000 / config_.prefill_tokens_per_ms;
+  step_end_ = now + std::max<Micros>(1, static_cast<Micros>(duration));
 }
 
 void Engine::prefill(Sequence& sequence, std::int64_t tokens, Micros at, std::vector<EngineEvent>& out) {
@@ -149,9 +150,9 @@
   tokens_prefilled += tokens;
   while (tokens > 0 && sequence.next_part < sequence.generation.parts.size()) {
     PromptPart const& part = sequence.generation.parts[sequence.next_part];
-    std::int64_t const now = std::min(tokens, part.tokens - sequence.next_part_progress);
-    sequence.next_part_progress += now;
-    tokens -= now;
+    std::int64_t const processed = std::min(tokens, part.tokens - sequence.next_part_progress);
+    sequence.next_part_progress += processed;
+    tokens -= processed;
     if (sequence.next_part_progress < part.tokens) return;
     sequence.next_part_progress = 0;
     ++sequence.next_part;
@@ -159,9 +160,9 @@
     sequence.private_tokens -= part.tokens;
     private_tokens_ -= part.tokens;
     if (!is_cached(part.id)) {
-      CachedPart& kept = parts_[part.id];
-      kept.tokens = part.tokens;
-      kept.recency_position = recency_.insert(recency_.end(), part.id);
+      CachedPart& cached_part = parts_[part.id];
+      cached_part.tokens = part.tokens;
+      cached_part.recency_position = recency_.insert(recency_.end(), part.id);
       cached_tokens_ += part.tokens;
     }
     pin(sequence, part.id);
--- a/testing/platform_fleet_test/judge.cc
+++ b/testing/platform_fleet_test/judge.cc
@@ -26,10 +26,10 @@
   return rows;
 }
 
-std::string event_text(std::string const& attempt, std::int64_t number, std::uint64_t seal, Micros made,
+std::string event_text(std::string const& attempt, std::int64_t number, std::uint64_t seal, Micros sent_at,
                        std::size_t size) {
   std::string out = "id: " + std::to_string(number) + "\ndata: " + attempt + " " + std::to_string(number) + " " +
-                    std::to_string(seal) + " " + std::to_string(made) + " ";
+                    std::to_string(seal) + " " + std::to_string(sent_at) + " ";
   if (out.size() < size) out.append(size - out.size(), 'x');
   return out + "\n\n";
 }
@@ -97,10 +97,10 @@
     long long number = 0;
     long long repeated_number = 0;
     unsigned long long run = 0;
-    long long made = 0;
+    long long sent_at = 0;
     char id[64] = "";
-    if (std::sscanf(event.c_str(), "id: %lld\ndata: %63s %lld %llu %lld", &number, id, &repeated_number, &run, &made) !=
-            5 ||
+    if (std::sscanf(event.c_str(), "id: %lld\ndata: %63s %lld %llu %lld", &number, id, &repeated_number, &run,
+                    &sent_at) != 5 ||
         number != repeated_number || attempt.id != id || attempt.seals.count(run) == 0) {
       report_violation(Promise::mixed,
                        attempt.id + " through " + attempt.node + ": the client received '" + event.substr(0, 80) + "'");
@@ -117,8 +117,8 @@
     }
     reading.last_event = number;
     reading.run = run;
-    reading.longest_transit = std::max(reading.longest_transit, now - static_cast<Micros>(made));
-    event_transit_times.push_back(now - static_cast<Micros>(made));
+    reading.longest_transit = std::max(reading.longest_transit, now - static_cast<Micros>(sent_at));
+    event_transit_times.push_back(now - static_cast<Micros>(sent_at));
     out.push_back(number);
   }
   reading.partial_event.erase(0, at);
@@ -142,17 +142,19 @@
 
 void Judge::check_retries(double ratio, int extra, Micros window) {
   for (std::pair<std::string const, std::vector<Micros>>& item : repeat_times_) {
-    std::vector<Micros>& repeats_here = item.second;
-    std::vector<Micros>& asked = sent_times_[item.first];
-    std::sort(repeats_here.begin(), repeats_here.end());
-    std::sort(asked.begin(), asked.end());
-    for (Micros const from : repeats_here) {
-      std::size_t const found = count_within(repeats_here, from, window);
-      std::size_t const base = std::max({count_within(asked, from, window), count_within(asked, from - window, window),
-                                         count_within(asked, from - window / 2, window)});
-      if (static_cast<double>(found) <= ratio * static_cast<double>(base) + extra) continue;
-      report_violation(Promise::too_many_retries, item.first + " received " + std::to_string(found) +
-                                                      " repeated arrivals for " + std::to_string(base) + " requests");
+    std::vector<Micros>& service_repeats = item.second;
+    std::vector<Micros>& sent_times = sent_times_[item.first];
+    std::sort(service_repeats.begin(), service_repeats.end());
+    std::sort(sent_times.begin(), sent_times.end());
+    for (Micros const from : service_repeats) {
+      std::size_t const repeats_in_window = count_within(service_repeats, from, window);
+      std::size_t const attempts_in_window =
+          std::max({count_within(sent_times, from, window), count_within(sent_times, from - window, window),
+                    count_within(sent_times, from - window / 2, window)});
+      if (static_cast<double>(repeats_in_window) <= ratio * static_cast<double>(attempts_in_window) + extra) continue;
+      report_violation(Promise::too_many_retries, item.first + " received " + std::to_string(repeats_in_window) +
+                                                      " repeated arrivals for " + std::to_string(attempts_in_window) +
+                                                      " requests");
       break;
     }
   }
--- a/testing/platform_fleet_test/judge.h
+++ b/testing/platform_fleet_test/judge.h
@@ -119,7 +119,7 @@
 };
 
 // A server-sent event in the format of the stand-in workers, padded to about `size` bytes.
-std::string event_text(std::string const& attempt, std::int64_t number, std::uint64_t seal, Micros made,
+std::string event_text(std::string const& attempt, std::int64_t number, std::uint64_t seal, Micros sent_at,
                        std::size_t size);
 
 }  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/worker_faults.cc
+++ b/testing/platform_fleet_test/worker_faults.cc
@@ -15,10 +15,10 @@
   for (std::unique_ptr<Worker> const& worker : workers_)
     if (worker->state == State::up && !worker->is_silent && worker->service == shape_.service)
       up.push_back(worker.get());
-  std::size_t want = fault.count > 0 ? static_cast<std::size_t>(fault.count)
-                                     : static_cast<std::size_t>(fault.share * static_cast<double>(up.size()) + 0.999);
+  std::size_t wanted = fault.count > 0 ? static_cast<std::size_t>(fault.count)
+                                       : static_cast<std::size_t>(fault.share * static_cast<double>(up.size()) + 0.999);
   std::vector<Worker*> out;
-  while (want-- > 0 && !up.empty()) {
+  while (wanted-- > 0 && !up.empty()) {
     std::size_t const i = random_.below(up.size());
     out.push_back(up[i]);
     up.erase(up.begin() + static_cast<std::ptrdiff_t>(i));
--- a/testing/platform_fleet_test/worker_heartbeats.cc
+++ b/testing/platform_fleet_test/worker_heartbeats.cc
@@ -11,18 +11,18 @@
 namespace pipit::platform_fleet {
 
 namespace {
-constexpr Micros linger = millis(1500);
+constexpr Micros leave_delay = millis(1500);
 }  // namespace
 
 void Workers::call(Worker& worker, std::string const& address, std::string const& target, std::string const& body,
                    std::function<void(bool good, std::string const& body)> done) {
   std::shared_ptr<unsigned> const status = std::make_shared<unsigned>(0);
-  std::shared_ptr<std::string> const got = std::make_shared<std::string>();
+  std::shared_ptr<std::string> const received = std::make_shared<std::string>();
   Line::Callbacks callbacks;
   callbacks.head = [status](unsigned code) { *status = code; };
-  callbacks.body = [got](std::string_view bytes) { got->append(bytes); };
-  callbacks.end = [status, got, done](Line::End how) {
-    done(how == Line::End::complete && *status >= 200 && *status < 300 && got->size() <= 4096, *got);
+  callbacks.body = [received](std::string_view bytes) { received->append(bytes); };
+  callbacks.end = [status, received, done](Line::End how) {
+    done(how == Line::End::complete && *status >= 200 && *status < 300 && received->size() <= 4096, *received);
   };
   worker.line = Line::dial(address, worker.ip, millis(1000));
   worker.line->ask(request_of("POST", target, address, "Content-Type: application/json\r\nConnection: close\r\n", body),
@@ -65,13 +65,14 @@
          }
          simdjson::dom::parser parser;
          simdjson::dom::element root;
-         std::string_view later;
-         if (!parser.parse(simdjson::padded_string(body)).get(root) && !root["beat_address"].get_string().get(later))
-           at->heartbeat_address = nodes_.public_address(std::string(later));
+         std::string_view next_address;
+         if (!parser.parse(simdjson::padded_string(body)).get(root) &&
+             !root["beat_address"].get_string().get(next_address))
+           at->heartbeat_address = nodes_.public_address(std::string(next_address));
          if (!leaving || at->drain_acknowledged_at >= 0) return;
          at->drain_acknowledged_at = now();
          at->drain_acknowledged_by = address;
-         run_after(drain_duration + linger, [this, at] { leave(*at, 0); });
+         run_after(drain_duration + leave_delay, [this, at] { leave(*at, 0); });
        });
 }
 
@@ -106,7 +107,7 @@
          at->state = State::draining;
          at->drain_acknowledged_at = now();
          at->drain_acknowledged_by = address;
-         run_after(drain_duration + linger, [this, at] { end(*at, false); });
+         run_after(drain_duration + leave_delay, [this, at] { end(*at, false); });
        });
 }
 
--- a/testing/platform_fleet_test/worker_requests.cc
+++ b/testing/platform_fleet_test/worker_requests.cc
@@ -166,8 +166,8 @@
       run_after(millis(5 + static_cast<Micros>(random_.below(300))), [this, at, weak, surplus] {
         std::shared_ptr<Connection> const conn = weak.lock();
         if (!conn || at->conns.count(conn.get()) == 0) return;
-        std::map<std::uint64_t, Job>::iterator const under_way = at->jobs.find(conn->job);
-        if (under_way != at->jobs.end() && under_way->second.head_sent) return;
+        std::map<std::uint64_t, Job>::iterator const next_job = at->jobs.find(conn->job);
+        if (next_job != at->jobs.end() && next_job->second.head_sent) return;
         send(*conn, surplus);
       });
       return;
--- a/testing/platform_fleet_test/workers.cc
+++ b/testing/platform_fleet_test/workers.cc
@@ -237,14 +237,14 @@
                             worker.id + " received bytes from " + conn.peer + " before its answer had ended");
     return close_connection(worker, conn);
   }
-  std::size_t const took = conn.reader.feed(bytes);
+  std::size_t const consumed = conn.reader.feed(bytes);
   if (conn.reader.error() != HttpParser::Error::none) {
     judge_.report_violation(Promise::unasked,
                             worker.id + " received bytes from " + conn.peer + " that are not an HTTP request");
     return close_connection(worker, conn);
   }
   if (!conn.reader.complete()) return;
-  if (took < bytes.size())
+  if (consumed < bytes.size())
     judge_.report_violation(Promise::unasked, worker.id + " received a pipelined request from " + conn.peer);
   conn.busy = true;
   conn.close_after_answer = !conn.head.keep_alive || worker.state == State::draining || random_.chance(0.003);
