--- a/testing/platform_fleet_test/callers.cc
+++ b/testing/platform_fleet_test/callers.cc
@@ -13,8 +13,8 @@
 constexpr Micros tick_span = millis(10);
 constexpr Micros window = seconds(2);
 constexpr std::size_t max_idle_lines = 6;  // idle connections per client
-constexpr int max_reused_cut = 3;
-constexpr std::size_t max_failed = 200;  // failed attempts that are looked up in the logs
+constexpr int max_reused_cut = 3;          // reused connections cut without an answer before this is a violation
+constexpr std::size_t max_failed = 200;    // failed attempts that are looked up in the logs
 
 // The error kind in a JSON answer, after a space; empty if there is none.
 std::string kind_of(std::string const& body) {
@@ -24,6 +24,7 @@
 }
 }  // namespace
 
+// A client with an IP address of its own.
 struct Callers::Client {
   std::string ip;
   std::string zone;
@@ -33,6 +34,7 @@
   std::vector<std::pair<std::string, std::shared_ptr<Line>>> idle_lines;  // each with the name of its node
 };
 
+// A request in flight, over all its attempts.
 struct Callers::Request {
   std::uint64_t id = 0;
   std::size_t class_index = 0;
@@ -59,8 +61,8 @@
   StreamProgress reading;
   Micros first_event = -1;
   Micros last_event = 0;
-  Micros longest_gap = 0;  // longest pause between two events
-  bool refused_early = false;
+  Micros longest_gap = 0;      // longest pause between two events
+  bool refused_early = false;  // the first attempt was refused in a quarter of the latency target, and did not run
 };
 
 Callers::Callers(Shape const& shape, Nodes& nodes, Judge& judge, int net, std::uint64_t seed, double scale)
--- a/testing/platform_fleet_test/callers.h
+++ b/testing/platform_fleet_test/callers.h
@@ -25,7 +25,7 @@
   std::uint64_t unserved = 0;
   double offered_value = 0;  // what all requests are worth when served within the target
   double earned = 0;
-  std::vector<Micros> first;  // time from the arrival of the request to the first event
+  std::vector<Micros> first;  // times from the arrival of a request to its first event
 };
 
 // Counters over all clients.
@@ -53,6 +53,7 @@
   void begin();
   // Ends the arrivals; requests in flight continue.
   void stop() { stopped_ = true; }
+  // True if no request is in flight.
   bool idle() const { return requests_.empty(); }
   // Starts a surge of the class in the fault's `on`, or of all: a higher rate (burst) or a hot prompt part (hot).
   void perform(Fault const& fault);
@@ -106,8 +107,8 @@
   std::uint64_t last_id_ = 0;
   std::map<std::string, std::vector<std::unique_ptr<Client>>> clients_;  // by zone
   std::map<std::uint64_t, std::unique_ptr<Request>> requests_;
-  std::map<std::pair<std::size_t, std::size_t>, std::vector<double>>
-      text_weights_;  // cumulative weights of the texts, by class and part index
+  // Cumulative weights of the texts, by class and part index.
+  std::map<std::pair<std::size_t, std::size_t>, std::vector<double>> text_weights_;
   std::vector<LoadSurge> surges_;
 };
 
--- a/testing/platform_fleet_test/clock.h
+++ b/testing/platform_fleet_test/clock.h
@@ -13,7 +13,7 @@
 inline Micros now() { return g_get_monotonic_time(); }
 
 // Calls once after `span`, rounded up to milliseconds. The timer cannot be cancelled: what the call refers to must
-// outlive the loop.
+// live until the loop ends.
 inline void run_after(Micros span, std::function<void()> call) {
   g_timeout_add_full(
       G_PRIORITY_DEFAULT, static_cast<guint>(std::max<Micros>(0, (span + 999) / 1000)),
--- a/testing/platform_fleet_test/judge.h
+++ b/testing/platform_fleet_test/judge.h
@@ -64,12 +64,12 @@
   std::string node;                // name of the node that received it
   Micros sent = 0;
   int arrivals = 0;  // how often it reached a worker
-  int declined = 0;  // arrivals that the worker declined
+  int declined = 0;  // arrivals that workers declined
   int runs = 0;
   std::set<std::uint64_t> seals;  // X-Server-Seal of each run
-  bool refused = false;
-  bool worker_broke = false;  // a worker that had it ended or cut the answer
-  Micros abandoned_at = -1;   // when the client gave up without an answer; -1 if it did not
+  bool refused = false;           // a node answered that it had not run
+  bool worker_broke = false;      // a worker that had it ended or cut the answer
+  Micros abandoned_at = -1;       // when the client gave up without an answer; -1 if it did not
 };
 
 // Progress of a client in reading the events of an answer, over all attempts of the request.
--- a/testing/platform_fleet_test/rude_clients.h
+++ b/testing/platform_fleet_test/rude_clients.h
@@ -17,7 +17,7 @@
   RudeClients(Nodes& nodes, int net, std::uint64_t seed) : nodes_(nodes), net_(net), random_(seed) {}
   // Connects `count` clients, one every `gap`.
   void connect_clients(int count, Micros gap);
-  std::uint64_t connected = 0;
+  std::uint64_t connected = 0;  // connections opened so far
 
  private:
   void connect_one();
--- a/testing/platform_fleet_test/shapes.h
+++ b/testing/platform_fleet_test/shapes.h
@@ -30,9 +30,9 @@
   bool resumable = false;
   Micros latency_target = 0;
   Micros deadline = 0;
-  Micros max_gap = 0;  // longest pause between events that the client accepts
-  double value = 1;    // when served within the target
-  double late_value = 0;
+  Micros max_gap = 0;     // longest pause between events that the client accepts
+  double value = 1;       // when served within the target
+  double late_value = 0;  // when served late
   int priority = 0;
   int max_attempts = 1;
   int retries = 1;
@@ -67,8 +67,8 @@
   double swing = 0.15;          // amplitude of the load wave, relative to the mean rate
   Micros period = seconds(11);  // of the load wave
   int clump = 3;                // mean number of requests that arrive together
-  double retry_ratio = 0.2;
-  int extra_retries = 58;
+  double retry_ratio = 0.2;     // bound of repeated arrivals, as a share of the attempts; see Judge::check_retries
+  int extra_retries = 58;       // added to that bound
 };
 
 // The shape of that name; nullptr if there is none.
--- a/testing/platform_fleet_test/worker_heartbeats.cc
+++ b/testing/platform_fleet_test/worker_heartbeats.cc
@@ -11,7 +11,7 @@
 namespace pipit::platform_fleet {
 
 namespace {
-constexpr Micros leave_delay = millis(1500);
+constexpr Micros leave_delay = millis(1500);  // from the end of the drain to the worker's exit
 }  // namespace
 
 void Workers::call(Worker& worker, std::string const& address, std::string const& target, std::string const& body,
--- a/testing/platform_fleet_test/worker_parts.h
+++ b/testing/platform_fleet_test/worker_parts.h
@@ -5,9 +5,10 @@
 namespace pipit::platform_fleet {
 
 constexpr unsigned worker_port = 9000;
-constexpr Micros drain_duration = seconds(2);  // service continues this long after an acknowledged drain
-constexpr Micros unacknowledged_drain_timeout =
-    seconds(6);  // a worker without an acknowledgement exits after this time
+// Requests may arrive for this long after a drain was acknowledged.
+constexpr Micros drain_duration = seconds(2);
+// A draining worker that receives no acknowledgement exits after this time.
+constexpr Micros unacknowledged_drain_timeout = seconds(6);
 
 // A request that a worker is running or has queued.
 struct Workers::Job {
@@ -15,7 +16,7 @@
   Connection* conn = nullptr;
   Attempt* attempt = nullptr;
   bool head_sent = false;
-  bool began = false;
+  bool began = false;              // its first token was produced
   std::int64_t breaks_after = -1;  // the worker cuts the answer after this event; -1 for never
 };
 
@@ -27,10 +28,10 @@
   std::string body;
   bool busy = false;
   std::uint64_t job = 0;
-  std::string peer;  // IP address
-  bool cross_zone = false;
+  std::string peer;         // IP address
+  bool cross_zone = false;  // the node is in another zone than the worker
   Micros idle_since = 0;
-  bool close_after_answer = false;
+  bool close_after_answer = false;  // the answer says Connection: close
   std::string previous_attempt_id;  // attempt id of the previous request
 };
 
@@ -43,14 +44,14 @@
   std::string zone;
   std::string service;
   State state = State::up;
-  bool is_silent = false;
+  bool is_silent = false;  // hangs: reads, answers and sends nothing
   Engine engine;
   int listen_fd = -1;
   unsigned listen_watch = 0;
   std::map<Connection*, std::shared_ptr<Connection>> conns;
   std::map<std::uint64_t, Job> jobs;
   std::uint64_t call_sequence = 0;
-  std::string heartbeat_address;
+  std::string heartbeat_address;  // node that receives the heartbeats; empty to choose another one
   std::size_t next_node = 0;
   std::shared_ptr<Line> line;
   Micros drain_announced_at = -1;     // time of the first heartbeat that says `draining`; -1 if none
@@ -59,7 +60,7 @@
   Misbehaviour misbehaviour = Misbehaviour::none;
   double misbehaviour_probability = 0;
   Micros misbehaves_until = 0;
-  std::deque<std::pair<Micros, std::string>> reports;
+  std::deque<std::pair<Micros, std::string>> reports;  // load reports with their times; the first one is served
 };
 
 }  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/worker_requests.cc
+++ b/testing/platform_fleet_test/worker_requests.cc
@@ -11,9 +11,9 @@
 namespace pipit::platform_fleet {
 
 namespace {
-constexpr std::size_t event_bytes = 60;
+constexpr std::size_t event_bytes = 60;          // size of a stream event
 constexpr Micros abandoned_grace = millis(500);  // a request may arrive this long after its client disconnected
-constexpr int max_late_arrivals = 3;
+constexpr int max_late_arrivals = 3;             // later arrivals than that before this is a violation
 }  // namespace
 
 void Workers::on_request(Worker& worker, Connection& conn) {
--- a/testing/platform_fleet_test/workers.h
+++ b/testing/platform_fleet_test/workers.h
@@ -46,7 +46,8 @@
 
   // Starts the workers of every zone, and two that serve `other_service`.
   void start_all();
-  // Ends workers with connection resets. Replacements start after the fault's span unless the workers are `lost`.
+  // Ends workers with connection resets. Replacements start after the fault's span unless its `on` is `lost`.
+  // The addresses may pass to workers of another service.
   void crash(Fault const& fault);
   // Workers stop reading, answering and sending heartbeats; after the fault's span they restart at their addresses.
   void silence(Fault const& fault);
@@ -54,7 +55,9 @@
   void release(Fault const& fault);
   // Workers send surplus or broken answers with probability `x` for the fault's span.
   void misbehave(Fault const& fault);
-  void stop_heartbeats() { stopping_ = true; }  // called at the end of the run; faults start no replacements after it
+  // Stops the heartbeats at the end of the run, and starts no more replacements.
+  void stop_heartbeats() { stopping_ = true; }
+  // The counters, including those of the engines.
   WorkersTally tally() const;
 
  private:
@@ -64,6 +67,7 @@
   enum class State : std::uint8_t { up, draining, ended };
   enum class Misbehaviour : std::uint8_t { none, surplus, garble };
 
+  // Starts a worker at the address, or at a new one if that is in use.
   Worker& open(std::string const& zone, std::string const& service, std::string const& ip);
   std::string next_ip();
   bool ip_in_use(std::string const& ip) const;
@@ -79,7 +83,9 @@
   void on_engine_event(Worker& worker, EngineEvent const& item);
   void send(Connection& conn, std::string_view bytes);
   void advance();
+  // Sends a heartbeat; `retries` is the number of failed attempts so far.
   void heartbeat(Worker& worker, int retries);
+  // POSTs JSON to a node. `done` is told whether the node answered 2xx within 1 s, and the body.
   void call(Worker& worker, std::string const& address, std::string const& target, std::string const& body,
             std::function<void(bool good, std::string const& body)> done);
   void drain(Worker& worker);
@@ -89,6 +95,7 @@
   void end(Worker& worker, bool reset);
   void reuse_address(std::string const& ip, std::string const& zone);
   std::vector<Worker*> choose_workers(Fault const& fault);
+  // Value of X-Instance-Load: running, queued, slots.
   std::string load(Worker const& worker) const;
 
   Shape const& shape_;
@@ -100,10 +107,10 @@
   std::uint64_t last_id_ = 0;
   std::uint64_t last_job_ = 0;
   bool stopping_ = false;
-  int reused_ = 0;
+  int reused_ = 0;         // addresses given to a worker of another service
   int late_arrivals_ = 0;  // requests that arrived long after their client had disconnected
   std::vector<std::unique_ptr<Worker>> workers_;
-  std::set<std::uint64_t> prefilled_parts_;
+  std::set<std::uint64_t> prefilled_parts_;  // processed by any worker so far
   WorkersTally count_;
 };
 
