--- a/testing/platform_fleet_test/callers.h
+++ b/testing/platform_fleet_test/callers.h
@@ -1,5 +1,5 @@
-// The callers of an experiment, as the platform's clients behave: streams with shared prompt parts, deadlines, further
-// tries, new and kept connections.
+// Stand-in clients that behave like those of the platform: streamed answers, prompts with shared parts, deadlines,
+// retries, new and reused connections.
 #pragma once
 #include <list>
 #include <map>
@@ -17,60 +17,69 @@
 
 namespace pipit::platform_fleet {
 
+// Counters of one request class.
 struct ClassTally {
-  std::uint64_t asked = 0;
+  std::uint64_t requests = 0;
   std::uint64_t within_target = 0;
-  std::uint64_t late = 0;  // served, but not in its aim
+  std::uint64_t late = 0;  // served, but not within the latency target or with a gap that is too long
   std::uint64_t unserved = 0;
-  double value_due = 0;
+  double offered_value = 0;  // what all requests are worth when served within the target
   double earned = 0;
-  std::vector<Micros> first;  // from the caller's first try to the first event
+  std::vector<Micros> first;  // times from the arrival of a request to its first event
 };
 
+// Counters over all clients.
 struct CallersTally {
   std::vector<ClassTally> classes;
-  std::map<std::string, std::pair<double, double>> zones;     // earned, owed
-  std::map<std::int64_t, std::pair<double, double>> windows;  // of two seconds
-  std::map<std::string, std::uint64_t> answers;               // that are no success: by status and kind
+  std::map<std::string, std::pair<double, double>> zones;     // value earned and value offered
+  std::map<std::int64_t, std::pair<double, double>> windows;  // the same by time windows of 2 s
+  std::map<std::string, std::uint64_t> answers;               // failures, by status and error kind
   std::uint64_t attempts = 0;
   std::uint64_t retries = 0;
   std::uint64_t resumes = 0;
-  std::uint64_t gave_up = 0;  // silence, or the deadline
+  std::uint64_t abandoned = 0;  // requests dropped by the client, after silence or at the deadline
   std::uint64_t dialled = 0;
   std::uint64_t reused = 0;
   std::uint64_t bytes = 0;
 };
 
+// The clients of a test run. They send requests at the rates of the shape, and report each answer to the judge.
 class Callers {
  public:
-  Callers(Shape const& shape_, Nodes& nodes_, Judge& judge_, int net_, std::uint64_t seed, double scale_);
+  Callers(Shape const& shape, Nodes& nodes, Judge& judge, int net, std::uint64_t seed, double scale);
   ~Callers();
 
+  // Starts the arrivals.
   void begin();
-  void stop() { stopped = true; }
-  bool idle() const { return requests.empty(); }
+  // Ends the arrivals; requests in flight continue.
+  void stop() { stopped_ = true; }
+  // True if no request is in flight.
+  bool idle() const { return requests_.empty(); }
+  // Starts a surge of the class in the fault's `on`, or of all: a higher rate (burst) or a hot prompt part (hot).
   void perform(Fault const& fault);
-  // The share of the requests that came so long after the beginning or later, and were served; nothing where none came.
+  // Share of the finished requests that arrived at least `span` after begin() and were served; nullopt if there are
+  // none.
   std::optional<double> served_since(Micros span) const;
   CallersTally tally;
-  // Attempts that failed at nodes in touch, whose logs must explain them.
-  struct Failed {
+  // Attempts that failed at nodes in touch with the others; the nodes' logs must explain them.
+  struct FailedAttempt {
     std::string attempt;
     std::string node;
   };
-  std::vector<Failed> failed;
+  std::vector<FailedAttempt> failed;
 
  private:
   struct Client;
   struct Request;
-  struct Crowd {
-    std::size_t of = 0;
-    double x = 1;
-    double hot = 0;
+  // A temporary change of one class's load.
+  struct LoadSurge {
+    std::size_t class_index = 0;
+    double rate_factor = 1;
+    double hot_share = 0;
     Micros until = 0;
   };
   void tick(Micros at);
-  void come(Zone const& zone, std::size_t of);
+  void start_request(Zone const& zone, std::size_t class_index);
   void attempt(Request& request);
   void on_head(Request& request, unsigned status);
   void on_body(Request& request, std::string_view bytes);
@@ -79,27 +88,28 @@
   void finish(Request& request, bool served);
   void close_overdue();
   double draw(Spread const& spread);
-  double unit();
-  std::size_t thing_of(SharedPart const& part, std::size_t of, std::size_t level);
-  double mean_size(std::size_t of) const;
+  double uniform();
+  std::size_t pick_text(SharedPart const& part, std::size_t class_index, std::size_t level);
+  double mean_size(std::size_t class_index) const;
 
-  Shape const& shape;
-  Nodes& nodes;
-  Judge& judge;
-  int const net;
-  RandomSource random;  // of what comes: the same for the same seed
-  RandomSource jitter;  // of what depends on how things went
-  double const scale;
-  bool stopped = false;
-  int kept_cut = 0;  // kept connections that ended without an answer, at nodes in touch
-  Micros began = 0;
-  std::vector<std::pair<Micros, bool>> ends;  // when a request came, and whether it was served
-  Micros next_tick = 0;
-  std::uint64_t last = 0;
-  std::map<std::string, std::vector<std::unique_ptr<Client>>> clients;  // by zone
-  std::map<std::uint64_t, std::unique_ptr<Request>> requests;
-  std::map<std::pair<std::size_t, std::size_t>, std::vector<double>> weights;  // of things, summed up
-  std::vector<Crowd> crowds;
+  Shape const& shape_;
+  Nodes& nodes_;
+  Judge& judge_;
+  int const net_;
+  RandomSource random_;  // for the arrivals, which depend on the seed alone
+  RandomSource jitter_;  // for reactions to answers, so that these do not change the arrivals
+  double const scale_;
+  bool stopped_ = false;
+  int reused_cut_ = 0;  // reused connections closed without an answer by nodes in touch
+  Micros began_ = 0;
+  std::vector<std::pair<Micros, bool>> outcomes_;  // arrival time of each finished request, and whether it was served
+  Micros next_tick_ = 0;
+  std::uint64_t last_id_ = 0;
+  std::map<std::string, std::vector<std::unique_ptr<Client>>> clients_;  // by zone
+  std::map<std::uint64_t, std::unique_ptr<Request>> requests_;
+  // Cumulative weights of the texts, by class and part index.
+  std::map<std::pair<std::size_t, std::size_t>, std::vector<double>> text_weights_;
+  std::vector<LoadSurge> surges_;
 };
 
 }  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/worker_faults.cc
+++ b/testing/platform_fleet_test/worker_faults.cc
@@ -1,4 +1,4 @@
-// The stand-in workers: crashes, silence, releases, lies, and addresses that pass to others.
+// Faults of the stand-in workers: crashes, hangs, releases, invalid answers, and reuse of their addresses.
 #include "base/json_writer.h"
 #include "testing/platform_fleet_test/clock.h"
 #include "testing/platform_fleet_test/worker_parts.h"
@@ -9,89 +9,89 @@
 constexpr Micros address_reuse = seconds(2);
 }  // namespace
 
-// Some workers that stand, of the service that gets the traffic.
-std::vector<Workers::Worker*> Workers::some(Fault const& fault) {
+// Random running workers of the service under load: `count` of them, or `share` of all, rounded up.
+std::vector<Workers::Worker*> Workers::choose_workers(Fault const& fault) {
   std::vector<Worker*> up;
-  for (std::unique_ptr<Worker> const& worker : all)
-    if (worker->state == State::up && !worker->is_silent && worker->service == shape.service)
+  for (std::unique_ptr<Worker> const& worker : workers_)
+    if (worker->state == State::up && !worker->is_silent && worker->service == shape_.service)
       up.push_back(worker.get());
-  std::size_t want = fault.count > 0 ? static_cast<std::size_t>(fault.count)
-                                     : static_cast<std::size_t>(fault.share * static_cast<double>(up.size()) + 0.999);
+  std::size_t wanted = fault.count > 0 ? static_cast<std::size_t>(fault.count)
+                                       : static_cast<std::size_t>(fault.share * static_cast<double>(up.size()) + 0.999);
   std::vector<Worker*> out;
-  while (want-- > 0 && !up.empty()) {
-    std::size_t const i = random.below(up.size());
+  while (wanted-- > 0 && !up.empty()) {
+    std::size_t const i = random_.below(up.size());
     out.push_back(up[i]);
     up.erase(up.begin() + static_cast<std::ptrdiff_t>(i));
   }
   return out;
 }
 
-// Once a worker has ended, its address may pass to one of another service. A few times is enough.
-void Workers::reuse(std::string const& ip, std::string const& zone) {
-  if (reused >= 2) return;
-  ++reused;
-  after(address_reuse, [this, ip, zone] {
-    if (!over) open(zone, other_service, ip);
+// Gives the address of an ended worker to a worker of another service, at most twice in a run.
+void Workers::reuse_address(std::string const& ip, std::string const& zone) {
+  if (reused_ >= 2) return;
+  ++reused_;
+  run_after(address_reuse, [this, ip, zone] {
+    if (!stopping_) open(zone, other_service, ip);
   });
 }
 
 void Workers::crash(Fault const& fault) {
-  for (Worker* const worker : some(fault)) {
+  for (Worker* const worker : choose_workers(fault)) {
     end(*worker, true);
-    reuse(worker->ip, worker->zone);
+    reuse_address(worker->ip, worker->zone);
     if (fault.on == "lost") continue;
     std::string const zone = worker->zone;
-    after(fault.span, [this, zone] {
-      if (!over) open(zone, shape.service, next_ip());
+    run_after(fault.span, [this, zone] {
+      if (!stopping_) open(zone, shape_.service, next_ip());
     });
   }
 }
 
 void Workers::silence(Fault const& fault) {
-  for (Worker* const worker : some(fault)) {
+  for (Worker* const worker : choose_workers(fault)) {
     worker->is_silent = true;
-    for (std::pair<Conn* const, std::shared_ptr<Conn>> const& conn : worker->conns)
+    for (std::pair<Connection* const, std::shared_ptr<Connection>> const& conn : worker->conns)
       conn.second->link->pause_reading(true);
-    if (worker->watch != 0) g_source_remove(worker->watch);
-    worker->watch = 0;
-    after(fault.span, [this, worker] {
-      // What it had under way is lost; it comes back as another, at its old address.
+    if (worker->listen_watch != 0) g_source_remove(worker->listen_watch);
+    worker->listen_watch = 0;
+    run_after(fault.span, [this, worker] {
+      // Its requests are lost. A worker with another id starts at the old address.
       std::string const ip = worker->ip;
       std::string const zone = worker->zone;
       end(*worker, true);
-      if (!over) open(zone, shape.service, ip);
+      if (!stopping_) open(zone, shape_.service, ip);
     });
   }
 }
 
 void Workers::release(Fault const& fault) {
   Micros when = 0;
-  for (Worker* const worker : some(fault)) {
-    after(when, [this, worker, fault] {
-      if (worker->state != State::up || over) return;
+  for (Worker* const worker : choose_workers(fault)) {
+    run_after(when, [this, worker, fault] {
+      if (worker->state != State::up || stopping_) return;
       if (fault.x > 0)
         announce_leave(*worker, 0);
       else
         drain(*worker);
       std::string const zone = worker->zone;
       std::string const ip = worker->ip;
-      after(millis(500), [this, zone] {
-        if (!over) open(zone, shape.service, next_ip());
+      run_after(millis(500), [this, zone] {
+        if (!stopping_) open(zone, shape_.service, next_ip());
       });
-      // Whom nobody has acknowledged yet may still serve there.
-      after(unheard_end + seconds(1), [this, worker, ip, zone] {
-        if (worker->state == State::ended) reuse(ip, zone);
+      // A worker whose drain is not acknowledged may still serve at the address until then.
+      run_after(unacknowledged_drain_timeout + seconds(1), [this, worker, ip, zone] {
+        if (worker->state == State::ended) reuse_address(ip, zone);
       });
     });
     when += fault.gap;
   }
 }
 
-void Workers::lie(Fault const& fault) {
-  for (Worker* const worker : some(fault)) {
-    worker->lie = fault.kind == Fault::Kind::surplus ? Lie::surplus : Lie::garble;
-    worker->lie_chance = fault.x;
-    worker->lie_until = now() + fault.span;
+void Workers::misbehave(Fault const& fault) {
+  for (Worker* const worker : choose_workers(fault)) {
+    worker->misbehaviour = fault.kind == Fault::Kind::surplus ? Misbehaviour::surplus : Misbehaviour::garble;
+    worker->misbehaviour_probability = fault.x;
+    worker->misbehaves_until = now() + fault.span;
   }
 }
 
--- a/testing/platform_fleet_test/worker_heartbeats.cc
+++ b/testing/platform_fleet_test/worker_heartbeats.cc
@@ -1,4 +1,4 @@
-// The stand-in workers: heartbeats to the nodes, draining, and the end of a worker.
+// Stand-in workers: heartbeats to the nodes, draining and shutdown.
 #include <simdjson.h>
 #include <unistd.h>
 
@@ -11,29 +11,29 @@
 namespace pipit::platform_fleet {
 
 namespace {
-constexpr Micros linger = millis(1500);
+constexpr Micros leave_delay = millis(1500);  // from the end of the drain to the worker's exit
 }  // namespace
 
 void Workers::call(Worker& worker, std::string const& address, std::string const& target, std::string const& body,
                    std::function<void(bool good, std::string const& body)> done) {
   std::shared_ptr<unsigned> const status = std::make_shared<unsigned>(0);
-  std::shared_ptr<std::string> const got = std::make_shared<std::string>();
+  std::shared_ptr<std::string> const received = std::make_shared<std::string>();
   Line::Callbacks callbacks;
   callbacks.head = [status](unsigned code) { *status = code; };
-  callbacks.body = [got](std::string_view bytes) { got->append(bytes); };
-  callbacks.end = [status, got, done](Line::End how) {
-    done(how == Line::End::complete && *status >= 200 && *status < 300 && got->size() <= 4096, *got);
+  callbacks.body = [received](std::string_view bytes) { received->append(bytes); };
+  callbacks.end = [status, received, done](Line::End how) {
+    done(how == Line::End::complete && *status >= 200 && *status < 300 && received->size() <= 4096, *received);
   };
   worker.line = Line::dial(address, worker.ip, millis(1000));
   worker.line->ask(request_of("POST", target, address, "Content-Type: application/json\r\nConnection: close\r\n", body),
                    std::move(callbacks), millis(1000));
 }
 
-void Workers::heartbeat(Worker& worker, int moves) {
-  // After its farewell it says nothing more.
-  bool const said_farewell = worker.state == State::draining && worker.drain_said < 0;
-  if (over || worker.state == State::ended || worker.is_silent || said_farewell) return;
-  std::string const address = !worker.heartbeat_at.empty() ? worker.heartbeat_at : any_node(worker);
+void Workers::heartbeat(Worker& worker, int retries) {
+  // A worker that has sent Instances.Leave sends no more heartbeats.
+  bool const has_left = worker.state == State::draining && worker.drain_announced_at < 0;
+  if (stopping_ || worker.state == State::ended || worker.is_silent || has_left) return;
+  std::string const address = !worker.heartbeat_address.empty() ? worker.heartbeat_address : any_node(worker);
   bool const leaving = worker.state == State::draining;
   JsonWriter json;
   json.begin_object()
@@ -41,7 +41,7 @@
       .text(worker.service)
       .key("address")
       .text(worker.public_ip + ":" + std::to_string(worker_port));
-  json.key("zone").text(worker.zone).key("version").text("v1").key("slots").number(shape.engine.slots);
+  json.key("zone").text(worker.zone).key("version").text("v1").key("slots").number(shape_.engine.slots);
   json.key("state").text(leaving ? "draining" : "available").key("cold_remaining_ms").number(0);
   json.key("stage")
       .text("combined")
@@ -49,81 +49,84 @@
       .begin_list()
       .begin_object()
       .key("name")
-      .text(shape.model)
+      .text(shape_.model)
       .key("version")
       .number(1);
   json.key("adapters").begin_list().end_list().end_object().end_list();
-  json.key("call_sequence").number(static_cast<std::int64_t>(++worker.order)).end_object();
+  json.key("call_sequence").number(static_cast<std::int64_t>(++worker.call_sequence)).end_object();
   Worker* const at = &worker;
   call(worker, address, "/Instances.Beat/" + worker.id, json.take(),
-       [this, at, address, leaving, moves](bool good, std::string const& body) {
+       [this, at, address, leaving, retries](bool good, std::string const& body) {
          if (!good) {
-           at->heartbeat_at.clear();
+           at->heartbeat_address.clear();
            ++at->next_node;
-           if (moves < 4) after(millis(100) << moves, [this, at, moves] { heartbeat(*at, moves + 1); });
+           if (retries < 4) run_after(millis(100) << retries, [this, at, retries] { heartbeat(*at, retries + 1); });
            return;
          }
          simdjson::dom::parser parser;
          simdjson::dom::element root;
-         std::string_view later;
-         if (!parser.parse(simdjson::padded_string(body)).get(root) && !root["beat_address"].get_string().get(later))
-           at->heartbeat_at = nodes.public_address(std::string(later));
-         if (!leaving || at->drain_heard >= 0) return;
-         at->drain_heard = now();
-         at->drain_heard_by = address;
-         after(drain_span + linger, [this, at] { leave(*at, 0); });
+         std::string_view next_address;
+         if (!parser.parse(simdjson::padded_string(body)).get(root) &&
+             !root["beat_address"].get_string().get(next_address))
+           at->heartbeat_address = nodes_.public_address(std::string(next_address));
+         if (!leaving || at->drain_acknowledged_at >= 0) return;
+         at->drain_acknowledged_at = now();
+         at->drain_acknowledged_by = address;
+         run_after(drain_duration + leave_delay, [this, at] { leave(*at, 0); });
        });
 }
 
 void Workers::drain(Worker& worker) {
   if (worker.state != State::up) return;
   worker.state = State::draining;
-  worker.drain_said = now();
+  worker.drain_announced_at = now();
   heartbeat(worker, 0);
   Worker* const at = &worker;
-  after(unheard_end, [this, at] {
-    if (at->drain_heard >= 0 || at->state == State::ended) return;
-    ++count.unacknowledged_leaves;
+  run_after(unacknowledged_drain_timeout, [this, at] {
+    if (at->drain_acknowledged_at >= 0 || at->state == State::ended) return;
+    ++count_.unacknowledged_leaves;
     end(*at, false);
   });
 }
 
-// Says farewell at once, and serves on as long as after a word that it drains.
-void Workers::announce_leave(Worker& worker, int moves) {
+// Sends Instances.Leave without draining first, and keeps serving for as long as after an acknowledged drain.
+void Workers::announce_leave(Worker& worker, int retries) {
   if (worker.state != State::up) return;
-  std::string const address = !worker.heartbeat_at.empty() ? worker.heartbeat_at : any_node(worker);
+  std::string const address = !worker.heartbeat_address.empty() ? worker.heartbeat_address : any_node(worker);
   Worker* const at = &worker;
-  call(worker, address, "/Instances.Leave/" + worker.id, "{\"call_sequence\":" + std::to_string(++worker.order) + "}",
-       [this, at, moves, address](bool good, std::string const&) {
+  call(worker, address, "/Instances.Leave/" + worker.id,
+       "{\"call_sequence\":" + std::to_string(++worker.call_sequence) + "}",
+       [this, at, retries, address](bool good, std::string const&) {
          if (!good) {
-           at->heartbeat_at.clear();
+           at->heartbeat_address.clear();
            ++at->next_node;
-           if (moves < 6) return announce_leave(*at, moves + 1);
-           ++count.unacknowledged_leaves;
+           if (retries < 6) return announce_leave(*at, retries + 1);
+           ++count_.unacknowledged_leaves;
            return end(*at, false);
          }
          at->state = State::draining;
-         at->drain_heard = now();
-         at->drain_heard_by = address;
-         after(drain_span + linger, [this, at] { end(*at, false); });
+         at->drain_acknowledged_at = now();
+         at->drain_acknowledged_by = address;
+         run_after(drain_duration + leave_delay, [this, at] { end(*at, false); });
        });
 }
 
 std::string Workers::any_node(Worker& worker) {
-  while (nodes.all[worker.next_node % nodes.all.size()]->removed) ++worker.next_node;
-  return nodes.all[worker.next_node % nodes.all.size()]->control();
+  while (nodes_.all[worker.next_node % nodes_.all.size()]->removed) ++worker.next_node;
+  return nodes_.all[worker.next_node % nodes_.all.size()]->control();
 }
 
-void Workers::leave(Worker& worker, int moves) {
+void Workers::leave(Worker& worker, int retries) {
   if (worker.state == State::ended) return;
-  std::string const address = !worker.heartbeat_at.empty() ? worker.heartbeat_at : any_node(worker);
+  std::string const address = !worker.heartbeat_address.empty() ? worker.heartbeat_address : any_node(worker);
   Worker* const at = &worker;
-  call(worker, address, "/Instances.Leave/" + worker.id, "{\"call_sequence\":" + std::to_string(++worker.order) + "}",
-       [this, at, moves](bool good, std::string const&) {
-         if (!good && moves < 2) {
-           at->heartbeat_at.clear();
+  call(worker, address, "/Instances.Leave/" + worker.id,
+       "{\"call_sequence\":" + std::to_string(++worker.call_sequence) + "}",
+       [this, at, retries](bool good, std::string const&) {
+         if (!good && retries < 2) {
+           at->heartbeat_address.clear();
            ++at->next_node;
-           return leave(*at, moves + 1);
+           return leave(*at, retries + 1);
          }
          end(*at, false);
        });
@@ -132,19 +135,19 @@
 void Workers::end(Worker& worker, bool reset) {
   if (worker.state == State::ended) return;
   worker.state = State::ended;
-  if (worker.watch != 0) g_source_remove(worker.watch);
-  worker.watch = 0;
-  if (worker.door >= 0) ::close(worker.door);
-  worker.door = -1;
-  if (nodes.relay() != nullptr) nodes.relay()->shut(worker.public_ip);
+  if (worker.listen_watch != 0) g_source_remove(worker.listen_watch);
+  worker.listen_watch = 0;
+  if (worker.listen_fd >= 0) ::close(worker.listen_fd);
+  worker.listen_fd = -1;
+  if (nodes_.relay() != nullptr) nodes_.relay()->shut(worker.public_ip);
   for (std::pair<std::uint64_t const, Job>& job : worker.jobs) {
     job.second.attempt->worker_broke = true;
     worker.engine.cancel(job.first);
   }
   worker.jobs.clear();
-  std::map<Conn*, std::shared_ptr<Conn>> const conns = std::move(worker.conns);
+  std::map<Connection*, std::shared_ptr<Connection>> const conns = std::move(worker.conns);
   worker.conns.clear();
-  for (std::pair<Conn* const, std::shared_ptr<Conn>> const& conn : conns) conn.second->link->close(reset);
+  for (std::pair<Connection* const, std::shared_ptr<Connection>> const& conn : conns) conn.second->link->close(reset);
 }
 
 }  // namespace pipit::platform_fleet
--- a/testing/platform_fleet_test/worker_parts.h
+++ b/testing/platform_fleet_test/worker_parts.h
@@ -1,61 +1,66 @@
-// What the stand-in workers are made of; for their own source files only.
+// Internal types of the stand-in workers; included only by the sources of class Workers.
 #pragma once
 #include "testing/platform_fleet_test/workers.h"
 
 namespace pipit::platform_fleet {
 
 constexpr unsigned worker_port = 9000;
-constexpr Micros drain_span = seconds(2);   // between a drain that is acknowledged and the end
-constexpr Micros unheard_end = seconds(6);  // a worker whose drain nobody acknowledges ends all the same
+// Requests may arrive for this long after a drain was acknowledged.
+constexpr Micros drain_duration = seconds(2);
+// A draining worker that receives no acknowledgement exits after this time.
+constexpr Micros unacknowledged_drain_timeout = seconds(6);
 
+// A request that a worker is running or has queued.
 struct Workers::Job {
-  std::uint64_t id = 0;  // its seal too
-  Conn* conn = nullptr;
+  std::uint64_t id = 0;  // also its X-Server-Seal
+  Connection* conn = nullptr;
   Attempt* attempt = nullptr;
-  bool headed = false;
-  bool began = false;
-  std::int64_t broken_at = -1;  // it breaks off behind that event
+  bool head_sent = false;
+  bool began = false;              // its first token was produced
+  std::int64_t breaks_after = -1;  // the worker cuts the answer after this event; -1 for never
 };
 
-struct Workers::Conn {
+// A connection accepted by a worker.
+struct Workers::Connection {
   std::shared_ptr<TcpConnection> link;
   HttpParser reader{true};
   Head head;
   std::string body;
   bool busy = false;
   std::uint64_t job = 0;
-  std::string peer;  // IP number
-  bool across = false;
-  Micros since = 0;
-  bool last = false;
-  std::string earlier;  // id of the request before
+  std::string peer;         // IP address
+  bool cross_zone = false;  // the node is in another zone than the worker
+  Micros idle_since = 0;
+  bool close_after_answer = false;  // the answer says Connection: close
+  std::string previous_attempt_id;  // attempt id of the previous request
 };
 
+// One stand-in worker.
 struct Workers::Worker {
-  explicit Worker(EngineShape const& shape) : engine(shape) {}
+  explicit Worker(EngineConfig const& config) : engine(config) {}
   std::string id;
   std::string ip;
-  std::string public_ip;  // that nodes are told
+  std::string public_ip;  // address in its heartbeats; the relay's if there is one
   std::string zone;
   std::string service;
   State state = State::up;
-  bool is_silent = false;
+  bool is_silent = false;  // hangs: reads, answers and sends nothing
   Engine engine;
-  int door = -1;
-  unsigned watch = 0;
-  std::map<Conn*, std::shared_ptr<Conn>> conns;
+  int listen_fd = -1;
+  unsigned listen_watch = 0;
+  std::map<Connection*, std::shared_ptr<Connection>> conns;
   std::map<std::uint64_t, Job> jobs;
-  std::uint64_t order = 0;
-  std::string heartbeat_at;
+  std::uint64_t call_sequence = 0;
+  std::string heartbeat_address;  // node that receives the heartbeats; empty to choose another one
   std::size_t next_node = 0;
   std::shared_ptr<Line> line;
-  Micros drain_said = -1;   // since when it says that it leaves
-  Micros drain_heard = -1;  // since when that is acknowledged, by whichever node
-  std::string drain_heard_by;
-  Lie lie = Lie::none;
-  double lie_chance = 0;
-  Micros lie_until = 0;
-  std::deque<std::pair<Micros, std::string>> reports;
+  Micros drain_announced_at = -1;     // time of the first heartbeat that says `draining`; -1 if none
+  Micros drain_acknowledged_at = -1;  // time of the first acknowledgement by any node; -1 if none
+  std::string drain_acknowledged_by;
+  Misbehaviour misbehaviour = Misbehaviour::none;
+  double misbehaviour_probability = 0;
+  Micros misbehaves_until = 0;
+  std::deque<std::pair<Micros, std::string>> reports;  // load reports with their times; the first one is served
 };
 
 }  // namespace pipit::platform_fleet
