--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -276,7 +276,7 @@
       note_peer_list_age(body.AsLoads()->age, now);
       if (plan.workers_self_register) {
         registry.take_peer_loads(*body.AsLoads(), now);
-        exchange.relay(from, *body.AsLoads());
+        exchange.forward(from, *body.AsLoads());
       } else
         fleet.take_peer_loads(from, *body.AsLoads(), now);
       break;
@@ -312,7 +312,7 @@
         index_sync.take(
             from, body, now, [this](std::string const& model) { return index_bounds(model); },
             [this] { return index_peers(); }, outgoing);
-      if (plan.workers_self_register && body.type == wire::Body::Deltas) exchange.relay(*body.AsDeltas());
+      if (plan.workers_self_register && body.type == wire::Body::Deltas) exchange.forward(*body.AsDeltas());
       break;
     default:
       break;
--- a/src/node/node_registered_workers.cc
+++ b/src/node/node_registered_workers.cc
@@ -27,7 +27,7 @@
   bool const connected = worker_departures_.is_connected(now);
   // Another node owns the worker and still receives its heartbeats. A node that is cut off does not take the worker
   // over, since the others would not learn of it.
-  if (!connected && !heartbeat.leaving && registry.record_sign_of_life(heartbeat, now)) return false;
+  if (!connected && !heartbeat.leaving && registry.record_liveness(heartbeat, now)) return false;
   if (std::optional<wire::EntryT> entry = registry.heartbeat(heartbeat, now))
     publish_entry(std::move(*entry), now, out);
   apply_updated_entries(now);
--- a/src/routing/exchange/report_exchange.cc
+++ b/src/routing/exchange/report_exchange.cc
@@ -35,7 +35,7 @@
   if (list.size() < deltas_max) list.push_back(std::move(item));
 }
 
-void ReportExchange::relay(std::string const& from, wire::LoadsT const& message) {
+void ReportExchange::forward(std::string const& from, wire::LoadsT const& message) {
   if (message.hops == Hops::last) return;
   LoadReports& reports = message.hops == Hops::to_hub ? zone_reports_[from] : cross_zone_reports_;
   for (std::unique_ptr<wire::LoadT> const& item : message.list) {
@@ -47,7 +47,7 @@
   urgent_ = true;
 }
 
-void ReportExchange::relay(wire::DeltasT const& message) {
+void ReportExchange::forward(wire::DeltasT const& message) {
   if (message.hops == Hops::last) return;
   std::vector<wire::DeltaT>& list = (message.hops == Hops::to_hub ? deltas_ : cross_zone_deltas_)[message.model];
   for (std::unique_ptr<wire::DeltaT> const& item : message.list)
--- a/src/routing/exchange/report_exchange.h
+++ b/src/routing/exchange/report_exchange.h
@@ -38,8 +38,8 @@
   // A change of the prefix index 'index_name'. Dropped when too many changes are queued.
   void report_index_change(std::string const& index_name, wire::DeltaT item);
   // Queues reports of the peer 'from', which this node has applied already, for the nodes that this hub forwards to.
-  void relay(std::string const& from, wire::LoadsT const& message);
-  void relay(wire::DeltasT const& message);
+  void forward(std::string const& from, wire::LoadsT const& message);
+  void forward(wire::DeltasT const& message);
 
   // Appends the messages that are due to 'out'.
   void tick(Micros now, GossipPaths const& paths, std::vector<OutgoingMessage>& out);
--- a/src/routing/registry/registry.cc
+++ b/src/routing/registry/registry.cc
@@ -83,7 +83,7 @@
   return entry_of(item);
 }
 
-bool Registry::record_sign_of_life(Heartbeat const& heartbeat, Micros now) {
+bool Registry::record_liveness(Heartbeat const& heartbeat, Micros now) {
   Instance* const item = find(heartbeat.id);
   if (item == nullptr || item->owner == self_) return false;
   if (heartbeat.order >= item->order) item->last_byte = now;
--- a/src/routing/registry/registry.h
+++ b/src/routing/registry/registry.h
@@ -82,7 +82,7 @@
   std::optional<wire::EntryT> heartbeat(Heartbeat const& heartbeat, Micros now);
   // Takes a heartbeat while this node is cut off from its peers, whose node that owns the worker goes on receiving its
   // heartbeats: only records that the worker is alive. False if the worker is unknown or owned by this node.
-  bool record_sign_of_life(Heartbeat const& heartbeat, Micros now);
+  bool record_liveness(Heartbeat const& heartbeat, Micros now);
   // Deregisters a worker for good. Returns the entry to write; none if the worker is unknown.
   std::optional<wire::EntryT> leave(std::string const& id, std::uint64_t order, Micros now);
   // Takes over a known worker whose owner is gone; its silence timeout starts anew. Returns the entry to write.
--- a/src/routing/tenants/quota_client.cc
+++ b/src/routing/tenants/quota_client.cc
@@ -105,7 +105,7 @@
   PendingRequest pending = std::move(position->second);
   pending_.erase(position);
   if (reply.granted) {
-    pending.grants.push_back(Grant{from, pending.chunk});
+    pending.allocations.push_back(Allocation{from, pending.chunk});
     pending.missing -= pending.chunk;
     pending.attempted.clear();
     pending.attempted[from] = 1;
@@ -136,7 +136,7 @@
 void QuotaClient::cancel(std::uint64_t request, std::vector<OutgoingMessage>& out) {
   for (std::map<std::uint64_t, PendingRequest>::iterator it = pending_.begin(); it != pending_.end(); ++it) {
     if (it->second.need.request != request) continue;
-    return_grants(it->second, out);
+    return_allocations(it->second, out);
     pending_.erase(it);
     return;
   }
@@ -149,15 +149,15 @@
   out.push_back(message_to(owner, make_request(0, tenant, count, QuotaPurpose::debit)));
 }
 
-void QuotaClient::return_grants(PendingRequest const& pending, std::vector<OutgoingMessage>& out) {
-  for (Grant const& item : pending.grants) {
+void QuotaClient::return_allocations(PendingRequest const& pending, std::vector<OutgoingMessage>& out) {
+  for (Allocation const& item : pending.allocations) {
     ++tally.given_back;
     out.push_back(message_to(item.owner, make_request(0, pending.need.tenant, item.count, QuotaPurpose::give_back)));
   }
 }
 
 void QuotaClient::finish(PendingRequest const& pending, QuotaResult::Type type, std::vector<OutgoingMessage>& out) {
-  if (type != QuotaResult::Type::granted) return_grants(pending, out);
+  if (type != QuotaResult::Type::granted) return_allocations(pending, out);
   results.push_back(QuotaResult{pending.need.request, type, std::max<Micros>(0, pending.wait)});
 }
 
--- a/src/routing/tenants/quota_client.h
+++ b/src/routing/tenants/quota_client.h
@@ -71,14 +71,14 @@
   Tally tally;
 
  private:
-  struct Grant {
+  struct Allocation {
     std::string owner;
     std::int64_t count = 0;
   };
   struct PendingRequest {
     QuotaRequest need;
     std::int64_t max_chunk = 0;
-    std::vector<Grant> grants;
+    std::vector<Allocation> allocations;
     std::int64_t missing = 0;
     std::map<std::string, int> attempted;  // owners or peers asked since the last grant
     std::string target;                    // owner or peer that was asked last
@@ -97,7 +97,7 @@
                  std::vector<OutgoingMessage>& out);
   std::optional<std::string> next_owner(PendingRequest& pending, QuotaPeers const& peers, Micros now) const;
   std::optional<std::string> next_peer(PendingRequest const& pending, QuotaPeers const& peers) const;
-  void return_grants(PendingRequest const& pending, std::vector<OutgoingMessage>& out);
+  void return_allocations(PendingRequest const& pending, std::vector<OutgoingMessage>& out);
   void finish(PendingRequest const& pending, QuotaResult::Type type, std::vector<OutgoingMessage>& out);
 
   std::string const self_;
