--- a/testing/platform_fleet_test/line.cc
+++ b/testing/platform_fleet_test/line.cc
@@ -19,20 +19,21 @@
 
 std::shared_ptr<Line> Line::dial(std::string const& address, std::string const& from, Micros within) {
   std::shared_ptr<Line> const out(new Line);
-  out->link = Link::dial(address, from, within);
+  out->link = TcpConnection::dial(address, from, within);
   std::weak_ptr<Line> const weak = out;
-  out->link->listen({nullptr,
-                     [weak](std::string_view bytes) {
-                       if (std::shared_ptr<Line> const line = weak.lock()) line->take(bytes);
-                     },
-                     [weak](Link::End how) {
-                       std::shared_ptr<Line> const line = weak.lock();
-                       if (!line) return;
-                       bool const closed = how == Link::End::closed;
-                       if (closed && line->phase == ReadPhase::to_close) return line->finish(End::complete);
-                       line->finish(how == Link::End::unreached ? End::unreached : End::cut);
-                     },
-                     nullptr});
+  out->link->set_callbacks({nullptr,
+                            [weak](std::string_view bytes) {
+                              if (std::shared_ptr<Line> const line = weak.lock()) line->take(bytes);
+                            },
+                            [weak](TcpConnection::CloseReason how) {
+                              std::shared_ptr<Line> const line = weak.lock();
+                              if (!line) return;
+                              bool const closed = how == TcpConnection::CloseReason::closed;
+                              if (closed && line->phase == ReadPhase::to_close) return line->finish(End::complete);
+                              line->finish(how == TcpConnection::CloseReason::connect_failed ? End::unreached
+                                                                                             : End::cut);
+                            },
+                            nullptr});
   return out;
 }
 
@@ -75,7 +76,7 @@
   if (!link->open()) {
     // Not from inside the call: the caller's own state comes first.
     std::weak_ptr<Line> const weak = weak_from_this();
-    after(0, [weak] {
+    run_after(0, [weak] {
       if (std::shared_ptr<Line> const line = weak.lock()) line->finish(End::unreached);
     });
     return;
--- a/testing/platform_fleet_test/rude_clients.h
+++ b/testing/platform_fleet_test/rude_clients.h
@@ -1,31 +1,32 @@
-// Clients that misbehave: half requests, bytes that are none, heads that are too large, bodies that stop, and whole
-// requests whose client leaves at once. None of them is owed anything; the others are.
+// Misbehaving clients: truncated requests, bytes that are not HTTP, oversized heads, bodies that stop, and complete
+// requests whose client disconnects at once. Their answers are not checked; they must not harm the other clients.
 #pragma once
 #include <deque>
 #include <memory>
 #include <string>
 
 #include "base/random.h"
-#include "net/link.h"
+#include "net/tcp_connection.h"
 #include "testing/platform_fleet_test/nodes.h"
 
 namespace pipit::platform_fleet {
 
+// Opens connections to random nodes and sends malformed requests.
 class RudeClients {
  public:
-  RudeClients(Nodes& nodes_, int net_, std::uint64_t seed) : nodes(nodes_), net(net_), random(seed) {}
-  // So many, one after the other.
-  void come(int count, Micros gap);
-  std::uint64_t connected = 0;
+  RudeClients(Nodes& nodes, int net, std::uint64_t seed) : nodes_(nodes), net_(net), random_(seed) {}
+  // Connects `count` clients, one every `gap`.
+  void connect_clients(int count, Micros gap);
+  std::uint64_t connected = 0;  // connections opened so far
 
  private:
-  void one();
-  std::string random_text();
+  void connect_one();
+  std::string random_bytes();
 
-  Nodes& nodes;
-  int const net;
-  RandomSource random;
-  std::deque<std::shared_ptr<Link>> links;
+  Nodes& nodes_;
+  int const net_;
+  RandomSource random_;
+  std::deque<std::shared_ptr<TcpConnection>> links_;
 };
 
 }  // namespace pipit::platform_fleet
