--- a/programs/pipitspoolctl/main.cc
+++ b/programs/pipitspoolctl/main.cc
@@ -22,11 +22,11 @@
 int show(OperatorReply const& reply) {
   int const code = exit_code_of(reply);
   if (reply.status == 0) {
-    std::fprintf(stderr, "pipitspoolctl: the node is not reached: %s\n", reply.why.c_str());
+    std::fprintf(stderr, "pipitspoolctl: the node is not reached: %s\n", reply.error.c_str());
   } else {
     std::fprintf(code == 0 || code == 5 ? stdout : stderr, "%s\n", reply.body.c_str());
     if (code == 3)
-      std::fprintf(stderr, "pipitspoolctl: resolve it with: pipitspoolctl change %s\n", reply.change.c_str());
+      std::fprintf(stderr, "pipitspoolctl: resolve it with: pipitspoolctl change %s\n", reply.change_id.c_str());
   }
   return code;
 }
--- a/src/runtime/disk/disk_task.cc
+++ b/src/runtime/disk/disk_task.cc
@@ -15,22 +15,22 @@
 namespace pipit {
 
 namespace {
-constexpr std::size_t written_out = 1u << 20;
+constexpr std::size_t max_zero_filled_bytes = 1u << 20;
 
-std::string why(std::string const& what, std::string const& name) {
+std::string system_error(std::string const& what, std::string const& name) {
   return what + " " + name + ": " + std::strerror(errno);
 }
-struct Handle {
+struct FileDescriptor {
   int fd;
-  ~Handle() {
+  ~FileDescriptor() {
     if (fd >= 0) ::close(fd);
   }
 };
-struct Job {
+struct SaveJob {
   wire::RecordT record;
-  bool last = false;
+  bool stops = false;
 };
-struct Done {
+struct SaveResult {
   std::function<void(bool, std::string)> call;
   bool good;
   std::string text;
@@ -45,7 +45,7 @@
 Result<void> PosixDisk::lock() {
   // Held for as long as the process runs: two replicas never share a folder.
   int const fd = ::open((folder_ + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
-  if (fd < 0) return fail(ErrorCode::bad_disk, why("cannot open", "lock"));
+  if (fd < 0) return fail(ErrorCode::bad_disk, system_error("cannot open", "lock"));
   if (::flock(fd, LOCK_EX | LOCK_NB) != 0) {
     ::close(fd);
     return fail(ErrorCode::bad_disk, "another process uses the data folder");
@@ -54,16 +54,16 @@
 }
 
 Result<std::string> PosixDisk::read(std::string const& name) {
-  Handle const file{::open((folder_ + "/" + name).c_str(), O_RDONLY | O_CLOEXEC)};
-  if (file.fd < 0) return fail(ErrorCode::bad_disk, why("cannot open", name));
+  FileDescriptor const file{::open((folder_ + "/" + name).c_str(), O_RDONLY | O_CLOEXEC)};
+  if (file.fd < 0) return fail(ErrorCode::bad_disk, system_error("cannot open", name));
   struct stat info;
-  if (::fstat(file.fd, &info) != 0) return fail(ErrorCode::bad_disk, why("cannot look at", name));
+  if (::fstat(file.fd, &info) != 0) return fail(ErrorCode::bad_disk, system_error("cannot look at", name));
   std::string out(static_cast<std::size_t>(info.st_size), '\0');
   std::size_t at = 0;
   while (at < out.size()) {
     ssize_t const n = ::pread(file.fd, out.data() + at, out.size() - at, static_cast<off_t>(at));
     if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) return fail(ErrorCode::bad_disk, why("cannot read", name));
+    if (n <= 0) return fail(ErrorCode::bad_disk, system_error("cannot read", name));
     at += static_cast<std::size_t>(n);
   }
   return out;
@@ -73,11 +73,11 @@
   if (fires(FaultPoint::end_before_sync)) ::_exit(41);
   if (fires(FaultPoint::disk_slow))
     g_usleep(static_cast<gulong>(std::stoll("0" + fault_arg(FaultPoint::disk_slow)) * 1000));
-  Handle const file{::open((folder_ + "/" + name).c_str(), O_WRONLY | O_CLOEXEC)};
-  if (file.fd < 0) return fail(ErrorCode::bad_disk, why("cannot open", name));
+  FileDescriptor const file{::open((folder_ + "/" + name).c_str(), O_WRONLY | O_CLOEXEC)};
+  if (file.fd < 0) return fail(ErrorCode::bad_disk, system_error("cannot open", name));
   if (fires(FaultPoint::disk_full)) {
     errno = ENOSPC;
-    return fail(ErrorCode::bad_disk, why("cannot write", name));
+    return fail(ErrorCode::bad_disk, system_error("cannot write", name));
   }
   bool const torn = fires(FaultPoint::disk_torn);
   std::size_t const size = torn ? bytes.size() / 2 : bytes.size();
@@ -85,74 +85,74 @@
   while (at < size) {
     ssize_t const n = ::pwrite(file.fd, bytes.data() + at, size - at, static_cast<off_t>(at));
     if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) return fail(ErrorCode::bad_disk, why("cannot write", name));
+    if (n <= 0) return fail(ErrorCode::bad_disk, system_error("cannot write", name));
     at += static_cast<std::size_t>(n);
   }
   if (torn) ::_exit(42);
   if (fires(FaultPoint::disk_fail)) return fail(ErrorCode::bad_disk, "cannot sync " + name + ": fault point 10");
-  if (::fdatasync(file.fd) != 0) return fail(ErrorCode::bad_disk, why("cannot sync", name));
+  if (::fdatasync(file.fd) != 0) return fail(ErrorCode::bad_disk, system_error("cannot sync", name));
   return boost::outcome_v2::success();
 }
 
 Result<void> PosixDisk::sync_folder() {
-  Handle const dir{::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)};
-  if (dir.fd < 0 || ::fsync(dir.fd) != 0) return fail(ErrorCode::bad_disk, why("cannot sync", folder_));
+  FileDescriptor const dir{::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)};
+  if (dir.fd < 0 || ::fsync(dir.fd) != 0) return fail(ErrorCode::bad_disk, system_error("cannot sync", folder_));
   return boost::outcome_v2::success();
 }
 
 Result<void> PosixDisk::allocate(std::string const& name, std::size_t size) {
-  Handle const file{::open((folder_ + "/" + name).c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0644)};
-  if (file.fd < 0) return fail(ErrorCode::bad_disk, why("cannot make", name));
+  FileDescriptor const file{::open((folder_ + "/" + name).c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0644)};
+  if (file.fd < 0) return fail(ErrorCode::bad_disk, system_error("cannot make", name));
   // Small files are written out: what is written is there, on any disk. Large ones are reserved where the disk can, for
   // writing them takes a busy disk seconds.
-  bool const reserved = size > written_out && ::posix_fallocate(file.fd, 0, static_cast<off_t>(size)) == 0;
+  bool const reserved = size > max_zero_filled_bytes && ::posix_fallocate(file.fd, 0, static_cast<off_t>(size)) == 0;
   std::string const zeros(reserved ? 0 : std::min<std::size_t>(size, 262144), '\0');
   for (std::size_t at = 0; at < size && !reserved;) {
     ssize_t const n = ::pwrite(file.fd, zeros.data(), std::min(zeros.size(), size - at), static_cast<off_t>(at));
     if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) return fail(ErrorCode::bad_disk, why("cannot allocate", name));
+    if (n <= 0) return fail(ErrorCode::bad_disk, system_error("cannot allocate", name));
     at += static_cast<std::size_t>(n);
   }
-  if (::fsync(file.fd) != 0) return fail(ErrorCode::bad_disk, why("cannot sync", name));
+  if (::fsync(file.fd) != 0) return fail(ErrorCode::bad_disk, system_error("cannot sync", name));
   return sync_folder();
 }
 
 DiskTask::DiskTask(std::unique_ptr<PosixDisk> disk, std::unique_ptr<RecordStore> store,
-                   std::function<void(bool, std::string)> done, bool patient)
+                   std::function<void(bool, std::string)> on_saved, bool retries_failed_writes)
     : disk_(std::move(disk)),
       store_(std::move(store)),
-      done_(std::move(done)),
-      patient_(patient),
+      on_saved_(std::move(on_saved)),
+      retries_failed_writes_(retries_failed_writes),
       backlog_(g_async_queue_new()),
       thread_([this] { run(); }) {}
 
 DiskTask::~DiskTask() {
   // NOLINTNEXTLINE(bugprone-unhandled-exception-at-new): without memory the process ends either way.
-  g_async_queue_push(backlog_, new Job{{}, true});
+  g_async_queue_push(backlog_, new SaveJob{{}, true});
   thread_.join();
   g_async_queue_unref(backlog_);
 }
 
-void DiskTask::save(wire::RecordT record) { g_async_queue_push(backlog_, new Job{std::move(record), false}); }
+void DiskTask::save(wire::RecordT record) { g_async_queue_push(backlog_, new SaveJob{std::move(record), false}); }
 
 void DiskTask::run() {
   while (true) {
-    std::unique_ptr<Job> const job(static_cast<Job*>(g_async_queue_pop(backlog_)));
-    if (job->last) return;
+    std::unique_ptr<SaveJob> const job(static_cast<SaveJob*>(g_async_queue_pop(backlog_)));
+    if (job->stops) return;
     Result<void> saved = store_->save(job->record);
     // §5.6: nobody was answered for it yet, and a record is always written whole to files that hold no newer one, so
     // trying again is as safe as the first try. Told once, not each time.
-    for (int attempts = 0; !saved && patient_; ++attempts) {
+    for (int attempts = 0; !saved && retries_failed_writes_; ++attempts) {
       if (attempts == 0) log_event(Event::disk_write_retried, saved.error().what);
       g_usleep(100000);
       saved = store_->save(job->record);
     }
     if (saved && fires(FaultPoint::end_after_sync)) ::_exit(43);
-    Done* const result = new Done{done_, static_cast<bool>(saved), saved ? "" : saved.error().what};
+    SaveResult* const result = new SaveResult{on_saved_, static_cast<bool>(saved), saved ? "" : saved.error().what};
     g_idle_add_full(
         G_PRIORITY_HIGH,
         [](gpointer data) -> gboolean {
-          std::unique_ptr<Done> const item(static_cast<Done*>(data));
+          std::unique_ptr<SaveResult> const item(static_cast<SaveResult*>(data));
           item->call(item->good, item->text);
           return G_SOURCE_REMOVE;
         },
--- a/src/runtime/disk/disk_task.h
+++ b/src/runtime/disk/disk_task.h
@@ -28,7 +28,7 @@
 class DiskTask {
  public:
   DiskTask(std::unique_ptr<PosixDisk> disk, std::unique_ptr<RecordStore> store,
-           std::function<void(bool, std::string)> done, bool patient = false);
+           std::function<void(bool, std::string)> on_saved, bool retries_failed_writes = false);
   ~DiskTask();
   void save(wire::RecordT record);
 
@@ -36,8 +36,9 @@
   void run();
   std::unique_ptr<PosixDisk> disk_;
   std::unique_ptr<RecordStore> store_;
-  std::function<void(bool, std::string)> done_;
-  bool const patient_;  // a record that the disk refused is written again, whole and to the next files, until it holds
+  std::function<void(bool, std::string)> on_saved_;
+  bool const retries_failed_writes_;  // a record that the disk refused is written again, whole and to the next files,
+                                      // until it holds
   GAsyncQueue* backlog_;
   std::thread thread_;
 };
--- a/src/runtime/http/chat_server.cc
+++ b/src/runtime/http/chat_server.cc
@@ -8,9 +8,9 @@
 namespace pipit {
 
 namespace {
-constexpr guint body_ms = 10000;   // within which a caller's body must have come
-constexpr guint stuck_ms = 20000;  // for how long a caller may take nothing of what waits for it
-constexpr std::size_t waiting_most = 8u << 20;
+constexpr guint body_timeout_ms = 10000;   // within which a caller's body must have come
+constexpr guint write_timeout_ms = 20000;  // for how long a caller may take nothing of what waits for it
+constexpr std::size_t max_unsent_bytes = 8u << 20;
 }  // namespace
 
 struct ChatServer::OpenCall {
@@ -19,12 +19,12 @@
   SoupServerMessage* message = nullptr;
   GSource* watch = nullptr;
   guint timer = 0;
-  bool called = false;    // the whole request has come
-  bool answered = false;  // its answer is complete
+  bool request_complete = false;  // the whole request has come
+  bool answered = false;          // its answer is complete
   bool stream = false;
-  bool breaking = false;
-  std::size_t put = 0;
-  std::size_t taken = 0;
+  bool aborts_after_write = false;
+  std::size_t buffered_bytes = 0;
+  std::size_t written_bytes = 0;
   std::size_t chunks_queued = 0;
   std::size_t chunks_written = 0;
   void unwatch() {
@@ -43,11 +43,11 @@
   }
 };
 
-ChatServer::ChatServer(Callbacks callbacks, std::size_t body_most)
-    : callbacks_(std::move(callbacks)), body_most_(body_most) {}
+ChatServer::ChatServer(Callbacks callbacks, std::size_t max_body_bytes)
+    : callbacks_(std::move(callbacks)), max_body_bytes_(max_body_bytes) {}
 
 std::string ChatServer::Call::header(char const* name) const {
-  char const* const value = soup_message_headers_get_one(head, name);
+  char const* const value = soup_message_headers_get_one(request_headers, name);
   return value == nullptr ? "" : value;
 }
 
@@ -83,7 +83,7 @@
   ChatServer& server = *static_cast<ChatServer*>(self);
   std::unique_ptr<OpenCall> open_call = std::make_unique<OpenCall>();
   open_call->server = &server;
-  open_call->id = ++server.next_;
+  open_call->id = ++server.next_id_;
   open_call->message = SOUP_SERVER_MESSAGE(g_object_ref(message));
   g_object_set_data(G_OBJECT(message), "pipit", open_call.get());
   soup_server_message_get_remote_address(
@@ -96,14 +96,14 @@
   ChatServer& server = *static_cast<ChatServer*>(self);
   OpenCall* const open_call = static_cast<OpenCall*>(g_object_get_data(G_OBJECT(message), "pipit"));
   if (open_call == nullptr) return;
-  open_call->timer = g_timeout_add(body_ms, on_slow, open_call);
+  open_call->timer = g_timeout_add(body_timeout_ms, on_timeout, open_call);
   SoupMessageHeaders* const head = soup_server_message_get_request_headers(message);
   if (soup_message_headers_get_encoding(head) == SOUP_ENCODING_CONTENT_LENGTH &&
-      soup_message_headers_get_content_length(head) > static_cast<goffset>(server.body_most_)) {
-    ++server.broken;
-    open_call->called = true;
+      soup_message_headers_get_content_length(head) > static_cast<goffset>(server.max_body_bytes_)) {
+    ++server.aborted_bodies;
+    open_call->request_complete = true;
     Answer const out = answer_for(
-        Error{ErrorCode::too_large, "a body has at most " + std::to_string(server.body_most_) + " bytes", ""});
+        Error{ErrorCode::too_large, "a body has at most " + std::to_string(server.max_body_bytes_) + " bytes", ""});
     soup_message_headers_replace(soup_server_message_get_response_headers(message), "Connection", "close");
     server.answer(open_call->id, out);
     return;
@@ -111,20 +111,20 @@
   // A body without a stated length is counted as it comes.
   g_signal_connect(message, "got-chunk", G_CALLBACK(+[](SoupServerMessage*, GBytes* chunk, gpointer data) {
                      OpenCall* const item = static_cast<OpenCall*>(data);
-                     item->put += g_bytes_get_size(chunk);
-                     if (item->put > item->server->body_most_ && !item->called) {
-                       ++item->server->broken;
+                     item->buffered_bytes += g_bytes_get_size(chunk);
+                     if (item->buffered_bytes > item->server->max_body_bytes_ && !item->request_complete) {
+                       ++item->server->aborted_bodies;
                        item->server->abort(*item);
                      }
                    }),
                    open_call);
 }
 
-gboolean ChatServer::on_slow(gpointer data) {
+gboolean ChatServer::on_timeout(gpointer data) {
   OpenCall& open_call = *static_cast<OpenCall*>(data);
   open_call.timer = 0;
-  if (open_call.called && open_call.put == open_call.taken) return G_SOURCE_REMOVE;
-  ++open_call.server->broken;
+  if (open_call.request_complete && open_call.buffered_bytes == open_call.written_bytes) return G_SOURCE_REMOVE;
+  ++open_call.server->aborted_bodies;
   open_call.server->abort(open_call);
   return G_SOURCE_REMOVE;
 }
@@ -132,9 +132,9 @@
 void ChatServer::on_call(SoupServer*, SoupServerMessage* message, char const* path, GHashTable* query, gpointer self) {
   ChatServer& server = *static_cast<ChatServer*>(self);
   OpenCall* const open_call = static_cast<OpenCall*>(g_object_get_data(G_OBJECT(message), "pipit"));
-  if (open_call == nullptr || open_call->called) return;
-  open_call->called = true;
-  open_call->put = 0;
+  if (open_call == nullptr || open_call->request_complete) return;
+  open_call->request_complete = true;
+  open_call->buffered_bytes = 0;
   if (open_call->timer != 0) g_source_remove(open_call->timer);
   open_call->timer = 0;
   soup_server_message_pause(message);
@@ -152,7 +152,7 @@
   call.id = open_call->id;
   call.method = soup_server_message_get_method(message);
   call.path = path;
-  call.head = soup_server_message_get_request_headers(message);
+  call.request_headers = soup_server_message_get_request_headers(message);
   SoupMessageBody* const body = soup_server_message_get_request_body(message);
   GBytes* const bytes = soup_message_body_flatten(body);
   gsize size = 0;
@@ -189,12 +189,12 @@
 
 void ChatServer::on_finished(SoupServerMessage*, gpointer data) {
   OpenCall& open_call = *static_cast<OpenCall*>(data);
-  open_call.server->drop(open_call, true);
+  open_call.server->remove(open_call, true);
 }
 
-void ChatServer::drop(OpenCall& open_call, bool disconnected) {
+void ChatServer::remove(OpenCall& open_call, bool disconnected) {
   std::uint64_t const id = open_call.id;
-  bool const report_disconnect = disconnected && open_call.called && !open_call.answered;
+  bool const report_disconnect = disconnected && open_call.request_complete && !open_call.answered;
   g_object_set_data(G_OBJECT(open_call.message), "pipit", nullptr);
   std::map<std::uint64_t, std::unique_ptr<OpenCall>>::iterator const position = calls_.find(id);
   if (position == calls_.end()) return;
@@ -206,7 +206,7 @@
 // Ends the connection where it stands: the caller sees a body that was broken off.
 void ChatServer::abort(OpenCall& open_call) {
   SoupServerMessage* const message = SOUP_SERVER_MESSAGE(g_object_ref(open_call.message));
-  drop(open_call, true);
+  remove(open_call, true);
   // First the socket: libsoup closes its chunked writer when the connection is taken from it, and that writes the
   // mark of a whole body.
   GSocket* const socket = soup_server_message_get_socket(message);
@@ -220,25 +220,25 @@
 }
 
 void ChatServer::answer(std::uint64_t id, unsigned status, std::string const& type, std::string const& body,
-                        std::map<std::string, std::string> const& more) {
+                        std::map<std::string, std::string> const& headers) {
   std::map<std::uint64_t, std::unique_ptr<OpenCall>>::iterator const position = calls_.find(id);
   if (position == calls_.end()) return;
   OpenCall& open_call = *position->second;
   open_call.answered = true;
   open_call.unwatch();
   SoupMessageHeaders* const head = soup_server_message_get_response_headers(open_call.message);
-  for (std::pair<std::string const, std::string> const& item : more)
+  for (std::pair<std::string const, std::string> const& item : headers)
     soup_message_headers_replace(head, item.first.c_str(), item.second.c_str());
-  if (last_calls_) soup_message_headers_replace(head, "Connection", "close");
+  if (closes_connections_) soup_message_headers_replace(head, "Connection", "close");
   soup_server_message_set_status(open_call.message, status, nullptr);
   soup_server_message_set_response(open_call.message, type.c_str(), SOUP_MEMORY_COPY, body.data(), body.size());
   soup_server_message_unpause(open_call.message);
 }
 
 void ChatServer::answer(std::uint64_t id, Answer const& out) {
-  std::map<std::string, std::string> more;
-  if (out.wait > 0) more["Retry-After"] = std::to_string((out.wait + seconds(1) - 1) / seconds(1));
-  answer(id, out.status, "application/json", out.body, more);
+  std::map<std::string, std::string> headers;
+  if (out.wait > 0) headers["Retry-After"] = std::to_string((out.wait + seconds(1) - 1) / seconds(1));
+  answer(id, out.status, "application/json", out.body, headers);
 }
 
 bool ChatServer::streaming(std::uint64_t id) const {
@@ -247,7 +247,7 @@
 }
 
 void ChatServer::write_chunk(std::uint64_t id, std::string const& bytes,
-                             std::map<std::string, std::string> const& more) {
+                             std::map<std::string, std::string> const& headers) {
   std::map<std::uint64_t, std::unique_ptr<OpenCall>>::iterator const position = calls_.find(id);
   if (position == calls_.end()) return;
   OpenCall& open_call = *position->second;
@@ -259,17 +259,17 @@
     soup_message_headers_set_encoding(head, SOUP_ENCODING_CHUNKED);
     soup_message_headers_replace(head, "Content-Type", "text/event-stream");
     soup_message_headers_replace(head, "Cache-Control", "no-cache");
-    if (last_calls_) soup_message_headers_replace(head, "Connection", "close");
-    for (std::pair<std::string const, std::string> const& item : more)
+    if (closes_connections_) soup_message_headers_replace(head, "Connection", "close");
+    for (std::pair<std::string const, std::string> const& item : headers)
       soup_message_headers_replace(head, item.first.c_str(), item.second.c_str());
     soup_message_body_set_accumulate(body, FALSE);
   }
   soup_message_body_append(body, SOUP_MEMORY_COPY, bytes.data(), bytes.size());
-  open_call.put += bytes.size();
+  open_call.buffered_bytes += bytes.size();
   ++open_call.chunks_queued;
-  if (open_call.timer == 0) open_call.timer = g_timeout_add(stuck_ms, on_slow, &open_call);
-  if (open_call.put - open_call.taken > waiting_most) {
-    ++broken;
+  if (open_call.timer == 0) open_call.timer = g_timeout_add(write_timeout_ms, on_timeout, &open_call);
+  if (open_call.buffered_bytes - open_call.written_bytes > max_unsent_bytes) {
+    ++aborted_bodies;
     abort(open_call);
     return;
   }
@@ -278,15 +278,16 @@
 
 void ChatServer::on_wrote_data(SoupServerMessage*, guint size, gpointer data) {
   OpenCall& open_call = *static_cast<OpenCall*>(data);
-  open_call.taken = std::min(open_call.put, open_call.taken + size);
+  open_call.written_bytes = std::min(open_call.buffered_bytes, open_call.written_bytes + size);
   if (open_call.timer != 0) g_source_remove(open_call.timer);
-  open_call.timer = open_call.put == open_call.taken ? 0 : g_timeout_add(stuck_ms, on_slow, &open_call);
+  open_call.timer =
+      open_call.buffered_bytes == open_call.written_bytes ? 0 : g_timeout_add(write_timeout_ms, on_timeout, &open_call);
 }
 
 void ChatServer::on_wrote_chunk(SoupServerMessage*, gpointer data) {
   OpenCall& open_call = *static_cast<OpenCall*>(data);
   ++open_call.chunks_written;
-  if (open_call.breaking && open_call.chunks_written >= open_call.chunks_queued) {
+  if (open_call.aborts_after_write && open_call.chunks_written >= open_call.chunks_queued) {
     open_call.answered = true;
     open_call.server->abort(open_call);
   }
@@ -304,12 +305,12 @@
 void ChatServer::break_off(std::uint64_t id, std::string const& last) {
   std::map<std::uint64_t, std::unique_ptr<OpenCall>>::iterator const position = calls_.find(id);
   if (position == calls_.end()) return;
-  position->second->breaking = true;
+  position->second->aborts_after_write = true;
   position->second->answered = true;
   write_chunk(id, last);
 }
 
-void ChatServer::closing() { last_calls_ = true; }
+void ChatServer::close_after_answers() { closes_connections_ = true; }
 
 void ChatServer::stop_listening() {
   GSList* const list = soup_server_get_listeners(server_);
--- a/src/runtime/http/chat_server.h
+++ b/src/runtime/http/chat_server.h
@@ -20,30 +20,30 @@
     std::string path;
     std::map<std::string, std::string> query;
     std::string body;
-    SoupMessageHeaders* head = nullptr;
+    SoupMessageHeaders* request_headers = nullptr;
     std::string header(char const* name) const;
   };
   struct Callbacks {
     std::function<void(Call const&)> call;
     std::function<void(std::uint64_t id)> disconnected;  // the caller hung up before the answer ended
   };
-  ChatServer(Callbacks callbacks, std::size_t body_most);
+  ChatServer(Callbacks callbacks, std::size_t max_body_bytes);
   ~ChatServer();
 
   Result<void> listen(std::string const& address);
   void answer(std::uint64_t id, unsigned status, std::string const& type, std::string const& body,
-              std::map<std::string, std::string> const& more = {});
+              std::map<std::string, std::string> const& headers = {});
   void answer(std::uint64_t id, Answer const& answer);
   // A stream: a head, pieces, and its end; or a last piece after which the body is broken off.
-  void write_chunk(std::uint64_t id, std::string const& bytes, std::map<std::string, std::string> const& more = {});
+  void write_chunk(std::uint64_t id, std::string const& bytes, std::map<std::string, std::string> const& headers = {});
   void end(std::uint64_t id);
   void break_off(std::uint64_t id, std::string const& last);
   bool streaming(std::uint64_t id) const;
-  std::size_t open() const { return calls_.size(); }
+  std::size_t open_calls() const { return calls_.size(); }
   // From now on every answer closes its connection, and no new connection is taken.
-  void closing();
+  void close_after_answers();
   void stop_listening();
-  std::uint64_t broken = 0;  // bodies that were too large or too slow
+  std::uint64_t aborted_bodies = 0;  // bodies that were too large or too slow
 
  private:
   struct OpenCall;
@@ -54,15 +54,15 @@
   static void on_wrote_chunk(SoupServerMessage* message, gpointer data);
   static void on_wrote_data(SoupServerMessage* message, guint size, gpointer data);
   static gboolean on_peer(GSocket* socket, GIOCondition condition, gpointer data);
-  static gboolean on_slow(gpointer data);
-  void drop(OpenCall& open_call, bool disconnected);
+  static gboolean on_timeout(gpointer data);
+  void remove(OpenCall& open_call, bool disconnected);
   void abort(OpenCall& open_call);
 
   Callbacks callbacks_;
-  std::size_t const body_most_;
+  std::size_t const max_body_bytes_;
   SoupServer* server_ = nullptr;
-  std::uint64_t next_ = 0;
-  bool last_calls_ = false;
+  std::uint64_t next_id_ = 0;
+  bool closes_connections_ = false;
   std::map<std::uint64_t, std::unique_ptr<OpenCall>> calls_;
 };
 
--- a/src/runtime/http/chat_upstream.cc
+++ b/src/runtime/http/chat_upstream.cc
@@ -8,13 +8,14 @@
 namespace pipit {
 
 namespace {
-constexpr std::size_t answer_most = 16u << 20;
-constexpr Micros progress = seconds(1);  // within which the connection to a worker must be open
+constexpr std::size_t max_answer_bytes = 16u << 20;
+constexpr Micros connect_timeout = seconds(1);  // within which the connection to a worker must be open
 
-SoupSession* make_session(int most) {
+SoupSession* make_session(int max_connections) {
   // §7.3: what libsoup does by itself is switched off: proxies, cookies, cached or shared connections.
-  SoupSession* const out = soup_session_new_with_options("max-conns", most, "max-conns-per-host", most, "timeout", 0,
-                                                         "idle-timeout", 20, "proxy-resolver", nullptr, nullptr);
+  SoupSession* const out =
+      soup_session_new_with_options("max-conns", max_connections, "max-conns-per-host", max_connections, "timeout", 0,
+                                    "idle-timeout", 20, "proxy-resolver", nullptr, nullptr);
   return out;
 }
 }  // namespace
@@ -29,10 +30,10 @@
   GCancellable* stop = nullptr;
   guint timer = 0;
   bool sent = false;
-  bool head = false;
-  bool over = false;
-  bool late = false;
-  bool closed = false;  // the worker said [DONE]
+  bool head_received = false;
+  bool finished = false;
+  bool timed_out = false;
+  bool done_received = false;  // the worker said [DONE]
   std::string answer_text;
   EventSplitter splitter;
   std::size_t events = 0;
@@ -47,29 +48,29 @@
 };
 
 ChatUpstream::ChatUpstream(Callbacks callbacks)
-    : callbacks_(std::move(callbacks)), session_(make_session(4096)), small_(make_session(256)) {}
+    : callbacks_(std::move(callbacks)), session_(make_session(4096)), fetch_session_(make_session(256)) {}
 
 ChatUpstream::~ChatUpstream() {
   for (std::pair<std::uint64_t const, std::shared_ptr<ChatAttempt>>& item : attempts_) {
-    item.second->over = true;
+    item.second->finished = true;
     g_cancellable_cancel(item.second->stop);
   }
   attempts_.clear();
   soup_session_abort(session_);
-  soup_session_abort(small_);
+  soup_session_abort(fetch_session_);
   g_object_unref(session_);
-  g_object_unref(small_);
+  g_object_unref(fetch_session_);
 }
 
-void ChatUpstream::arm(ChatAttempt& attempt, Micros within) {
+void ChatUpstream::set_timer(ChatAttempt& attempt, Micros timeout) {
   if (attempt.timer != 0) g_source_remove(attempt.timer);
-  attempt.timer = g_timeout_add(static_cast<guint>(within / 1000 + 1), on_timer, &attempt);
+  attempt.timer = g_timeout_add(static_cast<guint>(timeout / 1000 + 1), on_timer, &attempt);
 }
 
 gboolean ChatUpstream::on_timer(gpointer data) {
   ChatAttempt& attempt = *static_cast<ChatAttempt*>(data);
   attempt.timer = 0;
-  attempt.late = true;
+  attempt.timed_out = true;
   // What became of it is told once libsoup has let go: only then is it certain whether a byte left.
   g_cancellable_cancel(attempt.stop);
   return G_SOURCE_REMOVE;
@@ -91,7 +92,7 @@
     g_idle_add(
         [](gpointer data) -> gboolean {
           std::unique_ptr<std::shared_ptr<ChatAttempt>> const item(static_cast<std::shared_ptr<ChatAttempt>*>(data));
-          if (!(*item)->over) (*item)->upstream->finish(**item, ChatAttemptEnd::unreached, "fault point 7");
+          if (!(*item)->finished) (*item)->upstream->finish(**item, ChatAttemptEnd::unreached, "fault point 7");
           return G_SOURCE_REMOVE;
         },
         attempt_owner);
@@ -108,7 +109,7 @@
   soup_message_set_request_body_from_bytes(attempt->message, "application/json", bytes);
   g_bytes_unref(bytes);
   g_signal_connect(attempt->message, "starting", G_CALLBACK(on_starting), attempt.get());
-  arm(*attempt, progress);
+  set_timer(*attempt, connect_timeout);
   soup_session_send_async(session_, attempt->message, G_PRIORITY_DEFAULT, attempt->stop, on_head,
                           new std::shared_ptr<ChatAttempt>(attempt));
 }
@@ -117,21 +118,21 @@
   ChatAttempt& attempt = *static_cast<ChatAttempt*>(data);
   if (attempt.sent) return;
   attempt.sent = true;
-  if (attempt.over) return;
+  if (attempt.finished) return;
   attempt.upstream->callbacks_.sent(attempt.start.chat_request);
-  attempt.upstream->arm(attempt, attempt.start.first_byte_timeout);
+  attempt.upstream->set_timer(attempt, attempt.start.first_byte_timeout);
   if (fires(FaultPoint::attempt_break_sent)) g_cancellable_cancel(attempt.stop);
 }
 
-void ChatUpstream::finish(ChatAttempt& attempt, ChatAttemptEnd end, std::string const& why, Micros back) {
-  if (attempt.over) return;
-  attempt.over = true;
+void ChatUpstream::finish(ChatAttempt& attempt, ChatAttemptEnd end, std::string const& why, Micros retry_after) {
+  if (attempt.finished) return;
+  attempt.finished = true;
   if (attempt.timer != 0) g_source_remove(attempt.timer);
   attempt.timer = 0;
   g_cancellable_cancel(attempt.stop);
   std::uint64_t const chat_request = attempt.start.chat_request;
   attempts_.erase(chat_request);  // whoever called this holds the attempt
-  callbacks_.ended(chat_request, end, why, back);
+  callbacks_.ended(chat_request, end, why, retry_after);
 }
 
 void ChatUpstream::on_head(GObject* source, GAsyncResult* result, gpointer data) {
@@ -141,29 +142,31 @@
   attempt.body = soup_session_send_finish(SOUP_SESSION(source), result, &error);
   std::string const why = error != nullptr ? error->message : "";
   g_clear_error(&error);
-  if (attempt.over) return;
+  if (attempt.finished) return;
   if (attempt.body == nullptr) {
     if (!attempt.sent)
-      return attempt.upstream->finish(attempt, ChatAttemptEnd::unreached, attempt.late ? "no wire in time" : why);
-    return attempt.upstream->finish(attempt, attempt.late ? ChatAttemptEnd::silent : ChatAttemptEnd::broke, why);
+      return attempt.upstream->finish(attempt, ChatAttemptEnd::unreached, attempt.timed_out ? "no wire in time" : why);
+    return attempt.upstream->finish(attempt, attempt.timed_out ? ChatAttemptEnd::silent : ChatAttemptEnd::broke, why);
   }
-  attempt.head = true;
+  attempt.head_received = true;
   unsigned const status = soup_message_get_status(attempt.message);
   SoupMessageHeaders* const head = soup_message_get_response_headers(attempt.message);
   if (status != 200) {
-    char const* const after = soup_message_headers_get_one(head, "Retry-After");
-    Micros const back = after != nullptr ? seconds(std::min(3600L, std::max(0L, std::strtol(after, nullptr, 10)))) : 0;
+    char const* const retry_after_text = soup_message_headers_get_one(head, "Retry-After");
+    Micros const retry_after = retry_after_text != nullptr
+                                   ? seconds(std::min(3600L, std::max(0L, std::strtol(retry_after_text, nullptr, 10))))
+                                   : 0;
     // §7.3: 429 is a refusal before running by its meaning; 503 is one only when it says when to come back.
-    bool const refused = status == 429 || (status == 503 && after != nullptr);
+    bool const refused = status == 429 || (status == 503 && retry_after_text != nullptr);
     return attempt.upstream->finish(attempt,
                                     refused         ? ChatAttemptEnd::refused
                                     : status >= 500 ? ChatAttemptEnd::failed
                                                     : ChatAttemptEnd::wrong,
-                                    "status " + std::to_string(status), back);
+                                    "status " + std::to_string(status), retry_after);
   }
   char const* const type = soup_message_headers_get_content_type(head, nullptr);
-  std::string const want = attempt.stream ? "text/event-stream" : "application/json";
-  if (type == nullptr || want != type)
+  std::string const expected_type = attempt.stream ? "text/event-stream" : "application/json";
+  if (type == nullptr || expected_type != type)
     return attempt.upstream->finish(attempt, ChatAttemptEnd::wrong,
                                     std::string("content type ") + (type == nullptr ? "none" : type));
   attempt.upstream->read_more(attempt);
@@ -184,34 +187,36 @@
   gssize const size = g_input_stream_read_finish(G_INPUT_STREAM(source), result, &error);
   std::string const why = error != nullptr ? error->message : "";
   g_clear_error(&error);
-  if (attempt.over) return;
+  if (attempt.finished) return;
   ChatUpstream& upstream = *attempt.upstream;
   if (size < 0) {
-    bool const some = attempt.events > 0 || !attempt.answer_text.empty();
-    if (attempt.late && !some) return upstream.finish(attempt, ChatAttemptEnd::silent, "no answer in time");
-    return upstream.finish(attempt, ChatAttemptEnd::torn, attempt.late ? "the next piece did not come in time" : why);
+    bool const answer_begun = attempt.events > 0 || !attempt.answer_text.empty();
+    if (attempt.timed_out && !answer_begun)
+      return upstream.finish(attempt, ChatAttemptEnd::silent, "no answer in time");
+    return upstream.finish(attempt, ChatAttemptEnd::torn,
+                           attempt.timed_out ? "the next piece did not come in time" : why);
   }
-  if (size == 0) return upstream.eof(attempt);
-  upstream.took(attempt, std::string_view(attempt.read_buffer, static_cast<std::size_t>(size)));
-  if (!attempt.over) upstream.read_more(attempt);
+  if (size == 0) return upstream.finish_answer(attempt);
+  upstream.receive(attempt, std::string_view(attempt.read_buffer, static_cast<std::size_t>(size)));
+  if (!attempt.finished) upstream.read_more(attempt);
 }
 
-void ChatUpstream::took(ChatAttempt& attempt, std::string_view bytes) {
+void ChatUpstream::receive(ChatAttempt& attempt, std::string_view bytes) {
   if (!attempt.stream) {
     attempt.answer_text += bytes;
-    if (attempt.answer_text.size() > answer_most)
+    if (attempt.answer_text.size() > max_answer_bytes)
       finish(attempt, ChatAttemptEnd::wrong, "the answer is larger than the limit");
     return;
   }
   attempt.splitter.feed(bytes);
   std::string event;
-  while (!attempt.over && attempt.splitter.next(event)) {
+  while (!attempt.finished && attempt.splitter.next(event)) {
     std::string const text = event_data(event);
     if (text.empty()) continue;  // a comment that keeps the connection awake
-    if (attempt.closed) return finish(attempt, ChatAttemptEnd::torn, "something came after the end");
+    if (attempt.done_received) return finish(attempt, ChatAttemptEnd::torn, "something came after the end");
     if (text == "[DONE]") {
       if (attempt.events == 0) return finish(attempt, ChatAttemptEnd::torn, "an end without a piece");
-      attempt.closed = true;
+      attempt.done_received = true;
       continue;
     }
     ParsedChunk const chunk = parse_chunk(text);
@@ -226,13 +231,14 @@
                     "a piece of another request: " + chunk.id);
     ++attempt.events;
     callbacks_.event(attempt.start.chat_request, event);
-    arm(attempt, attempt.start.idle_timeout);
+    set_timer(attempt, attempt.start.idle_timeout);
     if (fires(FaultPoint::attempt_break_begun)) return finish(attempt, ChatAttemptEnd::torn, "fault point 9");
   }
-  if (attempt.splitter.size() > answer_most) finish(attempt, ChatAttemptEnd::wrong, "a piece is larger than the limit");
+  if (attempt.splitter.size() > max_answer_bytes)
+    finish(attempt, ChatAttemptEnd::wrong, "a piece is larger than the limit");
 }
 
-void ChatUpstream::eof(ChatAttempt& attempt) {
+void ChatUpstream::finish_answer(ChatAttempt& attempt) {
   if (!attempt.stream) {
     ParsedChunk const chunk = parse_chunk(attempt.answer_text);
     if (!chunk.json) return finish(attempt, ChatAttemptEnd::torn, "the answer is not whole JSON");
@@ -242,17 +248,17 @@
     callbacks_.answer(attempt.start.chat_request, std::move(attempt.answer_text));
     return finish(attempt, ChatAttemptEnd::done, "");
   }
-  if (!attempt.closed || attempt.splitter.has_partial_event())
+  if (!attempt.done_received || attempt.splitter.has_partial_event())
     return finish(attempt, attempt.events == 0 ? ChatAttemptEnd::broke : ChatAttemptEnd::torn,
                   "the stream ended before its end");
   finish(attempt, ChatAttemptEnd::done, "");
 }
 
-void ChatUpstream::cut(std::uint64_t chat_request) {
+void ChatUpstream::cancel(std::uint64_t chat_request) {
   std::map<std::uint64_t, std::shared_ptr<ChatAttempt>>::iterator const position = attempts_.find(chat_request);
   if (position == attempts_.end()) return;
   std::shared_ptr<ChatAttempt> const attempt = position->second;
-  attempt->over = true;
+  attempt->finished = true;
   if (attempt->timer != 0) g_source_remove(attempt->timer);
   attempt->timer = 0;
   attempts_.erase(position);
@@ -266,13 +272,13 @@
   std::function<void(bool, bool, std::string const&)> done;
 };
 
-void ChatUpstream::get(std::string const& address, std::string const& path, Micros within,
-                       std::function<void(bool, bool, std::string const&)> done) {
+void ChatUpstream::fetch(std::string const& address, std::string const& path, Micros timeout,
+                         std::function<void(bool, bool, std::string const&)> done) {
   Fetch* const fetch =
       new Fetch{soup_message_new("GET", ("http://" + address + path).c_str()), g_cancellable_new(), 0, std::move(done)};
   soup_message_set_flags(fetch->message, SOUP_MESSAGE_NO_REDIRECT);
   fetch->timer = g_timeout_add(
-      static_cast<guint>(within / 1000),
+      static_cast<guint>(timeout / 1000),
       [](gpointer data) -> gboolean {
         Fetch* const item = static_cast<Fetch*>(data);
         item->timer = 0;
@@ -280,7 +286,7 @@
         return G_SOURCE_REMOVE;
       },
       fetch);
-  soup_session_send_and_read_async(small_, fetch->message, G_PRIORITY_DEFAULT, fetch->stop, on_fetched, fetch);
+  soup_session_send_and_read_async(fetch_session_, fetch->message, G_PRIORITY_DEFAULT, fetch->stop, on_fetched, fetch);
 }
 
 void ChatUpstream::on_fetched(GObject* source, GAsyncResult* result, gpointer data) {
--- a/src/runtime/http/chat_upstream.h
+++ b/src/runtime/http/chat_upstream.h
@@ -18,7 +18,8 @@
     std::function<void(std::uint64_t chat_request)> sent;
     std::function<void(std::uint64_t chat_request, std::string const& event)> event;  // one whole event of a stream
     std::function<void(std::uint64_t chat_request, std::string body)> answer;  // a whole answer that is no stream
-    std::function<void(std::uint64_t chat_request, ChatAttemptEnd end, std::string const& why, Micros back)> ended;
+    std::function<void(std::uint64_t chat_request, ChatAttemptEnd end, std::string const& why, Micros retry_after)>
+        ended;
   };
   explicit ChatUpstream(Callbacks callbacks);
   ~ChatUpstream();
@@ -26,12 +27,12 @@
   // 'id' is what the worker is told and must answer with.
   void start(ChatAttemptStart const& start, std::string const& id, std::string const& path, std::string const& body,
              bool stream);
-  void cut(std::uint64_t chat_request);
-  std::size_t open() const { return attempts_.size(); }
+  void cancel(std::uint64_t chat_request);
+  std::size_t open_attempts() const { return attempts_.size(); }
 
   // One small GET, for lists and health reports; the answer is nullopt when it failed.
-  void get(std::string const& address, std::string const& path, Micros within,
-           std::function<void(bool good, bool refused, std::string const& body)> done);
+  void fetch(std::string const& address, std::string const& path, Micros timeout,
+             std::function<void(bool good, bool refused, std::string const& body)> done);
 
  private:
   struct ChatAttempt;
@@ -41,15 +42,15 @@
   static void on_starting(SoupMessage* message, gpointer data);
   static gboolean on_timer(gpointer data);
   static void on_fetched(GObject* source, GAsyncResult* result, gpointer data);
-  void arm(ChatAttempt& attempt, Micros within);
+  void set_timer(ChatAttempt& attempt, Micros timeout);
   void read_more(ChatAttempt& attempt);
-  void finish(ChatAttempt& attempt, ChatAttemptEnd end, std::string const& why, Micros back = 0);
-  void took(ChatAttempt& attempt, std::string_view bytes);
-  void eof(ChatAttempt& attempt);
+  void finish(ChatAttempt& attempt, ChatAttemptEnd end, std::string const& why, Micros retry_after = 0);
+  void receive(ChatAttempt& attempt, std::string_view bytes);
+  void finish_answer(ChatAttempt& attempt);
 
   Callbacks callbacks_;
   SoupSession* session_;
-  SoupSession* small_;
+  SoupSession* fetch_session_;
   std::map<std::uint64_t, std::shared_ptr<ChatAttempt>> attempts_;  // by chat request: one attempt at a time
 };
 
--- a/src/runtime/http/operator_client.cc
+++ b/src/runtime/http/operator_client.cc
@@ -5,14 +5,14 @@
 namespace pipit {
 
 OperatorReply call_operator_api(char const* method, std::string const& address, std::string const& path,
-                                std::string const* body, std::string const& expected) {
+                                std::string const* body, std::string const& expected_serial) {
   OperatorReply out;
   SoupSession* const session = soup_session_new_with_options("timeout", 10, "proxy-resolver", nullptr, nullptr);
   SoupMessage* const message = soup_message_new(method, ("http://" + address + path).c_str());
   soup_message_set_flags(message,
                          static_cast<SoupMessageFlags>(SOUP_MESSAGE_NO_REDIRECT | SOUP_MESSAGE_NEW_CONNECTION));
-  if (!expected.empty())
-    soup_message_headers_replace(soup_message_get_request_headers(message), "If-Match", expected.c_str());
+  if (!expected_serial.empty())
+    soup_message_headers_replace(soup_message_get_request_headers(message), "If-Match", expected_serial.c_str());
   if (body != nullptr) {
     GBytes* const bytes = g_bytes_new(body->data(), body->size());
     soup_message_set_request_body_from_bytes(message, "application/json", bytes);
@@ -32,10 +32,10 @@
       std::string& slot;
     };
     for (Row const& row : {Row{"X-Pipit-Serial", out.serial}, Row{"X-Pipit-Emptied", out.drained_zones},
-                           Row{"X-Pipit-Change", out.change}})
+                           Row{"X-Pipit-Change", out.change_id}})
       if (char const* const value = soup_message_headers_get_one(head, row.name)) row.slot = value;
   } else {
-    out.why = error->message;
+    out.error = error->message;
     g_error_free(error);
   }
   g_object_unref(message);
--- a/src/runtime/mesh/connections.cc
+++ b/src/runtime/mesh/connections.cc
@@ -13,7 +13,7 @@
 constexpr std::size_t total_backlog_limit = 2 * max_frame_bytes;
 // What may still be taken of a connection that is being closed: farewells and what stood before them.
 constexpr std::size_t closing_backlog_limit = 64u << 10;
-constexpr Micros dial_most = seconds(1);
+constexpr Micros dial_timeout = seconds(1);
 }  // namespace
 
 Connections::~Connections() {
@@ -24,74 +24,74 @@
   std::uint16_t port = 0;
   split_address(address, own_host_, port);
   Result<void> const open = door_.open(address, [this](std::shared_ptr<Link> link) {
-    std::shared_ptr<Connection> const made = std::make_shared<Connection>();
-    made->id = ++next_;
-    made->link = std::move(link);
-    adopt(made, false);
+    std::shared_ptr<Connection> const connection = std::make_shared<Connection>();
+    connection->id = ++next_id_;
+    connection->link = std::move(link);
+    adopt(connection, false);
   });
   if (!open) return fail(ErrorCode::bad_settings, "mesh: " + open.error().what);
   return boost::outcome_v2::success();
 }
 
 void Connections::dial(std::string const& address) {
-  std::shared_ptr<Connection> const made = std::make_shared<Connection>();
-  made->id = ++next_;
-  made->address = address;
+  std::shared_ptr<Connection> const connection = std::make_shared<Connection>();
+  connection->id = ++next_id_;
+  connection->dialled_address = address;
   // From the node's own number, so that peers and cuts see one number for one node.
-  made->link = Link::dial(address, own_host_, dial_most);
-  if (!made->link->open()) {
-    callbacks_.failed(address, made->link->refused());
+  connection->link = Link::dial(address, own_host_, dial_timeout);
+  if (!connection->link->open()) {
+    callbacks_.dial_failed(address, connection->link->refused());
     return;
   }
-  connections_[made->id] = made;
-  made->link->listen({[this, id = made->id] {
-                        std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position =
-                            connections_.find(id);
-                        if (position == connections_.end()) return;
-                        std::shared_ptr<Connection> const keep = position->second;
-                        adopt(keep, true);
-                      },
-                      nullptr, [this, id = made->id](Link::End how) { lost(id, how); }, nullptr});
+  connections_[connection->id] = connection;
+  connection->link->listen({[this, id = connection->id] {
+                              std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position =
+                                  connections_.find(id);
+                              if (position == connections_.end()) return;
+                              std::shared_ptr<Connection> const dialled = position->second;
+                              adopt(dialled, true);
+                            },
+                            nullptr, [this, id = connection->id](Link::End how) { handle_close(id, how); }, nullptr});
 }
 
 void Connections::adopt(std::shared_ptr<Connection> const& connection, bool outbound) {
   ConnectionId const id = connection->id;
-  std::string const address = std::move(connection->address);
-  connection->address.clear();
+  std::string const address = std::move(connection->dialled_address);
+  connection->dialled_address.clear();
   connections_[id] = connection;
   connection->link->listen({nullptr,
                             [this, id](std::string_view bytes) {
                               std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position =
                                   connections_.find(id);
                               if (position == connections_.end()) return;
-                              std::shared_ptr<Connection> const keep = position->second;
-                              fed(*keep, bytes);
+                              std::shared_ptr<Connection> const receiver = position->second;
+                              receive(*receiver, bytes);
                             },
-                            [this, id](Link::End how) { lost(id, how); }, nullptr});
+                            [this, id](Link::End how) { handle_close(id, how); }, nullptr});
   callbacks_.opened(id, outbound, address);
 }
 
-void Connections::fed(Connection& connection, std::string_view bytes) {
+void Connections::receive(Connection& connection, std::string_view bytes) {
   ConnectionId const id = connection.id;
-  if (!connection.in.empty()) {
-    connection.in.append(bytes);
-    bytes = connection.in;
+  if (!connection.received.empty()) {
+    connection.received.append(bytes);
+    bytes = connection.received;
   }
   std::size_t at = 0;
   while (bytes.size() - at >= 4) {
     std::string_view const rest = bytes.substr(at);
     std::size_t const need = announced_length(rest);
-    if (need == 0) return lost(id, Link::End::closed);
+    if (need == 0) return handle_close(id, Link::End::closed);
     if (rest.size() < need + 4) break;
     bool const good = callbacks_.frame(id, rest.substr(0, need + 4));
     if (!connections_.count(id)) return;
-    if (!good) return lost(id, Link::End::closed);
+    if (!good) return handle_close(id, Link::End::closed);
     at += need + 4;
   }
-  if (connection.in.empty())
-    connection.in.assign(bytes.substr(at));
+  if (connection.received.empty())
+    connection.received.assign(bytes.substr(at));
   else
-    connection.in.erase(0, at);
+    connection.received.erase(0, at);
 }
 
 void Connections::send(ConnectionId id, std::string const& bytes) {
@@ -114,7 +114,7 @@
   if (position == connections_.end()) return;
   Link const& link = *position->second->link;
   log_event(Event::peer_backlog_dropped, link.peer_ip() + " " + std::to_string(link.waiting()));
-  lost(id, Link::End::reset);
+  handle_close(id, Link::End::reset);
 }
 
 ConnectionId Connections::largest_backlog() const {
@@ -137,31 +137,31 @@
   return out;
 }
 
-void Connections::shut(ConnectionId id) {
+void Connections::close(ConnectionId id) {
   std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position = connections_.find(id);
   if (position == connections_.end()) return;
-  std::shared_ptr<Connection> const keep = position->second;
+  std::shared_ptr<Connection> const connection = position->second;
   connections_.erase(position);
-  keep->link->listen({});
+  connection->link->listen({});
   // What was written before, a farewell perhaps, still goes; but a peer that took nothing is not waited for.
-  if (keep->link->waiting() > closing_backlog_limit) return keep->link->close();
-  keep->link->finish();
+  if (connection->link->waiting() > closing_backlog_limit) return connection->link->close();
+  connection->link->finish();
   std::erase_if(closing_, [](std::weak_ptr<Link> const& item) { return item.expired(); });
-  if (keep->link->open()) closing_.push_back(keep->link);
+  if (connection->link->open()) closing_.push_back(connection->link);
 }
 
-void Connections::lost(ConnectionId id, Link::End how) {
+void Connections::handle_close(ConnectionId id, Link::End how) {
   std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position = connections_.find(id);
   if (position == connections_.end()) return;
-  std::shared_ptr<Connection> const keep = position->second;
+  std::shared_ptr<Connection> const connection = position->second;
   connections_.erase(position);
-  keep->link->listen({});
-  bool const refused = keep->link->refused();
-  keep->link->close();
+  connection->link->listen({});
+  bool const refused = connection->link->refused();
+  connection->link->close();
   if (how == Link::End::unreached)
-    callbacks_.failed(keep->address, refused);
+    callbacks_.dial_failed(connection->dialled_address, refused);
   else
-    callbacks_.shut(id);
+    callbacks_.closed(id);
 }
 
 }  // namespace pipit
--- a/src/runtime/mesh/connections.h
+++ b/src/runtime/mesh/connections.h
@@ -16,8 +16,8 @@
  public:
   struct Callbacks {
     std::function<void(ConnectionId, bool outbound, std::string const& address)> opened;
-    std::function<void(ConnectionId)> shut;
-    std::function<void(std::string const& address, bool refused)> failed;
+    std::function<void(ConnectionId)> closed;
+    std::function<void(std::string const& address, bool refused)> dial_failed;
     std::function<bool(ConnectionId, std::string_view frame)> frame;
   };
   explicit Connections(Callbacks callbacks) : callbacks_(std::move(callbacks)) {}
@@ -26,7 +26,7 @@
   Result<void> listen(std::string const& address);
   void dial(std::string const& address);
   void send(ConnectionId id, std::string const& bytes);
-  void shut(ConnectionId id);
+  void close(ConnectionId id);
 
   // Bytes that wait for peers to take them, those of connections that are being closed included.
   std::size_t backlog_bytes() const;
@@ -36,19 +36,19 @@
   struct Connection {
     ConnectionId id = 0;
     std::shared_ptr<Link> link;
-    std::string address;  // that was dialled, until the link is up
-    std::string in;
+    std::string dialled_address;  // that was dialled, until the link is up
+    std::string received;
   };
   void adopt(std::shared_ptr<Connection> const& connection, bool outbound);
-  void fed(Connection& connection, std::string_view bytes);
-  void lost(ConnectionId id, Link::End how);
+  void receive(Connection& connection, std::string_view bytes);
+  void handle_close(ConnectionId id, Link::End how);
   void drop_overfull(ConnectionId id);
   ConnectionId largest_backlog() const;
 
   Callbacks callbacks_;
   Door door_;
   std::string own_host_;
-  ConnectionId next_ = 0;
+  ConnectionId next_id_ = 0;
   std::map<ConnectionId, std::shared_ptr<Connection>> connections_;
   std::vector<std::weak_ptr<Link>> closing_;  // that still have a farewell to send
 };
--- a/src/runtime/mesh/frame_traffic.cc
+++ b/src/runtime/mesh/frame_traffic.cc
@@ -7,7 +7,7 @@
 namespace pipit {
 
 namespace {
-constexpr Micros look_interval = seconds(1);
+constexpr Micros sample_interval = seconds(1);
 constexpr std::uint64_t busy_second_bytes = 256u << 10;  // received or sent
 constexpr std::size_t kinds_logged = 4;
 }  // namespace
@@ -52,16 +52,16 @@
 }
 
 void FrameTraffic::log_busy_second(Micros now) {
-  if (looked_at_ >= 0 && now - looked_at_ < look_interval) return;
-  bool const busy = total_bytes(received_) - total_bytes(received_before_) > busy_second_bytes ||
-                    total_bytes(sent_) - total_bytes(sent_before_) > busy_second_bytes;
-  if (busy && looked_at_ >= 0)
-    log_event(Event::mesh_traffic_high, "received " + largest_kinds(received_, received_before_) + "; sent " +
-                                            largest_kinds(sent_, sent_before_) + "; in " +
-                                            std::to_string((now - looked_at_) / 1000) + " ms");
-  looked_at_ = now;
-  received_before_ = received_;
-  sent_before_ = sent_;
+  if (sampled_at_ >= 0 && now - sampled_at_ < sample_interval) return;
+  bool const busy = total_bytes(received_) - total_bytes(received_at_sample_) > busy_second_bytes ||
+                    total_bytes(sent_) - total_bytes(sent_at_sample_) > busy_second_bytes;
+  if (busy && sampled_at_ >= 0)
+    log_event(Event::mesh_traffic_high, "received " + largest_kinds(received_, received_at_sample_) + "; sent " +
+                                            largest_kinds(sent_, sent_at_sample_) + "; in " +
+                                            std::to_string((now - sampled_at_) / 1000) + " ms");
+  sampled_at_ = now;
+  received_at_sample_ = received_;
+  sent_at_sample_ = sent_;
 }
 
 std::uint64_t FrameTraffic::total_bytes(Counts const& counts) {
@@ -70,7 +70,7 @@
   return out;
 }
 
-void FrameTraffic::write(MetricsText& text) const {
+void FrameTraffic::write_metrics(MetricsText& text) const {
   text.counters("pipit_frame_bytes_total", "frame", by_kind(sent_, &Count::bytes));
   text.counters("pipit_frames_sent_total", "frame", by_kind(sent_, &Count::frames));
   text.counters("pipit_frame_received_bytes_total", "frame", by_kind(received_, &Count::bytes));
--- a/src/runtime/mesh/frame_traffic.h
+++ b/src/runtime/mesh/frame_traffic.h
@@ -21,7 +21,7 @@
   void count_received(wire::Body kind, std::size_t bytes) { add(received_, kind, bytes); }
 
   // Adds a row for each kind that was exchanged.
-  void write(MetricsText& text) const;
+  void write_metrics(MetricsText& text) const;
   // Logs what the last second was made of, if that was more than a thin link carries beside its requests. To be called
   // several times a second; the log gets one line a second at most.
   void log_busy_second(Micros now);
@@ -40,9 +40,9 @@
 
   Counts sent_{};
   Counts received_{};
-  Counts sent_before_{};  // as they were at the last look
-  Counts received_before_{};
-  Micros looked_at_ = -1;
+  Counts sent_at_sample_{};  // as they were at the last look
+  Counts received_at_sample_{};
+  Micros sampled_at_ = -1;
 };
 
 }  // namespace pipit
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -15,7 +15,7 @@
 Micros now() { return g_get_monotonic_time(); }
 }  // namespace
 
-void RouterHost::on_call(ChatServer::Call const& call) {
+void RouterHost::handle_call(ChatServer::Call const& call) {
   bool const get = call.method == "GET";
   if (call.path == "/health" && get) return chat_server_->answer(call.id, 200, "application/json", "{\"ok\":true}");
   if (call.path == "/ready" && get) {
@@ -25,41 +25,41 @@
   }
   if (call.path == "/metrics" && get) return chat_server_->answer(call.id, 200, "text/plain; version=0.0.4", metrics());
   if (call.path == "/v1/status" && get) return chat_server_->answer(call.id, 200, "application/json", status());
-  if (call.path == "/faults" && settings_.faults) return on_fault(call);
+  if (call.path == "/faults" && settings_.faults) return handle_fault_call(call);
   bool const chat = call.path == "/v1/chat/completions";
   if (chat || call.path == "/v1/completions") {
     if (role_ != MemberRole::router)
       return refuse(call.id, Error{ErrorCode::not_found, "a keeper serves no requests", ""});
     if (call.method != "POST") return refuse(call.id, Error{ErrorCode::bad_method, "", ""});
-    return on_chat_request(call, chat);
+    return handle_chat_call(call, chat);
   }
-  on_operator(call);
+  handle_operator_call(call);
 }
 
-void RouterHost::on_chat_request(ChatServer::Call const& call, bool chat) {
+void RouterHost::handle_chat_call(ChatServer::Call const& call, bool chat) {
   if (call.body.size() > settings_.body)
     return refuse(call.id,
                   Error{ErrorCode::too_large, "a body has at most " + std::to_string(settings_.body) + " bytes", ""});
-  Result<ChatRequestInfo> ask = parse_chat_request(call.body, chat ? ChatApi::chat : ChatApi::completion);
-  if (!ask) return refuse(call.id, ask.error());
-  ask.value().lane = call.header("X-Pipit-Lane");
+  Result<ChatRequestInfo> info = parse_chat_request(call.body, chat ? ChatApi::chat : ChatApi::completion);
+  if (!info) return refuse(call.id, info.error());
+  info.value().lane = call.header("X-Pipit-Lane");
   std::string const repeat = call.header("X-Pipit-Repeat");
   if (!repeat.empty() && repeat != "safe" && repeat != "never")
     return refuse(call.id, Error{ErrorCode::bad_request, "X-Pipit-Repeat takes safe or never", ""});
-  ask.value().repeatable = repeat == "safe";
-  Caller caller;
-  caller.id = settings_.name + "-" + std::to_string(node_->plan.incarnation) + "-" + std::to_string(call.id);
-  caller.path = call.path;
-  caller.body = call.body;
-  caller.stream = ask.value().facts.stream;
-  caller.arrived_at = now();
-  callers_.emplace(call.id, std::move(caller));
+  info.value().repeatable = repeat == "safe";
+  ClientRequest request;
+  request.id = settings_.name + "-" + std::to_string(node_->plan.incarnation) + "-" + std::to_string(call.id);
+  request.path = call.path;
+  request.body = call.body;
+  request.stream = info.value().facts.stream;
+  request.arrived_at = now();
+  requests_.emplace(call.id, std::move(request));
   NodeEffects out;
-  node_->start_chat_request(call.id, std::move(ask.value()), now(), out);
-  act(out);
+  node_->start_chat_request(call.id, std::move(info.value()), now(), out);
+  apply_effects(out);
 }
 
-void RouterHost::on_operator(ChatServer::Call const& call) {
+void RouterHost::handle_operator_call(ChatServer::Call const& call) {
   Change change;
   if (call.path == "/v1/description") {
     if (call.method == "GET") {
@@ -68,10 +68,10 @@
       std::string const expected = call.header("If-Match");
       if (expected.empty() || expected.size() > 18 || expected.find_first_not_of("0123456789") != std::string::npos)
         return refuse(call.id, Error{ErrorCode::bad_request, "If-Match with the expected serial is needed", ""});
-      Result<std::shared_ptr<Description const>> const made = read_description(call.body);
-      if (!made) {
-        log_event(Event::change_rejected, made.error().what);
-        return refuse(call.id, made.error());
+      Result<std::shared_ptr<Description const>> const description = read_description(call.body);
+      if (!description) {
+        log_event(Event::change_rejected, description.error().what);
+        return refuse(call.id, description.error());
       }
       change.type = Change::Type::apply;
       change.text = call.body;
@@ -105,27 +105,28 @@
     change.registration = *registration_of(*node_->learner.value, name);
   } else if (call.path.rfind("/v1/changes/", 0) == 0 && call.method == "GET") {
     change.type = Change::Type::read;
-    asked_[call.id] = {change.type, call.path.substr(12)};
+    operator_calls_[call.id] = {change.type, call.path.substr(12)};
     NodeEffects out;
     node_->submit_change(call.id, std::move(change), now(), out);
-    return act(out);
+    return apply_effects(out);
   } else {
     return refuse(call.id, Error{ErrorCode::not_found, "", ""});
   }
-  asked_[call.id] = {change.type, ""};
+  operator_calls_[call.id] = {change.type, ""};
   NodeEffects out;
   node_->submit_change(call.id, std::move(change), now(), out);
-  act(out);
+  apply_effects(out);
 }
 
-void RouterHost::reply(ChangeReply const& item) {
-  std::map<std::uint64_t, std::pair<Change::Type, std::string>>::iterator const position = asked_.find(item.id);
-  if (position == asked_.end()) return;
-  std::pair<Change::Type, std::string> const what = position->second;
-  asked_.erase(position);
+void RouterHost::answer_operator(ChangeReply const& item) {
+  std::map<std::uint64_t, std::pair<Change::Type, std::string>>::iterator const position =
+      operator_calls_.find(item.id);
+  if (position == operator_calls_.end()) return;
+  std::pair<Change::Type, std::string> const operator_call = position->second;
+  operator_calls_.erase(position);
   Outcome const& outcome = item.outcome;
   if (outcome.type == Outcome::Type::refused || outcome.type == Outcome::Type::unknown) {
-    ++kinds_[error_code_row(outcome.error.code).name];
+    ++error_answers_[error_code_row(outcome.error.code).name];
     ErrorCodeRow const& row = error_code_row(outcome.error.code);
     Answer const out = answer_for(outcome.error);
     std::map<std::string, std::string> more = {{"X-Pipit-Change", item.change_id}};
@@ -133,7 +134,7 @@
     return chat_server_->answer(item.id, out.status, "application/json", out.body, more);
   }
   wire::ValueT const& value = outcome.value;
-  if (what.first == Change::Type::read && what.second.empty()) {
+  if (operator_call.first == Change::Type::read && operator_call.second.empty()) {
     std::string drained_zones;
     for (std::string const& zone : value.drained_zones) drained_zones += (drained_zones.empty() ? "" : ",") + zone;
     return chat_server_->answer(item.id, 200, "application/json", value.text,
@@ -141,13 +142,13 @@
                                  {"X-Pipit-Emptied", drained_zones},
                                  {"ETag", std::to_string(value.serial)}});
   }
-  if (what.first == Change::Type::read) {
-    std::uint64_t const serial = Proposer::serial_of(value, what.second);
+  if (operator_call.first == Change::Type::read) {
+    std::uint64_t const serial = Proposer::serial_of(value, operator_call.second);
     if (serial == 0) return refuse(item.id, Error{ErrorCode::unknown_change, "", ""});
     JsonWriter json;
     json.begin_object()
         .key("change")
-        .text(what.second)
+        .text(operator_call.second)
         .key("serial")
         .number(static_cast<std::int64_t>(serial))
         .end_object();
@@ -160,7 +161,7 @@
       .key("change")
       .text(item.change_id);
   json.key("changed").boolean(outcome.type == Outcome::Type::chosen);
-  if (what.first == Change::Type::empty) {
+  if (operator_call.first == Change::Type::empty) {
     json.key("unconfirmed").begin_list();
     for (std::string const& name : item.unconfirmed) json.text(name);
     json.end_list();
@@ -169,7 +170,7 @@
   chat_server_->answer(item.id, item.unconfirmed.empty() ? 200 : 202, "application/json", json.take());
 }
 
-void RouterHost::on_fault(ChatServer::Call const& call) {
+void RouterHost::handle_fault_call(ChatServer::Call const& call) {
   // A test's door: {"point": 1} with the argument and the count in the query.
   unsigned const number = static_cast<unsigned>(
       std::strtoul(call.query.count("point") ? call.query.at("point").c_str() : "0", nullptr, 10));
--- a/src/runtime/router_host.cc
+++ b/src/runtime/router_host.cc
@@ -36,74 +36,74 @@
   plan.random_seed = random_seed();
   node_ = std::make_unique<Node>(plan, now(), std::move(recovered));
 
-  Connections::Callbacks we;
-  we.opened = [this](ConnectionId id, bool outbound, std::string const& address) {
+  Connections::Callbacks mesh_callbacks;
+  mesh_callbacks.opened = [this](ConnectionId id, bool outbound, std::string const& address) {
     NodeEffects out;
     node_->connection_opened(id, outbound, address, now(), out);
-    act(out);
+    apply_effects(out);
   };
-  we.shut = [this](ConnectionId id) {
+  mesh_callbacks.closed = [this](ConnectionId id) {
     NodeEffects out;
     connection_names_.erase(id);
     node_->connection_closed(id, now(), out);
-    act(out);
+    apply_effects(out);
   };
-  we.failed = [this](std::string const& address, bool refused) {
+  mesh_callbacks.dial_failed = [this](std::string const& address, bool refused) {
     NodeEffects out;
     node_->dial_failed(address, refused, now(), out);
-    act(out);
+    apply_effects(out);
   };
-  we.frame = [this](ConnectionId id, std::string_view frame) {
-    connection_bytes_ += frame.size();
-    if (settings_.faults && dropped_in(id, frame)) return true;
+  mesh_callbacks.frame = [this](ConnectionId id, std::string_view frame) {
+    mesh_bytes_ += frame.size();
+    if (settings_.faults && drops_incoming(id, frame)) return true;
     NodeEffects out;
     bool const good = node_->receive_frame(id, frame, now(), out);
     if (good) traffic_.count_received(body_type_of(frame), frame.size());
-    act(out);
+    apply_effects(out);
     return good;
   };
-  connections_ = std::make_unique<Connections>(std::move(we));
+  connections_ = std::make_unique<Connections>(std::move(mesh_callbacks));
 
   ChatUpstream::Callbacks upstream_callbacks;
   upstream_callbacks.sent = [this](std::uint64_t id) { node_->chat_attempt_sent(id); };
   upstream_callbacks.event = [this](std::uint64_t id, std::string const& event) {
-    std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
-    if (position == callers_.end()) return;
-    if (!position->second.begun) {
-      position->second.begun = true;
+    std::map<std::uint64_t, ClientRequest>::iterator const position = requests_.find(id);
+    if (position == requests_.end()) return;
+    if (!position->second.answer_begun) {
+      position->second.answer_begun = true;
       node_->chat_attempt_began(id);
     }
-    attempts_with_[position->second.worker_zone] += event.size() + 2;
+    attempt_bytes_by_zone_[position->second.worker_zone] += event.size() + 2;
     chat_server_->write_chunk(id, event + "\n\n", {{"X-Request-Id", position->second.id}});
   };
   upstream_callbacks.answer = [this](std::uint64_t id, std::string const& body) {
-    std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
-    if (position == callers_.end()) return;
-    attempts_with_[position->second.worker_zone] += body.size();
+    std::map<std::uint64_t, ClientRequest>::iterator const position = requests_.find(id);
+    if (position == requests_.end()) return;
+    attempt_bytes_by_zone_[position->second.worker_zone] += body.size();
     chat_server_->answer(id, 200, "application/json", body, {{"X-Request-Id", position->second.id}});
   };
   upstream_callbacks.ended = [this](std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros back) {
-    if (end == ChatAttemptEnd::done && callers_.count(id)) {
-      if (callers_[id].stream) {
+    if (end == ChatAttemptEnd::done && requests_.count(id)) {
+      if (requests_[id].stream) {
         chat_server_->write_chunk(id, "data: [DONE]\n\n");
         chat_server_->end(id);
       }
-      callers_.erase(id);
+      requests_.erase(id);
     }
     NodeEffects out;
     node_->chat_attempt_ended(id, end, why, back, now(), out);
-    act(out);
+    apply_effects(out);
   };
-  attempts_ = std::make_unique<ChatUpstream>(std::move(upstream_callbacks));
+  upstream_ = std::make_unique<ChatUpstream>(std::move(upstream_callbacks));
 
   ChatServer::Callbacks server_callbacks;
-  server_callbacks.call = [this](ChatServer::Call const& call) { on_call(call); };
+  server_callbacks.call = [this](ChatServer::Call const& call) { handle_call(call); };
   server_callbacks.disconnected = [this](std::uint64_t id) {
-    asked_.erase(id);
-    if (callers_.erase(id) == 0) return;
+    operator_calls_.erase(id);
+    if (requests_.erase(id) == 0) return;
     NodeEffects out;
     node_->client_disconnected(id, now(), out);
-    act(out);
+    apply_effects(out);
   };
   chat_server_ =
       std::make_unique<ChatServer>(std::move(server_callbacks), std::max(settings_.body, description_limit + 4096));
@@ -113,20 +113,20 @@
       if (!good) {
         // §5.6: after a failed sync nothing is known of what the disk holds; the replica must not speak again.
         log_event(Event::disk_failed, why);
-        code_ = 3;
+        exit_code_ = 3;
         g_main_loop_quit(loop_);
         return;
       }
       NodeEffects out;
       node_->record_synced(now(), out);
-      act(out);
+      apply_effects(out);
     });
 }
 
 RouterHost::~RouterHost() {
-  if (ticker_ != 0) g_source_remove(ticker_);
+  if (tick_source_ != 0) g_source_remove(tick_source_);
   chat_server_.reset();
-  attempts_.reset();
+  upstream_.reset();
   connections_.reset();
   disk_.reset();
   g_main_loop_unref(loop_);
@@ -138,23 +138,23 @@
   return chat_server_->listen(settings_.http);
 }
 
-bool RouterHost::dropped_in(ConnectionId id, std::string_view frame) {
+bool RouterHost::drops_incoming(ConnectionId id, std::string_view frame) {
   std::string name = connection_names_.count(id) ? connection_names_[id] : "";
   if (name.empty()) {
-    Result<std::unique_ptr<wire::FrameT>> seen = decode_frame(frame);
-    if (seen && seen.value()->body.type == wire::Body::Hello && seen.value()->body.AsHello()->self) {
-      name = seen.value()->body.AsHello()->self->name;
+    Result<std::unique_ptr<wire::FrameT>> decoded = decode_frame(frame);
+    if (decoded && decoded.value()->body.type == wire::Body::Hello && decoded.value()->body.AsHello()->self) {
+      name = decoded.value()->body.AsHello()->self->name;
       connection_names_[id] = name;
     }
   }
   return fires_for(FaultPoint::cut_in, name);
 }
 
-bool RouterHost::dropped_out(ConnectionId id, std::string const& frame) {
+bool RouterHost::drops_outgoing(ConnectionId id, std::string const& frame) {
   std::map<ConnectionId, std::string>::const_iterator const position = connection_names_.find(id);
   if (position != connection_names_.end() && fires_for(FaultPoint::cut_out, position->second)) return true;
-  wire::Frame const* const seen = flatbuffers::GetSizePrefixedRoot<wire::Frame>(frame.data());
-  switch (seen->body_type()) {
+  wire::Frame const* const decoded = flatbuffers::GetSizePrefixedRoot<wire::Frame>(frame.data());
+  switch (decoded->body_type()) {
     case wire::Body::Chosen:
       return fires(FaultPoint::spread_lost);
     case wire::Body::Promise:
@@ -175,13 +175,13 @@
 }
 
 // The executor: obeys what the core decided.
-void RouterHost::act(NodeEffects& out) {
+void RouterHost::apply_effects(NodeEffects& out) {
   if (out.record_to_sync) disk_->save(std::move(*out.record_to_sync));
   for (std::string const& address : out.mesh.dial_addresses) connections_->dial(address);
   for (ConnectionEffects::OutgoingFrame& send : out.mesh.outgoing_frames) {
-    if (settings_.faults && dropped_out(send.connection, send.bytes)) continue;
-    connection_bytes_ += send.bytes.size();
-    mesh_to_[node_->mesh.zone_of(send.connection)] += send.bytes.size();
+    if (settings_.faults && drops_outgoing(send.connection, send.bytes)) continue;
+    mesh_bytes_ += send.bytes.size();
+    mesh_bytes_by_zone_[node_->mesh.zone_of(send.connection)] += send.bytes.size();
     traffic_.count_sent(body_type_of(send.bytes), send.bytes.size());
     if (settings_.faults && fires(FaultPoint::frame_corrupted))
       for (std::size_t i = 4; i < send.bytes.size(); ++i) send.bytes[i] = static_cast<char>(send.bytes[i] ^ 0x5a);
@@ -189,77 +189,77 @@
   }
   for (ConnectionId const id : out.mesh.closed_connections) {
     connection_names_.erase(id);
-    connections_->shut(id);
+    connections_->close(id);
   }
   for (ChatAttemptStart const& start : out.chat.attempts) {
-    std::map<std::uint64_t, Caller>::iterator const position = callers_.find(start.chat_request);
-    if (position == callers_.end()) continue;
+    std::map<std::uint64_t, ClientRequest>::iterator const position = requests_.find(start.chat_request);
+    if (position == requests_.end()) continue;
     Worker const* const worker = node_->fleet.find(start.worker);
     position->second.worker_zone = worker == nullptr ? "" : worker->row.zone;
-    attempts_with_[position->second.worker_zone] += position->second.body.size();
-    attempts_->start(start, position->second.id, position->second.path, position->second.body, position->second.stream);
+    attempt_bytes_by_zone_[position->second.worker_zone] += position->second.body.size();
+    upstream_->start(start, position->second.id, position->second.path, position->second.body, position->second.stream);
   }
-  for (ChatFailure const& verdict : out.chat.failures) finish(verdict);
-  for (std::uint64_t const id : out.chat.cancelled_attempts) attempts_->cut(id);
-  for (ChangeReply const& item : out.replies) reply(item);
+  for (ChatFailure const& failure : out.chat.failures) fail_request(failure);
+  for (std::uint64_t const id : out.chat.cancelled_attempts) upstream_->cancel(id);
+  for (ChangeReply const& item : out.replies) answer_operator(item);
   if (out.read_list) {
     if (fires(FaultPoint::list_fail)) {
       NodeEffects more;
       node_->handle_worker_list(std::nullopt, true, now(), more);
-      act(more);
+      apply_effects(more);
     } else {
-      attempts_->get(settings_.platform, "/workers", seconds(1),
-                     [this](bool good, bool refused, std::string const& body) {
-                       std::optional<std::vector<ListRow>> rows;
-                       if (good) {
-                         Result<std::vector<ListRow>> read =
-                             read_worker_list(fires(FaultPoint::list_torn) ? body.substr(0, body.size() / 2) : body);
-                         if (read) rows = std::move(read.value());
-                       }
-                       NodeEffects more;
-                       node_->handle_worker_list(rows, refused || !body.empty(), now(), more);
-                       act(more);
-                     });
+      upstream_->fetch(settings_.platform, "/workers", seconds(1),
+                       [this](bool good, bool refused, std::string const& body) {
+                         std::optional<std::vector<ListRow>> rows;
+                         if (good) {
+                           Result<std::vector<ListRow>> read =
+                               read_worker_list(fires(FaultPoint::list_torn) ? body.substr(0, body.size() / 2) : body);
+                           if (read) rows = std::move(read.value());
+                         }
+                         NodeEffects more;
+                         node_->handle_worker_list(rows, refused || !body.empty(), now(), more);
+                         apply_effects(more);
+                       });
     }
   }
   for (HealthCheck const& check : out.health_checks) {
     if (fires_for(FaultPoint::cut_workers, check.worker) || fires(FaultPoint::health_check_fail)) {
       NodeEffects more;
       node_->handle_health_report(check, std::nullopt, false, now(), more);
-      act(more);
+      apply_effects(more);
       continue;
     }
-    attempts_->get(check.address, "/vitals", millis(1000),
-                   [this, check](bool good, bool refused, std::string const& body) {
-                     std::optional<HealthReport> report;
-                     if (good) {
-                       Result<HealthReport> read = read_health_report(body);
-                       if (read) report = read.value();
-                     }
-                     NodeEffects more;
-                     node_->handle_health_report(check, report, refused, now(), more);
-                     act(more);
-                   });
+    upstream_->fetch(check.address, "/vitals", millis(1000),
+                     [this, check](bool good, bool refused, std::string const& body) {
+                       std::optional<HealthReport> report;
+                       if (good) {
+                         Result<HealthReport> read = read_health_report(body);
+                         if (read) report = read.value();
+                       }
+                       NodeEffects more;
+                       node_->handle_health_report(check, report, refused, now(), more);
+                       apply_effects(more);
+                     });
   }
 }
 
 void RouterHost::refuse(std::uint64_t id, Error const& error) {
-  ++kinds_[error_code_row(error.code).name];
+  ++error_answers_[error_code_row(error.code).name];
   chat_server_->answer(id, answer_for(error));
 }
 
-void RouterHost::finish(ChatFailure const& verdict) {
-  ++kinds_[error_code_row(verdict.error.code).name];
-  Answer const out = answer_for(verdict.error, verdict.execution, verdict.retry_after);
-  std::map<std::uint64_t, Caller>::iterator const position = callers_.find(verdict.chat_request);
-  if (position == callers_.end()) return;
-  bool const begun = position->second.begun;
-  callers_.erase(position);
+void RouterHost::fail_request(ChatFailure const& failure) {
+  ++error_answers_[error_code_row(failure.error.code).name];
+  Answer const out = answer_for(failure.error, failure.execution, failure.retry_after);
+  std::map<std::uint64_t, ClientRequest>::iterator const position = requests_.find(failure.chat_request);
+  if (position == requests_.end()) return;
+  bool const begun = position->second.answer_begun;
+  requests_.erase(position);
   if (begun) {
-    log_event(Event::stream_broken, error_code_row(verdict.error.code).name);
-    chat_server_->break_off(verdict.chat_request, "event: error\ndata: " + out.body + "\n\n");
+    log_event(Event::stream_broken, error_code_row(failure.error.code).name);
+    chat_server_->break_off(failure.chat_request, "event: error\ndata: " + out.body + "\n\n");
   } else {
-    chat_server_->answer(verdict.chat_request, out);
+    chat_server_->answer(failure.chat_request, out);
   }
 }
 
@@ -271,7 +271,7 @@
     return;
   }
   grace_until_ = now() + settings_.grace;
-  chat_server_->closing();
+  chat_server_->close_after_answers();
   log_event(Event::grace_began, "");
 }
 
@@ -283,9 +283,9 @@
     chat_server_->stop_listening();
     NodeEffects out;
     node_->drain(now(), out);
-    act(out);
+    apply_effects(out);
   }
-  if ((node_->chat_requests_in_flight() == 0 && chat_server_->open() == 0) || now() >= drain_until_)
+  if ((node_->chat_requests_in_flight() == 0 && chat_server_->open_calls() == 0) || now() >= drain_until_)
     g_main_loop_quit(loop_);
 }
 
@@ -321,20 +321,20 @@
 }
 
 int RouterHost::run() {
-  ticker_ = g_timeout_add(
+  tick_source_ = g_timeout_add(
       tick_ms,
       [](gpointer data) -> gboolean {
         RouterHost& host = *static_cast<RouterHost*>(data);
         NodeEffects out;
         // How late a tick comes tells the longest turn of the loop; a node that stood still is counted elsewhere.
-        Micros const gap = now() - host.ticked_;
-        if (host.ticked_ > 0 && gap < seconds(1))
-          host.longest_turn_ =
-              std::max(host.longest_turn_, static_cast<std::uint64_t>(std::max<Micros>(0, gap - millis(tick_ms))));
-        host.ticked_ = now();
+        Micros const gap = now() - host.last_tick_at_;
+        if (host.last_tick_at_ > 0 && gap < seconds(1))
+          host.longest_loop_turn_us_ = std::max(host.longest_loop_turn_us_,
+                                                static_cast<std::uint64_t>(std::max<Micros>(0, gap - millis(tick_ms))));
+        host.last_tick_at_ = now();
         host.node_->tick(now(), out);
         host.traffic_.log_busy_second(now());
-        host.act(out);
+        host.apply_effects(out);
         host.check_drain();
         return G_SOURCE_CONTINUE;
       },
@@ -366,7 +366,7 @@
   g_source_remove(interrupt);
   g_source_remove(hup);
   log_event(Event::process_stopped, "");
-  return code_;
+  return exit_code_;
 }
 
 int run_node(int argc, char** argv, MemberRole role) {
--- a/src/runtime/router_host.h
+++ b/src/runtime/router_host.h
@@ -24,53 +24,53 @@
   int run();
 
  private:
-  struct Caller {  // a caller's request, by the id of its call
+  struct ClientRequest {  // a caller's request, by the id of its call
     std::string id;
     std::string path;
     std::string body;
     bool stream = false;
-    bool begun = false;
+    bool answer_begun = false;
     std::string worker_zone;
     Micros arrived_at = 0;
   };
-  void act(NodeEffects& out);
-  void on_call(ChatServer::Call const& call);
-  void on_chat_request(ChatServer::Call const& call, bool chat);
-  void on_operator(ChatServer::Call const& call);
-  void on_fault(ChatServer::Call const& call);
+  void apply_effects(NodeEffects& out);
+  void handle_call(ChatServer::Call const& call);
+  void handle_chat_call(ChatServer::Call const& call, bool chat);
+  void handle_operator_call(ChatServer::Call const& call);
+  void handle_fault_call(ChatServer::Call const& call);
   void refuse(std::uint64_t id, Error const& error);
-  void finish(ChatFailure const& verdict);
-  void reply(ChangeReply const& reply);
+  void fail_request(ChatFailure const& failure);
+  void answer_operator(ChangeReply const& reply);
   std::string status() const;
   std::string metrics() const;
   void begin_drain();
   void check_drain();
   void reload();
-  bool dropped_in(ConnectionId id, std::string_view frame);
-  bool dropped_out(ConnectionId id, std::string const& frame);
+  bool drops_incoming(ConnectionId id, std::string_view frame);
+  bool drops_outgoing(ConnectionId id, std::string const& frame);
 
   Settings settings_;
   MemberRole const role_;
   GMainLoop* loop_;
   std::unique_ptr<Node> node_;
   std::unique_ptr<Connections> connections_;
-  std::unique_ptr<ChatUpstream> attempts_;
+  std::unique_ptr<ChatUpstream> upstream_;
   std::unique_ptr<ChatServer> chat_server_;
   std::unique_ptr<DiskTask> disk_;
-  std::map<std::uint64_t, Caller> callers_;
+  std::map<std::uint64_t, ClientRequest> requests_;
   std::map<ConnectionId, std::string> connection_names_;
-  std::map<std::uint64_t, std::pair<Change::Type, std::string>> asked_;  // operators' calls under way
-  std::map<std::string, std::uint64_t> kinds_;                           // refusals by kind
-  Micros ticked_ = 0;
-  std::uint64_t longest_turn_ = 0;
-  std::uint64_t connection_bytes_ = 0;
-  std::map<std::string, std::uint64_t> mesh_to_;  // bytes sent to nodes, by their zone
+  std::map<std::uint64_t, std::pair<Change::Type, std::string>> operator_calls_;  // operators' calls under way
+  std::map<std::string, std::uint64_t> error_answers_;                            // refusals by kind
+  Micros last_tick_at_ = 0;
+  std::uint64_t longest_loop_turn_us_ = 0;
+  std::uint64_t mesh_bytes_ = 0;
+  std::map<std::string, std::uint64_t> mesh_bytes_by_zone_;  // bytes sent to nodes, by their zone
   FrameTraffic traffic_;
-  std::map<std::string, std::uint64_t> attempts_with_;  // bytes of requests and answers, by the worker's zone
+  std::map<std::string, std::uint64_t> attempt_bytes_by_zone_;  // bytes of requests and answers, by the worker's zone
   Micros grace_until_ = -1;
   Micros drain_until_ = -1;
-  int code_ = 0;
-  guint ticker_ = 0;
+  int exit_code_ = 0;
+  guint tick_source_ = 0;
 };
 
 // What both programs share: settings, log, the data folder, the loop.
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -14,11 +14,12 @@
 Micros now() { return g_get_monotonic_time(); }
 constexpr guint tick_ms = 50;
 // §12.6: how long callers may need to learn that this node wants no more of them.
-constexpr Micros heed = millis(2600);
-constexpr Micros last_moment = millis(700);  // before the grace ends
+constexpr Micros drain_notice = millis(2600);
+constexpr Micros exit_margin = millis(700);  // before the grace ends
 }  // namespace
 
-NodeServer::NodeServer(NodeServerPlan plan) : plan_(std::move(plan)), loop_(g_main_loop_new(nullptr, FALSE)) {}
+NodeServer::NodeServer(NodeServerOptions options)
+    : options_(std::move(options)), loop_(g_main_loop_new(nullptr, FALSE)) {}
 
 NodeServer::~NodeServer() {
   proxy_.reset();
@@ -34,9 +35,9 @@
   std::optional<wire::RecordT> recovered;
   std::unique_ptr<PosixDisk> posix;
   std::unique_ptr<RecordStore> ring;
-  if (!plan_.data.empty()) {
-    posix = std::make_unique<PosixDisk>(plan_.data);
-    ring = std::make_unique<RecordStore>(*posix, plan_.node.cluster, plan_.node.name, 256u << 10);
+  if (!options_.data_directory.empty()) {
+    posix = std::make_unique<PosixDisk>(options_.data_directory);
+    ring = std::make_unique<RecordStore>(*posix, options_.node.cluster, options_.node.name, 256u << 10);
     bool blank = false;
     std::uint64_t const fresh = random_seed();
     // A disk that is full or hangs when the process starts is waited for: without it the node is no replica.
@@ -51,138 +52,140 @@
     log_event(blank ? Event::replica_formatted : Event::replica_recovered,
               "serial " + std::to_string(recovered->value ? recovered->value->serial : 0));
   }
-  node_ = std::make_unique<Node>(plan_.node, now(), std::move(recovered));
+  node_ = std::make_unique<Node>(options_.node, now(), std::move(recovered));
 
-  Connections::Callbacks we;
-  we.opened = [this](ConnectionId id, bool outbound, std::string const& address) {
+  Connections::Callbacks mesh_callbacks;
+  mesh_callbacks.opened = [this](ConnectionId id, bool outbound, std::string const& address) {
     NodeEffects out;
     node_->connection_opened(id, outbound, address, now(), out);
-    act(out);
+    apply_effects(out);
   };
-  we.shut = [this](ConnectionId id) {
+  mesh_callbacks.closed = [this](ConnectionId id) {
     NodeEffects out;
     node_->connection_closed(id, now(), out);
-    act(out);
+    apply_effects(out);
   };
-  we.failed = [this](std::string const& address, bool refused) {
+  mesh_callbacks.dial_failed = [this](std::string const& address, bool refused) {
     NodeEffects out;
     node_->dial_failed(address, refused, now(), out);
-    act(out);
+    apply_effects(out);
   };
-  we.frame = [this](ConnectionId id, std::string_view frame) {
+  mesh_callbacks.frame = [this](ConnectionId id, std::string_view frame) {
     NodeEffects out;
     bool const good = node_->receive_frame(id, frame, now(), out);
     if (good) traffic_.count_received(body_type_of(frame), frame.size());
-    act(out);
+    apply_effects(out);
     return good;
   };
-  connections_ = std::make_unique<Connections>(std::move(we));
+  connections_ = std::make_unique<Connections>(std::move(mesh_callbacks));
 
   RequestProxy::Callbacks proxy_callbacks;
-  proxy_callbacks.request = [this](std::uint64_t id, RequestInfo query) {
+  proxy_callbacks.request_received = [this](std::uint64_t id, RequestInfo request) {
     NodeEffects out;
-    node_->start_request(id, std::move(query), now(), out);
-    act(out);
+    node_->start_request(id, std::move(request), now(), out);
+    apply_effects(out);
   };
-  proxy_callbacks.ended = [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
+  proxy_callbacks.attempt_ended = [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
     NodeEffects out;
     node_->attempt_ended(id, end, elsewhere, now(), out);
-    act(out);
+    apply_effects(out);
   };
   proxy_callbacks.disconnected = [this](std::uint64_t id) { return node_->dispatcher.on_client_disconnect(id, now()); };
-  proxy_ = std::make_unique<RequestProxy>(node_->dispatcher, plan_.dialect, plan_.own_host, std::move(proxy_callbacks));
+  proxy_ = std::make_unique<RequestProxy>(node_->dispatcher, options_.header_names, options_.own_host,
+                                          std::move(proxy_callbacks));
   control_server_ = std::make_unique<Server>(
-      Server::Callbacks{[this](Server::Call&& call) { on_call(std::move(call)); }, [](std::uint64_t) {}});
+      Server::Callbacks{[this](Server::Call&& call) { handle_control_call(std::move(call)); }, [](std::uint64_t) {}});
   Server::Limits control_limits;
-  control_limits.body_most = plan_.control_body;
+  control_limits.body_most = options_.max_control_body_bytes;
   control_server_->limit(control_limits);
   ready_server_ = std::make_unique<Server>(
-      Server::Callbacks{[this](Server::Call&& call) { on_ready(std::move(call)); }, [](std::uint64_t) {}});
+      Server::Callbacks{[this](Server::Call&& call) { handle_readiness_call(std::move(call)); }, [](std::uint64_t) {}});
 
   metrics_server_ = std::make_unique<Server>(
-      Server::Callbacks{[this](Server::Call&& call) { on_metrics(std::move(call)); }, [](std::uint64_t) {}});
+      Server::Callbacks{[this](Server::Call&& call) { handle_metrics_call(std::move(call)); }, [](std::uint64_t) {}});
   if (ring)
     disk_ = std::make_unique<DiskTask>(
         std::move(posix), std::move(ring),
         [this](bool, std::string const&) {
           NodeEffects out;
           node_->record_synced(now(), out);
-          act(out);
+          apply_effects(out);
         },
         true);
-  Result<void> done = connections_->listen(plan_.mesh.empty() ? plan_.node.address : plan_.mesh);
-  if (done && !plan_.control.empty()) done = control_server_->listen(plan_.control);
-  if (done && !plan_.ready.empty()) done = ready_server_->listen(plan_.ready);
+  Result<void> done =
+      connections_->listen(options_.mesh_listen_address.empty() ? options_.node.address : options_.mesh_listen_address);
+  if (done && !options_.control_address.empty()) done = control_server_->listen(options_.control_address);
+  if (done && !options_.readiness_address.empty()) done = ready_server_->listen(options_.readiness_address);
   // A node without its metrics still serves: somebody else may listen there.
-  if (done && !plan_.metrics.empty())
-    if (Result<void> const listening = metrics_server_->listen(plan_.metrics); !listening)
+  if (done && !options_.metrics_address.empty())
+    if (Result<void> const listening = metrics_server_->listen(options_.metrics_address); !listening)
       log_event(Event::metrics_listen_failed, listening.error().what);
-  if (done && !plan_.front.empty()) done = proxy_->listen(plan_.front);
+  if (done && !options_.front_address.empty()) done = proxy_->listen(options_.front_address);
   return done;
 }
 
 // The executor: obeys what the core decided.
-void NodeServer::act(NodeEffects& out) {
+void NodeServer::apply_effects(NodeEffects& out) {
   if (out.record_to_sync && disk_) disk_->save(std::move(*out.record_to_sync));
   for (std::string const& address : out.mesh.dial_addresses) connections_->dial(address);
   for (ConnectionEffects::OutgoingFrame const& send : out.mesh.outgoing_frames) {
     traffic_.count_sent(body_type_of(send.bytes), send.bytes.size());
     connections_->send(send.connection, send.bytes);
   }
-  for (ConnectionId const id : out.mesh.closed_connections) connections_->shut(id);
-  if (!out.dispatch.empty()) proxy_->act(out.dispatch);
+  for (ConnectionId const id : out.mesh.closed_connections) connections_->close(id);
+  if (!out.dispatch.empty()) proxy_->apply_effects(out.dispatch);
   std::vector<ChangeReply> const replies = std::move(out.replies);
   for (ChangeReply const& item : replies) {
-    std::map<std::uint64_t, Done>::iterator const position = asked_.find(item.id);
-    if (position == asked_.end()) continue;
-    Done const done = std::move(position->second);
-    asked_.erase(position);
+    std::map<std::uint64_t, ChangeCallback>::iterator const position = pending_changes_.find(item.id);
+    if (position == pending_changes_.end()) continue;
+    ChangeCallback const done = std::move(position->second);
+    pending_changes_.erase(position);
     done(item);
   }
   std::vector<DepartureAnswer> const end_answers = std::move(out.end_answers);
   for (DepartureAnswer const& item : end_answers) {
-    std::map<std::uint64_t, EndDone>::iterator const position = ends_asked_.find(item.id);
-    if (position == ends_asked_.end()) continue;
-    EndDone const done = std::move(position->second);
-    ends_asked_.erase(position);
+    std::map<std::uint64_t, WorkerEndCallback>::iterator const position = pending_worker_ends_.find(item.id);
+    if (position == pending_worker_ends_.end()) continue;
+    WorkerEndCallback const done = std::move(position->second);
+    pending_worker_ends_.erase(position);
     done(item.acknowledged);
   }
-  if (limits_of_ != node_->dispatcher.description()) {
-    limits_of_ = node_->dispatcher.description();
-    proxy_->limits(limits_of_->limits);
+  if (limits_description_ != node_->dispatcher.description()) {
+    limits_description_ = node_->dispatcher.description();
+    proxy_->set_limits(limits_description_->limits);
   }
 }
 
 bool NodeServer::heartbeat(Heartbeat const& heartbeat) {
   NodeEffects out;
-  bool const heard = node_->handle_heartbeat(heartbeat, now(), out);
-  act(out);
-  return heard;
+  bool const accepted = node_->handle_heartbeat(heartbeat, now(), out);
+  apply_effects(out);
+  return accepted;
 }
 
-void NodeServer::await_end(std::string const& worker, EndDone done) {
-  std::uint64_t const id = ++next_ask_;
-  ends_asked_.emplace(id, std::move(done));
+void NodeServer::await_worker_end(std::string const& worker, WorkerEndCallback done) {
+  std::uint64_t const id = ++next_operation_id_;
+  pending_worker_ends_.emplace(id, std::move(done));
   NodeEffects out;
   node_->await_worker_end(id, worker, now(), out);
-  act(out);
+  apply_effects(out);
 }
 
 bool NodeServer::worker_left(std::string const& id, std::uint64_t order) {
   if (node_->registry.find(id) == nullptr) return false;
   NodeEffects out;
   node_->worker_left(id, order, now(), out);
-  proxy_->forget(id);
-  act(out);
+  proxy_->forget_worker(id);
+  apply_effects(out);
   return true;
 }
 
-void NodeServer::operate(Change change, Done done) {
-  std::uint64_t const id = ++next_ask_;
-  asked_.emplace(id, std::move(done));
+void NodeServer::submit_change(Change change, ChangeCallback done) {
+  std::uint64_t const id = ++next_operation_id_;
+  pending_changes_.emplace(id, std::move(done));
   NodeEffects out;
   node_->submit_change(id, std::move(change), now(), out);
-  act(out);
+  apply_effects(out);
 }
 
 void NodeServer::answer(std::uint64_t call, unsigned status, std::string const& body,
@@ -194,20 +197,20 @@
   control_server_->answer(call, head, body);
 }
 
-void NodeServer::note_order(std::string const& call, unsigned status, std::string const& why) {
-  ++order_answers_[std::to_string(status)];
+void NodeServer::record_operator_call(std::string const& call, unsigned status, std::string const& why) {
+  ++operator_answers_[std::to_string(status)];
   log_event(Event::operator_call_answered, call + " " + std::to_string(status) + (why.empty() ? "" : " " + why));
 }
 
-void NodeServer::on_ready(Server::Call&& call) {
-  bool const path = call.head.target == plan_.ready_path;
-  bool const yes = node_->accepts_requests(now()) && stop_from_ < 0;
+void NodeServer::handle_readiness_call(Server::Call&& call) {
+  bool const path = call.head.target == options_.readiness_path;
+  bool const yes = node_->accepts_requests(now()) && shutdown_started_at_ < 0;
   Head head;
   head.status = !path ? 404 : yes ? 200 : 503;
   ready_server_->answer(call.id, head, "");
 }
 
-void NodeServer::on_metrics(Server::Call&& call) {
+void NodeServer::handle_metrics_call(Server::Call&& call) {
   bool const path = call.head.method == "GET" && call.head.target == "/metrics";
   Head head;
   head.status = path ? 200 : 404;
@@ -215,9 +218,9 @@
   metrics_server_->answer(call.id, head, path ? metrics() : "");
 }
 
-void NodeServer::on_call(Server::Call&& call) {
+void NodeServer::handle_control_call(Server::Call&& call) {
   std::uint64_t const id = call.id;
-  if (control_ && control_(call)) return;
+  if (control_handler_ && control_handler_(call)) return;
   // The product's own paths, as on its other programs (docs/api.md).
   if (call.head.method == "GET" && call.head.target == "/health") return answer(id, 200, "{\"ok\":true}");
   if (call.head.method == "GET" && call.head.target == "/v1/status") return answer(id, 200, status());
@@ -226,40 +229,40 @@
   answer(id, 404, answer_for(Error{ErrorCode::not_found, "", ""}).body);
 }
 
-void NodeServer::stop() {
-  if (stop_from_ >= 0) return;
-  stop_from_ = now();
+void NodeServer::begin_shutdown() {
+  if (shutdown_started_at_ >= 0) return;
+  shutdown_started_at_ = now();
   proxy_->server.closing();
   node_->retire();
   log_event(Event::grace_began, "");
 }
 
 // §12.6: first only the word that no new callers are wanted; then the doors; then what is under way comes to its end.
-void NodeServer::check_stop(Micros at) {
-  if (stop_from_ < 0) return;
-  Micros const span = at - stop_from_;
-  if (!doors_shut_ && span >= std::min(heed, plan_.grace / 3)) {
-    doors_shut_ = true;
+void NodeServer::advance_shutdown(Micros at) {
+  if (shutdown_started_at_ < 0) return;
+  Micros const span = at - shutdown_started_at_;
+  if (!listeners_closed_ && span >= std::min(drain_notice, options_.shutdown_grace / 3)) {
+    listeners_closed_ = true;
     proxy_->server.stop_listening();
     proxy_->server.close_idle();
     NodeEffects out;
     node_->drain(at, out);
-    act(out);
+    apply_effects(out);
   }
-  if (!doors_shut_) return;
+  if (!listeners_closed_) return;
   proxy_->server.close_idle();
   // What a slow caller has not taken yet would end with the process too. A replica stays until another one has its
   // place, where one is here to take it.
   bool const finished = proxy_->server.calls() == 0 && proxy_->server.finishing() == 0;
-  bool const idle = finished && asked_.empty() && ends_asked_.empty() && node_->may_stop(at);
-  if (idle || span >= plan_.grace - last_moment) g_main_loop_quit(loop_);
+  bool const idle = finished && pending_changes_.empty() && pending_worker_ends_.empty() && node_->may_stop(at);
+  if (idle || span >= options_.shutdown_grace - exit_margin) g_main_loop_quit(loop_);
 }
 
 void NodeServer::tick() {
   Micros const at = now();
   NodeEffects out;
   node_->tick(at, out);
-  act(out);
+  apply_effects(out);
   traffic_.log_busy_second(at);
   if (at >= next_cleanup_) {
     next_cleanup_ = at + millis(500);
@@ -272,12 +275,12 @@
     next_check_ = at + seconds(2);
     periodic_check_();
   }
-  check_stop(at);
+  advance_shutdown(at);
 }
 
 namespace {
 gboolean on_stop(gpointer data) {
-  static_cast<NodeServer*>(data)->stop();
+  static_cast<NodeServer*>(data)->begin_shutdown();
   return G_SOURCE_CONTINUE;
 }
 }  // namespace
@@ -300,7 +303,7 @@
         return G_SOURCE_CONTINUE;
       },
       this);
-  log_event(Event::process_started, plan_.front + " mesh " + plan_.node.address);
+  log_event(Event::process_started, options_.front_address + " mesh " + options_.node.address);
   g_main_loop_run(loop_);
   g_source_remove(ticker);
   g_source_remove(term);
--- a/src/server/node_server_status.cc
+++ b/src/server/node_server_status.cc
@@ -19,7 +19,7 @@
   return out;
 }
 
-std::map<std::string, std::uint64_t> workers_by_standing(Node const& node) {
+std::map<std::string, std::uint64_t> workers_by_state(Node const& node) {
   std::map<std::string, std::uint64_t> out = {{"serving", 0}, {"leaving", 0}, {"gone", 0}, {"doubted", 0}};
   static char const* const names[] = {"serving", "leaving", "gone"};
   for (std::pair<std::string const, Instance> const& item : node.registry.all) {
@@ -29,7 +29,7 @@
   return out;
 }
 
-constexpr std::size_t tenant_rows_most = 32;
+constexpr std::size_t max_tenant_rows = 32;
 
 template <class Value>
 Value value_at(std::map<std::string, Value> const& from, std::string const& name) {
@@ -48,13 +48,19 @@
 
 std::string NodeServer::status() const {
   JsonWriter json;
-  json.begin_object().key("name").text(plan_.node.name).key("role").text("passage").key("zone").text(plan_.node.zone);
+  json.begin_object()
+      .key("name")
+      .text(options_.node.name)
+      .key("role")
+      .text("passage")
+      .key("zone")
+      .text(options_.node.zone);
   json.key("keeper")
-      .boolean(plan_.node.is_replica)
+      .boolean(options_.node.is_replica)
       .key("ready")
       .boolean(node_->is_ready())
       .key("draining")
-      .boolean(stop_from_ >= 0);
+      .boolean(shutdown_started_at_ >= 0);
   json.key("serial").number(static_cast<std::int64_t>(node_->learner.serial()));
   json.key("label").number(static_cast<std::int64_t>(label()));
   json.key("emptied").begin_list().end_list().key("keepers").begin_list();
@@ -122,7 +128,7 @@
 std::map<std::string, std::uint64_t> NodeServer::by_tenant(std::uint64_t TenantCounters::*of) const {
   std::map<std::string, std::uint64_t> out;
   for (std::pair<std::string const, TenantCounters> const& item : node_->dispatcher.tenant_counters)
-    out[out.size() < tenant_rows_most ? item.first : "(others)"] += item.second.*of;
+    out[out.size() < max_tenant_rows ? item.first : "(others)"] += item.second.*of;
   return out;
 }
 
@@ -154,16 +160,16 @@
   text.gauge("pipit_keepers_epoch", node_->learner.membership().epoch);
   text.gauge("pipit_quorum_heard_ms_ago", age_ms(node_->learner.last_quorum_poll_at(), now()));
   text.gauge("pipit_ready", node_->is_ready() ? 1u : 0u);
-  text.gauge("pipit_stopping", stop_from_ >= 0 ? 1u : 0u);
+  text.gauge("pipit_stopping", shutdown_started_at_ >= 0 ? 1u : 0u);
   text.gauge("pipit_under_way", node_->dispatcher.active_requests());
   text.gauge("pipit_oldest_request_ms", static_cast<std::uint64_t>(node_->dispatcher.oldest_request_age(now()) / 1000));
   text.gauge("pipit_callers", proxy_->server.connections());
-  text.gauge("pipit_orders_under_way", asked_.size());
+  text.gauge("pipit_orders_under_way", pending_changes_.size());
   text.gauge("pipit_wires", node_->mesh.open_connections());
   text.gauge("pipit_mesh_backlog_bytes", connections_->backlog_bytes());
-  traffic_.write(text);
+  traffic_.write_metrics(text);
   text.gauges("pipit_peers", "state", peers_by_state(*node_));
-  text.gauges("pipit_workers", "standing", workers_by_standing(*node_));
+  text.gauges("pipit_workers", "standing", workers_by_state(*node_));
   text.gauge("pipit_configuration_confirmed_ms_ago", age_ms(node_->key_lease().confirmed_at(), now()));
   text.counter("pipit_keys_unknown_total", t.unknown_keys);
   text.counter("pipit_keys_unconfirmed_total", t.unconfirmed);
@@ -172,8 +178,8 @@
   text.counters("pipit_quota_asked_total", "tenant", by_tenant(&TenantCounters::quota_requests));
   text.counters("pipit_quota_refused_total", "tenant", by_tenant(&TenantCounters::refused));
   text.counters("pipit_quota_unreachable_total", "tenant", by_tenant(&TenantCounters::unreachable));
-  text.counters("pipit_answers_total", "kind", proxy_->kinds);
-  text.counters("pipit_order_answers_total", "status", order_answers_);
+  text.counters("pipit_answers_total", "kind", proxy_->error_answers);
+  text.counters("pipit_order_answers_total", "status", operator_answers_);
   text.invariants();
   return text.take();
 }
--- a/src/server/request_proxy.cc
+++ b/src/server/request_proxy.cc
@@ -14,13 +14,13 @@
 namespace pipit {
 
 namespace {
-constexpr std::size_t failing_most = 1u << 20;
-constexpr std::size_t event_end_most = 4;       // bytes of the blank line that ends an event, with the line before it
-constexpr std::int64_t count_most = 100000000;  // of tokens, requests or milliseconds (28 h)
+constexpr std::size_t max_failed_body_bytes = 1u << 20;
+constexpr std::size_t max_event_end_bytes = 4;  // bytes of the blank line that ends an event, with the line before it
+constexpr std::int64_t max_count = 100000000;   // of tokens, requests or milliseconds (28 h)
 Micros now() { return loop_time(); }
 
 // Where the last whole event in the text ends; 0 when none is whole.
-std::size_t events_end(std::string const& text) {
+std::size_t end_of_last_event(std::string const& text) {
   std::size_t const a = text.rfind("\n\n");
   std::size_t const b = text.rfind("\r\n\r\n");
   std::size_t const end_a = a == std::string::npos ? 0 : a + 2;
@@ -28,36 +28,36 @@
   return std::max(end_a, end_b);
 }
 
-bool number_of(std::string const& text, std::uint64_t& out) {
+bool parse_number(std::string const& text, std::uint64_t& out) {
   if (text.empty() || text.size() > 18 || text.find_first_not_of("0123456789") != std::string::npos) return false;
   out = std::strtoull(text.c_str(), nullptr, 10);
   return true;
 }
 
 // A number that somebody else wrote, from 0 to a bound that leaves room for sums. 'rest' is what follows it.
-std::int64_t count_from(char const* text, char** rest) {
-  return std::clamp<std::int64_t>(std::strtoll(text, rest, 10), 0, count_most);
+std::int64_t parse_count(char const* text, char** rest) {
+  return std::clamp<std::int64_t>(std::strtoll(text, rest, 10), 0, max_count);
 }
 
 // What a caller says it will wait. Nothing, or what is no number, says nothing: 0. A caller that waits no longer has
 // the shortest time that there is.
-Micros time_left(std::string const* text) {
+Micros client_time_remaining(std::string const* text) {
   if (text == nullptr || text->find_first_of("0123456789") == std::string::npos) return 0;
-  return std::max<Micros>(1, millis(count_from(text->c_str(), nullptr)));
+  return std::max<Micros>(1, millis(parse_count(text->c_str(), nullptr)));
 }
 
 // A caller takes such an answer for a promise that the request has not run and never will.
-bool promises(unsigned status) { return status == 408 || status == 421 || status == 429 || status == 503; }
+bool implies_not_executed(unsigned status) { return status == 408 || status == 421 || status == 429 || status == 503; }
 
 // Whether the field of that name stands there with different values.
-bool names_two(Head const& head, std::string const& name) {
+bool has_conflicting_values(Head const& head, std::string const& name) {
   std::string const first = head.get(name);
   for (std::pair<std::string, std::string> const& item : head.fields)
     if (same_letters(item.first, name) && item.second != first) return true;
   return false;
 }
 
-std::string id_of(std::string_view event) {
+std::string event_id_of(std::string_view event) {
   std::size_t at = 0;
   while (at < event.size()) {
     std::size_t const end = std::min(event.find('\n', at), event.size());
@@ -73,23 +73,23 @@
 }
 
 // A worker learns the tenant from this node alone, and never sees a key.
-void put_tenant(Head& head, Dialect const& dialect, std::string const& tenant) {
-  head.drop(dialect.authorization);
-  head.drop(dialect.tenant);
-  if (!tenant.empty()) head.set(dialect.tenant, tenant);
+void set_tenant(Head& head, HeaderNames const& header_names, std::string const& tenant) {
+  head.drop(header_names.authorization);
+  head.drop(header_names.tenant);
+  if (!tenant.empty()) head.set(header_names.tenant, tenant);
 }
 
 // The key that a caller names, as a digest; nothing where there is none, two, or one of another scheme.
-std::optional<Digest> key_of(Head const& head, Dialect const& dialect) {
+std::optional<Digest> api_key_of(Head const& head, HeaderNames const& header_names) {
   std::string const* value = nullptr;
   for (std::pair<std::string, std::string> const& item : head.fields) {
-    if (!same_letters(item.first, dialect.authorization)) continue;
+    if (!same_letters(item.first, header_names.authorization)) continue;
     if (value != nullptr) return std::nullopt;
     value = &item.second;
   }
   if (value == nullptr) return std::nullopt;
   std::size_t const space = value->find(' ');
-  if (space == std::string::npos || !same_letters(value->substr(0, space), dialect.scheme)) return std::nullopt;
+  if (space == std::string::npos || !same_letters(value->substr(0, space), header_names.scheme)) return std::nullopt;
   std::size_t const begin = value->find_first_not_of(' ', space);
   if (begin == std::string::npos) return std::nullopt;
   std::size_t const end = value->find_last_not_of(" \t");
@@ -97,17 +97,17 @@
 }
 }  // namespace
 
-RequestProxy::RequestProxy(Dispatcher& dispatcher, Dialect dialect, std::string own_host, Callbacks callbacks)
-    : server({[this](Server::Call&& call) { on_call(std::move(call)); },
+RequestProxy::RequestProxy(Dispatcher& dispatcher, HeaderNames header_names, std::string own_host, Callbacks callbacks)
+    : server({[this](Server::Call&& call) { handle_call(std::move(call)); },
               [this](std::uint64_t id) {
-                if (callers_.count(id) == 0) return;
+                if (requests_.count(id) == 0) return;
                 upstream.cut(id);
                 if (std::optional<FailedRequest> const failed = callbacks_.disconnected(id)) log_failure(*failed);
-                callers_.erase(id);
+                requests_.erase(id);
               }}),
       upstream({[this](std::uint64_t id) {
-                  std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
-                  if (position != callers_.end()) ++position->second.sent;
+                  std::map<std::uint64_t, ProxiedRequest>::iterator const position = requests_.find(id);
+                  if (position != requests_.end()) ++position->second.attempts_sent;
                   dispatcher_.on_sent(id, now());
                 },
                 [this](std::uint64_t id, Head const& head, bool first) { return on_head(id, head, first); },
@@ -116,11 +116,11 @@
                 [this](std::uint64_t id, Upstream::End end, std::string const& why) { on_ended(id, end, why); }},
                std::move(own_host)),
       dispatcher_(dispatcher),
-      dialect_(std::move(dialect)),
-      end_to_end_(dialect_.end_to_end()),
+      header_names_(std::move(header_names)),
+      end_to_end_(header_names_.end_to_end_fields()),
       callbacks_(std::move(callbacks)) {}
 
-void RequestProxy::limits(CallLimits const& from) {
+void RequestProxy::set_limits(CallLimits const& from) {
   Server::Limits out;
   out.head_most = static_cast<std::size_t>(from.head_bytes);
   out.body_most = static_cast<std::size_t>(from.body_bytes);
@@ -134,43 +134,43 @@
   upstream.close_expired(now);
 }
 
-void RequestProxy::on_call(Server::Call&& call) {
+void RequestProxy::handle_call(Server::Call&& call) {
   // Its end is read next: no worker is to begin with what nobody waits for.
   if (server.given_up(call.id)) return;
-  RequestInfo query;
-  query.host = call.head.get("Host");
-  std::size_t const port = query.host.rfind(':');
-  if (port != std::string::npos && query.host.find(']', port) == std::string::npos) query.host.resize(port);
-  query.path = call.head.target.substr(0, call.head.target.find('?'));
-  query.model = call.head.get(dialect_.model);
-  query.parts = parse_prompt_parts(call.head.get(dialect_.parts));
-  std::string const tokens = call.head.get(dialect_.tokens);
-  query.input_tokens = count_from(tokens.c_str(), nullptr);
+  RequestInfo info;
+  info.host = call.head.get("Host");
+  std::size_t const port = info.host.rfind(':');
+  if (port != std::string::npos && info.host.find(']', port) == std::string::npos) info.host.resize(port);
+  info.path = call.head.target.substr(0, call.head.target.find('?'));
+  info.model = call.head.get(header_names_.model);
+  info.parts = parse_prompt_parts(call.head.get(header_names_.prompt_parts));
+  std::string const tokens = call.head.get(header_names_.token_counts);
+  info.input_tokens = parse_count(tokens.c_str(), nullptr);
   std::size_t const comma = tokens.find(',');
-  if (comma != std::string::npos) query.output_tokens = count_from(tokens.c_str() + comma + 1, nullptr);
-  query.has_token_counts = !tokens.empty();
-  query.key_digest = key_of(call.head, dialect_);
-  query.time_remaining = time_left(call.head.find(dialect_.remaining));
-  query.receive_time = std::max<Micros>(0, now() - call.arrived_at);
-  query.last_event_id = call.head.get(dialect_.after);
-  Caller caller;
-  caller.head = std::move(call.head);
-  drop_hop_fields(caller.head, end_to_end_);
-  caller.body = std::move(call.body);
-  caller.attempt = caller.head.get(dialect_.attempt);
-  caller.last_event = query.last_event_id;
+  if (comma != std::string::npos) info.output_tokens = parse_count(tokens.c_str() + comma + 1, nullptr);
+  info.has_token_counts = !tokens.empty();
+  info.key_digest = api_key_of(call.head, header_names_);
+  info.time_remaining = client_time_remaining(call.head.find(header_names_.time_remaining));
+  info.receive_time = std::max<Micros>(0, now() - call.arrived_at);
+  info.last_event_id = call.head.get(header_names_.last_event_id);
+  ProxiedRequest request;
+  request.head = std::move(call.head);
+  drop_hop_fields(request.head, end_to_end_);
+  request.body = std::move(call.body);
+  request.request_id = request.head.get(header_names_.request_id);
+  request.last_event_id = info.last_event_id;
   std::uint64_t const id = call.id;
-  callers_.emplace(id, std::move(caller));
-  callbacks_.request(id, std::move(query));
+  requests_.emplace(id, std::move(request));
+  callbacks_.request_received(id, std::move(info));
 }
 
 void RequestProxy::log_failure(FailedRequest const& failed) {
-  std::map<std::uint64_t, Caller>::const_iterator const position = callers_.find(failed.request);
-  if (position == callers_.end()) return;
-  Caller const& caller = position->second;
+  std::map<std::uint64_t, ProxiedRequest>::const_iterator const position = requests_.find(failed.request);
+  if (position == requests_.end()) return;
+  ProxiedRequest const& request = position->second;
   Server::Backlog const backlog = server.backlog_of(failed.request, now());
-  AnswerProgress const answer{caller.taken_bytes, caller.passed_bytes, backlog.bytes, backlog.blocked_for};
-  failure_log_.write(failed, caller.attempt, caller.failure, answer, now());
+  AnswerProgress const answer{request.received_bytes, request.forwarded_bytes, backlog.bytes, backlog.blocked_for};
+  failure_log_.write(failed, request.request_id, request.last_failure, answer, now());
 }
 
 bool RequestProxy::may_repeat(std::uint64_t id) const {
@@ -179,134 +179,137 @@
 }
 
 // The worker of the present attempt says that it did not run it.
-void RequestProxy::decline(std::uint64_t id, Caller& caller) {
-  ++caller.declined_count;
-  caller.failure = caller.elsewhere ? "another instance lives there" : "the worker did not run it";
-  callbacks_.ended(id, AttemptEnd::declined, caller.elsewhere);
+void RequestProxy::report_declined(std::uint64_t id, ProxiedRequest& request) {
+  ++request.attempts_declined;
+  request.last_failure = request.wrong_instance ? "another instance lives there" : "the worker did not run it";
+  callbacks_.attempt_ended(id, AttemptEnd::declined, request.wrong_instance);
 }
 
-void RequestProxy::act(DispatchEffects& out) {
+void RequestProxy::apply_effects(DispatchEffects& out) {
   for (FailedRequest const& failed : out.failed_requests) log_failure(failed);
   for (std::uint64_t const id : out.cancelled_attempts) upstream.cut(id);
   for (std::uint64_t const id : out.forwarded_failures) {
-    std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
-    if (position == callers_.end()) continue;
-    Caller const caller = std::move(position->second);
-    callers_.erase(position);
-    server.answer(id, caller.answer, caller.pending);
+    std::map<std::uint64_t, ProxiedRequest>::iterator const position = requests_.find(id);
+    if (position == requests_.end()) continue;
+    ProxiedRequest const request = std::move(position->second);
+    requests_.erase(position);
+    server.answer(id, request.answer_head, request.buffered);
   }
-  for (Rejection const& denial : out.rejections) reject(denial);
+  for (Rejection const& rejection : out.rejections) reject(rejection);
   for (std::uint64_t const id : out.aborted_answers) {
-    std::map<std::uint64_t, Caller>::const_iterator const position = callers_.find(id);
-    log_event(Event::stream_broken, position == callers_.end() ? "" : position->second.attempt);
-    callers_.erase(id);
+    std::map<std::uint64_t, ProxiedRequest>::const_iterator const position = requests_.find(id);
+    log_event(Event::stream_broken, position == requests_.end() ? "" : position->second.request_id);
+    requests_.erase(id);
     server.break_off(id);
   }
-  std::vector<Attempt> const starts = std::move(out.attempts);
+  std::vector<Attempt> const attempts = std::move(out.attempts);
   out.attempts.clear();
-  for (Attempt const& attempt : starts) start(attempt);
+  for (Attempt const& attempt : attempts) start_attempt(attempt);
 }
 
-void RequestProxy::reject(Rejection const& denial) {
-  ++kinds[error_code_row(denial.error).name];
+void RequestProxy::reject(Rejection const& rejection) {
+  ++error_answers[error_code_row(rejection.error).name];
   ExecutionStatus const execution =
-      denial.retry_after > 0 ? ExecutionStatus::no : error_code_row(denial.error).execution;
-  Answer const answer = answer_for(Error{denial.error, "", ""}, execution, denial.retry_after);
+      rejection.retry_after > 0 ? ExecutionStatus::no : error_code_row(rejection.error).execution;
+  Answer const answer = answer_for(Error{rejection.error, "", ""}, execution, rejection.retry_after);
   Head head;
   // What may be asked again has not run, whatever the kind says of other cases.
-  head.status = denial.retry_after > 0 && !promises(answer.status) ? 503 : answer.status;
-  if (head.status == 401) head.fields.emplace_back("WWW-Authenticate", dialect_.scheme);
+  head.status = rejection.retry_after > 0 && !implies_not_executed(answer.status) ? 503 : answer.status;
+  if (head.status == 401) head.fields.emplace_back("WWW-Authenticate", header_names_.scheme);
   head.fields.emplace_back("Content-Type", "application/json");
-  if (denial.retry_after > 0) {
+  if (rejection.retry_after > 0) {
     char text[32];
-    g_ascii_formatd(text, sizeof text, "%.3f", static_cast<double>(denial.retry_after) / 1e6);
+    g_ascii_formatd(text, sizeof text, "%.3f", static_cast<double>(rejection.retry_after) / 1e6);
     head.fields.emplace_back("Retry-After", text);
   }
-  std::map<std::uint64_t, Caller>::const_iterator const position = callers_.find(denial.request);
-  if (position != callers_.end()) {
-    Caller const& caller = position->second;
-    bool const honest = !promises(head.status) || denial.repeatable || !caller.may_have_run();
+  std::map<std::uint64_t, ProxiedRequest>::const_iterator const position = requests_.find(rejection.request);
+  if (position != requests_.end()) {
+    ProxiedRequest const& request = position->second;
+    bool const honest = !implies_not_executed(head.status) || rejection.repeatable || !request.may_have_run();
     check_invariant(honest, Invariant::true_refusal, [&] {
-      return caller.attempt + " gets " + std::to_string(head.status) + " after " + std::to_string(caller.sent) +
-             " sends, " + std::to_string(caller.declined_count) + " of them declined, the last to " + caller.instance;
+      return request.request_id + " gets " + std::to_string(head.status) + " after " +
+             std::to_string(request.attempts_sent) + " sends, " + std::to_string(request.attempts_declined) +
+             " of them declined, the last to " + request.instance;
     });
-    callers_.erase(position);
+    requests_.erase(position);
   }
-  server.answer(denial.request, head, answer.body);
+  server.answer(rejection.request, head, answer.body);
 }
 
-void RequestProxy::start(Attempt const& attempt) {
-  std::map<std::uint64_t, Caller>::iterator const position = callers_.find(attempt.request);
-  if (position == callers_.end()) return;
-  Caller& caller = position->second;
+void RequestProxy::start_attempt(Attempt const& attempt) {
+  std::map<std::uint64_t, ProxiedRequest>::iterator const position = requests_.find(attempt.request);
+  if (position == requests_.end()) return;
+  ProxiedRequest& request = position->second;
   Route const* const route = dispatcher_.route_of(attempt.request);
-  check_invariant(may_repeat(attempt.request) || !caller.may_have_run(), Invariant::single_run, [&] {
-    return caller.attempt + " is sent to " + attempt.instance + " after " + caller.instance + ", " +
-           std::to_string(caller.sent) + " sends, " + std::to_string(caller.declined_count) + " of them declined";
+  check_invariant(may_repeat(attempt.request) || !request.may_have_run(), Invariant::single_run, [&] {
+    return request.request_id + " is sent to " + attempt.instance + " after " + request.instance + ", " +
+           std::to_string(request.attempts_sent) + " sends, " + std::to_string(request.attempts_declined) +
+           " of them declined";
   });
-  caller.instance = attempt.instance;
-  caller.streams = route != nullptr && route->streams;
-  caller.resumable = caller.streams && route->resumable;
-  caller.resumed = attempt.resumes_answer;
-  caller.declined = caller.elsewhere = caller.failing = caller.withheld = false;
-  caller.unbounded = caller.spliced = false;
-  caller.pending.clear();
-  caller.tail.clear();
-  Head head = caller.head;
-  head.set(dialect_.remaining, std::to_string(std::max<Micros>(1, attempt.timeout / 1000)));
-  if (guard(RequestGuard::instance)) head.set(dialect_.instance, attempt.instance);
-  head.set(dialect_.rank, std::to_string(std::clamp<std::int64_t>(attempt.rank, 0, 9)));
-  if (attempt.keys_required) put_tenant(head, dialect_, attempt.tenant);
-  if (caller.resumed && !caller.last_event.empty()) head.set(dialect_.after, caller.last_event);
-  std::string bytes = request_text(head, static_cast<std::int64_t>(caller.body.size()));
-  bytes += caller.body;
+  request.instance = attempt.instance;
+  request.streams = route != nullptr && route->streams;
+  request.resumable = request.streams && route->resumable;
+  request.resumed = attempt.resumes_answer;
+  request.declined = request.wrong_instance = request.failed = request.withheld = false;
+  request.ends_at_close = request.event_forwarded = false;
+  request.buffered.clear();
+  request.tail.clear();
+  Head head = request.head;
+  head.set(header_names_.time_remaining, std::to_string(std::max<Micros>(1, attempt.timeout / 1000)));
+  if (guard(RequestGuard::instance)) head.set(header_names_.instance, attempt.instance);
+  head.set(header_names_.priority, std::to_string(std::clamp<std::int64_t>(attempt.rank, 0, 9)));
+  if (attempt.keys_required) set_tenant(head, header_names_, attempt.tenant);
+  if (request.resumed && !request.last_event_id.empty()) head.set(header_names_.last_event_id, request.last_event_id);
+  std::string bytes = request_text(head, static_cast<std::int64_t>(request.body.size()));
+  bytes += request.body;
   upstream.start(attempt.request, attempt.instance, attempt.address, std::move(bytes), attempt.connect_timeout);
 }
 
 Upstream::Owner RequestProxy::on_head(std::uint64_t id, Head const& head, bool first) {
-  std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
-  if (position == callers_.end()) return Upstream::Owner::asker;
-  Caller& caller = position->second;
+  std::map<std::uint64_t, ProxiedRequest>::iterator const position = requests_.find(id);
+  if (position == requests_.end()) return Upstream::Owner::asker;
+  ProxiedRequest& request = position->second;
   if (head.status < 200) return Upstream::Owner::other;
-  std::string const whose = head.get(dialect_.attempt);
-  bool const mine = whose == caller.attempt || !guard(RequestGuard::answer_id);
-  if (!whose.empty() && !mine) return Upstream::Owner::other;
-  if (names_two(head, dialect_.attempt)) return Upstream::Owner::nobody;
-  if (std::string const* const load = head.find(dialect_.load)) {
+  std::string const answered_id = head.get(header_names_.request_id);
+  bool const is_own_answer = answered_id == request.request_id || !guard(RequestGuard::answer_id);
+  if (!answered_id.empty() && !is_own_answer) return Upstream::Owner::other;
+  if (has_conflicting_values(head, header_names_.request_id)) return Upstream::Owner::nobody;
+  if (std::string const* const load = head.find(header_names_.load)) {
     char* rest = nullptr;
-    std::int64_t const running = count_from(load->c_str(), &rest);
-    std::int64_t const waiting = *rest == ',' ? count_from(rest + 1, nullptr) : 0;
+    std::int64_t const running = parse_count(load->c_str(), &rest);
+    std::int64_t const waiting = *rest == ',' ? parse_count(rest + 1, nullptr) : 0;
     dispatcher_.on_load_report(id, running + waiting, now());
   }
-  bool const not_run = head.find(dialect_.not_run) != nullptr;
-  caller.elsewhere = head.status == 421;
-  caller.declined = not_run || caller.elsewhere || (head.status == 429 && !guard(RequestGuard::not_run_proof));
-  caller.failing = !caller.declined && head.status >= 300;
-  caller.withheld = caller.failing && promises(head.status);
+  bool const not_run = head.find(header_names_.not_executed) != nullptr;
+  request.wrong_instance = head.status == 421;
+  request.declined = not_run || request.wrong_instance || (head.status == 429 && !guard(RequestGuard::not_run_proof));
+  request.failed = !request.declined && head.status >= 300;
+  request.withheld = request.failed && implies_not_executed(head.status);
   // A refusal may come without the id, but then only where nothing was asked before: it might be a late one for that.
-  bool const unnamed_refusal = caller.declined && (first || !guard(RequestGuard::answer_id));
-  if (whose.empty() && !mine && !unnamed_refusal) {
-    caller.declined = caller.elsewhere = false;
+  bool const unnamed_refusal = request.declined && (first || !guard(RequestGuard::answer_id));
+  if (answered_id.empty() && !is_own_answer && !unnamed_refusal) {
+    request.declined = request.wrong_instance = false;
     return Upstream::Owner::nobody;
   }
-  bool const sealed = dialect_.seal.empty() || !guard(RequestGuard::seal) || head.find(dialect_.seal) != nullptr;
-  if (!caller.declined && !caller.failing && !sealed) return Upstream::Owner::nobody;
-  caller.unbounded = head.length < 0 && !head.chunked && !bodiless(head.status) && caller.head.method != "HEAD";
-  if (caller.resumed) return Upstream::Owner::asker;
-  caller.answer = head;
-  drop_hop_fields(caller.answer, end_to_end_);
-  caller.answer.length = head.length;
+  bool const sealed =
+      header_names_.seal.empty() || !guard(RequestGuard::seal) || head.find(header_names_.seal) != nullptr;
+  if (!request.declined && !request.failed && !sealed) return Upstream::Owner::nobody;
+  request.ends_at_close = head.length < 0 && !head.chunked && !bodiless(head.status) && request.head.method != "HEAD";
+  if (request.resumed) return Upstream::Owner::asker;
+  request.answer_head = head;
+  drop_hop_fields(request.answer_head, end_to_end_);
+  request.answer_head.length = head.length;
   return Upstream::Owner::asker;
 }
 
 // Takes whole events out of what is held, and remembers the id of the last.
-std::string RequestProxy::complete_events(std::uint64_t id, Caller& caller) {
-  std::size_t const end = events_end(caller.pending);
-  std::string out = caller.pending.substr(0, end);
-  caller.pending.erase(0, end);
+std::string RequestProxy::complete_events(std::uint64_t id, ProxiedRequest& request) {
+  std::size_t const end = end_of_last_event(request.buffered);
+  std::string out = request.buffered.substr(0, end);
+  request.buffered.erase(0, end);
   std::uint64_t last = 0;
-  bool const known = number_of(caller.last_event, last);
-  std::string kept;
+  bool const known = parse_number(request.last_event_id, last);
+  std::string events;
   std::size_t at = 0;
   while (at < out.size()) {
     std::size_t const a = out.find("\n\n", at);
@@ -315,109 +318,112 @@
         std::min(a == std::string::npos ? out.size() : a + 2, b == std::string::npos ? out.size() : b + 4);
     std::string const event = out.substr(at, stop - at);
     at = stop;
-    std::string const name = id_of(event);
+    std::string const name = event_id_of(event);
     std::uint64_t number = 0;
     // A worker that takes a stream up may begin a little before the place that it was told.
-    if (caller.resumed && known && guard(RequestGuard::event_order) && number_of(name, number) && number <= last)
+    if (request.resumed && known && guard(RequestGuard::event_order) && parse_number(name, number) && number <= last)
       continue;
     std::uint64_t before = 0;
-    bool const first_of_resumed = caller.resumed && number_of(caller.last_event, before) && number_of(name, number);
-    check_invariant(!first_of_resumed || number > before || caller.spliced, Invariant::stream_order, [&] {
-      return caller.attempt + " gets event " + name + " of " + caller.instance + " after " + caller.last_event;
+    bool const first_of_resumed =
+        request.resumed && parse_number(request.last_event_id, before) && parse_number(name, number);
+    check_invariant(!first_of_resumed || number > before || request.event_forwarded, Invariant::stream_order, [&] {
+      return request.request_id + " gets event " + name + " of " + request.instance + " after " + request.last_event_id;
     });
-    caller.spliced = true;
-    if (!name.empty()) caller.last_event = name;
+    request.event_forwarded = true;
+    if (!name.empty()) request.last_event_id = name;
     if (name.empty() && event.find("data") != std::string::npos) dispatcher_.on_event_without_id(id);
-    kept += event;
+    events += event;
   }
-  return kept;
+  return events;
 }
 
 // What begins to go to a caller is the sealed answer to its own request.
-void RequestProxy::check_own(Caller const& caller) const {
-  bool const named = caller.answer.get(dialect_.attempt) == caller.attempt;
-  bool const sealed = dialect_.seal.empty() || caller.answer.find(dialect_.seal) != nullptr;
-  check_invariant(named && sealed && caller.answer.status < 300, Invariant::own_answer, [&] {
-    return caller.attempt + " gets status " + std::to_string(caller.answer.status) + " of '" +
-           caller.answer.get(dialect_.attempt) + "' from " + caller.instance + (sealed ? "" : " without a seal");
+void RequestProxy::check_own_answer(ProxiedRequest const& request) const {
+  bool const named = request.answer_head.get(header_names_.request_id) == request.request_id;
+  bool const sealed = header_names_.seal.empty() || request.answer_head.find(header_names_.seal) != nullptr;
+  check_invariant(named && sealed && request.answer_head.status < 300, Invariant::own_answer, [&] {
+    return request.request_id + " gets status " + std::to_string(request.answer_head.status) + " of '" +
+           request.answer_head.get(header_names_.request_id) + "' from " + request.instance +
+           (sealed ? "" : " without a seal");
   });
 }
 
-void RequestProxy::pass_on(std::uint64_t id, Caller& caller, std::string_view bytes) {
+void RequestProxy::forward(std::uint64_t id, ProxiedRequest& request, std::string_view bytes) {
   if (bytes.empty()) return;
-  if (!caller.begun) {
-    caller.begun = true;
-    check_own(caller);
-    std::int64_t const length = caller.resumable ? -1 : caller.answer.length;
-    server.begin(id, caller.answer, length);
+  if (!request.answer_begun) {
+    request.answer_begun = true;
+    check_own_answer(request);
+    std::int64_t const length = request.resumable ? -1 : request.answer_head.length;
+    server.begin(id, request.answer_head, length);
     dispatcher_.on_answer_begin(id, now());
   } else {
     dispatcher_.on_answer_event(id, now());
   }
-  caller.passed_bytes += bytes.size();
+  request.forwarded_bytes += bytes.size();
   server.write_chunk(id, bytes);
 }
 
 void RequestProxy::on_body(std::uint64_t id, std::string_view bytes) {
-  std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
-  if (position == callers_.end()) return;
-  Caller& caller = position->second;
-  if (caller.declined) return;
-  caller.taken_bytes += bytes.size();
-  if (caller.failing) {
+  std::map<std::uint64_t, ProxiedRequest>::iterator const position = requests_.find(id);
+  if (position == requests_.end()) return;
+  ProxiedRequest& request = position->second;
+  if (request.declined) return;
+  request.received_bytes += bytes.size();
+  if (request.failed) {
     // What is too large to hold can't go back whole, and must not go back in part.
-    if (caller.pending.size() + bytes.size() > failing_most) caller.withheld = true;
-    if (!caller.withheld) caller.pending.append(bytes);
+    if (request.buffered.size() + bytes.size() > max_failed_body_bytes) request.withheld = true;
+    if (!request.withheld) request.buffered.append(bytes);
     return;
   }
-  if (caller.streams && caller.unbounded) {
-    caller.tail.append(bytes.substr(bytes.size() - std::min(bytes.size(), event_end_most)));
-    caller.tail.erase(0, caller.tail.size() - std::min(caller.tail.size(), event_end_most));
+  if (request.streams && request.ends_at_close) {
+    request.tail.append(bytes.substr(bytes.size() - std::min(bytes.size(), max_event_end_bytes)));
+    request.tail.erase(0, request.tail.size() - std::min(request.tail.size(), max_event_end_bytes));
   }
-  if (!caller.resumable) return pass_on(id, caller, bytes);
-  caller.pending.append(bytes);
-  std::string const events = complete_events(id, caller);
-  pass_on(id, caller, events);
+  if (!request.resumable) return forward(id, request, bytes);
+  request.buffered.append(bytes);
+  std::string const events = complete_events(id, request);
+  forward(id, request, events);
 }
 
 // A worker may break off anywhere. Where only the connection's end tells the end of a stream, that is whole only after
 // a whole event.
-bool RequestProxy::stops_in_event(Caller const& caller) {
-  return caller.streams && caller.unbounded && guard(RequestGuard::event_end) && !caller.tail.ends_with("\n\n") &&
-         !caller.tail.ends_with("\r\n\r\n");
+bool RequestProxy::ends_within_event(ProxiedRequest const& request) {
+  return request.streams && request.ends_at_close && guard(RequestGuard::event_end) &&
+         !request.tail.ends_with("\n\n") && !request.tail.ends_with("\r\n\r\n");
 }
 
 void RequestProxy::on_done(std::uint64_t id) {
-  std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
-  if (position == callers_.end()) return;
-  Caller& caller = position->second;
-  if (caller.declined) return decline(id, caller);
-  if (caller.withheld) return callbacks_.ended(id, AttemptEnd::broke, false);
-  if (caller.failing) return callbacks_.ended(id, AttemptEnd::failed, false);
-  if (stops_in_event(caller)) return callbacks_.ended(id, AttemptEnd::broke, false);
-  if (caller.resumable && !caller.pending.empty()) {
-    std::string const rest = std::move(caller.pending);
-    caller.pending.clear();
-    pass_on(id, caller, rest);
+  std::map<std::uint64_t, ProxiedRequest>::iterator const position = requests_.find(id);
+  if (position == requests_.end()) return;
+  ProxiedRequest& request = position->second;
+  if (request.declined) return report_declined(id, request);
+  if (request.withheld) return callbacks_.attempt_ended(id, AttemptEnd::broke, false);
+  if (request.failed) return callbacks_.attempt_ended(id, AttemptEnd::failed, false);
+  if (ends_within_event(request)) return callbacks_.attempt_ended(id, AttemptEnd::broke, false);
+  if (request.resumable && !request.buffered.empty()) {
+    std::string const rest = std::move(request.buffered);
+    request.buffered.clear();
+    forward(id, request, rest);
   }
-  if (!caller.begun) {
-    check_own(caller);
-    server.begin(id, caller.answer, caller.resumable ? -1 : std::max<std::int64_t>(0, caller.answer.length));
+  if (!request.answer_begun) {
+    check_own_answer(request);
+    server.begin(id, request.answer_head,
+                 request.resumable ? -1 : std::max<std::int64_t>(0, request.answer_head.length));
   }
   server.end(id);
-  callers_.erase(position);
-  callbacks_.ended(id, AttemptEnd::complete, false);
+  requests_.erase(position);
+  callbacks_.attempt_ended(id, AttemptEnd::complete, false);
 }
 
 void RequestProxy::on_ended(std::uint64_t id, Upstream::End end, std::string const& why) {
-  std::map<std::uint64_t, Caller>::iterator const position = callers_.find(id);
-  if (position == callers_.end()) return;
-  position->second.failure = why;
-  log_event(Event::attempt_failed, position->second.attempt + " at " + position->second.instance + " " + why);
+  std::map<std::uint64_t, ProxiedRequest>::iterator const position = requests_.find(id);
+  if (position == requests_.end()) return;
+  position->second.last_failure = why;
+  log_event(Event::attempt_failed, position->second.request_id + " at " + position->second.instance + " " + why);
   if (end == Upstream::End::torn && !guard(RequestGuard::torn_visible)) return on_done(id);
   // What the worker said before it broke off holds: it did not run the request.
-  if (position->second.declined) return decline(id, position->second);
-  callbacks_.ended(id, end == Upstream::End::unreached ? AttemptEnd::unreached : AttemptEnd::broke, false);
+  if (position->second.declined) return report_declined(id, position->second);
+  callbacks_.attempt_ended(id, end == Upstream::End::unreached ? AttemptEnd::unreached : AttemptEnd::broke, false);
 }
 
 }  // namespace pipit
--- a/testing/request_model_checker/world.cc
+++ b/testing/request_model_checker/world.cc
@@ -18,8 +18,8 @@
 constexpr std::size_t answer_ways = 22;
 constexpr std::size_t world_events = 12;
 
-Dialect dialect() {
-  Dialect out;
+HeaderNames dialect() {
+  HeaderNames out;
   out.seal = "X-Seal";
   return out;
 }
@@ -112,15 +112,15 @@
   dispatcher.set_description(descriptions[0]);
   dispatcher.set_retry_budget(budget_ratio, budget_store);
   RequestProxy::Callbacks callbacks;
-  callbacks.request = [this](std::uint64_t id, RequestInfo query) {
+  callbacks.request_received = [this](std::uint64_t id, RequestInfo query) {
     DispatchEffects out;
     dispatcher.on_request(id, std::move(query), loop_time(), out);
-    relay->act(out);
+    relay->apply_effects(out);
   };
-  callbacks.ended = [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
+  callbacks.attempt_ended = [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
     DispatchEffects out;
     dispatcher.on_attempt_end(id, end, elsewhere, loop_time(), out);
-    relay->act(out);
+    relay->apply_effects(out);
   };
   callbacks.disconnected = [this](std::uint64_t id) { return dispatcher.on_client_disconnect(id, loop_time()); };
   relay = std::make_unique<RequestProxy>(dispatcher, dialect(), "", std::move(callbacks));
@@ -161,7 +161,7 @@
   time.advance(span);
   DispatchEffects out;
   dispatcher.tick(loop_time(), out);
-  relay->act(out);
+  relay->apply_effects(out);
   relay->close_expired(loop_time());
   registry.end_silent_workers(loop_time());
 }
@@ -620,7 +620,7 @@
     case 5:
       note(worker.id + " is replaced at its address");
       if (choose(2) == 0) registry.leave(worker.id, ++heartbeats, loop_time());
-      relay->forget(worker.id);
+      relay->forget_worker(worker.id);
       revive(worker, false);
       return heartbeat(worker, false);
     case 6:
--- a/tests/doors.cc
+++ b/tests/doors.cc
@@ -41,7 +41,7 @@
 TEST(Doors, wait_a_moment_when_no_descriptor_is_left) {
   std::vector<std::shared_ptr<Link>> taken;
   Door door;
-  std::string const address = open_door([&](std::string const& at) {
+  std::string const address = listen_on_free_port([&](std::string const& at) {
     return door.open(at, [&taken](std::shared_ptr<Link> link) { taken.push_back(std::move(link)); });
   });
   std::vector<std::shared_ptr<Link>> callers;
--- a/tests/fault_relay.cc
+++ b/tests/fault_relay.cc
@@ -20,7 +20,7 @@
 class Relayed : public testing::Test {
  protected:
   Relayed() {
-    door_address = open_door([this](std::string const& at) {
+    door_address = listen_on_free_port([this](std::string const& at) {
       return door.open(at, [this](std::shared_ptr<Link> link) {
         Link* const echo = link.get();
         link->listen({nullptr,
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -583,7 +583,7 @@
   Serving()
       : server({[this](Server::Call&& call) { calls.push_back(std::move(call)); },
                 [this](std::uint64_t id) { gone.push_back(id); }}) {
-    address = open_door([this](std::string const& at) { return server.listen(at); });
+    address = listen_on_free_port([this](std::string const& at) { return server.listen(at); });
     Server::Limits limits;
     limits.head_most = small_head;
     limits.body_most = small_body;
@@ -616,11 +616,11 @@
     EXPECT_EQ(calls[n].body, "hello");
     EXPECT_EQ(calls[n].head.target, "/" + std::to_string(n));
     answer_all("yes");
-    ASSERT_TRUE(until([&] { return count_of(connection.got, "yes") == n + 1; }));
+    ASSERT_TRUE(until([&] { return count_of(connection.received, "yes") == n + 1; }));
   }
-  EXPECT_FALSE(connection.shut);
+  EXPECT_FALSE(connection.closed);
   EXPECT_EQ(server.connections(), 1u);
-  EXPECT_EQ(read_whole(false, connection.got).whole.size(), 3u);
+  EXPECT_EQ(read_whole(false, connection.received).whole.size(), 3u);
 }
 
 TEST_F(Serving, gives_calls_on_whole_wherever_they_are_split) {
@@ -633,7 +633,7 @@
     ASSERT_TRUE(until([&] { return calls.size() == at; })) << at;
     EXPECT_EQ(calls.back().body, "hello0123456789");
     answer_all("yes");
-    ASSERT_TRUE(until([&] { return count_of(connection.got, "yes") == 1; }));
+    ASSERT_TRUE(until([&] { return count_of(connection.received, "yes") == 1; }));
   }
 }
 
@@ -650,8 +650,8 @@
     EXPECT_EQ(calls[n].head.target, "/" + std::to_string(n));
     answer_all("answer " + std::to_string(n) + ".");
   }
-  ASSERT_TRUE(until([&] { return count_of(connection.got, "answer") == 20; }));
-  std::vector<Message> const answers = read_whole(false, connection.got).whole;
+  ASSERT_TRUE(until([&] { return count_of(connection.received, "answer") == 20; }));
+  std::vector<Message> const answers = read_whole(false, connection.received).whole;
   ASSERT_EQ(answers.size(), 20u);
   for (std::size_t n = 0; n < 20; ++n) EXPECT_EQ(answers[n].body, "answer " + std::to_string(n) + ".");
 }
@@ -666,12 +666,12 @@
   server.begin(calls[1].id, status(200), -1);
   server.write_chunk(calls[1].id, "pieces");
   server.end(calls[1].id);
-  ASSERT_TRUE(
-      until([&] { return count_of(connection.got, "HTTP/1.1 200") == 2 && connection.got.ends_with("\r\n\r\n"); }));
-  EXPECT_NE(connection.got.find("Content-Length: 12"), std::string::npos);
-  EXPECT_EQ(connection.got.find("twelve"), std::string::npos);
-  EXPECT_EQ(connection.got.find("pieces"), std::string::npos);
-  EXPECT_EQ(read_pieces(false, {connection.got}, true).whole.size(), 2u);
+  ASSERT_TRUE(until(
+      [&] { return count_of(connection.received, "HTTP/1.1 200") == 2 && connection.received.ends_with("\r\n\r\n"); }));
+  EXPECT_NE(connection.received.find("Content-Length: 12"), std::string::npos);
+  EXPECT_EQ(connection.received.find("twelve"), std::string::npos);
+  EXPECT_EQ(connection.received.find("pieces"), std::string::npos);
+  EXPECT_EQ(read_pieces(false, {connection.received}, true).whole.size(), 2u);
 }
 
 TEST_F(Serving, closes_when_the_caller_asks_for_it) {
@@ -681,9 +681,9 @@
     connection.send(text);
     ASSERT_TRUE(until([&] { return calls.size() > answered; }));
     answer_all("yes");
-    ASSERT_TRUE(until([&] { return connection.shut; }));
-    EXPECT_EQ(read_whole(false, connection.got).whole.size(), 1u);
-    EXPECT_NE(connection.got.find("Connection: close"), std::string::npos);
+    ASSERT_TRUE(until([&] { return connection.closed; }));
+    EXPECT_EQ(read_whole(false, connection.received).whole.size(), 1u);
+    EXPECT_NE(connection.received.find("Connection: close"), std::string::npos);
   }
   EXPECT_EQ(server.connections(), 0u);
 }
@@ -704,9 +704,9 @@
     }
     settle();
     connection.link->pause_reading(false);
-    ASSERT_TRUE(until([&] { return connection.shut; }));
-    std::vector<Message> const answers = read_pieces(false, {connection.got}, false, 65536, 64u << 20).whole;
-    ASSERT_EQ(answers.size(), 1u) << connection.got.size() << " bytes came";
+    ASSERT_TRUE(until([&] { return connection.closed; }));
+    std::vector<Message> const answers = read_pieces(false, {connection.received}, false, 65536, 64u << 20).whole;
+    ASSERT_EQ(answers.size(), 1u) << connection.received.size() << " bytes came";
     EXPECT_EQ(answers[0].body.size(), body.size());
   }
 }
@@ -721,7 +721,7 @@
   EXPECT_EQ(server.calls(), 0u);
   EXPECT_EQ(server.connections(), 1u) << "a process that ends now would cut the answer";
   connection.link->pause_reading(false);
-  ASSERT_TRUE(until([&] { return connection.shut; }));
+  ASSERT_TRUE(until([&] { return connection.closed; }));
   EXPECT_EQ(server.connections(), 0u);
 }
 
@@ -732,13 +732,13 @@
   server.begin(calls[0].id, status(200), -1);
   for (char const* const part : {"one", "two", "three"}) {
     server.write_chunk(calls[0].id, part);
-    ASSERT_TRUE(until([&] { return connection.got.find(part) != std::string::npos; }));
-    EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
+    ASSERT_TRUE(until([&] { return connection.received.find(part) != std::string::npos; }));
+    EXPECT_TRUE(read_whole(false, connection.received).whole.empty());
   }
   server.end(calls[0].id);
-  ASSERT_TRUE(until([&] { return read_whole(false, connection.got).whole.size() == 1; }));
-  EXPECT_EQ(read_whole(false, connection.got).whole[0].body, "onetwothree");
-  EXPECT_FALSE(connection.shut);
+  ASSERT_TRUE(until([&] { return read_whole(false, connection.received).whole.size() == 1; }));
+  EXPECT_EQ(read_whole(false, connection.received).whole[0].body, "onetwothree");
+  EXPECT_FALSE(connection.closed);
 }
 
 TEST_F(Serving, what_breaks_off_does_not_look_whole) {
@@ -750,9 +750,9 @@
     server.begin(id, status(200), length);
     server.write_chunk(id, "part");
     server.break_off(id);
-    ASSERT_TRUE(until([&] { return connection.shut; }));
-    EXPECT_NE(connection.got.find("part"), std::string::npos);
-    EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
+    ASSERT_TRUE(until([&] { return connection.closed; }));
+    EXPECT_NE(connection.received.find("part"), std::string::npos);
+    EXPECT_TRUE(read_whole(false, connection.received).whole.empty());
   }
 }
 
@@ -763,8 +763,8 @@
   server.begin(calls[0].id, status(200), 100);
   server.write_chunk(calls[0].id, "part");
   server.end(calls[0].id);
-  ASSERT_TRUE(until([&] { return connection.shut; }));
-  EXPECT_TRUE(read_whole(false, connection.got).whole.empty());
+  ASSERT_TRUE(until([&] { return connection.closed; }));
+  EXPECT_TRUE(read_whole(false, connection.received).whole.empty());
 }
 
 TEST_F(Serving, answers_that_have_no_body_end_with_their_head) {
@@ -777,15 +777,16 @@
       server.begin(calls[n].id, status(code), length);
       server.end(calls[n].id);
       ++n;
-      ASSERT_TRUE(
-          until([&] { return count_of(connection.got, "HTTP/1.1 ") == n && connection.got.ends_with("\r\n\r\n"); }));
+      ASSERT_TRUE(until([&] {
+        return count_of(connection.received, "HTTP/1.1 ") == n && connection.received.ends_with("\r\n\r\n");
+      }));
       settle();
-      Reading const answers = read_whole(false, connection.got);
+      Reading const answers = read_whole(false, connection.received);
       EXPECT_EQ(answers.error, Reader::Error::none) << code << " " << length;
       EXPECT_EQ(answers.whole.size(), n) << code << " " << length;
-      EXPECT_FALSE(connection.shut);
+      EXPECT_FALSE(connection.closed);
     }
-  EXPECT_EQ(connection.got.find("Transfer-Encoding"), std::string::npos);
+  EXPECT_EQ(connection.received.find("Transfer-Encoding"), std::string::npos);
 }
 
 TEST_F(Serving, says_once_when_a_caller_leaves) {
@@ -813,10 +814,10 @@
     settle();
     // What is only incomplete is slow, in the end.
     server.close_expired(far_off());
-    ASSERT_TRUE(until([&] { return connection.shut; })) << row.name;
+    ASSERT_TRUE(until([&] { return connection.closed; })) << row.name;
     EXPECT_TRUE(calls.empty()) << row.name << " was given on";
-    if (!connection.got.empty()) {
-      EXPECT_EQ(connection.got.substr(0, 10), "HTTP/1.1 4") << row.name << ": " << connection.got;
+    if (!connection.received.empty()) {
+      EXPECT_EQ(connection.received.substr(0, 10), "HTTP/1.1 4") << row.name << ": " << connection.received;
     }
     EXPECT_EQ(server.connections(), 0u) << row.name;
     calls.clear();
@@ -833,9 +834,9 @@
     server.answer(calls[0].id, status(200), "yes");
     settle();
     server.close_expired(far_off());
-    ASSERT_TRUE(until([&] { return connection.shut; })) << row.name;
+    ASSERT_TRUE(until([&] { return connection.closed; })) << row.name;
     EXPECT_EQ(calls.size(), 1u) << row.name;
-    EXPECT_EQ(connection.got.substr(0, 12), "HTTP/1.1 200") << row.name;
+    EXPECT_EQ(connection.received.substr(0, 12), "HTTP/1.1 200") << row.name;
     calls.clear();
   }
 }
@@ -857,7 +858,7 @@
       while (done < calls.size()) server.answer(calls[done++].id, status(200), "yes");
     }
     server.close_expired(far_off());
-    ASSERT_TRUE(until([&] { return connection.shut; })) << n << "\n" << text;
+    ASSERT_TRUE(until([&] { return connection.closed; })) << n << "\n" << text;
     std::vector<Message> read;
     for (Server::Call const& call : calls)
       read.push_back({call.head.method + " " + call.head.target, call.head.fields, call.body});
@@ -887,20 +888,20 @@
   settle();
   EXPECT_EQ(server.connections(), 4u);
   server.close_expired(now + seconds(6));
-  ASSERT_TRUE(until([&] { return heading.shut; }));
-  EXPECT_EQ(heading.got.substr(0, 12), "HTTP/1.1 408");
-  EXPECT_FALSE(sending.shut);
+  ASSERT_TRUE(until([&] { return heading.closed; }));
+  EXPECT_EQ(heading.received.substr(0, 12), "HTTP/1.1 408");
+  EXPECT_FALSE(sending.closed);
   server.close_expired(now + seconds(10));
-  ASSERT_TRUE(until([&] { return sending.shut; }));
-  EXPECT_EQ(sending.got.substr(0, 12), "HTTP/1.1 408");
-  EXPECT_FALSE(idle.shut);
+  ASSERT_TRUE(until([&] { return sending.closed; }));
+  EXPECT_EQ(sending.received.substr(0, 12), "HTTP/1.1 408");
+  EXPECT_FALSE(idle.closed);
   server.close_expired(now + seconds(70));
-  ASSERT_TRUE(until([&] { return idle.shut; }));
-  EXPECT_EQ(idle.got, "");
+  ASSERT_TRUE(until([&] { return idle.closed; }));
+  EXPECT_EQ(idle.received, "");
   settle();
-  EXPECT_FALSE(busy.shut) << "a call that is being answered may take its time";
+  EXPECT_FALSE(busy.closed) << "a call that is being answered may take its time";
   answer_all("yes");
-  ASSERT_TRUE(until([&] { return !busy.got.empty(); }));
+  ASSERT_TRUE(until([&] { return !busy.received.empty(); }));
   EXPECT_EQ(calls.size(), 1u);
 }
 
@@ -916,13 +917,13 @@
   server.limit(shorter);
   server.close_expired(g_get_monotonic_time() + seconds(48));
   settle();
-  EXPECT_FALSE(connection.shut);
+  EXPECT_FALSE(connection.closed);
   server.close_expired(g_get_monotonic_time() + seconds(61));
-  ASSERT_TRUE(until([&] { return connection.shut; }));
+  ASSERT_TRUE(until([&] { return connection.closed; }));
   LoopbackStream other(address);
   settle();
   server.close_expired(g_get_monotonic_time() + seconds(6));
-  ASSERT_TRUE(until([&] { return other.shut; }));
+  ASSERT_TRUE(until([&] { return other.closed; }));
 }
 
 TEST_F(Serving, at_the_end_idle_connections_close_and_answers_are_the_last) {
@@ -933,14 +934,14 @@
   server.closing();
   server.stop_listening();
   server.close_idle();
-  ASSERT_TRUE(until([&] { return idle.shut; }));
+  ASSERT_TRUE(until([&] { return idle.closed; }));
   answer_all("yes");
-  ASSERT_TRUE(until([&] { return busy.shut; }));
-  EXPECT_NE(busy.got.find("Connection: close"), std::string::npos);
-  EXPECT_NE(busy.got.find("yes"), std::string::npos);
+  ASSERT_TRUE(until([&] { return busy.closed; }));
+  EXPECT_NE(busy.received.find("Connection: close"), std::string::npos);
+  EXPECT_NE(busy.received.find("yes"), std::string::npos);
   LoopbackStream late(address);
-  EXPECT_TRUE(late.shut);
-  EXPECT_EQ(late.how, Link::End::unreached);
+  EXPECT_TRUE(late.closed);
+  EXPECT_EQ(late.end, Link::End::unreached);
 }
 
 TEST_F(Serving, an_answer_that_began_before_the_end_takes_its_connection_along) {
@@ -952,17 +953,17 @@
   head.status = 200;
   server.begin(id, head, -1);
   server.write_chunk(id, "first");
-  ASSERT_TRUE(until([&] { return connection.got.find("first") != std::string::npos; }));
-  EXPECT_EQ(connection.got.find("Connection: close"), std::string::npos)
+  ASSERT_TRUE(until([&] { return connection.received.find("first") != std::string::npos; }));
+  EXPECT_EQ(connection.received.find("Connection: close"), std::string::npos)
       << "nothing told the caller that it is the last";
   server.closing();
   server.stop_listening();
   server.close_idle();
   server.end(id);
   connection.send(good_requests[0]);
-  ASSERT_TRUE(until([&] { return connection.shut || calls.size() > 1; }));
+  ASSERT_TRUE(until([&] { return connection.closed || calls.size() > 1; }));
   EXPECT_EQ(calls.size(), 1u) << "a request taken after the doors were shut may not end inside the grace";
-  EXPECT_NE(connection.got.find("0\r\n\r\n"), std::string::npos);
+  EXPECT_NE(connection.received.find("0\r\n\r\n"), std::string::npos);
 }
 
 TEST_F(Serving, a_caller_that_sends_ahead_without_end_is_held) {
@@ -973,7 +974,7 @@
   settle();
   EXPECT_GT(connection.link->waiting(), 16u << 20) << "it is not all read into memory";
   answer_all("yes");
-  ASSERT_TRUE(until([&] { return connection.shut; }));
+  ASSERT_TRUE(until([&] { return connection.closed; }));
   EXPECT_EQ(calls.size(), 1u);
 }
 
@@ -1018,7 +1019,7 @@
                     ends.push_back({id, how});
                   }},
                  "") {
-    address = open_door([this](std::string const& at) {
+    address = listen_on_free_port([this](std::string const& at) {
       return door.open(at, [this](std::shared_ptr<Link> link) {
         connections.push_back(std::make_unique<LoopbackStream>(std::move(link)));
       });
@@ -1031,17 +1032,17 @@
   LoopbackStream& start(std::uint64_t id, std::string const& method = "POST") {
     std::size_t seen = 0;
     for (std::unique_ptr<LoopbackStream> const& connection : connections)
-      seen += count_of(connection->got, "HTTP/1.1\r\n");
+      seen += count_of(connection->received, "HTTP/1.1\r\n");
     upstream.start(id, "w", address, request(method), seconds(10));
     LoopbackStream* found = nullptr;
     EXPECT_TRUE(until([&] {
       std::size_t now = 0;
       for (std::unique_ptr<LoopbackStream> const& connection : connections)
-        now += count_of(connection->got, "HTTP/1.1\r\n");
+        now += count_of(connection->received, "HTTP/1.1\r\n");
       return now > seen;
     }));
     for (std::unique_ptr<LoopbackStream> const& connection : connections)
-      if (!connection->shut && !connection->got.empty()) found = connection.get();
+      if (!connection->closed && !connection->received.empty()) found = connection.get();
     if (found == nullptr) throw std::runtime_error("the request did not arrive");
     return *found;
   }
@@ -1116,7 +1117,7 @@
   ASSERT_TRUE(over());
   EXPECT_EQ(upstream.kept("w"), 1u);
   connection.send("HTTP/1.1 200 OK\r\n");
-  ASSERT_TRUE(until([&] { return connection.shut; }));
+  ASSERT_TRUE(until([&] { return connection.closed; }));
   EXPECT_EQ(upstream.kept("w"), 0u);
   forget();
   start(2).send(ok);
@@ -1203,7 +1204,7 @@
       connection.send(row.text);
       settle();
       connection.link->close(reset);
-      connection.shut = true;
+      connection.closed = true;
       ASSERT_TRUE(over()) << row.name;
       ASSERT_EQ(ends.size(), 1u) << row.name;
       EXPECT_EQ(ends[0].how, row.how) << row.name;
@@ -1219,7 +1220,7 @@
     connection.send("HTTP/1.1 200 OK\r\n\r\nabc");
     ASSERT_TRUE(until([&] { return bodies[1] == "abc"; }));
     connection.link->close(reset);
-    connection.shut = true;
+    connection.closed = true;
     ASSERT_TRUE(over());
     EXPECT_EQ(done.size(), reset ? 0u : 1u);
     EXPECT_EQ(ends.size(), reset ? 1u : 0u);
@@ -1251,7 +1252,7 @@
     ASSERT_TRUE(over());
     EXPECT_EQ(upstream.kept("w"), 1u);
     connection.link->close(reset);
-    connection.shut = true;
+    connection.closed = true;
     ASSERT_TRUE(until([&] { return upstream.kept("w") == 0; }));
     forget();
     LoopbackStream& next = start(2);
@@ -1260,7 +1261,7 @@
     EXPECT_EQ(done, std::vector<std::uint64_t>{2});
     EXPECT_TRUE(ends.empty());
     next.link->close();
-    next.shut = true;
+    next.closed = true;
     ASSERT_TRUE(until([&] { return upstream.kept("w") == 0; }));
   }
   EXPECT_EQ(upstream.reused, 0u);
@@ -1283,7 +1284,7 @@
     } else {
       connection.send("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
     }
-    connection.shut = true;
+    connection.closed = true;
     LoopbackStream& next = start(2);
     EXPECT_EQ(upstream.dialled, dialled + 1);
     next.send(ok);
@@ -1292,7 +1293,7 @@
     EXPECT_EQ(left, std::vector<std::uint64_t>{2});
     EXPECT_EQ(bodies[2], "ok");
     next.link->close();
-    next.shut = true;
+    next.closed = true;
     ASSERT_TRUE(until([&] { return upstream.kept("w") == 0; }));
   }
 }
@@ -1362,7 +1363,7 @@
   upstream.cut(1);
   upstream.cut(1);
   connection.send("defghi");
-  ASSERT_TRUE(until([&] { return connection.shut; }));
+  ASSERT_TRUE(until([&] { return connection.closed; }));
   EXPECT_TRUE(done.empty());
   EXPECT_TRUE(ends.empty());
   EXPECT_EQ(bodies[1], "abc");
@@ -1373,8 +1374,8 @@
 TEST_F(Workerly, a_cut_resets_the_connection) {
   LoopbackStream& connection = start(1);
   upstream.cut(1);
-  ASSERT_TRUE(until([&] { return connection.shut; }));
-  EXPECT_EQ(connection.how, Link::End::reset);
+  ASSERT_TRUE(until([&] { return connection.closed; }));
+  EXPECT_EQ(connection.end, Link::End::reset);
 }
 
 // The worker may have said all that there is to say before it ended the connection with bytes unread.
@@ -1390,7 +1391,7 @@
     connections[0]->link->pause_reading(true);
     connections[0]->send(length ? ok : "HTTP/1.1 200 OK\r\n\r\nok");
     connections[0]->link->close();
-    connections[0]->shut = true;
+    connections[0]->closed = true;
     ASSERT_TRUE(over());
     EXPECT_EQ(done.size(), length ? 1u : 0u) << "without a length only an orderly end makes it whole";
     EXPECT_EQ(bodies[1], "ok");
@@ -1416,8 +1417,8 @@
     settle();
     connection.send(std::string_view(text).substr(at));
     settle();
-    if (!connection.shut) connection.link->close(random.chance(0.5));
-    connection.shut = true;
+    if (!connection.closed) connection.link->close(random.chance(0.5));
+    connection.closed = true;
     ASSERT_TRUE(over()) << id << "\n" << text;
     settle();
     ASSERT_EQ(done.size() + ends.size(), 1u) << id << "\n" << text;
--- a/tests/keys.cc
+++ b/tests/keys.cc
@@ -68,9 +68,9 @@
         "Authorization: Bearer " + std::string(8192, 'k') + "\r\n"}) {
     caller.reset();
     ask("POST", "/once/x", fields);
-    EXPECT_TRUE(hears("HTTP/1.1 401")) << fields.substr(0, 60) << caller->got;
+    EXPECT_TRUE(hears("HTTP/1.1 401")) << fields.substr(0, 60) << caller->received;
     EXPECT_TRUE(hears("WWW-Authenticate: Bearer\r\n"));
-    EXPECT_EQ(caller->got.find("key-"), std::string::npos) << caller->got;
+    EXPECT_EQ(caller->received.find("key-"), std::string::npos) << caller->received;
   }
   EXPECT_EQ(workers.at("w1")->got(), "");
   EXPECT_TRUE(quiet());
@@ -107,7 +107,7 @@
   for (std::string const& fields : {valid_key_header, std::string("Authorization: Bearer key-3\r\n")}) {
     caller.reset();
     ask("POST", "/once/x", fields);
-    EXPECT_TRUE(hears("HTTP/1.1 503")) << caller->got;
+    EXPECT_TRUE(hears("HTTP/1.1 503")) << caller->received;
     EXPECT_TRUE(hears("Retry-After:"));
   }
   caller.reset();
@@ -124,7 +124,7 @@
   for (std::string const& path : {std::string("/nowhere/x"), std::string("/once/x")}) {
     caller.reset();
     ask("POST", path, path == "/nowhere/x" ? valid_key_header : "Authorization: Bearer key-3\r\n");
-    EXPECT_TRUE(hears("HTTP/1.1 503")) << path << caller->got;
+    EXPECT_TRUE(hears("HTTP/1.1 503")) << path << caller->received;
   }
   caller.reset();
   ask("POST", "/once/x", valid_key_header);
@@ -143,7 +143,7 @@
   configure("[{\"name\":\"weavers\",\"keys\":[\"key-2\"]}]");
   worker("w1");
   tick();
-  EXPECT_TRUE(hears("HTTP/1.1 401")) << caller->got;
+  EXPECT_TRUE(hears("HTTP/1.1 401")) << caller->received;
   EXPECT_EQ(workers.at("w1")->got(), "");
 }
 
@@ -154,9 +154,9 @@
   std::string const first = reached();
   configure("[{\"name\":\"weavers\",\"keys\":[]}]");
   connection_of(first).link->close();
-  EXPECT_TRUE(hears("HTTP/1.1 ")) << caller->got;
+  EXPECT_TRUE(hears("HTTP/1.1 ")) << caller->received;
   EXPECT_EQ(workers.at(first == "w1" ? "w2" : "w1")->got(), "");
-  EXPECT_EQ(caller->got.find("200"), std::string::npos);
+  EXPECT_EQ(caller->received.find("200"), std::string::npos);
 }
 
 TEST_F(ApiKeys, key_moved_to_another_tenant_names_the_new_tenant) {
@@ -176,8 +176,8 @@
   configure("[{\"name\":\"weavers\",\"keys\":[\"key-1\"],\"counts\":\"tokens\",\"plain_tokens\":70,\"rate\":10}]");
   quota_answer = QuotaResult::Type::refused;
   ask("POST", "/once/x", valid_key_header + "X-Pipit-Tokens: 1200,34\r\n");
-  EXPECT_TRUE(hears("HTTP/1.1 429")) << caller->got;
-  EXPECT_TRUE(hears("Retry-After: 1.500\r\n")) << caller->got;
+  EXPECT_TRUE(hears("HTTP/1.1 429")) << caller->received;
+  EXPECT_TRUE(hears("Retry-After: 1.500\r\n")) << caller->received;
   ASSERT_EQ(quota_needs.size(), 1u);
   EXPECT_EQ(quota_needs[0].tenant, "weavers");
   EXPECT_EQ(quota_needs[0].count, 1234);
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -48,7 +48,7 @@
   ::close(fd);
   return "127.0.0.1:" + std::to_string(ntohs(own.sin_port));
 }
-inline std::string open_door(std::function<Result<void>(std::string const&)> const& listen) {
+inline std::string listen_on_free_port(std::function<Result<void>(std::string const&)> const& listen) {
   for (int tries = 0; tries < 20; ++tries) {
     std::string const address = free_address();
     if (listen(address)) return address;
@@ -60,23 +60,23 @@
 // One side of a connection, as it is seen from outside.
 struct LoopbackStream {
   std::shared_ptr<Link> link;
-  std::string got;
-  bool up = false;
-  bool shut = false;
-  Link::End how = Link::End::closed;
+  std::string received;
+  bool connected = false;
+  bool closed = false;
+  Link::End end = Link::End::closed;
 
-  void hear() {
-    link->listen({[this] { up = true; }, [this](std::string_view bytes) { got.append(bytes); },
-                  [this](Link::End how_) {
-                    shut = true;
-                    how = how_;
+  void watch() {
+    link->listen({[this] { connected = true; }, [this](std::string_view bytes) { received.append(bytes); },
+                  [this](Link::End end_) {
+                    closed = true;
+                    end = end_;
                   },
                   nullptr});
   }
-  explicit LoopbackStream(std::shared_ptr<Link> link_) : link(std::move(link_)), up(true) { hear(); }
+  explicit LoopbackStream(std::shared_ptr<Link> link_) : link(std::move(link_)), connected(true) { watch(); }
   explicit LoopbackStream(std::string const& address) : link(Link::dial(address, "", seconds(10))) {
-    hear();
-    EXPECT_TRUE(until([this] { return up || shut; }));
+    watch();
+    EXPECT_TRUE(until([this] { return connected || closed; }));
   }
   ~LoopbackStream() { link->close(); }
   LoopbackStream(LoopbackStream const&) = delete;
--- a/tests/passing.h
+++ b/tests/passing.h
@@ -27,12 +27,12 @@
     std::vector<std::unique_ptr<LoopbackStream>> connections;
     std::string got() const {
       std::string out;
-      for (std::unique_ptr<LoopbackStream> const& connection : connections) out += connection->got;
+      for (std::unique_ptr<LoopbackStream> const& connection : connections) out += connection->received;
       return out;
     }
   };
 
-  explicit Passing(Dialect const& dialect = Dialect())
+  explicit Passing(HeaderNames const& dialect = HeaderNames())
       : relay(dispatcher, dialect, "",
               {[this](std::uint64_t id, RequestInfo query) {
                  DispatchEffects out;
@@ -53,7 +53,7 @@
     EXPECT_TRUE(rules);
     dispatcher.set_description(rules.value());
     dispatcher.set_retry_budget(0.2, 10);
-    address = open_door([this](std::string const& at) { return relay.listen(at); });
+    address = listen_on_free_port([this](std::string const& at) { return relay.listen(at); });
   }
   ~Passing() override { caller.reset(); }
 
@@ -66,14 +66,14 @@
       QuotaResult result{need.request, quota_answer, millis(1500)};
       if (!need.is_retry) dispatcher.quota_result(result, g_get_monotonic_time(), out);
     }
-    relay.act(out);
+    relay.apply_effects(out);
   }
 
   void worker(std::string const& id) {
     std::unique_ptr<Worker>& made = workers[id];
     made = std::make_unique<Worker>();
     Worker* const at = made.get();
-    at->address = open_door([at](std::string const& address) {
+    at->address = listen_on_free_port([at](std::string const& address) {
       return at->door.open(address, [at](std::shared_ptr<Link> link) {
         at->connections.push_back(std::make_unique<LoopbackStream>(std::move(link)));
       });
@@ -88,8 +88,8 @@
     registry.heartbeat(word, g_get_monotonic_time());
   }
   void ask(std::string const& method, std::string const& path, std::string const& fields = "") {
-    if (!caller || caller->shut) caller = std::make_unique<LoopbackStream>(address);
-    caller->got.clear();
+    if (!caller || caller->closed) caller = std::make_unique<LoopbackStream>(address);
+    caller->received.clear();
     caller->send(method + " " + path + " HTTP/1.1\r\nHost: h.test:80\r\nX-Pipit-Attempt: r1\r\n" + fields +
                  (method == "POST" ? "Content-Length: 2\r\n\r\nhi" : "\r\n"));
   }
@@ -105,7 +105,7 @@
   }
   LoopbackStream& connection_of(std::string const& id) { return *workers.at(id)->connections.back(); }
   bool hears(std::string const& text) {
-    return until([&] { return caller->got.find(text) != std::string::npos; });
+    return until([&] { return caller->received.find(text) != std::string::npos; });
   }
   bool quiet() const {
     for (std::pair<std::string const, Instance> const& item : registry.all)
--- a/tests/platform.cc
+++ b/tests/platform.cc
@@ -31,7 +31,7 @@
           {"seed_addresses", "127.0.0.2:7003,127.0.0.3:7003"}};
 }
 
-Result<NodeServerPlan> plan_from(Fields const& fields) {
+Result<NodeServerOptions> plan_from(Fields const& fields) {
   std::string text;
   for (std::pair<std::string const, std::string> const& item : fields) text += item.first + "=" + item.second + "\n";
   Result<SettingsFile> const file = SettingsFile::parse(text);
@@ -78,14 +78,14 @@
   fields["bounds.extra_retries"] = "10";
   fields["bounds.grace_s"] = "2.5";
   fields["beat_interval_ms"] = "700";
-  Result<NodeServerPlan> const plan = plan_from(fields);
+  Result<NodeServerOptions> const plan = plan_from(fields);
   ASSERT_TRUE(plan) << plan.error().what;
   EXPECT_EQ(plan.value().node.name, "n1");
   EXPECT_EQ(plan.value().node.address, "127.0.0.1:7100");
-  EXPECT_EQ(plan.value().front, "127.0.0.1:7001");
-  EXPECT_EQ(plan.value().control, "127.0.0.1:7003");
+  EXPECT_EQ(plan.value().front_address, "127.0.0.1:7001");
+  EXPECT_EQ(plan.value().control_address, "127.0.0.1:7003");
   EXPECT_EQ(plan.value().node.seeds, (std::vector<std::string>{"127.0.0.2:7100", "127.0.0.3:7100"}));
-  EXPECT_EQ(plan.value().grace, millis(2500));
+  EXPECT_EQ(plan.value().shutdown_grace, millis(2500));
   EXPECT_EQ(plan.value().node.heartbeat_interval, millis(700));
   EXPECT_LE(plan.value().node.retry_budget_ratio, 0.4);
   EXPECT_LE(plan.value().node.retry_budget_limit, 10);
@@ -117,9 +117,9 @@
   deploy << file.rdbuf();
   std::string const line = "metrics = \"" + std::to_string(metrics_port) + "/metrics\"";
   EXPECT_NE(deploy.str().find(line), std::string::npos) << line;
-  Result<NodeServerPlan> const plan = plan_from(good_fields());
+  Result<NodeServerOptions> const plan = plan_from(good_fields());
   ASSERT_TRUE(plan);
-  EXPECT_EQ(plan.value().metrics, "127.0.0.1:" + std::to_string(metrics_port));
+  EXPECT_EQ(plan.value().metrics_address, "127.0.0.1:" + std::to_string(metrics_port));
 }
 
 TEST(Settings, comments_empty_lines_and_line_ends_of_either_kind_are_taken) {
@@ -141,7 +141,7 @@
   for (char const* const key : {"node_name", "ip_address", "zone", "internal_port_range"}) {
     Fields fields = good_fields();
     fields.erase(key);
-    Result<NodeServerPlan> const plan = plan_from(fields);
+    Result<NodeServerOptions> const plan = plan_from(fields);
     ASSERT_FALSE(plan) << key;
     EXPECT_NE(plan.error().what.find(key), std::string::npos) << plan.error().what;
     EXPECT_EQ(plan.error().what.find('\n'), std::string::npos);
@@ -183,7 +183,7 @@
   for (Row const& row : rows) {
     Fields fields = good_fields();
     fields[row.key] = row.value;
-    Result<NodeServerPlan> const plan = plan_from(fields);
+    Result<NodeServerOptions> const plan = plan_from(fields);
     ASSERT_FALSE(plan) << row.key << "=" << row.value;
     std::string const group =
         std::string(row.key).substr(0, std::string(row.key).rfind("listen_addresses.") == 0 ? 16 : 64);
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -14,8 +14,8 @@
 // Workers whose successes bear a seal.
 class Sealed : public Passing {
  protected:
-  static Dialect with_seal() {
-    Dialect out;
+  static HeaderNames with_seal() {
+    HeaderNames out;
     out.seal = "X-Seal";
     return out;
   }
@@ -36,9 +36,9 @@
   connection_of("w").send("HTTP/1.1 201 Made\r\n" + mine +
                           "Keep-Alive: timeout=9\r\nX-Back: 3\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("yes"));
-  EXPECT_EQ(caller->got.substr(0, 18), "HTTP/1.1 201 Made\r");
-  EXPECT_NE(caller->got.find("X-Back: 3"), std::string::npos);
-  EXPECT_EQ(caller->got.find("Keep-Alive"), std::string::npos);
+  EXPECT_EQ(caller->received.substr(0, 18), "HTTP/1.1 201 Made\r");
+  EXPECT_NE(caller->received.find("X-Back: 3"), std::string::npos);
+  EXPECT_EQ(caller->received.find("Keep-Alive"), std::string::npos);
   EXPECT_TRUE(quiet());
 }
 
@@ -48,7 +48,7 @@
   ASSERT_EQ(reached(), "w");
   connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 5000\r\n\r\n");
   ASSERT_TRUE(hears("\r\n\r\n"));
-  EXPECT_NE(caller->got.find("Content-Length: 5000"), std::string::npos);
+  EXPECT_NE(caller->received.find("Content-Length: 5000"), std::string::npos);
   EXPECT_TRUE(quiet());
   EXPECT_EQ(relay.upstream.kept("w"), 1u);
 }
@@ -56,9 +56,9 @@
 TEST_F(Passing, what_there_is_no_route_for_is_said_not_to_have_run) {
   ask("POST", "/nowhere/x");
   ASSERT_TRUE(hears("}"));
-  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 404");
-  EXPECT_NE(caller->got.find("\"ran\":\"no\""), std::string::npos) << caller->got;
-  EXPECT_EQ(caller->got.find("Retry-After"), std::string::npos);
+  EXPECT_EQ(caller->received.substr(0, 12), "HTTP/1.1 404");
+  EXPECT_NE(caller->received.find("\"ran\":\"no\""), std::string::npos) << caller->received;
+  EXPECT_EQ(caller->received.find("Retry-After"), std::string::npos);
 }
 
 TEST_F(Passing, a_worker_that_breaks_before_its_answer_leaves_doubt) {
@@ -68,9 +68,9 @@
   std::string const first = reached();
   connection_of(first).link->close();
   ASSERT_TRUE(hears("}"));
-  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
-  EXPECT_NE(caller->got.find("\"ran\":\"unknown\""), std::string::npos) << caller->got;
-  EXPECT_EQ(caller->got.find("Retry-After"), std::string::npos);
+  EXPECT_EQ(caller->received.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_NE(caller->received.find("\"ran\":\"unknown\""), std::string::npos) << caller->received;
+  EXPECT_EQ(caller->received.find("Retry-After"), std::string::npos);
   EXPECT_EQ(workers[first == "w" ? "v" : "w"]->got(), "");
   EXPECT_TRUE(quiet());
 }
@@ -99,7 +99,7 @@
   ASSERT_EQ(reached(), "w");
   connection_of("w").send("HTTP/1.1 500 Odd\r\n" + mine + "Content-Length: 3\r\n\r\nbad");
   ASSERT_TRUE(hears("bad"));
-  EXPECT_EQ(caller->got.substr(0, 16), "HTTP/1.1 500 Odd");
+  EXPECT_EQ(caller->received.substr(0, 16), "HTTP/1.1 500 Odd");
   EXPECT_TRUE(quiet());
 }
 
@@ -111,7 +111,7 @@
   connection_of(first).send("HTTP/1.1 200 OK\r\n" + mine +
                             "Transfer-Encoding: chunked\r\n\r\n1c\r\nid: 1\ndata: a\n\nid: 2\ndata: b\r\n");
   ASSERT_TRUE(hears("data: a\n\n"));
-  EXPECT_EQ(caller->got.find("data: b"), std::string::npos) << "not before it is whole";
+  EXPECT_EQ(caller->received.find("data: b"), std::string::npos) << "not before it is whole";
   connection_of(first).link->close(true);
   std::string const second = reached(first);
   EXPECT_NE(workers[second]->got().find("Last-Event-Id: 1\r\n"), std::string::npos);
@@ -119,7 +119,7 @@
                              "Content-Length: 45\r\n\r\nid: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
   ASSERT_TRUE(hears("0\r\n\r\n"));
   for (char const* const part : {"data: a\n\n", "data: b\n\n", "data: c\n\n"})
-    EXPECT_EQ(count_of(caller->got, part), 1u) << part;
+    EXPECT_EQ(count_of(caller->received, part), 1u) << part;
   EXPECT_TRUE(quiet());
 }
 
@@ -131,8 +131,8 @@
   connection_of(first).send("HTTP/1.1 200 OK\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
   ASSERT_TRUE(hears("hello"));
   connection_of(first).link->close();
-  ASSERT_TRUE(until([&] { return caller->shut; }));
-  EXPECT_EQ(caller->got.find("0\r\n\r\n"), std::string::npos);
+  ASSERT_TRUE(until([&] { return caller->closed; }));
+  EXPECT_EQ(caller->received.find("0\r\n\r\n"), std::string::npos);
   EXPECT_TRUE(quiet());
 }
 
@@ -143,8 +143,8 @@
   connection_of("w").send("HTTP/1.1 204 None\r\n" + mine + "\r\n");
   ASSERT_TRUE(hears("\r\n\r\n"));
   settle();
-  EXPECT_TRUE(caller->got.ends_with("\r\n\r\n"));
-  EXPECT_EQ(caller->got.find("chunked"), std::string::npos);
+  EXPECT_TRUE(caller->received.ends_with("\r\n\r\n"));
+  EXPECT_EQ(caller->received.find("chunked"), std::string::npos);
   EXPECT_TRUE(quiet());
 }
 
@@ -153,7 +153,7 @@
   ask("POST", "/live/x");
   ASSERT_EQ(reached(), "w");
   caller->link->close();
-  ASSERT_TRUE(until([&] { return connection_of("w").shut; }));
+  ASSERT_TRUE(until([&] { return connection_of("w").closed; }));
   EXPECT_TRUE(quiet());
 }
 
@@ -163,8 +163,8 @@
   ASSERT_EQ(reached(), "w");
   connection_of("w").send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("}"));
-  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
-  EXPECT_EQ(caller->got.find("yes"), std::string::npos);
+  EXPECT_EQ(caller->received.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(caller->received.find("yes"), std::string::npos);
   EXPECT_EQ(relay.upstream.kept("w"), 0u);
   EXPECT_TRUE(quiet());
 }
@@ -177,11 +177,11 @@
   ASSERT_TRUE(hears("yes"));
   ASSERT_EQ(relay.upstream.kept("w"), 1u);
   ask("POST", "/once/x");
-  ASSERT_TRUE(until([&] { return count_of(connection_of("w").got, "POST ") == 2; }));
+  ASSERT_TRUE(until([&] { return count_of(connection_of("w").received, "POST ") == 2; }));
   // It may be a late word about the first request.
   connection_of("w").send("HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(hears("}"));
-  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(caller->received.substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(relay.upstream.kept("w"), 0u);
   EXPECT_TRUE(quiet());
 }
@@ -192,7 +192,7 @@
   ASSERT_EQ(reached(), "w");
   connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "X-Pipit-Attempt: r2\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("}"));
-  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(caller->received.substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(relay.upstream.kept("w"), 0u);
 }
 
@@ -206,9 +206,9 @@
                               "X-Seal: s\r\nContent-Length: 2\r\n\r\nno");
     ASSERT_TRUE(hears("\r\n\r\n"));
     settle();
-    EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502") << status;
-    EXPECT_NE(caller->got.find("\"ran\":\"unknown\""), std::string::npos) << caller->got;
-    EXPECT_EQ(caller->got.find("X-Seal"), std::string::npos) << "the worker gave another status";
+    EXPECT_EQ(caller->received.substr(0, 12), "HTTP/1.1 502") << status;
+    EXPECT_NE(caller->received.find("\"ran\":\"unknown\""), std::string::npos) << caller->received;
+    EXPECT_EQ(caller->received.find("X-Seal"), std::string::npos) << "the worker gave another status";
     EXPECT_EQ(workers[first == "w" ? "v" : "w"]->got(), "") << "it may have run";
     EXPECT_TRUE(quiet());
     workers.clear();
@@ -225,7 +225,7 @@
   connection_of("w").send("HTTP/1.1 500 Odd\r\n" + mine + "Content-Length: " + std::to_string(body.size()) +
                           "\r\n\r\n" + body);
   ASSERT_TRUE(hears("\r\n\r\n"));
-  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(caller->received.substr(0, 12), "HTTP/1.1 502");
   EXPECT_TRUE(quiet());
 }
 
@@ -233,8 +233,8 @@
   worker("w");
   ask("POST", "/once/x",
       "X-Pipit-Left-Ms: 18446744073709552\r\nX-Pipit-Tokens: 9223372036854775807,9223372036854775807\r\n");
-  ASSERT_TRUE(until([&] { return !workers["w"]->got().empty() || !caller->got.empty(); }));
-  ASSERT_EQ(caller->got, "");
+  ASSERT_TRUE(until([&] { return !workers["w"]->got().empty() || !caller->received.empty(); }));
+  ASSERT_EQ(caller->received, "");
   EXPECT_GT(registry.find("w")->reserved_tokens, 0);
   connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine +
                           "X-Pipit-Load: 9223372036854775807,9223372036854775807,8\r\nContent-Length: 3\r\n\r\nyes");
@@ -261,10 +261,10 @@
   connection_of(first).send("HTTP/1.1 200 OK\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n");
   ASSERT_TRUE(hears("data: a\n\n"));
   connection_of(first).link->close(true);
-  ASSERT_TRUE(until([&] { return caller->shut || !workers[first == "w" ? "v" : "w"]->got().empty(); }));
-  EXPECT_TRUE(caller->shut);
+  ASSERT_TRUE(until([&] { return caller->closed || !workers[first == "w" ? "v" : "w"]->got().empty(); }));
+  EXPECT_TRUE(caller->closed);
   EXPECT_EQ(workers[first == "w" ? "v" : "w"]->got(), "") << "from where, nobody could tell";
-  EXPECT_EQ(caller->got.find("0\r\n\r\n"), std::string::npos);
+  EXPECT_EQ(caller->received.find("0\r\n\r\n"), std::string::npos);
   EXPECT_TRUE(quiet());
 }
 
@@ -288,8 +288,8 @@
   worker("w");
   for (char const* const left : {"0", "-5", "20"}) {
     ask("POST", "/once/x", "X-Pipit-Left-Ms: " + std::string(left) + "\r\n");
-    ASSERT_TRUE(until([&] { return !caller->got.empty() || !workers["w"]->got().empty(); }));
-    EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 503") << left;
+    ASSERT_TRUE(until([&] { return !caller->received.empty() || !workers["w"]->got().empty(); }));
+    EXPECT_EQ(caller->received.substr(0, 12), "HTTP/1.1 503") << left;
     EXPECT_EQ(workers["w"]->got(), "") << left;
     settle();
   }
@@ -312,7 +312,7 @@
   ASSERT_TRUE(hears("data: b\n\n"));
   connection_of(second).link->close();
   ASSERT_TRUE(hears("0\r\n\r\n")) << "after an event it is whole";
-  EXPECT_EQ(count_of(caller->got, "id: 2"), 1u);
+  EXPECT_EQ(count_of(caller->received, "id: 2"), 1u);
   EXPECT_TRUE(quiet());
 }
 
@@ -326,10 +326,10 @@
     if (!whole) connection_of("w").send("id: 2\nda");
     ASSERT_TRUE(hears(whole ? "data: a\n\n" : "id: 2\nda"));
     connection_of("w").link->close();
-    connection_of("w").shut = true;
-    ASSERT_TRUE(until([&] { return caller->shut || count_of(caller->got, "0\r\n\r\n") > 0; }));
-    EXPECT_EQ(caller->shut, !whole);
-    EXPECT_EQ(count_of(caller->got, "\r\n0\r\n\r\n"), whole ? 1u : 0u);
+    connection_of("w").closed = true;
+    ASSERT_TRUE(until([&] { return caller->closed || count_of(caller->received, "0\r\n\r\n") > 0; }));
+    EXPECT_EQ(caller->closed, !whole);
+    EXPECT_EQ(count_of(caller->received, "\r\n0\r\n\r\n"), whole ? 1u : 0u);
     EXPECT_TRUE(quiet());
   }
 }
@@ -395,10 +395,10 @@
   connection.send("HTTP/1.1 503 Busy\r\n" + mine +
                   "X-Pipit-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
   connection.link->close();
-  connection.shut = true;
+  connection.closed = true;
   std::string const other = first == "w" ? "v" : "w";
-  ASSERT_TRUE(until([&] { return !caller->got.empty() || workers[other]->got().size() > body.size(); }));
-  ASSERT_EQ(caller->got, "") << "it was told not to have run";
+  ASSERT_TRUE(until([&] { return !caller->received.empty() || workers[other]->got().size() > body.size(); }));
+  ASSERT_EQ(caller->received, "") << "it was told not to have run";
   connection_of(other).send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("yes"));
   EXPECT_TRUE(quiet());
@@ -410,8 +410,8 @@
   ASSERT_EQ(reached(), "w");
   connection_of("w").send("HTTP/1.1 200 OK\r\n" + mine + "Content-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(hears("\r\n\r\n"));
-  EXPECT_EQ(caller->got.substr(0, 12), "HTTP/1.1 502");
-  EXPECT_EQ(caller->got.find("yes"), std::string::npos);
+  EXPECT_EQ(caller->received.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(caller->received.find("yes"), std::string::npos);
   EXPECT_EQ(relay.upstream.kept("w"), 0u);
   for (std::string const& status : {std::string("200 OK\r\nX-Seal: s\r\n"), std::string("500 Odd\r\n")}) {
     workers.clear();
--- a/tests/runtime/connections.cc
+++ b/tests/runtime/connections.cc
@@ -42,7 +42,7 @@
       : connections({[this](ConnectionId id, bool, std::string const&) { open.push_back(id); },
                      [this](ConnectionId id) { std::erase(open, id); }, [](std::string const&, bool) {},
                      [](ConnectionId, std::string_view) { return true; }}),
-        address(open_door([this](std::string const& at) { return connections.listen(at); })) {}
+        address(listen_on_free_port([this](std::string const& at) { return connections.listen(at); })) {}
   void connect(std::size_t count) {
     for (std::size_t n = 0; n < count; ++n) peers.push_back(std::make_unique<DeafPeer>(address));
     ASSERT_TRUE(until([&] { return open.size() == count; }));
@@ -90,7 +90,7 @@
   ConnectionId const id = open[0];
   for (int sends = 0; sends < 400 && connections.backlog_of(id) < frame_size; ++sends) connections.send(id, frame);
   ASSERT_GE(connections.backlog_of(id), frame_size);
-  connections.shut(id);
+  connections.close(id);
   EXPECT_EQ(connections.backlog_bytes(), 0u);
 }
 
--- a/tests/runtime/frame_traffic.cc
+++ b/tests/runtime/frame_traffic.cc
@@ -14,7 +14,7 @@
   for (int n = 0; n < 3; ++n) traffic.count_sent(body_type_of(ping), ping.size());
   traffic.count_received(body_type_of(chosen), chosen.size());
   MetricsText text;
-  traffic.write(text);
+  traffic.write_metrics(text);
   std::string const page = text.take();
   EXPECT_NE(page.find("pipit_frames_sent_total{frame=\"Ping\"} 3\n"), std::string::npos) << page;
   EXPECT_NE(page.find("pipit_frame_bytes_total{frame=\"Ping\"} " + std::to_string(3 * ping.size()) + "\n"),
@@ -29,7 +29,7 @@
   FrameTraffic traffic;
   traffic.count_received(static_cast<wire::Body>(250), 100);
   MetricsText text;
-  traffic.write(text);
+  traffic.write_metrics(text);
   EXPECT_EQ(text.take().find("{frame="), std::string::npos);
 }
 
--- a/tests/station.cc
+++ b/tests/station.cc
@@ -10,19 +10,19 @@
 class ControlAddress : public testing::Test {
  protected:
   ControlAddress() {
-    NodeServerPlan plan;
+    NodeServerOptions plan;
     plan.node.name = "n1";
     plan.node.zone = "a";
     plan.node.workers_self_register = true;
     plan.node.address = free_address();
     plan.node.seeds = {plan.node.address};
-    plan.control = free_address();
-    plan.metrics = free_address();
-    address = plan.control;
-    metrics = plan.metrics;
+    plan.control_address = free_address();
+    plan.metrics_address = free_address();
+    address = plan.control_address;
+    metrics = plan.metrics_address;
     node_server = std::make_unique<NodeServer>(std::move(plan));
     calls = std::make_unique<Calls>(*node_server, address);
-    node_server->on_control([this](Server::Call& call) { return calls->take(call); });
+    node_server->set_control_handler([this](Server::Call& call) { return calls->take(call); });
     EXPECT_TRUE(node_server->open());
   }
 
@@ -31,9 +31,9 @@
     LoopbackStream connection(address);
     connection.send("POST " + path + " HTTP/1.1\r\nHost: n1\r\nContent-Length: " + std::to_string(body.size()) +
                     "\r\n\r\n" + body);
-    EXPECT_TRUE(
-        until([&connection] { return connection.shut || connection.got.find("\r\n\r\n") != std::string::npos; }));
-    return connection.got.substr(0, 12);
+    EXPECT_TRUE(until(
+        [&connection] { return connection.closed || connection.received.find("\r\n\r\n") != std::string::npos; }));
+    return connection.received.substr(0, 12);
   }
   static std::string heartbeat(std::uint64_t sequence) {
     return R"({"service":"s","address":"127.0.0.1:9","zone":"a","slots":4,"state":"available","call_sequence":)" +
@@ -61,20 +61,20 @@
 TEST_F(ControlAddress, tenants_are_told_to_operators) {
   LoopbackStream connection(address);
   connection.send("GET /v1/tenants HTTP/1.1\r\nHost: n1\r\n\r\n");
-  EXPECT_TRUE(until([&connection] { return connection.got.find("\"tenants\":[]") != std::string::npos; }))
-      << connection.got;
-  EXPECT_NE(connection.got.find("\"keys_required\":false"), std::string::npos) << connection.got;
+  EXPECT_TRUE(until([&connection] { return connection.received.find("\"tenants\":[]") != std::string::npos; }))
+      << connection.received;
+  EXPECT_NE(connection.received.find("\"keys_required\":false"), std::string::npos) << connection.received;
 }
 
 TEST_F(ControlAddress, metrics_are_told_at_an_address_of_their_own) {
   LoopbackStream connection(metrics);
   connection.send("GET /metrics HTTP/1.1\r\nHost: n1\r\nConnection: close\r\n\r\n");
-  EXPECT_TRUE(until([&connection] { return connection.shut; }));
-  EXPECT_EQ(connection.got.substr(0, 12), "HTTP/1.1 200");
+  EXPECT_TRUE(until([&connection] { return connection.closed; }));
+  EXPECT_EQ(connection.received.substr(0, 12), "HTTP/1.1 200");
   for (char const* const row :
        {"pipit_asked_total 0\n", "pipit_peers{state=\"down\"} 0\n", "pipit_quorum_heard_ms_ago 0\n",
         "pipit_invariant_violations_total{invariant=\"agreement\"} 0\n"})
-    EXPECT_NE(connection.got.find(row), std::string::npos) << row;
+    EXPECT_NE(connection.received.find(row), std::string::npos) << row;
 }
 
 }  // namespace pipit::platform
--- a/tests/worker_end_acknowledgement.cc
+++ b/tests/worker_end_acknowledgement.cc
@@ -27,10 +27,10 @@
     callbacks.opened = [this](ConnectionId id, bool outbound, std::string const& to) {
       step([&](NodeEffects& out) { node->connection_opened(id, outbound, to, g_get_monotonic_time(), out); });
     };
-    callbacks.shut = [this](ConnectionId id) {
+    callbacks.closed = [this](ConnectionId id) {
       step([&](NodeEffects& out) { node->connection_closed(id, g_get_monotonic_time(), out); });
     };
-    callbacks.failed = [this](std::string const& to, bool refused) {
+    callbacks.dial_failed = [this](std::string const& to, bool refused) {
       step([&](NodeEffects& out) { node->dial_failed(to, refused, g_get_monotonic_time(), out); });
     };
     callbacks.frame = [this](ConnectionId id, std::string_view frame) {
@@ -66,7 +66,7 @@
     for (std::string const& to : out.mesh.dial_addresses) connections->dial(to);
     for (ConnectionEffects::OutgoingFrame& send : out.mesh.outgoing_frames)
       connections->send(send.connection, send.bytes);
-    for (ConnectionId const id : out.mesh.closed_connections) connections->shut(id);
+    for (ConnectionId const id : out.mesh.closed_connections) connections->close(id);
   }
 
   std::unique_ptr<Node> node;
@@ -78,19 +78,19 @@
  protected:
   WorkerEndAcknowledgement() {
     std::string const peer_address = free_address();
-    NodeServerPlan plan;
+    NodeServerOptions plan;
     plan.node.name = "n1";
     plan.node.zone = "a";
     plan.node.workers_self_register = true;
     plan.node.address = free_address();
     plan.node.seeds = {plan.node.address, peer_address};
     plan.node.random_seed = 3;
-    plan.control = free_address();
-    address = plan.control;
+    plan.control_address = free_address();
+    address = plan.control_address;
     peer = std::make_unique<PeerNode>(peer_address, plan.node.address);
     node_server = std::make_unique<NodeServer>(std::move(plan));
     calls = std::make_unique<Calls>(*node_server, address);
-    node_server->on_control([this](Server::Call& call) { return calls->take(call); });
+    node_server->set_control_handler([this](Server::Call& call) { return calls->take(call); });
     EXPECT_TRUE(node_server->open());
     ticker = g_timeout_add(
         20,
@@ -107,9 +107,9 @@
     LoopbackStream connection(address);
     connection.send("POST " + path + " HTTP/1.1\r\nHost: n1\r\nContent-Length: " + std::to_string(body.size()) +
                     "\r\n\r\n" + body);
-    EXPECT_TRUE(
-        until([&connection] { return connection.shut || connection.got.find("\r\n\r\n") != std::string::npos; }));
-    return connection.got.substr(0, 12);
+    EXPECT_TRUE(until(
+        [&connection] { return connection.closed || connection.received.find("\r\n\r\n") != std::string::npos; }));
+    return connection.received.substr(0, 12);
   }
   std::string heartbeat(char const* state) {
     return post("/Instances.Beat/i-1", R"({"service":"s","address":"127.0.0.1:9","zone":"a","slots":4,"state":")" +
