--- a/src/server/failure_log.cc
+++ b/src/server/failure_log.cc
@@ -5,7 +5,7 @@
 namespace pipit {
 
 namespace {
-constexpr std::uint64_t max_lines_per_second = 40;  // a second
+constexpr std::uint64_t max_lines_per_second = 40;
 
 char const* attempt_progress_name(AttemptProgress progress) {
   static char const* const names[] = {"none", "sent", "answering"};
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -13,9 +13,9 @@
 namespace {
 Micros now() { return g_get_monotonic_time(); }
 constexpr guint tick_ms = 50;
-// §12.6: how long callers may need to learn that this node wants no more of them.
+// §12.6: time that load balancers and clients may need to notice that this node is no longer ready.
 constexpr Micros drain_notice = millis(2600);
-constexpr Micros exit_margin = millis(700);  // before the grace ends
+constexpr Micros exit_margin = millis(700);  // the process ends this long before the end of the grace
 }  // namespace
 
 NodeServer::NodeServer(NodeServerOptions options)
@@ -40,7 +40,7 @@
     ring = std::make_unique<RecordStore>(*posix, options_.node.cluster, options_.node.name, 256u << 10);
     bool blank = false;
     std::uint64_t const fresh = random_seed();
-    // A disk that is full or hangs when the process starts is waited for: without it the node is no replica.
+    // Retries while the disk is full or hangs at process start, because the node cannot be a replica without it.
     Result<wire::RecordT> opened = ring->open(fresh, blank);
     for (int attempts = 0; !opened && opened.error().code == ErrorCode::bad_disk && attempts < 50; ++attempts) {
       if (attempts == 0) log_event(Event::disk_write_retried, opened.error().what);
@@ -116,7 +116,7 @@
       connections_->listen(options_.mesh_listen_address.empty() ? options_.node.address : options_.mesh_listen_address);
   if (done && !options_.control_address.empty()) done = control_server_->listen(options_.control_address);
   if (done && !options_.readiness_address.empty()) done = ready_server_->listen(options_.readiness_address);
-  // A node without its metrics still serves: somebody else may listen there.
+  // The node serves without its metrics listener: another process may occupy the port.
   if (done && !options_.metrics_address.empty())
     if (Result<void> const listening = metrics_server_->listen(options_.metrics_address); !listening)
       log_event(Event::metrics_listen_failed, listening.error().what);
@@ -124,7 +124,7 @@
   return done;
 }
 
-// The executor: obeys what the core decided.
+// Performs the I/O that the node core requested.
 void NodeServer::apply_effects(NodeEffects& out) {
   if (out.record_to_sync && disk_) disk_->save(std::move(*out.record_to_sync));
   for (std::string const& address : out.mesh.dial_addresses) connections_->dial(address);
@@ -221,7 +221,7 @@
 void NodeServer::handle_control_call(Server::Call&& call) {
   std::uint64_t const id = call.id;
   if (control_handler_ && control_handler_(call)) return;
-  // The product's own paths, as on its other programs (docs/api.md).
+  // Paths that all programs of the product serve (docs/api.md).
   if (call.head.method == "GET" && call.head.target == "/health") return answer(id, 200, "{\"ok\":true}");
   if (call.head.method == "GET" && call.head.target == "/v1/status") return answer(id, 200, status());
   if (call.head.method == "GET" && call.head.target == "/v1/tenants") return answer(id, 200, tenants());
@@ -237,7 +237,8 @@
   log_event(Event::grace_began, "");
 }
 
-// §12.6: first only the word that no new callers are wanted; then the doors; then what is under way comes to its end.
+// §12.6: shutdown has three steps. First only the readiness check fails; then the listeners close; then the requests in
+// flight finish.
 void NodeServer::advance_shutdown(Micros at) {
   if (shutdown_started_at_ < 0) return;
   Micros const span = at - shutdown_started_at_;
@@ -251,8 +252,8 @@
   }
   if (!listeners_closed_) return;
   proxy_->server.close_idle();
-  // What a slow caller has not taken yet would end with the process too. A replica stays until another one has its
-  // place, where one is here to take it.
+  // Waits for answers that slow clients have not yet read, because they would be lost with the process. A replica also
+  // waits until another node has replaced it, if there is one that can.
   bool const finished = proxy_->server.calls() == 0 && proxy_->server.finishing() == 0;
   bool const idle = finished && pending_changes_.empty() && pending_worker_ends_.empty() && node_->may_stop(at);
   if (idle || span >= options_.shutdown_grace - exit_margin) g_main_loop_quit(loop_);
@@ -311,7 +312,7 @@
   g_source_remove(hup);
   log_event(Event::process_stopped, "");
   std::cout.flush();
-  // A disk that hangs must not hold the end up: whatever it has not synced was answered to nobody.
+  // Exits without waiting for the disk task, which may hang: a record that is not synced was never acknowledged.
   ::_exit(0);
 }
 
--- a/src/server/node_server_status.cc
+++ b/src/server/node_server_status.cc
@@ -1,4 +1,4 @@
-// What a node tells of itself: its status and its metrics (§9).
+// Status page, tenant page and metrics of a node whose workers register themselves (§9).
 #include <glib.h>
 
 #include "base/json_writer.h"
@@ -37,7 +37,7 @@
   return position == from.end() ? Value() : position->second;
 }
 
-// -1 before the first confirmation.
+// Time since the key lease was last confirmed; -1 before the first confirmation.
 std::int64_t lease_age_ms(Node const& node) {
   Micros const at = node.key_lease().confirmed_at();
   return at < 0 ? -1 : (now() - at) / 1000;
@@ -99,7 +99,7 @@
   return json.take();
 }
 
-// What is known here of each tenant and its keys, which are named by their digests alone.
+// Lists the tenants with their quotas and this node's counters. Keys are shown only as digests.
 std::string NodeServer::tenants() const {
   Description const& rules = *node_->dispatcher.description();
   JsonWriter json;
@@ -124,7 +124,8 @@
   return json.take();
 }
 
-// A row for each of the first tenants by name, and one for the rest, however many there are.
+// Returns one row per tenant for the first tenants by name and one row that sums the others, to bound the metrics'
+// size.
 std::map<std::string, std::uint64_t> NodeServer::by_tenant(std::uint64_t TenantCounters::*of) const {
   std::map<std::string, std::uint64_t> out;
   for (std::pair<std::string const, TenantCounters> const& item : node_->dispatcher.tenant_counters)
--- a/src/server/request_proxy.cc
+++ b/src/server/request_proxy.cc
@@ -15,11 +15,11 @@
 
 namespace {
 constexpr std::size_t max_failed_body_bytes = 1u << 20;
-constexpr std::size_t max_event_end_bytes = 4;  // bytes of the blank line that ends an event, with the line before it
-constexpr std::int64_t max_count = 100000000;   // of tokens, requests or milliseconds (28 h)
+constexpr std::size_t max_event_end_bytes = 4;  // bytes of the two line breaks that end an event
+constexpr std::int64_t max_count = 100000000;   // limit of a received count of tokens, requests or milliseconds (28 h)
 Micros now() { return loop_time(); }
 
-// Where the last whole event in the text ends; 0 when none is whole.
+// Returns the offset of the end of the last complete event; 0 if there is none.
 std::size_t end_of_last_event(std::string const& text) {
   std::size_t const a = text.rfind("\n\n");
   std::size_t const b = text.rfind("\r\n\r\n");
@@ -34,22 +34,23 @@
   return true;
 }
 
-// A number that somebody else wrote, from 0 to a bound that leaves room for sums. 'rest' is what follows it.
+// Parses a number from a peer and clamps it to 0..max_count, so that sums of such numbers cannot overflow. Sets 'rest'
+// to the text after the number.
 std::int64_t parse_count(char const* text, char** rest) {
   return std::clamp<std::int64_t>(std::strtoll(text, rest, 10), 0, max_count);
 }
 
-// What a caller says it will wait. Nothing, or what is no number, says nothing: 0. A caller that waits no longer has
-// the shortest time that there is.
+// Time left before the client's deadline; 0 if the client sent none or sent no number. A deadline that has passed gives
+// the shortest time, 1 us.
 Micros client_time_remaining(std::string const* text) {
   if (text == nullptr || text->find_first_of("0123456789") == std::string::npos) return 0;
   return std::max<Micros>(1, millis(parse_count(text->c_str(), nullptr)));
 }
 
-// A caller takes such an answer for a promise that the request has not run and never will.
+// Whether clients take the status as a guarantee that the request was not run and never will be.
 bool implies_not_executed(unsigned status) { return status == 408 || status == 421 || status == 429 || status == 503; }
 
-// Whether the field of that name stands there with different values.
+// Whether the field occurs several times with different values.
 bool has_conflicting_values(Head const& head, std::string const& name) {
   std::string const first = head.get(name);
   for (std::pair<std::string, std::string> const& item : head.fields)
@@ -72,14 +73,15 @@
   return "";
 }
 
-// A worker learns the tenant from this node alone, and never sees a key.
+// Replaces the client's key and tenant fields by the tenant that this node determined: workers never see a key, and
+// clients cannot choose their tenant.
 void set_tenant(Head& head, HeaderNames const& header_names, std::string const& tenant) {
   head.drop(header_names.authorization);
   head.drop(header_names.tenant);
   if (!tenant.empty()) head.set(header_names.tenant, tenant);
 }
 
-// The key that a caller names, as a digest; nothing where there is none, two, or one of another scheme.
+// Returns the digest of the client's API key, or nullopt if there is no key, more than one, or another scheme.
 std::optional<Digest> api_key_of(Head const& head, HeaderNames const& header_names) {
   std::string const* value = nullptr;
   for (std::pair<std::string, std::string> const& item : head.fields) {
@@ -135,7 +137,7 @@
 }
 
 void RequestProxy::handle_call(Server::Call&& call) {
-  // Its end is read next: no worker is to begin with what nobody waits for.
+  // The client has already closed its connection; no worker should start on the request.
   if (server.given_up(call.id)) return;
   RequestInfo info;
   info.host = call.head.get("Host");
@@ -178,10 +180,11 @@
   return route != nullptr && (route->repeatable || (route->streams && route->resumable));
 }
 
-// The worker of the present attempt says that it did not run it.
+// Reports that the worker of the present attempt did not run the request.
 void RequestProxy::report_declined(std::uint64_t id, ProxiedRequest& request) {
   ++request.attempts_declined;
-  request.last_failure = request.wrong_instance ? "another instance lives there" : "the worker did not run it";
+  request.last_failure =
+      request.wrong_instance ? "another worker instance answers at this address" : "the worker did not run the request";
   callbacks_.attempt_ended(id, AttemptEnd::declined, request.wrong_instance);
 }
 
@@ -213,7 +216,7 @@
       rejection.retry_after > 0 ? ExecutionStatus::no : error_code_row(rejection.error).execution;
   Answer const answer = answer_for(Error{rejection.error, "", ""}, execution, rejection.retry_after);
   Head head;
-  // What may be asked again has not run, whatever the kind says of other cases.
+  // A rejection with a retry delay means that the request was not run, even if the error code leaves that open.
   head.status = rejection.retry_after > 0 && !implies_not_executed(answer.status) ? 503 : answer.status;
   if (head.status == 401) head.fields.emplace_back("WWW-Authenticate", header_names_.scheme);
   head.fields.emplace_back("Content-Type", "application/json");
@@ -227,7 +230,7 @@
     ProxiedRequest const& request = position->second;
     bool const honest = !implies_not_executed(head.status) || rejection.repeatable || !request.may_have_run();
     check_invariant(honest, Invariant::true_refusal, [&] {
-      return request.request_id + " gets " + std::to_string(head.status) + " after " +
+      return request.request_id + " is answered with " + std::to_string(head.status) + " after " +
              std::to_string(request.attempts_sent) + " sends, " + std::to_string(request.attempts_declined) +
              " of them declined, the last to " + request.instance;
     });
@@ -285,7 +288,8 @@
   request.declined = not_run || request.wrong_instance || (head.status == 429 && !guard(RequestGuard::not_run_proof));
   request.failed = !request.declined && head.status >= 300;
   request.withheld = request.failed && implies_not_executed(head.status);
-  // A refusal may come without the id, but then only where nothing was asked before: it might be a late one for that.
+  // A refusal without the request id is accepted only as the first answer on its connection; later, it could be a
+  // delayed answer to an earlier request.
   bool const unnamed_refusal = request.declined && (first || !guard(RequestGuard::answer_id));
   if (answered_id.empty() && !is_own_answer && !unnamed_refusal) {
     request.declined = request.wrong_instance = false;
@@ -302,7 +306,7 @@
   return Upstream::Owner::asker;
 }
 
-// Takes whole events out of what is held, and remembers the id of the last.
+// Takes the complete events out of the buffer and records the id of the last one.
 std::string RequestProxy::complete_events(std::uint64_t id, ProxiedRequest& request) {
   std::size_t const end = end_of_last_event(request.buffered);
   std::string out = request.buffered.substr(0, end);
@@ -320,14 +324,15 @@
     at = stop;
     std::string const name = event_id_of(event);
     std::uint64_t number = 0;
-    // A worker that takes a stream up may begin a little before the place that it was told.
+    // A worker that resumes a stream may start before the event that it was given; skips what the client already has.
     if (request.resumed && known && guard(RequestGuard::event_order) && parse_number(name, number) && number <= last)
       continue;
     std::uint64_t before = 0;
     bool const first_of_resumed =
         request.resumed && parse_number(request.last_event_id, before) && parse_number(name, number);
     check_invariant(!first_of_resumed || number > before || request.event_forwarded, Invariant::stream_order, [&] {
-      return request.request_id + " gets event " + name + " of " + request.instance + " after " + request.last_event_id;
+      return request.request_id + " forwards event " + name + " of " + request.instance + " after " +
+             request.last_event_id;
     });
     request.event_forwarded = true;
     if (!name.empty()) request.last_event_id = name;
@@ -337,12 +342,12 @@
   return events;
 }
 
-// What begins to go to a caller is the sealed answer to its own request.
+// Checks that an answer that is about to be sent to a client is a sealed answer to the client's own request.
 void RequestProxy::check_own_answer(ProxiedRequest const& request) const {
   bool const named = request.answer_head.get(header_names_.request_id) == request.request_id;
   bool const sealed = header_names_.seal.empty() || request.answer_head.find(header_names_.seal) != nullptr;
   check_invariant(named && sealed && request.answer_head.status < 300, Invariant::own_answer, [&] {
-    return request.request_id + " gets status " + std::to_string(request.answer_head.status) + " of '" +
+    return request.request_id + " is about to forward status " + std::to_string(request.answer_head.status) + " of '" +
            request.answer_head.get(header_names_.request_id) + "' from " + request.instance +
            (sealed ? "" : " without a seal");
   });
@@ -370,7 +375,7 @@
   if (request.declined) return;
   request.received_bytes += bytes.size();
   if (request.failed) {
-    // What is too large to hold can't go back whole, and must not go back in part.
+    // A body that is too large to buffer is not forwarded, because a part of it must not be.
     if (request.buffered.size() + bytes.size() > max_failed_body_bytes) request.withheld = true;
     if (!request.withheld) request.buffered.append(bytes);
     return;
@@ -385,8 +390,8 @@
   forward(id, request, events);
 }
 
-// A worker may break off anywhere. Where only the connection's end tells the end of a stream, that is whole only after
-// a whole event.
+// A worker may fail at any byte. If the end of the connection is the only end mark of a stream, the stream is complete
+// only if its last event is.
 bool RequestProxy::ends_within_event(ProxiedRequest const& request) {
   return request.streams && request.ends_at_close && guard(RequestGuard::event_end) &&
          !request.tail.ends_with("\n\n") && !request.tail.ends_with("\r\n\r\n");
@@ -421,7 +426,7 @@
   position->second.last_failure = why;
   log_event(Event::attempt_failed, position->second.request_id + " at " + position->second.instance + " " + why);
   if (end == Upstream::End::torn && !guard(RequestGuard::torn_visible)) return on_done(id);
-  // What the worker said before it broke off holds: it did not run the request.
+  // The worker reported before the failure that it did not run the request; that still holds.
   if (position->second.declined) return report_declined(id, position->second);
   callbacks_.attempt_ended(id, end == Upstream::End::unreached ? AttemptEnd::unreached : AttemptEnd::broke, false);
 }
