--- a/src/runtime/disk/disk_task.cc
+++ b/src/runtime/disk/disk_task.cc
@@ -15,7 +15,7 @@
 namespace pipit {
 
 namespace {
-constexpr std::size_t max_zero_filled_bytes = 1u << 20;
+constexpr std::size_t max_zero_filled_bytes = 1u << 20;  // larger files are reserved without writing them
 
 std::string system_error(std::string const& what, std::string const& name) {
   return what + " " + name + ": " + std::strerror(errno);
@@ -43,12 +43,12 @@
 }
 
 Result<void> PosixDisk::lock() {
-  // Held for as long as the process runs: two replicas never share a folder.
+  // The descriptor stays open until the process ends, so that two replicas never share a directory.
   int const fd = ::open((folder_ + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
   if (fd < 0) return fail(ErrorCode::bad_disk, system_error("cannot open", "lock"));
   if (::flock(fd, LOCK_EX | LOCK_NB) != 0) {
     ::close(fd);
-    return fail(ErrorCode::bad_disk, "another process uses the data folder");
+    return fail(ErrorCode::bad_disk, "another process has locked the data directory");
   }
   return boost::outcome_v2::success();
 }
@@ -57,7 +57,7 @@
   FileDescriptor const file{::open((folder_ + "/" + name).c_str(), O_RDONLY | O_CLOEXEC)};
   if (file.fd < 0) return fail(ErrorCode::bad_disk, system_error("cannot open", name));
   struct stat info;
-  if (::fstat(file.fd, &info) != 0) return fail(ErrorCode::bad_disk, system_error("cannot look at", name));
+  if (::fstat(file.fd, &info) != 0) return fail(ErrorCode::bad_disk, system_error("cannot stat", name));
   std::string out(static_cast<std::size_t>(info.st_size), '\0');
   std::size_t at = 0;
   while (at < out.size()) {
@@ -102,9 +102,9 @@
 
 Result<void> PosixDisk::allocate(std::string const& name, std::size_t size) {
   FileDescriptor const file{::open((folder_ + "/" + name).c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0644)};
-  if (file.fd < 0) return fail(ErrorCode::bad_disk, system_error("cannot make", name));
-  // Small files are written out: what is written is there, on any disk. Large ones are reserved where the disk can, for
-  // writing them takes a busy disk seconds.
+  if (file.fd < 0) return fail(ErrorCode::bad_disk, system_error("cannot create", name));
+  // Small files are filled with zeros, which allocates their blocks on any file system. Large files are reserved with
+  // posix_fallocate where possible, because writing them takes a busy disk seconds.
   bool const reserved = size > max_zero_filled_bytes && ::posix_fallocate(file.fd, 0, static_cast<off_t>(size)) == 0;
   std::string const zeros(reserved ? 0 : std::min<std::size_t>(size, 262144), '\0');
   for (std::size_t at = 0; at < size && !reserved;) {
@@ -140,8 +140,8 @@
     std::unique_ptr<SaveJob> const job(static_cast<SaveJob*>(g_async_queue_pop(backlog_)));
     if (job->stops) return;
     Result<void> saved = store_->save(job->record);
-    // §5.6: nobody was answered for it yet, and a record is always written whole to files that hold no newer one, so
-    // trying again is as safe as the first try. Told once, not each time.
+    // §5.6: a retry is as safe as the first write, because the record has not been acknowledged to any peer and is
+    // always written whole to a file that holds no newer record. Only the first failure is logged.
     for (int attempts = 0; !saved && retries_failed_writes_; ++attempts) {
       if (attempts == 0) log_event(Event::disk_write_retried, saved.error().what);
       g_usleep(100000);
--- a/src/runtime/http/chat_server.cc
+++ b/src/runtime/http/chat_server.cc
@@ -8,8 +8,8 @@
 namespace pipit {
 
 namespace {
-constexpr guint body_timeout_ms = 10000;   // within which a caller's body must have come
-constexpr guint write_timeout_ms = 20000;  // for how long a caller may take nothing of what waits for it
+constexpr guint body_timeout_ms = 10000;   // time limit for receiving a request body
+constexpr guint write_timeout_ms = 20000;  // time limit for a client to accept any of the unsent bytes
 constexpr std::size_t max_unsent_bytes = 8u << 20;
 }  // namespace
 
@@ -19,12 +19,12 @@
   SoupServerMessage* message = nullptr;
   GSource* watch = nullptr;
   guint timer = 0;
-  bool request_complete = false;  // the whole request has come
-  bool answered = false;          // its answer is complete
+  bool request_complete = false;  // the whole request was received
+  bool answered = false;          // the answer is complete or the call is aborted
   bool stream = false;
-  bool aborts_after_write = false;
-  std::size_t buffered_bytes = 0;
-  std::size_t written_bytes = 0;
+  bool aborts_after_write = false;  // the connection is closed when all queued chunks are written
+  std::size_t buffered_bytes = 0;   // bytes of the request body received; then bytes of the stream queued for writing
+  std::size_t written_bytes = 0;    // of the queued bytes, those written to the socket
   std::size_t chunks_queued = 0;
   std::size_t chunks_written = 0;
   void unwatch() {
@@ -86,8 +86,7 @@
   open_call->id = ++server.next_id_;
   open_call->message = SOUP_SERVER_MESSAGE(g_object_ref(message));
   g_object_set_data(G_OBJECT(message), "pipit", open_call.get());
-  soup_server_message_get_remote_address(
-      message);  // kept by libsoup, which else asks a socket that may be shut by then
+  soup_server_message_get_remote_address(message);  // libsoup caches the address now; later the socket may be closed
   g_signal_connect(message, "finished", G_CALLBACK(on_finished), open_call.get());
   server.calls_.emplace(open_call->id, std::move(open_call));
 }
@@ -108,7 +107,7 @@
     server.answer(open_call->id, out);
     return;
   }
-  // A body without a stated length is counted as it comes.
+  // A body without a Content-Length is counted as it is received.
   g_signal_connect(message, "got-chunk", G_CALLBACK(+[](SoupServerMessage*, GBytes* chunk, gpointer data) {
                      OpenCall* const item = static_cast<OpenCall*>(data);
                      item->buffered_bytes += g_bytes_get_size(chunk);
@@ -140,7 +139,7 @@
   soup_server_message_pause(message);
   g_signal_connect(message, "wrote-chunk", G_CALLBACK(on_wrote_chunk), open_call);
   g_signal_connect(message, "wrote-body-data", G_CALLBACK(on_wrote_data), open_call);
-  // While an answer is awaited nothing is written, so a caller that hangs up would go unseen without this.
+  // Watches the socket, because a disconnect of the client would not be noticed while nothing is written.
   GSocket* const socket = soup_server_message_get_socket(message);
   if (socket != nullptr) {
     open_call->watch =
@@ -175,7 +174,7 @@
   char next_byte = 0;
   ssize_t const n = ::recv(g_socket_get_fd(socket), &next_byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (n > 0) {
-    // The next request came early; it is libsoup's to read. Hang-ups are then seen when writing.
+    // The client sent its next request early; libsoup will read it. Disconnects are then noticed when writing.
     g_source_unref(open_call.watch);
     open_call.watch = nullptr;
     return G_SOURCE_REMOVE;
@@ -203,12 +202,12 @@
   if (report_disconnect) callbacks_.disconnected(id);
 }
 
-// Ends the connection where it stands: the caller sees a body that was broken off.
+// Closes the connection at once; the client sees an incomplete body.
 void ChatServer::abort(OpenCall& open_call) {
   SoupServerMessage* const message = SOUP_SERVER_MESSAGE(g_object_ref(open_call.message));
   remove(open_call, true);
-  // First the socket: libsoup closes its chunked writer when the connection is taken from it, and that writes the
-  // mark of a whole body.
+  // Shuts down the socket first: libsoup closes its chunked writer when the connection is stolen from it, and that
+  // would write the end mark of a complete body.
   GSocket* const socket = soup_server_message_get_socket(message);
   if (socket != nullptr) g_socket_shutdown(socket, TRUE, TRUE, nullptr);
   GIOStream* const stream = soup_server_message_steal_connection(message);
--- a/src/runtime/http/chat_upstream.cc
+++ b/src/runtime/http/chat_upstream.cc
@@ -9,10 +9,10 @@
 
 namespace {
 constexpr std::size_t max_answer_bytes = 16u << 20;
-constexpr Micros connect_timeout = seconds(1);  // within which the connection to a worker must be open
+constexpr Micros connect_timeout = seconds(1);  // time limit for opening the connection to a worker
 
 SoupSession* make_session(int max_connections) {
-  // §7.3: what libsoup does by itself is switched off: proxies, cookies, cached or shared connections.
+  // §7.3: disables libsoup's own proxies, cookies and cached or shared connections.
   SoupSession* const out =
       soup_session_new_with_options("max-conns", max_connections, "max-conns-per-host", max_connections, "timeout", 0,
                                     "idle-timeout", 20, "proxy-resolver", nullptr, nullptr);
@@ -33,7 +33,7 @@
   bool head_received = false;
   bool finished = false;
   bool timed_out = false;
-  bool done_received = false;  // the worker said [DONE]
+  bool done_received = false;  // the worker sent [DONE]
   std::string answer_text;
   EventSplitter splitter;
   std::size_t events = 0;
@@ -71,7 +71,7 @@
   ChatAttempt& attempt = *static_cast<ChatAttempt*>(data);
   attempt.timer = 0;
   attempt.timed_out = true;
-  // What became of it is told once libsoup has let go: only then is it certain whether a byte left.
+  // The end is reported when libsoup has finished the cancelled call: only then is it certain whether a byte was sent.
   g_cancellable_cancel(attempt.stop);
   return G_SOURCE_REMOVE;
 }
@@ -98,8 +98,7 @@
         attempt_owner);
     return;
   }
-  // A connection of its own for each attempt: libsoup repeats a request by itself only on a connection that was used
-  // before.
+  // Uses a new connection for each attempt, because libsoup silently retries a request on a reused connection.
   soup_message_set_flags(attempt->message,
                          static_cast<SoupMessageFlags>(SOUP_MESSAGE_NO_REDIRECT | SOUP_MESSAGE_NEW_CONNECTION));
   SoupMessageHeaders* const head = soup_message_get_request_headers(attempt->message);
@@ -131,7 +130,7 @@
   attempt.timer = 0;
   g_cancellable_cancel(attempt.stop);
   std::uint64_t const chat_request = attempt.start.chat_request;
-  attempts_.erase(chat_request);  // whoever called this holds the attempt
+  attempts_.erase(chat_request);  // the caller holds a reference to the attempt
   callbacks_.ended(chat_request, end, why, retry_after);
 }
 
@@ -145,7 +144,8 @@
   if (attempt.finished) return;
   if (attempt.body == nullptr) {
     if (!attempt.sent)
-      return attempt.upstream->finish(attempt, ChatAttemptEnd::unreached, attempt.timed_out ? "no wire in time" : why);
+      return attempt.upstream->finish(attempt, ChatAttemptEnd::unreached,
+                                      attempt.timed_out ? "no connection within the timeout" : why);
     return attempt.upstream->finish(attempt, attempt.timed_out ? ChatAttemptEnd::silent : ChatAttemptEnd::broke, why);
   }
   attempt.head_received = true;
@@ -156,7 +156,7 @@
     Micros const retry_after = retry_after_text != nullptr
                                    ? seconds(std::min(3600L, std::max(0L, std::strtol(retry_after_text, nullptr, 10))))
                                    : 0;
-    // §7.3: 429 is a refusal before running by its meaning; 503 is one only when it says when to come back.
+    // §7.3: 429 means by definition that the request was not run; 503 means so only with a Retry-After.
     bool const refused = status == 429 || (status == 503 && retry_after_text != nullptr);
     return attempt.upstream->finish(attempt,
                                     refused         ? ChatAttemptEnd::refused
@@ -192,9 +192,9 @@
   if (size < 0) {
     bool const answer_begun = attempt.events > 0 || !attempt.answer_text.empty();
     if (attempt.timed_out && !answer_begun)
-      return upstream.finish(attempt, ChatAttemptEnd::silent, "no answer in time");
+      return upstream.finish(attempt, ChatAttemptEnd::silent, "no answer within the first-byte timeout");
     return upstream.finish(attempt, ChatAttemptEnd::torn,
-                           attempt.timed_out ? "the next piece did not come in time" : why);
+                           attempt.timed_out ? "the rest of the answer did not arrive in time" : why);
   }
   if (size == 0) return upstream.finish_answer(attempt);
   upstream.receive(attempt, std::string_view(attempt.read_buffer, static_cast<std::size_t>(size)));
@@ -212,45 +212,46 @@
   std::string event;
   while (!attempt.finished && attempt.splitter.next(event)) {
     std::string const text = event_data(event);
-    if (text.empty()) continue;  // a comment that keeps the connection awake
-    if (attempt.done_received) return finish(attempt, ChatAttemptEnd::torn, "something came after the end");
+    if (text.empty()) continue;  // a comment that keeps the connection alive
+    if (attempt.done_received)
+      return finish(attempt, ChatAttemptEnd::torn, "the worker sent data after the end of the stream");
     if (text == "[DONE]") {
-      if (attempt.events == 0) return finish(attempt, ChatAttemptEnd::torn, "an end without a piece");
+      if (attempt.events == 0) return finish(attempt, ChatAttemptEnd::torn, "the stream ended without a chunk");
       attempt.done_received = true;
       continue;
     }
     ParsedChunk const chunk = parse_chunk(text);
     if (!chunk.json)
-      return finish(attempt, attempt.events == 0 ? ChatAttemptEnd::wrong : ChatAttemptEnd::torn, "a piece is not JSON");
+      return finish(attempt, attempt.events == 0 ? ChatAttemptEnd::wrong : ChatAttemptEnd::torn, "a chunk is not JSON");
     if (chunk.error)
       return finish(attempt, attempt.events == 0 ? ChatAttemptEnd::wrong : ChatAttemptEnd::torn,
                     "the worker reports an error");
-    // N4: an answer to another request is never passed on.
+    // N4: an answer to another request is never forwarded.
     if (!id_matches_request(chunk.id, attempt.id))
       return finish(attempt, attempt.events == 0 ? ChatAttemptEnd::wrong : ChatAttemptEnd::torn,
-                    "a piece of another request: " + chunk.id);
+                    "a chunk answers another request: " + chunk.id);
     ++attempt.events;
     callbacks_.event(attempt.start.chat_request, event);
     set_timer(attempt, attempt.start.idle_timeout);
     if (fires(FaultPoint::attempt_break_begun)) return finish(attempt, ChatAttemptEnd::torn, "fault point 9");
   }
   if (attempt.splitter.size() > max_answer_bytes)
-    finish(attempt, ChatAttemptEnd::wrong, "a piece is larger than the limit");
+    finish(attempt, ChatAttemptEnd::wrong, "a chunk is larger than the limit");
 }
 
 void ChatUpstream::finish_answer(ChatAttempt& attempt) {
   if (!attempt.stream) {
     ParsedChunk const chunk = parse_chunk(attempt.answer_text);
-    if (!chunk.json) return finish(attempt, ChatAttemptEnd::torn, "the answer is not whole JSON");
+    if (!chunk.json) return finish(attempt, ChatAttemptEnd::torn, "the answer is not complete JSON");
     if (chunk.error) return finish(attempt, ChatAttemptEnd::wrong, "the worker reports an error");
     if (!id_matches_request(chunk.id, attempt.id))
-      return finish(attempt, ChatAttemptEnd::wrong, "the answer to another request: " + chunk.id);
+      return finish(attempt, ChatAttemptEnd::wrong, "the answer is to another request: " + chunk.id);
     callbacks_.answer(attempt.start.chat_request, std::move(attempt.answer_text));
     return finish(attempt, ChatAttemptEnd::done, "");
   }
   if (!attempt.done_received || attempt.splitter.has_partial_event())
     return finish(attempt, attempt.events == 0 ? ChatAttemptEnd::broke : ChatAttemptEnd::torn,
-                  "the stream ended before its end");
+                  "the stream was closed before its end marker");
   finish(attempt, ChatAttemptEnd::done, "");
 }
 
--- a/src/runtime/http/chat_upstream.h
+++ b/src/runtime/http/chat_upstream.h
@@ -1,4 +1,4 @@
-// The executor of attempts: sends a request to a worker and brings its answer, or what became of it (§7.3, §7.5).
+// HTTP client for attempts at workers, based on libsoup (§7.3, §7.5).
 #pragma once
 #include <libsoup/soup.h>
 
@@ -12,25 +12,30 @@
 
 namespace pipit {
 
+// Sends requests to workers, checks their answers and reports events, answers and failures. Owns the client sockets.
+// All methods must be called on the main loop's thread.
 class ChatUpstream {
  public:
   struct Callbacks {
-    std::function<void(std::uint64_t chat_request)> sent;
-    std::function<void(std::uint64_t chat_request, std::string const& event)> event;  // one whole event of a stream
-    std::function<void(std::uint64_t chat_request, std::string body)> answer;  // a whole answer that is no stream
+    std::function<void(std::uint64_t chat_request)> sent;  // a byte of the request may have left from now on
+    std::function<void(std::uint64_t chat_request, std::string const& event)> event;  // one complete event of a stream
+    std::function<void(std::uint64_t chat_request, std::string body)> answer;         // a complete non-streamed answer
     std::function<void(std::uint64_t chat_request, ChatAttemptEnd end, std::string const& why, Micros retry_after)>
         ended;
   };
   explicit ChatUpstream(Callbacks callbacks);
   ~ChatUpstream();
 
-  // 'id' is what the worker is told and must answer with.
+  // Starts an attempt. 'id' is sent to the worker as X-Request-Id, and the answer must carry it. The end of the attempt
+  // is always reported by 'ended', unless it is cancelled.
   void start(ChatAttemptStart const& start, std::string const& id, std::string const& path, std::string const& body,
              bool stream);
+  // Ends the attempt of a request without a callback.
   void cancel(std::uint64_t chat_request);
   std::size_t open_attempts() const { return attempts_.size(); }
 
-  // One small GET, for lists and health reports; the answer is nullopt when it failed.
+  // Sends a GET for a worker list or health report. Calls 'done' with whether the status was 200, whether the
+  // connection was refused, and the body.
   void fetch(std::string const& address, std::string const& path, Micros timeout,
              std::function<void(bool good, bool refused, std::string const& body)> done);
 
@@ -51,7 +56,7 @@
   Callbacks callbacks_;
   SoupSession* session_;
   SoupSession* fetch_session_;
-  std::map<std::uint64_t, std::shared_ptr<ChatAttempt>> attempts_;  // by chat request: one attempt at a time
+  std::map<std::uint64_t, std::shared_ptr<ChatAttempt>> attempts_;  // by chat request, which has one attempt at a time
 };
 
 }  // namespace pipit
--- a/src/runtime/http/operator_client.h
+++ b/src/runtime/http/operator_client.h
@@ -1,16 +1,16 @@
-// One request of an operator's tool, answered before it goes on (§8.2).
+// Blocking HTTP client for the operators' command line tools (§8.2).
 #pragma once
 #include <string>
 
 namespace pipit {
 
-// A node's reply to an operator's request, or why there is none.
+// A node's reply to an operator's request, or the error if there is none.
 struct OperatorReply {
-  unsigned status = 0;  // the HTTP status; 0: not reached
+  unsigned status = 0;  // HTTP status; 0: the node was not reached
   std::string body;
-  std::string serial;         // of the description that the reply is about
-  std::string drained_zones;  // joined by commas
-  std::string change_id;      // the change's id, by which its outcome can be read later
+  std::string serial;         // serial of the description that the reply refers to
+  std::string drained_zones;  // separated by commas
+  std::string change_id;      // id by which the outcome of the change can be read later
   std::string error;          // why the node was not reached
 };
 
--- a/src/runtime/mesh/connections.cc
+++ b/src/runtime/mesh/connections.cc
@@ -7,11 +7,11 @@
 namespace pipit {
 
 namespace {
-// Bytes that wait for one peer, beyond which nothing is added, and for all peers together. A frame may be larger than
-// the first; the second leaves room for two of the largest.
+// Limits of unsent bytes for one peer, above which no frame is added, and for all peers together. A frame may be larger
+// than the first limit; the second leaves room for two of the largest frames.
 constexpr std::size_t connection_backlog_limit = 1u << 20;
 constexpr std::size_t total_backlog_limit = 2 * max_frame_bytes;
-// What may still be taken of a connection that is being closed: farewells and what stood before them.
+// Limit of unsent bytes that are still sent on a connection that is being closed: a leave message and frames before it.
 constexpr std::size_t closing_backlog_limit = 64u << 10;
 constexpr Micros dial_timeout = seconds(1);
 }  // namespace
@@ -37,7 +37,7 @@
   std::shared_ptr<Connection> const connection = std::make_shared<Connection>();
   connection->id = ++next_id_;
   connection->dialled_address = address;
-  // From the node's own number, so that peers and cuts see one number for one node.
+  // Binds to the node's own IP address, so that peers and network faults see one address for one node.
   connection->link = Link::dial(address, own_host_, dial_timeout);
   if (!connection->link->open()) {
     callbacks_.dial_failed(address, connection->link->refused());
@@ -98,7 +98,7 @@
   std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position = connections_.find(id);
   if (position == connections_.end() || !position->second->link->connected()) return;
   std::size_t const waiting = position->second->link->waiting();
-  // A peer that takes so little has fallen behind for good: it is dialled again and told anew.
+  // A peer that reads so slowly cannot catch up: its connection is closed, dialled again and synchronized afresh.
   if (waiting > connection_backlog_limit) return drop_overfull(id);
   position->second->link->write(bytes);
   if (waiting > 0 && backlog_bytes() > total_backlog_limit) drop_overfull(largest_backlog());
@@ -143,7 +143,7 @@
   std::shared_ptr<Connection> const connection = position->second;
   connections_.erase(position);
   connection->link->listen({});
-  // What was written before, a farewell perhaps, still goes; but a peer that took nothing is not waited for.
+  // Bytes written before, such as a leave message, are still sent, unless the peer has left too many unread.
   if (connection->link->waiting() > closing_backlog_limit) return connection->link->close();
   connection->link->finish();
   std::erase_if(closing_, [](std::weak_ptr<Link> const& item) { return item.expired(); });
--- a/src/runtime/mesh/frame_traffic.cc
+++ b/src/runtime/mesh/frame_traffic.cc
@@ -8,13 +8,13 @@
 
 namespace {
 constexpr Micros sample_interval = seconds(1);
-constexpr std::uint64_t busy_second_bytes = 256u << 10;  // received or sent
+constexpr std::uint64_t busy_second_bytes = 256u << 10;  // per direction
 constexpr std::size_t kinds_logged = 4;
 }  // namespace
 
 void FrameTraffic::add(Counts& counts, wire::Body kind, std::size_t bytes) {
   std::size_t const position = static_cast<std::size_t>(kind);
-  if (position >= counts.size()) return;  // a kind of a later version
+  if (position >= counts.size()) return;  // a kind that a later version introduced
   ++counts[position].frames;
   counts[position].bytes += bytes;
 }
@@ -33,7 +33,7 @@
     wire::Body kind;
     std::uint64_t frames;
   };
-  std::multimap<std::uint64_t, Row, std::greater<std::uint64_t>> rows;  // by their bytes
+  std::multimap<std::uint64_t, Row, std::greater<std::uint64_t>> rows;  // by bytes, largest first
   std::uint64_t total = 0;
   for (std::size_t position = 0; position < now.size(); ++position) {
     std::uint64_t const bytes = now[position].bytes - before[position].bytes;
--- a/src/runtime/mesh/frame_traffic.h
+++ b/src/runtime/mesh/frame_traffic.h
@@ -1,6 +1,4 @@
-// How many frames and bytes of each kind a node exchanged with its peers, for metrics.
-//
-// Job: counts. State: the counts since the process started. Thread: the loop's only.
+// Counters of the frames that a node exchanges with its peers.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -14,16 +12,17 @@
 
 namespace pipit {
 
+// Counts frames and bytes by kind since the process started. Used on the main loop's thread only.
 class FrameTraffic {
  public:
-  // Bytes include the four of a frame's length.
+  // 'bytes' includes the four bytes of the frame's length prefix.
   void count_sent(wire::Body kind, std::size_t bytes) { add(sent_, kind, bytes); }
   void count_received(wire::Body kind, std::size_t bytes) { add(received_, kind, bytes); }
 
-  // Adds a row for each kind that was exchanged.
+  // Adds a metrics row for each kind of frame that was sent or received.
   void write_metrics(MetricsText& text) const;
-  // Logs what the last second was made of, if that was more than a thin link carries beside its requests. To be called
-  // several times a second; the log gets one line a second at most.
+  // Logs the largest kinds of frames of the last second if the traffic was more than a slow link can carry besides
+  // requests. To be called several times a second; writes at most one line per second.
   void log_busy_second(Micros now);
 
  private:
@@ -40,7 +39,7 @@
 
   Counts sent_{};
   Counts received_{};
-  Counts sent_at_sample_{};  // as they were at the last look
+  Counts sent_at_sample_{};  // counters at the last sample
   Counts received_at_sample_{};
   Micros sampled_at_ = -1;
 };
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -1,4 +1,4 @@
-// Calls that come in: from callers, operators and tests (§7.1, §8.1).
+// Handlers of HTTP calls from clients, operators and tests (§7.1, §8.1).
 #include <cstdlib>
 
 #include "base/events.h"
@@ -29,7 +29,7 @@
   bool const chat = call.path == "/v1/chat/completions";
   if (chat || call.path == "/v1/completions") {
     if (role_ != MemberRole::router)
-      return refuse(call.id, Error{ErrorCode::not_found, "a keeper serves no requests", ""});
+      return refuse(call.id, Error{ErrorCode::not_found, "a configuration store serves no model requests", ""});
     if (call.method != "POST") return refuse(call.id, Error{ErrorCode::bad_method, "", ""});
     return handle_chat_call(call, chat);
   }
@@ -45,7 +45,7 @@
   info.value().lane = call.header("X-Pipit-Lane");
   std::string const repeat = call.header("X-Pipit-Repeat");
   if (!repeat.empty() && repeat != "safe" && repeat != "never")
-    return refuse(call.id, Error{ErrorCode::bad_request, "X-Pipit-Repeat takes safe or never", ""});
+    return refuse(call.id, Error{ErrorCode::bad_request, "X-Pipit-Repeat must be safe or never", ""});
   info.value().repeatable = repeat == "safe";
   ClientRequest request;
   request.id = settings_.name + "-" + std::to_string(node_->plan.incarnation) + "-" + std::to_string(call.id);
@@ -92,7 +92,8 @@
       return refuse(call.id, Error{ErrorCode::not_found, "", ""});
     if (call.method != "POST") return refuse(call.id, Error{ErrorCode::bad_method, "", ""});
     if (!node_->is_known_zone(change.text))
-      return refuse(call.id, Error{ErrorCode::unknown_zone, "nothing is known of the zone '" + change.text + "'", ""});
+      return refuse(call.id,
+                    Error{ErrorCode::unknown_zone, "no node or worker is known in the zone '" + change.text + "'", ""});
   } else if (call.path.rfind("/v1/nodes/", 0) == 0) {
     std::string const rest = call.path.substr(10);
     std::size_t const cut = rest.rfind('/');
@@ -171,7 +172,7 @@
 }
 
 void RouterHost::handle_fault_call(ChatServer::Call const& call) {
-  // A test's door: {"point": 1} with the argument and the count in the query.
+  // Fault injection for tests; the query has the fault point, its argument and the number of times to fire.
   unsigned const number = static_cast<unsigned>(
       std::strtoul(call.query.count("point") ? call.query.at("point").c_str() : "0", nullptr, 10));
   std::string const arg = call.query.count("arg") ? call.query.at("arg") : "";
--- a/src/runtime/router_host.cc
+++ b/src/runtime/router_host.cc
@@ -111,7 +111,7 @@
   if (store)
     disk_ = std::make_unique<DiskTask>(std::move(disk), std::move(store), [this](bool good, std::string const& why) {
       if (!good) {
-        // §5.6: after a failed sync nothing is known of what the disk holds; the replica must not speak again.
+        // §5.6: after a failed sync the content of the disk is unknown, so the replica must not answer again.
         log_event(Event::disk_failed, why);
         exit_code_ = 3;
         g_main_loop_quit(loop_);
@@ -174,7 +174,7 @@
   }
 }
 
-// The executor: obeys what the core decided.
+// Performs the I/O that the node core requested.
 void RouterHost::apply_effects(NodeEffects& out) {
   if (out.record_to_sync) disk_->save(std::move(*out.record_to_sync));
   for (std::string const& address : out.mesh.dial_addresses) connections_->dial(address);
@@ -263,11 +263,11 @@
   }
 }
 
-// §8.4: first only /ready says no, and answers close their connections; whoever follows either is elsewhere when the
-// grace ends.
+// §8.4: during the grace only /ready fails and each answer closes its connection, so that clients that follow either
+// have moved to another router when the grace ends.
 void RouterHost::begin_drain() {
   if (grace_until_ >= 0) {
-    g_main_loop_quit(loop_);  // asked twice: at once
+    g_main_loop_quit(loop_);  // a second signal ends the process at once
     return;
   }
   grace_until_ = now() + settings_.grace;
@@ -293,7 +293,7 @@
   std::string const flag = "--settings=" + settings_.file;
   char const* const argv[] = {"reload", flag.c_str()};
   if (settings_.file.empty()) {
-    log_event(Event::settings_rejected, "there is no settings file");
+    log_event(Event::settings_rejected, "reload: the process was started without a settings file");
     return;
   }
   Result<Settings> fresh = read_settings(2, argv, role_ == MemberRole::config_store);
@@ -302,7 +302,7 @@
     why = fresh.error().what;
   } else {
     Settings const& s = fresh.value();
-    // What a process is cannot change while it incarnations; what it allows can.
+    // The identity of a process cannot change while it runs; its limits and timeouts can.
     if (s.name != settings_.name || s.cluster != settings_.cluster || s.zone != settings_.zone ||
         s.mesh != settings_.mesh || s.http != settings_.http || s.data != settings_.data ||
         s.initial_members != settings_.initial_members || s.models != settings_.models || s.seeds != settings_.seeds ||
@@ -326,7 +326,8 @@
       [](gpointer data) -> gboolean {
         RouterHost& host = *static_cast<RouterHost*>(data);
         NodeEffects out;
-        // How late a tick comes tells the longest turn of the loop; a node that stood still is counted elsewhere.
+        // The delay of a tick measures the longest turn of the loop. A delay of a second or more means that the process
+        // was stopped, which the core counts as a clock jump.
         Micros const gap = now() - host.last_tick_at_;
         if (host.last_tick_at_ > 0 && gap < seconds(1))
           host.longest_loop_turn_us_ = std::max(host.longest_loop_turn_us_,
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -1,4 +1,4 @@
-// What a node tells of itself: its status and its metrics (§9).
+// Status page and metrics of a router or configuration store (§9).
 #include "base/json_writer.h"
 #include "base/metrics_text.h"
 #include "runtime/router_host.h"
