--- a/src/runtime/http/operator_client.h
+++ b/src/runtime/http/operator_client.h
@@ -14,8 +14,8 @@
   std::string error;          // why the node was not reached
 };
 
-// Sends one HTTP request and waits for the reply, for ten seconds at most. 'body' may be null; 'expected' is the serial
-// for If-Match, or empty.
+// Sends one HTTP request and waits for the reply, for ten seconds at most. 'body' may be null; 'expected_serial' is the
+// serial for If-Match, or empty.
 OperatorReply call_operator_api(char const* method, std::string const& address, std::string const& path,
                                 std::string const* body, std::string const& expected_serial);
 // The tools' exit codes: 0 done, 1 refused, 2 bad input, 3 outcome unknown, 4 not reached or no majority, 5 not
--- a/tests/listener_out_of_descriptors.cc
+++ b/tests/listener_out_of_descriptors.cc
@@ -11,47 +11,48 @@
 namespace pipit {
 
 namespace {
-constexpr int turns_most = 200;  // of the loop, for what can be done without waiting
+constexpr int max_turns = 200;  // limit of main loop iterations without waiting
 
-// Takes every descriptor that the process may still have, and gives them back.
-class NoDescriptors {
+// Lowers the limit of open files so that the process can open no more, and restores it on destruction.
+class DescriptorExhaustion {
  public:
-  NoDescriptors() {
-    getrlimit(RLIMIT_NOFILE, &before);
+  DescriptorExhaustion() {
+    getrlimit(RLIMIT_NOFILE, &previous_limit);
     int const next = ::dup(0);
     ::close(next);
-    rlimit few = before;
-    few.rlim_cur = static_cast<rlim_t>(next);
-    setrlimit(RLIMIT_NOFILE, &few);
+    rlimit limit = previous_limit;
+    limit.rlim_cur = static_cast<rlim_t>(next);
+    setrlimit(RLIMIT_NOFILE, &limit);
   }
-  ~NoDescriptors() { setrlimit(RLIMIT_NOFILE, &before); }
+  ~DescriptorExhaustion() { setrlimit(RLIMIT_NOFILE, &previous_limit); }
 
  private:
-  rlimit before = {};
+  rlimit previous_limit = {};
 };
 
-// How many turns the loop takes until it has nothing to do without waiting.
-int busy_turns() {
+// Number of main loop iterations until no event is ready; at most max_turns.
+int turns_until_idle() {
   int turns = 0;
-  while (turns < turns_most && g_main_context_iteration(nullptr, FALSE)) ++turns;
+  while (turns < max_turns && g_main_context_iteration(nullptr, FALSE)) ++turns;
   return turns;
 }
 }  // namespace
 
-TEST(Doors, wait_a_moment_when_no_descriptor_is_left) {
-  std::vector<std::shared_ptr<Link>> taken;
-  Door door;
+TEST(Listener, pauses_accepting_when_no_descriptor_is_left) {
+  std::vector<std::shared_ptr<Link>> accepted;
+  Door listener;
   std::string const address = listen_on_free_port([&](std::string const& at) {
-    return door.open(at, [&taken](std::shared_ptr<Link> link) { taken.push_back(std::move(link)); });
+    return listener.open(at, [&accepted](std::shared_ptr<Link> link) { accepted.push_back(std::move(link)); });
   });
-  std::vector<std::shared_ptr<Link>> callers;
-  for (int n = 0; n < 3; ++n) callers.push_back(Link::dial(address, "", seconds(5)));
+  std::vector<std::shared_ptr<Link>> clients;
+  for (int n = 0; n < 3; ++n) clients.push_back(Link::dial(address, "", seconds(5)));
   {
-    NoDescriptors none;
-    EXPECT_LT(busy_turns(), turns_most) << "the loop runs at full speed for connections that it cannot take";
-    EXPECT_TRUE(taken.empty());
+    DescriptorExhaustion exhaustion;
+    EXPECT_LT(turns_until_idle(), max_turns) << "the loop must not spin on connections that it cannot accept";
+    EXPECT_TRUE(accepted.empty());
   }
-  EXPECT_TRUE(until([&taken] { return taken.size() == 3; })) << "they are taken once there are descriptors again";
+  EXPECT_TRUE(until([&accepted] { return accepted.size() == 3; }))
+      << "the connections are accepted when descriptors are free again";
 }
 
 }  // namespace pipit
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -1,4 +1,4 @@
-// Connections over the loopback for tests, under a main loop that is turned by hand.
+// Loopback connections for tests, on a main loop that the test iterates itself.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -16,27 +16,27 @@
 
 namespace pipit {
 
-// Turns the main loop by hand until something holds; a watchdog ends a wait that would never end.
+// Iterates the main loop until the condition holds, for at most 20 seconds; returns whether it holds.
 inline bool until(std::function<bool()> const& holds) {
-  bool late = false;
-  guint const dog = g_timeout_add_seconds(
+  bool timed_out = false;
+  guint const watchdog = g_timeout_add_seconds(
       20,
       [](gpointer data) -> gboolean {
         *static_cast<bool*>(data) = true;
         return G_SOURCE_CONTINUE;
       },
-      &late);
-  while (!late && !holds()) g_main_context_iteration(nullptr, TRUE);
-  g_source_remove(dog);
+      &timed_out);
+  while (!timed_out && !holds()) g_main_context_iteration(nullptr, TRUE);
+  g_source_remove(watchdog);
   return holds();
 }
-// Whatever can be done without waiting.
+// Handles the events that are ready, without waiting for others; at most 1000 iterations.
 inline void settle() {
   for (int turns = 0; turns < 1000 && g_main_context_iteration(nullptr, FALSE); ++turns) {
   }
 }
 
-// A free port of this machine's loopback.
+// Returns 127.0.0.1 with a port that is free at present; another process may take it before it is used.
 inline std::string free_address() {
   int const fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in own = {};
@@ -48,6 +48,7 @@
   ::close(fd);
   return "127.0.0.1:" + std::to_string(ntohs(own.sin_port));
 }
+// Calls 'listen' with free addresses until it succeeds; returns the address.
 inline std::string listen_on_free_port(std::function<Result<void>(std::string const&)> const& listen) {
   for (int tries = 0; tries < 20; ++tries) {
     std::string const address = free_address();
@@ -57,7 +58,7 @@
   return "";
 }
 
-// One side of a connection, as it is seen from outside.
+// A connection that records what it receives and how it ended.
 struct LoopbackStream {
   std::shared_ptr<Link> link;
   std::string received;
@@ -83,6 +84,7 @@
   void send(std::string_view bytes) { link->write(bytes); }
 };
 
+// Number of occurrences of 'what' that do not overlap.
 inline std::size_t count_of(std::string const& text, std::string const& what) {
   std::size_t n = 0;
   for (std::size_t at = text.find(what); at != std::string::npos; at = text.find(what, at + what.size())) ++n;
--- a/tests/node_server.cc
+++ b/tests/node_server.cc
@@ -1,4 +1,4 @@
-// A node of the users' platform with its sockets: what its control address tells workers.
+// A node of the users' platform with its sockets: the control and metrics addresses.
 #include <gtest/gtest.h>
 
 #include "platform/control.h"
@@ -7,9 +7,9 @@
 namespace pipit::platform {
 
 namespace {
-class ControlAddress : public testing::Test {
+class NodeServerEndpoints : public testing::Test {
  protected:
-  ControlAddress() {
+  NodeServerEndpoints() {
     NodeServerOptions plan;
     plan.node.name = "n1";
     plan.node.zone = "a";
@@ -26,7 +26,7 @@
     EXPECT_TRUE(node_server->open());
   }
 
-  // The status with which a call is answered.
+  // Posts a call to the control address and returns the status line's first 12 bytes.
   std::string post(std::string const& path, std::string const& body) {
     LoopbackStream connection(address);
     connection.send("POST " + path + " HTTP/1.1\r\nHost: n1\r\nContent-Length: " + std::to_string(body.size()) +
@@ -47,18 +47,19 @@
 };
 }  // namespace
 
-// Nobody would heed it: the worker is to say it to a node that knows the worker.
-TEST_F(ControlAddress, acknowledges_a_farewell_only_of_a_worker_that_it_knows) {
-  std::string const bye = R"({"call_sequence":9})";
-  EXPECT_EQ(post("/Instances.Leave/i-1", bye), "HTTP/1.1 503");
+// A node that does not know the worker cannot announce its departure; the worker must call a node that does.
+TEST_F(NodeServerEndpoints, acknowledges_departure_only_of_a_registered_worker) {
+  std::string const leave_message = R"({"call_sequence":9})";
+  EXPECT_EQ(post("/Instances.Leave/i-1", leave_message), "HTTP/1.1 503");
   EXPECT_EQ(post("/Instances.Beat/i-1", heartbeat(8)), "HTTP/1.1 200");
-  EXPECT_EQ(post("/Instances.Leave/i-1", bye), "HTTP/1.1 200");
-  EXPECT_EQ(post("/Instances.Leave/i-1", bye), "HTTP/1.1 200") << "its answer may have been lost";
+  EXPECT_EQ(post("/Instances.Leave/i-1", leave_message), "HTTP/1.1 200");
+  EXPECT_EQ(post("/Instances.Leave/i-1", leave_message), "HTTP/1.1 200")
+      << "a repeated call is acknowledged, because the first answer may have been lost";
   EXPECT_EQ(post("/Instances.Beat/i-1", heartbeat(10)), "HTTP/1.1 200");
-  EXPECT_EQ(post("/Instances.Leave/i-2", bye), "HTTP/1.1 503");
+  EXPECT_EQ(post("/Instances.Leave/i-2", leave_message), "HTTP/1.1 503");
 }
 
-TEST_F(ControlAddress, tenants_are_told_to_operators) {
+TEST_F(NodeServerEndpoints, control_address_lists_tenants) {
   LoopbackStream connection(address);
   connection.send("GET /v1/tenants HTTP/1.1\r\nHost: n1\r\n\r\n");
   EXPECT_TRUE(until([&connection] { return connection.received.find("\"tenants\":[]") != std::string::npos; }))
@@ -66,7 +67,7 @@
   EXPECT_NE(connection.received.find("\"keys_required\":false"), std::string::npos) << connection.received;
 }
 
-TEST_F(ControlAddress, metrics_are_told_at_an_address_of_their_own) {
+TEST_F(NodeServerEndpoints, metrics_are_served_at_their_own_address) {
   LoopbackStream connection(metrics);
   connection.send("GET /metrics HTTP/1.1\r\nHost: n1\r\nConnection: close\r\n\r\n");
   EXPECT_TRUE(until([&connection] { return connection.closed; }));
--- a/tests/runtime/frame_traffic.cc
+++ b/tests/runtime/frame_traffic.cc
@@ -1,4 +1,4 @@
-// Counts of frames between nodes, as the metrics page shows them.
+// Counters of frames between nodes, as shown in the metrics.
 #include "runtime/mesh/frame_traffic.h"
 
 #include <gtest/gtest.h>
@@ -22,10 +22,10 @@
   EXPECT_NE(page.find("pipit_frames_received_total{frame=\"Chosen\"} 1\n"), std::string::npos);
   EXPECT_NE(page.find("pipit_frame_received_bytes_total{frame=\"Chosen\"} " + std::to_string(chosen.size()) + "\n"),
             std::string::npos);
-  EXPECT_EQ(page.find("Pong"), std::string::npos) << "a kind that never came has no row";
+  EXPECT_EQ(page.find("Pong"), std::string::npos) << "a kind that was never exchanged has no row";
 }
 
-TEST(FrameTraffic, a_kind_of_a_later_version_is_left_out) {
+TEST(FrameTraffic, ignores_kinds_of_later_versions) {
   FrameTraffic traffic;
   traffic.count_received(static_cast<wire::Body>(250), 100);
   MetricsText text;
