--- a/src/runtime/http/chat_server.cc
+++ b/src/runtime/http/chat_server.cc
@@ -17,11 +17,11 @@
   ChatServer* server = nullptr;
   std::uint64_t id = 0;
   SoupServerMessage* message = nullptr;
-  GSource* watch = nullptr;
-  guint timer = 0;
-  bool request_complete = false;  // the whole request was received
-  bool answered = false;          // the answer is complete or the call is aborted
-  bool stream = false;
+  GSource* watch = nullptr;         // detects that the client disconnects before the answer
+  guint timer = 0;                  // time limit for the next progress; 0: none
+  bool request_complete = false;    // the whole request was received
+  bool answered = false;            // the whole answer was handed to libsoup
+  bool stream = false;              // the answer is an event stream that has begun
   bool aborts_after_write = false;  // the connection is closed when all queued chunks are written
   std::size_t buffered_bytes = 0;   // bytes of the request body received; then bytes of the stream queued for writing
   std::size_t written_bytes = 0;    // of the queued bytes, those written to the socket
--- a/src/runtime/http/chat_upstream.h
+++ b/src/runtime/http/chat_upstream.h
@@ -32,6 +32,7 @@
              bool stream);
   // Ends the attempt of a request without a callback.
   void cancel(std::uint64_t chat_request);
+  // Number of attempts in flight.
   std::size_t open_attempts() const { return attempts_.size(); }
 
   // Sends a GET for a worker list or health report. Calls 'done' with whether the status was 200, whether the
--- a/src/runtime/http/operator_client.h
+++ b/src/runtime/http/operator_client.h
@@ -18,8 +18,8 @@
 // serial for If-Match, or empty.
 OperatorReply call_operator_api(char const* method, std::string const& address, std::string const& path,
                                 std::string const* body, std::string const& expected_serial);
-// The tools' exit codes: 0 done, 1 refused, 2 bad input, 3 outcome unknown, 4 not reached or no majority, 5 not
-// confirmed.
+// Returns the exit code of the tools for a reply: 0 done, 1 refused, 2 bad input, 3 outcome unknown, 4 not reached or
+// no majority, 5 not confirmed.
 int exit_code_of(OperatorReply const& reply);
 
 }  // namespace pipit
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -63,19 +63,19 @@
 }
 
 std::string RouterHost::metrics() const {
-  ChatCounters const& t = node_->chat_dispatcher.counters;
+  ChatCounters const& counters = node_->chat_dispatcher.counters;
   MetricsText text;
-  text.counter("pipit_asked_total", t.received);
-  text.counter("pipit_first_sends_total", t.first_sends);
-  text.counter("pipit_resends_total", t.retries);
-  text.counter("pipit_done_total", t.done);
-  text.counter("pipit_refused_total", t.refused);
-  text.counter("pipit_streams_broken_total", t.aborted);
-  text.counter("pipit_hangups_total", t.client_disconnects);
-  text.counter("pipit_expired_total", t.expired);
-  text.counter("pipit_blocks_asked_total", t.prompt_blocks);
-  text.counter("pipit_blocks_hit_total", t.cached_blocks);
-  text.counter("pipit_far_sends_total", t.cross_zone_sends);
+  text.counter("pipit_asked_total", counters.received);
+  text.counter("pipit_first_sends_total", counters.first_sends);
+  text.counter("pipit_resends_total", counters.retries);
+  text.counter("pipit_done_total", counters.done);
+  text.counter("pipit_refused_total", counters.refused);
+  text.counter("pipit_streams_broken_total", counters.aborted);
+  text.counter("pipit_hangups_total", counters.client_disconnects);
+  text.counter("pipit_expired_total", counters.expired);
+  text.counter("pipit_blocks_asked_total", counters.prompt_blocks);
+  text.counter("pipit_blocks_hit_total", counters.cached_blocks);
+  text.counter("pipit_far_sends_total", counters.cross_zone_sends);
   text.counter("pipit_wire_bytes_total", mesh_bytes_);
   text.counter("pipit_frames_in_total", node_->mesh.frames_received);
   text.counter("pipit_deltas_dropped_total", node_->index_sync.dropped);
--- a/src/server/failure_log.cc
+++ b/src/server/failure_log.cc
@@ -31,18 +31,18 @@
                        AnswerProgress const& answer, Micros now) {
   if (log_is_muted() || !may_write_line(now)) return;
   std::string detail = "id " + request_id + " " + failure_outcome_name(failed.outcome) + " " +
-                       error_code_row(failed.error).name + " route '" + failed.route + "' held " +
-                       milliseconds_text(failed.duration) + " ms left " + milliseconds_text(failed.time_remaining) +
-                       " ms sends " + std::to_string(failed.sends) + " dials " +
-                       std::to_string(failed.connect_attempts);
+                       error_code_row(failed.error).name + " route '" + failed.route + "' elapsed " +
+                       milliseconds_text(failed.duration) + " ms time left " +
+                       milliseconds_text(failed.time_remaining) + " ms sends " + std::to_string(failed.sends) +
+                       " dials " + std::to_string(failed.connect_attempts);
   if (!failed.worker.empty())
-    detail += " worker " + failed.worker + " reach " + attempt_progress_name(failed.progress) + " silent " +
+    detail += " worker " + failed.worker + " progress " + attempt_progress_name(failed.progress) + " silent " +
               milliseconds_text(failed.silent_for) + " ms";
   if (answer.received_bytes > 0)
-    detail += " taken " + std::to_string(answer.received_bytes) + " B passed " +
-              std::to_string(answer.forwarded_bytes) + " B waiting " + std::to_string(answer.backlog_bytes) +
+    detail += " received " + std::to_string(answer.received_bytes) + " B forwarded " +
+              std::to_string(answer.forwarded_bytes) + " B backlog " + std::to_string(answer.backlog_bytes) +
               " B for " + milliseconds_text(answer.blocked_for) + " ms";
-  if (!last_failure.empty()) detail += " last: " + last_failure;
+  if (!last_failure.empty()) detail += " last failure: " + last_failure;
   log_event(Event::request_failed, detail);
 }
 
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -24,7 +24,7 @@
 NodeServer::~NodeServer() {
   proxy_.reset();
   control_server_.reset();
-  ready_server_.reset();
+  readiness_server_.reset();
   metrics_server_.reset();
   connections_.reset();
   disk_.reset();
@@ -98,7 +98,7 @@
   Server::Limits control_limits;
   control_limits.body_most = options_.max_control_body_bytes;
   control_server_->limit(control_limits);
-  ready_server_ = std::make_unique<Server>(
+  readiness_server_ = std::make_unique<Server>(
       Server::Callbacks{[this](Server::Call&& call) { handle_readiness_call(std::move(call)); }, [](std::uint64_t) {}});
 
   metrics_server_ = std::make_unique<Server>(
@@ -115,7 +115,7 @@
   Result<void> done =
       connections_->listen(options_.mesh_listen_address.empty() ? options_.node.address : options_.mesh_listen_address);
   if (done && !options_.control_address.empty()) done = control_server_->listen(options_.control_address);
-  if (done && !options_.readiness_address.empty()) done = ready_server_->listen(options_.readiness_address);
+  if (done && !options_.readiness_address.empty()) done = readiness_server_->listen(options_.readiness_address);
   // The node serves without its metrics listener: another process may occupy the port.
   if (done && !options_.metrics_address.empty())
     if (Result<void> const listening = metrics_server_->listen(options_.metrics_address); !listening)
@@ -203,19 +203,19 @@
 }
 
 void NodeServer::handle_readiness_call(Server::Call&& call) {
-  bool const path = call.head.target == options_.readiness_path;
-  bool const yes = node_->accepts_requests(now()) && shutdown_started_at_ < 0;
+  bool const path_matches = call.head.target == options_.readiness_path;
+  bool const ready = node_->accepts_requests(now()) && shutdown_started_at_ < 0;
   Head head;
-  head.status = !path ? 404 : yes ? 200 : 503;
-  ready_server_->answer(call.id, head, "");
+  head.status = !path_matches ? 404 : ready ? 200 : 503;
+  readiness_server_->answer(call.id, head, "");
 }
 
 void NodeServer::handle_metrics_call(Server::Call&& call) {
-  bool const path = call.head.method == "GET" && call.head.target == "/metrics";
+  bool const path_matches = call.head.method == "GET" && call.head.target == "/metrics";
   Head head;
-  head.status = path ? 200 : 404;
+  head.status = path_matches ? 200 : 404;
   head.fields.emplace_back("Content-Type", "text/plain; version=0.0.4");
-  metrics_server_->answer(call.id, head, path ? metrics() : "");
+  metrics_server_->answer(call.id, head, path_matches ? metrics() : "");
 }
 
 void NodeServer::handle_control_call(Server::Call&& call) {
@@ -241,8 +241,8 @@
 // flight finish.
 void NodeServer::advance_shutdown(Micros at) {
   if (shutdown_started_at_ < 0) return;
-  Micros const span = at - shutdown_started_at_;
-  if (!listeners_closed_ && span >= std::min(drain_notice, options_.shutdown_grace / 3)) {
+  Micros const elapsed = at - shutdown_started_at_;
+  if (!listeners_closed_ && elapsed >= std::min(drain_notice, options_.shutdown_grace / 3)) {
     listeners_closed_ = true;
     proxy_->server.stop_listening();
     proxy_->server.close_idle();
@@ -254,9 +254,10 @@
   proxy_->server.close_idle();
   // Waits for answers that slow clients have not yet read, because they would be lost with the process. A replica also
   // waits until another node has replaced it, if there is one that can.
-  bool const finished = proxy_->server.calls() == 0 && proxy_->server.finishing() == 0;
-  bool const idle = finished && pending_changes_.empty() && pending_worker_ends_.empty() && node_->may_stop(at);
-  if (idle || span >= options_.shutdown_grace - exit_margin) g_main_loop_quit(loop_);
+  bool const requests_finished = proxy_->server.calls() == 0 && proxy_->server.finishing() == 0;
+  bool const idle =
+      requests_finished && pending_changes_.empty() && pending_worker_ends_.empty() && node_->may_stop(at);
+  if (idle || elapsed >= options_.shutdown_grace - exit_margin) g_main_loop_quit(loop_);
 }
 
 void NodeServer::tick() {
@@ -269,7 +270,7 @@
     next_cleanup_ = at + millis(500);
     proxy_->close_expired(at);
     control_server_->close_expired(at);
-    ready_server_->close_expired(at);
+    readiness_server_->close_expired(at);
     metrics_server_->close_expired(at);
   }
   if (periodic_check_ && at >= next_check_) {
--- a/src/server/node_server.h
+++ b/src/server/node_server.h
@@ -100,7 +100,7 @@
   FrameTraffic traffic_;
   std::unique_ptr<RequestProxy> proxy_;
   std::unique_ptr<Server> control_server_;
-  std::unique_ptr<Server> ready_server_;
+  std::unique_ptr<Server> readiness_server_;
   std::unique_ptr<Server> metrics_server_;
   std::unique_ptr<DiskTask> disk_;
   ControlHandler control_handler_;
--- a/src/server/node_server_status.cc
+++ b/src/server/node_server_status.cc
@@ -83,16 +83,16 @@
   }
   json.end_list().key("workers").begin_list();
   for (std::pair<std::string const, Instance> const& item : node_->registry.all) {
-    Instance const& at = item.second;
+    Instance const& instance = item.second;
     static char const* const names[] = {"serving", "leaving", "gone"};
-    json.begin_object().key("id").text(at.id).key("zone").text(at.zone).key("pool").text(at.pool);
-    json.key("standing").text(names[static_cast<std::size_t>(at.state)]).key("owner").text(at.owner);
+    json.begin_object().key("id").text(instance.id).key("zone").text(instance.zone).key("pool").text(instance.pool);
+    json.key("standing").text(names[static_cast<std::size_t>(instance.state)]).key("owner").text(instance.owner);
     json.key("doubted")
-        .boolean(at.suspected >= 0)
+        .boolean(instance.suspected >= 0)
         .key("slots")
-        .number(at.slots)
+        .number(instance.slots)
         .key("demand")
-        .number(at.load(now()))
+        .number(instance.load(now()))
         .end_object();
   }
   json.end_list().key("under_way").number(static_cast<std::int64_t>(node_->dispatcher.active_requests())).end_object();
@@ -101,22 +101,22 @@
 
 // Lists the tenants with their quotas and this node's counters. Keys are shown only as digests.
 std::string NodeServer::tenants() const {
-  Description const& rules = *node_->dispatcher.description();
+  Description const& description = *node_->dispatcher.description();
   JsonWriter json;
-  json.begin_object().key("keys_required").boolean(rules.keys_required);
+  json.begin_object().key("keys_required").boolean(description.keys_required);
   json.key("configuration_confirmed_ms_ago").number(lease_age_ms(*node_));
   json.key("keys_taken").boolean(node_->key_lease().valid(now())).key("tenants").begin_list();
-  for (Tenant const& tenant : rules.tenants) {
+  for (Tenant const& tenant : description.tenants) {
     json.begin_object().key("name").text(tenant.name).key("rank").number(tenant.rank).key("keys").begin_list();
     for (Digest const& key : tenant.keys) json.text(short_text(key));
     json.end_list().key("counts").text(tenant.unit == CountingUnit::tokens ? "tokens" : "requests");
     json.key("rate").number(tenant.rate).key("burst").number(tenant.burst);
-    TenantCounters const asked = value_at(node_->dispatcher.tenant_counters, tenant.name);
+    TenantCounters const counters = value_at(node_->dispatcher.tenant_counters, tenant.name);
     QuotaOwner::Tally const granted = value_at(node_->quota_authority().owner().tallies, tenant.name);
     json.key("here").begin_object();
-    json.key("asked").number(static_cast<std::int64_t>(asked.quota_requests));
-    json.key("refused").number(static_cast<std::int64_t>(asked.refused));
-    json.key("unreachable").number(static_cast<std::int64_t>(asked.unreachable));
+    json.key("asked").number(static_cast<std::int64_t>(counters.quota_requests));
+    json.key("refused").number(static_cast<std::int64_t>(counters.refused));
+    json.key("unreachable").number(static_cast<std::int64_t>(counters.unreachable));
     json.key("granted_for_all").number(static_cast<std::int64_t>(granted.count));
     json.end_object().end_object();
   }
@@ -134,20 +134,20 @@
 }
 
 std::string NodeServer::metrics() const {
-  DispatchCounters const& t = node_->dispatcher.counters;
+  DispatchCounters const& counters = node_->dispatcher.counters;
   MetricsText text;
-  text.counter("pipit_asked_total", t.received);
-  text.counter("pipit_done_total", t.served);
-  text.counter("pipit_refused_total", t.refused);
-  text.counter("pipit_failed_total", t.failed);
-  text.counter("pipit_passed_total", t.forwarded_failures);
-  text.counter("pipit_streams_broken_total", t.aborted);
-  text.counter("pipit_hangups_total", t.client_disconnects);
-  text.counter("pipit_first_sends_total", t.sends - t.retries);
-  text.counter("pipit_resends_total", t.retries);
-  text.counter("pipit_resumes_total", t.resumed);
-  text.counter("pipit_silences_total", t.silent_attempts);
-  text.counter("pipit_far_sends_total", t.cross_zone_sends);
+  text.counter("pipit_asked_total", counters.received);
+  text.counter("pipit_done_total", counters.served);
+  text.counter("pipit_refused_total", counters.refused);
+  text.counter("pipit_failed_total", counters.failed);
+  text.counter("pipit_passed_total", counters.forwarded_failures);
+  text.counter("pipit_streams_broken_total", counters.aborted);
+  text.counter("pipit_hangups_total", counters.client_disconnects);
+  text.counter("pipit_first_sends_total", counters.sends - counters.retries);
+  text.counter("pipit_resends_total", counters.retries);
+  text.counter("pipit_resumes_total", counters.resumed);
+  text.counter("pipit_silences_total", counters.silent_attempts);
+  text.counter("pipit_far_sends_total", counters.cross_zone_sends);
   text.counter("pipit_connections_dialled_total", proxy_->upstream.dialled);
   text.counter("pipit_connections_reused_total", proxy_->upstream.reused);
   text.counter("pipit_frames_in_total", node_->mesh.frames_received);
@@ -172,8 +172,8 @@
   text.gauges("pipit_peers", "state", peers_by_state(*node_));
   text.gauges("pipit_workers", "standing", workers_by_state(*node_));
   text.gauge("pipit_configuration_confirmed_ms_ago", age_ms(node_->key_lease().confirmed_at(), now()));
-  text.counter("pipit_keys_unknown_total", t.unknown_keys);
-  text.counter("pipit_keys_unconfirmed_total", t.unconfirmed);
+  text.counter("pipit_keys_unknown_total", counters.unknown_keys);
+  text.counter("pipit_keys_unconfirmed_total", counters.unconfirmed);
   text.counter("pipit_quota_messages_total", node_->quota_authority().client().tally.messages);
   text.counter("pipit_quota_timeouts_total", node_->quota_authority().client().tally.timeouts);
   text.counters("pipit_quota_asked_total", "tenant", by_tenant(&TenantCounters::quota_requests));
