--- a/src/runtime/http/chat_server.h
+++ b/src/runtime/http/chat_server.h
@@ -40,7 +40,7 @@
   void answer(std::uint64_t id, unsigned status, std::string const& type, std::string const& body,
               std::map<std::string, std::string> const& headers = {});
   // Sends an error answer, with Retry-After if it has a delay.
-  void answer(std::uint64_t id, Answer const& answer);
+  void answer(std::uint64_t id, ErrorResponse const& answer);
   // Sends a chunk of an event stream; the first chunk is preceded by the head with the given header fields. Closes the
   // connection if the client leaves too much unread.
   void write_chunk(std::uint64_t id, std::string const& bytes, std::map<std::string, std::string> const& headers = {});
--- a/src/runtime/mesh/connections.h
+++ b/src/runtime/mesh/connections.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/error.h"
-#include "net/link.h"
+#include "net/tcp_connection.h"
 #include "mesh/effects.h"
 
 namespace pipit {
@@ -44,22 +44,22 @@
  private:
   struct Connection {
     ConnectionId id = 0;
-    std::shared_ptr<Link> link;
+    std::shared_ptr<TcpConnection> link;
     std::string dialled_address;  // set until the connection is open
     std::string received;         // start of an incomplete frame
   };
   void adopt(std::shared_ptr<Connection> const& connection, bool outbound);
   void receive(Connection& connection, std::string_view bytes);
-  void handle_close(ConnectionId id, Link::End how);
+  void handle_close(ConnectionId id, TcpConnection::CloseReason how);
   void drop_overfull(ConnectionId id);
   ConnectionId largest_backlog() const;
 
   Callbacks callbacks_;
-  Door door_;
+  Listener door_;
   std::string own_host_;
   ConnectionId next_id_ = 0;
   std::map<ConnectionId, std::shared_ptr<Connection>> connections_;
-  std::vector<std::weak_ptr<Link>> closing_;  // closed connections that still have bytes to send
+  std::vector<std::weak_ptr<TcpConnection>> closing_;  // closed connections that still have bytes to send
 };
 
 }  // namespace pipit
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -94,15 +94,15 @@
   proxy_ = std::make_unique<RequestProxy>(node_->dispatcher, options_.header_names, options_.own_host,
                                           std::move(proxy_callbacks));
   control_server_ = std::make_unique<Server>(
-      Server::Callbacks{[this](Server::Call&& call) { handle_control_call(std::move(call)); }, [](std::uint64_t) {}});
+      Server::Callbacks{[this](Server::Request&& call) { handle_control_call(std::move(call)); }, [](std::uint64_t) {}});
   Server::Limits control_limits;
-  control_limits.body_most = options_.max_control_body_bytes;
-  control_server_->limit(control_limits);
+  control_limits.max_body_bytes = options_.max_control_body_bytes;
+  control_server_->set_limits(control_limits);
   readiness_server_ = std::make_unique<Server>(
-      Server::Callbacks{[this](Server::Call&& call) { handle_readiness_call(std::move(call)); }, [](std::uint64_t) {}});
+      Server::Callbacks{[this](Server::Request&& call) { handle_readiness_call(std::move(call)); }, [](std::uint64_t) {}});
 
   metrics_server_ = std::make_unique<Server>(
-      Server::Callbacks{[this](Server::Call&& call) { handle_metrics_call(std::move(call)); }, [](std::uint64_t) {}});
+      Server::Callbacks{[this](Server::Request&& call) { handle_metrics_call(std::move(call)); }, [](std::uint64_t) {}});
   if (ring)
     disk_ = std::make_unique<DiskTask>(
         std::move(posix), std::move(ring),
@@ -194,7 +194,7 @@
   head.status = status;
   head.fields = fields;
   head.fields.emplace_back("Content-Type", "application/json");
-  control_server_->answer(call, head, body);
+  control_server_->respond(call, head, body);
 }
 
 void NodeServer::record_operator_call(std::string const& call, unsigned status, std::string const& why) {
@@ -202,23 +202,23 @@
   log_event(Event::operator_call_answered, call + " " + std::to_string(status) + (why.empty() ? "" : " " + why));
 }
 
-void NodeServer::handle_readiness_call(Server::Call&& call) {
+void NodeServer::handle_readiness_call(Server::Request&& call) {
   bool const path_matches = call.head.target == options_.readiness_path;
   bool const ready = node_->accepts_requests(now()) && shutdown_started_at_ < 0;
   Head head;
   head.status = !path_matches ? 404 : ready ? 200 : 503;
-  readiness_server_->answer(call.id, head, "");
+  readiness_server_->respond(call.id, head, "");
 }
 
-void NodeServer::handle_metrics_call(Server::Call&& call) {
+void NodeServer::handle_metrics_call(Server::Request&& call) {
   bool const path_matches = call.head.method == "GET" && call.head.target == "/metrics";
   Head head;
   head.status = path_matches ? 200 : 404;
   head.fields.emplace_back("Content-Type", "text/plain; version=0.0.4");
-  metrics_server_->answer(call.id, head, path_matches ? metrics() : "");
+  metrics_server_->respond(call.id, head, path_matches ? metrics() : "");
 }
 
-void NodeServer::handle_control_call(Server::Call&& call) {
+void NodeServer::handle_control_call(Server::Request&& call) {
   std::uint64_t const id = call.id;
   if (control_handler_ && control_handler_(call)) return;
   // Paths that all programs of the product serve (docs/api.md).
@@ -226,13 +226,13 @@
   if (call.head.method == "GET" && call.head.target == "/v1/status") return answer(id, 200, status());
   if (call.head.method == "GET" && call.head.target == "/v1/tenants") return answer(id, 200, tenants());
   if (call.head.method == "GET" && call.head.target == "/metrics") return answer(id, 200, metrics());
-  answer(id, 404, answer_for(Error{ErrorCode::not_found, "", ""}).body);
+  answer(id, 404, error_response(Error{ErrorCode::not_found, "", ""}).body);
 }
 
 void NodeServer::begin_shutdown() {
   if (shutdown_started_at_ >= 0) return;
   shutdown_started_at_ = now();
-  proxy_->server.closing();
+  proxy_->server.close_after_responses();
   node_->retire();
   log_event(Event::grace_began, "");
 }
@@ -245,16 +245,16 @@
   if (!listeners_closed_ && elapsed >= std::min(drain_notice, options_.shutdown_grace / 3)) {
     listeners_closed_ = true;
     proxy_->server.stop_listening();
-    proxy_->server.close_idle();
+    proxy_->server.close_idle_connections();
     NodeEffects out;
     node_->drain(at, out);
     apply_effects(out);
   }
   if (!listeners_closed_) return;
-  proxy_->server.close_idle();
+  proxy_->server.close_idle_connections();
   // Waits for answers that slow clients have not yet read, because they would be lost with the process. A replica also
   // waits until another node has replaced it, if there is one that can.
-  bool const requests_finished = proxy_->server.calls() == 0 && proxy_->server.finishing() == 0;
+  bool const requests_finished = proxy_->server.active_requests() == 0 && proxy_->server.flushing_connections() == 0;
   bool const idle =
       requests_finished && pending_changes_.empty() && pending_worker_ends_.empty() && node_->may_stop(at);
   if (idle || elapsed >= options_.shutdown_grace - exit_margin) g_main_loop_quit(loop_);
--- a/src/server/node_server.h
+++ b/src/server/node_server.h
@@ -39,7 +39,7 @@
 class NodeServer {
  public:
   // Handles a call at the control address. Returns false if the path is not one of the handler's.
-  using ControlHandler = std::function<bool(Server::Call&)>;
+  using ControlHandler = std::function<bool(Server::Request&)>;
   using ChangeCallback = std::function<void(ChangeReply const&)>;
   using PeriodicCheck = std::function<void()>;
 
@@ -84,9 +84,9 @@
 
  private:
   void apply_effects(NodeEffects& out);
-  void handle_control_call(Server::Call&& call);
-  void handle_readiness_call(Server::Call&& call);
-  void handle_metrics_call(Server::Call&& call);
+  void handle_control_call(Server::Request&& call);
+  void handle_readiness_call(Server::Request&& call);
+  void handle_metrics_call(Server::Request&& call);
   void advance_shutdown(Micros now);
   std::string status() const;
   std::string metrics() const;
--- a/src/server/request_proxy.cc
+++ b/src/server/request_proxy.cc
@@ -54,7 +54,7 @@
 bool has_conflicting_values(Head const& head, std::string const& name) {
   std::string const first = head.get(name);
   for (std::pair<std::string, std::string> const& item : head.fields)
-    if (same_letters(item.first, name) && item.second != first) return true;
+    if (equals_ignoring_case(item.first, name) && item.second != first) return true;
   return false;
 }
 
@@ -76,8 +76,8 @@
 // Replaces the client's key and tenant fields by the tenant that this node determined: workers never see a key, and
 // clients cannot choose their tenant.
 void set_tenant(Head& head, HeaderNames const& header_names, std::string const& tenant) {
-  head.drop(header_names.authorization);
-  head.drop(header_names.tenant);
+  head.remove(header_names.authorization);
+  head.remove(header_names.tenant);
   if (!tenant.empty()) head.set(header_names.tenant, tenant);
 }
 
@@ -85,13 +85,13 @@
 std::optional<Digest> api_key_of(Head const& head, HeaderNames const& header_names) {
   std::string const* value = nullptr;
   for (std::pair<std::string, std::string> const& item : head.fields) {
-    if (!same_letters(item.first, header_names.authorization)) continue;
+    if (!equals_ignoring_case(item.first, header_names.authorization)) continue;
     if (value != nullptr) return std::nullopt;
     value = &item.second;
   }
   if (value == nullptr) return std::nullopt;
   std::size_t const space = value->find(' ');
-  if (space == std::string::npos || !same_letters(value->substr(0, space), header_names.scheme)) return std::nullopt;
+  if (space == std::string::npos || !equals_ignoring_case(value->substr(0, space), header_names.scheme)) return std::nullopt;
   std::size_t const begin = value->find_first_not_of(' ', space);
   if (begin == std::string::npos) return std::nullopt;
   std::size_t const end = value->find_last_not_of(" \t");
@@ -100,10 +100,10 @@
 }  // namespace
 
 RequestProxy::RequestProxy(Dispatcher& dispatcher, HeaderNames header_names, std::string own_host, Callbacks callbacks)
-    : server({[this](Server::Call&& call) { handle_call(std::move(call)); },
+    : server({[this](Server::Request&& call) { handle_call(std::move(call)); },
               [this](std::uint64_t id) {
                 if (requests_.count(id) == 0) return;
-                upstream.cut(id);
+                upstream.cancel(id);
                 if (std::optional<FailedRequest> const failed = callbacks_.disconnected(id)) log_failure(*failed);
                 requests_.erase(id);
               }}),
@@ -115,7 +115,7 @@
                 [this](std::uint64_t id, Head const& head, bool first) { return on_head(id, head, first); },
                 [this](std::uint64_t id, std::string_view bytes) { on_body(id, bytes); },
                 [this](std::uint64_t id) { on_done(id); },
-                [this](std::uint64_t id, Upstream::End end, std::string const& why) { on_ended(id, end, why); }},
+                [this](std::uint64_t id, UpstreamPool::Failure end, std::string const& why) { on_ended(id, end, why); }},
                std::move(own_host)),
       dispatcher_(dispatcher),
       header_names_(std::move(header_names)),
@@ -124,11 +124,11 @@
 
 void RequestProxy::set_limits(CallLimits const& from) {
   Server::Limits out;
-  out.head_most = static_cast<std::size_t>(from.head_bytes);
-  out.body_most = static_cast<std::size_t>(from.body_bytes);
-  out.head_time = from.head_time;
-  out.idle = from.idle;
-  server.limit(out);
+  out.max_head_bytes = static_cast<std::size_t>(from.max_header_bytes);
+  out.max_body_bytes = static_cast<std::size_t>(from.max_body_bytes);
+  out.head_timeout = from.header_timeout;
+  out.idle_timeout = from.idle_timeout;
+  server.set_limits(out);
 }
 
 void RequestProxy::close_expired(Micros now) {
@@ -136,9 +136,9 @@
   upstream.close_expired(now);
 }
 
-void RequestProxy::handle_call(Server::Call&& call) {
+void RequestProxy::handle_call(Server::Request&& call) {
   // The client has already closed its connection; no worker should start on the request.
-  if (server.given_up(call.id)) return;
+  if (server.closed_by_client(call.id)) return;
   RequestInfo info;
   info.host = call.head.get("Host");
   std::size_t const port = info.host.rfind(':');
@@ -157,7 +157,7 @@
   info.last_event_id = call.head.get(header_names_.last_event_id);
   ProxiedRequest request;
   request.head = std::move(call.head);
-  drop_hop_fields(request.head, end_to_end_);
+  remove_hop_by_hop_fields(request.head, end_to_end_);
   request.body = std::move(call.body);
   request.request_id = request.head.get(header_names_.request_id);
   request.last_event_id = info.last_event_id;
@@ -190,20 +190,20 @@
 
 void RequestProxy::apply_effects(DispatchEffects& out) {
   for (FailedRequest const& failed : out.failed_requests) log_failure(failed);
-  for (std::uint64_t const id : out.cancelled_attempts) upstream.cut(id);
+  for (std::uint64_t const id : out.cancelled_attempts) upstream.cancel(id);
   for (std::uint64_t const id : out.forwarded_failures) {
     std::map<std::uint64_t, ProxiedRequest>::iterator const position = requests_.find(id);
     if (position == requests_.end()) continue;
     ProxiedRequest const request = std::move(position->second);
     requests_.erase(position);
-    server.answer(id, request.answer_head, request.buffered);
+    server.respond(id, request.answer_head, request.buffered);
   }
   for (Rejection const& rejection : out.rejections) reject(rejection);
   for (std::uint64_t const id : out.aborted_answers) {
     std::map<std::uint64_t, ProxiedRequest>::const_iterator const position = requests_.find(id);
     log_event(Event::stream_broken, position == requests_.end() ? "" : position->second.request_id);
     requests_.erase(id);
-    server.break_off(id);
+    server.abort_response(id);
   }
   std::vector<Attempt> const attempts = std::move(out.attempts);
   out.attempts.clear();
@@ -214,7 +214,7 @@
   ++error_answers[error_code_row(rejection.error).name];
   ExecutionStatus const execution =
       rejection.retry_after > 0 ? ExecutionStatus::no : error_code_row(rejection.error).execution;
-  Answer const answer = answer_for(Error{rejection.error, "", ""}, execution, rejection.retry_after);
+  ErrorResponse const answer = error_response(Error{rejection.error, "", ""}, execution, rejection.retry_after);
   Head head;
   // A rejection with a retry delay means that the request was not run, even if the error code leaves that open.
   head.status = rejection.retry_after > 0 && !implies_not_executed(answer.status) ? 503 : answer.status;
@@ -236,7 +236,7 @@
     });
     requests_.erase(position);
   }
-  server.answer(rejection.request, head, answer.body);
+  server.respond(rejection.request, head, answer.body);
 }
 
 void RequestProxy::start_attempt(Attempt const& attempt) {
@@ -259,24 +259,24 @@
   request.tail.clear();
   Head head = request.head;
   head.set(header_names_.time_remaining, std::to_string(std::max<Micros>(1, attempt.timeout / 1000)));
-  if (guard(RequestGuard::instance)) head.set(header_names_.instance, attempt.instance);
+  if (guard_enabled(RequestGuard::instance)) head.set(header_names_.instance, attempt.instance);
   head.set(header_names_.priority, std::to_string(std::clamp<std::int64_t>(attempt.rank, 0, 9)));
   if (attempt.keys_required) set_tenant(head, header_names_, attempt.tenant);
   if (request.resumed && !request.last_event_id.empty()) head.set(header_names_.last_event_id, request.last_event_id);
-  std::string bytes = request_text(head, static_cast<std::int64_t>(request.body.size()));
+  std::string bytes = serialize_request_head(head, static_cast<std::int64_t>(request.body.size()));
   bytes += request.body;
-  upstream.start(attempt.request, attempt.instance, attempt.address, std::move(bytes), attempt.connect_timeout);
+  upstream.start_request(attempt.request, attempt.instance, attempt.address, std::move(bytes), attempt.connect_timeout);
 }
 
-Upstream::Owner RequestProxy::on_head(std::uint64_t id, Head const& head, bool first) {
+UpstreamPool::ResponseOwner RequestProxy::on_head(std::uint64_t id, Head const& head, bool first) {
   std::map<std::uint64_t, ProxiedRequest>::iterator const position = requests_.find(id);
-  if (position == requests_.end()) return Upstream::Owner::asker;
+  if (position == requests_.end()) return UpstreamPool::ResponseOwner::current_request;
   ProxiedRequest& request = position->second;
-  if (head.status < 200) return Upstream::Owner::other;
+  if (head.status < 200) return UpstreamPool::ResponseOwner::other_request;
   std::string const answered_id = head.get(header_names_.request_id);
-  bool const is_own_answer = answered_id == request.request_id || !guard(RequestGuard::answer_id);
-  if (!answered_id.empty() && !is_own_answer) return Upstream::Owner::other;
-  if (has_conflicting_values(head, header_names_.request_id)) return Upstream::Owner::nobody;
+  bool const is_own_answer = answered_id == request.request_id || !guard_enabled(RequestGuard::answer_id);
+  if (!answered_id.empty() && !is_own_answer) return UpstreamPool::ResponseOwner::other_request;
+  if (has_conflicting_values(head, header_names_.request_id)) return UpstreamPool::ResponseOwner::none;
   if (std::string const* const load = head.find(header_names_.load)) {
     char* rest = nullptr;
     std::int64_t const running = parse_count(load->c_str(), &rest);
@@ -285,25 +285,25 @@
   }
   bool const not_run = head.find(header_names_.not_executed) != nullptr;
   request.wrong_instance = head.status == 421;
-  request.declined = not_run || request.wrong_instance || (head.status == 429 && !guard(RequestGuard::not_run_proof));
+  request.declined = not_run || request.wrong_instance || (head.status == 429 && !guard_enabled(RequestGuard::not_run_proof));
   request.failed = !request.declined && head.status >= 300;
   request.withheld = request.failed && implies_not_executed(head.status);
   // A refusal without the request id is accepted only as the first answer on its connection; later, it could be a
   // delayed answer to an earlier request.
-  bool const unnamed_refusal = request.declined && (first || !guard(RequestGuard::answer_id));
+  bool const unnamed_refusal = request.declined && (first || !guard_enabled(RequestGuard::answer_id));
   if (answered_id.empty() && !is_own_answer && !unnamed_refusal) {
     request.declined = request.wrong_instance = false;
-    return Upstream::Owner::nobody;
+    return UpstreamPool::ResponseOwner::none;
   }
   bool const sealed =
-      header_names_.seal.empty() || !guard(RequestGuard::seal) || head.find(header_names_.seal) != nullptr;
-  if (!request.declined && !request.failed && !sealed) return Upstream::Owner::nobody;
-  request.ends_at_close = head.length < 0 && !head.chunked && !bodiless(head.status) && request.head.method != "HEAD";
-  if (request.resumed) return Upstream::Owner::asker;
+      header_names_.seal.empty() || !guard_enabled(RequestGuard::seal) || head.find(header_names_.seal) != nullptr;
+  if (!request.declined && !request.failed && !sealed) return UpstreamPool::ResponseOwner::none;
+  request.ends_at_close = head.content_length < 0 && !head.chunked && !status_forbids_body(head.status) && request.head.method != "HEAD";
+  if (request.resumed) return UpstreamPool::ResponseOwner::current_request;
   request.answer_head = head;
-  drop_hop_fields(request.answer_head, end_to_end_);
-  request.answer_head.length = head.length;
-  return Upstream::Owner::asker;
+  remove_hop_by_hop_fields(request.answer_head, end_to_end_);
+  request.answer_head.content_length = head.content_length;
+  return UpstreamPool::ResponseOwner::current_request;
 }
 
 // Takes the complete events out of the buffer and records the id of the last one.
@@ -325,7 +325,7 @@
     std::string const name = event_id_of(event);
     std::uint64_t number = 0;
     // A worker that resumes a stream may start before the event that it was given; skips what the client already has.
-    if (request.resumed && known && guard(RequestGuard::event_order) && parse_number(name, number) && number <= last)
+    if (request.resumed && known && guard_enabled(RequestGuard::event_order) && parse_number(name, number) && number <= last)
       continue;
     std::uint64_t before = 0;
     bool const first_of_resumed =
@@ -358,14 +358,14 @@
   if (!request.answer_begun) {
     request.answer_begun = true;
     check_own_answer(request);
-    std::int64_t const length = request.resumable ? -1 : request.answer_head.length;
-    server.begin(id, request.answer_head, length);
+    std::int64_t const length = request.resumable ? -1 : request.answer_head.content_length;
+    server.begin_response(id, request.answer_head, length);
     dispatcher_.on_answer_begin(id, now());
   } else {
     dispatcher_.on_answer_event(id, now());
   }
   request.forwarded_bytes += bytes.size();
-  server.write_chunk(id, bytes);
+  server.write_body(id, bytes);
 }
 
 void RequestProxy::on_body(std::uint64_t id, std::string_view bytes) {
@@ -393,7 +393,7 @@
 // A worker may fail at any byte. If the end of the connection is the only end mark of a stream, the stream is complete
 // only if its last event is.
 bool RequestProxy::ends_within_event(ProxiedRequest const& request) {
-  return request.streams && request.ends_at_close && guard(RequestGuard::event_end) &&
+  return request.streams && request.ends_at_close && guard_enabled(RequestGuard::event_end) &&
          !request.tail.ends_with("\n\n") && !request.tail.ends_with("\r\n\r\n");
 }
 
@@ -412,23 +412,23 @@
   }
   if (!request.answer_begun) {
     check_own_answer(request);
-    server.begin(id, request.answer_head,
-                 request.resumable ? -1 : std::max<std::int64_t>(0, request.answer_head.length));
+    server.begin_response(id, request.answer_head,
+                 request.resumable ? -1 : std::max<std::int64_t>(0, request.answer_head.content_length));
   }
-  server.end(id);
+  server.end_response(id);
   requests_.erase(position);
   callbacks_.attempt_ended(id, AttemptEnd::complete, false);
 }
 
-void RequestProxy::on_ended(std::uint64_t id, Upstream::End end, std::string const& why) {
+void RequestProxy::on_ended(std::uint64_t id, UpstreamPool::Failure end, std::string const& why) {
   std::map<std::uint64_t, ProxiedRequest>::iterator const position = requests_.find(id);
   if (position == requests_.end()) return;
   position->second.last_failure = why;
   log_event(Event::attempt_failed, position->second.request_id + " at " + position->second.instance + " " + why);
-  if (end == Upstream::End::torn && !guard(RequestGuard::torn_visible)) return on_done(id);
+  if (end == UpstreamPool::Failure::truncated && !guard_enabled(RequestGuard::torn_visible)) return on_done(id);
   // The worker reported before the failure that it did not run the request; that still holds.
   if (position->second.declined) return report_declined(id, position->second);
-  callbacks_.attempt_ended(id, end == Upstream::End::unreached ? AttemptEnd::unreached : AttemptEnd::broke, false);
+  callbacks_.attempt_ended(id, end == UpstreamPool::Failure::connect_failed ? AttemptEnd::unreached : AttemptEnd::broke, false);
 }
 
 }  // namespace pipit
--- a/testing/request_model_checker/request_path_model.h
+++ b/testing/request_model_checker/request_path_model.h
@@ -88,7 +88,7 @@
   void advance_time(Micros span);
   void add_fault(std::string const& text);
   void record_event(std::string const& text);
-  std::shared_ptr<Link> dial(std::string const& address);
+  std::shared_ptr<TcpConnection> dial(std::string const& address);
   std::string success_head(Worker const& worker, ClientRequest const& item) const;
 
   Choose choose_;
--- a/tests/listener_out_of_descriptors.cc
+++ b/tests/listener_out_of_descriptors.cc
@@ -5,7 +5,7 @@
 
 #include <vector>
 
-#include "net/link.h"
+#include "net/tcp_connection.h"
 #include "tests/loopback.h"
 
 namespace pipit {
@@ -39,13 +39,13 @@
 }  // namespace
 
 TEST(Listener, pauses_accepting_when_no_descriptor_is_left) {
-  std::vector<std::shared_ptr<Link>> accepted;
-  Door listener;
+  std::vector<std::shared_ptr<TcpConnection>> accepted;
+  Listener listener;
   std::string const address = listen_on_free_port([&](std::string const& at) {
-    return listener.open(at, [&accepted](std::shared_ptr<Link> link) { accepted.push_back(std::move(link)); });
+    return listener.open(at, [&accepted](std::shared_ptr<TcpConnection> link) { accepted.push_back(std::move(link)); });
   });
-  std::vector<std::shared_ptr<Link>> clients;
-  for (int n = 0; n < 3; ++n) clients.push_back(Link::dial(address, "", seconds(5)));
+  std::vector<std::shared_ptr<TcpConnection>> clients;
+  for (int n = 0; n < 3; ++n) clients.push_back(TcpConnection::dial(address, "", seconds(5)));
   {
     DescriptorExhaustion exhaustion;
     EXPECT_LT(turns_until_idle(), max_turns) << "the loop must not spin on connections that it cannot accept";
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -12,7 +12,7 @@
 #include <memory>
 #include <string>
 
-#include "net/link.h"
+#include "net/tcp_connection.h"
 
 namespace pipit {
 
@@ -60,22 +60,22 @@
 
 // A connection that records what it receives and how it ended.
 struct LoopbackStream {
-  std::shared_ptr<Link> link;
+  std::shared_ptr<TcpConnection> link;
   std::string received;
   bool connected = false;
   bool closed = false;
-  Link::End end = Link::End::closed;
+  TcpConnection::CloseReason end = TcpConnection::CloseReason::closed;
 
   void watch() {
-    link->listen({[this] { connected = true; }, [this](std::string_view bytes) { received.append(bytes); },
-                  [this](Link::End end_) {
+    link->set_callbacks({[this] { connected = true; }, [this](std::string_view bytes) { received.append(bytes); },
+                  [this](TcpConnection::CloseReason end_) {
                     closed = true;
                     end = end_;
                   },
                   nullptr});
   }
-  explicit LoopbackStream(std::shared_ptr<Link> link_) : link(std::move(link_)), connected(true) { watch(); }
-  explicit LoopbackStream(std::string const& address) : link(Link::dial(address, "", seconds(10))) {
+  explicit LoopbackStream(std::shared_ptr<TcpConnection> link_) : link(std::move(link_)), connected(true) { watch(); }
+  explicit LoopbackStream(std::string const& address) : link(TcpConnection::dial(address, "", seconds(10))) {
     watch();
     EXPECT_TRUE(until([this] { return connected || closed; }));
   }
--- a/tests/node_server.cc
+++ b/tests/node_server.cc
@@ -22,7 +22,7 @@
     metrics = plan.metrics_address;
     node_server = std::make_unique<NodeServer>(std::move(plan));
     calls = std::make_unique<ControlCalls>(*node_server, address);
-    node_server->set_control_handler([this](Server::Call& call) { return calls->handle(call); });
+    node_server->set_control_handler([this](Server::Request& call) { return calls->handle(call); });
     EXPECT_TRUE(node_server->open());
   }
 
