--- a/src/runtime/mesh/connections.cc
+++ b/src/runtime/mesh/connections.cc
@@ -44,14 +44,14 @@
     return;
   }
   connections_[connection->id] = connection;
-  connection->link->set_callbacks({[this, id = connection->id] {
-                              std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position =
-                                  connections_.find(id);
-                              if (position == connections_.end()) return;
-                              std::shared_ptr<Connection> const dialled = position->second;
-                              adopt(dialled, true);
-                            },
-                            nullptr, [this, id = connection->id](TcpConnection::CloseReason how) { handle_close(id, how); }, nullptr});
+  connection->link->set_callbacks(
+      {[this, id = connection->id] {
+         std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position = connections_.find(id);
+         if (position == connections_.end()) return;
+         std::shared_ptr<Connection> const dialled = position->second;
+         adopt(dialled, true);
+       },
+       nullptr, [this, id = connection->id](TcpConnection::CloseReason how) { handle_close(id, how); }, nullptr});
 }
 
 void Connections::adopt(std::shared_ptr<Connection> const& connection, bool outbound) {
@@ -60,14 +60,14 @@
   connection->dialled_address.clear();
   connections_[id] = connection;
   connection->link->set_callbacks({nullptr,
-                            [this, id](std::string_view bytes) {
-                              std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position =
-                                  connections_.find(id);
-                              if (position == connections_.end()) return;
-                              std::shared_ptr<Connection> const receiver = position->second;
-                              receive(*receiver, bytes);
-                            },
-                            [this, id](TcpConnection::CloseReason how) { handle_close(id, how); }, nullptr});
+                                   [this, id](std::string_view bytes) {
+                                     std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position =
+                                         connections_.find(id);
+                                     if (position == connections_.end()) return;
+                                     std::shared_ptr<Connection> const receiver = position->second;
+                                     receive(*receiver, bytes);
+                                   },
+                                   [this, id](TcpConnection::CloseReason how) { handle_close(id, how); }, nullptr});
   callbacks_.opened(id, outbound, address);
 }
 
--- a/src/runtime/operator_calls.cc
+++ b/src/runtime/operator_calls.cc
@@ -38,8 +38,8 @@
 
 void RouterHost::handle_chat_call(ChatServer::Call const& call, bool chat) {
   if (call.body.size() > settings_.max_body_bytes)
-    return refuse(call.id,
-                  Error{ErrorCode::too_large, "a body has at most " + std::to_string(settings_.max_body_bytes) + " bytes", ""});
+    return refuse(call.id, Error{ErrorCode::too_large,
+                                 "a body has at most " + std::to_string(settings_.max_body_bytes) + " bytes", ""});
   Result<ChatRequestInfo> info = parse_chat_request(call.body, chat ? ChatApi::chat : ChatApi::completion);
   if (!info) return refuse(call.id, info.error());
   info.value().lane = call.header("X-Pipit-Lane");
--- a/src/runtime/router_host.cc
+++ b/src/runtime/router_host.cc
@@ -208,18 +208,18 @@
       node_->handle_worker_list(std::nullopt, true, now(), more);
       apply_effects(more);
     } else {
-      upstream_->fetch(settings_.platform, "/workers", seconds(1),
-                       [this](bool good, bool refused, std::string const& body) {
-                         std::optional<std::vector<ListRow>> rows;
-                         if (good) {
-                           Result<std::vector<ListRow>> read =
-                               read_worker_list(fault_fires(FaultPoint::list_torn) ? body.substr(0, body.size() / 2) : body);
-                           if (read) rows = std::move(read.value());
-                         }
-                         NodeEffects more;
-                         node_->handle_worker_list(rows, refused || !body.empty(), now(), more);
-                         apply_effects(more);
-                       });
+      upstream_->fetch(
+          settings_.platform, "/workers", seconds(1), [this](bool good, bool refused, std::string const& body) {
+            std::optional<std::vector<ListRow>> rows;
+            if (good) {
+              Result<std::vector<ListRow>> read =
+                  read_worker_list(fault_fires(FaultPoint::list_torn) ? body.substr(0, body.size() / 2) : body);
+              if (read) rows = std::move(read.value());
+            }
+            NodeEffects more;
+            node_->handle_worker_list(rows, refused || !body.empty(), now(), more);
+            apply_effects(more);
+          });
     }
   }
   for (HealthCheck const& check : out.health_checks) {
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -93,16 +93,16 @@
   proxy_callbacks.disconnected = [this](std::uint64_t id) { return node_->dispatcher.on_client_disconnect(id, now()); };
   proxy_ = std::make_unique<RequestProxy>(node_->dispatcher, options_.header_names, options_.own_host,
                                           std::move(proxy_callbacks));
-  control_server_ = std::make_unique<Server>(
-      Server::Callbacks{[this](Server::Request&& call) { handle_control_call(std::move(call)); }, [](std::uint64_t) {}});
+  control_server_ = std::make_unique<Server>(Server::Callbacks{
+      [this](Server::Request&& call) { handle_control_call(std::move(call)); }, [](std::uint64_t) {}});
   Server::Limits control_limits;
   control_limits.max_body_bytes = options_.max_control_body_bytes;
   control_server_->set_limits(control_limits);
-  readiness_server_ = std::make_unique<Server>(
-      Server::Callbacks{[this](Server::Request&& call) { handle_readiness_call(std::move(call)); }, [](std::uint64_t) {}});
+  readiness_server_ = std::make_unique<Server>(Server::Callbacks{
+      [this](Server::Request&& call) { handle_readiness_call(std::move(call)); }, [](std::uint64_t) {}});
 
-  metrics_server_ = std::make_unique<Server>(
-      Server::Callbacks{[this](Server::Request&& call) { handle_metrics_call(std::move(call)); }, [](std::uint64_t) {}});
+  metrics_server_ = std::make_unique<Server>(Server::Callbacks{
+      [this](Server::Request&& call) { handle_metrics_call(std::move(call)); }, [](std::uint64_t) {}});
   if (ring)
     disk_ = std::make_unique<DiskTask>(
         std::move(posix), std::move(ring),
--- a/src/server/request_proxy.cc
+++ b/src/server/request_proxy.cc
@@ -91,7 +91,8 @@
   }
   if (value == nullptr) return std::nullopt;
   std::size_t const space = value->find(' ');
-  if (space == std::string::npos || !equals_ignoring_case(value->substr(0, space), header_names.scheme)) return std::nullopt;
+  if (space == std::string::npos || !equals_ignoring_case(value->substr(0, space), header_names.scheme))
+    return std::nullopt;
   std::size_t const begin = value->find_first_not_of(' ', space);
   if (begin == std::string::npos) return std::nullopt;
   std::size_t const end = value->find_last_not_of(" \t");
@@ -107,16 +108,17 @@
                 if (std::optional<FailedRequest> const failed = callbacks_.disconnected(id)) log_failure(*failed);
                 requests_.erase(id);
               }}),
-      upstream({[this](std::uint64_t id) {
-                  std::map<std::uint64_t, ProxiedRequest>::iterator const position = requests_.find(id);
-                  if (position != requests_.end()) ++position->second.attempts_sent;
-                  dispatcher_.on_sent(id, now());
-                },
-                [this](std::uint64_t id, Head const& head, bool first) { return on_head(id, head, first); },
-                [this](std::uint64_t id, std::string_view bytes) { on_body(id, bytes); },
-                [this](std::uint64_t id) { on_done(id); },
-                [this](std::uint64_t id, UpstreamPool::Failure end, std::string const& why) { on_ended(id, end, why); }},
-               std::move(own_host)),
+      upstream(
+          {[this](std::uint64_t id) {
+             std::map<std::uint64_t, ProxiedRequest>::iterator const position = requests_.find(id);
+             if (position != requests_.end()) ++position->second.attempts_sent;
+             dispatcher_.on_sent(id, now());
+           },
+           [this](std::uint64_t id, Head const& head, bool first) { return on_head(id, head, first); },
+           [this](std::uint64_t id, std::string_view bytes) { on_body(id, bytes); },
+           [this](std::uint64_t id) { on_done(id); },
+           [this](std::uint64_t id, UpstreamPool::Failure end, std::string const& why) { on_ended(id, end, why); }},
+          std::move(own_host)),
       dispatcher_(dispatcher),
       header_names_(std::move(header_names)),
       end_to_end_(header_names_.end_to_end_fields()),
@@ -285,7 +287,8 @@
   }
   bool const not_run = head.find(header_names_.not_executed) != nullptr;
   request.wrong_instance = head.status == 421;
-  request.declined = not_run || request.wrong_instance || (head.status == 429 && !guard_enabled(RequestGuard::not_run_proof));
+  request.declined =
+      not_run || request.wrong_instance || (head.status == 429 && !guard_enabled(RequestGuard::not_run_proof));
   request.failed = !request.declined && head.status >= 300;
   request.withheld = request.failed && implies_not_executed(head.status);
   // A refusal without the request id is accepted only as the first answer on its connection; later, it could be a
@@ -298,7 +301,8 @@
   bool const sealed =
       header_names_.seal.empty() || !guard_enabled(RequestGuard::seal) || head.find(header_names_.seal) != nullptr;
   if (!request.declined && !request.failed && !sealed) return UpstreamPool::ResponseOwner::none;
-  request.ends_at_close = head.content_length < 0 && !head.chunked && !status_forbids_body(head.status) && request.head.method != "HEAD";
+  request.ends_at_close =
+      head.content_length < 0 && !head.chunked && !status_forbids_body(head.status) && request.head.method != "HEAD";
   if (request.resumed) return UpstreamPool::ResponseOwner::current_request;
   request.answer_head = head;
   remove_hop_by_hop_fields(request.answer_head, end_to_end_);
@@ -325,7 +329,8 @@
     std::string const name = event_id_of(event);
     std::uint64_t number = 0;
     // A worker that resumes a stream may start before the event that it was given; skips what the client already has.
-    if (request.resumed && known && guard_enabled(RequestGuard::event_order) && parse_number(name, number) && number <= last)
+    if (request.resumed && known && guard_enabled(RequestGuard::event_order) && parse_number(name, number) &&
+        number <= last)
       continue;
     std::uint64_t before = 0;
     bool const first_of_resumed =
@@ -413,7 +418,7 @@
   if (!request.answer_begun) {
     check_own_answer(request);
     server.begin_response(id, request.answer_head,
-                 request.resumable ? -1 : std::max<std::int64_t>(0, request.answer_head.content_length));
+                          request.resumable ? -1 : std::max<std::int64_t>(0, request.answer_head.content_length));
   }
   server.end_response(id);
   requests_.erase(position);
@@ -428,7 +433,8 @@
   if (end == UpstreamPool::Failure::truncated && !guard_enabled(RequestGuard::torn_visible)) return on_done(id);
   // The worker reported before the failure that it did not run the request; that still holds.
   if (position->second.declined) return report_declined(id, position->second);
-  callbacks_.attempt_ended(id, end == UpstreamPool::Failure::connect_failed ? AttemptEnd::unreached : AttemptEnd::broke, false);
+  callbacks_.attempt_ended(id, end == UpstreamPool::Failure::connect_failed ? AttemptEnd::unreached : AttemptEnd::broke,
+                           false);
 }
 
 }  // namespace pipit
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -958,7 +958,8 @@
   server.begin_response(id, head, -1);
   server.write_body(id, "first");
   ASSERT_TRUE(until([&] { return connection.received.find("first") != std::string::npos; }));
-  EXPECT_EQ(connection.received.find("Connection: close"), std::string::npos) << "the head was sent before draining began";
+  EXPECT_EQ(connection.received.find("Connection: close"), std::string::npos)
+      << "the head was sent before draining began";
   server.close_after_responses();
   server.stop_listening();
   server.close_idle_connections();
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -68,11 +68,11 @@
 
   void watch() {
     link->set_callbacks({[this] { connected = true; }, [this](std::string_view bytes) { received.append(bytes); },
-                  [this](TcpConnection::CloseReason end_) {
-                    closed = true;
-                    end = end_;
-                  },
-                  nullptr});
+                         [this](TcpConnection::CloseReason end_) {
+                           closed = true;
+                           end = end_;
+                         },
+                         nullptr});
   }
   explicit LoopbackStream(std::shared_ptr<TcpConnection> link_) : link(std::move(link_)), connected(true) { watch(); }
   explicit LoopbackStream(std::string const& address) : link(TcpConnection::dial(address, "", seconds(10))) {
--- a/tests/request_proxy.cc
+++ b/tests/request_proxy.cc
@@ -36,9 +36,9 @@
   connection_of("w").send("HTTP/1.1 201 Made\r\n" + attempt_id +
                           "Keep-Alive: timeout=9\r\nX-Back: 3\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(client_receives("yes"));
-  EXPECT_EQ(client->got.substr(0, 18), "HTTP/1.1 201 Made\r");
-  EXPECT_NE(client->got.find("X-Back: 3"), std::string::npos);
-  EXPECT_EQ(client->got.find("Keep-Alive"), std::string::npos);
+  EXPECT_EQ(client->received.substr(0, 18), "HTTP/1.1 201 Made\r");
+  EXPECT_NE(client->received.find("X-Back: 3"), std::string::npos);
+  EXPECT_EQ(client->received.find("Keep-Alive"), std::string::npos);
   EXPECT_TRUE(no_requests_in_flight());
 }
 
@@ -48,7 +48,7 @@
   ASSERT_EQ(worker_with_request(), "w");
   connection_of("w").send("HTTP/1.1 200 OK\r\n" + attempt_id + "Content-Length: 5000\r\n\r\n");
   ASSERT_TRUE(client_receives("\r\n\r\n"));
-  EXPECT_NE(client->got.find("Content-Length: 5000"), std::string::npos);
+  EXPECT_NE(client->received.find("Content-Length: 5000"), std::string::npos);
   EXPECT_TRUE(no_requests_in_flight());
   EXPECT_EQ(proxy.upstream.idle_connections("w"), 1u);
 }
@@ -56,9 +56,9 @@
 TEST_F(RequestProxyTest, request_without_a_route_gets_404_and_is_reported_as_not_executed) {
   send_request("POST", "/nowhere/x");
   ASSERT_TRUE(client_receives("}"));
-  EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 404");
-  EXPECT_NE(client->got.find("\"ran\":\"no\""), std::string::npos) << client->got;
-  EXPECT_EQ(client->got.find("Retry-After"), std::string::npos);
+  EXPECT_EQ(client->received.substr(0, 12), "HTTP/1.1 404");
+  EXPECT_NE(client->received.find("\"ran\":\"no\""), std::string::npos) << client->received;
+  EXPECT_EQ(client->received.find("Retry-After"), std::string::npos);
 }
 
 TEST_F(RequestProxyTest, connection_closed_before_the_response_leaves_the_execution_status_unknown) {
@@ -68,9 +68,9 @@
   std::string const first = worker_with_request();
   connection_of(first).link->close();
   ASSERT_TRUE(client_receives("}"));
-  EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 502");
-  EXPECT_NE(client->got.find("\"ran\":\"unknown\""), std::string::npos) << client->got;
-  EXPECT_EQ(client->got.find("Retry-After"), std::string::npos);
+  EXPECT_EQ(client->received.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_NE(client->received.find("\"ran\":\"unknown\""), std::string::npos) << client->received;
+  EXPECT_EQ(client->received.find("Retry-After"), std::string::npos);
   EXPECT_EQ(workers[first == "w" ? "v" : "w"]->received(), "");
   EXPECT_TRUE(no_requests_in_flight());
 }
@@ -99,7 +99,7 @@
   ASSERT_EQ(worker_with_request(), "w");
   connection_of("w").send("HTTP/1.1 500 Odd\r\n" + attempt_id + "Content-Length: 3\r\n\r\nbad");
   ASSERT_TRUE(client_receives("bad"));
-  EXPECT_EQ(client->got.substr(0, 16), "HTTP/1.1 500 Odd");
+  EXPECT_EQ(client->received.substr(0, 16), "HTTP/1.1 500 Odd");
   EXPECT_TRUE(no_requests_in_flight());
 }
 
@@ -111,7 +111,7 @@
   connection_of(first).send("HTTP/1.1 200 OK\r\n" + attempt_id +
                             "Transfer-Encoding: chunked\r\n\r\n1c\r\nid: 1\ndata: a\n\nid: 2\ndata: b\r\n");
   ASSERT_TRUE(client_receives("data: a\n\n"));
-  EXPECT_EQ(client->got.find("data: b"), std::string::npos) << "an incomplete event must not be forwarded";
+  EXPECT_EQ(client->received.find("data: b"), std::string::npos) << "an incomplete event must not be forwarded";
   connection_of(first).link->close(true);
   std::string const second = worker_with_request(first);
   EXPECT_NE(workers[second]->received().find("Last-Event-Id: 1\r\n"), std::string::npos);
@@ -119,7 +119,7 @@
                              "Content-Length: 45\r\n\r\nid: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
   ASSERT_TRUE(client_receives("0\r\n\r\n"));
   for (char const* const part : {"data: a\n\n", "data: b\n\n", "data: c\n\n"})
-    EXPECT_EQ(count_of(client->got, part), 1u) << part;
+    EXPECT_EQ(count_of(client->received, part), 1u) << part;
   EXPECT_TRUE(no_requests_in_flight());
 }
 
@@ -131,8 +131,8 @@
   connection_of(first).send("HTTP/1.1 200 OK\r\n" + attempt_id + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
   ASSERT_TRUE(client_receives("hello"));
   connection_of(first).link->close();
-  ASSERT_TRUE(until([&] { return client->shut; }));
-  EXPECT_EQ(client->got.find("0\r\n\r\n"), std::string::npos);
+  ASSERT_TRUE(until([&] { return client->closed; }));
+  EXPECT_EQ(client->received.find("0\r\n\r\n"), std::string::npos);
   EXPECT_TRUE(no_requests_in_flight());
 }
 
@@ -143,8 +143,8 @@
   connection_of("w").send("HTTP/1.1 204 None\r\n" + attempt_id + "\r\n");
   ASSERT_TRUE(client_receives("\r\n\r\n"));
   settle();
-  EXPECT_TRUE(client->got.ends_with("\r\n\r\n"));
-  EXPECT_EQ(client->got.find("chunked"), std::string::npos);
+  EXPECT_TRUE(client->received.ends_with("\r\n\r\n"));
+  EXPECT_EQ(client->received.find("chunked"), std::string::npos);
   EXPECT_TRUE(no_requests_in_flight());
 }
 
@@ -153,7 +153,7 @@
   send_request("POST", "/live/x");
   ASSERT_EQ(worker_with_request(), "w");
   client->link->close();
-  ASSERT_TRUE(until([&] { return connection_of("w").shut; }));
+  ASSERT_TRUE(until([&] { return connection_of("w").closed; }));
   EXPECT_TRUE(no_requests_in_flight());
 }
 
@@ -163,8 +163,8 @@
   ASSERT_EQ(worker_with_request(), "w");
   connection_of("w").send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(client_receives("}"));
-  EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 502");
-  EXPECT_EQ(client->got.find("yes"), std::string::npos);
+  EXPECT_EQ(client->received.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(client->received.find("yes"), std::string::npos);
   EXPECT_EQ(proxy.upstream.idle_connections("w"), 0u);
   EXPECT_TRUE(no_requests_in_flight());
 }
@@ -177,11 +177,11 @@
   ASSERT_TRUE(client_receives("yes"));
   ASSERT_EQ(proxy.upstream.idle_connections("w"), 1u);
   send_request("POST", "/once/x");
-  ASSERT_TRUE(until([&] { return count_of(connection_of("w").got, "POST ") == 2; }));
+  ASSERT_TRUE(until([&] { return count_of(connection_of("w").received, "POST ") == 2; }));
   // It may be a late response to the first request.
   connection_of("w").send("HTTP/1.1 503 Busy\r\nX-Pipit-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(client_receives("}"));
-  EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(client->received.substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(proxy.upstream.idle_connections("w"), 0u);
   EXPECT_TRUE(no_requests_in_flight());
 }
@@ -192,7 +192,7 @@
   ASSERT_EQ(worker_with_request(), "w");
   connection_of("w").send("HTTP/1.1 200 OK\r\n" + attempt_id + "X-Pipit-Attempt: r2\r\nContent-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(client_receives("}"));
-  EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(client->received.substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(proxy.upstream.idle_connections("w"), 0u);
 }
 
@@ -206,9 +206,9 @@
                               "X-Seal: s\r\nContent-Length: 2\r\n\r\nno");
     ASSERT_TRUE(client_receives("\r\n\r\n"));
     settle();
-    EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 502") << status;
-    EXPECT_NE(client->got.find("\"ran\":\"unknown\""), std::string::npos) << client->got;
-    EXPECT_EQ(client->got.find("X-Seal"), std::string::npos) << "the seal belongs to another status";
+    EXPECT_EQ(client->received.substr(0, 12), "HTTP/1.1 502") << status;
+    EXPECT_NE(client->received.find("\"ran\":\"unknown\""), std::string::npos) << client->received;
+    EXPECT_EQ(client->received.find("X-Seal"), std::string::npos) << "the seal belongs to another status";
     EXPECT_EQ(workers[first == "w" ? "v" : "w"]->received(), "")
         << "the request may have been executed, so it must not be retried";
     EXPECT_TRUE(no_requests_in_flight());
@@ -226,7 +226,7 @@
   connection_of("w").send("HTTP/1.1 500 Odd\r\n" + attempt_id + "Content-Length: " + std::to_string(body.size()) +
                           "\r\n\r\n" + body);
   ASSERT_TRUE(client_receives("\r\n\r\n"));
-  EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(client->received.substr(0, 12), "HTTP/1.1 502");
   EXPECT_TRUE(no_requests_in_flight());
 }
 
@@ -234,8 +234,8 @@
   add_worker("w");
   send_request("POST", "/once/x",
                "X-Pipit-Left-Ms: 18446744073709552\r\nX-Pipit-Tokens: 9223372036854775807,9223372036854775807\r\n");
-  ASSERT_TRUE(until([&] { return !workers["w"]->received().empty() || !client->got.empty(); }));
-  ASSERT_EQ(client->got, "");
+  ASSERT_TRUE(until([&] { return !workers["w"]->received().empty() || !client->received.empty(); }));
+  ASSERT_EQ(client->received, "");
   EXPECT_GT(registry.find("w")->reserved_tokens, 0);
   connection_of("w").send("HTTP/1.1 200 OK\r\n" + attempt_id +
                           "X-Pipit-Load: 9223372036854775807,9223372036854775807,8\r\nContent-Length: 3\r\n\r\nyes");
@@ -263,11 +263,11 @@
                             "Transfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n");
   ASSERT_TRUE(client_receives("data: a\n\n"));
   connection_of(first).link->close(true);
-  ASSERT_TRUE(until([&] { return client->shut || !workers[first == "w" ? "v" : "w"]->received().empty(); }));
-  EXPECT_TRUE(client->shut);
+  ASSERT_TRUE(until([&] { return client->closed || !workers[first == "w" ? "v" : "w"]->received().empty(); }));
+  EXPECT_TRUE(client->closed);
   EXPECT_EQ(workers[first == "w" ? "v" : "w"]->received(), "")
       << "without event ids the position to resume from is unknown";
-  EXPECT_EQ(client->got.find("0\r\n\r\n"), std::string::npos);
+  EXPECT_EQ(client->received.find("0\r\n\r\n"), std::string::npos);
   EXPECT_TRUE(no_requests_in_flight());
 }
 
@@ -291,8 +291,8 @@
   add_worker("w");
   for (char const* const remaining_ms : {"0", "-5", "20"}) {
     send_request("POST", "/once/x", "X-Pipit-Left-Ms: " + std::string(remaining_ms) + "\r\n");
-    ASSERT_TRUE(until([&] { return !client->got.empty() || !workers["w"]->received().empty(); }));
-    EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 503") << remaining_ms;
+    ASSERT_TRUE(until([&] { return !client->received.empty() || !workers["w"]->received().empty(); }));
+    EXPECT_EQ(client->received.substr(0, 12), "HTTP/1.1 503") << remaining_ms;
     EXPECT_EQ(workers["w"]->received(), "") << remaining_ms;
     settle();
   }
@@ -316,7 +316,7 @@
   ASSERT_TRUE(client_receives("data: b\n\n"));
   connection_of(second).link->close();
   ASSERT_TRUE(client_receives("0\r\n\r\n")) << "a stream that ends after an event is complete";
-  EXPECT_EQ(count_of(client->got, "id: 2"), 1u);
+  EXPECT_EQ(count_of(client->received, "id: 2"), 1u);
   EXPECT_TRUE(no_requests_in_flight());
 }
 
@@ -330,10 +330,10 @@
     if (!whole) connection_of("w").send("id: 2\nda");
     ASSERT_TRUE(client_receives(whole ? "data: a\n\n" : "id: 2\nda"));
     connection_of("w").link->close();
-    connection_of("w").shut = true;
-    ASSERT_TRUE(until([&] { return client->shut || count_of(client->got, "0\r\n\r\n") > 0; }));
-    EXPECT_EQ(client->shut, !whole);
-    EXPECT_EQ(count_of(client->got, "\r\n0\r\n\r\n"), whole ? 1u : 0u);
+    connection_of("w").closed = true;
+    ASSERT_TRUE(until([&] { return client->closed || count_of(client->received, "0\r\n\r\n") > 0; }));
+    EXPECT_EQ(client->closed, !whole);
+    EXPECT_EQ(count_of(client->received, "\r\n0\r\n\r\n"), whole ? 1u : 0u);
     EXPECT_TRUE(no_requests_in_flight());
   }
 }
@@ -401,10 +401,10 @@
   connection.send("HTTP/1.1 503 Busy\r\n" + attempt_id +
                   "X-Pipit-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
   connection.link->close();
-  connection.shut = true;
+  connection.closed = true;
   std::string const other = first == "w" ? "v" : "w";
-  ASSERT_TRUE(until([&] { return !client->got.empty() || workers[other]->received().size() > body.size(); }));
-  ASSERT_EQ(client->got, "") << "the worker reported that it did not execute the request, so it must be retried";
+  ASSERT_TRUE(until([&] { return !client->received.empty() || workers[other]->received().size() > body.size(); }));
+  ASSERT_EQ(client->received, "") << "the worker reported that it did not execute the request, so it must be retried";
   connection_of(other).send("HTTP/1.1 200 OK\r\n" + attempt_id + "Content-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(client_receives("yes"));
   EXPECT_TRUE(no_requests_in_flight());
@@ -416,8 +416,8 @@
   ASSERT_EQ(worker_with_request(), "w");
   connection_of("w").send("HTTP/1.1 200 OK\r\n" + attempt_id + "Content-Length: 3\r\n\r\nyes");
   ASSERT_TRUE(client_receives("\r\n\r\n"));
-  EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 502");
-  EXPECT_EQ(client->got.find("yes"), std::string::npos);
+  EXPECT_EQ(client->received.substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(client->received.find("yes"), std::string::npos);
   EXPECT_EQ(proxy.upstream.idle_connections("w"), 0u);
   for (std::string const& status : {std::string("200 OK\r\nX-Seal: s\r\n"), std::string("500 Odd\r\n")}) {
     workers.clear();
