--- a/src/runtime/http/chat_upstream.h
+++ b/src/runtime/http/chat_upstream.h
@@ -1,4 +1,4 @@
-// The executor of attempts: sends a request to a worker and brings its answer, or what became of it (§7.3, §7.5).
+// HTTP client for attempts at workers, based on libsoup (§7.3, §7.5).
 #pragma once
 #include <libsoup/soup.h>
 
@@ -12,26 +12,33 @@
 
 namespace pipit {
 
+// Sends requests to workers, checks their answers and reports events, answers and failures. Owns the client sockets.
+// All methods must be called on the main loop's thread.
 class ChatUpstream {
  public:
   struct Callbacks {
-    std::function<void(std::uint64_t chat_request)> sent;
-    std::function<void(std::uint64_t chat_request, std::string const& event)> event;  // one whole event of a stream
-    std::function<void(std::uint64_t chat_request, std::string body)> answer;  // a whole answer that is no stream
-    std::function<void(std::uint64_t chat_request, ChatAttemptEnd end, std::string const& why, Micros back)> ended;
+    std::function<void(std::uint64_t chat_request)> sent;  // a byte of the request may have left from now on
+    std::function<void(std::uint64_t chat_request, std::string const& event)> event;  // one complete event of a stream
+    std::function<void(std::uint64_t chat_request, std::string body)> answer;         // a complete non-streamed answer
+    std::function<void(std::uint64_t chat_request, ChatAttemptEnd end, std::string const& why, Micros retry_after)>
+        ended;
   };
   explicit ChatUpstream(Callbacks callbacks);
   ~ChatUpstream();
 
-  // 'id' is what the worker is told and must answer with.
+  // Starts an attempt. 'id' is sent to the worker as X-Request-Id, and the answer must carry it. The end of the attempt
+  // is always reported by 'ended', unless it is cancelled.
   void start(ChatAttemptStart const& start, std::string const& id, std::string const& path, std::string const& body,
              bool stream);
-  void cut(std::uint64_t chat_request);
-  std::size_t open() const { return attempts_.size(); }
+  // Ends the attempt of a request without a callback.
+  void cancel(std::uint64_t chat_request);
+  // Number of attempts in flight.
+  std::size_t open_attempts() const { return attempts_.size(); }
 
-  // One small GET, for lists and health reports; the answer is nullopt when it failed.
-  void get(std::string const& address, std::string const& path, Micros within,
-           std::function<void(bool good, bool refused, std::string const& body)> done);
+  // Sends a GET for a worker list or health report. Calls 'done' with whether the status was 200, whether the
+  // connection was refused, and the body.
+  void fetch(std::string const& address, std::string const& path, Micros timeout,
+             std::function<void(bool good, bool refused, std::string const& body)> done);
 
  private:
   struct ChatAttempt;
@@ -41,16 +48,16 @@
   static void on_starting(SoupMessage* message, gpointer data);
   static gboolean on_timer(gpointer data);
   static void on_fetched(GObject* source, GAsyncResult* result, gpointer data);
-  void arm(ChatAttempt& attempt, Micros within);
+  void set_timer(ChatAttempt& attempt, Micros timeout);
   void read_more(ChatAttempt& attempt);
-  void finish(ChatAttempt& attempt, ChatAttemptEnd end, std::string const& why, Micros back = 0);
-  void took(ChatAttempt& attempt, std::string_view bytes);
-  void eof(ChatAttempt& attempt);
+  void finish(ChatAttempt& attempt, ChatAttemptEnd end, std::string const& why, Micros retry_after = 0);
+  void receive(ChatAttempt& attempt, std::string_view bytes);
+  void finish_answer(ChatAttempt& attempt);
 
   Callbacks callbacks_;
   SoupSession* session_;
-  SoupSession* small_;
-  std::map<std::uint64_t, std::shared_ptr<ChatAttempt>> attempts_;  // by chat request: one attempt at a time
+  SoupSession* fetch_session_;
+  std::map<std::uint64_t, std::shared_ptr<ChatAttempt>> attempts_;  // by chat request, which has one attempt at a time
 };
 
 }  // namespace pipit
--- a/src/runtime/mesh/connections.cc
+++ b/src/runtime/mesh/connections.cc
@@ -7,13 +7,13 @@
 namespace pipit {
 
 namespace {
-// Bytes that wait for one peer, beyond which nothing is added, and for all peers together. A frame may be larger than
-// the first; the second leaves room for two of the largest.
+// Limits of unsent bytes for one peer, above which no frame is added, and for all peers together. A frame may be larger
+// than the first limit; the second leaves room for two of the largest frames.
 constexpr std::size_t connection_backlog_limit = 1u << 20;
 constexpr std::size_t total_backlog_limit = 2 * max_frame_bytes;
-// What may still be taken of a connection that is being closed: farewells and what stood before them.
+// Limit of unsent bytes that are still sent on a connection that is being closed: a leave message and frames before it.
 constexpr std::size_t closing_backlog_limit = 64u << 10;
-constexpr Micros dial_most = seconds(1);
+constexpr Micros dial_timeout = seconds(1);
 }  // namespace
 
 Connections::~Connections() {
@@ -24,81 +24,81 @@
   std::uint16_t port = 0;
   split_address(address, own_host_, port);
   Result<void> const open = door_.open(address, [this](std::shared_ptr<TcpConnection> link) {
-    std::shared_ptr<Connection> const made = std::make_shared<Connection>();
-    made->id = ++next_;
-    made->link = std::move(link);
-    adopt(made, false);
+    std::shared_ptr<Connection> const connection = std::make_shared<Connection>();
+    connection->id = ++next_id_;
+    connection->link = std::move(link);
+    adopt(connection, false);
   });
   if (!open) return fail(ErrorCode::bad_settings, "mesh: " + open.error().what);
   return boost::outcome_v2::success();
 }
 
 void Connections::dial(std::string const& address) {
-  std::shared_ptr<Connection> const made = std::make_shared<Connection>();
-  made->id = ++next_;
-  made->address = address;
-  // From the node's own number, so that peers and cuts see one number for one node.
-  made->link = TcpConnection::dial(address, own_host_, dial_most);
-  if (!made->link->open()) {
-    callbacks_.failed(address, made->link->refused());
+  std::shared_ptr<Connection> const connection = std::make_shared<Connection>();
+  connection->id = ++next_id_;
+  connection->dialled_address = address;
+  // Binds to the node's own IP address, so that peers and network faults see one address for one node.
+  connection->link = TcpConnection::dial(address, own_host_, dial_timeout);
+  if (!connection->link->open()) {
+    callbacks_.dial_failed(address, connection->link->refused());
     return;
   }
-  connections_[made->id] = made;
-  made->link->set_callbacks(
-      {[this, id = made->id] {
+  connections_[connection->id] = connection;
+  connection->link->set_callbacks(
+      {[this, id = connection->id] {
          std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position = connections_.find(id);
          if (position == connections_.end()) return;
-         std::shared_ptr<Connection> const keep = position->second;
-         adopt(keep, true);
+         std::shared_ptr<Connection> const dialled = position->second;
+         adopt(dialled, true);
        },
-       nullptr, [this, id = made->id](TcpConnection::CloseReason how) { lost(id, how); }, nullptr});
+       nullptr, [this, id = connection->id](TcpConnection::CloseReason how) { handle_close(id, how); }, nullptr});
 }
 
 void Connections::adopt(std::shared_ptr<Connection> const& connection, bool outbound) {
   ConnectionId const id = connection->id;
-  std::string const address = std::move(connection->address);
-  connection->address.clear();
+  std::string const address = std::move(connection->dialled_address);
+  connection->dialled_address.clear();
   connections_[id] = connection;
   connection->link->set_callbacks({nullptr,
                                    [this, id](std::string_view bytes) {
                                      std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position =
                                          connections_.find(id);
                                      if (position == connections_.end()) return;
-                                     std::shared_ptr<Connection> const keep = position->second;
-                                     fed(*keep, bytes);
+                                     std::shared_ptr<Connection> const receiver = position->second;
+                                     receive(*receiver, bytes);
                                    },
-                                   [this, id](TcpConnection::CloseReason how) { lost(id, how); }, nullptr});
+                                   [this, id](TcpConnection::CloseReason how) { handle_close(id, how); }, nullptr});
   callbacks_.opened(id, outbound, address);
 }
 
-void Connections::fed(Connection& connection, std::string_view bytes) {
+void Connections::receive(Connection& connection, std::string_view bytes) {
   ConnectionId const id = connection.id;
-  if (!connection.in.empty()) {
-    connection.in.append(bytes);
-    bytes = connection.in;
+  if (!connection.received.empty()) {
+    connection.received.append(bytes);
+    bytes = connection.received;
   }
   std::size_t at = 0;
   while (bytes.size() - at >= 4) {
     std::string_view const rest = bytes.substr(at);
     std::size_t const need = announced_length(rest);
-    if (need == 0) return lost(id, TcpConnection::CloseReason::closed);
+    if (need == 0) return handle_close(id, TcpConnection::CloseReason::closed);
     if (rest.size() < need + 4) break;
     bool const good = callbacks_.frame(id, rest.substr(0, need + 4));
     if (!connections_.count(id)) return;
-    if (!good) return lost(id, TcpConnection::CloseReason::closed);
+    if (!good) return handle_close(id, TcpConnection::CloseReason::closed);
     at += need + 4;
   }
-  if (connection.in.empty())
-    connection.in.assign(bytes.substr(at));
+  if (connection.received.empty())
+    connection.received.assign(bytes.substr(at));
   else
-    connection.in.erase(0, at);
+    connection.received.erase(0, at);
 }
 
 void Connections::send(ConnectionId id, std::string const& bytes) {
   std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position = connections_.find(id);
   if (position == connections_.end() || !position->second->link->connected()) return;
   std::size_t const waiting = position->second->link->buffered_bytes();
-  // A peer that takes so little has fallen behind for good: it is dialled again and told anew.
+  // A peer that reads so slowly cannot catch up: its connection is closed, dialled again and synchronized afresh.
   if (waiting > connection_backlog_limit) return drop_overfull(id);
   position->second->link->write(bytes);
   if (waiting > 0 && backlog_bytes() > total_backlog_limit) drop_overfull(largest_backlog());
@@ -114,7 +114,7 @@
   if (position == connections_.end()) return;
   TcpConnection const& link = *position->second->link;
   log_event(Event::peer_backlog_dropped, link.peer_ip() + " " + std::to_string(link.buffered_bytes()));
-  lost(id, TcpConnection::CloseReason::reset);
+  handle_close(id, TcpConnection::CloseReason::reset);
 }
 
 ConnectionId Connections::largest_backlog() const {
@@ -137,31 +137,31 @@
   return out;
 }
 
-void Connections::shut(ConnectionId id) {
+void Connections::close(ConnectionId id) {
   std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position = connections_.find(id);
   if (position == connections_.end()) return;
-  std::shared_ptr<Connection> const keep = position->second;
+  std::shared_ptr<Connection> const connection = position->second;
   connections_.erase(position);
-  keep->link->set_callbacks({});
-  // What was written before, a farewell perhaps, still goes; but a peer that took nothing is not waited for.
-  if (keep->link->buffered_bytes() > closing_backlog_limit) return keep->link->close();
-  keep->link->close_after_flush();
+  connection->link->set_callbacks({});
+  // Bytes written before, such as a leave message, are still sent, unless the peer has left too many unread.
+  if (connection->link->buffered_bytes() > closing_backlog_limit) return connection->link->close();
+  connection->link->close_after_flush();
   std::erase_if(closing_, [](std::weak_ptr<TcpConnection> const& item) { return item.expired(); });
-  if (keep->link->open()) closing_.push_back(keep->link);
+  if (connection->link->open()) closing_.push_back(connection->link);
 }
 
-void Connections::lost(ConnectionId id, TcpConnection::CloseReason how) {
+void Connections::handle_close(ConnectionId id, TcpConnection::CloseReason how) {
   std::map<ConnectionId, std::shared_ptr<Connection>>::iterator const position = connections_.find(id);
   if (position == connections_.end()) return;
-  std::shared_ptr<Connection> const keep = position->second;
+  std::shared_ptr<Connection> const connection = position->second;
   connections_.erase(position);
-  keep->link->set_callbacks({});
-  bool const refused = keep->link->refused();
-  keep->link->close();
+  connection->link->set_callbacks({});
+  bool const refused = connection->link->refused();
+  connection->link->close();
   if (how == TcpConnection::CloseReason::connect_failed)
-    callbacks_.failed(keep->address, refused);
+    callbacks_.dial_failed(connection->dialled_address, refused);
   else
-    callbacks_.shut(id);
+    callbacks_.closed(id);
 }
 
 }  // namespace pipit
--- a/src/runtime/status.cc
+++ b/src/runtime/status.cc
@@ -1,4 +1,4 @@
-// What a node tells of itself: its status and its metrics (§9).
+// Status page and metrics of a router or configuration store (§9).
 #include "base/json_writer.h"
 #include "base/metrics_text.h"
 #include "runtime/router_host.h"
@@ -63,36 +63,36 @@
 }
 
 std::string RouterHost::metrics() const {
-  ChatCounters const& t = node_->chat_dispatcher.counters;
+  ChatCounters const& counters = node_->chat_dispatcher.counters;
   MetricsText text;
-  text.counter("pipit_asked_total", t.received);
-  text.counter("pipit_first_sends_total", t.first_sends);
-  text.counter("pipit_resends_total", t.retries);
-  text.counter("pipit_done_total", t.done);
-  text.counter("pipit_refused_total", t.refused);
-  text.counter("pipit_streams_broken_total", t.aborted);
-  text.counter("pipit_hangups_total", t.client_disconnects);
-  text.counter("pipit_expired_total", t.expired);
-  text.counter("pipit_blocks_asked_total", t.prompt_blocks);
-  text.counter("pipit_blocks_hit_total", t.cached_blocks);
-  text.counter("pipit_far_sends_total", t.cross_zone_sends);
-  text.counter("pipit_wire_bytes_total", connection_bytes_);
+  text.counter("pipit_asked_total", counters.received);
+  text.counter("pipit_first_sends_total", counters.first_sends);
+  text.counter("pipit_resends_total", counters.retries);
+  text.counter("pipit_done_total", counters.done);
+  text.counter("pipit_refused_total", counters.refused);
+  text.counter("pipit_streams_broken_total", counters.aborted);
+  text.counter("pipit_hangups_total", counters.client_disconnects);
+  text.counter("pipit_expired_total", counters.expired);
+  text.counter("pipit_blocks_asked_total", counters.prompt_blocks);
+  text.counter("pipit_blocks_hit_total", counters.cached_blocks);
+  text.counter("pipit_far_sends_total", counters.cross_zone_sends);
+  text.counter("pipit_wire_bytes_total", mesh_bytes_);
   text.counter("pipit_frames_in_total", node_->mesh.frames_received);
   text.counter("pipit_deltas_dropped_total", node_->index_sync.dropped);
   text.counter("pipit_tree_pulls_total", node_->index_sync.pulls);
   text.counter("pipit_tree_stalls_total", node_->index_sync.stalls);
   text.counter("pipit_clock_jumps_total", node_->clock_jumps);
-  text.gauge("pipit_longest_turn_us", static_cast<std::uint64_t>(longest_turn_));
+  text.gauge("pipit_longest_turn_us", static_cast<std::uint64_t>(longest_loop_turn_us_));
   text.gauge("pipit_serial", node_->learner.serial());
   text.gauge("pipit_ready", node_->is_ready() ? 1u : 0u);
   text.gauge("pipit_backlog", node_->chat_dispatcher.backlog_size());
   text.gauge("pipit_under_way", node_->chat_requests_in_flight());
   text.gauge("pipit_wires", node_->mesh.open_connections());
-  text.counters("pipit_mesh_bytes_total", "zone", mesh_to_);
+  text.counters("pipit_mesh_bytes_total", "zone", mesh_bytes_by_zone_);
   text.gauge("pipit_mesh_backlog_bytes", connections_->backlog_bytes());
-  traffic_.write(text);
-  text.counters("pipit_leg_bytes_total", "zone", attempts_with_);
-  text.counters("pipit_answers_total", "kind", kinds_);
+  traffic_.write_metrics(text);
+  text.counters("pipit_leg_bytes_total", "zone", attempt_bytes_by_zone_);
+  text.counters("pipit_answers_total", "kind", error_answers_);
   text.invariants();
   return text.take();
 }
--- a/src/server/node_server_status.cc
+++ b/src/server/node_server_status.cc
@@ -1,4 +1,4 @@
-// What a node tells of itself: its status and its metrics (§9).
+// Status page, tenant page and metrics of a node whose workers register themselves (§9).
 #include <glib.h>
 
 #include "base/json_writer.h"
@@ -19,7 +19,7 @@
   return out;
 }
 
-std::map<std::string, std::uint64_t> workers_by_standing(Node const& node) {
+std::map<std::string, std::uint64_t> workers_by_state(Node const& node) {
   std::map<std::string, std::uint64_t> out = {{"serving", 0}, {"leaving", 0}, {"gone", 0}, {"doubted", 0}};
   static char const* const names[] = {"serving", "leaving", "gone"};
   for (std::pair<std::string const, Instance> const& item : node.registry.all) {
@@ -29,7 +29,7 @@
   return out;
 }
 
-constexpr std::size_t tenant_rows_most = 32;
+constexpr std::size_t max_tenant_rows = 32;
 
 template <class Value>
 Value value_at(std::map<std::string, Value> const& from, std::string const& name) {
@@ -37,7 +37,7 @@
   return position == from.end() ? Value() : position->second;
 }
 
-// -1 before the first confirmation.
+// Time since the key lease was last confirmed; -1 before the first confirmation.
 std::int64_t lease_age_ms(Node const& node) {
   Micros const at = node.key_lease().confirmed_at();
   return at < 0 ? -1 : (now() - at) / 1000;
@@ -48,13 +48,19 @@
 
 std::string NodeServer::status() const {
   JsonWriter json;
-  json.begin_object().key("name").text(plan_.node.name).key("role").text("passage").key("zone").text(plan_.node.zone);
+  json.begin_object()
+      .key("name")
+      .text(options_.node.name)
+      .key("role")
+      .text("passage")
+      .key("zone")
+      .text(options_.node.zone);
   json.key("keeper")
-      .boolean(plan_.node.is_replica)
+      .boolean(options_.node.is_replica)
       .key("ready")
       .boolean(node_->is_ready())
       .key("draining")
-      .boolean(stop_from_ >= 0);
+      .boolean(shutdown_started_at_ >= 0);
   json.key("serial").number(static_cast<std::int64_t>(node_->learner.serial()));
   json.key("label").number(static_cast<std::int64_t>(label()));
   json.key("emptied").begin_list().end_list().key("keepers").begin_list();
@@ -77,40 +83,40 @@
   }
   json.end_list().key("workers").begin_list();
   for (std::pair<std::string const, Instance> const& item : node_->registry.all) {
-    Instance const& at = item.second;
+    Instance const& instance = item.second;
     static char const* const names[] = {"serving", "leaving", "gone"};
-    json.begin_object().key("id").text(at.id).key("zone").text(at.zone).key("pool").text(at.pool);
-    json.key("standing").text(names[static_cast<std::size_t>(at.state)]).key("owner").text(at.owner);
+    json.begin_object().key("id").text(instance.id).key("zone").text(instance.zone).key("pool").text(instance.pool);
+    json.key("standing").text(names[static_cast<std::size_t>(instance.state)]).key("owner").text(instance.owner);
     json.key("doubted")
-        .boolean(at.suspected >= 0)
+        .boolean(instance.suspected >= 0)
         .key("slots")
-        .number(at.slots)
+        .number(instance.slots)
         .key("demand")
-        .number(at.load(now()))
+        .number(instance.load(now()))
         .end_object();
   }
   json.end_list().key("under_way").number(static_cast<std::int64_t>(node_->dispatcher.active_requests())).end_object();
   return json.take();
 }
 
-// What is known here of each tenant and its keys, which are named by their digests alone.
+// Lists the tenants with their quotas and this node's counters. Keys are shown only as digests.
 std::string NodeServer::tenants() const {
-  Description const& rules = *node_->dispatcher.description();
+  Description const& description = *node_->dispatcher.description();
   JsonWriter json;
-  json.begin_object().key("keys_required").boolean(rules.keys_required);
+  json.begin_object().key("keys_required").boolean(description.keys_required);
   json.key("configuration_confirmed_ms_ago").number(lease_age_ms(*node_));
   json.key("keys_taken").boolean(node_->key_lease().valid(now())).key("tenants").begin_list();
-  for (Tenant const& tenant : rules.tenants) {
+  for (Tenant const& tenant : description.tenants) {
     json.begin_object().key("name").text(tenant.name).key("rank").number(tenant.rank).key("keys").begin_list();
     for (Digest const& key : tenant.keys) json.text(abbreviated_digest(key));
     json.end_list().key("counts").text(tenant.unit == CountingUnit::tokens ? "tokens" : "requests");
     json.key("rate").number(tenant.rate).key("burst").number(tenant.burst);
-    TenantCounters const asked = value_at(node_->dispatcher.tenant_counters, tenant.name);
+    TenantCounters const counters = value_at(node_->dispatcher.tenant_counters, tenant.name);
     QuotaOwner::Tally const granted = value_at(node_->quota_authority().owner().tallies, tenant.name);
     json.key("here").begin_object();
-    json.key("asked").number(static_cast<std::int64_t>(asked.quota_requests));
-    json.key("refused").number(static_cast<std::int64_t>(asked.refused));
-    json.key("unreachable").number(static_cast<std::int64_t>(asked.unreachable));
+    json.key("asked").number(static_cast<std::int64_t>(counters.quota_requests));
+    json.key("refused").number(static_cast<std::int64_t>(counters.refused));
+    json.key("unreachable").number(static_cast<std::int64_t>(counters.unreachable));
     json.key("granted_for_all").number(static_cast<std::int64_t>(granted.count));
     json.end_object().end_object();
   }
@@ -118,29 +124,30 @@
   return json.take();
 }
 
-// A row for each of the first tenants by name, and one for the rest, however many there are.
+// Returns one row per tenant for the first tenants by name and one row that sums the others, to bound the metrics'
+// size.
 std::map<std::string, std::uint64_t> NodeServer::by_tenant(std::uint64_t TenantCounters::*of) const {
   std::map<std::string, std::uint64_t> out;
   for (std::pair<std::string const, TenantCounters> const& item : node_->dispatcher.tenant_counters)
-    out[out.size() < tenant_rows_most ? item.first : "(others)"] += item.second.*of;
+    out[out.size() < max_tenant_rows ? item.first : "(others)"] += item.second.*of;
   return out;
 }
 
 std::string NodeServer::metrics() const {
-  DispatchCounters const& t = node_->dispatcher.counters;
+  DispatchCounters const& counters = node_->dispatcher.counters;
   MetricsText text;
-  text.counter("pipit_asked_total", t.received);
-  text.counter("pipit_done_total", t.served);
-  text.counter("pipit_refused_total", t.refused);
-  text.counter("pipit_failed_total", t.failed);
-  text.counter("pipit_passed_total", t.forwarded_failures);
-  text.counter("pipit_streams_broken_total", t.aborted);
-  text.counter("pipit_hangups_total", t.client_disconnects);
-  text.counter("pipit_first_sends_total", t.sends - t.retries);
-  text.counter("pipit_resends_total", t.retries);
-  text.counter("pipit_resumes_total", t.resumed);
-  text.counter("pipit_silences_total", t.silent_attempts);
-  text.counter("pipit_far_sends_total", t.cross_zone_sends);
+  text.counter("pipit_asked_total", counters.received);
+  text.counter("pipit_done_total", counters.served);
+  text.counter("pipit_refused_total", counters.refused);
+  text.counter("pipit_failed_total", counters.failed);
+  text.counter("pipit_passed_total", counters.forwarded_failures);
+  text.counter("pipit_streams_broken_total", counters.aborted);
+  text.counter("pipit_hangups_total", counters.client_disconnects);
+  text.counter("pipit_first_sends_total", counters.sends - counters.retries);
+  text.counter("pipit_resends_total", counters.retries);
+  text.counter("pipit_resumes_total", counters.resumed);
+  text.counter("pipit_silences_total", counters.silent_attempts);
+  text.counter("pipit_far_sends_total", counters.cross_zone_sends);
   text.counter("pipit_connections_dialled_total", proxy_->upstream.dialled);
   text.counter("pipit_connections_reused_total", proxy_->upstream.reused);
   text.counter("pipit_frames_in_total", node_->mesh.frames_received);
@@ -154,26 +161,26 @@
   text.gauge("pipit_keepers_epoch", node_->learner.membership().epoch);
   text.gauge("pipit_quorum_heard_ms_ago", age_ms(node_->learner.last_quorum_poll_at(), now()));
   text.gauge("pipit_ready", node_->is_ready() ? 1u : 0u);
-  text.gauge("pipit_stopping", stop_from_ >= 0 ? 1u : 0u);
+  text.gauge("pipit_stopping", shutdown_started_at_ >= 0 ? 1u : 0u);
   text.gauge("pipit_under_way", node_->dispatcher.active_requests());
   text.gauge("pipit_oldest_request_ms", static_cast<std::uint64_t>(node_->dispatcher.oldest_request_age(now()) / 1000));
   text.gauge("pipit_callers", proxy_->server.connections());
-  text.gauge("pipit_orders_under_way", asked_.size());
+  text.gauge("pipit_orders_under_way", pending_changes_.size());
   text.gauge("pipit_wires", node_->mesh.open_connections());
   text.gauge("pipit_mesh_backlog_bytes", connections_->backlog_bytes());
-  traffic_.write(text);
+  traffic_.write_metrics(text);
   text.gauges("pipit_peers", "state", peers_by_state(*node_));
-  text.gauges("pipit_workers", "standing", workers_by_standing(*node_));
+  text.gauges("pipit_workers", "standing", workers_by_state(*node_));
   text.gauge("pipit_configuration_confirmed_ms_ago", age_ms(node_->key_lease().confirmed_at(), now()));
-  text.counter("pipit_keys_unknown_total", t.unknown_keys);
-  text.counter("pipit_keys_unconfirmed_total", t.unconfirmed);
+  text.counter("pipit_keys_unknown_total", counters.unknown_keys);
+  text.counter("pipit_keys_unconfirmed_total", counters.unconfirmed);
   text.counter("pipit_quota_messages_total", node_->quota_authority().client().tally.messages);
   text.counter("pipit_quota_timeouts_total", node_->quota_authority().client().tally.timeouts);
   text.counters("pipit_quota_asked_total", "tenant", by_tenant(&TenantCounters::quota_requests));
   text.counters("pipit_quota_refused_total", "tenant", by_tenant(&TenantCounters::refused));
   text.counters("pipit_quota_unreachable_total", "tenant", by_tenant(&TenantCounters::unreachable));
-  text.counters("pipit_answers_total", "kind", proxy_->kinds);
-  text.counters("pipit_order_answers_total", "status", order_answers_);
+  text.counters("pipit_answers_total", "kind", proxy_->error_answers);
+  text.counters("pipit_order_answers_total", "status", operator_answers_);
   text.invariants();
   return text.take();
 }
--- a/tests/keys.cc
+++ b/tests/keys.cc
@@ -68,9 +68,9 @@
         "Authorization: Bearer " + std::string(8192, 'k') + "\r\n"}) {
     client.reset();
     send_request("POST", "/once/x", fields);
-    EXPECT_TRUE(client_receives("HTTP/1.1 401")) << fields.substr(0, 60) << client->got;
+    EXPECT_TRUE(client_receives("HTTP/1.1 401")) << fields.substr(0, 60) << client->received;
     EXPECT_TRUE(client_receives("WWW-Authenticate: Bearer\r\n"));
-    EXPECT_EQ(client->got.find("key-"), std::string::npos) << client->got;
+    EXPECT_EQ(client->received.find("key-"), std::string::npos) << client->received;
   }
   EXPECT_EQ(workers.at("w1")->received(), "");
   EXPECT_TRUE(no_requests_in_flight());
@@ -107,7 +107,7 @@
   for (std::string const& fields : {valid_key_header, std::string("Authorization: Bearer key-3\r\n")}) {
     client.reset();
     send_request("POST", "/once/x", fields);
-    EXPECT_TRUE(client_receives("HTTP/1.1 503")) << client->got;
+    EXPECT_TRUE(client_receives("HTTP/1.1 503")) << client->received;
     EXPECT_TRUE(client_receives("Retry-After:"));
   }
   client.reset();
@@ -124,7 +124,7 @@
   for (std::string const& path : {std::string("/nowhere/x"), std::string("/once/x")}) {
     client.reset();
     send_request("POST", path, path == "/nowhere/x" ? valid_key_header : "Authorization: Bearer key-3\r\n");
-    EXPECT_TRUE(client_receives("HTTP/1.1 503")) << path << client->got;
+    EXPECT_TRUE(client_receives("HTTP/1.1 503")) << path << client->received;
   }
   client.reset();
   send_request("POST", "/once/x", valid_key_header);
@@ -143,7 +143,7 @@
   configure("[{\"name\":\"weavers\",\"keys\":[\"key-2\"]}]");
   add_worker("w1");
   tick();
-  EXPECT_TRUE(client_receives("HTTP/1.1 401")) << client->got;
+  EXPECT_TRUE(client_receives("HTTP/1.1 401")) << client->received;
   EXPECT_EQ(workers.at("w1")->received(), "");
 }
 
@@ -154,9 +154,9 @@
   std::string const first = worker_with_request();
   configure("[{\"name\":\"weavers\",\"keys\":[]}]");
   connection_of(first).link->close();
-  EXPECT_TRUE(client_receives("HTTP/1.1 ")) << client->got;
+  EXPECT_TRUE(client_receives("HTTP/1.1 ")) << client->received;
   EXPECT_EQ(workers.at(first == "w1" ? "w2" : "w1")->received(), "");
-  EXPECT_EQ(client->got.find("200"), std::string::npos);
+  EXPECT_EQ(client->received.find("200"), std::string::npos);
 }
 
 TEST_F(ApiKeys, key_moved_to_another_tenant_names_the_new_tenant) {
@@ -176,8 +176,8 @@
   configure("[{\"name\":\"weavers\",\"keys\":[\"key-1\"],\"counts\":\"tokens\",\"plain_tokens\":70,\"rate\":10}]");
   quota_result = QuotaResult::Type::refused;
   send_request("POST", "/once/x", valid_key_header + "X-Pipit-Tokens: 1200,34\r\n");
-  EXPECT_TRUE(client_receives("HTTP/1.1 429")) << client->got;
-  EXPECT_TRUE(client_receives("Retry-After: 1.500\r\n")) << client->got;
+  EXPECT_TRUE(client_receives("HTTP/1.1 429")) << client->received;
+  EXPECT_TRUE(client_receives("Retry-After: 1.500\r\n")) << client->received;
   ASSERT_EQ(quota_claims.size(), 1u);
   EXPECT_EQ(quota_claims[0].tenant, "weavers");
   EXPECT_EQ(quota_claims[0].count, 1234);
