--- a/testing/platform_fleet_test/fault_proxy.cc
+++ b/testing/platform_fleet_test/fault_proxy.cc
@@ -40,10 +40,10 @@
   split_address(public_address, listener->ip, port);
   listener->port = port;
   RelayListener const* const at = listener.get();
-  Result<void> const done = listener->listener.open(
+  Result<void> const opened = listener->listener.open(
       public_address, [this, at](std::shared_ptr<TcpConnection> link) { accept(*at, std::move(link)); });
-  if (!done)
-    g_error("platform_fleet_test: the relay cannot listen at its public address: %s", done.error().what.c_str());
+  if (!opened)
+    g_error("platform_fleet_test: the relay cannot listen at its public address: %s", opened.error().what.c_str());
 }
 
 void FaultRelay::close_listeners(std::string const& public_ip) {
@@ -112,19 +112,19 @@
 void FaultRelay::register_callbacks(std::shared_ptr<RelayedConnection> const& connection, bool downstream) {
   std::weak_ptr<RelayedConnection> const weak = connection;
   Side& side = downstream ? connection->downstream : connection->upstream;
-  side.link->set_callbacks({[this, weak] {
-                              if (std::shared_ptr<RelayedConnection> const at = weak.lock()) pump(at);
-                            },
-                            [this, weak, downstream](std::string_view bytes) {
-                              std::shared_ptr<RelayedConnection> const at = weak.lock();
-                              if (at) enqueue(at, downstream, Chunk{0, std::string(bytes), false, false});
-                            },
-                            [this, weak, downstream](TcpConnection::CloseReason how) {
-                              std::shared_ptr<RelayedConnection> const at = weak.lock();
-                              if (at)
-                                enqueue(at, downstream, Chunk{0, "", true, how != TcpConnection::CloseReason::closed});
-                            },
-                            nullptr});
+  side.link->set_callbacks(
+      {[this, weak] {
+         if (std::shared_ptr<RelayedConnection> const at = weak.lock()) pump(at);
+       },
+       [this, weak, downstream](std::string_view bytes) {
+         std::shared_ptr<RelayedConnection> const at = weak.lock();
+         if (at) enqueue(at, downstream, Chunk{0, std::string(bytes), false, false});
+       },
+       [this, weak, downstream](TcpConnection::CloseReason reason) {
+         std::shared_ptr<RelayedConnection> const at = weak.lock();
+         if (at) enqueue(at, downstream, Chunk{0, "", true, reason != TcpConnection::CloseReason::closed});
+       },
+       nullptr});
 }
 
 // Queues bytes, or the end of the connection, from one side for the other side.
@@ -135,7 +135,7 @@
     return;
   }
   if (downstream && connection->replies_lost && chunk.end) return drop(connection);
-  carried += chunk.bytes.size();
+  bytes_forwarded += chunk.bytes.size();
   Side& other = downstream ? connection->upstream : connection->downstream;
   std::string const& from = downstream ? connection->from : connection->to;
   std::string const& to = downstream ? connection->to : connection->from;
--- a/testing/platform_fleet_test/fault_proxy.h
+++ b/testing/platform_fleet_test/fault_proxy.h
@@ -53,7 +53,7 @@
   // Resets each connection for which `applies_to` is true with probability `chance`.
   void reset(std::function<bool(std::string const& from, std::string const& to)> const& applies_to, double chance);
 
-  std::uint64_t carried = 0;    // bytes forwarded
+  std::uint64_t bytes_forwarded = 0;
   std::uint64_t swallowed = 0;  // connections that lose their responses
   std::uint64_t resets = 0;
 
--- a/testing/platform_fleet_test/line.cc
+++ b/testing/platform_fleet_test/line.cc
@@ -20,21 +20,21 @@
 std::shared_ptr<ClientConnection> ClientConnection::dial(std::string const& address, std::string const& from,
                                                          Micros timeout) {
   std::shared_ptr<ClientConnection> const out(new ClientConnection);
-  out->link = TcpConnection::dial(address, from, timeout);
+  out->tcp_connection = TcpConnection::dial(address, from, timeout);
   std::weak_ptr<ClientConnection> const weak = out;
-  out->link->set_callbacks({nullptr,
-                            [weak](std::string_view bytes) {
-                              if (std::shared_ptr<ClientConnection> const line = weak.lock()) line->on_bytes(bytes);
-                            },
-                            [weak](TcpConnection::CloseReason how) {
-                              std::shared_ptr<ClientConnection> const line = weak.lock();
-                              if (!line) return;
-                              bool const closed = how == TcpConnection::CloseReason::closed;
-                              if (closed && line->phase == ReadPhase::to_close) return line->finish(Outcome::complete);
-                              line->finish(how == TcpConnection::CloseReason::connect_failed ? Outcome::unreached
-                                                                                             : Outcome::cut);
-                            },
-                            nullptr});
+  out->tcp_connection->set_callbacks(
+      {nullptr,
+       [weak](std::string_view bytes) {
+         if (std::shared_ptr<ClientConnection> const connection = weak.lock()) connection->on_bytes(bytes);
+       },
+       [weak](TcpConnection::CloseReason reason) {
+         std::shared_ptr<ClientConnection> const connection = weak.lock();
+         if (!connection) return;
+         bool const closed = reason == TcpConnection::CloseReason::closed;
+         if (closed && connection->read_phase == ReadPhase::to_close) return connection->finish(Outcome::complete);
+         connection->finish(reason == TcpConnection::CloseReason::connect_failed ? Outcome::unreached : Outcome::cut);
+       },
+       nullptr});
   return out;
 }
 
@@ -45,10 +45,12 @@
   timer = 0;
   busy = false;
   callbacks = {};
-  link->close();
+  tcp_connection->close();
 }
 
-bool ClientConnection::reusable() const { return !busy && keep_alive && link->open() && now() < reusable_until; }
+bool ClientConnection::reusable() const {
+  return !busy && keep_alive && tcp_connection->open() && now() < reusable_until;
+}
 
 std::string ClientConnection::field(std::string const& name) const {
   std::map<std::string, std::string>::const_iterator const position = fields.find(name);
@@ -60,89 +62,89 @@
   busy = true;
   ++exchanges;
   bytes_in = 0;
-  phase = ReadPhase::head;
+  read_phase = ReadPhase::head;
   status = 0;
   fields.clear();
-  in.clear();
+  received.clear();
   if (timeout > 0)
     timer = g_timeout_add(
         static_cast<guint>(timeout / 1000),
         [](gpointer data) -> gboolean {
-          std::shared_ptr<ClientConnection> const line = static_cast<ClientConnection*>(data)->shared_from_this();
-          line->timer = 0;
-          line->finish(Outcome::timed_out);
+          std::shared_ptr<ClientConnection> const connection = static_cast<ClientConnection*>(data)->shared_from_this();
+          connection->timer = 0;
+          connection->finish(Outcome::timed_out);
           return G_SOURCE_REMOVE;
         },
         this);
-  if (!link->open()) {
+  if (!tcp_connection->open()) {
     // The callback runs from the event loop, after the caller has updated its own state.
     std::weak_ptr<ClientConnection> const weak = weak_from_this();
     after(0, [weak] {
-      if (std::shared_ptr<ClientConnection> const line = weak.lock()) line->finish(Outcome::unreached);
+      if (std::shared_ptr<ClientConnection> const connection = weak.lock()) connection->finish(Outcome::unreached);
     });
     return;
   }
-  link->write(request);
+  tcp_connection->write(request);
 }
 
-void ClientConnection::finish(Outcome how) {
+void ClientConnection::finish(Outcome outcome) {
   if (timer != 0) g_source_remove(timer);
   timer = 0;
-  if (how != Outcome::complete) keep_alive = false;
-  if (!keep_alive) link->close();
+  if (outcome != Outcome::complete) keep_alive = false;
+  if (!keep_alive) tcp_connection->close();
   if (!busy) return;
   busy = false;
   std::function<void(Outcome)> const on_end = std::move(callbacks.end);
   callbacks = {};
-  if (on_end) on_end(how);
+  if (on_end) on_end(outcome);
 }
 
 void ClientConnection::on_bytes(std::string_view bytes) {
   if (!busy) {
     if (on_unexpected_bytes) on_unexpected_bytes(bytes);
     keep_alive = false;
-    link->close();
+    tcp_connection->close();
     return;
   }
   bytes_in += bytes.size();
-  in.append(bytes);
+  received.append(bytes);
   while (busy && parse()) {
   }
-  if (!busy && !in.empty() && on_unexpected_bytes) {
-    on_unexpected_bytes(in);
-    in.clear();
+  if (!busy && !received.empty() && on_unexpected_bytes) {
+    on_unexpected_bytes(received);
+    received.clear();
     keep_alive = false;
-    link->close();
+    tcp_connection->close();
   }
 }
 
 bool ClientConnection::parse_head() {
-  std::size_t const end = in.find("\r\n\r\n");
+  std::size_t const end = received.find("\r\n\r\n");
   if (end == std::string::npos) {
-    if (in.size() > 65536 ||
-        std::string("HTTP/1.1 ")
-                .compare(0, std::min<std::size_t>(9, in.size()), in, 0, std::min<std::size_t>(9, in.size())) != 0)
+    if (received.size() > 65536 || std::string("HTTP/1.1 ")
+                                           .compare(0, std::min<std::size_t>(9, received.size()), received, 0,
+                                                    std::min<std::size_t>(9, received.size())) != 0)
       finish(Outcome::garbage);
     return false;
   }
-  std::string const top = in.substr(0, end + 2);
-  in.erase(0, end + 4);
-  if (top.compare(0, 9, "HTTP/1.1 ") != 0) {
+  std::string const head = received.substr(0, end + 2);
+  received.erase(0, end + 4);
+  if (head.compare(0, 9, "HTTP/1.1 ") != 0) {
     finish(Outcome::garbage);
     return false;
   }
-  status = static_cast<unsigned>(std::atoi(top.c_str() + 9));
+  status = static_cast<unsigned>(std::atoi(head.c_str() + 9));
   if (status >= 100 && status < 200) return true;
   fields.clear();
-  std::size_t at = top.find("\r\n") + 2;
-  while (at < top.size()) {
-    std::size_t const stop = top.find("\r\n", at);
-    std::size_t const colon = top.find(':', at);
+  std::size_t at = head.find("\r\n") + 2;
+  while (at < head.size()) {
+    std::size_t const stop = head.find("\r\n", at);
+    std::size_t const colon = head.find(':', at);
     if (colon != std::string::npos && colon < stop) {
-      std::string name = top.substr(at, colon - at);
+      std::string name = head.substr(at, colon - at);
       for (char& c : name) c = g_ascii_tolower(c);
-      std::size_t const value = top.find_first_not_of(' ', colon + 1);
-      fields[name] = value >= stop ? "" : top.substr(value, stop - value);
+      std::size_t const value = head.find_first_not_of(' ', colon + 1);
+      fields[name] = value >= stop ? "" : head.substr(value, stop - value);
     }
     at = stop + 2;
   }
@@ -154,12 +156,12 @@
       timeout_at == std::string::npos ? seconds(5) : seconds(std::atoll(keep_alive_field.c_str() + timeout_at + 8));
   reusable_until = now() + idle - millis(200);
   if (field("transfer-encoding").find("chunked") != std::string::npos) {
-    phase = ReadPhase::chunk_size;
+    read_phase = ReadPhase::chunk_size;
   } else if (fields.count("content-length") > 0) {
-    phase = ReadPhase::length;
-    left = std::strtoull(field("content-length").c_str(), nullptr, 10);
+    read_phase = ReadPhase::length;
+    remaining = std::strtoull(field("content-length").c_str(), nullptr, 10);
   } else {
-    phase = ReadPhase::to_close;
+    read_phase = ReadPhase::to_close;
     keep_alive = false;
   }
   if (callbacks.head) callbacks.head(status);
@@ -167,58 +169,58 @@
 }
 
 bool ClientConnection::parse() {
-  switch (phase) {
+  switch (read_phase) {
     case ReadPhase::head:
       return parse_head();
     case ReadPhase::length:
     case ReadPhase::chunk: {
-      std::size_t const n = static_cast<std::size_t>(std::min<std::uint64_t>(left, in.size()));
-      std::string const part = in.substr(0, n);
-      in.erase(0, n);
-      left -= n;
+      std::size_t const n = static_cast<std::size_t>(std::min<std::uint64_t>(remaining, received.size()));
+      std::string const part = received.substr(0, n);
+      received.erase(0, n);
+      remaining -= n;
       if (n > 0 && callbacks.body) callbacks.body(part);
       if (!busy) return false;
-      if (left > 0) return false;
-      if (phase == ReadPhase::length) {
+      if (remaining > 0) return false;
+      if (read_phase == ReadPhase::length) {
         finish(Outcome::complete);
         return false;
       }
-      phase = ReadPhase::chunk_end;
+      read_phase = ReadPhase::chunk_end;
       return true;
     }
     case ReadPhase::chunk_size: {
-      std::size_t const end = in.find("\r\n");
+      std::size_t const end = received.find("\r\n");
       if (end == std::string::npos) return false;
       char* stop = nullptr;
-      left = std::strtoull(in.c_str(), &stop, 16);
-      if (stop == in.c_str()) {
+      remaining = std::strtoull(received.c_str(), &stop, 16);
+      if (stop == received.c_str()) {
         finish(Outcome::garbage);
         return false;
       }
-      in.erase(0, end + 2);
-      phase = left == 0 ? ReadPhase::trailer : ReadPhase::chunk;
+      received.erase(0, end + 2);
+      read_phase = remaining == 0 ? ReadPhase::trailer : ReadPhase::chunk;
       return true;
     }
     case ReadPhase::chunk_end:
-      if (in.size() < 2) return false;
-      if (in.compare(0, 2, "\r\n") != 0) {
+      if (received.size() < 2) return false;
+      if (received.compare(0, 2, "\r\n") != 0) {
         finish(Outcome::garbage);
         return false;
       }
-      in.erase(0, 2);
-      phase = ReadPhase::chunk_size;
+      received.erase(0, 2);
+      read_phase = ReadPhase::chunk_size;
       return true;
     case ReadPhase::trailer: {
-      std::size_t const end = in.find("\r\n");
+      std::size_t const end = received.find("\r\n");
       if (end == std::string::npos) return false;
-      in.erase(0, end + 2);
+      received.erase(0, end + 2);
       if (end > 0) return true;
       finish(Outcome::complete);
       return false;
     }
     default: {
-      std::string const part = std::move(in);
-      in.clear();
+      std::string const part = std::move(received);
+      received.clear();
       if (!part.empty() && callbacks.body) callbacks.body(part);
       return false;
     }
--- a/testing/platform_fleet_test/line.h
+++ b/testing/platform_fleet_test/line.h
@@ -54,9 +54,9 @@
   // Parses the buffered bytes by one step; false if it needs more bytes or the response has ended.
   bool parse();
   bool parse_head();
-  void finish(Outcome how);
+  void finish(Outcome outcome);
 
-  std::shared_ptr<TcpConnection> link;
+  std::shared_ptr<TcpConnection> tcp_connection;
   Callbacks callbacks;
   bool busy = false;
   bool keep_alive = false;
@@ -64,9 +64,9 @@
   unsigned timer = 0;
   std::uint64_t exchanges = 0;
   std::uint64_t bytes_in = 0;  // of the current response
-  std::string in;
-  ReadPhase phase = ReadPhase::head;
-  std::uint64_t left = 0;  // bytes left of the body or of the chunk
+  std::string received;
+  ReadPhase read_phase = ReadPhase::head;
+  std::uint64_t remaining = 0;  // bytes left of the body or of the chunk
   unsigned status = 0;
   std::map<std::string, std::string> fields;
 };
--- a/testing/platform_fleet_test/nodes.cc
+++ b/testing/platform_fleet_test/nodes.cc
@@ -43,11 +43,11 @@
   int seeds = 0;
   for (bool const core : {true, false})
     for (Zone const& zone : shape.zones)
-      for (int i = 0; i < (core ? zone.core_nodes : zone.plain_nodes); ++i) add(zone.name, core, seeds++ < 3);
+      for (int i = 0; i < (core ? zone.core_nodes : zone.plain_nodes); ++i) add_node(zone.name, core, seeds++ < 3);
   diagnostics_fd = ::socket(AF_NETLINK, SOCK_DGRAM | SOCK_CLOEXEC, NETLINK_SOCK_DIAG);
 }
 
-Node& Nodes::add(std::string const& zone, bool core, bool seed) {
+Node& Nodes::add_node(std::string const& zone, bool core, bool seed) {
   std::unique_ptr<Node> node = std::make_unique<Node>();
   std::string const number = std::to_string(++last_number);
   std::string const net = "127." + std::to_string(plan.net);
@@ -60,15 +60,15 @@
   node->core = core;
   node->seed = seed;
   zone_of[node->ip] = zone;
-  public_of[node->private_ip] = node->ip;
+  public_ip_of[node->private_ip] = node->ip;
   all.push_back(std::move(node));
   return *all.back();
 }
 
 std::string Nodes::public_address(std::string const& address) const {
   std::size_t const colon = std::min(address.find(':'), address.size());
-  std::map<std::string, std::string>::const_iterator const position = public_of.find(address.substr(0, colon));
-  return position == public_of.end() ? address : position->second + address.substr(colon);
+  std::map<std::string, std::string>::const_iterator const position = public_ip_of.find(address.substr(0, colon));
+  return position == public_ip_of.end() ? address : position->second + address.substr(colon);
 }
 
 Nodes::~Nodes() {
@@ -128,16 +128,16 @@
     for (unsigned const port : {front_port, control_port, ready_port, mesh_port})
       plan.relay->open(at_port(node.ip, port), at_port(node.private_ip, port));
   node.frozen = false;
-  node.leaving = false;
+  node.terminating = false;
   node.cpu = 0;
   node.last_fault = now();
 }
 
 void Nodes::start_all() {
   for (std::unique_ptr<Node> const& node : all) start(*node, true);
-  for (std::unique_ptr<Node> const& node : all) watch(*node);
+  for (std::unique_ptr<Node> const& node : all) poll_periodically(*node);
   every(millis(50), [this] {
-    reap();
+    reap_processes();
     if (now() >= next_sample) {
       next_sample = now() + millis(400);
       sample();
@@ -146,7 +146,7 @@
   });
 }
 
-void Nodes::watch(Node& node) {
+void Nodes::poll_periodically(Node& node) {
   Node* const at = &node;
   every(seconds(1), [this, at] {
     if (!at->removed) poll(*at);
@@ -155,7 +155,7 @@
 }
 
 void Nodes::wipe(Node& node, Micros back_after) {
-  if (node.pid <= 0 || node.leaving) return;
+  if (node.pid <= 0 || node.terminating) return;
   kill(node, back_after);
   // By then the killed process has ended and the next one has not started, so no process has the files open.
   std::string const data_folder = node.data_folder;
@@ -167,7 +167,7 @@
 }
 
 void Nodes::replace(Node& node, Micros new_after) {
-  if (node.pid <= 0 || node.leaving || node.removed) return;
+  if (node.pid <= 0 || node.terminating || node.removed) return;
   kill(node, -1);
   planned_restarts[node.pid] = -1;
   node.removed = true;
@@ -178,14 +178,14 @@
   std::string const zone = node.zone;
   after(new_after, [this, was_seed, core, zone] {
     if (ending) return;
-    Node& made = add(zone, core, was_seed);
+    Node& made = add_node(zone, core, was_seed);
     start(made, false);
-    watch(made);
+    poll_periodically(made);
   });
 }
 
 void Nodes::reload(Node& node) {
-  if (node.pid <= 0 || node.leaving || node.removed) return;
+  if (node.pid <= 0 || node.terminating || node.removed) return;
   write_settings(node, false);
   ::kill(node.pid, SIGHUP);
 }
@@ -205,7 +205,8 @@
     if (node->pid <= 0 || node->frozen) continue;
     ++*open;
     std::string const address = at_port(node->ip, metrics_port);
-    metric_lines.push_back(ClientConnection::dial(address, "127." + std::to_string(plan.net) + ".5.2", seconds(1)));
+    metrics_connections.push_back(
+        ClientConnection::dial(address, "127." + std::to_string(plan.net) + ".5.2", seconds(1)));
     std::shared_ptr<std::string> const text = std::make_shared<std::string>();
     ClientConnection::Callbacks callbacks;
     callbacks.body = [text](std::string_view bytes) { text->append(bytes); };
@@ -221,8 +222,8 @@
       ++metrics_read;
       finish_one();
     };
-    metric_lines.back()->send_request(request_of("GET", "/metrics", address, "Connection: close\r\n", ""),
-                                      std::move(callbacks), seconds(2));
+    metrics_connections.back()->send_request(request_of("GET", "/metrics", address, "Connection: close\r\n", ""),
+                                             std::move(callbacks), seconds(2));
   }
   finish_one();
 }
@@ -239,19 +240,19 @@
 }
 
 void Nodes::kill(Node& node, Micros back_after) {
-  if (node.pid <= 0 || node.leaving) return;
+  if (node.pid <= 0 || node.terminating) return;
   node.last_fault = now();
   record_unplanned_fault(now() + back_after);
-  node.leaving = true;
+  node.terminating = true;
   planned_restarts[node.pid] = now() + back_after;
   node.cpu = cpu_of(node);
   ::kill(node.pid, SIGKILL);
 }
 
 void Nodes::terminate(Node& node, Micros back_after) {
-  if (node.pid <= 0 || node.leaving) return;
+  if (node.pid <= 0 || node.terminating) return;
   node.last_fault = node.termination_requested_at = now();
-  node.leaving = true;
+  node.terminating = true;
   pid_t const pid = node.pid;
   planned_restarts[pid] = back_after < 0 ? -1 : now() + back_after;
   ::kill(pid, SIGTERM);
@@ -264,7 +265,7 @@
 }
 
 void Nodes::freeze(Node& node, Micros span) {
-  if (node.pid <= 0 || node.leaving || node.frozen) return;
+  if (node.pid <= 0 || node.terminating || node.frozen) return;
   node.last_fault = now();
   record_unplanned_fault(now() + span);
   node.frozen = true;
@@ -300,7 +301,7 @@
   return true;
 }
 
-void Nodes::reap() {
+void Nodes::reap_processes() {
   for (std::unique_ptr<Node> const& item : all) {
     Node* const node = item.get();
     if (node->pid <= 0) continue;
@@ -333,20 +334,20 @@
   Micros const began = now();
   std::shared_ptr<ClientConnection> const line =
       ClientConnection::dial(node.readiness_address(), "127." + std::to_string(plan.net) + ".5.1", millis(900));
-  node.poll = line;
+  node.readiness_poll = line;
   ClientConnection::Callbacks callbacks;
   std::shared_ptr<unsigned> const status = std::make_shared<unsigned>(0);
   callbacks.head = [status](unsigned code) { *status = code; };
-  Micros const reported = node.leaving ? node.termination_requested_at : -1;
+  Micros const reported = node.terminating ? node.termination_requested_at : -1;
   callbacks.end = [this, at, status, began, reported](ClientConnection::Outcome end) {
-    bool const yes = end == ClientConnection::Outcome::complete && *status == 200;
-    if (yes && reported >= 0 && began - reported > max_ready_after_termination)
+    bool const ready = end == ClientConnection::Outcome::complete && *status == 200;
+    if (ready && reported >= 0 && began - reported > max_ready_after_termination)
       judge.broken(Promise::ready_ending, at->name);
     if (!ending && at->was_ready && in_touch(*at, began) && in_touch(*at, now())) {
       ++polls;
-      if (!yes) ++polls_unready;
+      if (!ready) ++polls_unready;
     }
-    if (yes) {
+    if (ready) {
       at->failed_polls = 0;
       at->in_rotation = true;
       at->was_ready = true;
@@ -372,34 +373,34 @@
 }
 
 Node* Nodes::choose_node(std::string const& zone, std::uint64_t client, int turn) {
-  std::vector<Node*> here;
-  std::vector<Node*> in;
+  std::vector<Node*> in_zone;
+  std::vector<Node*> in_zone_ready;
   std::vector<Node*> elsewhere;
   for (std::unique_ptr<Node> const& node : all) {
     if (node->removed) continue;
     if (node->zone == zone) {
-      here.push_back(node.get());
-      if (node->in_rotation) in.push_back(node.get());
+      in_zone.push_back(node.get());
+      if (node->in_rotation) in_zone_ready.push_back(node.get());
     } else if (node->in_rotation) {
       elsewhere.push_back(node.get());
     }
   }
-  std::vector<Node*> const& from = in.empty()                    ? (elsewhere.empty() ? here : elsewhere)
-                                   : in.size() * 2 < here.size() ? here
-                                                                 : in;
+  std::vector<Node*> const& from = in_zone_ready.empty() ? (elsewhere.empty() ? in_zone : elsewhere)
+                                   : in_zone_ready.size() * 2 < in_zone.size() ? in_zone
+                                                                               : in_zone_ready;
   if (from.empty()) return nullptr;
   return from[(hash_bits(client) + static_cast<std::uint64_t>(turn)) % from.size()];
 }
 
 bool Nodes::in_touch(Node const& node, Micros at) const {
   if (at - last_loop_delay < settle_time) return false;
-  if (node.pid <= 0 || node.frozen || node.leaving || at - node.last_fault < settle_time) return false;
+  if (node.pid <= 0 || node.frozen || node.terminating || at - node.last_fault < settle_time) return false;
   if (at - node.link_fault_until < settle_time) return false;
   for (std::unique_ptr<Node> const& item : all)
     if (item->core && !item->removed && at - item->link_fault_until < settle_time) return false;
   for (std::unique_ptr<Node> const& item : all)
     if (item->core && !item->removed &&
-        (item->frozen || item->pid <= 0 || item->leaving || at - item->last_fault < settle_time))
+        (item->frozen || item->pid <= 0 || item->terminating || at - item->last_fault < settle_time))
       return false;
   return true;
 }
--- a/testing/platform_fleet_test/nodes.h
+++ b/testing/platform_fleet_test/nodes.h
@@ -30,7 +30,7 @@
   bool seed = false;
   pid_t pid = 0;
   bool frozen = false;
-  bool leaving = false;  // SIGTERM or SIGKILL was sent
+  bool terminating = false;  // SIGTERM or SIGKILL was sent
   Micros last_fault = 0;
   Micros link_fault_until = 0;
   Micros termination_requested_at = -1;
@@ -38,7 +38,7 @@
   int failed_polls = 2;
   bool in_rotation = false;
   bool was_ready = false;
-  std::shared_ptr<ClientConnection> poll;
+  std::shared_ptr<ClientConnection> readiness_poll;
   // CPU seconds of its earlier processes and of the current one, and the peak resident memory.
   double cpu_of_ended_processes = 0;
   double cpu = 0;
@@ -105,7 +105,7 @@
   Node* choose_node(std::string const& zone, std::uint64_t client, int turn);
   // Records that the event loop of the experiment itself was delayed: no node is in touch for a while after it, so that
   // the nodes aren't judged by a clock that stood still.
-  void loop_delayed(Micros now) { last_loop_delay = now; }
+  void record_loop_delay(Micros now) { last_loop_delay = now; }
   // Records a fault, other than a planned termination, that lasts until `until`.
   void record_unplanned_fault(Micros until) { last_unplanned_fault = std::max(last_unplanned_fault, until); }
   // Whether the planned termination of the node is the only fault that can have ended a request sent at `sent`.
@@ -129,11 +129,11 @@
   std::uint64_t metrics_read = 0;
 
  private:
-  Node& add(std::string const& zone, bool core, bool seed);
-  void watch(Node& node);
+  Node& add_node(std::string const& zone, bool core, bool seed);
+  void poll_periodically(Node& node);
   void start(Node& node, bool first);
   void write_settings(Node const& node, bool first) const;
-  void reap();
+  void reap_processes();
   void poll(Node& node);
   void count_mesh_bytes();
   double cpu_of(Node const& node) const;
@@ -144,8 +144,8 @@
   std::map<pid_t, Micros> planned_restarts;  // restart time of processes that are being ended; -1 for never
   bool ending = false;
   int last_number = 0;
-  std::deque<std::shared_ptr<ClientConnection>> metric_lines;
-  std::map<std::string, std::string> public_of;  // by private IP address
+  std::deque<std::shared_ptr<ClientConnection>> metrics_connections;
+  std::map<std::string, std::string> public_ip_of;  // by private IP address
   Micros next_sample = 0;
   Micros last_loop_delay = -seconds(3600);
   Micros last_unplanned_fault = -seconds(3600);
--- a/testing/platform_fleet_test/operators.cc
+++ b/testing/platform_fleet_test/operators.cc
@@ -55,19 +55,19 @@
 
 // --- calls to the control API
 
-void Operators::call(std::string target, std::string fields, std::string body,
+void Operators::call(std::string target, std::string headers, std::string body,
                      std::function<void(unsigned, std::string const&)> done) {
-  std::shared_ptr<Call> const made = std::make_shared<Call>();
-  made->target = std::move(target);
-  made->fields = std::move(fields);
-  made->body = std::move(body);
-  made->began = now();
-  made->done = std::move(done);
-  send(made, nodes.random_node(random).control_address());
+  std::shared_ptr<Call> const changed = std::make_shared<Call>();
+  changed->target = std::move(target);
+  changed->headers = std::move(headers);
+  changed->body = std::move(body);
+  changed->began = now();
+  changed->done = std::move(done);
+  send(changed, nodes.random_node(random).control_address());
 }
 
 void Operators::send(std::shared_ptr<Call> const& call, std::string const& address) {
-  ++call->sends;
+  ++call->attempt_count;
   call->answer.clear();
   call->status = 0;
   ClientConnection::Callbacks callbacks;
@@ -78,14 +78,14 @@
   callbacks.body = [weak](std::string_view bytes) {
     if (std::shared_ptr<Call> const at = weak.lock()) at->answer.append(bytes);
   };
-  callbacks.end = [this, call](ClientConnection::Outcome how) {
-    if (how != ClientConnection::Outcome::complete) {
-      if (how != ClientConnection::Outcome::unreached) call->unclear = true;
+  callbacks.end = [this, call](ClientConnection::Outcome outcome) {
+    if (outcome != ClientConnection::Outcome::complete) {
+      if (outcome != ClientConnection::Outcome::unreached) call->unclear = true;
       return retry(call);
     }
     unsigned const status = call->status;
     if (status == 307 && ++call->redirects <= 2) {
-      std::string const to = call->line->field("location");
+      std::string const to = call->connection->field("location");
       std::size_t const from = to.find("://");
       if (from != std::string::npos) return send(call, to.substr(from + 3, to.find('/', from + 3) - from - 3));
     }
@@ -97,23 +97,23 @@
     if (status >= 300 && !final && ++call->unexpected_4xx < 3) return retry(call);
     call->done(status, call->answer);
   };
-  call->line = ClientConnection::dial(address, "127." + std::to_string(net) + ".6.1", millis(1000));
+  call->connection = ClientConnection::dial(address, "127." + std::to_string(net) + ".6.1", millis(1000));
   std::size_t const verb = call->target.find(' ');
-  call->line->send_request(request_of(call->target.substr(0, verb), call->target.substr(verb + 1), address,
-                                      call->fields + "Connection: close\r\n", call->body),
-                           std::move(callbacks), millis(1000) + static_cast<Micros>(call->body.size()) * 10);
+  call->connection->send_request(request_of(call->target.substr(0, verb), call->target.substr(verb + 1), address,
+                                            call->headers + "Connection: close\r\n", call->body),
+                                 std::move(callbacks), millis(1000) + static_cast<Micros>(call->body.size()) * 10);
 }
 
 void Operators::retry(std::shared_ptr<Call> const& call) {
   if (now() - call->began > call_timeout) return call->done(0, "");
-  Micros const pause = std::min<Micros>(millis(1000), millis(100) << std::min(call->sends, 4));
+  Micros const pause = std::min<Micros>(millis(1000), millis(100) << std::min(call->attempt_count, 4));
   after(pause, [this, call] { send(call, nodes.random_node(random).control_address()); });
 }
 
 // --- tasks, which run one at a time
 
-void Operators::enqueue(Task task_) {
-  tasks.push_back(std::move(task_));
+void Operators::enqueue(Task task) {
+  tasks.push_back(std::move(task));
   next_task();
 }
 
@@ -162,21 +162,21 @@
   first.version = 1 + random.below(5);
   last_version = first.version;
   sent[first.version].push_back(first);
-  enqueue([this, first](std::function<void()> done) { begin_with(first, std::move(done)); });
+  enqueue([this, first](std::function<void()> done) { send_initial(first, std::move(done)); });
 }
 
-void Operators::begin_with(Configuration const& first, std::function<void()> done) {
+void Operators::send_initial(Configuration const& first, std::function<void()> done) {
   Micros const at = now();
   call("POST /Configuration.Replace", "X-Based-On-Version: 0\r\nContent-Type: application/json\r\n", first.text(),
        [this, first, done, at](unsigned status, std::string const& body) {
          if (status == 200) {
-           acknowledged(first, at);
+           on_acknowledged(first, at);
            return done();
          }
          if (status != 0)
            judge.broken(Promise::config_unacknowledged, "the initial configuration was answered with status " +
                                                             std::to_string(status) + " " + body.substr(0, 200));
-         after(millis(500), [this, first, done] { begin_with(first, done); });
+         after(millis(500), [this, first, done] { send_initial(first, done); });
        });
 }
 
@@ -210,21 +210,21 @@
 void Operators::read_once() {
   Node& node = nodes.random_node(random);
   Micros const sent_at = now();
-  std::shared_ptr<ClientConnection> const line =
+  std::shared_ptr<ClientConnection> const connection =
       ClientConnection::dial(node.control_address(), "127." + std::to_string(net) + ".6.3", millis(1000));
-  readers.push_back(line);
-  if (readers.size() > 100) readers.pop_front();
+  read_connections.push_back(connection);
+  if (read_connections.size() > 100) read_connections.pop_front();
   std::shared_ptr<unsigned> const status = std::make_shared<unsigned>(0);
-  std::shared_ptr<std::string> const got = std::make_shared<std::string>();
+  std::shared_ptr<std::string> const body = std::make_shared<std::string>();
   ClientConnection::Callbacks callbacks;
   callbacks.head = [status](unsigned code) { *status = code; };
-  callbacks.body = [got](std::string_view bytes) { got->append(bytes); };
+  callbacks.body = [body](std::string_view bytes) { body->append(bytes); };
   std::string const name = node.name;
-  callbacks.end = [this, status, got, name, sent_at](ClientConnection::Outcome how) {
-    if (how != ClientConnection::Outcome::complete || *status != 200) return;
+  callbacks.end = [this, status, body, name, sent_at](ClientConnection::Outcome outcome) {
+    if (outcome != ClientConnection::Outcome::complete || *status != 200) return;
     ++tally.readings;
-    std::size_t const at = got->find("\"version\":");
-    std::uint64_t const version = at == std::string::npos ? 0 : std::strtoull(got->c_str() + at + 10, nullptr, 10);
+    std::size_t const at = body->find("\"version\":");
+    std::uint64_t const version = at == std::string::npos ? 0 : std::strtoull(body->c_str() + at + 10, nullptr, 10);
     std::uint64_t least = 0;
     for (std::pair<Micros, std::uint64_t> const& item : acknowledgements)
       if (item.first + max_propagation_delay < sent_at) least = std::max(least, item.second);
@@ -232,11 +232,12 @@
       judge.broken(Promise::read_older, name + " returned version " + std::to_string(version) +
                                             " to a read after version " + std::to_string(least) + " was acknowledged");
   };
-  line->send_request(request_of("GET", "/Configuration.Read", node.control_address(), "Connection: close\r\n", ""),
-                     std::move(callbacks), millis(1500));
+  connection->send_request(
+      request_of("GET", "/Configuration.Read", node.control_address(), "Connection: close\r\n", ""),
+      std::move(callbacks), millis(1500));
 }
 
-void Operators::acknowledged(Configuration const& configuration, Micros began) {
+void Operators::on_acknowledged(Configuration const& configuration, Micros began) {
   acknowledgements.emplace_back(now(), configuration.version);
   ++tally.acknowledged;
   tally.acks.push_back(now() - began);
@@ -249,24 +250,24 @@
 void Operators::change(int attempt_count, std::function<void()> done) {
   Configuration const base = in_force;
   std::string const drop = oldest_idle(base);
-  Configuration const made = with_new_idle_route(base, ++last_idle, drop);
-  sent[made.version].push_back(made);
+  Configuration const changed = with_new_idle_route(base, ++last_idle, drop);
+  sent[changed.version].push_back(changed);
   if (!drop.empty()) {
     IdleRoute& dropped = idle_routes[std::atoi(drop.c_str() + 6)];
     if (dropped.removal_sent < 0) dropped.removal_sent = now();
   }
   bool const amend = random.chance(0.5);
-  std::string body = made.text();
+  std::string body = changed.text();
   if (amend) {
     JsonWriter json;
     json.begin_object()
         .key("version")
-        .number(static_cast<std::int64_t>(made.version))
+        .number(static_cast<std::int64_t>(changed.version))
         .key("upsert")
         .begin_object()
         .key("routes")
         .begin_list();
-    json.raw(made.routes.at(idle_name(last_idle))).end_list().end_object().key("remove").begin_object();
+    json.raw(changed.routes.at(idle_name(last_idle))).end_list().end_object().key("remove").begin_object();
     if (!drop.empty()) json.key("routes").begin_list().text(drop).end_list();
     json.end_object().end_object();
     body = json.take();
@@ -276,25 +277,25 @@
   // Whether all nodes stayed in touch is known only at the end of the acknowledgement timeout.
   std::shared_ptr<bool> const answered = std::make_shared<bool>(false);
   if (nodes.all_in_touch(began))
-    after(acknowledgement_timeout + millis(3) * static_cast<Micros>(made.routes.size()), [this, answered, made] {
+    after(acknowledgement_timeout + millis(3) * static_cast<Micros>(changed.routes.size()), [this, answered, changed] {
       if (!*answered && nodes.all_in_touch(now()))
-        judge.broken(Promise::config_unacknowledged, "version " + std::to_string(made.version) +
+        judge.broken(Promise::config_unacknowledged, "version " + std::to_string(changed.version) +
                                                          " was not acknowledged in time while all nodes were in touch");
     });
   call(amend ? "POST /Configuration.Amend" : "POST /Configuration.Replace",
        "X-Based-On-Version: " + std::to_string(base.version) + "\r\nContent-Type: application/json\r\n", body,
-       [this, made, began, attempt_count, done, answered](unsigned status, std::string const&) {
+       [this, changed, began, attempt_count, done, answered](unsigned status, std::string const&) {
          *answered = status != 0;
          if (status == 200) {
-           acknowledged(made, began);
+           on_acknowledged(changed, began);
            return done();
          }
          if (status == 0) {
            ++tally.unclear;
-           unsettled[made.version] = canonical(made.text());
+           unsettled[changed.version] = canonical(changed.text());
          } else {
            ++tally.conflicts;
-           refused.insert(canonical(made.text()));
+           rejected.insert(canonical(changed.text()));
          }
          adopt_current_configuration([this, attempt_count, done] {
            if (attempt_count > 0) return change(attempt_count - 1, done);
@@ -305,7 +306,7 @@
 
 bool Operators::find_sent(std::string const& body, Configuration& out) {
   std::string const read = canonical(body);
-  if (refused.count(read) > 0) judge.broken(Promise::config_refused, body.substr(0, 120));
+  if (rejected.count(read) > 0) judge.broken(Promise::config_refused, body.substr(0, 120));
   for (std::pair<std::uint64_t const, std::vector<Configuration>> const& item : sent)
     for (Configuration const& one : item.second)
       if (!read.empty() && canonical(one.text()) == read) {
@@ -335,38 +336,38 @@
   struct RacingChanges {
     unsigned status[2] = {0, 0};
     int unanswered = 2;
-    Configuration made[2];
+    Configuration changed[2];
     Micros began = now();
   };
   ++tally.races;
   Configuration const base = in_force;
   std::shared_ptr<RacingChanges> const pair = std::make_shared<RacingChanges>();
   for (int i = 0; i < 2; ++i) {
-    pair->made[i] = with_new_idle_route(base, ++last_idle, "");
+    pair->changed[i] = with_new_idle_route(base, ++last_idle, "");
     // The two changes have the same version or different ones.
-    if (i == 1 && random.chance(0.5)) pair->made[1].version = pair->made[0].version;
-    sent[pair->made[i].version].push_back(pair->made[i]);
+    if (i == 1 && random.chance(0.5)) pair->changed[1].version = pair->changed[0].version;
+    sent[pair->changed[i].version].push_back(pair->changed[i]);
   }
   for (int i = 0; i < 2; ++i)
     call("POST /Configuration.Replace",
          "X-Based-On-Version: " + std::to_string(base.version) + "\r\nContent-Type: application/json\r\n",
-         pair->made[i].text(), [this, i, pair, done](unsigned status, std::string const&) {
+         pair->changed[i].text(), [this, i, pair, done](unsigned status, std::string const&) {
            pair->status[i] = status;
            if (--pair->unanswered > 0) return;
            if (pair->status[0] == 200 && pair->status[1] == 200)
              judge.broken(Promise::config_two, "two concurrent changes were acknowledged: versions " +
-                                                   std::to_string(pair->made[0].version) + " and " +
-                                                   std::to_string(pair->made[1].version));
+                                                   std::to_string(pair->changed[0].version) + " and " +
+                                                   std::to_string(pair->changed[1].version));
            for (int k = 0; k < 2; ++k) {
              if (pair->status[k] == 0) {
                ++tally.unclear;
-               unsettled[pair->made[k].version] = canonical(pair->made[k].text());
+               unsettled[pair->changed[k].version] = canonical(pair->changed[k].text());
              }
-             if (pair->status[k] >= 400) refused.insert(canonical(pair->made[k].text()));
+             if (pair->status[k] >= 400) rejected.insert(canonical(pair->changed[k].text()));
            }
            for (int k = 0; k < 2; ++k) {
              if (pair->status[k] != 200) continue;
-             acknowledged(pair->made[k], pair->began);
+             on_acknowledged(pair->changed[k], pair->began);
              return done();
            }
            adopt_current_configuration(done);
@@ -375,45 +376,46 @@
 
 void Operators::send_invalid(int which, std::function<void()> done) {
   ++tally.invalid;
-  Configuration made = with_new_idle_route(in_force, ++last_idle, "");
+  Configuration changed = with_new_idle_route(in_force, ++last_idle, "");
   std::string text;
-  char const* what = "";
-  RequestClass odd = shape.classes.front();
+  char const* description = "";
+  RequestClass route_class = shape.classes.front();
   switch (which % 6) {
     case 0:
-      what = "an unknown service";
-      made.routes["r-odd"] = route_text("r-odd", "odd.example", "/odd/", "nobody", odd);
+      description = "an unknown service";
+      changed.routes["r-odd"] = route_text("r-odd", "odd.example", "/odd/", "nobody", route_class);
       break;
     case 1:
-      what = "two routes with one host and prefix";
-      made.routes["r-odd"] = route_text("r-odd", odd.host, odd.path_prefix, shape.service, odd);
+      description = "two routes with one host and prefix";
+      changed.routes["r-odd"] =
+          route_text("r-odd", route_class.host, route_class.path_prefix, shape.service, route_class);
       break;
     case 2:
-      what = "a timeout of 0";
-      odd.deadline = 0;
-      made.routes["r-odd"] = route_text("r-odd", "odd.example", "/odd/", shape.service, odd);
+      description = "a timeout of 0";
+      route_class.deadline = 0;
+      changed.routes["r-odd"] = route_text("r-odd", "odd.example", "/odd/", shape.service, route_class);
       break;
     case 3:
-      what = "a version that is not above the current one";
-      made.version = in_force.version;
+      description = "a version that is not above the current one";
+      changed.version = in_force.version;
       break;
     case 4:
-      what = "weights that add up to 0";
-      made.routes["r-odd"] =
+      description = "weights that add up to 0";
+      changed.routes["r-odd"] =
           "{\"name\":\"r-odd\",\"host\":\"odd.example\",\"path_prefix\":\"/odd/\",\"route_kind\":\"streaming\","
           "\"timeout_ms\":3000,\"target_latency_ms\":500,\"priority\":0,\"weighted_services\":[{\"service\":\"" +
           shape.service + "\",\"weight\":0}],\"max_attempts\":1}";
       break;
     default:
-      what = "truncated JSON";
-      text = made.text().substr(0, made.text().size() / 2);
+      description = "truncated JSON";
+      text = changed.text().substr(0, changed.text().size() / 2);
       break;
   }
-  if (text.empty()) text = made.text();
+  if (text.empty()) text = changed.text();
   call("POST /Configuration.Replace",
        "X-Based-On-Version: " + std::to_string(in_force.version) + "\r\nContent-Type: application/json\r\n", text,
-       [this, what, done](unsigned status, std::string const&) {
-         if (status == 200) judge.broken(Promise::config_invalid, what);
+       [this, description, done](unsigned status, std::string const&) {
+         if (status == 200) judge.broken(Promise::config_invalid, description);
          done();
        });
 }
@@ -464,7 +466,7 @@
   Micros const at = now();
   RequestClass const& of = shape.classes.back();
   Attempt attempt;
-  attempt.id = "check-" + std::to_string(++last_check);
+  attempt.id = "check-" + std::to_string(++last_probe);
   attempt.service = other_service;
   attempt.target = "POST " + idle_path(number) + "x";
   attempt.body = hash_text("look");
@@ -473,17 +475,17 @@
   attempt.node = node.name;
   attempt.sent = at;
   Attempt* const sent_attempt = &judge.sent(attempt);
-  std::string const fields = "X-Request-Attempt: " + attempt.id + "\r\nX-Model-Name: " + shape.model +
-                             "\r\nX-Token-Counts: 20," + std::to_string(shape.engine.stride) +
-                             "\r\nX-Prompt-Prefix: " + std::to_string(number) +
-                             "a:20\r\nX-Deadline-Remaining: 3000\r\nConnection: close\r\n";
-  std::shared_ptr<ClientConnection> const line =
+  std::string const headers = "X-Request-Attempt: " + attempt.id + "\r\nX-Model-Name: " + shape.model +
+                              "\r\nX-Token-Counts: 20," + std::to_string(shape.engine.stride) +
+                              "\r\nX-Prompt-Prefix: " + std::to_string(number) +
+                              "a:20\r\nX-Deadline-Remaining: 3000\r\nConnection: close\r\n";
+  std::shared_ptr<ClientConnection> const connection =
       ClientConnection::dial(node.front_address(), "127." + std::to_string(net) + ".6.2", millis(1000));
-  lines.push_back(line);
-  if (lines.size() > 200) lines.erase(lines.begin(), lines.begin() + 100);
+  probes.push_back(connection);
+  if (probes.size() > 200) probes.erase(probes.begin(), probes.begin() + 100);
   std::shared_ptr<unsigned> const status = std::make_shared<unsigned>(0);
   std::shared_ptr<Reading> const reading = std::make_shared<Reading>();
-  Node* const where = &node;
+  Node* const probed_node = &node;
   ClientConnection::Callbacks callbacks;
   callbacks.head = [this, status, sent_attempt](unsigned code) {
     *status = code;
@@ -492,24 +494,24 @@
   callbacks.body = [this, status, sent_attempt, reading](std::string_view bytes) {
     if (*status == 200) judge.read(*sent_attempt, *reading, bytes, now());
   };
-  std::weak_ptr<ClientConnection> const weak = line;
-  callbacks.end = [this, status, sent_attempt, reading, where, number, expected, at,
-                   weak](ClientConnection::Outcome how) {
-    if (how == ClientConnection::Outcome::complete && *status == 200)
+  std::weak_ptr<ClientConnection> const weak = connection;
+  callbacks.end = [this, status, sent_attempt, reading, probed_node, number, expected, at,
+                   weak](ClientConnection::Outcome outcome) {
+    if (outcome == ClientConnection::Outcome::complete && *status == 200)
       if (std::shared_ptr<ClientConnection> const own = weak.lock())
         judge.record_complete(*sent_attempt, *reading, own->field("x-server-seal"));
-    if (!nodes.in_touch(*where, at) || !nodes.in_touch(*where, now())) return;
+    if (!nodes.in_touch(*probed_node, at) || !nodes.in_touch(*probed_node, now())) return;
     std::map<int, IdleRoute>::const_iterator const route = idle_routes.find(number);
     if (expected && *status == 404 && route != idle_routes.end() && route->second.removal_sent < 0)
-      judge.broken(Promise::config_late, where->name + " does not serve " + idle_name(number) +
+      judge.broken(Promise::config_late, probed_node->name + " does not serve " + idle_name(number) +
                                              ", whose addition was acknowledged " +
                                              std::to_string((at - route->second.added) / 1000) + " ms earlier");
     if (!expected && (sent_attempt->runs > 0 || *status == 200))
       judge.broken(Promise::config_late,
-                   where->name + " still serves " + idle_name(number) + " after its removal was acknowledged");
+                   probed_node->name + " still serves " + idle_name(number) + " after its removal was acknowledged");
   };
-  line->send_request(request_of("POST", idle_path(number) + "x", idle_host(number), fields, "look"),
-                     std::move(callbacks), seconds(4));
+  connection->send_request(request_of("POST", idle_path(number) + "x", idle_host(number), headers, "look"),
+                           std::move(callbacks), seconds(4));
 }
 
 void Operators::read_back(Micros span, std::function<void()> done) { read_until(now() + span, std::move(done)); }
--- a/testing/platform_fleet_test/operators.h
+++ b/testing/platform_fleet_test/operators.h
@@ -67,14 +67,14 @@
   // One request to the control API, with its retries at other nodes.
   struct Call {
     std::string target;  // method and path
-    std::string fields;
+    std::string headers;
     std::string body;
-    int sends = 0;
+    int attempt_count = 0;
     int unexpected_4xx = 0;  // 3xx and 4xx responses that are no definite result
     int redirects = 0;
     bool unclear = false;
     Micros began = 0;
-    std::shared_ptr<ClientConnection> line;
+    std::shared_ptr<ClientConnection> connection;
     std::function<void(unsigned status, std::string const& body)> done;  // status 0: no definite result
     std::string answer;
     unsigned status = 0;
@@ -87,12 +87,12 @@
   };
   using Task = std::function<void(std::function<void()> done)>;
 
-  void enqueue(Task task_);
-  void begin_with(Configuration const& first, std::function<void()> done);
+  void enqueue(Task task);
+  void send_initial(Configuration const& first, std::function<void()> done);
   void read_until(Micros until, std::function<void()> done);
   void read_once();
   void next_task();
-  void call(std::string target, std::string fields, std::string body,
+  void call(std::string target, std::string headers, std::string body,
             std::function<void(unsigned, std::string const&)> done);
   void send(std::shared_ptr<Call> const& call, std::string const& address);
   void retry(std::shared_ptr<Call> const& call);
@@ -100,7 +100,7 @@
   void change(int attempt_count, std::function<void()> done);
   void race(std::function<void()> done);
   void send_invalid(int which, std::function<void()> done);
-  void acknowledged(Configuration const& configuration, Micros sent);
+  void on_acknowledged(Configuration const& configuration, Micros sent);
   // Reads the current configuration after an indefinite or rejected change; later changes are based on it.
   void adopt_current_configuration(std::function<void()> done);
   bool find_sent(std::string const& body, Configuration& out);
@@ -118,13 +118,13 @@
   Configuration in_force;                                    // the newest that was acknowledged or read back
   std::map<std::uint64_t, std::vector<Configuration>> sent;  // by version; two concurrent changes may share a version
   std::map<std::uint64_t, std::string> unsettled;  // changes without a definite result: canonical text by version
-  std::set<std::string> refused;                   // canonical texts of rejected changes, which must never be in force
+  std::set<std::string> rejected;                  // canonical texts of rejected changes, which must never be in force
   std::map<int, IdleRoute> idle_routes;
   int last_idle = 0;
   std::uint64_t last_version = 0;
-  std::uint64_t last_check = 0;
-  std::vector<std::shared_ptr<ClientConnection>> lines;
-  std::deque<std::shared_ptr<ClientConnection>> readers;
+  std::uint64_t last_probe = 0;
+  std::vector<std::shared_ptr<ClientConnection>> probes;
+  std::deque<std::shared_ptr<ClientConnection>> read_connections;
   std::vector<std::pair<Micros, std::uint64_t>> acknowledgements;  // time and version
   bool reading_stopped = false;
 };
--- a/testing/platform_fleet_test/platform_fleet.cc
+++ b/testing/platform_fleet_test/platform_fleet.cc
@@ -22,7 +22,7 @@
 constexpr double min_recovered_share = 0.25;
 
 // Whether an IP address is a worker's public one (third byte 10 to 99) or private one (110 to 119).
-bool worker_ip(std::string const& ip) {
+bool is_worker_ip(std::string const& ip) {
   std::size_t const second = ip.find('.', ip.find('.') + 1);
   int const third = std::atoi(ip.c_str() + second + 1);
   return (third >= 10 && third < 100) || (third >= 110 && third < 120);
@@ -69,7 +69,7 @@
           return TRUE;
         },
         this);
-  Micros const launched = now();
+  Micros const started_at = now();
   nodes.start_all();
   after(millis(300), [this] { workers.start_all(); });
   after(millis(500), [this] { operators.begin(); });
@@ -77,23 +77,23 @@
   every(lag_interval, [this] {
     Micros const at = now();
     Micros const late = std::max<Micros>(0, at - last_tick - lag_interval);
-    lags.push_back(late);
-    if (late > max_lag) nodes.loop_delayed(at);
+    loop_delays.push_back(late);
+    if (late > max_lag) nodes.record_loop_delay(at);
     last_tick = at;
     return true;
   });
   bool const up = run_until(seconds(20), [this] { return nodes.all_ready() && operators.has_configuration(); });
-  ready_after = static_cast<double>(now() - launched) / 1000;
+  ready_after_ms = static_cast<double>(now() - started_at) / 1000;
   if (!up) return false;
   // The times of the faults count from here on, after a settling time from the start of the processes.
-  run_until(std::max<Micros>(0, seconds(4) - (now() - launched)), [] { return false; });
+  run_until(std::max<Micros>(0, seconds(4) - (now() - started_at)), [] { return false; });
   nodes.polls = nodes.polls_unready = 0;
-  lags.clear();
+  loop_delays.clear();
   callers.begin();
   operators.read_periodically();
-  std::size_t many = 0;
+  std::size_t fault_count = 0;
   for (Fault const& fault : plan.faults)
-    if (++many <= max_faults) after(fault.at, [this, fault] { perform(fault); });
+    if (++fault_count <= max_faults) after(fault.at, [this, fault] { inject_fault(fault); });
   run_until(static_cast<Micros>(plan.seconds * 1e6), [] { return false; });
   callers.stop();
   if (interrupted) return false;  // an interrupted experiment is not judged
@@ -127,7 +127,7 @@
 std::vector<Node*> PlatformFleet::choose_nodes(Fault const& fault) {
   std::vector<Node*> up;
   for (std::unique_ptr<Node> const& node : nodes.all) {
-    if (node->pid <= 0 || node->leaving || node->frozen || node->removed) continue;
+    if (node->pid <= 0 || node->terminating || node->frozen || node->removed) continue;
     if (fault.on == "core" && !node->core) continue;
     if (fault.on == "plain" && node->core) continue;
     if (fault.on == "seed" && !node->seed) continue;
@@ -144,7 +144,7 @@
   return out;
 }
 
-void PlatformFleet::perform(Fault const& fault) {
+void PlatformFleet::inject_fault(Fault const& fault) {
   switch (fault.kind) {
     case Fault::Kind::kill:
     case Fault::Kind::restart:
@@ -194,7 +194,7 @@
     case Fault::Kind::reset:
     case Fault::Kind::lost:
     case Fault::Kind::mute:
-      return perform_on_links(fault);
+      return inject_link_fault(fault);
     case Fault::Kind::burst:
     case Fault::Kind::hot:
       return callers.perform(fault);
@@ -215,7 +215,7 @@
   }
 }
 
-void PlatformFleet::perform_on_links(Fault const& fault) {
+void PlatformFleet::inject_link_fault(Fault const& fault) {
   if (!relay) return;
   std::set<std::string> chosen;
   std::vector<Node*> const some_nodes = choose_nodes(fault);
@@ -226,13 +226,13 @@
   for (std::unique_ptr<Node> const& node : nodes.all)
     if (node->core) core.insert(node->ip);
   Micros const until = now() + fault.span;
-  bool const other_way = fault.x > 0;
+  bool const variant = fault.x > 0;
   // A node that is cut off from a core node is not in touch. Lost responses can delay every node.
-  bool const all_troubled = fault.kind == Fault::Kind::lost || fault.kind == Fault::Kind::mute ||
-                            fault.kind == Fault::Kind::delay || fault.kind == Fault::Kind::reset;
+  bool const affects_every_node = fault.kind == Fault::Kind::lost || fault.kind == Fault::Kind::mute ||
+                                  fault.kind == Fault::Kind::delay || fault.kind == Fault::Kind::reset;
   for (std::unique_ptr<Node> const& node : nodes.all) {
     bool const halved = fault.kind == Fault::Kind::halves && node->core;
-    if (all_troubled || halved || chosen.count(node->ip) > 0) nodes.mark_link_fault(*node, until);
+    if (affects_every_node || halved || chosen.count(node->ip) > 0) nodes.mark_link_fault(*node, until);
   }
   LinkFault link_fault;
   link_fault.until = until;
@@ -241,18 +241,18 @@
   };
   switch (fault.kind) {
     case Fault::Kind::cut:
-      link_fault.applies_to = [chosen, is_node, other_way](std::string const& from, std::string const& to) {
+      link_fault.applies_to = [chosen, is_node, variant](std::string const& from, std::string const& to) {
         bool const separated = (chosen.count(from) > 0) != (chosen.count(to) > 0);
-        bool const workers_too = other_way && from.compare(0, 4, "127.") == 0;
+        bool const workers_too = variant && from.compare(0, 4, "127.") == 0;
         if (is_node(from) && is_node(to)) return separated;
         // Clients and operators still reach every node.
-        return workers_too && separated && (worker_ip(from) || worker_ip(to));
+        return workers_too && separated && (is_worker_ip(from) || is_worker_ip(to));
       };
       return relay->add_fault(link_fault);
     case Fault::Kind::deaf:
-      link_fault.applies_to = [chosen, is_node, other_way](std::string const& from, std::string const& to) {
-        std::string const& deaf = other_way ? from : to;
-        std::string const& other = other_way ? to : from;
+      link_fault.applies_to = [chosen, is_node, variant](std::string const& from, std::string const& to) {
+        std::string const& deaf = variant ? from : to;
+        std::string const& other = variant ? to : from;
         return is_node(from) && is_node(to) && chosen.count(deaf) > 0 && chosen.count(other) == 0;
       };
       return relay->add_fault(link_fault);
@@ -415,7 +415,7 @@
   out.put("configuration readings at any node", static_cast<double>(changes.readings));
   out.put("failed requests looked for in logs", static_cast<double>(callers.failed.size()));
   if (relay) {
-    out.put("bytes through the relay", static_cast<double>(relay->carried));
+    out.put("bytes through the relay", static_cast<double>(relay->bytes_forwarded));
     out.put("answers swallowed", static_cast<double>(relay->swallowed));
     out.put("connections reset", static_cast<double>(relay->resets));
   }
@@ -438,7 +438,7 @@
   out.put("nodes", static_cast<double>(nodes.all.size()));
   out.put("node processor seconds", cpu);
   out.put("node memory most MB", memory);
-  out.put("ready after ms", ready_after);
+  out.put("ready after ms", ready_after_ms);
 }
 
 // CPU time and event loop delays of the experiment itself; times are not judged near delays above `max_lag`.
@@ -446,8 +446,8 @@
   rusage own;
   getrusage(RUSAGE_SELF, &own);
   out.put("stage processor seconds", static_cast<double>(own.ru_utime.tv_sec + own.ru_stime.tv_sec));
-  out.put("stage loop late p99 ms", quantile(lags, 0.99) / 1000);
-  out.put("stage loop late most ms", quantile(lags, 1) / 1000);
+  out.put("stage loop late p99 ms", quantile(loop_delays, 0.99) / 1000);
+  out.put("stage loop late most ms", quantile(loop_delays, 1) / 1000);
 }
 
 // Broken promises, by promise.
--- a/testing/platform_fleet_test/platform_fleet.h
+++ b/testing/platform_fleet_test/platform_fleet.h
@@ -40,9 +40,9 @@
 
  private:
   bool run_until(Micros max_wait, std::function<bool()> condition);
-  void perform(Fault const& fault);
+  void inject_fault(Fault const& fault);
   std::vector<Node*> choose_nodes(Fault const& fault);
-  void perform_on_links(Fault const& fault);
+  void inject_link_fault(Fault const& fault);
   void blackout(Fault const& fault);
   // Checks that the log of the node records every request that failed while the node was in touch.
   void check_failures();
@@ -64,9 +64,9 @@
   Callers callers;
   Operators operators;
   RudeClients rude;
-  std::vector<Micros> lags;  // delays of the experiment's own event loop
+  std::vector<Micros> loop_delays;  // delays of the experiment's own event loop
   Micros last_tick = 0;
-  double ready_after = 0;
+  double ready_after_ms = 0;
   bool interrupted = false;
 };
 
--- a/testing/platform_fleet_test/schedule.cc
+++ b/testing/platform_fleet_test/schedule.cc
@@ -84,15 +84,15 @@
   std::string out = "change@0.40:count=" + std::to_string(4 + random.below(12)) +
                     ",gap=" + two_decimals(random_between(random, 0.3, 1.2));
   bool disk_lost = false;
-  for (double moment = random_between(random, first_fault_at, first_fault_at + 2); moment <= end;
-       moment += random_between(random, 2, 7)) {
-    std::uint64_t const together = 2 + random.below(2);
-    for (std::uint64_t n = 0; n < together; ++n) {
+  for (double group_start = random_between(random, first_fault_at, first_fault_at + 2); group_start <= end;
+       group_start += random_between(random, 2, 7)) {
+    std::uint64_t const fault_count = 2 + random.below(2);
+    for (std::uint64_t n = 0; n < fault_count; ++n) {
       FaultTemplate const& fault_template = fault_templates[random.below(std::size(fault_templates))];
       if (fault_template.loses_disk && disk_lost) continue;
       disk_lost = disk_lost || fault_template.loses_disk;
       std::string text = fault_template.text;
-      fill_placeholder(text, "AT", std::min(end, moment + random_between(random, 0, max_overlap)));
+      fill_placeholder(text, "AT", std::min(end, group_start + random_between(random, 0, max_overlap)));
       fill_placeholder(text, "FOR", random_between(random, fault_template.min_span, fault_template.max_span));
       fill_placeholder(text, "X", random_between(random, 0.05, 0.7));
       out += "; " + text;
--- a/testing/soak/main.cc
+++ b/testing/soak/main.cc
@@ -49,15 +49,15 @@
   std::string schedule;
 };
 
-// Starts an experiment in a child process, whose pid it stores in `made`.
-SoakRun start_run(SoakPlan const& plan, std::uint64_t seed, unsigned job, pid_t& made) {
+// Starts an experiment in a child process, whose pid it stores in `pid`.
+SoakRun start_run(SoakPlan const& plan, std::uint64_t seed, unsigned job, pid_t& pid) {
   SoakRun run;
   run.seed = seed;
   run.folder = plan.folder + "/seed-" + std::to_string(seed);
   run.schedule = plan.faults.empty() ? soak_schedule(seed, plan.seconds, plan.calm) : plan.faults;
-  std::error_code wrong;
-  std::filesystem::remove_all(run.folder, wrong);
-  std::filesystem::create_directories(run.folder, wrong);
+  std::error_code error;
+  std::filesystem::remove_all(run.folder, error);
+  std::filesystem::create_directories(run.folder, error);
   std::ofstream(run.folder + "/schedule") << "--seed " << seed << " --troubles \"" << run.schedule << "\"\n";
   std::vector<std::string> const command = {plan.program, "--relay",
                                             "--shape",    plan.shape,
@@ -68,8 +68,8 @@
                                             "--troubles", run.schedule};
   std::string const report = run.folder + "/report";
   pid_t const parent = ::getpid();
-  made = ::fork();
-  if (made != 0) return run;
+  pid = ::fork();
+  if (pid != 0) return run;
   ::prctl(PR_SET_PDEATHSIG, SIGTERM);
   if (::getppid() != parent) ::_exit(1);
   int const fd = ::open(report.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
@@ -104,10 +104,10 @@
   while (next < plan.from + plan.seeds || !running.empty()) {
     for (unsigned job = 0; job < plan.jobs && next < plan.from + plan.seeds; ++job) {
       if (busy[job]) continue;
-      pid_t made = 0;
-      SoakRun run = start_run(plan, next++, job, made);
+      pid_t pid = 0;
+      SoakRun run = start_run(plan, next++, job, pid);
       busy[job] = true;
-      running.emplace(made, std::make_pair(job, std::move(run)));
+      running.emplace(pid, std::make_pair(job, std::move(run)));
     }
     int status = 0;
     pid_t const ended = ::wait(&status);
@@ -117,8 +117,8 @@
     int const code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
     if (code == passed_status) {
       ++passed;
-      std::error_code wrong;
-      std::filesystem::remove_all(position->second.second.folder, wrong);
+      std::error_code error;
+      std::filesystem::remove_all(position->second.second.folder, error);
     } else {
       failed.push_back(position->second.second.seed);
       print_failure(position->second.second, code);
@@ -148,20 +148,20 @@
       "platform-fleet-test", options::value(&plan.program), "the program; beside this one if not given")(
       "troubles", options::value(&plan.faults), "schedule for every seed, instead of drawn ones")(
       "show", "prints the schedules without running them");
-  options::variables_map given;
+  options::variables_map values;
   try {
-    options::store(options::command_line_parser(count, command).options(flags).positional({}).run(), given);
-    options::notify(given);
+    options::store(options::command_line_parser(count, command).options(flags).positional({}).run(), values);
+    options::notify(values);
   } catch (options::error const& error) {
     return std::fprintf(stderr, "soak: %s\n", error.what()), 2;
   }
-  if (given.count("help") > 0) {
+  if (values.count("help") > 0) {
     std::cout << flags;
     return 0;
   }
   if (plan.jobs < 1 || plan.seeds < 1 || plan.net < net_first || plan.net + static_cast<int>(plan.jobs) > net_last)
     return std::fprintf(stderr, "soak: --jobs, --seeds or --net is out of range\n"), 2;
-  if (given.count("show") > 0) {
+  if (values.count("show") > 0) {
     for (std::uint64_t seed = plan.from; seed < plan.from + plan.seeds; ++seed)
       std::cout << seed << ": " << soak_schedule(seed, plan.seconds, plan.calm) << "\n";
     return 0;
