--- a/testing/platform_fleet_test/nodes.h
+++ b/testing/platform_fleet_test/nodes.h
@@ -69,12 +69,13 @@
   Nodes(NodesPlan plan_, Shape const& shape_, Judge& judge_);
   ~Nodes();
 
+  // Starts every node, the readiness polls and the sampling.
   void start_all();
   // Sends SIGKILL; the node restarts after `back_after`.
   void kill(Node& node, Micros back_after);
   // Sends SIGTERM, and SIGKILL after the grace period. The node restarts after `back_after`; never if that is negative.
   void terminate(Node& node, Micros back_after);
-  // Stops the process with SIGSTOP for `span`.
+  // Stops the process with SIGSTOP, and continues it after `span`.
   void freeze(Node& node, Micros span);
   // Kills the node and deletes its data; it restarts with an empty disk at the same address.
   void wipe(Node& node, Micros back_after);
--- a/testing/platform_fleet_test/operators.cc
+++ b/testing/platform_fleet_test/operators.cc
@@ -57,13 +57,13 @@
 
 void Operators::call(std::string target, std::string headers, std::string body,
                      std::function<void(unsigned, std::string const&)> done) {
-  std::shared_ptr<Call> const changed = std::make_shared<Call>();
-  changed->target = std::move(target);
-  changed->headers = std::move(headers);
-  changed->body = std::move(body);
-  changed->began = now();
-  changed->done = std::move(done);
-  send(changed, nodes.random_node(random).control_address());
+  std::shared_ptr<Call> const new_call = std::make_shared<Call>();
+  new_call->target = std::move(target);
+  new_call->headers = std::move(headers);
+  new_call->body = std::move(body);
+  new_call->began = now();
+  new_call->done = std::move(done);
+  send(new_call, nodes.random_node(random).control_address());
 }
 
 void Operators::send(std::shared_ptr<Call> const& call, std::string const& address) {
@@ -94,7 +94,7 @@
       return retry(call);
     }
     bool const final = status == 400 || status == 409 || status == 412 || status == 413 || status == 422;
-    if (status >= 300 && !final && ++call->unexpected_4xx < 3) return retry(call);
+    if (status >= 300 && !final && ++call->unexpected_status_count < 3) return retry(call);
     call->done(status, call->answer);
   };
   call->connection = ClientConnection::dial(address, "127." + std::to_string(net) + ".6.1", millis(1000));
--- a/testing/platform_fleet_test/operators.h
+++ b/testing/platform_fleet_test/operators.h
@@ -24,7 +24,7 @@
   std::uint64_t changes = 0;
   std::uint64_t acknowledged = 0;
   std::uint64_t unclear = 0;    // changes abandoned without a definite result
-  std::uint64_t conflicts = 0;  // changes without a concurrent one that were rejected
+  std::uint64_t conflicts = 0;  // changes rejected (412) without a concurrent change
   std::uint64_t races = 0;
   std::uint64_t invalid = 0;
   std::uint64_t checks = 0;  // requests that probe which configuration a node serves
@@ -47,6 +47,7 @@
   // Reads the configuration at random nodes until stop_reading(). No read may return a version that was replaced longer
   // ago than the propagation delay.
   void read_periodically();
+  // Ends read_periodically().
   void stop_reading() { reading_stopped = true; }
   // Reads the configuration back repeatedly for `span`, then calls `done`.
   void read_back(Micros span, std::function<void()> done);
@@ -70,7 +71,7 @@
     std::string headers;
     std::string body;
     int attempt_count = 0;
-    int unexpected_4xx = 0;  // 3xx and 4xx responses that are no definite result
+    int unexpected_status_count = 0;  // responses with another 3xx or 4xx status
     int redirects = 0;
     bool unclear = false;
     Micros began = 0;
@@ -79,6 +80,7 @@
     std::string answer;
     unsigned status = 0;
   };
+  // A route that gets no client traffic; only the probes use it.
   struct IdleRoute {
     int number = 0;
     Micros added = -1;  // time of the acknowledgement; -1 for not yet
@@ -96,6 +98,7 @@
             std::function<void(unsigned, std::string const&)> done);
   void send(std::shared_ptr<Call> const& call, std::string const& address);
   void retry(std::shared_ptr<Call> const& call);
+  // Returns a copy with a higher version, a new idle route, and without the route `drop` if that is not empty.
   Configuration with_new_idle_route(Configuration const& from, int number, std::string const& drop);
   void change(int attempt_count, std::function<void()> done);
   void race(std::function<void()> done);
@@ -103,8 +106,11 @@
   void on_acknowledged(Configuration const& configuration, Micros sent);
   // Reads the current configuration after an indefinite or rejected change; later changes are based on it.
   void adopt_current_configuration(std::function<void()> done);
+  // Finds the sent configuration that equals a response body; false if there is none. Reports a rejected one.
   bool find_sent(std::string const& body, Configuration& out);
+  // Probes the routes that a change added or removed at every node in rotation, after the propagation delay.
   void schedule_route_probes(Configuration const& configuration, Configuration const& before);
+  // Sends a request to an idle route at a node and checks whether the node serves it as `expected`.
   void probe_route(Node& node, int number, bool expected);
   std::string oldest_idle(Configuration const& from) const;
 
