--- a/testing/platform_fleet_test/fault_proxy.cc
+++ b/testing/platform_fleet_test/fault_proxy.cc
@@ -17,7 +17,7 @@
 }  // namespace
 
 FaultRelay::FaultRelay(std::uint64_t seed, Identify identify_) : random(seed), identify(std::move(identify_)) {
-  every(tick_interval, [this, weak_alive = std::weak_ptr<bool>(alive)] {
+  run_every(tick_interval, [this, weak_alive = std::weak_ptr<bool>(alive)] {
     if (weak_alive.expired()) return false;
     tick();
     return true;
--- a/testing/platform_fleet_test/line.cc
+++ b/testing/platform_fleet_test/line.cc
@@ -79,7 +79,7 @@
   if (!tcp_connection->open()) {
     // The callback runs from the event loop, after the caller has updated its own state.
     std::weak_ptr<ClientConnection> const weak = weak_from_this();
-    after(0, [weak] {
+    run_after(0, [weak] {
       if (std::shared_ptr<ClientConnection> const connection = weak.lock()) connection->finish(Outcome::unreached);
     });
     return;
--- a/testing/platform_fleet_test/main.cc
+++ b/testing/platform_fleet_test/main.cc
@@ -100,7 +100,7 @@
     std::cout << "the system was not ready in time, or the experiment was interrupted\n";
     return 3;
   }
-  return fleet->judge.total() == 0 ? 0 : 1;
+  return fleet->judge.violation_count() == 0 ? 0 : 1;
 }
 
 }  // namespace
--- a/testing/platform_fleet_test/nodes.cc
+++ b/testing/platform_fleet_test/nodes.cc
@@ -136,7 +136,7 @@
 void Nodes::start_all() {
   for (std::unique_ptr<Node> const& node : all) start(*node, true);
   for (std::unique_ptr<Node> const& node : all) poll_periodically(*node);
-  every(millis(50), [this] {
+  run_every(millis(50), [this] {
     reap_processes();
     if (now() >= next_sample) {
       next_sample = now() + millis(400);
@@ -148,7 +148,7 @@
 
 void Nodes::poll_periodically(Node& node) {
   Node* const at = &node;
-  every(seconds(1), [this, at] {
+  run_every(seconds(1), [this, at] {
     if (!at->removed) poll(*at);
     return !at->removed;
   });
@@ -159,7 +159,7 @@
   kill(node, back_after);
   // By then the killed process has ended and the next one has not started, so no process has the files open.
   std::string const data_folder = node.data_folder;
-  after(millis(150), [data_folder] {
+  run_after(millis(150), [data_folder] {
     std::error_code wrong;
     std::filesystem::remove_all(data_folder, wrong);
     std::filesystem::create_directories(data_folder, wrong);
@@ -176,7 +176,7 @@
   bool const was_seed = node.seed;
   bool const core = node.core;
   std::string const zone = node.zone;
-  after(new_after, [this, was_seed, core, zone] {
+  run_after(new_after, [this, was_seed, core, zone] {
     if (ending) return;
     Node& made = add_node(zone, core, was_seed);
     start(made, false);
@@ -215,10 +215,10 @@
       std::string line;
       while (std::getline(lines, line))
         if (line.rfind("pipit_invariant_violations_total{", 0) == 0 && !line.ends_with(" 0"))
-          judge.broken(Promise::invariant, name + ": " + line);
+          judge.report_violation(Promise::invariant, name + ": " + line);
       // Missing metrics prove no invariant, so they count as a violation.
       if (text->find("pipit_invariant_violations_total{") == std::string::npos)
-        judge.broken(Promise::invariant, name + " returned no invariant metrics");
+        judge.report_violation(Promise::invariant, name + " returned no invariant metrics");
       ++metrics_read;
       finish_one();
     };
@@ -235,7 +235,7 @@
     int reported = 0;
     while (std::getline(file, line))
       if (line.find(" E910 ") != std::string::npos && ++reported <= 3)
-        judge.broken(Promise::invariant, node->name + ": " + line.substr(0, 300));
+        judge.report_violation(Promise::invariant, node->name + ": " + line.substr(0, 300));
   }
 }
 
@@ -257,7 +257,7 @@
   planned_restarts[pid] = back_after < 0 ? -1 : now() + back_after;
   ::kill(pid, SIGTERM);
   Node* const at = &node;
-  after(termination_grace, [this, at, pid] {
+  run_after(termination_grace, [this, at, pid] {
     if (at->pid != pid) return;
     at->last_fault = now();
     ::kill(pid, SIGKILL);
@@ -272,7 +272,7 @@
   pid_t const pid = node.pid;
   ::kill(pid, SIGSTOP);
   Node* const at = &node;
-  after(span, [at, pid] {
+  run_after(span, [at, pid] {
     if (at->pid != pid) return;
     at->last_fault = now();
     at->frozen = false;
@@ -311,8 +311,9 @@
     Micros again = now() + restart_delay;
     if (planned == planned_restarts.end()) {
       record_unplanned_fault(now() + restart_delay);
-      judge.broken(Promise::ended, node->name + (WIFSIGNALED(status) ? " by signal " + std::to_string(WTERMSIG(status))
-                                                                     : " with " + std::to_string(WEXITSTATUS(status))));
+      judge.report_violation(Promise::ended,
+                             node->name + (WIFSIGNALED(status) ? " by signal " + std::to_string(WTERMSIG(status))
+                                                               : " with " + std::to_string(WEXITSTATUS(status))));
     } else {
       again = planned->second;
       planned_restarts.erase(planned);
@@ -323,7 +324,7 @@
     node->cpu = 0;
     node->last_fault = now();
     if (ending || again < 0) continue;
-    after(std::max(restart_delay, again - now()), [this, node] {
+    run_after(std::max(restart_delay, again - now()), [this, node] {
       if (!ending && node->pid == 0) start(*node, false);
     });
   }
@@ -342,7 +343,7 @@
   callbacks.end = [this, at, status, began, reported](ClientConnection::Outcome end) {
     bool const ready = end == ClientConnection::Outcome::complete && *status == 200;
     if (ready && reported >= 0 && began - reported > max_ready_after_termination)
-      judge.broken(Promise::ready_ending, at->name);
+      judge.report_violation(Promise::ready_ending, at->name);
     if (!ending && at->was_ready && in_touch(*at, began) && in_touch(*at, now())) {
       ++polls;
       if (!ready) ++polls_unready;
--- a/testing/platform_fleet_test/operators.cc
+++ b/testing/platform_fleet_test/operators.cc
@@ -37,7 +37,7 @@
       .key("service")
       .text(service);
   json.key("max_attempts").number(of.max_attempts).key("session_affinity").boolean(true);
-  json.key("resume_streams").boolean(of.resumable).key("target_gap_ms").number(of.gap / 1000).end_object();
+  json.key("resume_streams").boolean(of.resumable).key("target_gap_ms").number(of.max_gap / 1000).end_object();
   return json.take();
 }
 }  // namespace
@@ -107,7 +107,7 @@
 void Operators::retry(std::shared_ptr<Call> const& call) {
   if (now() - call->began > call_timeout) return call->done(0, "");
   Micros const pause = std::min<Micros>(millis(1000), millis(100) << std::min(call->attempt_count, 4));
-  after(pause, [this, call] { send(call, nodes.random_node(random).control_address()); });
+  run_after(pause, [this, call] { send(call, nodes.random_node(random).control_address()); });
 }
 
 // --- tasks, which run one at a time
@@ -123,7 +123,7 @@
   Task const first = std::move(tasks.front());
   tasks.pop_front();
   first([this] {
-    after(0, [this] {
+    run_after(0, [this] {
       busy = false;
       next_task();
     });
@@ -143,7 +143,7 @@
     json.key("transport_security").boolean(false).key("engine").begin_object().key("slots").number(shape.engine.slots);
     json.key("cache_tokens").number(shape.engine.cache_tokens).key("token_cache_bytes").number(163840);
     json.key("stride")
-        .number(shape.engine.stride)
+        .number(shape.engine.tokens_per_event)
         .key("models")
         .begin_list()
         .begin_object()
@@ -174,9 +174,10 @@
            return done();
          }
          if (status != 0)
-           judge.broken(Promise::config_unacknowledged, "the initial configuration was answered with status " +
-                                                            std::to_string(status) + " " + body.substr(0, 200));
-         after(millis(500), [this, first, done] { send_initial(first, done); });
+           judge.report_violation(Promise::config_unacknowledged,
+                                  "the initial configuration was answered with status " + std::to_string(status) + " " +
+                                      body.substr(0, 200));
+         run_after(millis(500), [this, first, done] { send_initial(first, done); });
        });
 }
 
@@ -201,7 +202,7 @@
 }
 
 void Operators::read_periodically() {
-  every(read_interval, [this] {
+  run_every(read_interval, [this] {
     if (has_configuration()) read_once();
     return !reading_stopped;
   });
@@ -229,8 +230,9 @@
     for (std::pair<Micros, std::uint64_t> const& item : acknowledgements)
       if (item.first + max_propagation_delay < sent_at) least = std::max(least, item.second);
     if (version < least)
-      judge.broken(Promise::read_older, name + " returned version " + std::to_string(version) +
-                                            " to a read after version " + std::to_string(least) + " was acknowledged");
+      judge.report_violation(Promise::read_older, name + " returned version " + std::to_string(version) +
+                                                      " to a read after version " + std::to_string(least) +
+                                                      " was acknowledged");
   };
   connection->send_request(
       request_of("GET", "/Configuration.Read", node.control_address(), "Connection: close\r\n", ""),
@@ -277,11 +279,13 @@
   // Whether all nodes stayed in touch is known only at the end of the acknowledgement timeout.
   std::shared_ptr<bool> const answered = std::make_shared<bool>(false);
   if (nodes.all_in_touch(began))
-    after(acknowledgement_timeout + millis(3) * static_cast<Micros>(changed.routes.size()), [this, answered, changed] {
-      if (!*answered && nodes.all_in_touch(now()))
-        judge.broken(Promise::config_unacknowledged, "version " + std::to_string(changed.version) +
-                                                         " was not acknowledged in time while all nodes were in touch");
-    });
+    run_after(acknowledgement_timeout + millis(3) * static_cast<Micros>(changed.routes.size()),
+              [this, answered, changed] {
+                if (!*answered && nodes.all_in_touch(now()))
+                  judge.report_violation(Promise::config_unacknowledged,
+                                         "version " + std::to_string(changed.version) +
+                                             " was not acknowledged in time while all nodes were in touch");
+              });
   call(amend ? "POST /Configuration.Amend" : "POST /Configuration.Replace",
        "X-Based-On-Version: " + std::to_string(base.version) + "\r\nContent-Type: application/json\r\n", body,
        [this, changed, began, attempt_count, done, answered](unsigned status, std::string const&) {
@@ -306,7 +310,7 @@
 
 bool Operators::find_sent(std::string const& body, Configuration& out) {
   std::string const read = canonical(body);
-  if (rejected.count(read) > 0) judge.broken(Promise::config_refused, body.substr(0, 120));
+  if (rejected.count(read) > 0) judge.report_violation(Promise::config_refused, body.substr(0, 120));
   for (std::pair<std::uint64_t const, std::vector<Configuration>> const& item : sent)
     for (Configuration const& one : item.second)
       if (!read.empty() && canonical(one.text()) == read) {
@@ -320,10 +324,11 @@
   call("GET /Configuration.Read", "", "", [this, done](unsigned status, std::string const& body) {
     Configuration read;
     if (status == 200 && !find_sent(body, read)) {
-      judge.broken(Promise::config_lost, "the configuration that was read was never sent: " + body.substr(0, 120));
+      judge.report_violation(Promise::config_lost,
+                             "the configuration that was read was never sent: " + body.substr(0, 120));
     } else if (status == 200 && read.version < in_force.version) {
-      judge.broken(Promise::config_lost, "version " + std::to_string(read.version) + " was read after " +
-                                             std::to_string(in_force.version) + " was acknowledged");
+      judge.report_violation(Promise::config_lost, "version " + std::to_string(read.version) + " was read after " +
+                                                       std::to_string(in_force.version) + " was acknowledged");
     } else if (status == 200) {
       in_force = read;
       last_version = std::max(last_version, read.version);
@@ -355,9 +360,9 @@
            pair->status[i] = status;
            if (--pair->unanswered > 0) return;
            if (pair->status[0] == 200 && pair->status[1] == 200)
-             judge.broken(Promise::config_two, "two concurrent changes were acknowledged: versions " +
-                                                   std::to_string(pair->changed[0].version) + " and " +
-                                                   std::to_string(pair->changed[1].version));
+             judge.report_violation(Promise::config_two, "two concurrent changes were acknowledged: versions " +
+                                                             std::to_string(pair->changed[0].version) + " and " +
+                                                             std::to_string(pair->changed[1].version));
            for (int k = 0; k < 2; ++k) {
              if (pair->status[k] == 0) {
                ++tally.unclear;
@@ -415,7 +420,7 @@
   call("POST /Configuration.Replace",
        "X-Based-On-Version: " + std::to_string(in_force.version) + "\r\nContent-Type: application/json\r\n", text,
        [this, description, done](unsigned status, std::string const&) {
-         if (status == 200) judge.broken(Promise::config_invalid, description);
+         if (status == 200) judge.report_violation(Promise::config_invalid, description);
          done();
        });
 }
@@ -425,7 +430,7 @@
                                ? std::max(1, static_cast<int>(fault.span / std::max<Micros>(1000, fault.gap)))
                                : std::max(1, fault.count);
   for (int i = 0; i < std::min(change_count, 100); ++i)
-    after(fault.gap * i, [this, i, kind = fault.kind] {
+    run_after(fault.gap * i, [this, i, kind = fault.kind] {
       enqueue([this, i, kind](std::function<void()> done) {
         if (kind == Fault::Kind::race) return race(done);
         if (kind == Fault::Kind::bad) return send_invalid(i, done);
@@ -450,7 +455,7 @@
   for (int const number : removed) idle_routes[number].removed = at;
   // Only a sample of the changes in a storm is probed, so that the probes don't dominate the traffic.
   if (added.size() + removed.size() == 0 || (tally.changes > 20 && !random.chance(0.3))) return;
-  after(max_propagation_delay + millis(5), [this, added, removed] {
+  run_after(max_propagation_delay + millis(5), [this, added, removed] {
     for (std::unique_ptr<Node> const& node : nodes.all) {
       if (node->pid <= 0 || !node->in_rotation || node->removed) continue;
       for (int const number : added) probe_route(*node, number, true);
@@ -474,9 +479,9 @@
   attempt.events = 1;
   attempt.node = node.name;
   attempt.sent = at;
-  Attempt* const sent_attempt = &judge.sent(attempt);
+  Attempt* const sent_attempt = &judge.record_sent(attempt);
   std::string const headers = "X-Request-Attempt: " + attempt.id + "\r\nX-Model-Name: " + shape.model +
-                              "\r\nX-Token-Counts: 20," + std::to_string(shape.engine.stride) +
+                              "\r\nX-Token-Counts: 20," + std::to_string(shape.engine.tokens_per_event) +
                               "\r\nX-Prompt-Prefix: " + std::to_string(number) +
                               "a:20\r\nX-Deadline-Remaining: 3000\r\nConnection: close\r\n";
   std::shared_ptr<ClientConnection> const connection =
@@ -484,15 +489,15 @@
   probes.push_back(connection);
   if (probes.size() > 200) probes.erase(probes.begin(), probes.begin() + 100);
   std::shared_ptr<unsigned> const status = std::make_shared<unsigned>(0);
-  std::shared_ptr<Reading> const reading = std::make_shared<Reading>();
+  std::shared_ptr<StreamProgress> const reading = std::make_shared<StreamProgress>();
   Node* const probed_node = &node;
   ClientConnection::Callbacks callbacks;
   callbacks.head = [this, status, sent_attempt](unsigned code) {
     *status = code;
-    if (code == 408 || code == 421 || code == 429 || code == 503) judge.refused(*sent_attempt, code);
+    if (code == 408 || code == 421 || code == 429 || code == 503) judge.record_refusal(*sent_attempt, code);
   };
   callbacks.body = [this, status, sent_attempt, reading](std::string_view bytes) {
-    if (*status == 200) judge.read(*sent_attempt, *reading, bytes, now());
+    if (*status == 200) judge.read_events(*sent_attempt, *reading, bytes, now());
   };
   std::weak_ptr<ClientConnection> const weak = connection;
   callbacks.end = [this, status, sent_attempt, reading, probed_node, number, expected, at,
@@ -503,12 +508,13 @@
     if (!nodes.in_touch(*probed_node, at) || !nodes.in_touch(*probed_node, now())) return;
     std::map<int, IdleRoute>::const_iterator const route = idle_routes.find(number);
     if (expected && *status == 404 && route != idle_routes.end() && route->second.removal_sent < 0)
-      judge.broken(Promise::config_late, probed_node->name + " does not serve " + idle_name(number) +
-                                             ", whose addition was acknowledged " +
-                                             std::to_string((at - route->second.added) / 1000) + " ms earlier");
+      judge.report_violation(Promise::config_late, probed_node->name + " does not serve " + idle_name(number) +
+                                                       ", whose addition was acknowledged " +
+                                                       std::to_string((at - route->second.added) / 1000) +
+                                                       " ms earlier");
     if (!expected && (sent_attempt->runs > 0 || *status == 200))
-      judge.broken(Promise::config_late,
-                   probed_node->name + " still serves " + idle_name(number) + " after its removal was acknowledged");
+      judge.report_violation(Promise::config_late, probed_node->name + " still serves " + idle_name(number) +
+                                                       " after its removal was acknowledged");
   };
   connection->send_request(request_of("POST", idle_path(number) + "x", idle_host(number), headers, "look"),
                            std::move(callbacks), seconds(4));
@@ -520,20 +526,22 @@
   call("GET /Configuration.Read", "", "", [this, until, done](unsigned status, std::string const& body) {
     Configuration read;
     if (status != 200) {
-      judge.broken(Promise::config_lost,
-                   "reading the configuration back was answered with status " + std::to_string(status));
+      judge.report_violation(Promise::config_lost,
+                             "reading the configuration back was answered with status " + std::to_string(status));
     } else if (!find_sent(body, read)) {
-      judge.broken(Promise::config_lost, "the configuration that was read back was never sent: " + body.substr(0, 120));
+      judge.report_violation(Promise::config_lost,
+                             "the configuration that was read back was never sent: " + body.substr(0, 120));
     } else if (read.version != in_force.version || canonical(read.text()) != canonical(in_force.text())) {
       // A change without a definite result may or may not be in force.
       std::map<std::uint64_t, std::string>::const_iterator const open = unsettled.find(read.version);
       if (read.version < in_force.version || open == unsettled.end() || open->second != canonical(body))
-        judge.broken(Promise::config_lost, "version " + std::to_string(read.version) + " was read back after " +
-                                               std::to_string(in_force.version) + " was acknowledged");
+        judge.report_violation(Promise::config_lost, "version " + std::to_string(read.version) +
+                                                         " was read back after " + std::to_string(in_force.version) +
+                                                         " was acknowledged");
     }
     ++tally.read_back;
     if (now() >= until) return done();
-    after(millis(300), [this, until, done] { read_until(until, done); });
+    run_after(millis(300), [this, until, done] { read_until(until, done); });
   });
 }
 
--- a/testing/platform_fleet_test/rude_clients.cc
+++ b/testing/platform_fleet_test/rude_clients.cc
@@ -5,18 +5,18 @@
 namespace pipit::platform_fleet {
 
 namespace {
-constexpr std::size_t links_most = 60;
+constexpr std::size_t max_links = 60;
 constexpr std::size_t large_head = 40000;
 }  // namespace
 
-void RudeClients::come(int count, Micros gap) {
-  for (int n = 0; n < count; ++n) after(gap * n, [this] { one(); });
+void RudeClients::connect_clients(int count, Micros gap) {
+  for (int n = 0; n < count; ++n) run_after(gap * n, [this] { connect_one(); });
 }
 
-// Nothing of it may reach a worker: what is whole goes to a path that no route has.
-std::string RudeClients::random_text() {
+// Bytes of a random malformed request. None may reach a worker: complete requests use a path without a route.
+std::string RudeClients::random_bytes() {
   std::string const head = "POST /nowhere/ HTTP/1.1\r\nHost: rude.example\r\n";
-  switch (random.below(7)) {
+  switch (random_.below(7)) {
     case 0:
       return head;
     case 1:
@@ -34,16 +34,16 @@
   }
 }
 
-void RudeClients::one() {
+void RudeClients::connect_one() {
   ++connected;
-  Node& node = nodes.random_node(random);
-  std::string const from = "127." + std::to_string(net) + ".4." + std::to_string(1 + connected % 200);
+  Node& node = nodes_.random_node(random_);
+  std::string const from = "127." + std::to_string(net_) + ".4." + std::to_string(1 + connected % 200);
   std::shared_ptr<TcpConnection> const link = TcpConnection::dial(node.front_address(), from, seconds(1));
-  links.push_back(link);
-  if (links.size() > links_most) links.pop_front();
-  std::string const text = random_text();
-  bool const disconnects = random.chance(0.5);
-  bool const resets = random.chance(0.5);
+  links_.push_back(link);
+  if (links_.size() > max_links) links_.pop_front();
+  std::string const text = random_bytes();
+  bool const disconnects = random_.chance(0.5);
+  bool const resets = random_.chance(0.5);
   std::weak_ptr<TcpConnection> const weak = link;
   link->set_callbacks({[weak, text, disconnects, resets] {
                          std::shared_ptr<TcpConnection> const at = weak.lock();
