--- a/testing/platform_fleet_test/callers.cc
+++ b/testing/platform_fleet_test/callers.cc
@@ -30,8 +30,8 @@
   std::string zone;
   std::uint64_t hash = 0;
   bool keep_alive = false;
-  bool impatient = false;                                                 // ignores Retry-After, and retries more often
-  std::vector<std::pair<std::string, std::shared_ptr<Line>>> idle_lines;  // each with the name of its node
+  bool impatient = false;  // ignores Retry-After, and retries more often
+  std::vector<std::pair<std::string, std::shared_ptr<ClientConnection>>> idle_lines;  // each with the name of its node
 };
 
 // A request in flight, over all its attempts.
@@ -51,7 +51,7 @@
   // State of the current attempt.
   Attempt* attempt = nullptr;
   Node* node = nullptr;
-  std::shared_ptr<Line> line;
+  std::shared_ptr<ClientConnection> line;
   Micros sent = 0;
   Micros last_progress = 0;
   unsigned status = 0;
@@ -215,7 +215,7 @@
   // Retries use new connections, and other nodes.
   if (client.keep_alive && request.attempt_count == 0) {
     while (!client.idle_lines.empty() && !request.line) {
-      std::pair<std::string, std::shared_ptr<Line>> const kept = client.idle_lines.back();
+      std::pair<std::string, std::shared_ptr<ClientConnection>> const kept = client.idle_lines.back();
       client.idle_lines.pop_back();
       if (!kept.second->reusable()) continue;
       request.line = kept.second;
@@ -225,9 +225,9 @@
     }
   }
   if (!request.line) {
-    request.node = nodes_.pick(client.zone, client.hash, request.attempt_count);
+    request.node = nodes_.choose_node(client.zone, client.hash, request.attempt_count);
     if (request.node == nullptr) return finish(request, false);
-    request.line = Line::dial(request.node->front(), client.ip, millis(1000));
+    request.line = ClientConnection::dial(request.node->front_address(), client.ip, millis(1000));
     ++tally.dialled;
   }
   ++tally.attempts;
@@ -258,7 +258,7 @@
   }
   ++request.attempt_count;
   std::uint64_t const number = request.id;
-  Line::Callbacks callbacks;
+  ClientConnection::Callbacks callbacks;
   callbacks.head = [this, number](unsigned status) {
     std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const position = requests_.find(number);
     if (position != requests_.end()) on_head(*position->second, status);
@@ -267,11 +267,11 @@
     std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const position = requests_.find(number);
     if (position != requests_.end()) on_body(*position->second, bytes);
   };
-  callbacks.end = [this, number](Line::End how) {
+  callbacks.end = [this, number](ClientConnection::Outcome how) {
     std::map<std::uint64_t, std::unique_ptr<Request>>::iterator const position = requests_.find(number);
     if (position != requests_.end()) on_end(*position->second, how);
   };
-  request.line->ask(request_of("POST", request.path, item.host, fields, request.body), std::move(callbacks));
+  request.line->send_request(request_of("POST", request.path, item.host, fields, request.body), std::move(callbacks));
 }
 
 void Callers::on_head(Request& request, unsigned status) {
@@ -298,32 +298,33 @@
   }
 }
 
-void Callers::on_end(Request& request, Line::End how) {
+void Callers::on_end(Request& request, ClientConnection::Outcome how) {
   RequestClass const& item = shape_.classes[request.class_index];
   Micros const at = now();
-  std::shared_ptr<Line> const line = request.line;
-  bool const served = how == Line::End::complete && request.status == 200;
-  bool const answered_or_cut = how == Line::End::complete || (how == Line::End::cut && line->any_byte());
+  std::shared_ptr<ClientConnection> const line = request.line;
+  bool const served = how == ClientConnection::Outcome::complete && request.status == 200;
+  bool const answered_or_cut = how == ClientConnection::Outcome::complete ||
+                               (how == ClientConnection::Outcome::cut && line->any_byte_received());
   if (!served && answered_or_cut && nodes_.in_touch(*request.node, request.sent) &&
       nodes_.in_touch(*request.node, at) && failed.size() < max_failed)
     failed.push_back({request.attempt->id, request.node->name});
-  if (how == Line::End::complete && request.status == 200) {
+  if (how == ClientConnection::Outcome::complete && request.status == 200) {
     judge_.record_complete(*request.attempt, request.reading, line->field("x-server-seal"));
     if (request.client->keep_alive && line->reusable() && request.client->idle_lines.size() < max_idle_lines)
       request.client->idle_lines.emplace_back(request.node->name, line);
     return finish(request, true);
   }
-  if (how == Line::End::garbage)
+  if (how == ClientConnection::Outcome::garbage)
     judge_.report_violation(Promise::mixed, request.attempt->id + " through " + request.attempt->node +
                                                 ": the client received bytes that are not an HTTP answer");
-  if (how != Line::End::complete) {
-    char const* const what = how == Line::End::unreached ? "unreached"
-                             : request.status == 200     ? "cut in its stream"
-                             : line->any_byte()          ? "cut in its head"
-                             : line->kept()              ? "cut before its answer, kept"
-                                                         : "cut before its answer";
+  if (how != ClientConnection::Outcome::complete) {
+    char const* const what = how == ClientConnection::Outcome::unreached ? "unreached"
+                             : request.status == 200                     ? "cut in its stream"
+                             : line->any_byte_received()                 ? "cut in its head"
+                             : line->reused()                            ? "cut before its answer, kept"
+                                                                         : "cut before its answer";
     ++tally.answers[what];
-    if (how == Line::End::cut && nodes_.planned_end(*request.node, request.sent, at) &&
+    if (how == ClientConnection::Outcome::cut && nodes_.ended_by_planned_termination(*request.node, request.sent, at) &&
         !request.attempt->worker_broke && (request.attempt->arrivals > 0 || at - request.sent > millis(200)))
       judge_.report_violation(Promise::lost, request.attempt->id + " through " + request.node->name + ", " + what +
                                                  " " +
@@ -331,11 +332,11 @@
                                                  " ms after SIGTERM");
     bool const reached_sound_worker = request.attempt->arrivals > 0 && !request.attempt->worker_broke;
     bool const in_touch = nodes_.in_touch(*request.node, request.sent) && nodes_.in_touch(*request.node, at);
-    if (how == Line::End::cut && line->kept() && !line->any_byte() && reached_sound_worker && in_touch &&
-        ++reused_cut_ > max_reused_cut)
+    if (how == ClientConnection::Outcome::cut && line->reused() && !line->any_byte_received() && reached_sound_worker &&
+        in_touch && ++reused_cut_ > max_reused_cut)
       judge_.report_violation(Promise::kept_lost, request.attempt->id + " through " + request.node->name);
     // Retrying an attempt that could not connect is safe: no byte of the request was sent.
-    if (how == Line::End::unreached || item.resumable)
+    if (how == ClientConnection::Outcome::unreached || item.resumable)
       return retry(request, millis(20 + static_cast<Micros>(jitter_.below(80))));
     return finish(request, false);
   }
@@ -385,7 +386,7 @@
     if (at >= request.deadline || (!request.awaiting_retry && at - request.last_progress > silence_limit))
       overdue.push_back(&request);
     // A client that has sent to a frozen process can tell that its bytes are not read; it retries on another node.
-    else if (!request.awaiting_retry && item.resumable && request.node->frozen && !request.line->any_byte() &&
+    else if (!request.awaiting_retry && item.resumable && request.node->frozen && !request.line->any_byte_received() &&
              request.sent > request.node->last_fault &&
              at - request.sent > std::min(seconds(1), (request.deadline - request.sent) / 3))
       unread.push_back(&request);
--- a/testing/platform_fleet_test/platform_fleet.cc
+++ b/testing/platform_fleet_test/platform_fleet.cc
@@ -15,14 +15,14 @@
 namespace pipit::platform_fleet {
 
 namespace {
-constexpr Micros lag_tick = millis(5);
-constexpr Micros lag_most = millis(150);  // above it the experiment itself is no fair judge of time
+constexpr Micros lag_interval = millis(5);
+constexpr Micros max_lag = millis(150);  // with a longer delay of its event loop the experiment can't judge times
 constexpr std::size_t max_faults = 200;
-constexpr Micros recovery_within = seconds(12);
-constexpr double recovered_least = 0.25;
+constexpr Micros recovery_time_limit = seconds(12);
+constexpr double min_recovered_share = 0.25;
 
-// Workers live at the numbers that the relay gives them, or at their own.
-bool worker_ip(std::string const& ip) {
+// Whether an IP address is a worker's public one (third byte 10 to 99) or private one (110 to 119).
+bool is_worker_ip(std::string const& ip) {
   std::size_t const second = ip.find('.', ip.find('.') + 1);
   int const third = std::atoi(ip.c_str() + second + 1);
   return (third >= 10 && third < 100) || (third >= 110 && third < 120);
@@ -43,21 +43,21 @@
       callers(plan.shape, nodes, judge, plan.net, random.next(), plan.rate_scale),
       operators(plan.shape, nodes, judge, plan.net, random.next()),
       rude(nodes, plan.net, random.next()) {
-  Line::stray = [this](std::string_view bytes) {
+  ClientConnection::on_unexpected_bytes = [this](std::string_view bytes) {
     judge.report_violation(Promise::mixed, "bytes where no answer is due: " + std::string(bytes.substr(0, 60)));
   };
 }
 
-PlatformFleet::~PlatformFleet() { Line::stray = nullptr; }
+PlatformFleet::~PlatformFleet() { ClientConnection::on_unexpected_bytes = nullptr; }
 
-// Runs the loop until it holds, or for so long at most.
-bool PlatformFleet::until(Micros most, std::function<bool()> yes) {
-  Micros const end = now() + most;
+// Runs the event loop until `condition` is true, for `max_wait` at most.
+bool PlatformFleet::run_until(Micros max_wait, std::function<bool()> condition) {
+  Micros const end = now() + max_wait;
   while (!interrupted && now() < end) {
-    if (yes()) return true;
+    if (condition()) return true;
     g_main_context_iteration(nullptr, TRUE);
   }
-  return !interrupted && yes();
+  return !interrupted && condition();
 }
 
 bool PlatformFleet::run() {
@@ -69,51 +69,51 @@
           return TRUE;
         },
         this);
-  Micros const launched = now();
+  Micros const started_at = now();
   nodes.start_all();
   run_after(millis(300), [this] { workers.start_all(); });
   run_after(millis(500), [this] { operators.begin(); });
-  last_turn = now();
-  run_every(lag_tick, [this] {
+  last_tick = now();
+  run_every(lag_interval, [this] {
     Micros const at = now();
-    Micros const late = std::max<Micros>(0, at - last_turn - lag_tick);
-    lags.push_back(late);
-    if (late > lag_most) nodes.loop_delayed(at);
-    last_turn = at;
+    Micros const late = std::max<Micros>(0, at - last_tick - lag_interval);
+    loop_delays.push_back(late);
+    if (late > max_lag) nodes.record_loop_delay(at);
+    last_tick = at;
     return true;
   });
-  bool const up = until(seconds(20), [this] { return nodes.all_ready() && operators.begun(); });
-  ready_after = static_cast<double>(now() - launched) / 1000;
+  bool const up = run_until(seconds(20), [this] { return nodes.all_ready() && operators.has_configuration(); });
+  ready_after_ms = static_cast<double>(now() - started_at) / 1000;
   if (!up) return false;
-  // Faults count from here on, and what the start unsettled has settled.
-  until(std::max<Micros>(0, seconds(4) - (now() - launched)), [] { return false; });
+  // The times of the faults count from here on, after a settling time from the start of the processes.
+  run_until(std::max<Micros>(0, seconds(4) - (now() - started_at)), [] { return false; });
   nodes.polls = nodes.polls_unready = 0;
-  lags.clear();
+  loop_delays.clear();
   callers.begin();
-  operators.read_all_the_time();
-  std::size_t many = 0;
+  operators.read_periodically();
+  std::size_t fault_count = 0;
   for (Fault const& fault : plan.faults)
-    if (++many <= max_faults) run_after(fault.at, [this, fault] { perform(fault); });
-  until(static_cast<Micros>(plan.seconds * 1e6), [] { return false; });
+    if (++fault_count <= max_faults) run_after(fault.at, [this, fault] { inject_fault(fault); });
+  run_until(static_cast<Micros>(plan.seconds * 1e6), [] { return false; });
   callers.stop();
-  if (interrupted) return false;  // what was cut short is not judged
+  if (interrupted) return false;  // an interrupted experiment is not judged
   Micros longest = 0;
   for (RequestClass const& item : plan.shape.classes) longest = std::max(longest, item.deadline);
-  until(longest + seconds(1), [this] { return callers.idle(); });
-  until(seconds(14), [this] { return operators.idle(); });
-  until(seconds(12), [this] { return nodes.calm(now()); });
+  run_until(longest + seconds(1), [this] { return callers.idle(); });
+  run_until(seconds(14), [this] { return operators.idle(); });
+  run_until(seconds(12), [this] { return nodes.all_in_touch(now()); });
   bool read = false;
   operators.read_back(seconds(3), [&read] { read = true; });
-  if (!until(seconds(16), [&read] { return read; }))
-    judge.report_violation(Promise::config_lost, "reading back never ended");
+  if (!run_until(seconds(16), [&read] { return read; }))
+    judge.report_violation(Promise::config_lost, "reading the configuration back did not end in time");
   operators.stop_reading();
   bool metrics_checked = false;
   nodes.check_metrics([&metrics_checked] { metrics_checked = true; });
-  until(seconds(3), [&metrics_checked] { return metrics_checked; });
+  run_until(seconds(3), [&metrics_checked] { return metrics_checked; });
   nodes.sample();
   workers.stop_heartbeats();
   nodes.end_all();
-  until(seconds(10), [this] { return nodes.all_ended(); });
+  run_until(seconds(10), [this] { return nodes.all_ended(); });
   std::uint64_t served = 0;
   for (ClassTally const& item : callers.tally.classes) served += item.within_target + item.late;
   if (served == 0) judge.report_violation(Promise::unserved, "no request was served");
@@ -124,10 +124,10 @@
   return !interrupted;
 }
 
-std::vector<Node*> PlatformFleet::some(Fault const& fault) {
+std::vector<Node*> PlatformFleet::choose_nodes(Fault const& fault) {
   std::vector<Node*> up;
   for (std::unique_ptr<Node> const& node : nodes.all) {
-    if (node->pid <= 0 || node->leaving || node->frozen || node->removed) continue;
+    if (node->pid <= 0 || node->terminating || node->frozen || node->removed) continue;
     if (fault.on == "core" && !node->core) continue;
     if (fault.on == "plain" && node->core) continue;
     if (fault.on == "seed" && !node->seed) continue;
@@ -144,44 +144,44 @@
   return out;
 }
 
-void PlatformFleet::perform(Fault const& fault) {
+void PlatformFleet::inject_fault(Fault const& fault) {
   switch (fault.kind) {
     case Fault::Kind::kill:
     case Fault::Kind::restart:
-      for (Node* const node : some(fault)) nodes.kill(*node, fault.span);
+      for (Node* const node : choose_nodes(fault)) nodes.kill(*node, fault.span);
       return;
     case Fault::Kind::term: {
       Micros when = 0;
-      for (Node* const node : some(fault)) {
-        run_after(when, [this, node, fault] { nodes.term(*node, fault.span); });
+      for (Node* const node : choose_nodes(fault)) {
+        run_after(when, [this, node, fault] { nodes.terminate(*node, fault.span); });
         when += fault.gap;
       }
       return;
     }
     case Fault::Kind::freeze:
-      for (Node* const node : some(fault)) nodes.freeze(*node, fault.span);
+      for (Node* const node : choose_nodes(fault)) nodes.freeze(*node, fault.span);
       return;
     case Fault::Kind::crash:
-      nodes.unplanned(now() + fault.span);
+      nodes.record_unplanned_fault(now() + fault.span);
       return workers.crash(fault);
     case Fault::Kind::dark:
-      nodes.unplanned(now() + fault.span);
+      nodes.record_unplanned_fault(now() + fault.span);
       return workers.silence(fault);
     case Fault::Kind::farewell:
     case Fault::Kind::release:
       return workers.release(fault);
     case Fault::Kind::surplus:
     case Fault::Kind::garble:
-      nodes.unplanned(now() + fault.span);
+      nodes.record_unplanned_fault(now() + fault.span);
       return workers.misbehave(fault);
     case Fault::Kind::reload:
-      for (Node* const node : some(fault)) nodes.reload(*node);
+      for (Node* const node : choose_nodes(fault)) nodes.reload(*node);
       return;
     case Fault::Kind::wipe:
-      for (Node* const node : some(fault)) nodes.wipe(*node, fault.span);
+      for (Node* const node : choose_nodes(fault)) nodes.wipe(*node, fault.span);
       return;
     case Fault::Kind::replace:
-      for (Node* const node : some(fault)) nodes.replace(*node, fault.span);
+      for (Node* const node : choose_nodes(fault)) nodes.replace(*node, fault.span);
       return;
     case Fault::Kind::blackout:
       return blackout(fault);
@@ -194,7 +194,7 @@
     case Fault::Kind::reset:
     case Fault::Kind::lost:
     case Fault::Kind::mute:
-      return perform_on_links(fault);
+      return inject_link_fault(fault);
     case Fault::Kind::burst:
     case Fault::Kind::hot:
       return callers.perform(fault);
@@ -203,10 +203,10 @@
   }
 }
 
-// All are killed at one moment, and come back in any order; some of those with a disk come back without it.
+// Kills the chosen nodes together; they restart in random order, and x of the core nodes lose their disks.
 void PlatformFleet::blackout(Fault const& fault) {
   int disks = static_cast<int>(fault.x);
-  for (Node* const node : some(fault)) {
+  for (Node* const node : choose_nodes(fault)) {
     Micros const back = fault.span + static_cast<Micros>(random.below(300000));
     if (node->core && disks-- > 0)
       nodes.wipe(*node, back);
@@ -215,10 +215,10 @@
   }
 }
 
-void PlatformFleet::perform_on_links(Fault const& fault) {
+void PlatformFleet::inject_link_fault(Fault const& fault) {
   if (!relay) return;
   std::set<std::string> chosen;
-  std::vector<Node*> const some_nodes = some(fault);
+  std::vector<Node*> const some_nodes = choose_nodes(fault);
   std::size_t const half = some_nodes.size() / 2;
   for (std::size_t n = 0; n < some_nodes.size(); ++n)
     if (fault.kind != Fault::Kind::halves || n < half) chosen.insert(some_nodes[n]->ip);
@@ -226,13 +226,13 @@
   for (std::unique_ptr<Node> const& node : nodes.all)
     if (node->core) core.insert(node->ip);
   Micros const until = now() + fault.span;
-  bool const other_way = fault.x > 0;
-  // Whoever is cut off from one of the core is not in touch, and lost answers hold up anybody.
-  bool const all_troubled = fault.kind == Fault::Kind::lost || fault.kind == Fault::Kind::mute ||
-                            fault.kind == Fault::Kind::delay || fault.kind == Fault::Kind::reset;
+  bool const variant = fault.x > 0;
+  // A node that is cut off from a core node is not in touch. Lost responses can delay every node.
+  bool const affects_every_node = fault.kind == Fault::Kind::lost || fault.kind == Fault::Kind::mute ||
+                                  fault.kind == Fault::Kind::delay || fault.kind == Fault::Kind::reset;
   for (std::unique_ptr<Node> const& node : nodes.all) {
     bool const halved = fault.kind == Fault::Kind::halves && node->core;
-    if (all_troubled || halved || chosen.count(node->ip) > 0) nodes.troubled(*node, until);
+    if (affects_every_node || halved || chosen.count(node->ip) > 0) nodes.mark_link_fault(*node, until);
   }
   LinkFault link_fault;
   link_fault.until = until;
@@ -241,40 +241,40 @@
   };
   switch (fault.kind) {
     case Fault::Kind::cut:
-      link_fault.concerns = [chosen, is_node, other_way](std::string const& from, std::string const& to) {
+      link_fault.applies_to = [chosen, is_node, variant](std::string const& from, std::string const& to) {
         bool const separated = (chosen.count(from) > 0) != (chosen.count(to) > 0);
-        bool const workers_too = other_way && from.compare(0, 4, "127.") == 0;
+        bool const workers_too = variant && from.compare(0, 4, "127.") == 0;
         if (is_node(from) && is_node(to)) return separated;
-        // Callers and operators reach them all the same.
-        return workers_too && separated && (worker_ip(from) || worker_ip(to));
+        // Clients and operators still reach every node.
+        return workers_too && separated && (is_worker_ip(from) || is_worker_ip(to));
       };
-      return relay->begin(link_fault);
+      return relay->add_fault(link_fault);
     case Fault::Kind::deaf:
-      link_fault.concerns = [chosen, is_node, other_way](std::string const& from, std::string const& to) {
-        std::string const& deaf = other_way ? from : to;
-        std::string const& other = other_way ? to : from;
+      link_fault.applies_to = [chosen, is_node, variant](std::string const& from, std::string const& to) {
+        std::string const& deaf = variant ? from : to;
+        std::string const& other = variant ? to : from;
         return is_node(from) && is_node(to) && chosen.count(deaf) > 0 && chosen.count(other) == 0;
       };
-      return relay->begin(link_fault);
+      return relay->add_fault(link_fault);
     case Fault::Kind::halves:
-      link_fault.concerns = [chosen, core](std::string const& from, std::string const& to) {
+      link_fault.applies_to = [chosen, core](std::string const& from, std::string const& to) {
         return core.count(from) > 0 && core.count(to) > 0 && (chosen.count(from) > 0) != (chosen.count(to) > 0);
       };
-      return relay->begin(link_fault);
+      return relay->add_fault(link_fault);
     case Fault::Kind::delay:
       link_fault.kind = LinkFault::Kind::delay;
-      link_fault.span = static_cast<Micros>(fault.x * 1e6);
-      link_fault.concerns = [is_node](std::string const& from, std::string const& to) {
+      link_fault.delay = static_cast<Micros>(fault.x * 1e6);
+      link_fault.applies_to = [is_node](std::string const& from, std::string const& to) {
         return is_node(from) && is_node(to);
       };
-      return relay->begin(link_fault);
+      return relay->add_fault(link_fault);
     case Fault::Kind::lost:
     case Fault::Kind::mute:
       link_fault.kind = LinkFault::Kind::swallow;
       link_fault.chance = fault.share;
       link_fault.port = fault.kind == Fault::Kind::lost ? control_port : worker_port;
-      link_fault.concerns = [](std::string const&, std::string const&) { return true; };
-      return relay->begin(link_fault);
+      link_fault.applies_to = [](std::string const&, std::string const&) { return true; };
+      return relay->add_fault(link_fault);
     default:
       return relay->reset([](std::string const&, std::string const&) { return true; }, fault.share);
   }
@@ -294,20 +294,20 @@
       judge.report_violation(Promise::unexplained, item.attempt + " at " + item.node);
 }
 
-// Of what was sent in the last seconds of the experiment at least a quarter is served, where all faults were over
-// long before.
+// Checks that at least `min_recovered_share` of the requests in the last seconds is served, if all faults ended long
+// before.
 void PlatformFleet::check_recovery() {
   Micros last = 0;
   for (Fault const& fault : plan.faults) last = std::max(last, fault.at + fault.span);
   Micros const length = static_cast<Micros>(plan.seconds * 1e6);
-  if (last + recovery_within + seconds(2) > length) return;
-  std::optional<double> const share = callers.served_since(last + recovery_within);
-  if (share && *share < recovered_least)
+  if (last + recovery_time_limit + seconds(2) > length) return;
+  std::optional<double> const share = callers.served_since(last + recovery_time_limit);
+  if (share && *share < min_recovered_share)
     judge.report_violation(Promise::unrecovered,
-                           std::to_string(*share) + " of the requests long after the last trouble");
+                           std::to_string(*share) + " of the requests were served after the recovery time");
 }
 
-// What the answers were worth to their callers, over all and at the worst.
+// The value of the responses to their clients: in total, and of the worst class, zone and windows.
 void PlatformFleet::report_value(Figures& out) {
   CallersTally& calls = callers.tally;
   double earned = 0;
@@ -337,7 +337,7 @@
   out.put("requests unserved", static_cast<double>(unserved));
 }
 
-// When first events came, by class and over all, and how late events were passed on.
+// Latency of the first event, by class and in total, and the delay of relayed events.
 void PlatformFleet::report_latency(Figures& out) {
   CallersTally& calls = callers.tally;
   std::vector<Micros> all;
@@ -364,7 +364,7 @@
                                             [](Micros t) { return t > millis(120); })));
 }
 
-// How often callers asked, and what they were answered.
+// Attempts of the clients, and the responses they received.
 void PlatformFleet::report_attempts(Figures& out) {
   CallersTally& calls = callers.tally;
   out.put("attempts", static_cast<double>(calls.attempts));
@@ -375,7 +375,7 @@
     out.put("answer: " + item.first, static_cast<double>(item.second));
 }
 
-// What reached the workers, and what it cost.
+// Requests, connections, tokens and bytes at the workers.
 void PlatformFleet::report_workers(Figures& out) {
   CallersTally& calls = callers.tally;
   WorkersTally const work = workers.tally();
@@ -402,7 +402,7 @@
   out.put("bytes across zones", static_cast<double>(work.cross_zone_bytes + nodes.mesh_bytes_across));
 }
 
-// What operators asked for and were answered, and what was read to check it.
+// Configuration changes, their results, and the reads that checked them.
 void PlatformFleet::report_configuration(Figures& out) {
   OperatorsTally& changes = operators.tally;
   out.put("configurations acknowledged", static_cast<double>(changes.acknowledged));
@@ -416,7 +416,7 @@
   out.put("configuration readings at any node", static_cast<double>(changes.readings));
   out.put("failed requests looked for in logs", static_cast<double>(callers.failed.size()));
   if (relay) {
-    out.put("bytes through the relay", static_cast<double>(relay->carried));
+    out.put("bytes through the relay", static_cast<double>(relay->bytes_forwarded));
     out.put("answers swallowed", static_cast<double>(relay->swallowed));
     out.put("connections reset", static_cast<double>(relay->resets));
   }
@@ -424,7 +424,7 @@
   out.put("configuration acknowledged most ms", quantile(changes.acks, 1) / 1000);
 }
 
-// Readiness, processor time and memory of the nodes.
+// Readiness, CPU time and memory of the nodes.
 void PlatformFleet::report_nodes(Figures& out) {
   WorkersTally const work = workers.tally();
   out.put("workers that left unacknowledged", static_cast<double>(work.unacknowledged_leaves));
@@ -433,25 +433,25 @@
   double cpu = 0;
   double memory = 0;
   for (std::unique_ptr<Node> const& node : nodes.all) {
-    cpu += node->cpu_ended + node->cpu;
+    cpu += node->cpu_of_ended_processes + node->cpu;
     memory = std::max(memory, node->memory_mb);
   }
   out.put("nodes", static_cast<double>(nodes.all.size()));
   out.put("node processor seconds", cpu);
   out.put("node memory most MB", memory);
-  out.put("ready after ms", ready_after);
+  out.put("ready after ms", ready_after_ms);
 }
 
-// How busy the experiment itself was: above its bound it judges no time.
+// CPU time and event loop delays of the experiment itself; times are not judged near delays above `max_lag`.
 void PlatformFleet::report_own_load(Figures& out) {
   rusage own;
   getrusage(RUSAGE_SELF, &own);
   out.put("stage processor seconds", static_cast<double>(own.ru_utime.tv_sec + own.ru_stime.tv_sec));
-  out.put("stage loop late p99 ms", quantile(lags, 0.99) / 1000);
-  out.put("stage loop late most ms", quantile(lags, 1) / 1000);
+  out.put("stage loop late p99 ms", quantile(loop_delays, 0.99) / 1000);
+  out.put("stage loop late most ms", quantile(loop_delays, 1) / 1000);
 }
 
-// What was broken of what was promised.
+// Broken promises, by promise.
 void PlatformFleet::report_promises(Figures& out) {
   for (std::size_t i = 0; i < promise_rows().size(); ++i)
     if (judge.counts[i] > 0)
--- a/testing/platform_fleet_test/rude_clients.cc
+++ b/testing/platform_fleet_test/rude_clients.cc
@@ -36,9 +36,9 @@
 
 void RudeClients::connect_one() {
   ++connected;
-  Node& node = nodes_.any(random_);
+  Node& node = nodes_.random_node(random_);
   std::string const from = "127." + std::to_string(net_) + ".4." + std::to_string(1 + connected % 200);
-  std::shared_ptr<TcpConnection> const link = TcpConnection::dial(node.front(), from, seconds(1));
+  std::shared_ptr<TcpConnection> const link = TcpConnection::dial(node.front_address(), from, seconds(1));
   links_.push_back(link);
   if (links_.size() > max_links) links_.pop_front();
   std::string const text = random_bytes();
--- a/testing/platform_fleet_test/worker_heartbeats.cc
+++ b/testing/platform_fleet_test/worker_heartbeats.cc
@@ -18,15 +18,17 @@
                    std::function<void(bool good, std::string const& body)> done) {
   std::shared_ptr<unsigned> const status = std::make_shared<unsigned>(0);
   std::shared_ptr<std::string> const received = std::make_shared<std::string>();
-  Line::Callbacks callbacks;
+  ClientConnection::Callbacks callbacks;
   callbacks.head = [status](unsigned code) { *status = code; };
   callbacks.body = [received](std::string_view bytes) { received->append(bytes); };
-  callbacks.end = [status, received, done](Line::End how) {
-    done(how == Line::End::complete && *status >= 200 && *status < 300 && received->size() <= 4096, *received);
+  callbacks.end = [status, received, done](ClientConnection::Outcome how) {
+    done(how == ClientConnection::Outcome::complete && *status >= 200 && *status < 300 && received->size() <= 4096,
+         *received);
   };
-  worker.line = Line::dial(address, worker.ip, millis(1000));
-  worker.line->ask(request_of("POST", target, address, "Content-Type: application/json\r\nConnection: close\r\n", body),
-                   std::move(callbacks), millis(1000));
+  worker.line = ClientConnection::dial(address, worker.ip, millis(1000));
+  worker.line->send_request(
+      request_of("POST", target, address, "Content-Type: application/json\r\nConnection: close\r\n", body),
+      std::move(callbacks), millis(1000));
 }
 
 void Workers::heartbeat(Worker& worker, int retries) {
@@ -113,7 +115,7 @@
 
 std::string Workers::any_node(Worker& worker) {
   while (nodes_.all[worker.next_node % nodes_.all.size()]->removed) ++worker.next_node;
-  return nodes_.all[worker.next_node % nodes_.all.size()]->control();
+  return nodes_.all[worker.next_node % nodes_.all.size()]->control_address();
 }
 
 void Workers::leave(Worker& worker, int retries) {
@@ -139,7 +141,7 @@
   worker.listen_watch = 0;
   if (worker.listen_fd >= 0) ::close(worker.listen_fd);
   worker.listen_fd = -1;
-  if (nodes_.relay() != nullptr) nodes_.relay()->shut(worker.public_ip);
+  if (nodes_.relay() != nullptr) nodes_.relay()->close_listeners(worker.public_ip);
   for (std::pair<std::uint64_t const, Job>& job : worker.jobs) {
     job.second.attempt->worker_broke = true;
     worker.engine.cancel(job.first);
--- a/testing/platform_fleet_test/worker_parts.h
+++ b/testing/platform_fleet_test/worker_parts.h
@@ -53,7 +53,7 @@
   std::uint64_t call_sequence = 0;
   std::string heartbeat_address;  // node that receives the heartbeats; empty to choose another one
   std::size_t next_node = 0;
-  std::shared_ptr<Line> line;
+  std::shared_ptr<ClientConnection> line;
   Micros drain_announced_at = -1;     // time of the first heartbeat that says `draining`; -1 if none
   Micros drain_acknowledged_at = -1;  // time of the first acknowledgement by any node; -1 if none
   std::string drain_acknowledged_by;
