--- a/testing/fleet_simulator/callers.cc
+++ b/testing/fleet_simulator/callers.cc
@@ -11,7 +11,7 @@
 
 void World::start_process(WorkerProcess& process) {
   process.process_id = process.row.incarnation;
-  process.woke = now;
+  process.started_at = now;
   process.frozen = false;
   process.cold_starts.clear();
   process.history.clear();
@@ -35,55 +35,60 @@
 }
 
 // One attempt: the connection opens, the request leaves, the worker runs it, the answer begins and ends.
-void World::attempt(Box& box, ChatAttemptStart const& start) {
-  std::string const name = box.name;
-  std::uint64_t const process_id = box.process_id;
+void World::start_attempt(Machine& machine, ChatAttemptStart const& start) {
+  std::string const name = machine.name;
+  std::uint64_t const process_id = machine.process_id;
   std::uint64_t const chat_request = start.chat_request;
   int const number = start.attempt;
-  std::uint64_t const wish = box.chat_requests.count(chat_request) ? box.chat_requests[chat_request] : 0;
-  box.attempts[chat_request] = number;
+  std::uint64_t const client_request =
+      machine.chat_requests.count(chat_request) ? machine.chat_requests[chat_request] : 0;
+  machine.attempts[chat_request] = number;
   WorkerProcess& process = *processes[start.worker];
-  auto const done = [this, name, process_id, chat_request, number](ChatAttemptEnd how) {
-    enter(*boxes[name], process_id, [chat_request, number, how](Box& b, Micros t, NodeEffects& out) {
+  auto const end_attempt = [this, name, process_id, chat_request, number](ChatAttemptEnd how) {
+    run_step(*machines[name], process_id, [chat_request, number, how](Machine& b, Micros t, NodeEffects& out) {
       std::map<std::uint64_t, int>::const_iterator const position = b.attempts.find(chat_request);
       if (position == b.attempts.end() || position->second != number) return;
       b.node->chat_attempt_ended(chat_request, how, "", 0, t, out);
     });
   };
-  if (process.process_id == 0) return after(lag(), [done] { done(ChatAttemptEnd::unreached); });
-  if (cut(name, start.worker)) return after(seconds(1), [done] { done(ChatAttemptEnd::unreached); });
+  if (process.process_id == 0) return after(random_delay(), [end_attempt] { end_attempt(ChatAttemptEnd::unreached); });
+  if (is_cut(name, start.worker)) return after(seconds(1), [end_attempt] { end_attempt(ChatAttemptEnd::unreached); });
   std::uint64_t const worker_process_id = process.process_id;
   std::string const worker = start.worker;
   Micros const answer = start.first_byte_timeout;
   Micros const stall = start.idle_timeout;
-  after(lag(), [this, name, process_id, chat_request, number, worker, worker_process_id, wish, answer, stall, done] {
-    Box& item = *boxes[name];
+  after(random_delay(), [this, name, process_id, chat_request, number, worker, worker_process_id, client_request,
+                         answer, stall, end_attempt] {
+    Machine& item = *machines[name];
     if (!item.up() || item.process_id != process_id || !item.attempts.count(chat_request) ||
         item.attempts[chat_request] != number)
       return;
-    if (processes[worker]->process_id != worker_process_id) return done(ChatAttemptEnd::unreached);
+    if (processes[worker]->process_id != worker_process_id) return end_attempt(ChatAttemptEnd::unreached);
     // The connection is open: from here a byte may have left, even if this node is stopped in the very next moment.
     item.node->chat_attempt_sent(chat_request);
-    after(lag(), [this, name, process_id, chat_request, number, worker, worker_process_id, wish, stall] {
-      arrive(name, process_id, chat_request, number, worker, worker_process_id, wish, stall);
-    });
-    after(answer, [this, name, process_id, chat_request, number, worker, worker_process_id, wish, done] {
-      Box& late = *boxes[name];
-      if (late.up() && late.process_id == process_id && late.attempts.count(chat_request) &&
-          late.attempts[chat_request] == number &&
-          !(late.begun.count(chat_request) && late.begun[chat_request] == number)) {
-        processes[worker]->runs.erase(wish);
-        done(ChatAttemptEnd::silent);
-      }
-    });
+    after(random_delay(),
+          [this, name, process_id, chat_request, number, worker, worker_process_id, client_request, stall] {
+            deliver_request(name, process_id, chat_request, number, worker, worker_process_id, client_request, stall);
+          });
+    after(answer,
+          [this, name, process_id, chat_request, number, worker, worker_process_id, client_request, end_attempt] {
+            Machine& late = *machines[name];
+            if (late.up() && late.process_id == process_id && late.attempts.count(chat_request) &&
+                late.attempts[chat_request] == number &&
+                !(late.begun.count(chat_request) && late.begun[chat_request] == number)) {
+              processes[worker]->runs.erase(client_request);
+              end_attempt(ChatAttemptEnd::silent);
+            }
+          });
   });
 }
 
-void World::arrive(std::string const& name, std::uint64_t process_id, std::uint64_t chat_request, int number,
-                   std::string const& worker, std::uint64_t worker_process_id, std::uint64_t wish, Micros stall) {
+void World::deliver_request(std::string const& name, std::uint64_t process_id, std::uint64_t chat_request, int number,
+                            std::string const& worker, std::uint64_t worker_process_id, std::uint64_t client_request,
+                            Micros stall) {
   WorkerProcess& process = *processes[worker];
-  auto const done = [this, name, process_id, chat_request, number](ChatAttemptEnd how) {
-    enter(*boxes[name], process_id, [chat_request, number, how](Box& b, Micros t, NodeEffects& out) {
+  auto const end_attempt = [this, name, process_id, chat_request, number](ChatAttemptEnd how) {
+    run_step(*machines[name], process_id, [chat_request, number, how](Machine& b, Micros t, NodeEffects& out) {
       std::map<std::uint64_t, int>::const_iterator const position = b.attempts.find(chat_request);
       if (position == b.attempts.end() || position->second != number) return;
       if (how == ChatAttemptEnd::done) {
@@ -93,110 +98,114 @@
       b.node->chat_attempt_ended(chat_request, how, "", 0, t, out);
     });
   };
-  if (process.process_id != worker_process_id) return after(lag(), [done] { done(ChatAttemptEnd::broke); });
-  if (process.refusing) return after(lag(), [done] { done(ChatAttemptEnd::refused); });
-  Wish& item = *wishes[wish];
-  if (item.knocked < 0) item.knocked = now;
+  if (process.process_id != worker_process_id)
+    return after(random_delay(), [end_attempt] { end_attempt(ChatAttemptEnd::broke); });
+  if (process.refusing) return after(random_delay(), [end_attempt] { end_attempt(ChatAttemptEnd::refused); });
+  ClientRequest& item = *client_requests[client_request];
+  if (item.reached_worker_at < 0) item.reached_worker_at = now;
   if (process.frozen) {  // it lies in the worker's socket until the worker wakes
-    after(millis(200), [this, name, process_id, chat_request, number, worker, worker_process_id, wish, stall] {
-      arrive(name, process_id, chat_request, number, worker, worker_process_id, wish, stall);
-    });
+    after(millis(200),
+          [this, name, process_id, chat_request, number, worker, worker_process_id, client_request, stall] {
+            deliver_request(name, process_id, chat_request, number, worker, worker_process_id, client_request, stall);
+          });
     return;
   }
-  Box& box = *boxes[name];
+  Machine& machine = *machines[name];
   // It came when it reached the worker's socket, though the worker may have stood still since.
-  Micros const arrived_at = item.knocked;
-  item.knocked = -1;
+  Micros const arrived_at = item.reached_worker_at;
+  item.reached_worker_at = -1;
   ++item.begun;
   ++end.runs;
-  note(worker + " runs " + item.tag);
+  add_to_hash(worker + " runs " + item.tag);
   // The bounds on where requests may go are judged where they arrive.
   std::map<std::uint64_t, Micros> const& marked = departures[worker];
-  bool const unread =
+  bool const mark_unreadable =
       list_down && marked.count(process.process_id) && marked.at(process.process_id) >= list_down_from - millis(1500);
-  if (marked.count(process.process_id) && !unread) {
+  if (marked.count(process.process_id) && !mark_unreadable) {
     Micros const gap = arrived_at - marked.at(process.process_id);
     end.margins.departure = std::max(end.margins.departure, gap);
     if (gap > seconds(3))
-      fault("N5 " + worker + " got a request from " + name + " " + std::to_string(gap / 1000) + " ms after its mark");
+      record_violation("N5 " + worker + " got a request from " + name + " " + std::to_string(gap / 1000) +
+                       " ms after its mark");
   }
-  for (DrainedZones const& zone : drained_zones[process.row.zone]) {
+  for (DrainInterval const& zone : drained_zones[process.row.zone]) {
     if (zone.to >= 0 && arrived_at >= zone.to) continue;
     Micros const gap = arrived_at - zone.from;
     end.margins.empty = std::max(end.margins.empty, gap);
     if (gap > seconds(5))
-      fault("N6 " + worker + " got a request from " + name + " " + std::to_string(gap / 1000) + " ms after the yes");
+      record_violation("N6 " + worker + " got a request from " + name + " " + std::to_string(gap / 1000) +
+                       " ms after the yes");
   }
-  if (now - process.woke < seconds(5) && process.woke > seconds(4)) {
+  if (now - process.started_at < seconds(5) && process.started_at > seconds(4)) {
     process.cold_starts.push_back(now);
     int n = 0;
     for (Micros const t : process.cold_starts)
       if (now - t < seconds(1)) ++n;
     end.margins.cold = std::max(end.margins.cold, n);
     if (n > plan.shape->cold)
-      fault("N11 " + worker + " got " + std::to_string(n) + " within a second of its cold start");
+      record_violation("N11 " + worker + " got " + std::to_string(n) + " within a second of its cold start");
   }
   // Whoever sent it may be gone already: then its connection is shut and the worker stops at once.
-  if (!box.up() || box.process_id != process_id) return;
-  process.runs.insert(wish);
+  if (!machine.up() || machine.process_id != process_id) return;
+  process.runs.insert(client_request);
   process.history.emplace_back(now, static_cast<std::int64_t>(process.runs.size()));
   if (process.history.size() > 400) process.history.erase(process.history.begin(), process.history.begin() + 200);
-  Micros const first = lag(millis(10), millis(200));
-  Micros const complete = first + lag(millis(100), millis(1500));
-  after(first, [this, name, process_id, chat_request, number, worker, worker_process_id, wish, done] {
+  Micros const first = random_delay(millis(10), millis(200));
+  Micros const complete = first + random_delay(millis(100), millis(1500));
+  after(first, [this, name, process_id, chat_request, number, worker, worker_process_id, client_request, end_attempt] {
     WorkerProcess& here = *processes[worker];
-    if (here.process_id != worker_process_id || !here.runs.count(wish)) {
-      if (here.process_id != worker_process_id) done(ChatAttemptEnd::broke);
+    if (here.process_id != worker_process_id || !here.runs.count(client_request)) {
+      if (here.process_id != worker_process_id) end_attempt(ChatAttemptEnd::broke);
       return;
     }
     if (here.frozen) return;  // the answer's time will run out
-    enter(*boxes[name], process_id, [chat_request, number](Box& b, Micros, NodeEffects&) {
+    run_step(*machines[name], process_id, [chat_request, number](Machine& b, Micros, NodeEffects&) {
       if (!b.attempts.count(chat_request) || b.attempts[chat_request] != number) return;
       b.begun[chat_request] = number;
       b.node->chat_attempt_began(chat_request);
     });
   });
-  after(complete, [this, worker, worker_process_id, wish, stall, done] {
+  after(complete, [this, worker, worker_process_id, client_request, stall, end_attempt] {
     WorkerProcess& here = *processes[worker];
-    if (here.process_id != worker_process_id) return done(ChatAttemptEnd::torn);
-    if (here.frozen) return after(stall, [done] { done(ChatAttemptEnd::torn); });
-    if (!here.runs.count(wish)) return;
-    here.runs.erase(wish);
+    if (here.process_id != worker_process_id) return end_attempt(ChatAttemptEnd::torn);
+    if (here.frozen) return after(stall, [end_attempt] { end_attempt(ChatAttemptEnd::torn); });
+    if (!here.runs.count(client_request)) return;
+    here.runs.erase(client_request);
     here.history.emplace_back(now, static_cast<std::int64_t>(here.runs.size()));
-    ++wishes[wish]->ended;
-    after(lag(), [this, wish, done] {
-      done(ChatAttemptEnd::done);
-      request_ended(wish, "done", 0);
+    ++client_requests[client_request]->ended;
+    after(random_delay(), [this, client_request, end_attempt] {
+      end_attempt(ChatAttemptEnd::done);
+      request_ended(client_request, "done", 0);
     });
   });
 }
 
-void World::call() {
-  std::unique_ptr<Wish> wish = std::make_unique<Wish>();
-  wish->call = ++call_count;
+void World::start_client_call() {
+  std::unique_ptr<ClientRequest> client_request = std::make_unique<ClientRequest>();
+  client_request->call = ++call_count;
   RequestKind const& request_kind = plan.shape->kinds[random.below(plan.shape->kinds.size())];
-  wish->safe = request_kind.safe;
-  wish->tag = request_kind.lane;
-  wish->opening = std::min(random.below(static_cast<std::uint64_t>(request_kind.openings)),
-                           random.below(static_cast<std::uint64_t>(request_kind.openings)));
-  wish->arrived_at = now;
-  std::uint64_t const id = ++wish_count;
-  wishes[id] = std::move(wish);
-  attempt(id);
+  client_request->safe = request_kind.safe;
+  client_request->tag = request_kind.lane;
+  client_request->opening = std::min(random.below(static_cast<std::uint64_t>(request_kind.openings)),
+                                     random.below(static_cast<std::uint64_t>(request_kind.openings)));
+  client_request->arrived_at = now;
+  std::uint64_t const id = ++client_request_count;
+  client_requests[id] = std::move(client_request);
+  send_client_request(id);
 }
 
-void World::attempt(std::uint64_t id) {
-  Wish& wish = *wishes[id];
-  ++wish.attempt_count;
-  Box* const box = pick([](Box const& b) { return b.role == MemberRole::router; });
-  if (box == nullptr) return after(lag(), [this, id] { request_ended(id, "no", millis(500)); });
-  std::uint64_t const process_id = box->process_id;
-  std::string const name = box->name;
-  after(lag(), [this, id, name, process_id] {
-    Box& b = *boxes[name];
+void World::send_client_request(std::uint64_t id) {
+  ClientRequest& client_request = *client_requests[id];
+  ++client_request.attempt_count;
+  Machine* const machine = pick_running([](Machine const& b) { return b.role == MemberRole::router; });
+  if (machine == nullptr) return after(random_delay(), [this, id] { request_ended(id, "no", millis(500)); });
+  std::uint64_t const process_id = machine->process_id;
+  std::string const name = machine->name;
+  after(random_delay(), [this, id, name, process_id] {
+    Machine& b = *machines[name];
     if (!b.up() || b.process_id != process_id) return request_ended(id, "lost", 0);
     ChatRequestInfo ask;
-    Wish const& item = *wishes[id];
+    ClientRequest const& item = *client_requests[id];
     ask.facts.model = "tribute";
     ask.facts.user = item.tag;
     ask.facts.size = 5000;
@@ -205,7 +214,7 @@
     ask.path.push_back(hash_bits(hash ^ id));
     std::uint64_t const chat_request = ++b.next_chat_request;
     b.chat_requests[chat_request] = id;
-    enter(b, process_id, [chat_request, ask](Box& here, Micros t, NodeEffects& out) {
+    run_step(b, process_id, [chat_request, ask](Machine& here, Micros t, NodeEffects& out) {
       here.node->start_chat_request(chat_request, ask, t, out);
     });
   });
@@ -213,32 +222,32 @@
 
 void World::request_ended(std::uint64_t id, std::string const& what, Micros back) {
   if (id == 0) return;
-  Wish& wish = *wishes[id];
-  if (wish.over) {
+  ClientRequest& client_request = *client_requests[id];
+  if (client_request.finished) {
     // The answer and the end of its node can cross; the first counts, as on a connection.
     return;
   }
-  note(wish.tag + " told " + what);
-  wish.outcome = what;
-  wish.over = true;
+  add_to_hash(client_request.tag + " told " + what);
+  client_request.outcome = what;
+  client_request.finished = true;
   if (what == "done") {
     ++end.done;
-    if (wish.ended == 0) fault("N4 a caller was told done without an end");
-    if (lost_at >= 0 && back_at < 0 && now > lost_at) back_at = now;
+    if (client_request.ended == 0) record_violation("N4 a caller was told done without an end");
+    if (full_loss_at >= 0 && service_back_at < 0 && now > full_loss_at) service_back_at = now;
     return;
   }
-  bool const retry = what == "no" || (what == "lost" && wish.safe);
+  bool const retry = what == "no" || (what == "lost" && client_request.safe);
   if (what == "lost") ++end.lost;
-  if (retry && now - wish.arrived_at < seconds(12) && !quiet) {
-    if (what == "no" && back <= 0) fault("contract: a refusal without a time to come back");
+  if (retry && now - client_request.arrived_at < seconds(12) && !quiet) {
+    if (what == "no" && back <= 0) record_violation("contract: a refusal without a time to come back");
     // The next attempt is judged on its own, and with all of its call.
-    std::unique_ptr<Wish> next = std::make_unique<Wish>(wish);
-    next->over = false;
+    std::unique_ptr<ClientRequest> next = std::make_unique<ClientRequest>(client_request);
+    next->finished = false;
     next->outcome.clear();
     next->begun = next->ended = 0;
-    std::uint64_t const fresh = ++wish_count;
-    wishes[fresh] = std::move(next);
-    after(std::max<Micros>(back, millis(200)), [this, fresh] { attempt(fresh); });
+    std::uint64_t const fresh = ++client_request_count;
+    client_requests[fresh] = std::move(next);
+    after(std::max<Micros>(back, millis(200)), [this, fresh] { send_client_request(fresh); });
     return;
   }
   ++end.refused;
--- a/testing/fleet_simulator/faults.cc
+++ b/testing/fleet_simulator/faults.cc
@@ -11,36 +11,36 @@
 namespace pipit {
 
 void World::full_loss() {
-  lost_at = -1;
-  back_at = -1;
+  full_loss_at = -1;
+  service_back_at = -1;
   bool const power = random.chance(0.5);
-  for (std::pair<std::string const, std::unique_ptr<Box>>& item : boxes) halt(*item.second, power);
+  for (std::pair<std::string const, std::unique_ptr<Machine>>& item : machines) stop_machine(*item.second, power);
   heal();
-  list_up();
+  restore_list();
   after(millis(800), [this] {
-    lost_at = now;
-    for (std::pair<std::string const, std::unique_ptr<Box>>& item : boxes) boot(*item.second);
+    full_loss_at = now;
+    for (std::pair<std::string const, std::unique_ptr<Machine>>& item : machines) start_machine(*item.second);
     Micros const from = now;
     after(seconds(12), [this, from] {
-      if (lost_at != from) return;
-      if (back_at < 0 && !log_is_muted())
-        for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
+      if (full_loss_at != from) return;
+      if (service_back_at < 0 && !log_is_muted())
+        for (std::pair<std::string const, std::unique_ptr<Machine>> const& item : machines)
           if (item.second->up() && item.second->role == MemberRole::router)
             for (std::pair<std::string const, Worker> const& w : item.second->node->fleet.workers)
               std::printf("%s knows %s incarnation %llu standing %d dark %d doubted %d zone %s\n", item.first.c_str(),
                           w.first.c_str(), static_cast<unsigned long long>(w.second.row.incarnation),
                           static_cast<int>(w.second.state), w.second.unhealthy, w.second.suspected,
                           w.second.row.zone.c_str());
-      if (back_at < 0)
-        fault("N12 service was not back twelve seconds after a full loss");
+      if (service_back_at < 0)
+        record_violation("N12 service was not back twelve seconds after a full loss");
       else
-        end.margins.back = std::max(end.margins.back, back_at - from);
+        end.margins.back = std::max(end.margins.back, service_back_at - from);
     });
   });
 }
 
 // What is marked while nobody can read the list is known to nobody: such a mark counts from when it can be read.
-void World::list_up() {
+void World::restore_list() {
   if (!list_down) return;
   list_down = false;
   for (std::pair<std::string const, std::map<std::uint64_t, Micros>>& worker : departures)
@@ -50,25 +50,25 @@
 
 // A node ends, by a kill or with its power, and starts again.
 void World::stop_node(FaultSite const& site) {
-  std::string const name = site.box->name;
-  halt(*site.box, site.type == "power");
-  after(site.span, [this, name] { boot(*boxes[name]); });
+  std::string const name = site.machine->name;
+  stop_machine(*site.machine, site.type == "power");
+  after(site.span, [this, name] { start_machine(*machines[name]); });
 }
 
 // A node stands still for a while.
-void World::freeze_node(FaultSite const& site) { freeze(*site.box, site.span); }
+void World::freeze_node(FaultSite const& site) { freeze_machine(*site.machine, site.span); }
 
 // A node is cut off, one way or both, and perhaps from the list as well.
 void World::cut_off_node(FaultSite const& site) {
   bool const one_way = random.chance(0.3);
   bool const outside = random.chance(0.5);
   for (std::string const& name : site.names) {
-    if (name == site.box->name) continue;
-    set_cut(site.box->name, name, true);
-    if (!one_way) set_cut(name, site.box->name, true);
+    if (name == site.machine->name) continue;
+    set_cut(site.machine->name, name, true);
+    if (!one_way) set_cut(name, site.machine->name, true);
   }
-  if (outside) set_cut(site.box->name, "list", true);
-  after(lag(millis(500), seconds(9)), [this] { heal(); });
+  if (outside) set_cut(site.machine->name, "list", true);
+  after(random_delay(millis(500), seconds(9)), [this] { heal(); });
 }
 
 // The fleet falls into two sides, or the config stores are cut off from all others.
@@ -86,52 +86,53 @@
 // One lost disk at a time: the next only once the set has taken the last one in.
 void World::replace_disk(FaultSite const& site) {
   std::size_t complete = 0;
-  Box* replica = pick([](Box const& b) { return b.role == MemberRole::config_store; });
+  Machine* replica = pick_running([](Machine const& b) { return b.role == MemberRole::config_store; });
   if (replica != nullptr && cuts.empty()) {
     Membership const& members = replica->node->learner.membership();
-    for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
+    for (std::pair<std::string const, std::unique_ptr<Machine>> const& item : machines)
       if (item.second->role == MemberRole::config_store && item.second->up() && item.second->disk &&
           members.contains(item.first, item.second->disk->disk))
         ++complete;
     if (complete == static_cast<std::size_t>(plan.shape->replicas) && members.replicas.size() == complete) {
-      halt(*replica, random.chance(0.5));
+      stop_machine(*replica, random.chance(0.5));
       replica->disk.reset();
       replica->writing.reset();
-      replica->address = "10.0.5." + std::to_string(++moved) + ":7000";
+      replica->address = "10.0.5." + std::to_string(++moved_address_count) + ":7000";
       std::string const name = replica->name;
-      after(site.span, [this, name] { boot(*boxes[name]); });
+      after(site.span, [this, name] { start_machine(*machines[name]); });
     }
   }
 }
 
 // A router node is replaced by a new one, perhaps at the same address.
 void World::exchange_router(FaultSite const& site) {
-  Box* const old = pick([](Box const& b) { return b.role == MemberRole::router; });
-  if (old != nullptr && boxes.size() < 40) {
+  Machine* const old = pick_running([](Machine const& b) { return b.role == MemberRole::router; });
+  if (old != nullptr && machines.size() < 40) {
     std::string const zone = old->zone;
     bool const same_address = random.chance(0.3);
-    std::string const address = same_address ? old->address : "10.0.6." + std::to_string(++moved) + ":7000";
+    std::string const address =
+        same_address ? old->address : "10.0.6." + std::to_string(++moved_address_count) + ":7000";
     bool const power = random.chance(0.3);
-    halt(*old, power);
+    stop_machine(*old, power);
     ++end.exchanges;
-    if (power) silent.push_back(old->name);
-    if (same_address) old->address = "10.0.7." + std::to_string(++moved) + ":7000";
-    std::string const name = "px" + std::to_string(++moved);
-    boot(add(name, address, zone, MemberRole::router));
+    if (power) silent_routers.push_back(old->name);
+    if (same_address) old->address = "10.0.7." + std::to_string(++moved_address_count) + ":7000";
+    std::string const name = "px" + std::to_string(++moved_address_count);
+    start_machine(add(name, address, zone, MemberRole::router));
   }
 }
 
 // A config store's disk is slow, or stalls.
 void World::slow_disk(FaultSite const& site) {
-  Box* const replica = pick([](Box const& b) { return b.role == MemberRole::config_store; });
+  Machine* const replica = pick_running([](Machine const& b) { return b.role == MemberRole::config_store; });
   if (replica != nullptr) {
     bool const stall = random.chance(0.3);
     replica->disk_low = stall ? seconds(4) : millis(100);
     replica->disk_high = stall ? seconds(8) : millis(700);
     std::string const name = replica->name;
     after(site.span, [this, name] {
-      boxes[name]->disk_low = 500;
-      boxes[name]->disk_high = 6000;
+      machines[name]->disk_low = 500;
+      machines[name]->disk_high = 6000;
     });
   }
 }
@@ -140,7 +141,7 @@
 void World::restart_worker(FaultSite const& site) {
   stop_process(*site.process);
   std::string const id = site.process->row.id;
-  after(random.chance(0.5) ? lag(millis(20), millis(300)) : site.span, [this, id] {
+  after(random.chance(0.5) ? random_delay(millis(20), millis(300)) : site.span, [this, id] {
     WorkerProcess& item = *processes[id];
     if (item.process_id != 0) return;
     ++item.row.incarnation;
@@ -166,12 +167,12 @@
   for (std::pair<std::string const, std::unique_ptr<WorkerProcess>>& item : processes) {
     if (random.chance(0.6)) continue;
     std::string const id = item.first;
-    wait += lag(millis(300), millis(1500));
+    wait += random_delay(millis(300), millis(1500));
     after(wait, [this, id] {
       WorkerProcess& h = *processes[id];
       if (quiet || h.process_id == 0) return;
       stop_process(h);
-      after(lag(millis(20), millis(600)), [this, id] {
+      after(random_delay(millis(20), millis(600)), [this, id] {
         WorkerProcess& next = *processes[id];
         if (next.process_id != 0) return;
         ++next.row.incarnation;
@@ -205,28 +206,32 @@
   list_down = true;
   list_silent = random.chance(0.5);
   list_down_from = now;
-  after(site.span, [this] { list_up(); });
+  after(site.span, [this] { restore_list(); });
 }
 
 // Operators send changes of one serial at the same moment.
 void World::race_changes(FaultSite const& site) {
   for (int i = 0; i < 2 + static_cast<int>(random.below(3)); ++i)
-    if (Box* const at_box = pick_up())
-      operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *at_box);
+    if (Machine* const machine = pick_any_running())
+      submit_operator_change(Change::Type::apply, description_of(*plan.shape, ++description_version), accepted_serial,
+                             *machine);
 }
 
 // Twenty changes within a second.
 void World::storm_of_changes(FaultSite const& site) {
   for (int i = 0; i < 20; ++i)
-    after(lag(1, millis(800)), [this] {
-      if (Box* const at_box = pick_up())
-        operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *at_box);
+    after(random_delay(1, millis(800)), [this] {
+      if (Machine* const machine = pick_any_running())
+        submit_operator_change(Change::Type::apply, description_of(*plan.shape, ++description_version), accepted_serial,
+                               *machine);
     });
 }
 
 // A change whose text is large.
 void World::apply_large_change(FaultSite const& site) {
-  operate(Change::Type::apply, description_of(*plan.shape, ++turn) + std::string(300000, ' '), yes_serial, *site.box);
+  submit_operator_change(Change::Type::apply,
+                         description_of(*plan.shape, ++description_version) + std::string(300000, ' '), accepted_serial,
+                         *site.machine);
 }
 
 // Every node ends at one moment.
@@ -237,32 +242,35 @@
   std::set<std::string> side;
   std::size_t const size = 2 + random.below(2);
   for (int i = 0; i < 10 && side.size() < size; ++i)
-    if (Box* const one = pick([](Box const& b) { return b.role == MemberRole::router; })) side.insert(one->name);
+    if (Machine* const one = pick_running([](Machine const& b) { return b.role == MemberRole::router; }))
+      side.insert(one->name);
   for (std::string const& a : side) {
     for (std::string const& b : site.names)
       if (!side.count(b)) set_cut(a, b, true), set_cut(b, a, true);
     set_cut(a, "list", true);
   }
-  after(lag(seconds(2), seconds(11)), [this] { heal(); });
+  after(random_delay(seconds(2), seconds(11)), [this] { heal(); });
 }
 
 // One router node is cut off and goes on serving, while all others end and return; then a zone is drained.
 void World::leave_one_router(FaultSite const& site) {
-  Box* const one = pick([](Box const& b) { return b.role == MemberRole::router; });
+  Machine* const one = pick_running([](Machine const& b) { return b.role == MemberRole::router; });
   if (one != nullptr && cuts.empty()) {
     std::string const stray = one->name;
     for (std::string const& name : site.names) {
       if (name == stray) continue;
       set_cut(stray, name, true);
       set_cut(name, stray, true);
-      halt(*boxes[name], false);
-      bool const departed = boxes[name]->address.rfind("10.0.7.", 0) == 0;
-      if (!departed) after(lag(millis(200), millis(600)), [this, name] { boot(*boxes[name]); });
+      stop_machine(*machines[name], false);
+      bool const departed = machines[name]->address.rfind("10.0.7.", 0) == 0;
+      if (!departed) after(random_delay(millis(200), millis(600)), [this, name] { start_machine(*machines[name]); });
     }
     after(seconds(5), [this, stray] {
-      Box* const at_box = pick([&stray](Box const& b) { return b.name != stray && b.node->is_ready(); });
-      if (at_box != nullptr && !quiet && at_box->node->chat_dispatcher.drained_zones().empty())
-        operate(Change::Type::empty, plan.shape->zones[random.below(plan.shape->zones.size())], 0, *at_box);
+      Machine* const machine =
+          pick_running([&stray](Machine const& b) { return b.name != stray && b.node->is_ready(); });
+      if (machine != nullptr && !quiet && machine->node->chat_dispatcher.drained_zones().empty())
+        submit_operator_change(Change::Type::empty, plan.shape->zones[random.below(plan.shape->zones.size())], 0,
+                               *machine);
     });
     after(seconds(14), [this] { heal(); });
   }
@@ -271,59 +279,62 @@
 // A change is chosen while one replica is cut off; then one that took it loses its disk, another its power, and the
 // one that was cut off is back: whoever counted the blank one would go on from the older value.
 void World::lose_accepted_change(FaultSite const& site) {
-  Membership const& members = site.box->node->learner.membership();
+  Membership const& members = site.machine->node->learner.membership();
   std::vector<std::string> complete;
-  for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
+  for (std::pair<std::string const, std::unique_ptr<Machine>> const& item : machines)
     if (item.second->role == MemberRole::config_store && item.second->up() && item.second->disk &&
         members.contains(item.first, item.second->disk->disk))
       complete.push_back(item.first);
-  if (cuts.empty() && site.box->role == MemberRole::router &&
+  if (cuts.empty() && site.machine->role == MemberRole::router &&
       complete.size() == static_cast<std::size_t>(plan.shape->replicas)) {
     for (std::string const& name : site.names)
       if (name != complete[2]) set_cut(name, complete[2], true), set_cut(complete[2], name, true);
-    operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *site.box);
+    submit_operator_change(Change::Type::apply, description_of(*plan.shape, ++description_version), accepted_serial,
+                           *site.machine);
     after(millis(400), [this, complete] {
-      halt(*boxes[complete[0]], true);
-      boxes[complete[0]]->disk.reset();
-      boxes[complete[0]]->writing.reset();
-      halt(*boxes[complete[1]], true);
+      stop_machine(*machines[complete[0]], true);
+      machines[complete[0]]->disk.reset();
+      machines[complete[0]]->writing.reset();
+      stop_machine(*machines[complete[1]], true);
       heal();
-      boot(*boxes[complete[0]]);
+      start_machine(*machines[complete[0]]);
     });
     after(seconds(3), [this] {
-      if (Box* const at_box = pick_up()) operate(Change::Type::read, "", 0, *at_box);
-      if (Box* const at_box = pick_up())
-        operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *at_box);
+      if (Machine* const machine = pick_any_running()) submit_operator_change(Change::Type::read, "", 0, *machine);
+      if (Machine* const machine = pick_any_running())
+        submit_operator_change(Change::Type::apply, description_of(*plan.shape, ++description_version), accepted_serial,
+                               *machine);
     });
-    after(seconds(7), [this, complete] { boot(*boxes[complete[1]]); });
+    after(seconds(7), [this, complete] { start_machine(*machines[complete[1]]); });
   }
 }
 
 // A node drains, ends and starts again.
 void World::drain_node(FaultSite const& site) {
-  std::string const name = site.box->name;
-  std::uint64_t const process_id = site.box->process_id;
-  enter(*site.box, process_id, [](Box& b, Micros t, NodeEffects& out) { b.node->drain(t, out); });
+  std::string const name = site.machine->name;
+  std::uint64_t const process_id = site.machine->process_id;
+  run_step(*site.machine, process_id, [](Machine& b, Micros t, NodeEffects& out) { b.node->drain(t, out); });
   after(seconds(4), [this, name, process_id] {
-    if (boxes[name]->process_id == process_id) halt(*boxes[name], false);
-    boot(*boxes[name]);
+    if (machines[name]->process_id == process_id) stop_machine(*machines[name], false);
+    start_machine(*machines[name]);
   });
 }
 
 // Right after a yes: the node that said it loses its power, and one replica with it.
 void World::stop_after_accept(FaultSite const& site) {
-  closing = random.chance(0.6);
-  operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *site.box);
-  std::string const name = site.box->name;
-  if (!closing)
-    after(lag(millis(10), millis(60)), [this, name] {
-      halt(*boxes[name], true);
-      if (Box* const replica = pick([](Box const& b) { return b.role == MemberRole::config_store; })) {
+  power_cut_after_accept = random.chance(0.6);
+  submit_operator_change(Change::Type::apply, description_of(*plan.shape, ++description_version), accepted_serial,
+                         *site.machine);
+  std::string const name = site.machine->name;
+  if (!power_cut_after_accept)
+    after(random_delay(millis(10), millis(60)), [this, name] {
+      stop_machine(*machines[name], true);
+      if (Machine* const replica = pick_running([](Machine const& b) { return b.role == MemberRole::config_store; })) {
         std::string const other = replica->name;
-        halt(*replica, true);
-        after(lag(millis(500), seconds(3)), [this, other] { boot(*boxes[other]); });
+        stop_machine(*replica, true);
+        after(random_delay(millis(500), seconds(3)), [this, other] { start_machine(*machines[other]); });
       }
-      after(lag(millis(500), seconds(3)), [this, name] { boot(*boxes[name]); });
+      after(random_delay(millis(500), seconds(3)), [this, name] { start_machine(*machines[name]); });
     });
 }
 
@@ -337,7 +348,7 @@
 
 // Two hundred requests within a second.
 void World::crowd_of_requests(FaultSite const& site) {
-  for (int i = 0; i < 200; ++i) after(lag(1, millis(1000)), [this] { call(); });
+  for (int i = 0; i < 200; ++i) after(random_delay(1, millis(1000)), [this] { start_client_call(); });
 }
 
 World::FaultType const* World::fault_type(std::string const& name) {
@@ -378,12 +389,12 @@
   site.type = all[random.below(all.size())];
   ++end.injected_faults;
   ++end.kinds[site.type];
-  note("trouble " + site.type);
+  add_to_hash("trouble " + site.type);
   if (!log_is_muted()) std::printf("default] %lld TROUBLE %s\n", static_cast<long long>(now / 1000), site.type.c_str());
-  site.span = lag(millis(500), millis(6000));
-  bool const loss_under_way = lost_at >= 0 && now - lost_at < seconds(12);
-  for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes) site.names.push_back(item.first);
-  site.box = pick_up();
+  site.span = random_delay(millis(500), millis(6000));
+  bool const loss_under_way = full_loss_at >= 0 && now - full_loss_at < seconds(12);
+  for (std::pair<std::string const, std::unique_ptr<Machine>> const& item : machines) site.names.push_back(item.first);
+  site.machine = pick_any_running();
   std::vector<WorkerProcess*> serving;
   for (std::pair<std::string const, std::unique_ptr<WorkerProcess>>& item : processes)
     if (item.second->process_id != 0 && item.second->state == "serving") serving.push_back(item.second.get());
@@ -391,8 +402,8 @@
   FaultType const* const fault = fault_type(site.type);
   bool const applies = fault != nullptr && (site.process != nullptr || !fault->needs_worker);
   // What service after a full loss is worth is judged without more trouble on top.
-  if (site.box != nullptr && !loss_under_way && applies) (this->*fault->inject)(site);
-  after(lag(millis(400), millis(3500)), [this] { inject_fault(); });
+  if (site.machine != nullptr && !loss_under_way && applies) (this->*fault->inject)(site);
+  after(random_delay(millis(400), millis(3500)), [this] { inject_fault(); });
 }
 
 }  // namespace pipit
--- a/testing/fleet_simulator/judge.cc
+++ b/testing/fleet_simulator/judge.cc
@@ -9,64 +9,69 @@
 
 namespace pipit {
 
-void World::check() {
+void World::check_configuration_delivery() {
   // N7: two seconds after a yes it is in force on every node that nothing has befallen.
-  for (std::map<std::uint64_t, Micros>::iterator it = due_force.begin(); it != due_force.end();) {
+  for (std::map<std::uint64_t, Micros>::iterator it = awaiting_force.begin(); it != awaiting_force.end();) {
     Micros const age = now - it->second;
     bool all = true;
     std::string who;
-    for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes) {
-      Box const& box = *item.second;
-      bool const befallen = !box.up() || box.frozen || box.troubled > it->second - seconds(3) || !cuts.empty();
-      if (box.role != MemberRole::router || befallen) continue;
-      if (box.node->learner.serial() < it->first) {
+    for (std::pair<std::string const, std::unique_ptr<Machine>> const& item : machines) {
+      Machine const& machine = *item.second;
+      bool const disturbed =
+          !machine.up() || machine.frozen || machine.disturbed_at > it->second - seconds(3) || !cuts.empty();
+      if (machine.role != MemberRole::router || disturbed) continue;
+      if (machine.node->learner.serial() < it->first) {
         all = false;
-        who += " " + box.name;
+        who += " " + machine.name;
       }
     }
     if (all) {
       end.margins.force = std::max(end.margins.force, age);
-      it = due_force.erase(it);
+      it = awaiting_force.erase(it);
     } else if (age > seconds(2)) {
-      fault("N7 serial " + std::to_string(it->first) + " is not in force after two seconds at" + who);
-      it = due_force.erase(it);
+      record_violation("N7 serial " + std::to_string(it->first) + " is not in force after two seconds at" + who);
+      it = awaiting_force.erase(it);
     } else {
       ++it;
     }
   }
-  after(millis(100), [this] { check(); });
+  after(millis(100), [this] { check_configuration_delivery(); });
 }
 
-void World::last_checks() {
+void World::check_final_state() {
   std::map<std::uint64_t, int> per_call;
-  for (std::pair<std::uint64_t const, std::unique_ptr<Wish>> const& item : wishes) {
-    Wish const& wish = *item.second;
-    if (!wish.safe) per_call[wish.call] += wish.begun;
-    if (wish.outcome == "no" && wish.begun > 0) fault("N2 a caller was told no, and it ran (" + wish.tag + ")");
-    if (wish.outcome == "yes" && wish.begun == 0) fault("N4 a caller was told that it ran, and it did not");
-    if (wish.outcome.empty()) fault("contract: a caller was never answered (" + wish.tag + ")");
+  for (std::pair<std::uint64_t const, std::unique_ptr<ClientRequest>> const& item : client_requests) {
+    ClientRequest const& client_request = *item.second;
+    if (!client_request.safe) per_call[client_request.call] += client_request.begun;
+    if (client_request.outcome == "no" && client_request.begun > 0)
+      record_violation("N2 a caller was told no, and it ran (" + client_request.tag + ")");
+    if (client_request.outcome == "yes" && client_request.begun == 0)
+      record_violation("N4 a caller was told that it ran, and it did not");
+    if (client_request.outcome.empty())
+      record_violation("contract: a caller was never answered (" + client_request.tag + ")");
   }
   for (std::pair<std::uint64_t const, int> const& item : per_call)
-    if (item.second > 1) fault("N1 a request that may not repeat ran " + std::to_string(item.second) + " times");
-  for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
+    if (item.second > 1)
+      record_violation("N1 a request that may not repeat ran " + std::to_string(item.second) + " times");
+  for (std::pair<std::string const, std::unique_ptr<Machine>> const& item : machines)
     if (item.second->up()) {
       first_sends += item.second->node->chat_dispatcher.counters.first_sends;
       resends += item.second->node->chat_dispatcher.counters.retries;
     }
   if (first_sends > 0) end.margins.resend = static_cast<double>(resends) / static_cast<double>(first_sends);
   if (static_cast<double>(resends) > 0.2 * static_cast<double>(first_sends) + 3.0 * static_cast<double>(process_count))
-    fault("N10 " + std::to_string(resends) + " re-sends for " + std::to_string(first_sends) + " sends");
+    record_violation("N10 " + std::to_string(resends) + " re-sends for " + std::to_string(first_sends) + " sends");
   // After a quiet while everything is whole again: one serial, every node ready, the replica set full.
   std::set<std::uint64_t> serials;
-  for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
+  for (std::pair<std::string const, std::unique_ptr<Machine>> const& item : machines)
     if (item.second->up() && item.second->role == MemberRole::router) ++end.routers;
-  for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes) {
+  for (std::pair<std::string const, std::unique_ptr<Machine>> const& item : machines) {
     if (!item.second->up()) continue;
     serials.insert(item.second->node->learner.serial());
-    if (!item.second->node->is_ready()) fault("N12 " + item.first + " is not ready after a quiet while");
+    if (!item.second->node->is_ready()) record_violation("N12 " + item.first + " is not ready after a quiet while");
   }
   if (serials.size() != 1 && !log_is_muted())
-    for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
+    for (std::pair<std::string const, std::unique_ptr<Machine>> const& item : machines)
       if (item.second->up())
         for (std::pair<std::string const, Peer> const& peer : item.second->node->mesh.members.peers)
           if (peer.first[0] == 'k')
@@ -76,16 +81,16 @@
                         static_cast<unsigned long long>(peer.second.connection), peer.second.dialling,
                         peer.second.dial_refused);
   if (serials.size() != 1)
-    fault("N7 nodes differ in serial after a quiet while");
-  else if (*serials.begin() < yes_serial)
-    fault("N9 serial " + std::to_string(yes_serial) + " was accepted, and " + std::to_string(*serials.begin()) +
-          " is in force at the end");
-  if (end.done == 0) fault("no traffic was seen");
-  for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
+    record_violation("N7 nodes differ in serial after a quiet while");
+  else if (*serials.begin() < accepted_serial)
+    record_violation("N9 serial " + std::to_string(accepted_serial) + " was accepted, and " +
+                     std::to_string(*serials.begin()) + " is in force at the end");
+  if (end.done == 0) record_violation("no traffic was seen");
+  for (std::pair<std::string const, std::unique_ptr<Machine>> const& item : machines)
     if (item.second->up()) {
       if (item.second->node->learner.value) end.registrations = item.second->node->learner.value->registrations.size();
       if (item.second->node->learner.membership().replicas.size() != static_cast<std::size_t>(plan.shape->replicas))
-        fault("repair: the set of keepers is not whole after a quiet while");
+        record_violation("repair: the set of keepers is not whole after a quiet while");
       break;
     }
 }
--- a/testing/fleet_simulator/main.cc
+++ b/testing/fleet_simulator/main.cc
@@ -97,11 +97,11 @@
         worst.resend = std::max(worst.resend, end.margins.resend);
         for (std::pair<std::string const, int> const& item : end.kinds) kinds[item.first] += item.second;
         if (count == 1) std::printf("hash %016llx\n", static_cast<unsigned long long>(end.hash));
-        if (end.faults.empty()) continue;
+        if (end.violations.empty()) continue;
         ++bad;
         if (bad <= 12)
-          for (std::size_t f = 0; f < std::min<std::size_t>(3, end.faults.size()); ++f)
-            std::printf("seed %llu %s\n", static_cast<unsigned long long>(seed), end.faults[f].c_str());
+          for (std::size_t f = 0; f < std::min<std::size_t>(3, end.violations.size()); ++f)
+            std::printf("seed %llu %s\n", static_cast<unsigned long long>(seed), end.violations[f].c_str());
       }
     });
   for (std::thread& item : team) item.join();
--- a/testing/fleet_simulator/operators.cc
+++ b/testing/fleet_simulator/operators.cc
@@ -10,27 +10,28 @@
 
 namespace pipit {
 
-World::Box* World::pick(std::function<bool(Box const&)> const& fits) {
-  std::vector<Box*> field;
-  for (std::pair<std::string const, std::unique_ptr<Box>>& item : boxes)
-    if (item.second->up() && fits(*item.second)) field.push_back(item.second.get());
-  return field.empty() ? nullptr : field[random.below(field.size())];
+World::Machine* World::pick_running(std::function<bool(Machine const&)> const& fits) {
+  std::vector<Machine*> candidates;
+  for (std::pair<std::string const, std::unique_ptr<Machine>>& item : machines)
+    if (item.second->up() && fits(*item.second)) candidates.push_back(item.second.get());
+  return candidates.empty() ? nullptr : candidates[random.below(candidates.size())];
 }
 
-void World::operate(Change::Type type, std::string const& text, std::uint64_t expected, Box& box) {
+void World::submit_operator_change(Change::Type type, std::string const& text, std::uint64_t expected,
+                                   Machine& machine) {
   std::uint64_t const id = ++change_count;
-  std::unique_ptr<Change_> made = std::make_unique<Change_>();
+  std::unique_ptr<PendingChange> made = std::make_unique<PendingChange>();
   made->type = type;
   made->text = text;
   made->expected = expected;
   made->from = now;
-  made->floor = yes_serial;
-  made->box = box.name;
+  made->floor = accepted_serial;
+  made->machine = machine.name;
   changes[id] = std::move(made);
   if (type == Change::Type::refill)
-    for (DrainedZones& zone : drained_zones[text])
+    for (DrainInterval& zone : drained_zones[text])
       if (zone.to < 0) zone.to = now;
-  enter(box, box.process_id, [this, id, type, text, expected](Box& b, Micros t, NodeEffects& out) {
+  run_step(machine, machine.process_id, [this, id, type, text, expected](Machine& b, Micros t, NodeEffects& out) {
     Change change;
     if (type == Change::Type::evict_router) {
       if (b.node->eviction_refusal(text)) return;
@@ -44,60 +45,61 @@
   });
 }
 
-void World::answered(Box& box, ChangeReply const& reply) {
-  std::map<std::uint64_t, std::unique_ptr<Change_>>::iterator const position = changes.find(reply.id);
-  if (position == changes.end() || position->second->over) return;
-  Change_& change = *position->second;
-  change.over = true;
+void World::handle_change_reply(Machine& machine, ChangeReply const& reply) {
+  std::map<std::uint64_t, std::unique_ptr<PendingChange>>::iterator const position = changes.find(reply.id);
+  if (position == changes.end() || position->second->finished) return;
+  PendingChange& change = *position->second;
+  change.finished = true;
   change.answered = now;
   Outcome const& outcome = reply.outcome;
-  note(reply.change_id + " answered " + std::to_string(static_cast<int>(outcome.type)));
+  add_to_hash(reply.change_id + " answered " + std::to_string(static_cast<int>(outcome.type)));
   bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::unchanged;
   if (outcome.type == Outcome::Type::refused) {
     refused_changes.insert(reply.change_id);
     for (std::pair<std::uint64_t const, std::string> const& seen : serial_change)
       if (seen.second == reply.change_id)
-        fault("N8 the refused change " + reply.change_id + " was in force before its refusal");
+        record_violation("N8 the refused change " + reply.change_id + " was in force before its refusal");
   }
   if (!holds) return;
   std::uint64_t const serial = outcome.value.serial;
   std::uint64_t const own = outcome.serial;
   // Whatever is read or chosen is not older than what was accepted before it was asked for.
   if (serial < change.floor)
-    fault("N9 " + reply.change_id + " saw serial " + std::to_string(serial) + " after " + std::to_string(change.floor) +
-          " was accepted");
+    record_violation("N9 " + reply.change_id + " saw serial " + std::to_string(serial) + " after " +
+                     std::to_string(change.floor) + " was accepted");
   std::map<std::uint64_t, std::string>::const_iterator const seen = serial_change.find(serial);
   if (seen != serial_change.end() && seen->second != outcome.value.change)
-    fault("N8 serial " + std::to_string(serial) + " is " + seen->second + " and " + outcome.value.change);
+    record_violation("N8 serial " + std::to_string(serial) + " is " + seen->second + " and " + outcome.value.change);
   serial_change[serial] = outcome.value.change;
   if (change.type == Change::Type::read) {
     ++end.reads;
-    std::map<std::uint64_t, std::pair<Micros, std::string>>::iterator last = yes.upper_bound(serial);
+    std::map<std::uint64_t, std::pair<Micros, std::string>>::iterator last = accepted_applies.upper_bound(serial);
     // The text is that of the last accepted apply, unless an apply of unknown outcome came after it.
-    if (last != yes.begin()) {
+    if (last != accepted_applies.begin()) {
       --last;
       if (last->first == serial && outcome.value.text != last->second.second)
-        fault("N9 what is read differs from what was accepted");
+        record_violation("N9 what is read differs from what was accepted");
     }
     return;
   }
   if (outcome.type == Outcome::Type::chosen) {
     ++end.accepted;
-    yes_serial = std::max(yes_serial, own);
-    due_force[own] = now;
+    accepted_serial = std::max(accepted_serial, own);
+    awaiting_force[own] = now;
     if (change.type == Change::Type::apply) {
-      if (yes.count(own)) fault("N8 two rivals were told yes for serial " + std::to_string(own));
-      if (own != change.expected + 1) fault("N8 a change was accepted against the wrong serial");
-      yes[own] = {now, change.text};
+      if (accepted_applies.count(own))
+        record_violation("N8 two rivals were told yes for serial " + std::to_string(own));
+      if (own != change.expected + 1) record_violation("N8 a change was accepted against the wrong serial");
+      accepted_applies[own] = {now, change.text};
     }
   }
-  if (closing && outcome.type == Outcome::Type::chosen) {
-    closing = false;
-    for (std::pair<std::string const, std::unique_ptr<Box>> const& item : boxes)
+  if (power_cut_after_accept && outcome.type == Outcome::Type::chosen) {
+    power_cut_after_accept = false;
+    for (std::pair<std::string const, std::unique_ptr<Machine>> const& item : machines)
       if (item.second->role == MemberRole::config_store && item.second->up()) {
         std::string const name = item.first;
-        after(1, [this, name] { halt(*boxes[name], true); });
-        after(lag(millis(300), seconds(2)), [this, name] { boot(*boxes[name]); });
+        after(1, [this, name] { stop_machine(*machines[name], true); });
+        after(random_delay(millis(300), seconds(2)), [this, name] { start_machine(*machines[name]); });
       }
   }
   if (change.type == Change::Type::empty && quiet) {
@@ -107,44 +109,45 @@
   if (change.type == Change::Type::empty && reply.unconfirmed.empty()) {
     // Not when a refill was under way: it may have come after. One of unknown outcome may still come.
     bool undone = false;
-    for (std::pair<std::uint64_t const, std::unique_ptr<Change_>> const& other : changes)
+    for (std::pair<std::uint64_t const, std::unique_ptr<PendingChange>> const& other : changes)
       if (other.second->type == Change::Type::refill && other.second->text == change.text &&
           (other.second->answered < 0 || other.second->answered >= change.from))
         undone = true;
-    if (!undone) drained_zones[change.text].push_back(DrainedZones{now, -1});
+    if (!undone) drained_zones[change.text].push_back(DrainInterval{now, -1});
   }
 }
 
 void World::operator_turn() {
   if (quiet) return;
-  Box* const box = pick_up();
-  if (box != nullptr) {
+  Machine* const machine = pick_any_running();
+  if (machine != nullptr) {
     std::uint64_t const r = random.below(10);
     std::string const& zone = plan.shape->zones[random.below(plan.shape->zones.size())];
     bool any_empty = false;
-    for (std::pair<std::string const, std::vector<DrainedZones>> const& item : drained_zones)
-      for (DrainedZones const& e : item.second) any_empty = any_empty || e.to < 0;
+    for (std::pair<std::string const, std::vector<DrainInterval>> const& item : drained_zones)
+      for (DrainInterval const& e : item.second) any_empty = any_empty || e.to < 0;
     // One zone at a time: with every zone drained there is rightly no service.
-    std::set<std::string> const& seen = box->node->chat_dispatcher.drained_zones();
+    std::set<std::string> const& seen = machine->node->chat_dispatcher.drained_zones();
     bool asked = false;
-    for (std::pair<std::uint64_t const, std::unique_ptr<Change_>> const& item : changes)
+    for (std::pair<std::uint64_t const, std::unique_ptr<PendingChange>> const& item : changes)
       asked = asked || (item.second->type == Change::Type::empty && now - item.second->from < seconds(5));
     if (r < 4)
-      operate(Change::Type::apply, description_of(*plan.shape, ++turn), yes_serial, *box);
+      submit_operator_change(Change::Type::apply, description_of(*plan.shape, ++description_version), accepted_serial,
+                             *machine);
     else if (r < 6)
-      operate(Change::Type::read, "", 0, *box);
+      submit_operator_change(Change::Type::read, "", 0, *machine);
     else if (r < 8 && !any_empty && !asked && seen.empty())
-      operate(Change::Type::empty, zone, 0, *box);
+      submit_operator_change(Change::Type::empty, zone, 0, *machine);
     else if (!seen.empty())
-      operate(Change::Type::refill, std::string(*seen.begin()), 0, *box);
+      submit_operator_change(Change::Type::refill, std::string(*seen.begin()), 0, *machine);
     else
-      for (std::pair<std::string const, std::vector<DrainedZones>> const& item : drained_zones)
+      for (std::pair<std::string const, std::vector<DrainInterval>> const& item : drained_zones)
         if (!item.second.empty() && item.second.back().to < 0) {
-          operate(Change::Type::refill, item.first, 0, *box);
+          submit_operator_change(Change::Type::refill, item.first, 0, *machine);
           break;
         }
   }
-  after(lag(millis(300), millis(2200)), [this] { operator_turn(); });
+  after(random_delay(millis(300), millis(2200)), [this] { operator_turn(); });
 }
 
 }  // namespace pipit
--- a/testing/fleet_simulator/parts.h
+++ b/testing/fleet_simulator/parts.h
@@ -4,7 +4,7 @@
 
 namespace pipit {
 
-struct World::Box {
+struct World::Machine {
   std::string name, address, zone;
   std::vector<std::string> seeds;
   std::string seeded_at;
@@ -26,7 +26,7 @@
   std::map<std::uint64_t, int> begun;                    // chat request to the attempt whose answer began
   std::uint64_t next_chat_request = 0;
   std::uint64_t serial = 0;
-  Micros troubled = -seconds(60);  // when it was last cut, frozen, ended or started
+  Micros disturbed_at = -seconds(60);  // when it was last cut, frozen, ended or started
   ChatCounters banked;
   bool up() const { return node != nullptr; }
 };
@@ -46,14 +46,14 @@
   std::uint64_t process_id = 0;  // 0 while it is down
   bool frozen = false;
   bool refusing = false;
-  Micros woke = 0;
+  Micros started_at = 0;
   std::set<std::uint64_t> runs;
   std::vector<std::pair<Micros, std::int64_t>> history;
   std::vector<Micros> cold_starts;
   std::string state = "serving";
 };
 
-struct World::Wish {
+struct World::ClientRequest {
   std::string tag;
   std::uint64_t call = 0;
   bool safe = false;
@@ -62,18 +62,18 @@
   Micros arrived_at = 0;
   std::string outcome;
   int begun = 0, ended = 0;
-  Micros knocked = -1;  // when its attempt reached a worker that has not begun it yet
-  bool over = false;
+  Micros reached_worker_at = -1;  // when its attempt reached a worker that has not begun it yet
+  bool finished = false;
 };
 
-struct World::Change_ {
+struct World::PendingChange {
   Change::Type type = Change::Type::read;
   std::string text;
   std::uint64_t expected = 0;
   Micros from = 0;
   std::uint64_t floor = 0;  // the highest accepted serial when it was asked
-  std::string box;
-  bool over = false;
+  std::string machine;
+  bool finished = false;
   Micros answered = -1;
 };
 
--- a/testing/fleet_simulator/world.cc
+++ b/testing/fleet_simulator/world.cc
@@ -18,26 +18,27 @@
           "group", "stray", "amnesia", "drain", "closing", "crowd",   "refuse"};
 }
 
-void World::at(Micros when, std::function<void()> act) { events.push(Event_{when, ++order, std::move(act)}); }
-void World::note(std::string const& what) {
+void World::at(Micros when, std::function<void()> act) { events.push(ScheduledEvent{when, ++order, std::move(act)}); }
+void World::add_to_hash(std::string const& what) {
   end.hash = hash_bits(end.hash ^ hash_text(what) ^ static_cast<std::uint64_t>(now));
 }
-void World::fault(std::string const& what) {
-  if (end.faults.size() < 20) end.faults.push_back(what + " at " + std::to_string(now / 1000) + " ms");
+void World::record_violation(std::string const& what) {
+  if (end.violations.size() < 20) end.violations.push_back(what + " at " + std::to_string(now / 1000) + " ms");
 }
-Micros World::clock(Box const& box) const {
-  return box.offset + static_cast<Micros>(static_cast<double>(now) * box.rate);
+Micros World::clock(Machine const& machine) const {
+  return machine.offset + static_cast<Micros>(static_cast<double>(now) * machine.rate);
 }
 
 WorldEnd World::run() {
   int i = 0;
   for (int n = 1; n <= plan.shape->replicas; ++n) {
     std::string const& zone = plan.shape->zones[static_cast<std::size_t>(n - 1) % plan.shape->zones.size()];
-    boot(add("k" + std::to_string(n), "10.0.2." + std::to_string(n) + ":7000", zone, MemberRole::config_store));
+    start_machine(
+        add("k" + std::to_string(n), "10.0.2." + std::to_string(n) + ":7000", zone, MemberRole::config_store));
   }
   for (int n = 1; n <= plan.shape->routers; ++n) {
     std::string const& zone = plan.shape->zones[static_cast<std::size_t>(n - 1) % plan.shape->zones.size()];
-    boot(add("p" + std::to_string(n), "10.0.1." + std::to_string(n) + ":7000", zone, MemberRole::router));
+    start_machine(add("p" + std::to_string(n), "10.0.1." + std::to_string(n) + ":7000", zone, MemberRole::router));
   }
   for (int n = 1; n <= plan.shape->workers; ++n) {
     std::unique_ptr<WorkerProcess> process = std::make_unique<WorkerProcess>();
@@ -52,43 +53,46 @@
     processes[process->row.id] = std::move(process);
   }
   write_list();
-  at(seconds(3), [this] { operate(Change::Type::apply, description_of(*plan.shape, 0), 0, *boxes["p1"]); });
+  at(seconds(3),
+     [this] { submit_operator_change(Change::Type::apply, description_of(*plan.shape, 0), 0, *machines["p1"]); });
   Micros const faults_end = seconds(5) + plan.length;
   at(seconds(6), [this] { operator_turn(); });
   at(seconds(7), [this] { inject_fault(); });
-  at(seconds(4), [this] { check(); });
+  at(seconds(4), [this] { check_configuration_delivery(); });
   Micros gap = static_cast<Micros>(1e6 / plan.rate);
   for (Micros t = seconds(5); t < faults_end + seconds(6); t += gap)
-    at(t + static_cast<Micros>(random.below(static_cast<std::uint64_t>(gap))), [this] { call(); });
+    at(t + static_cast<Micros>(random.below(static_cast<std::uint64_t>(gap))), [this] { start_client_call(); });
   at(faults_end, [this] {
     quiet = true;
     heal();
-    list_up();
-    closing = false;
-    for (std::pair<std::string const, std::unique_ptr<Box>>& item : boxes) {
+    restore_list();
+    power_cut_after_accept = false;
+    for (std::pair<std::string const, std::unique_ptr<Machine>>& item : machines) {
       item.second->disk_low = 500;
       item.second->disk_high = 6000;
       // Entry machines that were exchanged stay away; all else is started again.
       bool const departed = item.second->address.rfind("10.0.7.", 0) == 0;
       if (!departed && (item.second->role == MemberRole::config_store || item.second->power || item.first[1] != 'x')) {
         std::string const name = item.first;
-        after(seconds(3), [this, name] { boot(*boxes[name]); });
+        after(seconds(3), [this, name] { start_machine(*machines[name]); });
       }
     }
     for (std::pair<std::string const, std::unique_ptr<WorkerProcess>>& item : processes) item.second->frozen = false;
   });
   if (plan.finale) {
     at(faults_end + seconds(24), [this] {
-      for (std::string const& name : silent)
-        if (Box* const box = pick_up()) operate(Change::Type::evict_router, name, 0, *box);
+      for (std::string const& name : silent_routers)
+        if (Machine* const machine = pick_any_running())
+          submit_operator_change(Change::Type::evict_router, name, 0, *machine);
     });
     at(faults_end + seconds(30), [this] {
-      if (Box* const box = pick_up()) operate(Change::Type::empty, plan.shape->zones[0], 0, *box);
+      if (Machine* const machine = pick_any_running())
+        submit_operator_change(Change::Type::empty, plan.shape->zones[0], 0, *machine);
     });
   }
   Micros const last = faults_end + seconds(plan.finale ? 36 : 28);
   while (!events.empty() && events.top().at <= last) {
-    Event_ item = events.top();
+    ScheduledEvent item = events.top();
     events.pop();
     now = std::max(now, item.at);
     item.act();
@@ -97,8 +101,8 @@
           std::remove_if(links.begin(), links.end(), [](std::shared_ptr<Link> const& link) { return !link->open; }),
           links.end());
   }
-  last_checks();
-  note("frames " + std::to_string(end.frames) + " done " + std::to_string(end.done));
+  check_final_state();
+  add_to_hash("frames " + std::to_string(end.frames) + " done " + std::to_string(end.done));
   return end;
 }
 
--- a/tests/fleet_simulation.cc
+++ b/tests/fleet_simulation.cc
@@ -33,7 +33,7 @@
   plan.length = seconds(60);
   plan.finale = true;
   WorldEnd const end = World(plan).run();
-  for (std::string const& fault : end.faults) ADD_FAILURE() << fault;
+  for (std::string const& fault : end.violations) ADD_FAILURE() << fault;
   EXPECT_GE(end.exchanges, 20u);
   EXPECT_EQ(end.registrations, end.routers);
   EXPECT_TRUE(end.drained_zones);
@@ -46,7 +46,7 @@
   std::uint64_t injected_faults = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     WorldEnd const end = run_fleet(GetParam(), seed);
-    for (std::string const& fault : end.faults) ADD_FAILURE() << "seed " << seed << " " << fault;
+    for (std::string const& fault : end.violations) ADD_FAILURE() << "seed " << seed << " " << fault;
     EXPECT_GT(end.done, 0u);
     EXPECT_GT(end.accepted, 0u);
     injected_faults += end.injected_faults;
@@ -72,7 +72,7 @@
 class FleetRegression : public testing::TestWithParam<RegressionSeed> {};
 
 TEST_P(FleetRegression, stays_fixed) {
-  for (std::string const& fault : run_fleet(GetParam().shape, GetParam().seed, GetParam().only).faults)
+  for (std::string const& fault : run_fleet(GetParam().shape, GetParam().seed, GetParam().only).violations)
     ADD_FAILURE() << fault;
 }
 
@@ -112,11 +112,12 @@
   GuardCase const& row = GetParam();
   bool broken = false;
   for (std::uint64_t seed = row.first_seed; seed < row.first_seed + row.seed_count && !broken; ++seed) {
-    ASSERT_TRUE(run_fleet(row.shape, seed, row.only).faults.empty()) << "seed " << seed << " fails with all guards on";
+    ASSERT_TRUE(run_fleet(row.shape, seed, row.only).violations.empty())
+        << "seed " << seed << " fails with all guards on";
     disabled_guard() = row.guard;
     WorldEnd const end = run_fleet(row.shape, seed, row.only);
     disabled_guard() = Guard::none;
-    for (std::string const& fault : end.faults) broken = broken || fault.rfind(row.property, 0) == 0;
+    for (std::string const& fault : end.violations) broken = broken || fault.rfind(row.property, 0) == 0;
   }
   EXPECT_TRUE(broken) << "no seed broke " << row.property << " with the guard off";
 }
