--- a/testing/fleet_simulator/parts.h
+++ b/testing/fleet_simulator/parts.h
@@ -1,4 +1,4 @@
-// What a world is made of; only its own files look inside.
+// The private parts of a World, included by its implementation files only.
 #pragma once
 #include "testing/fleet_simulator/world.h"
 
@@ -12,7 +12,7 @@
   std::unique_ptr<Node> node;
   std::uint64_t process_id = 0;
   bool frozen = false;
-  bool power = false;  // ended without a word on the connection
+  bool power = false;  // stopped by a power loss: peers see no connection close
   std::vector<std::function<void()>> deferred;
   double rate = 1.0;
   Micros offset = 0;
@@ -21,12 +21,12 @@
   Micros disk_low = 500, disk_high = 6000;
   std::map<ConnectionId, std::pair<std::shared_ptr<Link>, int>> connections;
   ConnectionId next_connection = 0;
-  std::map<std::uint64_t, std::uint64_t> chat_requests;  // chat request to wish
-  std::map<std::uint64_t, int> attempts;                 // chat request to the attempt that runs
-  std::map<std::uint64_t, int> begun;                    // chat request to the attempt whose answer began
+  std::map<std::uint64_t, std::uint64_t> chat_requests;  // chat request to client request
+  std::map<std::uint64_t, int> attempts;                 // chat request to its running attempt
+  std::map<std::uint64_t, int> begun;                    // chat request to the attempt whose response has begun
   std::uint64_t next_chat_request = 0;
   std::uint64_t serial = 0;
-  Micros disturbed_at = -seconds(60);  // when it was last cut, frozen, ended or started
+  Micros disturbed_at = -seconds(60);  // time of the last cut, heal, freeze, stop or start
   ChatCounters banked;
   bool up() const { return node != nullptr; }
 };
@@ -37,7 +37,7 @@
   std::uint64_t process_id[2] = {0, 0};
   ConnectionId connection[2] = {0, 0};
   bool open = true;
-  Micros last[2] = {0, 0};  // arrival times keep their order
+  Micros last[2] = {0, 0};  // last arrival time by sending side, which keeps frames in order
   std::vector<std::string> stalled[2];
 };
 
@@ -62,7 +62,7 @@
   Micros arrived_at = 0;
   std::string outcome;
   int begun = 0, ended = 0;
-  Micros reached_worker_at = -1;  // when its attempt reached a worker that has not begun it yet
+  Micros reached_worker_at = -1;  // arrival time at a worker that has not started the request; -1 if none
   bool finished = false;
 };
 
@@ -71,7 +71,7 @@
   std::string text;
   std::uint64_t expected = 0;
   Micros from = 0;
-  std::uint64_t floor = 0;  // the highest accepted serial when it was asked
+  std::uint64_t floor = 0;  // highest accepted serial at the time of submission
   std::string machine;
   bool finished = false;
   Micros answered = -1;
--- a/testing/fleet_simulator/world.h
+++ b/testing/fleet_simulator/world.h
@@ -1,4 +1,4 @@
-// A whole fleet of the product's cores under virtual time, with a seeded net, disks, workers and faults (§10.4).
+// A simulated fleet of nodes under virtual time, with a seeded network, disks, workers and faults (§10.4).
 #pragma once
 #include <functional>
 #include <map>
@@ -15,57 +15,62 @@
 
 namespace pipit {
 
+// The input of one simulation run.
 struct WorldPlan {
   Shape const* shape = nullptr;
   std::uint64_t seed = 1;
-  Micros length = seconds(30);    // of faults; a quiet end follows
-  double rate = 25;               // requests a second
-  std::vector<std::string> only;  // these types of faults, or all
-  bool finale = false;            // in the quiet end: what is gone is forgotten, and a zone drained
+  Micros length = seconds(30);    // time during which faults are injected; a period without faults follows
+  double rate = 25;               // client calls per second
+  std::vector<std::string> only;  // fault types to inject; all if empty
+  bool finale = false;            // after the faults: evict the unreachable routers and drain a zone
 };
 
+// The worst values seen of the quantities that the invariants bound.
 struct Margins {
-  Micros departure = -1;  // latest start after a mark
-  Micros empty = -1;      // latest start after a yes
-  Micros force = 0;       // slowest description
-  Micros back = -1;       // service after a full loss
-  int cold = 0;           // most starts in a second at a cold worker
-  double resend = 0;      // share of re-sends
+  Micros departure = -1;  // longest time from marking a worker as leaving to a request that still reached it
+  Micros empty = -1;      // longest time from accepting a zone drain to a request that still reached the zone
+  Micros force = 0;       // longest time from accepting a change to its being in force on every undisturbed router
+  Micros back = -1;       // longest time from restarting all nodes to the first completed request
+  int cold = 0;           // most requests that a newly started worker received within one second
+  double resend = 0;      // ratio of re-sends to first sends
 };
 
+// The result of one simulation run.
 struct WorldEnd {
   std::uint64_t hash = 0;
   std::uint64_t exchanges = 0, registrations = 0,
-                routers = 0;             // registrations in the register, and router nodes that live, at the end
-  std::vector<std::string> unconfirmed;  // whom the last 'empty' named, with a finale
-  bool drained_zones = false;            // the finale's 'empty' was chosen
+                routers = 0;             // registrations in the register, and running router nodes, at the end
+  std::vector<std::string> unconfirmed;  // nodes without a confirmation of the last drain, with WorldPlan::finale
+  bool drained_zones = false;            // the zone drain of WorldPlan::finale was chosen
   std::uint64_t done = 0, runs = 0, refused = 0, lost = 0, accepted = 0, reads = 0, injected_faults = 0, frames = 0;
-  std::map<std::string, int> kinds;     // of faults that were injected
-  std::vector<std::string> violations;  // "N1 ...", empty when all held
+  std::map<std::string, int> kinds;     // count by type of injected fault and by error code of an answer
+  std::vector<std::string> violations;  // "N1 ..."; empty if every invariant held
   Margins margins;
 };
 
+// Runs one simulated fleet. A seed and a plan determine the run; run() may be called one time.
 class World {
  public:
   explicit World(WorldPlan plan_);
   ~World();
   WorldEnd run();
 
+  // The names of all fault types, as the flag --only takes them.
   static std::vector<std::string> fault_types();
 
  private:
-  struct Machine;        // a node with its machine
-  struct Link;           // a connection between two boxes
-  struct WorkerProcess;  // a worker
-  struct ClientRequest;  // one attempt of a caller
-  struct PendingChange;  // an operator's change
-  // Where and for how long a fault acts, as the seed chose it.
+  struct Machine;        // a machine and the node that runs on it
+  struct Link;           // a connection between two machines
+  struct WorkerProcess;  // a worker's current process
+  struct ClientRequest;  // one request that a client sends for a call
+  struct PendingChange;  // a change that an operator submitted
+  // Where and for how long a fault acts, chosen from the seed.
   struct FaultSite {
     std::string type;
     Micros span = 0;
-    std::vector<std::string> names;    // of all nodes
-    Machine* machine = nullptr;        // a node that is up
-    WorkerProcess* process = nullptr;  // a worker that serves, while enough of them do
+    std::vector<std::string> names;    // names of all machines
+    Machine* machine = nullptr;        // a running node
+    WorkerProcess* process = nullptr;  // a serving worker; null if fewer than six serve
   };
   struct FaultType {
     void (World::*inject)(FaultSite const& site);
@@ -104,7 +109,7 @@
   void close_link(std::shared_ptr<Link> link, int from_side);
   void sync_record(Machine& machine, wire::RecordT record);
 
-  // workers and callers
+  // workers and clients
   void start_attempt(Machine& machine, ChatAttemptStart const& start);
   void deliver_request(std::string const& machine, std::uint64_t process_id, std::uint64_t chat_request, int attempt,
                        std::string const& worker, std::uint64_t worker_process_id, std::uint64_t client_request,
@@ -169,8 +174,8 @@
   std::vector<std::pair<Micros, std::vector<ListRow>>> list;
   bool list_down = false;
   bool list_silent = false;
-  std::vector<std::string> silent_routers;  // router nodes that were exchanged and answer no dial
-  bool power_cut_after_accept = false;      // the next yes is followed by a power cut of every replica
+  std::vector<std::string> silent_routers;  // replaced routers that lost power and so answer no connection attempt
+  bool power_cut_after_accept = false;      // the next accepted change cuts the power of every replica
   Micros list_down_from = 0;
   std::uint64_t process_count = 0;
   std::uint64_t client_request_count = 0;
@@ -181,8 +186,8 @@
   int description_version = 0;
   bool quiet = false;
   std::uint64_t accepted_serial = 0;
-  std::map<std::uint64_t, std::string> serial_change;  // what was ever seen in force under a serial
-  std::map<std::uint64_t, std::pair<Micros, std::string>> accepted_applies;  // accepted applies: when, and the text
+  std::map<std::uint64_t, std::string> serial_change;                        // change id seen in force for each serial
+  std::map<std::uint64_t, std::pair<Micros, std::string>> accepted_applies;  // by serial: time of acceptance and text
   std::set<std::string> refused_changes;
   std::map<std::uint64_t, Micros> awaiting_force;
   struct DrainInterval {
@@ -190,7 +195,7 @@
     Micros to = -1;
   };
   std::map<std::string, std::vector<DrainInterval>> drained_zones;
-  std::map<std::string, std::map<std::uint64_t, Micros>> departures;  // worker, incarnation: when
+  std::map<std::string, std::map<std::uint64_t, Micros>> departures;  // by worker and incarnation: time of the leaving mark
   Micros full_loss_at = -1;
   Micros service_back_at = -1;
   std::uint64_t first_sends = 0, resends = 0;
