--- a/testing/fleet_simulator/main.cc
+++ b/testing/fleet_simulator/main.cc
@@ -1,4 +1,4 @@
-// fleet_simulator: runs many seeded worlds, or one, and tells which points were broken (§10.4).
+// fleet_simulator: runs one or more seeded simulations of a fleet and prints the violated invariants (§10.4).
 #include <algorithm>
 #include <atomic>
 #include <boost/program_options.hpp>
@@ -27,13 +27,14 @@
   unsigned jobs = std::thread::hardware_concurrency();
   double length = 30;
   bool loud = false;
-  options::options_description flags("fleet_simulator: seeded worlds of the product's cores under virtual time");
+  options::options_description flags("fleet_simulator: seeded simulations of the product's nodes under virtual time");
   flags.add_options()("shape", options::value(&shape_name), "coop or utility")(
-      "from", options::value(&from), "the first seed")("seeds", options::value(&count), "how many")(
-      "jobs", options::value(&jobs))("length", options::value(&length), "seconds of trouble")(
-      "only", options::value(&only), "kinds of trouble, with commas between")(
-      "off", options::value(&off), "switch one guard off")("log", options::bool_switch(&loud),
-                                                           "print events (one seed)")("help", "");
+      "from", options::value(&from), "the first seed")("seeds", options::value(&count), "number of seeds")(
+      "jobs", options::value(&jobs), "number of worker threads")("length", options::value(&length),
+                                                                 "seconds during which faults are injected")(
+      "only", options::value(&only), "kinds of faults, separated by commas")(
+      "off", options::value(&off), "name of a guard to disable")("log", options::bool_switch(&loud),
+                                                                 "print events; runs on one thread")("help", "");
   std::function<void()> const print_help = [&] {
     std::cout << flags << "Troubles:";
     for (std::string const& name : World::fault_types()) std::cout << " " << name;
@@ -47,14 +48,14 @@
   if (ended) return *ended;
   Shape const* const shape = shape_of(shape_name);
   if (shape == nullptr) return std::fprintf(stderr, "fleet_simulator: there is no shape '%s'\n", shape_name.c_str()), 2;
-  std::vector<std::string> kept;
+  std::vector<std::string> chosen_types;
   std::stringstream parts(only);
   std::string part;
   std::vector<std::string> const all = World::fault_types();
   while (std::getline(parts, part, ',')) {
     if (std::find(all.begin(), all.end(), part) == all.end())
       return std::fprintf(stderr, "fleet_simulator: there is no trouble '%s'\n", part.c_str()), 2;
-    kept.push_back(part);
+    chosen_types.push_back(part);
   }
   Guard guard = Guard::none;
   std::size_t n = 0;
@@ -67,23 +68,23 @@
     return std::fprintf(stderr, "fleet_simulator: seeds and length must be above 0, length at most 600\n"), 2;
   mute_log(!loud);
   std::atomic<std::uint64_t> next{from};
-  std::mutex gate;
+  std::mutex result_mutex;
   std::uint64_t bad = 0, done = 0, accepted = 0, reads = 0, runs = 0, injected_faults = 0;
   Margins worst;
   std::map<std::string, int> kinds;
-  std::vector<std::thread> team;
+  std::vector<std::thread> threads;
   for (unsigned i = 0; i < std::max(1u, loud ? 1 : jobs); ++i)
-    team.emplace_back([&] {
+    threads.emplace_back([&] {
       disabled_guard() = guard;
       for (std::uint64_t seed = next++; seed < from + count; seed = next++) {
         WorldPlan plan;
         plan.shape = shape;
         plan.seed = seed;
-        plan.only = kept;
+        plan.only = chosen_types;
         plan.length = static_cast<Micros>(length * 1e6);
         World world(plan);
         WorldEnd const end = world.run();
-        std::lock_guard<std::mutex> const lock(gate);
+        std::lock_guard<std::mutex> const lock(result_mutex);
         done += end.done;
         accepted += end.accepted;
         reads += end.reads;
@@ -104,7 +105,7 @@
             std::printf("seed %llu %s\n", static_cast<unsigned long long>(seed), end.violations[f].c_str());
       }
     });
-  for (std::thread& item : team) item.join();
+  for (std::thread& item : threads) item.join();
   std::printf("%s: %llu seeds, %llu with faults; %llu answers, %llu runs, %llu changes, %llu reads, %llu troubles\n",
               shape_name.c_str(), static_cast<unsigned long long>(count), static_cast<unsigned long long>(bad),
               static_cast<unsigned long long>(done), static_cast<unsigned long long>(runs),
--- a/testing/fleet_simulator/operators.cc
+++ b/testing/fleet_simulator/operators.cc
@@ -1,4 +1,4 @@
-// Operators of a world: what they ask, and what they are told (§10.4).
+// Simulated operators: submission of changes and checks of their results (§10.4).
 #include "testing/fleet_simulator/parts.h"
 
 #include <algorithm>
@@ -20,14 +20,14 @@
 void World::submit_operator_change(Change::Type type, std::string const& text, std::uint64_t expected,
                                    Machine& machine) {
   std::uint64_t const id = ++change_count;
-  std::unique_ptr<PendingChange> made = std::make_unique<PendingChange>();
-  made->type = type;
-  made->text = text;
-  made->expected = expected;
-  made->from = now;
-  made->floor = accepted_serial;
-  made->machine = machine.name;
-  changes[id] = std::move(made);
+  std::unique_ptr<PendingChange> pending = std::make_unique<PendingChange>();
+  pending->type = type;
+  pending->text = text;
+  pending->expected = expected;
+  pending->from = now;
+  pending->floor = accepted_serial;
+  pending->machine = machine.name;
+  changes[id] = std::move(pending);
   if (type == Change::Type::refill)
     for (DrainInterval& zone : drained_zones[text])
       if (zone.to < 0) zone.to = now;
@@ -53,17 +53,17 @@
   change.answered = now;
   Outcome const& outcome = reply.outcome;
   add_to_hash(reply.change_id + " answered " + std::to_string(static_cast<int>(outcome.type)));
-  bool const holds = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::unchanged;
+  bool const succeeded = outcome.type == Outcome::Type::chosen || outcome.type == Outcome::Type::unchanged;
   if (outcome.type == Outcome::Type::refused) {
     refused_changes.insert(reply.change_id);
     for (std::pair<std::uint64_t const, std::string> const& seen : serial_change)
       if (seen.second == reply.change_id)
         record_violation("N8 the refused change " + reply.change_id + " was in force before its refusal");
   }
-  if (!holds) return;
+  if (!succeeded) return;
   std::uint64_t const serial = outcome.value.serial;
   std::uint64_t const own = outcome.serial;
-  // Whatever is read or chosen is not older than what was accepted before it was asked for.
+  // A value that is read or chosen is not older than a change accepted before this one was submitted.
   if (serial < change.floor)
     record_violation("N9 " + reply.change_id + " saw serial " + std::to_string(serial) + " after " +
                      std::to_string(change.floor) + " was accepted");
@@ -74,11 +74,11 @@
   if (change.type == Change::Type::read) {
     ++end.reads;
     std::map<std::uint64_t, std::pair<Micros, std::string>>::iterator last = accepted_applies.upper_bound(serial);
-    // The text is that of the last accepted apply, unless an apply of unknown outcome came after it.
+    // The text is that of the last accepted apply, unless a later apply has an unknown outcome.
     if (last != accepted_applies.begin()) {
       --last;
       if (last->first == serial && outcome.value.text != last->second.second)
-        record_violation("N9 what is read differs from what was accepted");
+        record_violation("N9 the text that was read differs from the accepted text");
     }
     return;
   }
@@ -88,7 +88,7 @@
     awaiting_force[own] = now;
     if (change.type == Change::Type::apply) {
       if (accepted_applies.count(own))
-        record_violation("N8 two rivals were told yes for serial " + std::to_string(own));
+        record_violation("N8 two competing changes were accepted for serial " + std::to_string(own));
       if (own != change.expected + 1) record_violation("N8 a change was accepted against the wrong serial");
       accepted_applies[own] = {now, change.text};
     }
@@ -107,13 +107,14 @@
     end.unconfirmed = reply.unconfirmed;
   }
   if (change.type == Change::Type::empty && reply.unconfirmed.empty()) {
-    // Not when a refill was under way: it may have come after. One of unknown outcome may still come.
-    bool undone = false;
+    // The zone doesn't count as drained if a refill of it was in flight, since that may be chosen after the drain.
+    // A refill of unknown outcome may still be chosen.
+    bool refill_may_follow = false;
     for (std::pair<std::uint64_t const, std::unique_ptr<PendingChange>> const& other : changes)
       if (other.second->type == Change::Type::refill && other.second->text == change.text &&
           (other.second->answered < 0 || other.second->answered >= change.from))
-        undone = true;
-    if (!undone) drained_zones[change.text].push_back(DrainInterval{now, -1});
+        refill_may_follow = true;
+    if (!refill_may_follow) drained_zones[change.text].push_back(DrainInterval{now, -1});
   }
 }
 
@@ -126,7 +127,7 @@
     bool any_empty = false;
     for (std::pair<std::string const, std::vector<DrainInterval>> const& item : drained_zones)
       for (DrainInterval const& e : item.second) any_empty = any_empty || e.to < 0;
-    // One zone at a time: with every zone drained there is rightly no service.
+    // Only one zone is drained at a time: with every zone drained, requests are rightly refused.
     std::set<std::string> const& seen = machine->node->chat_dispatcher.drained_zones();
     bool asked = false;
     for (std::pair<std::uint64_t const, std::unique_ptr<PendingChange>> const& item : changes)
--- a/testing/fleet_simulator/world.cc
+++ b/testing/fleet_simulator/world.cc
@@ -1,4 +1,4 @@
-// A world from its first moment to its last (§10.4).
+// A simulation run from its start to its end (§10.4).
 #include "testing/fleet_simulator/parts.h"
 
 #include <algorithm>
@@ -70,7 +70,8 @@
     for (std::pair<std::string const, std::unique_ptr<Machine>>& item : machines) {
       item.second->disk_low = 500;
       item.second->disk_high = 6000;
-      // Entry machines that were exchanged stay away; all else is started again.
+      // Routers whose address was given to a replacement, and replacements (px) that were stopped without a power loss,
+      // stay down; all other machines are started again.
       bool const departed = item.second->address.rfind("10.0.7.", 0) == 0;
       if (!departed && (item.second->role == MemberRole::config_store || item.second->power || item.first[1] != 'x')) {
         std::string const name = item.first;
--- a/testing/fleet_simulator/world.h
+++ b/testing/fleet_simulator/world.h
@@ -195,7 +195,8 @@
     Micros to = -1;
   };
   std::map<std::string, std::vector<DrainInterval>> drained_zones;
-  std::map<std::string, std::map<std::uint64_t, Micros>> departures;  // by worker and incarnation: time of the leaving mark
+  std::map<std::string, std::map<std::uint64_t, Micros>>
+      departures;  // by worker and incarnation: time of the leaving mark
   Micros full_loss_at = -1;
   Micros service_back_at = -1;
   std::uint64_t first_sends = 0, resends = 0;
