--- a/testing/fleet_simulator/callers.cc
+++ b/testing/fleet_simulator/callers.cc
@@ -1,4 +1,4 @@
-// Workers and callers of a world (§10.4).
+// Simulated workers and clients (§10.4).
 #include "testing/fleet_simulator/parts.h"
 
 #include <algorithm>
@@ -34,7 +34,7 @@
   if (list.size() > 60) list.erase(list.begin(), list.begin() + 20);
 }
 
-// One attempt: the connection opens, the request leaves, the worker runs it, the answer begins and ends.
+// Simulates one attempt: the connection opens, the request is sent, the worker runs it, the response begins and ends.
 void World::start_attempt(Machine& machine, ChatAttemptStart const& start) {
   std::string const name = machine.name;
   std::uint64_t const process_id = machine.process_id;
@@ -64,7 +64,7 @@
         item.attempts[chat_request] != number)
       return;
     if (processes[worker]->process_id != worker_process_id) return end_attempt(ChatAttemptEnd::unreached);
-    // The connection is open: from here a byte may have left, even if this node is stopped in the very next moment.
+    // The connection is open: from here on a byte may have been sent, even if this node stops immediately afterwards.
     item.node->chat_attempt_sent(chat_request);
     after(random_delay(),
           [this, name, process_id, chat_request, number, worker, worker_process_id, client_request, stall] {
@@ -72,10 +72,10 @@
           });
     after(answer,
           [this, name, process_id, chat_request, number, worker, worker_process_id, client_request, end_attempt] {
-            Machine& late = *machines[name];
-            if (late.up() && late.process_id == process_id && late.attempts.count(chat_request) &&
-                late.attempts[chat_request] == number &&
-                !(late.begun.count(chat_request) && late.begun[chat_request] == number)) {
+            Machine& current = *machines[name];
+            if (current.up() && current.process_id == process_id && current.attempts.count(chat_request) &&
+                current.attempts[chat_request] == number &&
+                !(current.begun.count(chat_request) && current.begun[chat_request] == number)) {
               processes[worker]->runs.erase(client_request);
               end_attempt(ChatAttemptEnd::silent);
             }
@@ -103,7 +103,7 @@
   if (process.refusing) return after(random_delay(), [end_attempt] { end_attempt(ChatAttemptEnd::refused); });
   ClientRequest& item = *client_requests[client_request];
   if (item.reached_worker_at < 0) item.reached_worker_at = now;
-  if (process.frozen) {  // it lies in the worker's socket until the worker wakes
+  if (process.frozen) {  // the request waits in the worker's socket until the worker resumes
     after(millis(200),
           [this, name, process_id, chat_request, number, worker, worker_process_id, client_request, stall] {
             deliver_request(name, process_id, chat_request, number, worker, worker_process_id, client_request, stall);
@@ -111,13 +111,13 @@
     return;
   }
   Machine& machine = *machines[name];
-  // It came when it reached the worker's socket, though the worker may have stood still since.
+  // The request arrived when it reached the worker's socket, though the worker may have been frozen since.
   Micros const arrived_at = item.reached_worker_at;
   item.reached_worker_at = -1;
   ++item.begun;
   ++end.runs;
   add_to_hash(worker + " runs " + item.tag);
-  // The bounds on where requests may go are judged where they arrive.
+  // The bounds on where requests may be sent (N5, N6, N11) are checked on arrival at the worker.
   std::map<std::uint64_t, Micros> const& marked = departures[worker];
   bool const mark_unreadable =
       list_down && marked.count(process.process_id) && marked.at(process.process_id) >= list_down_from - millis(1500);
@@ -125,16 +125,16 @@
     Micros const gap = arrived_at - marked.at(process.process_id);
     end.margins.departure = std::max(end.margins.departure, gap);
     if (gap > seconds(3))
-      record_violation("N5 " + worker + " got a request from " + name + " " + std::to_string(gap / 1000) +
-                       " ms after its mark");
+      record_violation("N5 " + worker + " received a request from " + name + " " + std::to_string(gap / 1000) +
+                       " ms after it was marked as leaving");
   }
   for (DrainInterval const& zone : drained_zones[process.row.zone]) {
     if (zone.to >= 0 && arrived_at >= zone.to) continue;
     Micros const gap = arrived_at - zone.from;
     end.margins.empty = std::max(end.margins.empty, gap);
     if (gap > seconds(5))
-      record_violation("N6 " + worker + " got a request from " + name + " " + std::to_string(gap / 1000) +
-                       " ms after the yes");
+      record_violation("N6 " + worker + " received a request from " + name + " " + std::to_string(gap / 1000) +
+                       " ms after the drain of its zone was accepted");
   }
   if (now - process.started_at < seconds(5) && process.started_at > seconds(4)) {
     process.cold_starts.push_back(now);
@@ -143,9 +143,10 @@
       if (now - t < seconds(1)) ++n;
     end.margins.cold = std::max(end.margins.cold, n);
     if (n > plan.shape->cold)
-      record_violation("N11 " + worker + " got " + std::to_string(n) + " within a second of its cold start");
+      record_violation("N11 " + worker + " received " + std::to_string(n) +
+                       " requests within a second while it was cold");
   }
-  // Whoever sent it may be gone already: then its connection is shut and the worker stops at once.
+  // If the node that sent the request is down, its connection is closed and the worker stops the request at once.
   if (!machine.up() || machine.process_id != process_id) return;
   process.runs.insert(client_request);
   process.history.emplace_back(now, static_cast<std::int64_t>(process.runs.size()));
@@ -158,7 +159,7 @@
       if (here.process_id != worker_process_id) end_attempt(ChatAttemptEnd::broke);
       return;
     }
-    if (here.frozen) return;  // the answer's time will run out
+    if (here.frozen) return;  // the attempt's timeout will expire
     run_step(*machines[name], process_id, [chat_request, number](Machine& b, Micros, NodeEffects&) {
       if (!b.attempts.count(chat_request) || b.attempts[chat_request] != number) return;
       b.begun[chat_request] = number;
@@ -204,18 +205,18 @@
   after(random_delay(), [this, id, name, process_id] {
     Machine& b = *machines[name];
     if (!b.up() || b.process_id != process_id) return request_ended(id, "lost", 0);
-    ChatRequestInfo ask;
+    ChatRequestInfo info;
     ClientRequest const& item = *client_requests[id];
-    ask.facts.model = "tribute";
-    ask.facts.user = item.tag;
-    ask.facts.size = 5000;
+    info.facts.model = "tribute";
+    info.facts.user = item.tag;
+    info.facts.size = 5000;
     std::uint64_t hash = hash_text(item.tag, item.opening + 1);
-    for (int i = 0; i < 20; ++i) ask.path.push_back(hash = hash_bits(hash + 1));
-    ask.path.push_back(hash_bits(hash ^ id));
+    for (int i = 0; i < 20; ++i) info.path.push_back(hash = hash_bits(hash + 1));
+    info.path.push_back(hash_bits(hash ^ id));
     std::uint64_t const chat_request = ++b.next_chat_request;
     b.chat_requests[chat_request] = id;
-    run_step(b, process_id, [chat_request, ask](Machine& here, Micros t, NodeEffects& out) {
-      here.node->start_chat_request(chat_request, ask, t, out);
+    run_step(b, process_id, [chat_request, info](Machine& here, Micros t, NodeEffects& out) {
+      here.node->start_chat_request(chat_request, info, t, out);
     });
   });
 }
@@ -224,7 +225,7 @@
   if (id == 0) return;
   ClientRequest& client_request = *client_requests[id];
   if (client_request.finished) {
-    // The answer and the end of its node can cross; the first counts, as on a connection.
+    // The answer and the stop of the node that handles the request can cross; the first counts, as on a connection.
     return;
   }
   add_to_hash(client_request.tag + " told " + what);
@@ -232,22 +233,23 @@
   client_request.finished = true;
   if (what == "done") {
     ++end.done;
-    if (client_request.ended == 0) record_violation("N4 a caller was told done without an end");
+    if (client_request.ended == 0)
+      record_violation("N4 a client request was reported as done, but no worker completed it");
     if (full_loss_at >= 0 && service_back_at < 0 && now > full_loss_at) service_back_at = now;
     return;
   }
   bool const retry = what == "no" || (what == "lost" && client_request.safe);
   if (what == "lost") ++end.lost;
   if (retry && now - client_request.arrived_at < seconds(12) && !quiet) {
-    if (what == "no" && back <= 0) record_violation("contract: a refusal without a time to come back");
-    // The next attempt is judged on its own, and with all of its call.
+    if (what == "no" && back <= 0) record_violation("contract: a refusal without a retry delay");
+    // The next request is checked on its own and together with all requests of its call.
     std::unique_ptr<ClientRequest> next = std::make_unique<ClientRequest>(client_request);
     next->finished = false;
     next->outcome.clear();
     next->begun = next->ended = 0;
-    std::uint64_t const fresh = ++client_request_count;
-    client_requests[fresh] = std::move(next);
-    after(std::max<Micros>(back, millis(200)), [this, fresh] { send_client_request(fresh); });
+    std::uint64_t const retry_id = ++client_request_count;
+    client_requests[retry_id] = std::move(next);
+    after(std::max<Micros>(back, millis(200)), [this, retry_id] { send_client_request(retry_id); });
     return;
   }
   ++end.refused;
--- a/testing/fleet_simulator/faults.cc
+++ b/testing/fleet_simulator/faults.cc
@@ -1,4 +1,4 @@
-// The types of faults, each injected by a seed (§10.4).
+// The fault types, injected at times and places that the seed chooses (§10.4).
 #include "testing/fleet_simulator/parts.h"
 
 #include <algorithm>
@@ -32,14 +32,15 @@
                           static_cast<int>(w.second.state), w.second.unhealthy, w.second.suspected,
                           w.second.row.zone.c_str());
       if (service_back_at < 0)
-        record_violation("N12 service was not back twelve seconds after a full loss");
+        record_violation("N12 no client request was completed within twelve seconds after the restart of all nodes");
       else
         end.margins.back = std::max(end.margins.back, service_back_at - from);
     });
   });
 }
 
-// What is marked while nobody can read the list is known to nobody: such a mark counts from when it can be read.
+// Makes the list of workers readable again. No node can see a mark made while the list was unreadable: such a mark
+// counts from the time at which the list can be read.
 void World::restore_list() {
   if (!list_down) return;
   list_down = false;
@@ -48,17 +49,17 @@
       if (departure.second >= list_down_from - millis(1500)) departure.second = now;
 }
 
-// A node ends, by a kill or with its power, and starts again.
+// Stops a node, by a kill or a power loss, and starts it again.
 void World::stop_node(FaultSite const& site) {
   std::string const name = site.machine->name;
   stop_machine(*site.machine, site.type == "power");
   after(site.span, [this, name] { start_machine(*machines[name]); });
 }
 
-// A node stands still for a while.
+// Freezes a node for a while.
 void World::freeze_node(FaultSite const& site) { freeze_machine(*site.machine, site.span); }
 
-// A node is cut off, one way or both, and perhaps from the list as well.
+// Cuts a node off from all others, in one direction or both, and possibly from the list of workers as well.
 void World::cut_off_node(FaultSite const& site) {
   bool const one_way = random.chance(0.3);
   bool const outside = random.chance(0.5);
@@ -71,7 +72,7 @@
   after(random_delay(millis(500), seconds(9)), [this] { heal(); });
 }
 
-// The fleet falls into two sides, or the config stores are cut off from all others.
+// Partitions the fleet into two sides, or cuts the config stores off from all others and possibly from each other.
 void World::partition(FaultSite const& site) {
   std::set<std::string> side;
   for (std::string const& name : site.names)
@@ -83,7 +84,8 @@
   after(site.span, [this] { heal(); });
 }
 
-// One lost disk at a time: the next only once the set has taken the last one in.
+// Replaces a config store's disk and address. Only one disk is lost at a time: the next one only after the replica set
+// has admitted the last one.
 void World::replace_disk(FaultSite const& site) {
   std::size_t complete = 0;
   Machine* replica = pick_running([](Machine const& b) { return b.role == MemberRole::config_store; });
@@ -104,7 +106,7 @@
   }
 }
 
-// A router node is replaced by a new one, perhaps at the same address.
+// Replaces a router by a new one, possibly at the same address.
 void World::exchange_router(FaultSite const& site) {
   Machine* const old = pick_running([](Machine const& b) { return b.role == MemberRole::router; });
   if (old != nullptr && machines.size() < 40) {
@@ -122,7 +124,7 @@
   }
 }
 
-// A config store's disk is slow, or stalls.
+// Makes a config store's disk slow or lets it stall.
 void World::slow_disk(FaultSite const& site) {
   Machine* const replica = pick_running([](Machine const& b) { return b.role == MemberRole::config_store; });
   if (replica != nullptr) {
@@ -137,7 +139,7 @@
   }
 }
 
-// A worker crashes and comes back within moments or later, as its next life.
+// Crashes a worker and starts it again, at once or later, under its next incarnation.
 void World::restart_worker(FaultSite const& site) {
   stop_process(*site.process);
   std::string const id = site.process->row.id;
@@ -151,7 +153,7 @@
   });
 }
 
-// A worker answers nothing for a while.
+// Freezes a worker: it answers no request and no health check for a while.
 void World::freeze_worker(FaultSite const& site) {
   site.process->frozen = true;
   std::string const id = site.process->row.id;
@@ -161,7 +163,7 @@
   });
 }
 
-// Workers are replaced one after another.
+// Restarts a random selection of the workers one after another, as a release does.
 void World::restart_workers(FaultSite const& site) {
   Micros wait = 0;
   for (std::pair<std::string const, std::unique_ptr<WorkerProcess>>& item : processes) {
@@ -184,7 +186,7 @@
   }
 }
 
-// A worker leaves the list, or is marked as leaving, and returns later.
+// Removes a worker from the list or marks it as leaving; it returns later.
 void World::remove_worker(FaultSite const& site) {
   site.process->state = random.chance(0.5) ? "leaving" : "gone";
   departures[site.process->row.id][site.process->row.incarnation] = now;
@@ -200,7 +202,7 @@
   });
 }
 
-// The list of workers cannot be read.
+// Makes the list of workers unreadable for a while.
 void World::stop_list(FaultSite const& site) {
   if (list_down) return;
   list_down = true;
@@ -209,7 +211,7 @@
   after(site.span, [this] { restore_list(); });
 }
 
-// Operators send changes of one serial at the same moment.
+// Submits several changes against the same serial at the same time.
 void World::race_changes(FaultSite const& site) {
   for (int i = 0; i < 2 + static_cast<int>(random.below(3)); ++i)
     if (Machine* const machine = pick_any_running())
@@ -217,7 +219,7 @@
                              *machine);
 }
 
-// Twenty changes within a second.
+// Submits twenty changes within a second.
 void World::storm_of_changes(FaultSite const& site) {
   for (int i = 0; i < 20; ++i)
     after(random_delay(1, millis(800)), [this] {
@@ -227,17 +229,17 @@
     });
 }
 
-// A change whose text is large.
+// Submits a change with a large text.
 void World::apply_large_change(FaultSite const& site) {
   submit_operator_change(Change::Type::apply,
                          description_of(*plan.shape, ++description_version) + std::string(300000, ' '), accepted_serial,
                          *site.machine);
 }
 
-// Every node ends at one moment.
+// Stops every node at the same time.
 void World::lose_all_nodes(FaultSite const& site) { full_loss(); }
 
-// Router nodes that hear one another and reach the workers, but neither the list nor any other node.
+// Cuts off a group of routers that still reach one another and the workers, but neither the list nor any other node.
 void World::cut_off_group(FaultSite const& site) {
   std::set<std::string> side;
   std::size_t const size = 2 + random.below(2);
@@ -252,7 +254,7 @@
   after(random_delay(seconds(2), seconds(11)), [this] { heal(); });
 }
 
-// One router node is cut off and goes on serving, while all others end and return; then a zone is drained.
+// Cuts off one router, which continues to serve, while all other nodes stop and start again; then drains a zone.
 void World::leave_one_router(FaultSite const& site) {
   Machine* const one = pick_running([](Machine const& b) { return b.role == MemberRole::router; });
   if (one != nullptr && cuts.empty()) {
@@ -276,8 +278,9 @@
   }
 }
 
-// A change is chosen while one replica is cut off; then one that took it loses its disk, another its power, and the
-// one that was cut off is back: whoever counted the blank one would go on from the older value.
+// A change is chosen while one replica is cut off. Then one replica that accepted it loses its disk, another one loses
+// its power, and the one that was cut off returns: a quorum that counted the replica with the blank disk would continue
+// from the older value.
 void World::lose_accepted_change(FaultSite const& site) {
   Membership const& members = site.machine->node->learner.membership();
   std::vector<std::string> complete;
@@ -309,7 +312,7 @@
   }
 }
 
-// A node drains, ends and starts again.
+// Drains a node, stops it and starts it again.
 void World::drain_node(FaultSite const& site) {
   std::string const name = site.machine->name;
   std::uint64_t const process_id = site.machine->process_id;
@@ -320,7 +323,8 @@
   });
 }
 
-// Right after a yes: the node that said it loses its power, and one replica with it.
+// Right after a change is submitted, cuts the power of the node that it was sent to and of one replica; or, on its
+// acceptance, the power of every replica.
 void World::stop_after_accept(FaultSite const& site) {
   power_cut_after_accept = random.chance(0.6);
   submit_operator_change(Change::Type::apply, description_of(*plan.shape, ++description_version), accepted_serial,
@@ -338,7 +342,7 @@
     });
 }
 
-// Every worker says for a while that it does not run what it gets.
+// Lets every worker refuse all requests for a while without running them.
 void World::refuse_requests(FaultSite const& site) {
   for (std::pair<std::string const, std::unique_ptr<WorkerProcess>>& item : processes) item.second->refusing = true;
   after(site.span, [this] {
@@ -346,7 +350,7 @@
   });
 }
 
-// Two hundred requests within a second.
+// Starts two hundred client calls within a second.
 void World::crowd_of_requests(FaultSite const& site) {
   for (int i = 0; i < 200; ++i) after(random_delay(1, millis(1000)), [this] { start_client_call(); });
 }
@@ -381,7 +385,7 @@
   return position == types.end() ? nullptr : &position->second;
 }
 
-// One fault, chosen by the seed, and the next one after a while.
+// Injects one fault, chosen from the seed, and schedules the next one.
 void World::inject_fault() {
   if (quiet) return;
   std::vector<std::string> const all = plan.only.empty() ? fault_types() : plan.only;
@@ -401,7 +405,7 @@
   site.process = serving.size() < 6 ? nullptr : serving[random.below(serving.size())];
   FaultType const* const fault = fault_type(site.type);
   bool const applies = fault != nullptr && (site.process != nullptr || !fault->needs_worker);
-  // What service after a full loss is worth is judged without more trouble on top.
+  // No other fault is injected while the return of service after a full loss is measured.
   if (site.machine != nullptr && !loss_under_way && applies) (this->*fault->inject)(site);
   after(random_delay(millis(400), millis(3500)), [this] { inject_fault(); });
 }
