--- a/testing/fleet_simulator/machines.cc
+++ b/testing/fleet_simulator/machines.cc
@@ -1,4 +1,4 @@
-// Machines, connections and disks of a world: what carries a node's effects out (§10.4).
+// Simulated machines, connections and disks, which apply the effects of the nodes (§10.4).
 #include "testing/fleet_simulator/parts.h"
 
 #include <algorithm>
@@ -17,7 +17,7 @@
   slot->address = address;
   slot->zone = zone;
   slot->role = role;
-  // Clocks differ by up to three percent.
+  // Clock rates differ from virtual time by up to three percent.
   slot->rate = 1.0 + (static_cast<double>(random.below(2001)) - 1000.0) / 1e6 * 30;
   slot->offset = static_cast<Micros>(random.below(1000000000));
   return *slot;
@@ -38,12 +38,13 @@
   machine.begun.clear();
   machine.serial = 0;
   machine.disturbed_at = now;
-  NodePlan p;
-  p.name = machine.name;
-  p.zone = machine.zone;
-  p.address = machine.address;
-  p.role = machine.role;
-  // A machine is set up with the addresses that the first three replicas have by then, and keeps them.
+  NodePlan node_plan;
+  node_plan.name = machine.name;
+  node_plan.zone = machine.zone;
+  node_plan.address = machine.address;
+  node_plan.role = machine.role;
+  // A machine is configured with the addresses that the first three replicas have at that time, and keeps them until
+  // its own address changes.
   if (machine.seeds.empty() || machine.seeded_at != machine.address) {
     machine.seeds.clear();
     machine.seeded_at = machine.address;
@@ -52,14 +53,14 @@
       machine.seeds.push_back(machines.count(name) ? machines[name]->address : "10.0.2." + std::to_string(i) + ":7000");
     }
   }
-  p.seeds = machine.seeds;
+  node_plan.seeds = machine.seeds;
   if (machine.role == MemberRole::config_store)
-    for (int i = 1; i <= plan.shape->replicas; ++i) p.initial_members.push_back("k" + std::to_string(i));
-  p.incarnation = 1000 + process_count;
-  p.random_seed = hash_bits(plan.seed * 31 + process_count);
+    for (int i = 1; i <= plan.shape->replicas; ++i) node_plan.initial_members.push_back("k" + std::to_string(i));
+  node_plan.incarnation = 1000 + process_count;
+  node_plan.random_seed = hash_bits(plan.seed * 31 + process_count);
   std::optional<wire::RecordT> recovered;
   if (machine.role == MemberRole::config_store) {
-    // What was being written when the power went may be there, or not.
+    // A record that was being written when the node stopped may or may not be on the disk.
     if (machine.writing && random.chance(0.5)) machine.disk = machine.writing;
     machine.writing.reset();
     if (!machine.disk) {
@@ -71,7 +72,7 @@
     }
     recovered = machine.disk;
   }
-  machine.node = std::make_unique<Node>(p, clock(machine), recovered);
+  machine.node = std::make_unique<Node>(node_plan, clock(machine), recovered);
   std::string const name = machine.name;
   std::uint64_t const process_id = machine.process_id;
   after(random_delay(), [this, name, process_id] { tick(*machines[name], process_id); });
@@ -80,9 +81,9 @@
 void World::stop_machine(Machine& machine, bool power) {
   if (!machine.up()) return;
   machine.disturbed_at = now;
-  ChatCounters const& t = machine.node->chat_dispatcher.counters;
-  first_sends += t.first_sends;
-  resends += t.retries;
+  ChatCounters const& counters = machine.node->chat_dispatcher.counters;
+  first_sends += counters.first_sends;
+  resends += counters.retries;
   machine.power = power;
   std::map<ConnectionId, std::pair<std::shared_ptr<Link>, int>> const connections = machine.connections;
   machine.connections.clear();
@@ -91,7 +92,7 @@
     if (power) continue;
     close_link(item.second.first, item.second.second);
   }
-  // Its attempts' connections end with it, so its workers stop; its callers know nothing.
+  // The connections of the node's attempts close, so the workers stop running them; its clients get no answer.
   for (std::pair<std::uint64_t const, std::uint64_t> const& item : machine.chat_requests) {
     std::uint64_t const client_request = item.second;
     after(random_delay(), [this, client_request] { request_ended(client_request, "lost", 0); });
@@ -119,7 +120,8 @@
   });
 }
 
-// Runs one step of a node: later when it is frozen, never when that life has ended.
+// Runs one step of a node and applies its effects: deferred while the machine is frozen, dropped if the process that
+// the step was meant for has stopped.
 void World::run_step(Machine& machine, std::uint64_t process_id,
                      std::function<void(Machine&, Micros, NodeEffects&)> step) {
   if (!machine.up() || machine.process_id != process_id) return;
@@ -134,7 +136,7 @@
   step(machine, clock(machine), out);
   apply_effects(machine, out);
   if (!machine.up()) return;
-  // What is in force on a node is checked whenever it may have changed.
+  // The configuration in force on a node is checked each time its serial has changed.
   std::uint64_t const serial = machine.node->learner.serial();
   if (serial == machine.serial) return;
   if (serial < machine.serial)
@@ -174,7 +176,7 @@
   for (std::pair<std::string, std::string> const& item : old)
     for (std::string const& name : {item.first, item.second})
       if (machines.count(name)) machines[name]->disturbed_at = now;
-  // What stood still on open connections goes on, in order.
+  // Frames that were held back on open connections are delivered, in order.
   for (std::shared_ptr<Link> const& link : links)
     for (int side = 0; side < 2; ++side) {
       std::vector<std::string> const list = std::move(link->stalled[side]);
@@ -189,12 +191,13 @@
   Machine* target = nullptr;
   for (std::pair<std::string const, std::unique_ptr<Machine>>& item : machines)
     if (item.second->address == address && (item.second->up() || target == nullptr)) target = item.second.get();
-  bool const dead_end = target == nullptr || target->power || is_cut(from, target->name) || is_cut(target->name, from);
-  if (dead_end || !target->up()) {
-    // A machine without power, or behind a cut, says nothing; a machine without the process refuses.
-    after(dead_end ? seconds(1) : random_delay(), [this, from, process_id, address, dead_end] {
-      run_step(*machines[from], process_id, [address, dead_end](Machine& item, Micros t, NodeEffects& out) {
-        item.node->dial_failed(address, !dead_end, t, out);
+  bool const unreachable =
+      target == nullptr || target->power || is_cut(from, target->name) || is_cut(target->name, from);
+  if (unreachable || !target->up()) {
+    // A machine without power or behind a cut doesn't answer; a machine on which no node runs refuses the connection.
+    after(unreachable ? seconds(1) : random_delay(), [this, from, process_id, address, unreachable] {
+      run_step(*machines[from], process_id, [address, unreachable](Machine& item, Micros t, NodeEffects& out) {
+        item.node->dial_failed(address, !unreachable, t, out);
       });
     });
     return;
@@ -208,12 +211,12 @@
   links.push_back(link);
   Micros const there = random_delay();
   Micros const back = there + random_delay();
-  link->last[1] = now + back;  // nothing reaches the dialler before its connection is open
+  link->last[1] = now + back;  // no frame reaches the dialling side before its connection is open
   for (int side = 0; side < 2; ++side)
     after(side == 1 ? there : back, [this, link, side, address] {
       Machine& item = *machines[link->name[side]];
       if (!item.up() || item.process_id != link->process_id[side]) return;
-      if (!link->open) {  // the other side ended it already
+      if (!link->open) {  // the other side closed it already
         if (side == 0)
           run_step(item, item.process_id,
                    [address](Machine& b, Micros t, NodeEffects& out) { b.node->dial_failed(address, false, t, out); });
@@ -234,7 +237,7 @@
   int const to = 1 - from;
   if (machines[link->name[from]]->up() && link->connection[from] != 0)
     machines[link->name[from]]->connections.erase(link->connection[from]);
-  if (is_cut(link->name[from], link->name[to])) return;  // the other side finds out by itself
+  if (is_cut(link->name[from], link->name[to])) return;  // the other side notices by its own timeouts
   after(random_delay(), [this, link, to] {
     Machine& item = *machines[link->name[to]];
     if (!item.up() || item.process_id != link->process_id[to] || link->connection[to] == 0) return;
@@ -251,7 +254,7 @@
     if (link->stalled[side].size() < 200) link->stalled[side].push_back(std::move(bytes));
     return;
   }
-  // Connections differ in pace; on one connection the order stands.
+  // The delay varies between connections; the order of frames on one connection is kept.
   Micros const when = std::max(link->last[side] + 1,
                                now + random_delay() + (random.chance(0.01) ? random_delay(millis(5), millis(80)) : 0));
   link->last[side] = when;
@@ -269,7 +272,7 @@
     run_step(item, item.process_id, [this, link, to, bytes](Machine& b, Micros t, NodeEffects& out) {
       if (!b.connections.count(link->connection[to])) return;
       if (!b.node->receive_frame(link->connection[to], bytes, t, out))
-        record_violation("frame: a frame did not verify");
+        record_violation("frame: a node rejected a received frame");
     });
   });
 }
@@ -279,7 +282,7 @@
       machine.connections.find(id);
   if (position == machine.connections.end()) return;
   if (!position->second.first->open) {
-    // A connection whose other end is gone: writing to it finds that out.
+    // The other side has closed the connection: the write reports that.
     machine.connections.erase(id);
     std::string const name = machine.name;
     std::uint64_t const process_id = machine.process_id;
@@ -334,13 +337,13 @@
   for (std::uint64_t const id : out.chat.cancelled_attempts) machine.attempts.erase(id);
   for (ChangeReply const& reply : out.replies) handle_change_reply(machine, reply);
   if (out.read_list) {
-    bool const mute = (list_down && list_silent) || is_cut(name, "list");
-    bool const odd = list_down || random.chance(0.02);
-    bool const bad = mute || odd;
-    bool const answered = odd && !mute;  // refused, or an answer that is none
-    after(mute ? seconds(1) : random_delay(millis(3), millis(40)), [this, name, process_id, bad, answered] {
+    bool const unanswered = (list_down && list_silent) || is_cut(name, "list");
+    bool const failed = list_down || random.chance(0.02);
+    bool const bad = unanswered || failed;
+    bool const answered = failed && !unanswered;  // the connection was refused, or the answer was malformed
+    after(unanswered ? seconds(1) : random_delay(millis(3), millis(40)), [this, name, process_id, bad, answered] {
       std::optional<std::vector<ListRow>> rows;
-      // Readers see the list a little behind the truth.
+      // The list as read lags 700 ms behind the current one.
       if (!bad)
         for (std::pair<Micros, std::vector<ListRow>> const& item : list)
           if (item.first <= now - millis(700) || !rows) rows = item.second;
@@ -365,12 +368,12 @@
               no = true;
               break;
             }
-            HealthReport v;
-            v.incarnation = item.second->process_id;
-            v.awake = now - item.second->started_at;
+            HealthReport current;
+            current.incarnation = item.second->process_id;
+            current.awake = now - item.second->started_at;
             for (std::pair<Micros, std::int64_t> const& past : item.second->history)
-              if (past.first <= now - seconds(1)) v.demand = past.second;
-            report = v;
+              if (past.first <= now - seconds(1)) current.demand = past.second;
+            report = current;
           }
       run_step(*machines[name], process_id, [check, report, no](Machine& b, Micros t, NodeEffects& o) {
         b.node->handle_health_report(check, report, no, t, o);
