--- a/testing/fleet_simulator/faults.cc
+++ b/testing/fleet_simulator/faults.cc
@@ -120,7 +120,7 @@
     if (power) silent_routers.push_back(old->name);
     if (same_address) old->address = "10.0.7." + std::to_string(++moved_address_count) + ":7000";
     std::string const name = "px" + std::to_string(++moved_address_count);
-    start_machine(add(name, address, zone, MemberRole::router));
+    start_machine(add_machine(name, address, zone, MemberRole::router));
   }
 }
 
--- a/testing/fleet_simulator/machines.cc
+++ b/testing/fleet_simulator/machines.cc
@@ -9,8 +9,8 @@
 
 namespace pipit {
 
-World::Machine& World::add(std::string const& name, std::string const& address, std::string const& zone,
-                           MemberRole role) {
+World::Machine& World::add_machine(std::string const& name, std::string const& address, std::string const& zone,
+                                   MemberRole role) {
   std::unique_ptr<Machine>& slot = machines[name];
   slot = std::make_unique<Machine>();
   slot->name = name;
--- a/testing/fleet_simulator/parts.h
+++ b/testing/fleet_simulator/parts.h
@@ -4,6 +4,7 @@
 
 namespace pipit {
 
+// A simulated machine with its disk and clock, and the node that runs on it.
 struct World::Machine {
   std::string name, address, zone;
   std::vector<std::string> seeds;
@@ -31,6 +32,7 @@
   bool up() const { return node != nullptr; }
 };
 
+// A connection between two machines; index 0 is the dialling side.
 struct World::Link {
   std::uint64_t id = 0;
   std::string name[2];
@@ -41,6 +43,7 @@
   std::vector<std::string> stalled[2];
 };
 
+// A worker's row in the list and its running process.
 struct World::WorkerProcess {
   ListRow row;
   std::uint64_t process_id = 0;  // 0 while it is down
@@ -53,6 +56,7 @@
   std::string state = "serving";
 };
 
+// One request of a client's call, with what became of it; a retry is another request of the same call.
 struct World::ClientRequest {
   std::string tag;
   std::uint64_t call = 0;
@@ -66,6 +70,7 @@
   bool finished = false;
 };
 
+// An operator's change and the state at its submission, against which the reply is checked.
 struct World::PendingChange {
   Change::Type type = Change::Type::read;
   std::string text;
--- a/testing/fleet_simulator/world.cc
+++ b/testing/fleet_simulator/world.cc
@@ -19,11 +19,11 @@
 }
 
 void World::at(Micros when, std::function<void()> act) { events.push(ScheduledEvent{when, ++order, std::move(act)}); }
-void World::add_to_hash(std::string const& what) {
-  end.hash = hash_bits(end.hash ^ hash_text(what) ^ static_cast<std::uint64_t>(now));
+void World::add_to_hash(std::string const& event) {
+  end.hash = hash_bits(end.hash ^ hash_text(event) ^ static_cast<std::uint64_t>(now));
 }
-void World::record_violation(std::string const& what) {
-  if (end.violations.size() < 20) end.violations.push_back(what + " at " + std::to_string(now / 1000) + " ms");
+void World::record_violation(std::string const& text) {
+  if (end.violations.size() < 20) end.violations.push_back(text + " at " + std::to_string(now / 1000) + " ms");
 }
 Micros World::clock(Machine const& machine) const {
   return machine.offset + static_cast<Micros>(static_cast<double>(now) * machine.rate);
@@ -34,11 +34,12 @@
   for (int n = 1; n <= plan.shape->replicas; ++n) {
     std::string const& zone = plan.shape->zones[static_cast<std::size_t>(n - 1) % plan.shape->zones.size()];
     start_machine(
-        add("k" + std::to_string(n), "10.0.2." + std::to_string(n) + ":7000", zone, MemberRole::config_store));
+        add_machine("k" + std::to_string(n), "10.0.2." + std::to_string(n) + ":7000", zone, MemberRole::config_store));
   }
   for (int n = 1; n <= plan.shape->routers; ++n) {
     std::string const& zone = plan.shape->zones[static_cast<std::size_t>(n - 1) % plan.shape->zones.size()];
-    start_machine(add("p" + std::to_string(n), "10.0.1." + std::to_string(n) + ":7000", zone, MemberRole::router));
+    start_machine(
+        add_machine("p" + std::to_string(n), "10.0.1." + std::to_string(n) + ":7000", zone, MemberRole::router));
   }
   for (int n = 1; n <= plan.shape->workers; ++n) {
     std::unique_ptr<WorkerProcess> process = std::make_unique<WorkerProcess>();
--- a/testing/fleet_simulator/world.h
+++ b/testing/fleet_simulator/world.h
@@ -83,21 +83,25 @@
     bool operator<(ScheduledEvent const& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
 
+  // Schedule `act` at a virtual time, or after a delay.
   void at(Micros when, std::function<void()> act);
   void after(Micros wait, std::function<void()> act) { at(now + wait, std::move(act)); }
-  void add_to_hash(std::string const& what);
-  void record_violation(std::string const& what);
+  // Mixes an event and the time into the hash by which two runs are compared.
+  void add_to_hash(std::string const& event);
+  // Adds a violation with the time; only the first 20 are kept.
+  void record_violation(std::string const& text);
   Micros random_delay(Micros least = 300, Micros most = 4000) {
     return least + static_cast<Micros>(random.below(static_cast<std::uint64_t>(most - least)));
   }
 
-  // machines
-  Machine& add(std::string const& name, std::string const& address, std::string const& zone, MemberRole role);
+  // Machines
+  Machine& add_machine(std::string const& name, std::string const& address, std::string const& zone, MemberRole role);
   void start_machine(Machine& machine);
   void stop_machine(Machine& machine, bool power);
   void freeze_machine(Machine& machine, Micros span);
   void tick(Machine& machine, std::uint64_t process_id);
   void run_step(Machine& machine, std::uint64_t process_id, std::function<void(Machine&, Micros, NodeEffects&)> step);
+  // The machine's own clock, which has a rate and an offset.
   Micros clock(Machine const& machine) const;
   void apply_effects(Machine& machine, NodeEffects& out);
   bool is_cut(std::string const& a, std::string const& b) const { return cuts.count({a, b}) > 0; }
@@ -109,7 +113,7 @@
   void close_link(std::shared_ptr<Link> link, int from_side);
   void sync_record(Machine& machine, wire::RecordT record);
 
-  // workers and clients
+  // Workers and clients
   void start_attempt(Machine& machine, ChatAttemptStart const& start);
   void deliver_request(std::string const& machine, std::uint64_t process_id, std::uint64_t chat_request, int attempt,
                        std::string const& worker, std::uint64_t worker_process_id, std::uint64_t client_request,
@@ -121,7 +125,7 @@
   void send_client_request(std::uint64_t client_request);
   void request_ended(std::uint64_t client_request, std::string const& what, Micros back);
 
-  // operators and faults
+  // Operators and faults
   void submit_operator_change(Change::Type type, std::string const& text, std::uint64_t expected, Machine& machine);
   void handle_change_reply(Machine& machine, ChangeReply const& reply);
   void operator_turn();
@@ -150,12 +154,15 @@
   void stop_after_accept(FaultSite const& site);
   void refuse_requests(FaultSite const& site);
   void crowd_of_requests(FaultSite const& site);
+  // Checks N7 every 100 ms.
   void check_configuration_delivery();
   void check_final_state();
+  // Returns a random running machine that satisfies `fits`; null if there is none.
   Machine* pick_running(std::function<bool(Machine const&)> const& fits);
   Machine* pick_any_running() {
     return pick_running([](Machine const&) { return true; });
   }
+  // Stops every machine, starts all again after 800 ms, and checks that service returns within 12 s (N12).
   void full_loss();
   void restore_list();
 
