--- a/testing/request_model_checker/request_path_model.cc
+++ b/testing/request_model_checker/request_path_model.cc
@@ -18,8 +18,8 @@
 constexpr std::size_t answer_variants = 22;          // see play_answer()
 constexpr std::size_t environment_event_kinds = 12;  // see environment_event()
 
-Dialect dialect() {
-  Dialect out;
+HeaderNames dialect() {
+  HeaderNames out;
   out.seal = "X-Seal";
   return out;
 }
@@ -117,15 +117,15 @@
   dispatcher_.set_description(descriptions_[0]);
   dispatcher_.set_retry_budget(budget_ratio, budget_limit);
   RequestProxy::Callbacks callbacks;
-  callbacks.request = [this](std::uint64_t id, RequestInfo query) {
+  callbacks.request_received = [this](std::uint64_t id, RequestInfo query) {
     DispatchEffects out;
     dispatcher_.on_request(id, std::move(query), loop_time(), out);
-    proxy_->act(out);
+    proxy_->apply_effects(out);
   };
-  callbacks.ended = [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
+  callbacks.attempt_ended = [this](std::uint64_t id, AttemptEnd end, bool elsewhere) {
     DispatchEffects out;
     dispatcher_.on_attempt_end(id, end, elsewhere, loop_time(), out);
-    proxy_->act(out);
+    proxy_->apply_effects(out);
   };
   callbacks.disconnected = [this](std::uint64_t id) { return dispatcher_.on_client_disconnect(id, loop_time()); };
   proxy_ = std::make_unique<RequestProxy>(dispatcher_, dialect(), "", std::move(callbacks));
@@ -167,7 +167,7 @@
   time_.advance(span);
   DispatchEffects out;
   dispatcher_.tick(loop_time(), out);
-  proxy_->act(out);
+  proxy_->apply_effects(out);
   proxy_->close_expired(loop_time());
   registry_.end_silent_workers(loop_time());
 }
@@ -638,7 +638,7 @@
     case 5:
       record_event(worker.id + " is replaced by a new process at its address");
       if (choose_(2) == 0) registry_.leave(worker.id, ++heartbeat_count_, loop_time());
-      proxy_->forget(worker.id);
+      proxy_->forget_worker(worker.id);
       start_process(worker, false);
       return heartbeat(worker, false);
     case 6:
--- a/tests/http.cc
+++ b/tests/http.cc
@@ -587,7 +587,7 @@
   HttpServerTest()
       : server({[this](Server::Request&& request) { requests.push_back(std::move(request)); },
                 [this](std::uint64_t id) { disconnected.push_back(id); }}) {
-    address = open_door([this](std::string const& at) { return server.listen(at); });
+    address = listen_on_free_port([this](std::string const& at) { return server.listen(at); });
     Server::Limits limits;
     limits.max_head_bytes = small_max_head_bytes;
     limits.max_body_bytes = small_max_body_bytes;
@@ -620,11 +620,11 @@
     EXPECT_EQ(requests[n].body, "hello");
     EXPECT_EQ(requests[n].head.target, "/" + std::to_string(n));
     respond_to_all("yes");
-    ASSERT_TRUE(until([&] { return count_of(connection.got, "yes") == n + 1; }));
+    ASSERT_TRUE(until([&] { return count_of(connection.received, "yes") == n + 1; }));
   }
-  EXPECT_FALSE(connection.shut);
+  EXPECT_FALSE(connection.closed);
   EXPECT_EQ(server.connections(), 1u);
-  EXPECT_EQ(parse_text(false, connection.got).messages.size(), 3u);
+  EXPECT_EQ(parse_text(false, connection.received).messages.size(), 3u);
 }
 
 TEST_F(HttpServerTest, requests_are_delivered_complete_wherever_they_are_split) {
@@ -637,7 +637,7 @@
     ASSERT_TRUE(until([&] { return requests.size() == at; })) << at;
     EXPECT_EQ(requests.back().body, "hello0123456789");
     respond_to_all("yes");
-    ASSERT_TRUE(until([&] { return count_of(connection.got, "yes") == 1; }));
+    ASSERT_TRUE(until([&] { return count_of(connection.received, "yes") == 1; }));
   }
 }
 
@@ -654,8 +654,8 @@
     EXPECT_EQ(requests[n].head.target, "/" + std::to_string(n));
     respond_to_all("answer " + std::to_string(n) + ".");
   }
-  ASSERT_TRUE(until([&] { return count_of(connection.got, "answer") == 20; }));
-  std::vector<Message> const answers = parse_text(false, connection.got).messages;
+  ASSERT_TRUE(until([&] { return count_of(connection.received, "answer") == 20; }));
+  std::vector<Message> const answers = parse_text(false, connection.received).messages;
   ASSERT_EQ(answers.size(), 20u);
   for (std::size_t n = 0; n < 20; ++n) EXPECT_EQ(answers[n].body, "answer " + std::to_string(n) + ".");
 }
@@ -670,12 +670,12 @@
   server.begin_response(requests[1].id, status(200), -1);
   server.write_body(requests[1].id, "pieces");
   server.end_response(requests[1].id);
-  ASSERT_TRUE(
-      until([&] { return count_of(connection.got, "HTTP/1.1 200") == 2 && connection.got.ends_with("\r\n\r\n"); }));
-  EXPECT_NE(connection.got.find("Content-Length: 12"), std::string::npos);
-  EXPECT_EQ(connection.got.find("twelve"), std::string::npos);
-  EXPECT_EQ(connection.got.find("pieces"), std::string::npos);
-  EXPECT_EQ(parse_pieces(false, {connection.got}, true).messages.size(), 2u);
+  ASSERT_TRUE(until(
+      [&] { return count_of(connection.received, "HTTP/1.1 200") == 2 && connection.received.ends_with("\r\n\r\n"); }));
+  EXPECT_NE(connection.received.find("Content-Length: 12"), std::string::npos);
+  EXPECT_EQ(connection.received.find("twelve"), std::string::npos);
+  EXPECT_EQ(connection.received.find("pieces"), std::string::npos);
+  EXPECT_EQ(parse_pieces(false, {connection.received}, true).messages.size(), 2u);
 }
 
 TEST_F(HttpServerTest, connection_closes_when_the_client_requests_it) {
@@ -685,9 +685,9 @@
     connection.send(text);
     ASSERT_TRUE(until([&] { return requests.size() > responded; }));
     respond_to_all("yes");
-    ASSERT_TRUE(until([&] { return connection.shut; }));
-    EXPECT_EQ(parse_text(false, connection.got).messages.size(), 1u);
-    EXPECT_NE(connection.got.find("Connection: close"), std::string::npos);
+    ASSERT_TRUE(until([&] { return connection.closed; }));
+    EXPECT_EQ(parse_text(false, connection.received).messages.size(), 1u);
+    EXPECT_NE(connection.received.find("Connection: close"), std::string::npos);
   }
   EXPECT_EQ(server.connections(), 0u);
 }
@@ -708,9 +708,9 @@
     }
     settle();
     connection.link->pause_reading(false);
-    ASSERT_TRUE(until([&] { return connection.shut; }));
-    std::vector<Message> const answers = parse_pieces(false, {connection.got}, false, 65536, 64u << 20).messages;
-    ASSERT_EQ(answers.size(), 1u) << connection.got.size() << " bytes were received";
+    ASSERT_TRUE(until([&] { return connection.closed; }));
+    std::vector<Message> const answers = parse_pieces(false, {connection.received}, false, 65536, 64u << 20).messages;
+    ASSERT_EQ(answers.size(), 1u) << connection.received.size() << " bytes were received";
     EXPECT_EQ(answers[0].body.size(), body.size());
   }
 }
@@ -725,7 +725,7 @@
   EXPECT_EQ(server.active_requests(), 0u);
   EXPECT_EQ(server.connections(), 1u) << "ending the process now would truncate the response";
   connection.link->pause_reading(false);
-  ASSERT_TRUE(until([&] { return connection.shut; }));
+  ASSERT_TRUE(until([&] { return connection.closed; }));
   EXPECT_EQ(server.connections(), 0u);
 }
 
@@ -736,13 +736,13 @@
   server.begin_response(requests[0].id, status(200), -1);
   for (char const* const part : {"one", "two", "three"}) {
     server.write_body(requests[0].id, part);
-    ASSERT_TRUE(until([&] { return connection.got.find(part) != std::string::npos; }));
-    EXPECT_TRUE(parse_text(false, connection.got).messages.empty());
+    ASSERT_TRUE(until([&] { return connection.received.find(part) != std::string::npos; }));
+    EXPECT_TRUE(parse_text(false, connection.received).messages.empty());
   }
   server.end_response(requests[0].id);
-  ASSERT_TRUE(until([&] { return parse_text(false, connection.got).messages.size() == 1; }));
-  EXPECT_EQ(parse_text(false, connection.got).messages[0].body, "onetwothree");
-  EXPECT_FALSE(connection.shut);
+  ASSERT_TRUE(until([&] { return parse_text(false, connection.received).messages.size() == 1; }));
+  EXPECT_EQ(parse_text(false, connection.received).messages[0].body, "onetwothree");
+  EXPECT_FALSE(connection.closed);
 }
 
 TEST_F(HttpServerTest, aborted_response_is_not_complete) {
@@ -754,9 +754,9 @@
     server.begin_response(id, status(200), length);
     server.write_body(id, "part");
     server.abort_response(id);
-    ASSERT_TRUE(until([&] { return connection.shut; }));
-    EXPECT_NE(connection.got.find("part"), std::string::npos);
-    EXPECT_TRUE(parse_text(false, connection.got).messages.empty());
+    ASSERT_TRUE(until([&] { return connection.closed; }));
+    EXPECT_NE(connection.received.find("part"), std::string::npos);
+    EXPECT_TRUE(parse_text(false, connection.received).messages.empty());
   }
 }
 
@@ -767,8 +767,8 @@
   server.begin_response(requests[0].id, status(200), 100);
   server.write_body(requests[0].id, "part");
   server.end_response(requests[0].id);
-  ASSERT_TRUE(until([&] { return connection.shut; }));
-  EXPECT_TRUE(parse_text(false, connection.got).messages.empty());
+  ASSERT_TRUE(until([&] { return connection.closed; }));
+  EXPECT_TRUE(parse_text(false, connection.received).messages.empty());
 }
 
 TEST_F(HttpServerTest, response_with_a_bodiless_status_ends_with_its_head) {
@@ -781,15 +781,16 @@
       server.begin_response(requests[n].id, status(code), length);
       server.end_response(requests[n].id);
       ++n;
-      ASSERT_TRUE(
-          until([&] { return count_of(connection.got, "HTTP/1.1 ") == n && connection.got.ends_with("\r\n\r\n"); }));
+      ASSERT_TRUE(until([&] {
+        return count_of(connection.received, "HTTP/1.1 ") == n && connection.received.ends_with("\r\n\r\n");
+      }));
       settle();
-      ParseResult const answers = parse_text(false, connection.got);
+      ParseResult const answers = parse_text(false, connection.received);
       EXPECT_EQ(answers.error, HttpParser::Error::none) << code << " " << length;
       EXPECT_EQ(answers.messages.size(), n) << code << " " << length;
-      EXPECT_FALSE(connection.shut);
+      EXPECT_FALSE(connection.closed);
     }
-  EXPECT_EQ(connection.got.find("Transfer-Encoding"), std::string::npos);
+  EXPECT_EQ(connection.received.find("Transfer-Encoding"), std::string::npos);
 }
 
 TEST_F(HttpServerTest, disconnect_of_a_client_is_reported_once) {
@@ -817,10 +818,10 @@
     settle();
     // Incomplete requests end with a timeout.
     server.close_expired(far_future());
-    ASSERT_TRUE(until([&] { return connection.shut; })) << row.name;
+    ASSERT_TRUE(until([&] { return connection.closed; })) << row.name;
     EXPECT_TRUE(requests.empty()) << row.name << " was delivered";
-    if (!connection.got.empty()) {
-      EXPECT_EQ(connection.got.substr(0, 10), "HTTP/1.1 4") << row.name << ": " << connection.got;
+    if (!connection.received.empty()) {
+      EXPECT_EQ(connection.received.substr(0, 10), "HTTP/1.1 4") << row.name << ": " << connection.received;
     }
     EXPECT_EQ(server.connections(), 0u) << row.name;
     requests.clear();
@@ -837,9 +838,9 @@
     server.respond(requests[0].id, status(200), "yes");
     settle();
     server.close_expired(far_future());
-    ASSERT_TRUE(until([&] { return connection.shut; })) << row.name;
+    ASSERT_TRUE(until([&] { return connection.closed; })) << row.name;
     EXPECT_EQ(requests.size(), 1u) << row.name;
-    EXPECT_EQ(connection.got.substr(0, 12), "HTTP/1.1 200") << row.name;
+    EXPECT_EQ(connection.received.substr(0, 12), "HTTP/1.1 200") << row.name;
     requests.clear();
   }
 }
@@ -861,7 +862,7 @@
       while (done < requests.size()) server.respond(requests[done++].id, status(200), "yes");
     }
     server.close_expired(far_future());
-    ASSERT_TRUE(until([&] { return connection.shut; })) << n << "\n" << text;
+    ASSERT_TRUE(until([&] { return connection.closed; })) << n << "\n" << text;
     std::vector<Message> read;
     for (Server::Request const& request : requests)
       read.push_back({request.head.method + " " + request.head.target, request.head.fields, request.body});
@@ -891,20 +892,20 @@
   settle();
   EXPECT_EQ(server.connections(), 4u);
   server.close_expired(now + seconds(6));
-  ASSERT_TRUE(until([&] { return heading.shut; }));
-  EXPECT_EQ(heading.got.substr(0, 12), "HTTP/1.1 408");
-  EXPECT_FALSE(sending.shut);
+  ASSERT_TRUE(until([&] { return heading.closed; }));
+  EXPECT_EQ(heading.received.substr(0, 12), "HTTP/1.1 408");
+  EXPECT_FALSE(sending.closed);
   server.close_expired(now + seconds(10));
-  ASSERT_TRUE(until([&] { return sending.shut; }));
-  EXPECT_EQ(sending.got.substr(0, 12), "HTTP/1.1 408");
-  EXPECT_FALSE(idle.shut);
+  ASSERT_TRUE(until([&] { return sending.closed; }));
+  EXPECT_EQ(sending.received.substr(0, 12), "HTTP/1.1 408");
+  EXPECT_FALSE(idle.closed);
   server.close_expired(now + seconds(70));
-  ASSERT_TRUE(until([&] { return idle.shut; }));
-  EXPECT_EQ(idle.got, "");
+  ASSERT_TRUE(until([&] { return idle.closed; }));
+  EXPECT_EQ(idle.received, "");
   settle();
-  EXPECT_FALSE(busy.shut) << "timeouts do not apply to a request whose response is pending";
+  EXPECT_FALSE(busy.closed) << "timeouts do not apply to a request whose response is pending";
   respond_to_all("yes");
-  ASSERT_TRUE(until([&] { return !busy.got.empty(); }));
+  ASSERT_TRUE(until([&] { return !busy.received.empty(); }));
   EXPECT_EQ(requests.size(), 1u);
 }
 
@@ -920,13 +921,13 @@
   server.set_limits(shorter);
   server.close_expired(g_get_monotonic_time() + seconds(48));
   settle();
-  EXPECT_FALSE(connection.shut);
+  EXPECT_FALSE(connection.closed);
   server.close_expired(g_get_monotonic_time() + seconds(61));
-  ASSERT_TRUE(until([&] { return connection.shut; }));
+  ASSERT_TRUE(until([&] { return connection.closed; }));
   LoopbackStream other(address);
   settle();
   server.close_expired(g_get_monotonic_time() + seconds(6));
-  ASSERT_TRUE(until([&] { return other.shut; }));
+  ASSERT_TRUE(until([&] { return other.closed; }));
 }
 
 TEST_F(HttpServerTest, draining_closes_idle_connections_and_each_other_one_after_its_response) {
@@ -937,14 +938,14 @@
   server.close_after_responses();
   server.stop_listening();
   server.close_idle_connections();
-  ASSERT_TRUE(until([&] { return idle.shut; }));
+  ASSERT_TRUE(until([&] { return idle.closed; }));
   respond_to_all("yes");
-  ASSERT_TRUE(until([&] { return busy.shut; }));
-  EXPECT_NE(busy.got.find("Connection: close"), std::string::npos);
-  EXPECT_NE(busy.got.find("yes"), std::string::npos);
+  ASSERT_TRUE(until([&] { return busy.closed; }));
+  EXPECT_NE(busy.received.find("Connection: close"), std::string::npos);
+  EXPECT_NE(busy.received.find("yes"), std::string::npos);
   LoopbackStream late(address);
-  EXPECT_TRUE(late.shut);
-  EXPECT_EQ(late.how, TcpConnection::CloseReason::connect_failed);
+  EXPECT_TRUE(late.closed);
+  EXPECT_EQ(late.end, TcpConnection::CloseReason::connect_failed);
 }
 
 TEST_F(HttpServerTest, response_begun_before_draining_closes_its_connection) {
@@ -956,16 +957,17 @@
   head.status = 200;
   server.begin_response(id, head, -1);
   server.write_body(id, "first");
-  ASSERT_TRUE(until([&] { return connection.got.find("first") != std::string::npos; }));
-  EXPECT_EQ(connection.got.find("Connection: close"), std::string::npos) << "the head was sent before draining began";
+  ASSERT_TRUE(until([&] { return connection.received.find("first") != std::string::npos; }));
+  EXPECT_EQ(connection.received.find("Connection: close"), std::string::npos)
+      << "the head was sent before draining began";
   server.close_after_responses();
   server.stop_listening();
   server.close_idle_connections();
   server.end_response(id);
   connection.send(valid_requests[0]);
-  ASSERT_TRUE(until([&] { return connection.shut || requests.size() > 1; }));
+  ASSERT_TRUE(until([&] { return connection.closed || requests.size() > 1; }));
   EXPECT_EQ(requests.size(), 1u) << "a request received after listening stopped may outlast the grace period";
-  EXPECT_NE(connection.got.find("0\r\n\r\n"), std::string::npos);
+  EXPECT_NE(connection.received.find("0\r\n\r\n"), std::string::npos);
 }
 
 TEST_F(HttpServerTest, reading_pauses_when_a_client_sends_too_far_ahead) {
@@ -976,7 +978,7 @@
   settle();
   EXPECT_GT(connection.link->buffered_bytes(), 16u << 20) << "the server must not read all of it into memory";
   respond_to_all("yes");
-  ASSERT_TRUE(until([&] { return connection.shut; }));
+  ASSERT_TRUE(until([&] { return connection.closed; }));
   EXPECT_EQ(requests.size(), 1u);
 }
 
@@ -1022,7 +1024,7 @@
                     failed.push_back({id, failure});
                   }},
                  "") {
-    address = open_door([this](std::string const& at) {
+    address = listen_on_free_port([this](std::string const& at) {
       return listener.open(at, [this](std::shared_ptr<TcpConnection> link) {
         connections.push_back(std::make_unique<LoopbackStream>(std::move(link)));
       });
@@ -1035,17 +1037,17 @@
   LoopbackStream& start_request(std::uint64_t id, std::string const& method = "POST") {
     std::size_t received_before = 0;
     for (std::unique_ptr<LoopbackStream> const& connection : connections)
-      received_before += count_of(connection->got, "HTTP/1.1\r\n");
+      received_before += count_of(connection->received, "HTTP/1.1\r\n");
     upstream.start_request(id, "w", address, request(method), seconds(10));
     LoopbackStream* found = nullptr;
     EXPECT_TRUE(until([&] {
       std::size_t received = 0;
       for (std::unique_ptr<LoopbackStream> const& connection : connections)
-        received += count_of(connection->got, "HTTP/1.1\r\n");
+        received += count_of(connection->received, "HTTP/1.1\r\n");
       return received > received_before;
     }));
     for (std::unique_ptr<LoopbackStream> const& connection : connections)
-      if (!connection->shut && !connection->got.empty()) found = connection.get();
+      if (!connection->closed && !connection->received.empty()) found = connection.get();
     if (found == nullptr) throw std::runtime_error("the request did not reach the worker");
     return *found;
   }
@@ -1120,7 +1122,7 @@
   ASSERT_TRUE(request_ended());
   EXPECT_EQ(upstream.idle_connections("w"), 1u);
   connection.send("HTTP/1.1 200 OK\r\n");
-  ASSERT_TRUE(until([&] { return connection.shut; }));
+  ASSERT_TRUE(until([&] { return connection.closed; }));
   EXPECT_EQ(upstream.idle_connections("w"), 0u);
   clear_events();
   start_request(2).send(ok);
@@ -1209,7 +1211,7 @@
       connection.send(row.text);
       settle();
       connection.link->close(reset);
-      connection.shut = true;
+      connection.closed = true;
       ASSERT_TRUE(request_ended()) << row.name;
       ASSERT_EQ(failed.size(), 1u) << row.name;
       EXPECT_EQ(failed[0].failure, row.failure) << row.name;
@@ -1225,7 +1227,7 @@
     connection.send("HTTP/1.1 200 OK\r\n\r\nabc");
     ASSERT_TRUE(until([&] { return bodies[1] == "abc"; }));
     connection.link->close(reset);
-    connection.shut = true;
+    connection.closed = true;
     ASSERT_TRUE(request_ended());
     EXPECT_EQ(completed.size(), reset ? 0u : 1u);
     EXPECT_EQ(failed.size(), reset ? 1u : 0u);
@@ -1257,7 +1259,7 @@
     ASSERT_TRUE(request_ended());
     EXPECT_EQ(upstream.idle_connections("w"), 1u);
     connection.link->close(reset);
-    connection.shut = true;
+    connection.closed = true;
     ASSERT_TRUE(until([&] { return upstream.idle_connections("w") == 0; }));
     clear_events();
     LoopbackStream& next = start_request(2);
@@ -1266,7 +1268,7 @@
     EXPECT_EQ(completed, std::vector<std::uint64_t>{2});
     EXPECT_TRUE(failed.empty());
     next.link->close();
-    next.shut = true;
+    next.closed = true;
     ASSERT_TRUE(until([&] { return upstream.idle_connections("w") == 0; }));
   }
   EXPECT_EQ(upstream.reused, 0u);
@@ -1289,7 +1291,7 @@
     } else {
       connection.send("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
     }
-    connection.shut = true;
+    connection.closed = true;
     LoopbackStream& next = start_request(2);
     EXPECT_EQ(upstream.dialled, dialled + 1);
     next.send(ok);
@@ -1298,7 +1300,7 @@
     EXPECT_EQ(sent, std::vector<std::uint64_t>{2});
     EXPECT_EQ(bodies[2], "ok");
     next.link->close();
-    next.shut = true;
+    next.closed = true;
     ASSERT_TRUE(until([&] { return upstream.idle_connections("w") == 0; }));
   }
 }
@@ -1368,7 +1370,7 @@
   upstream.cancel(1);
   upstream.cancel(1);
   connection.send("defghi");
-  ASSERT_TRUE(until([&] { return connection.shut; }));
+  ASSERT_TRUE(until([&] { return connection.closed; }));
   EXPECT_TRUE(completed.empty());
   EXPECT_TRUE(failed.empty());
   EXPECT_EQ(bodies[1], "abc");
@@ -1379,8 +1381,8 @@
 TEST_F(UpstreamPoolTest, cancelling_resets_the_connection) {
   LoopbackStream& connection = start_request(1);
   upstream.cancel(1);
-  ASSERT_TRUE(until([&] { return connection.shut; }));
-  EXPECT_EQ(connection.how, TcpConnection::CloseReason::reset);
+  ASSERT_TRUE(until([&] { return connection.closed; }));
+  EXPECT_EQ(connection.end, TcpConnection::CloseReason::reset);
 }
 
 // The worker may have sent its complete response before it closed the connection with request bytes unread.
@@ -1396,7 +1398,7 @@
     connections[0]->link->pause_reading(true);
     connections[0]->send(length ? ok : "HTTP/1.1 200 OK\r\n\r\nok");
     connections[0]->link->close();
-    connections[0]->shut = true;
+    connections[0]->closed = true;
     ASSERT_TRUE(request_ended());
     EXPECT_EQ(completed.size(), length ? 1u : 0u)
         << "a response without length is complete only after an orderly close";
@@ -1423,8 +1425,8 @@
     settle();
     connection.send(std::string_view(text).substr(at));
     settle();
-    if (!connection.shut) connection.link->close(random.chance(0.5));
-    connection.shut = true;
+    if (!connection.closed) connection.link->close(random.chance(0.5));
+    connection.closed = true;
     ASSERT_TRUE(request_ended()) << id << "\n" << text;
     settle();
     ASSERT_EQ(completed.size() + failed.size(), 1u) << id << "\n" << text;
--- a/tests/request_proxy_fixture.h
+++ b/tests/request_proxy_fixture.h
@@ -30,12 +30,12 @@
     // All bytes received on all connections.
     std::string received() const {
       std::string out;
-      for (std::unique_ptr<LoopbackStream> const& connection : connections) out += connection->got;
+      for (std::unique_ptr<LoopbackStream> const& connection : connections) out += connection->received;
       return out;
     }
   };
 
-  explicit RequestProxyTest(Dialect const& dialect = Dialect())
+  explicit RequestProxyTest(HeaderNames const& dialect = HeaderNames())
       : proxy(dispatcher, dialect, "",
               {[this](std::uint64_t id, RequestInfo query) {
                  DispatchEffects out;
@@ -56,7 +56,7 @@
     EXPECT_TRUE(rules);
     dispatcher.set_description(rules.value());
     dispatcher.set_retry_budget(0.2, 10);
-    address = open_door([this](std::string const& at) { return proxy.listen(at); });
+    address = listen_on_free_port([this](std::string const& at) { return proxy.listen(at); });
   }
   ~RequestProxyTest() override { client.reset(); }
 
@@ -69,7 +69,7 @@
       QuotaResult result{claim.request, quota_result, millis(1500)};
       if (!claim.is_retry) dispatcher.quota_result(result, g_get_monotonic_time(), out);
     }
-    proxy.act(out);
+    proxy.apply_effects(out);
   }
 
   // Starts a worker with 8 slots in pool "p" and registers it.
@@ -77,7 +77,7 @@
     std::unique_ptr<Worker>& worker = workers[id];
     worker = std::make_unique<Worker>();
     Worker* const added = worker.get();
-    added->address = open_door([added](std::string const& address) {
+    added->address = listen_on_free_port([added](std::string const& address) {
       return added->listener.open(address, [added](std::shared_ptr<TcpConnection> link) {
         added->connections.push_back(std::make_unique<LoopbackStream>(std::move(link)));
       });
@@ -93,8 +93,8 @@
   }
   // Sends a request with id r1 on the client's connection, opened again if it is closed, and clears what was received.
   void send_request(std::string const& method, std::string const& path, std::string const& fields = "") {
-    if (!client || client->shut) client = std::make_unique<LoopbackStream>(address);
-    client->got.clear();
+    if (!client || client->closed) client = std::make_unique<LoopbackStream>(address);
+    client->received.clear();
     client->send(method + " " + path + " HTTP/1.1\r\nHost: h.test:80\r\nX-Pipit-Attempt: r1\r\n" + fields +
                  (method == "POST" ? "Content-Length: 2\r\n\r\nhi" : "\r\n"));
   }
@@ -112,7 +112,7 @@
   LoopbackStream& connection_of(std::string const& id) { return *workers.at(id)->connections.back(); }
   // Waits until the client has received 'text'.
   bool client_receives(std::string const& text) {
-    return until([&] { return client->got.find(text) != std::string::npos; });
+    return until([&] { return client->received.find(text) != std::string::npos; });
   }
   bool no_requests_in_flight() const {
     for (std::pair<std::string const, Instance> const& item : registry.all)
