--- a/src/base/error.h
+++ b/src/base/error.h
@@ -10,7 +10,7 @@
 
 namespace pipit {
 
-// Whether a request ran on a worker, as far as this node can tell.
+// Whether a request ran on a worker, as far as this node can determine.
 enum class ExecutionStatus : std::uint8_t { no, unknown, yes };
 // Returns the name used in responses: "no", "unknown" or "yes".
 char const* execution_status_name(ExecutionStatus execution);
--- a/src/consensus/lease/lease_candidate.cc
+++ b/src/consensus/lease/lease_candidate.cc
@@ -12,9 +12,9 @@
 
 void LeaseCandidate::tick(Micros now, Membership const& members, std::vector<OutgoingMessage>& out) {
   if (members.empty()) return;
-  // Split vote: rival candidates each hold the grants of a minority of the replicas. A candidate that did not reach a
-  // quorum releases its grants after `reply_timeout` and backs off for a random time. Otherwise the grants of a few
-  // rivals would overlap all the time, and no candidate would ever find a majority free.
+  // Split vote: rival candidates were each given the lease by a minority of the replicas. A candidate that did not
+  // reach a quorum releases these leases after `reply_timeout` and backs off for a random time. Otherwise the leases of
+  // a few rivals would overlap all the time, and no candidate would ever find a majority free.
   bool const is_split = requested_at_ >= 0 && !holds(now) && !granted_by_.empty() && !members.is_quorum(granted_by_);
   if (is_split && now - requested_at_ >= reply_timeout) {
     send_requests(0, members, out);
--- a/src/consensus/lease/lease_candidate.h
+++ b/src/consensus/lease/lease_candidate.h
@@ -23,12 +23,13 @@
   // The seed must differ from node to node: request ids and the backoff after a split vote are drawn from it.
   LeaseCandidate(std::string role, std::uint64_t seed)
       : role_(std::move(role)), random_(derived_seed(seed, role_)), request_id_(random_.next() >> 8) {}
-  // Appends the requests that are due to `out`: to acquire or renew the lease, or to release the grants of a split
-  // vote.
+  // Appends the requests that are due to `out`: to acquire or renew the lease, or to release the leases given in a
+  // split vote.
   void tick(Micros now, Membership const& members, std::vector<OutgoingMessage>& out);
   // Releases the lease, so that the next candidate can acquire it at once. The messages are appended to `out`.
   void release(Membership const& members, std::vector<OutgoingMessage>& out);
-  // Counts a replica's grant. Ignores replies to earlier requests, for other roles, and from outside `members`.
+  // Counts a lease given by a replica. Ignores replies to earlier requests, for other roles, and from outside
+  // `members`.
   void handle_reply(std::string const& from, wire::LeaseReplyT const& reply, Micros now, Membership const& members);
   // Whether this node holds the lease. The lease expires here a fifth of the term earlier than at the grantors, to
   // allow for clocks that run at different rates.
--- a/src/consensus/register/acceptor.h
+++ b/src/consensus/register/acceptor.h
@@ -34,7 +34,7 @@
   // Records the seeds of the first start on a blank disk, so that a later incarnation can still take part in the
   // bootstrap. The next step() returns the record to sync. Ignored once the replica has a value or seeds.
   void record_bootstrap_seeds(std::vector<std::string> const& seeds);
-  // Records the fingerprint of the membership by which this replica grants quotas. The next step() returns the record
+  // Records the fingerprint of the membership by which this replica allocates quota. The next step() returns the record
   // to sync.
   void record_quota_members(std::uint64_t fingerprint);
   // To be called when the record that step() returned is synced. Appends the replies held back for it to `out`.
--- a/src/node/configuration_authority.h
+++ b/src/node/configuration_authority.h
@@ -1,5 +1,5 @@
 // Confirms that the configuration held by this node is the newest one, which is required to accept API keys and to
-// grant quota (docs/tenants.md).
+// allocate quota (docs/tenants.md).
 //
 // Owns the two leases on the configuration, the requests to peers that are in flight, and the peers' confirmations of
 // revisions that this node does not hold yet. A lease is only ever confirmed as of a time at which no value newer than
@@ -38,7 +38,7 @@
 
   // The lease that requests with keys need.
   ConfigurationLease const& key_lease() const { return key_lease_; }
-  // Whether the configuration is confirmed recently enough to grant quota.
+  // Whether the configuration is confirmed recently enough to allocate quota.
   bool may_issue_quota(Micros now) const { return quota_lease_.valid(now); }
 
   // Extends the leases by what the learner's polls and the peers' replies have confirmed so far.
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -52,8 +52,9 @@
 
   // A connection to a peer was opened; 'address' is the one that was dialled, empty for an inbound connection.
   void connection_opened(ConnectionId id, bool outbound, std::string const& address, Micros now, NodeEffects& out);
+  // A connection to a peer was closed.
   void connection_closed(ConnectionId id, Micros now, NodeEffects& out);
-  // 'refused': the peer's host refused the connection.
+  // Opening a connection to 'address' failed. 'refused': the peer's host refused the connection.
   void dial_failed(std::string const& address, bool refused, Micros now, NodeEffects& out);
   // Handles a frame from a peer. False if the bytes are not a valid frame; the caller then closes the connection.
   bool receive_frame(ConnectionId id, std::string_view frame, Micros now, NodeEffects& out);
@@ -79,6 +80,7 @@
   }
 
   // Routed requests and self-registered workers (§12).
+  // Starts to route a request. 'id' must be new.
   void start_request(std::uint64_t id, RequestInfo request, Micros now, NodeEffects& out);
   // An attempt of a routed request ended; 'wrong_instance': another instance answers at the worker's address.
   void attempt_ended(std::uint64_t id, AttemptEnd end, bool wrong_instance, Micros now, NodeEffects& out);
@@ -92,10 +94,14 @@
   void worker_left(std::string const& id, std::uint64_t call_sequence, Micros now, NodeEffects& out);
 
   // Chat requests.
+  // Starts to dispatch a chat request. 'id' must be new.
   void start_chat_request(std::uint64_t id, ChatRequestInfo request, Micros now, NodeEffects& out);
+  // A byte of the current attempt may have left this node.
   void chat_attempt_sent(std::uint64_t id) { chat_dispatcher.on_sent(id); }
+  // A byte of the answer was forwarded to the client.
   void chat_attempt_began(std::uint64_t id) { chat_dispatcher.on_answer_begin(id); }
-  // 'why' describes a failure for the log; 'retry_after' is the delay that the worker named in its refusal.
+  // An attempt of a chat request ended. 'why' describes a failure for the log; 'retry_after' is the delay in
+  // microseconds that the worker named in its refusal.
   void chat_attempt_ended(std::uint64_t id, ChatAttemptEnd end, std::string const& why, Micros retry_after, Micros now,
                           NodeEffects& out);
   // The client of a chat request closed its connection.
--- a/src/node/quota_authority.h
+++ b/src/node/quota_authority.h
@@ -1,4 +1,4 @@
-// Requests and grants quota, parts of the tenants' rate limits (docs/tenants.md). It connects the node's dispatcher,
+// Requests and allocates quota, parts of the tenants' rate limits (docs/tenants.md). It connects the node's dispatcher,
 // the client that requests quota from the owners of the limits, and this node's own part of them where it is an owner.
 //
 // Owns the client, the token buckets of this node's part, and the shares by which the replicas divide the limits. Quota
--- a/src/routing/exchange/report_exchange.cc
+++ b/src/routing/exchange/report_exchange.cc
@@ -10,7 +10,7 @@
 constexpr Micros deltas_interval = millis(500);
 constexpr std::size_t deltas_max = 4096;  // queued changes per index
 
-// Which leg of the path through the hubs a message is on; a message on the last leg is not relayed.
+// Which hop of the path through the hubs a message is on; a message on the last hop is not forwarded.
 enum Hops : std::uint8_t { to_hub = 0, to_hubs = 1, last = 2 };
 }  // namespace
 
--- a/src/routing/registry/registry.cc
+++ b/src/routing/registry/registry.cc
@@ -157,8 +157,8 @@
     // well.
     bool const suspected = item.suspected >= 0 && suspicion_counts;
     Micros const timeout = suspected ? heartbeat_interval_ * 7 / 4 : heartbeat_interval_ * 3;
-    // Heartbeats may also be seconds late: unless the worker is suspected, data received in responses counts as a sign
-    // of life.
+    // Heartbeats may also be seconds late: unless the worker is suspected, data received in responses also
+    // shows that it is alive.
     Micros const last_sign = suspected ? item.last_heartbeat : std::max(item.last_heartbeat, item.last_byte);
     if (item.owner == self_ && item.last_heartbeat >= 0 && item.state != WorkerState::ended &&
         now - last_sign > timeout) {
--- a/src/routing/tenants/quota_budget.h
+++ b/src/routing/tenants/quota_budget.h
@@ -21,8 +21,8 @@
   double rate = 0;   // per second
   double depth = 0;  // most that accumulates while nothing is requested
 
-  // The budget of all owners together. In any window they grant at most rate x window + depth, which is what the terms
-  // allow less a twentieth of what they allow beyond the rate.
+  // The budget of all owners together. In any window they allocate at most rate x window + depth, which is what the
+  // terms allow less a twentieth of what they allow beyond the rate.
   static QuotaBudget of(Tenant const& tenant, QuotaTerms const& terms) {
     double const window = static_cast<double>(terms.window) / 1e6;
     double const rate = static_cast<double>(tenant.rate);
--- a/src/routing/tenants/quota_client.cc
+++ b/src/routing/tenants/quota_client.cc
@@ -128,7 +128,7 @@
     ++tally.timeouts;
     PendingRequest pending = std::move(pending_.at(request_id));
     pending_.erase(request_id);
-    // A new request id, so that a late grant for the former one is returned.
+    // A new request id, so that a late allocation for the former one is returned.
     send_next(++last_request_id_, std::move(pending), peers, now, out);
   }
 }
--- a/src/routing/tenants/quota_client.h
+++ b/src/routing/tenants/quota_client.h
@@ -1,6 +1,6 @@
 // Requests quota from the owners of tenants' limits on behalf of this node's client requests. Quota is requested for
 // each client request after it arrived, so whatever runs in a window was also granted in it. Owners are asked one after
-// the other until one grants the full amount; an amount above what one of them can ever have is requested in chunks.
+// the other until one allocates the full amount; an amount above what one of them can ever have is requested in chunks.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -51,7 +51,7 @@
   // Starts to request quota. 'max_chunk': the most to request from one owner at once.
   void begin(QuotaRequest const& need, std::int64_t max_chunk, QuotaPeers const& peers, Micros now,
              std::vector<OutgoingMessage>& out);
-  // Handles a reply. Returns a grant that came after its request had moved on.
+  // Handles a reply. Returns an allocation that arrived after its request went to another owner or was cancelled.
   void take(std::string const& from, wire::QuotaReplyT const& reply, QuotaPeers const& peers, Micros now,
             std::vector<OutgoingMessage>& out);
   // Sends requests that were not answered in time to the next owner.
@@ -80,7 +80,7 @@
     std::int64_t max_chunk = 0;
     std::vector<Allocation> allocations;
     std::int64_t missing = 0;
-    std::map<std::string, int> attempted;  // owners or peers asked since the last grant
+    std::map<std::string, int> attempted;  // owners or peers asked since the last allocation
     std::string target;                    // owner or peer that was asked last
     std::int64_t chunk = 0;                // amount requested from the target
     bool through_peer = false;
--- a/src/routing/tenants/quota_owner.h
+++ b/src/routing/tenants/quota_owner.h
@@ -1,6 +1,6 @@
-// Grants quota from this node's share of tenants' limits. A token bucket for each tenant fills at the share of the rate
-// up to the share of the depth; a request is granted in full or not at all. A process starts with empty buckets, so
-// what a former incarnation granted is never granted twice.
+// Allocates quota from this node's share of tenants' limits. A token bucket for each tenant fills at the share of the
+// rate up to the share of the depth; a request is granted in full or not at all. A process starts with empty buckets,
+// so what a former incarnation granted is never granted twice.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -21,7 +21,7 @@
  public:
   explicit QuotaOwner(QuotaTerms terms) : terms_(terms) {}
 
-  // Grants or refuses 'count' units. 'share': this node's share of the limit, 0 to 1, held since 'active_since'.
+  // Allocates or refuses 'count' units. 'share': this node's share of the limit, 0 to 1, held since 'active_since'.
   QuotaDecision ask(Tenant const& tenant, std::int64_t count, double share, Micros active_since, Micros now);
   // Counts a retried attempt, even if that makes the bucket's level negative.
   void debit(Tenant const& tenant, std::int64_t count, double share, Micros active_since, Micros now);
--- a/src/storage/record_store.h
+++ b/src/storage/record_store.h
@@ -1,5 +1,5 @@
-// The record store: the state of a replica as one record in preallocated, checksummed files that are written in turn
-// (§5.6).
+// The record store: the state of a replica as one record in preallocated, checksummed files that are written
+// alternately (§5.6).
 #pragma once
 #include <array>
 #include <cstdint>
