--- a/src/base/micros.h
+++ b/src/base/micros.h
@@ -1,5 +1,5 @@
-// Time in whole microseconds of a monotonic clock. Callers pass the time in, so that simulators can use their own clock
-// (§2.2).
+// Times and durations in whole microseconds. Points in time are readings of a monotonic clock that callers pass in, so
+// that simulators can use their own (docs/design.md §2.2).
 #pragma once
 #include <cstdint>
 
--- a/src/config/description/description.h
+++ b/src/config/description/description.h
@@ -14,11 +14,12 @@
 
 namespace pipit {
 
-// A pool of workers that serve one model.
+// A pool of workers. Chat requests are for the pool's model; routed requests state their own, which may be several in
+// one pool.
 struct Pool {
   std::string name;
   std::string model;
-  std::int64_t slots = 60;                   // concurrent requests per worker, unless the worker list sets a number
+  std::int64_t slots = 60;                   // concurrent requests per worker, unless the platform's list sets a number
   std::int64_t cold_rate = 4;                // requests per second that a cold worker can take
   Micros cold_period = seconds(10);          // time for which a started worker counts as cold
   std::int64_t cache_blocks = 4096;          // prompt blocks that one worker is estimated to cache
@@ -30,14 +31,16 @@
   std::int64_t tokens_per_event = 1;         // tokens per event of a stream
 };
 
-// A class of requests with one policy, and the pools that serve it (§5.2).
+// A class of chat requests with one policy and the pools that serve it (§5.2). A request must meet the binding's
+// condition; it may name its lane, or else the first lane that matches is taken. Higher urgency is served first, unlike
+// the rank of routes and tenants.
 struct Lane {
   std::string name;
   Binding binding;
   Policy policy;
 };
 
-// Maps requests by host and path prefix to pools, and sets their timeouts and retry limits (§12.4).
+// Maps routed HTTP requests by host and path prefix to pools, and sets their timeouts and retry limits (§12.4).
 struct Route {
   // The weight of one pool in the distribution of requests.
   struct Share {
@@ -53,8 +56,8 @@
   bool resumable = false;                // whether a broken stream may continue at another worker
   Micros request_timeout = seconds(30);  // from the arrival of a request until it fails
   Micros latency_target = seconds(1);
-  Micros max_event_gap = 0;       // target for the longest pause between two events; 0: no target
-  std::int64_t rank = 0;          // priority; 0 is served first
+  Micros max_event_gap = 0;       // target for the longest pause between two events, not a limit; 0: no target
+  std::int64_t rank = 0;          // priority; 0 is served first, unlike a lane's urgency
   std::int64_t max_attempts = 1;  // including the first one
   bool is_public = false;         // whether no key is needed even if the description requires keys
 };
@@ -65,12 +68,12 @@
 // A tenant: its API keys, its priority and its rate limit (docs/tenants.md).
 struct Tenant {
   std::string name;
-  std::vector<Digest> keys;  // digests of the API keys, by key_digest_of()
+  std::vector<Digest> keys;  // digests of the API keys, by key_digest_of() (base/key_digest.h), not digest_of()
   std::int64_t rank = 0;     // priority; 0 is served first; compared before the rank of a route
   CountingUnit unit = CountingUnit::requests;
-  std::int64_t default_tokens = 0;  // tokens charged for a request that names no number of tokens
+  std::int64_t default_tokens = 0;  // counted for a request that states no number of tokens
   std::int64_t rate = 0;            // units per second over all nodes; 0: no limit
-  std::int64_t burst = 0;           // units above the rate
+  std::int64_t burst = 0;           // units beyond the rate that may be used at once; sets the token bucket's size
   // Whether the tenant has a rate limit.
   bool limited() const { return rate > 0; }
 };
--- a/src/mesh/entries/entry_replication.h
+++ b/src/mesh/entries/entry_replication.h
@@ -16,6 +16,7 @@
 
 namespace pipit {
 
+// Keeps a queue of entries for each connected peer and builds the batches that are sent to it.
 class EntryReplication {
  public:
   // The table must outlive this object.
--- a/src/mesh/mesh_settings.h
+++ b/src/mesh/mesh_settings.h
@@ -8,6 +8,7 @@
 
 namespace pipit {
 
+// Parameters of a Mesh.
 struct MeshSettings {
   std::string cluster;                    // connections from nodes of any other cluster are closed
   std::vector<std::string> seeds;         // IP:port
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -13,20 +13,23 @@
 constexpr Micros clock_jump_threshold = seconds(1);
 constexpr Micros majority_timeout = seconds(3);
 constexpr Micros first_heartbeat_wait = seconds(2);
-// Request numbers only rise; they start in the lowest 1/256 of their range, so that they do not overflow.
+// Request ids are counted up from a random start in the lowest 1/256 of their range, so that they cannot overflow.
 constexpr int spare_number_bits = 8;
 
-// Random seeds for one incarnation of one node. The process may have derived 'random_seed' from the incarnation and the
-// name, so these three are hashed and not just combined: they could cancel out, and all nodes and incarnations would
-// draw the same numbers.
+// What a number from incarnation_seed() is used for.
 enum class SeedUse : std::uint64_t { ballots = 1, polls, requests, lease, quota };
+
+// Returns a number that differs for each use, node and incarnation. It seeds a random generator or determines the first
+// request id. The inputs are hashed before they are combined: the process may have derived 'random_seed' from the
+// incarnation and the name, so a plain combination could cancel out and be the same for all nodes and incarnations.
 std::uint64_t incarnation_seed(NodePlan const& plan, SeedUse use) {
   std::uint64_t const incarnation =
       hash_bits(plan.incarnation + static_cast<std::uint64_t>(use)) + hash_text(plan.name);
   return hash_bits(hash_bits(incarnation) ^ plan.random_seed);
 }
 
-// Maximum age of the replica set by which quota is granted.
+// How long after the last confirmation of its configuration a node may still allocate quota, and thus how long it may
+// still act on a superseded replica set. The revocation bound takes its place if one is set.
 constexpr Micros quota_owner_max_age = millis(4700);
 Micros quota_owner_max_age_of(NodePlan const& plan) {
   return plan.revocation_bound > 0 ? plan.revocation_bound : quota_owner_max_age;
@@ -59,8 +62,8 @@
   MeshSettings out;
   out.cluster = plan.cluster;
   out.seeds = plan.seeds;
-  // §3.6 requires that owners send their entries themselves and that pings carry revisions. Both hold only where
-  // workers register themselves.
+  // The mode for large fleets (§3.6) requires that owners send their entries themselves and that pings carry revisions.
+  // Both hold only where workers register themselves; elsewhere SIZE_MAX disables the mode.
   if (!plan.workers_self_register) out.large_fleet_size = SIZE_MAX;
   return out;
 }
@@ -180,7 +183,8 @@
       out.blocks = static_cast<std::size_t>(pool.cache_blocks);
       out.age = pool.cache_ttl;
     } else if (plan.workers_self_register && model.compare(0, pool.name.size() + 1, pool.name + "/") == 0) {
-      // Routed requests have one prefix tree for each pool and model; its blocks are counted in tokens (§12.5).
+      // Routed requests have one prefix tree for each pool and model, named 'pool/model'. Its bound counts tokens
+      // instead of blocks (§12.5): cache_tokens, or cache_blocks if that is unknown.
       out.blocks = static_cast<std::size_t>(pool.cache_tokens > 0 ? pool.cache_tokens : pool.cache_blocks);
       out.age = pool.cache_ttl;
     }
@@ -301,7 +305,7 @@
       change_forwarder_.handle_reply(from, *body.AsForwardedChangeReply(), now, out);
       break;
     case wire::Body::WorkerSuspected:
-      // Checked at once, so that a healthy worker is available again soon.
+      // The worker is checked at once, so that a healthy one is available again soon.
       if (fleet.suspect(body.AsWorkerSuspected()->worker, body.AsWorkerSuspected()->incarnation, now))
         start_health_check(body.AsWorkerSuspected()->worker, now, out);
       break;
@@ -331,7 +335,7 @@
   proposer.adopt_membership(learner.membership());
   if (update.hops > 0) forward_to_zone(update, out);
   if (learner.revision() < revision) {
-    // The patch's base is not the value held here. It may still arrive on another connection.
+    // The patch's base is not the value held here. The base may still arrive on another connection.
     catch_up_.buffer_patch(from, update, now);
     return;
   }
@@ -354,8 +358,8 @@
   wire::ChosenAckT acknowledgement;
   acknowledgement.request_id = update.request_id;
   acknowledgement.serial = learner.serial();
-  // Router nodes without a registration may have become ready because of this node alone (§6.7): the proposer must
-  // learn of them.
+  // A router node without a registration may have become ready by this node's value alone (§6.7). The node that
+  // proposed the change cannot know of it, so the acknowledgement names all those that this node knows.
   for (std::string const& name : plan.workers_self_register ? std::set<std::string>() : known_routers(true))
     if (!learner.value || registration_of(*learner.value, name) == nullptr) acknowledgement.routers.push_back(name);
   outgoing.push_back(message_to(update.origin.empty() ? from : update.origin, std::move(acknowledgement)));
@@ -381,8 +385,8 @@
     update.value = std::make_unique<wire::ValueT>(value);
   if (!guard_enabled(Guard::spread)) return;
   if (plan.workers_self_register && mesh.is_large_fleet()) {
-    // §12.7: sent to the replicas, which forward it within their zones, and to every node of a zone without a connected
-    // replica.
+    // §12.7: the value is sent to the replicas, which forward it within their zones, and to every node of a zone
+    // without a connected replica.
     update.origin = plan.name;
     update.hops = 1;
     std::string const bytes = encode_message(wire::ChosenT(update));
@@ -407,7 +411,8 @@
   wire::ValueT const& value = *learner.value;
   catch_up_.value_adopted();
   check_value(value);
-  // A registration raises only the revision; the description was parsed when its serial was adopted.
+  // A change of registrations or members raises only the revision; the description was parsed when its serial was
+  // adopted.
   if (value.serial != mesh.members.self.serial) {
     std::shared_ptr<Description const> description = std::make_shared<Description>();
     if (!value.text.empty()) {
@@ -428,7 +433,8 @@
   mesh.members.self.revision = value.revision;
   configuration_authority_.update_confirmations();
   update_registration(now, out);
-  // Where workers register themselves, pings carry revisions, and the member record need not be announced again (§3.6).
+  // Where workers register themselves, peers learn this node's new revision from its pings (§3.6), and otherwise from
+  // this announcement.
   if (!plan.workers_self_register) mesh.announce_self(out.mesh);
 }
 
@@ -511,17 +517,18 @@
   // the workers.
   Micros const from = stale_since_ >= 0 ? stale_since_ : started_at_;
   bool const majority_confirmed = learner.confirmed_at >= from;
-  // Where workers register themselves there are enough replicas for the tolerated losses, so a node does not become
-  // ready without a majority (docs/control.md).
+  // Where workers register themselves, the replica set is sized to keep a majority through plan.tolerated_losses, so a
+  // node can insist on a majority before it becomes ready (docs/control.md).
   if (plan.workers_self_register && !majority_confirmed && !ready_) return;
   bool value_confirmed = majority_confirmed;
   if (majority_confirmed && plan.role == MemberRole::router && !router_registrations_.is_registered()) {
-    // §5.9: no request is placed before this incarnation of the node is registered; while a majority answers, no
-    // serving peer can stand in for the registration.
+    // §5.9: no request is placed before this incarnation of the node is registered. While a majority answers, a ready
+    // peer with the same value is no substitute for the registration.
     request_registration(now, out);
     if (!ready_) return;
   }
-  // Where workers register themselves: a description is in force, and a worker is known or has had time to call.
+  // Where workers register themselves: a description is in force (serial above 0), and a worker is known or the wait
+  // for the first heartbeat is over.
   bool const workers_reported = plan.workers_self_register && learner.serial() > 0 &&
                                 (!registry.all.empty() || now - from > first_heartbeat_wait);
   bool const workers_known = plan.role == MemberRole::config_store || last_list_read_at_ >= from || workers_reported;
@@ -535,6 +542,7 @@
         value_confirmed = true;
     }
   }
+  // A node that was ready resumes with its old worker list if no list could be read within the timeout.
   if (!value_confirmed || !(workers_known || (ready_ && now - from > majority_timeout))) return;
   if (stale_since_ >= 0) {
     stale_since_ = -1;
@@ -590,8 +598,9 @@
 bool Node::may_stop(Micros now) const {
   if (!acceptor || !acceptor->durable_state().formed) return true;
   if (!learner.membership().has_participant(plan.name, acceptor->durable_state().disk)) return true;
-  // Without a quorum a replica cannot know whether another node can replace it, and waits until its grace period ends.
-  // A member that the set does not need waits as well: it is removed from the set first.
+  // A member of the replica set may stop only when it is in contact with a quorum and can be neither replaced nor
+  // removed. It waits while a spare replica can replace it, while the set can do without it and removes it, and while
+  // it has no quorum and so cannot know either. The process ends the wait after its grace period.
   return replica_directory_.has_quorum_contact(now) && replica_set_manager_.lacks_replacement(now);
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,7 +1,10 @@
 // The core of a router node or configuration replica, without I/O: it owns the mesh, the register, the worker tables
 // and the dispatchers, and connects them. Programs and the simulators drive the same code (§2.2).
 //
-// Every call takes the time of a monotonic clock in microseconds and appends the work that results to a NodeEffects.
+// § refers to sections of docs/design.md.
+//
+// The calls that do work take the time of a monotonic clock in microseconds and append the work that results to a
+// NodeEffects.
 // Not synchronized: used by the node's loop only.
 #pragma once
 #include <functional>
@@ -47,7 +50,8 @@
   // Runs everything that is due; to be called several times a second.
   void tick(Micros now, NodeEffects& out);
   // Notices that the process was suspended: what the node knew is then out of date until it is confirmed again (§6.7).
-  // The other calls do this themselves before anything else.
+  // The calls with a time and effects do this themselves before anything else, except record_synced(),
+  // await_worker_end() and drain().
   void detect_clock_jump(Micros now);
 
   // A connection to a peer was opened; 'address' is the one that was dialled, empty for an inbound connection.
@@ -109,10 +113,12 @@
 
   // A planned stop is near: from now on a replica has itself replaced while it still holds its copy.
   void retire() { retiring_ = true; }
-  // Whether the node can stop without a loss of replicated data: it holds no replica any more, or no node could replace
-  // it.
+  // Whether the process need not wait before it stops. True for a node that is no member of the replica set, and for a
+  // member in contact with a quorum that can be neither replaced by a spare replica nor removed from the set. False for
+  // a member that waits for its replacement or removal, or for a quorum.
   bool may_stop(Micros now) const;
-  // Accepts no further requests, gives up its lease and announces that it leaves.
+  // Refuses and no longer retries chat requests, gives up the replica set manager's lease and announces that the node
+  // leaves. Routed requests are not refused here: the process keeps them out (NodeServer closes its listeners first).
   void drain(Micros now, NodeEffects& out);
   bool is_ready() const { return ready_; }
   // Ready, and holding the configuration lease if the description requires API keys.
@@ -126,6 +132,11 @@
   QuotaAuthority const& quota_authority() const { return quota_authority_; }
   std::size_t chat_requests_in_flight() const { return chat_dispatcher.active_requests(); }
 
+  // Terms: the register is the value that the replicas agree on by Paxos (Proposer, Learner, Acceptor). Its revision
+  // counts every change; its serial counts the operators' changes to the configuration in it. The registrations of
+  // router nodes are entries of the register. The fleet contains the workers of the platform's list, the registry those
+  // that register themselves. ChatDispatcher places chat requests on the fleet, Dispatcher places routed requests on
+  // the registry.
   NodePlan const plan;
   Mesh mesh;
   Proposer proposer;
--- a/testing/platform_fleet_test/workers.cc
+++ b/testing/platform_fleet_test/workers.cc
@@ -20,7 +20,7 @@
 constexpr Micros tick = millis(2);
 constexpr Micros heartbeat_interval = millis(1200);
 constexpr Micros idle_timeout = seconds(5);
-constexpr int relayed_part = 100;
+constexpr int relayed_part = 100;  // added to the third octet of a worker's address
 }  // namespace
 
 Workers::Workers(Shape const& shape, Nodes& nodes, Judge& judge, int net, std::uint64_t seed)
@@ -30,7 +30,8 @@
   for (std::unique_ptr<Worker>& worker : workers_) end(*worker, true);
 }
 
-// The relay's address for a worker: the worker's IP address with another third octet.
+// Returns the relay's address for a worker, which is the worker's IP address with relayed_part added to its third
+// octet. Without a relay, returns the IP address itself.
 std::string Workers::public_ip_of(std::string const& ip) const {
   if (nodes_.relay() == nullptr) return ip;
   std::size_t const second = ip.find('.', ip.find('.') + 1);
@@ -45,7 +46,7 @@
          std::to_string(1 + last_ip_ % 250);
 }
 
-// Two faults may hit one worker, and both then assign its address to a new worker.
+// Whether a worker that has not ended has this address.
 bool Workers::ip_in_use(std::string const& ip) const {
   return std::any_of(workers_.begin(), workers_.end(), [&ip](std::unique_ptr<Worker> const& worker) {
     return worker->state != State::ended && worker->ip == ip;
@@ -56,6 +57,7 @@
   workers_.push_back(std::make_unique<Worker>(shape_.engine));
   Worker& worker = *workers_.back();
   worker.id = "i-" + std::to_string(++last_id_) + "-" + std::to_string(random_.below(100000));
+  // Two faults may hit one worker, and both then assign its address to a new worker.
   worker.ip = ip_in_use(ip) ? next_ip() : ip;
   worker.public_ip = public_ip_of(worker.ip);
   worker.zone = zone;
@@ -88,6 +90,7 @@
     for (std::unique_ptr<Worker>& item : workers_) {
       Worker& worker = *item;
       if (worker.state == State::ended) continue;
+      // Adds a load report; the worker serves reports with a lag of 'report_lag'.
       JsonWriter json;
       json.begin_object()
           .key("stage")
@@ -113,8 +116,10 @@
       json.key("running").number(worker.engine.running()).key("cache_used").number(worker.engine.pinned_tokens());
       json.key("cache_total").number(shape_.engine.cache_tokens).key("open_handles").number(0).end_object();
       worker.reports.emplace_back(at, json.take());
+      // Leaves the newest report that is at least that old as the first one, which is served.
       while (worker.reports.size() > 1 && worker.reports[1].first <= at - shape_.report_lag) worker.reports.pop_front();
       if (worker.is_silent) continue;
+      // Closes the connections that have been idle for too long.
       std::vector<Connection*> idle;
       for (std::pair<Connection* const, std::shared_ptr<Connection>> const& conn : worker.conns)
         if (!conn.second->busy && at - conn.second->idle_since > idle_timeout) idle.push_back(conn.first);
@@ -247,6 +252,7 @@
   if (consumed < bytes.size())
     judge_.report_violation(Promise::unasked, worker.id + " received a pipelined request from " + conn.peer);
   conn.busy = true;
+  // Closes a few connections in a thousand after their answer, as a server may at any time.
   conn.close_after_answer = !conn.head.keep_alive || worker.state == State::draining || random_.chance(0.003);
   conn.reader.start_next_message();
   on_request(worker, conn);
@@ -259,6 +265,7 @@
 
 void Workers::answer(Worker& worker, Connection& conn, unsigned status, std::string const& fields,
                      std::string const& body) {
+  // The reason phrase is a dash; the keep-alive timeout is 'idle_timeout' in seconds.
   std::string out = "HTTP/1.1 " + std::to_string(status) + " -\r\n" + fields + "X-Instance-Load: " + load(worker) +
                     "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" +
                     (conn.close_after_answer ? "Connection: close\r\n" : "Keep-Alive: timeout=5\r\n") + "\r\n" + body;
