--- a/testing/mixed_versions.sh
+++ b/testing/mixed_versions.sh
@@ -37,11 +37,10 @@
 
 timeout_seconds=30
 stores="127.195.0.1:7000,127.195.0.2:7000,127.195.0.3:7000"
-pids=""
 failures=0
 checks=0
 
-# One "pid name" line per running process, so that a process can be stopped by its name.
+# Each running process has a file NAME.pid in the work folder.
 stop() {  # NAME [SIGNAL]
   pid=$(cat "$1.pid" 2>/dev/null) || return 0
   kill "-${2:-TERM}" "$pid" 2>/dev/null
@@ -117,7 +116,7 @@
   "$1/pipitspoolctl" wait --within "$timeout_seconds" --node "$2:7080"
 }
 
-write_description() {  # FILE ROUTE_NAME
+write_description() {  # FILE LANE_NAME
   cat > "$1" <<END
 {"format":1,
  "pools":[{"name":"main","model":"tribute","slots":60}],
@@ -125,14 +124,14 @@
 END
 }
 
-apply_and_read() {  # BUILD NODE_ADDRESS ROUTE_NAME
+apply_and_read() {  # BUILD NODE_ADDRESS LANE_NAME
   write_description "$3.json" "$3"
   "$1/pipitspoolctl" apply "$3.json" --node "$2:7080" || return 1
   reads_as "$1" "$2" "$3"
 }
 
 # Whether the node returns the configuration byte for byte, within the time limit.
-reads_as() {  # BUILD NODE_ADDRESS ROUTE_NAME
+reads_as() {  # BUILD NODE_ADDRESS LANE_NAME
   end=$(($(date +%s) + timeout_seconds))
   while :; do
     "$1/pipitspoolctl" read --node "$2:7080" > read.json 2> read.err && cmp -s read.json "$3.json" && return 0
@@ -172,7 +171,7 @@
   "$1/pipitspoolctl" refill b --node "$2:7080"
 }
 
-# One fleet: stores from three builds, routers from two; pipitspoolctl of one build.
+# Runs one fleet of three stores, two routers and pipitspoolctl, each of the build that is given for it.
 fleet() {  # TITLE STORE1 STORE2 STORE3 ROUTER1 ROUTER2 CTL
   title=$1
   rm -rf k1 k2 k3 ./*.conf ./*.json k?.log
